--- a/internal/bookkeeping/cloud.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,7 @@
-package bookkeeping
+// Package cloud is the client of the cloud that rents the machines: its catalog of instance
+// types, the list of rented machines, and requests to scale out and in. It keeps within the
+// cloud's rate of requests.
+package cloud
 
 import (
 	"context"
--- a/internal/bookkeeping/inbox.go
+++ b/internal/cluster/inbox.go
@@ -1,20 +1,14 @@
-package bookkeeping
+package cluster
 
 import (
 	"fmt"
 	"strings"
 
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// PrefixInbox holds jobs that a controller accepted while it could not reach a
-// leader. Only the leader writes jobs' own records; it takes the inbox in.
-const PrefixInbox = "inbox/"
-
-// KeyInbox is the key of a job that no leader has taken in yet.
-func KeyInbox(job string) string { return PrefixInbox + job }
-
 // Arrival is a job in the inbox.
 type Arrival struct {
 	Spec      protocol.JobSpec
@@ -30,21 +24,21 @@
 func ArrivalTxn(a Arrival) protocol.Txn {
 	id := a.Spec.ID
 	return protocol.Txn{
-		If: []protocol.Condition{{Key: KeyInbox(id)}, {Key: KeyJob(id)}, {Key: KeyFinal(id)}},
+		If: []protocol.Condition{{Key: storage.KeyInbox(id)}, {Key: storage.KeyJob(id)}, {Key: storage.KeyFinal(id)}},
 		Then: []protocol.Change{{
-			Set:   KeyInbox(id),
-			Value: protocol.Encode(newJob(a.Spec, a.Submitted, FormatOld).record("", nil)),
+			Set:   storage.KeyInbox(id),
+			Value: protocol.Encode(newJob(a.Spec, a.Submitted, storage.FormatOld).record("", nil)),
 		}},
 	}
 }
 
 // ParseArrival reads a record of the inbox.
 func ParseArrival(item protocol.Item) (Arrival, error) {
-	id, ok := strings.CutPrefix(item.Key, PrefixInbox)
+	id, ok := strings.CutPrefix(item.Key, storage.PrefixInbox)
 	if !ok {
 		return Arrival{}, fmt.Errorf("record %s: is not in the inbox", item.Key)
 	}
-	j, _, err := parseRecord(KeyJob(id), item.Value)
+	j, _, err := parseRecord(storage.KeyJob(id), item.Value)
 	if err != nil {
 		return Arrival{}, fmt.Errorf("record %s: %w", item.Key, err)
 	}
--- a/internal/bookkeeping/ledger.go
+++ b/internal/cluster/ledger.go
@@ -1,4 +1,7 @@
-package bookkeeping
+// Package cluster is the state of the fleet in the leader's memory: jobs, their attempts,
+// machines and teams' usage. It knows which records of that state have to be written,
+// builds the write batches for them, and reads the records back after a failover.
+package cluster
 
 import (
 	"cmp"
@@ -7,6 +10,7 @@
 
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -61,7 +65,7 @@
 	l := &Ledger{
 		state:           state,
 		rooms:           rooms(state.ValueBytes(), state.Both().ValueBytes()),
-		format:          FormatOld,
+		format:          storage.FormatOld,
 		Jobs:            map[string]*Job{},
 		Machines:        map[string]*Machine{},
 		Teams:           map[string]*Team{},
@@ -87,7 +91,7 @@
 // UpgradeFormat takes over that every leader, now and later, reads a format. Records in
 // the old form are turned as they are written, and all of them in time.
 func (l *Ledger) UpgradeFormat(format int, now units.Micros) {
-	format = min(format, FormatNew) // jobs' records are the same in later ones
+	format = min(format, storage.FormatNew) // jobs' records are the same in later ones
 	if format <= l.format {
 		return
 	}
@@ -101,7 +105,7 @@
 }
 
 // oldLeaders tells whether a leader may come that reads the old form alone.
-func (l *Ledger) oldLeaders() bool { return l.format < FormatNew }
+func (l *Ledger) oldLeaders() bool { return l.format < storage.FormatNew }
 
 // ApplyNextLimits takes over that the limits to come hold already, and tells whether
 // that was new.
@@ -189,7 +193,7 @@
 
 // Add takes in a job read from its record.
 func (l *Ledger) Add(j *Job) {
-	if !l.oldLeaders() && j.format == FormatOld {
+	if !l.oldLeaders() && j.format == storage.FormatOld {
 		j.main.dirty, j.changed = true, true // to be migrated to the new form
 	}
 	j.changed = j.changed || len(j.obsolete) > 0 // a leader died before they were deleted
--- a/internal/bookkeeping/production_test.go
+++ b/internal/cluster/production_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package cluster
 
 import (
 	"encoding/json"
@@ -12,6 +12,7 @@
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 )
 
 // production gives records as the version before services wrote them.
@@ -69,9 +70,9 @@
 	if err != nil || a.Spec.Tasks != 12 || a.Spec.Team != "planning" {
 		t.Errorf("%+v, %v", a, err)
 	}
-	var lease, head Lease
-	var final Final
-	for key, into := range map[string]any{KeyFleet: &lease, KeyHead(3): &head, KeyFinal("j-000006"): &final} {
+	var lease, head storage.Lease
+	var final storage.Final
+	for key, into := range map[string]any{storage.KeyFleet: &lease, storage.KeyHead(3): &head, storage.KeyFinal("j-000006"): &final} {
 		if err := protocol.Decode(s.items[key].Value, into); err != nil {
 			t.Errorf("%s: %v", key, err)
 		}
@@ -79,7 +80,7 @@
 	if lease.Holder != "dune-1" || lease.Incarnation != 7 || head.Incarnation != 4 || final.Stage != protocol.StageDone {
 		t.Errorf("%+v %+v %+v", lease, head, final)
 	}
-	if c, _, err := ParseCatalog([]protocol.Item{s.items[KeyCatalog]}); err != nil || len(c.Types) != 1 {
+	if c, _, err := storage.ParseCatalog([]protocol.Item{s.items[storage.KeyCatalog]}); err != nil || len(c.Types) != 1 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
@@ -93,7 +94,7 @@
 		s := &store{items: production(t), revision: 100}
 		for restart := 0; ; restart++ {
 			l := NewLedger(nil, limits)
-			l.UpgradeFormat(FormatNew, 0)
+			l.UpgradeFormat(storage.FormatNew, 0)
 			jobs, orphans, err := ParseJobs(s.rows())
 			if err != nil || len(orphans) > 0 {
 				t.Fatal(err, orphans)
@@ -109,7 +110,7 @@
 			}
 			n := 0
 			for ; ; n++ {
-				save := l.BuildSave(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, Buckets), SaveLimits{Tasks: true}, 10)
+				save := l.BuildSave(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, storage.Buckets), SaveLimits{Tasks: true}, 10)
 				if save == nil || restart == 0 && n == crash {
 					break
 				}
@@ -142,18 +143,18 @@
 	items := map[string]protocol.Item{}
 	stored := map[string]uint64{}
 	write := func(types []protocol.MachineType, format int) {
-		for i, c := range CatalogChanges(types, format, 2048, stored) {
+		for i, c := range storage.CatalogChanges(types, format, 2048, stored) {
 			if c.Delete != "" {
 				delete(items, c.Delete)
 				continue
 			}
-			if format != FormatOld && sizeAsJSON(t, c.Value) > 2048 {
+			if format != storage.FormatOld && sizeAsJSON(t, c.Value) > 2048 {
 				t.Errorf("%s is too large", c.Set)
 			}
 			items[c.Set] = protocol.Item{Key: c.Set, Value: c.Value, Version: uint64(i + 1)}
 		}
 	}
-	for step, want := range []struct{ types, format int }{{40, FormatOld}, {40, FormatNew}, {3, FormatNew}} {
+	for step, want := range []struct{ types, format int }{{40, storage.FormatOld}, {40, storage.FormatNew}, {3, storage.FormatNew}} {
 		write(types[:want.types], want.format)
 		var rows []protocol.Item
 		for _, key := range slices.Sorted(maps.Keys(items)) {
@@ -161,10 +162,10 @@
 		}
 		var c protocol.Catalog
 		var err error
-		if c, stored, err = ParseCatalog(rows); err != nil || len(c.Types) != want.types {
+		if c, stored, err = storage.ParseCatalog(rows); err != nil || len(c.Types) != want.types {
 			t.Errorf("step %d: %d types, %v", step, len(c.Types), err)
 		}
-		if _, old := stored[KeyCatalog]; old != (want.format == FormatOld) {
+		if _, old := stored[storage.KeyCatalog]; old != (want.format == storage.FormatOld) {
 			t.Errorf("step %d: records %v", step, stored)
 		}
 	}
--- a/internal/bookkeeping/record_test.go
+++ b/internal/cluster/record_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package cluster
 
 import (
 	"encoding/json"
@@ -15,6 +15,7 @@
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 	_ "dunestand/internal/standin/fixedseed"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -56,7 +57,7 @@
 // apply holds a transaction against the limits, sizes as the service counts them.
 func (s *store) apply(t testingT, txn protocol.Txn, limits config.State) uint64 {
 	for _, c := range txn.If {
-		if !strings.HasPrefix(c.Key, PrefixHeads) && s.items[c.Key].Version != c.Version {
+		if !strings.HasPrefix(c.Key, storage.PrefixHeads) && s.items[c.Key].Version != c.Version {
 			t.Fatalf("condition on %s: version %d, expected %d", c.Key, s.items[c.Key].Version, c.Version)
 		}
 	}
@@ -87,7 +88,7 @@
 func (s *store) rows() []protocol.Item {
 	var rows []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
-		if strings.HasPrefix(key, PrefixJobs) {
+		if strings.HasPrefix(key, storage.PrefixJobs) {
 			rows = append(rows, s.items[key])
 		}
 	}
@@ -140,8 +141,8 @@
 		}, {ValueKB: 1, TxnOps: 3}}).Draw(t, "limits to come")
 		l := NewLedger([]config.Team{{Name: "team"}}, now)
 		s := &store{items: map[string]protocol.Item{}}
-		bucketVersions := make([]uint64, Buckets)
-		limits, format := now, FormatOld
+		bucketVersions := make([]uint64, storage.Buckets)
+		limits, format := now, storage.FormatOld
 		saves := 0
 		check := func() {
 			jobs, orphans, err := ParseJobs(s.rows())
@@ -149,13 +150,13 @@
 				t.Fatal(err)
 			}
 			var before map[string]*standin.OldJob
-			if format == FormatOld { // a leader of the version before may come
+			if format == storage.FormatOld { // a leader of the version before may come
 				if before, err = standin.ReadAsBefore(s.rows()); err != nil || len(orphans) > 0 {
 					t.Fatal(err, orphans)
 				}
 			}
 			for id := range orphans {
-				if _, over := s.items[KeyFinal(id)]; !over {
+				if _, over := s.items[storage.KeyFinal(id)]; !over {
 					t.Fatalf("%s has records but not its own", id)
 				}
 			}
@@ -209,7 +210,7 @@
 		submit := func() {
 			for range rapid.IntRange(1, 4).Draw(t, "jobs") {
 				spec := drawSpec(t)
-				if l.Jobs[spec.ID] == nil && s.items[KeyFinal(spec.ID)].Version == 0 && Fits(&spec, format, now) && Fits(&spec, Format, now) {
+				if l.Jobs[spec.ID] == nil && s.items[storage.KeyFinal(spec.ID)].Version == 0 && Fits(&spec, format, now) && Fits(&spec, storage.Format, now) {
 					l.NewJob(spec, units.Micros(rapid.Int64Range(0, 1e15).Draw(t, "submitted")), 0)
 				}
 			}
@@ -242,8 +243,8 @@
 		steps := rapid.IntRange(1, 3).Draw(t, "steps")
 		for step := range 2 * steps {
 			if step == steps {
-				l.UpgradeFormat(FormatNew, 1)
-				format, limits = FormatNew, now.Both()
+				l.UpgradeFormat(storage.FormatNew, 1)
+				format, limits = storage.FormatNew, now.Both()
 				limits.ValueKB, limits.TxnOps = now.Both().ValueKB, now.Both().TxnOps
 			}
 			submit()
@@ -257,7 +258,7 @@
 			t.Fatalf("%d jobs restored of %d", len(jobs), len(l.Jobs))
 		}
 		for _, j := range jobs {
-			if j.format != FormatNew {
+			if j.format != storage.FormatNew {
 				t.Fatalf("%s is still in the old form", j.Spec.ID)
 			}
 		}
@@ -270,22 +271,22 @@
 }
 
 func TestUnreadableRowsFailTheWhole(t *testing.T) {
-	good := newJob(protocol.JobSpec{ID: "j-000001", Tasks: 3}, 0, FormatOld).record("1-1", nil)
+	good := newJob(protocol.JobSpec{ID: "j-000001", Tasks: 3}, 0, storage.FormatOld).record("1-1", nil)
 	other := good
 	other.Tasks = protocol.MaxTasks + 1
 	later := good
-	later.Format = Format + 1
+	later.Format = storage.Format + 1
 	for name, row := range map[string]protocol.Item{
-		"not CBOR":          {Key: KeyJob("j-000001"), Value: []byte{0xff}},
-		"under another key": {Key: KeyJob("j-000002"), Value: protocol.Encode(good)},
-		"out of range":      {Key: KeyJob("j-000001"), Value: protocol.Encode(other)},
-		"later format":      {Key: KeyJob("j-000001"), Value: protocol.Encode(later)},
-		"unknown part":      {Key: KeyJob("j-000001") + "/x1", Value: protocol.Encode(page{})},
+		"not CBOR":          {Key: storage.KeyJob("j-000001"), Value: []byte{0xff}},
+		"under another key": {Key: storage.KeyJob("j-000002"), Value: protocol.Encode(good)},
+		"out of range":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(other)},
+		"later format":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(later)},
+		"unknown part":      {Key: storage.KeyJob("j-000001") + "/x1", Value: protocol.Encode(page{})},
 		"odd number": {
-			Key:   KeyJob("j-000001") + "/m01",
-			Value: protocol.Encode(names{Format: FormatNew}),
+			Key:   storage.KeyJob("j-000001") + "/m01",
+			Value: protocol.Encode(names{Format: storage.FormatNew}),
 		},
-		"page of no job": {Key: KeyJob("j-000001") + "x/d1", Value: protocol.Encode(page{})},
+		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(page{})},
 	} {
 		if jobs, _, err := ParseJobs([]protocol.Item{row}); err == nil {
 			t.Errorf("%s: read as %v", name, jobs)
@@ -300,14 +301,14 @@
 	good := protocol.Encode(newJob(protocol.JobSpec{
 		ID:    "j-000001",
 		Tasks: 5000,
-	}, 0, FormatNew).record("1-1", nil))
+	}, 0, storage.FormatNew).record("1-1", nil))
 	for kind, value := range map[byte]protocol.Raw{
-		kindNames: protocol.Encode(names{Format: Format + 1}),
-		kindPage:  protocol.Encode(page{Format: Format + 1}),
+		storage.KindNames: protocol.Encode(names{Format: storage.Format + 1}),
+		storage.KindPage:  protocol.Encode(page{Format: storage.Format + 1}),
 	} {
 		rows := []protocol.Item{
-			{Key: KeyJob("j-000001"), Value: good},
-			{Key: keyPart("j-000001", kind, 1), Value: value},
+			{Key: storage.KeyJob("j-000001"), Value: good},
+			{Key: storage.KeyPart("j-000001", kind, 1), Value: value},
 		}
 		if _, _, err := ParseJobs(rows); err == nil {
 			t.Errorf("part %c of a later format is read", kind)
@@ -323,7 +324,7 @@
 // only once the name is durable.
 func TestMachinesAreNamedBeforeStarts(t *testing.T) {
 	l := NewLedger(nil, config.State{ValueKB: 8, TxnOps: 12})
-	bucketVersions := make([]uint64, Buckets)
+	bucketVersions := make([]uint64, storage.Buckets)
 	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2}, 0, 0)
 	build := func() *Save { return l.BuildSave("1-1", bucketVersions, SaveLimits{Tasks: true}, 0) }
 	l.Applied(build(), 1)
@@ -363,12 +364,12 @@
 // or its leader takes it for another's.
 func TestOldPagesAreSavedWithTheirJob(t *testing.T) {
 	l := NewLedger(nil, config.State{ValueKB: 8, TxnOps: 12})
-	bucketVersions := make([]uint64, Buckets)
+	bucketVersions := make([]uint64, storage.Buckets)
 	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40_000}, 0, 0)
 	l.Applied(l.BuildSave("1-1", bucketVersions, SaveLimits{}, 0), 1)
 	l.Done(j, 20_000, 0)
 	s := l.BuildSave("1-2", bucketVersions, SaveLimits{Tasks: true}, 10)
-	if s.Probe() != KeyJob("j-000001") || len(s.Txn.Then) != 2 {
+	if s.Probe() != storage.KeyJob("j-000001") || len(s.Txn.Then) != 2 {
 		t.Errorf("known by %s, %d changes", s.Probe(), len(s.Txn.Then))
 	}
 }
--- a/internal/bookkeeping/recordparse.go
+++ b/internal/cluster/recordparse.go
@@ -1,7 +1,8 @@
-package bookkeeping
+package cluster
 
 import (
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 	"errors"
 	"fmt"
@@ -16,9 +17,9 @@
 		return nil, r, fmt.Errorf("record %s: %w", key, err)
 	}
 	switch {
-	case r.Format != FormatOld && r.Format != FormatNew:
+	case r.Format != storage.FormatOld && r.Format != storage.FormatNew:
 		return nil, r, fmt.Errorf("record %s: format %d is not known", key, r.Format)
-	case !protocol.ValidJobID(r.ID) || KeyJob(r.ID) != key:
+	case !protocol.ValidJobID(r.ID) || storage.KeyJob(r.ID) != key:
 		return nil, r, fmt.Errorf("record %s: names job %q", key, r.ID)
 	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.Priorities || int(r.Shape) >= protocol.Shapes:
 		return nil, r, fmt.Errorf("record %s: out of range", key)
@@ -77,14 +78,14 @@
 	}
 	orphans = map[string][]string{}
 	for _, row := range parts {
-		key, kind, n, err := parsePart(row.Key)
+		key, kind, n, err := storage.ParsePart(row.Key)
 		if err != nil {
 			return nil, nil, err
 		}
 		j := byKey[key]
 		if j == nil {
 			id := key[strings.LastIndexByte(key, '/')+1:]
-			if !protocol.ValidJobID(id) || KeyJob(id) != key {
+			if !protocol.ValidJobID(id) || storage.KeyJob(id) != key {
 				return nil, nil, fmt.Errorf("record %s: belongs to no job", row.Key)
 			}
 			orphans[id] = append(orphans[id], row.Key)
@@ -100,12 +101,12 @@
 	return jobs, orphans, nil
 }
 
-// parsePart takes in one of the job's further records.
+// ParsePart takes in one of the job's further records.
 func (j *Job) parsePart(row protocol.Item, kind byte, n int) error {
 	var p page
 	var r names
 	var err error
-	if kind == kindNames {
+	if kind == storage.KindNames {
 		err = protocol.Decode(row.Value, &r)
 		p.Format = r.Format
 	} else {
@@ -114,16 +115,16 @@
 	c := &shard{key: row.Key, version: row.Version}
 	switch size := j.Spec.Tasks - 1; {
 	case err != nil:
-	case kind == kindOldPage:
+	case kind == storage.KindOldPage:
 		if n < 1 || n > size/oldPageTasks {
 			err = errors.New("out of range")
 			break
 		}
 		err = decodePage(p.Done, j.done.page(n, oldPageTasks))
 		j.oldPages[n] = c
-	case p.Format != FormatNew:
+	case p.Format != storage.FormatNew:
 		err = fmt.Errorf("format %d is not known", p.Format)
-	case kind == kindNames:
+	case kind == storage.KindNames:
 		if j.parts[n] != nil || n > maxParts {
 			err = errors.New("out of range")
 			break
--- a/internal/bookkeeping/recordroom.go
+++ b/internal/cluster/recordroom.go
@@ -1,8 +1,9 @@
-package bookkeeping
+package cluster
 
 import (
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 // maxRecordBytes bounds a record whatever the state service would take: with
@@ -28,14 +29,14 @@
 	return func(spec *protocol.JobSpec, format int) (main, part int) {
 		j := &Job{Spec: *spec, records: records{format: format}}
 		value, done := now, min(spec.Tasks, oldPageTasks)
-		if format != FormatOld {
+		if format != storage.FormatOld {
 			if value, done = both, spec.Tasks; done > inlineTasks {
 				done = 0
 			}
 		}
-		main = min(value, maxRecordBytes) - jsonSize(j.record(longestSave, nil)) - (done/8+1)*4/3 - 64
-		part = min(value, maxPartBytes) - jsonSize(names{
-			Format:   FormatNew,
+		main = min(value, maxRecordBytes) - storage.JSONSize(j.record(longestSave, nil)) - (done/8+1)*4/3 - 64
+		part = min(value, maxPartBytes) - storage.JSONSize(names{
+			Format:   storage.FormatNew,
 			Save:     longestSave,
 			Machines: []string{},
 		})
@@ -48,7 +49,7 @@
 func Fits(spec *protocol.JobSpec, format int, state config.State) bool {
 	both := state.Both()
 	main, _ := rooms(state.ValueBytes(), both.ValueBytes())(spec, format)
-	if format != FormatOld {
+	if format != storage.FormatOld {
 		return main >= 0
 	}
 	// The end of a job takes all its pages away in one transaction.
--- a/internal/bookkeeping/save.go
+++ b/internal/cluster/save.go
@@ -1,10 +1,11 @@
-package bookkeeping
+package cluster
 
 import (
 	"slices"
 	"sort"
 
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -20,7 +21,7 @@
 // savePart is what a save holds of a job.
 type savePart struct {
 	job     *Job
-	final   *Final
+	final   *storage.Final
 	writes  []write
 	whole   bool // all of the job that was to be written
 	waiters []chan struct{}
@@ -172,13 +173,13 @@
 // leader's, the job is not over, and each record is as this leader knows it.
 func (b *saveBuilder) addConditions(part *savePart) {
 	j := part.job
-	b.addHead(BucketOf(j.Spec.ID))
+	b.addHead(storage.BucketOf(j.Spec.ID))
 	if j.new() && !b.accepts && b.ledger.Acceptance != nil {
 		b.accepts = true
 		b.save.Txn.If = append(b.save.Txn.If, *b.ledger.Acceptance)
 	}
 	if !j.stored || part.final != nil {
-		b.addCondition(KeyFinal(j.Spec.ID), 0)
+		b.addCondition(storage.KeyFinal(j.Spec.ID), 0)
 	}
 	if part.final != nil {
 		b.addCondition(j.main.key, j.main.version)
@@ -199,7 +200,7 @@
 		return
 	}
 	b.heads[bucket] = true
-	b.addCondition(KeyHead(bucket), b.bucketVersions[bucket])
+	b.addCondition(storage.KeyHead(bucket), b.bucketVersions[bucket])
 }
 
 // addLeftovers deletes what is left of jobs that are over, as far as there is room.
@@ -223,7 +224,7 @@
 	return slices.ContainsFunc(all, func(w write) bool {
 		size := len(w.change.Value)
 		if w.shard == j.main {
-			size = jsonSize(j.record(longestSave, w.machines))
+			size = storage.JSONSize(j.record(longestSave, w.machines))
 		}
 		return size > l.state.Both().ValueBytes()
 	})
--- a/internal/bookkeeping/saveorder_test.go
+++ b/internal/cluster/saveorder_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package cluster
 
 import (
 	"fmt"
@@ -7,13 +7,14 @@
 
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // storedJob is a job of a priority whose acceptance is durable.
 func storedJob(l *Ledger, id string, priority protocol.Priority) *Job {
 	j := l.NewJob(protocol.JobSpec{ID: id, Tasks: 1, Priority: priority}, 0, 0)
-	l.Applied(l.BuildSave("accept-"+id, make([]uint64, Buckets), SaveLimits{}, 0), 1)
+	l.Applied(l.BuildSave("accept-"+id, make([]uint64, storage.Buckets), SaveLimits{}, 0), 1)
 	return j
 }
 
@@ -32,7 +33,7 @@
 	}
 	l.Assign(urgent, m, 100, 10*units.Second)
 	l.NewJob(protocol.JobSpec{ID: "j-900001", Tasks: 1}, 0, 11*units.Second).Changed(11*units.Second, true)
-	s := l.BuildSave("1-1", make([]uint64, Buckets), SaveLimits{}, 12*units.Second)
+	s := l.BuildSave("1-1", make([]uint64, storage.Buckets), SaveLimits{}, 12*units.Second)
 	if got, want := s.Jobs()[:2], []string{"j-900001", "j-900000"}; !slices.Equal(got, want) {
 		t.Errorf("saved first: %v, want the one whose user waits and then the urgent one, %v", got, want)
 	}
@@ -46,7 +47,7 @@
 	low, high := storedJob(l, "j-000002", protocol.Low), storedJob(l, "j-000001", protocol.High)
 	l.Assign(low, m, 1, units.Second)
 	l.Assign(high, m, 2, units.Second+priorityHeadStart+1)
-	s := l.BuildSave("1-1", make([]uint64, Buckets), SaveLimits{}, 2*priorityHeadStart)
+	s := l.BuildSave("1-1", make([]uint64, storage.Buckets), SaveLimits{}, 2*priorityHeadStart)
 	if got, want := s.Jobs(), []string{"j-000002", "j-000001"}; !slices.Equal(got, want) {
 		t.Errorf("saved in the order %v, want %v", got, want)
 	}
@@ -59,7 +60,7 @@
 		l.NewJob(protocol.JobSpec{ID: fmt.Sprintf("j-%06d", i), Tasks: 1}, 0, 0)
 	}
 	for _, limit := range []int{1, 4, 7} {
-		s := l.BuildSave("1-1", make([]uint64, Buckets), SaveLimits{Changes: limit}, 0)
+		s := l.BuildSave("1-1", make([]uint64, storage.Buckets), SaveLimits{Changes: limit}, 0)
 		if len(s.Txn.Then) != limit {
 			t.Errorf("%d changes with room for %d", len(s.Txn.Then), limit)
 		}
@@ -73,21 +74,21 @@
 	l := NewLedger(nil, config.State{ValueKB: 8, TxnOps: 12})
 	j := storedJob(l, "j-000001", protocol.Low)
 	l.TakeIn(Arrival{Spec: j.Spec}, units.Second)
-	if s := l.BuildSave("1-1", make([]uint64, Buckets), SaveLimits{}, units.Second); s != nil {
+	if s := l.BuildSave("1-1", make([]uint64, storage.Buckets), SaveLimits{}, units.Second); s != nil {
 		t.Fatalf("it is written while there is no room for what nobody waits for: %v", s.Txn.Then)
 	}
-	s := l.BuildSave("1-1", make([]uint64, Buckets), SaveLimits{Tasks: true}, units.Second)
-	if s == nil || len(s.Txn.Then) != 1 || s.Txn.Then[0].Delete != KeyInbox("j-000001") {
+	s := l.BuildSave("1-1", make([]uint64, storage.Buckets), SaveLimits{Tasks: true}, units.Second)
+	if s == nil || len(s.Txn.Then) != 1 || s.Txn.Then[0].Delete != storage.KeyInbox("j-000001") {
 		t.Fatalf("the save: %+v", s)
 	}
 	l.Applied(s, 2)
-	if s := l.BuildSave("1-2", make([]uint64, Buckets), SaveLimits{Tasks: true}, 2*units.Second); s != nil {
+	if s := l.BuildSave("1-2", make([]uint64, storage.Buckets), SaveLimits{Tasks: true}, 2*units.Second); s != nil {
 		t.Errorf("it is taken out again: %v", s.Txn.Then)
 	}
 	// One that only the inbox has is accepted by the same save that takes it out.
 	l.TakeIn(Arrival{Spec: protocol.JobSpec{ID: "j-000002", Tasks: 1}}, units.Second)
-	s = l.BuildSave("1-3", make([]uint64, Buckets), SaveLimits{}, units.Second)
-	if s == nil || len(s.Txn.Then) != 2 || s.Txn.Then[1].Delete != KeyInbox("j-000002") {
+	s = l.BuildSave("1-3", make([]uint64, storage.Buckets), SaveLimits{}, units.Second)
+	if s == nil || len(s.Txn.Then) != 2 || s.Txn.Then[1].Delete != storage.KeyInbox("j-000002") {
 		t.Fatalf("the save of one from the inbox: %+v", s)
 	}
 }
--- a/internal/bookkeeping/saveoutcome.go
+++ b/internal/cluster/saveoutcome.go
@@ -1,16 +1,17 @@
-package bookkeeping
+package cluster
 
 import (
 	"maps"
 	"slices"
 
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // Applied takes over that the save was carried out at a revision. It gives
 // the jobs that are finished by it; they leave the ledger.
-func (l *Ledger) Applied(s *Save, revision uint64) map[string]Final {
-	finished := map[string]Final{}
+func (l *Ledger) Applied(s *Save, revision uint64) map[string]storage.Final {
+	finished := map[string]storage.Final{}
 	for _, p := range s.parts {
 		j := p.job
 		j.saving, j.alone, j.endInSave = false, false, false
@@ -38,7 +39,7 @@
 	switch {
 	case w.shard == nil:
 		key := w.change.Delete
-		j.arrived = j.arrived && key != KeyInbox(j.Spec.ID)
+		j.arrived = j.arrived && key != storage.KeyInbox(j.Spec.ID)
 		j.obsolete = slices.DeleteFunc(j.obsolete, func(o string) bool { return o == key })
 		for n, c := range j.oldPages {
 			if c.key == key {
@@ -73,7 +74,7 @@
 // Leave notes records that are left over of a job that is over.
 func (l *Ledger) Leave(job string, keys []string) {
 	for _, key := range keys {
-		l.left = append(l.left, leftover{BucketOf(job), key})
+		l.left = append(l.left, leftover{storage.BucketOf(job), key})
 	}
 }
 
--- a/internal/bookkeeping/savepart.go
+++ b/internal/cluster/savepart.go
@@ -1,22 +1,23 @@
-package bookkeeping
+package cluster
 
 import (
 	"maps"
 	"slices"
 
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 // end gives the final record of a job that is over: complete, or cancelled
 // and with nothing left on any machine.
-func (j *Job) end(id string) *Final {
+func (j *Job) end(id string) *storage.Final {
 	switch {
 	case !j.stored:
 		return nil
 	case j.Cancelled && len(j.Live) == 0 && len(j.Unconfirmed) == 0:
-		return &Final{Stage: protocol.StageCancelled, Tasks: j.Spec.Tasks, Done: j.doneCount, Save: id}
+		return &storage.Final{Stage: protocol.StageCancelled, Tasks: j.Spec.Tasks, Done: j.doneCount, Save: id}
 	case !j.Cancelled && j.Complete():
-		return &Final{Stage: protocol.StageDone, Tasks: j.Spec.Tasks, Done: j.doneCount, Save: id}
+		return &storage.Final{Stage: protocol.StageDone, Tasks: j.Spec.Tasks, Done: j.doneCount, Save: id}
 	}
 	return nil
 }
@@ -31,12 +32,12 @@
 	w := &jobWrites{job: j, saveID: id}
 	if part.final != nil {
 		w.end(part.final)
-		if l.oldLeaders() && j.format == FormatOld {
+		if l.oldLeaders() && j.format == storage.FormatOld {
 			w.removeOldPages()
 		}
 		return part, w.writes
 	}
-	if !l.oldLeaders() && j.format == FormatOld {
+	if !l.oldLeaders() && j.format == storage.FormatOld {
 		j.migrate(l.rooms)
 	}
 	j.markMainDirty()
@@ -52,7 +53,7 @@
 		w.remove(key, false)
 	}
 	if j.stored && j.arrived && !j.main.dirty {
-		w.remove(KeyInbox(j.Spec.ID), false) // it was accepted in both places
+		w.remove(storage.KeyInbox(j.Spec.ID), false) // it was accepted in both places
 	}
 	return part, w.writes
 }
@@ -60,7 +61,7 @@
 // markMainDirty marks the job's own record where it must go along with other changes.
 func (j *Job) markMainDirty() {
 	j.main.dirty = j.main.dirty || j.Cancelled && !j.CancelStored
-	if j.format != FormatOld {
+	if j.format != storage.FormatOld {
 		return
 	}
 	for _, c := range j.oldPages { // a page in the old form does not tell whose save it was
@@ -92,14 +93,14 @@
 // takeFromInbox deletes the job's record in the inbox, if it is there.
 func (w *jobWrites) takeFromInbox() {
 	if w.job.arrived {
-		w.remove(KeyInbox(w.job.Spec.ID), true)
+		w.remove(storage.KeyInbox(w.job.Spec.ID), true)
 	}
 }
 
 // end writes the final record in place of the job's own.
-func (w *jobWrites) end(f *Final) {
+func (w *jobWrites) end(f *storage.Final) {
 	w.writes = append(w.writes, write{
-		change: protocol.Change{Set: KeyFinal(w.job.Spec.ID), Value: protocol.Encode(f)},
+		change: protocol.Change{Set: storage.KeyFinal(w.job.Spec.ID), Value: protocol.Encode(f)},
 	})
 	w.remove(w.job.main.key, true)
 	w.takeFromInbox()
@@ -132,7 +133,7 @@
 	for _, n := range slices.Sorted(maps.Keys(j.parts)) {
 		if c := j.parts[n]; c.dirty {
 			machines := j.named(c)
-			w.set(c, machines, names{FormatNew, w.saveID, machines})
+			w.set(c, machines, names{storage.FormatNew, w.saveID, machines})
 		}
 	}
 }
@@ -140,8 +141,8 @@
 // pages writes the parts of the done set that have changed.
 func (w *jobWrites) pages() {
 	j := w.job
-	pages, size, format, saveID := j.pages, pageTasks, FormatNew, w.saveID
-	if j.format == FormatOld {
+	pages, size, format, saveID := j.pages, pageTasks, storage.FormatNew, w.saveID
+	if j.format == storage.FormatOld {
 		pages, size, format, saveID = j.oldPages, oldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
--- a/internal/bookkeeping/shards.go
+++ b/internal/cluster/shards.go
@@ -1,9 +1,10 @@
-package bookkeeping
+package cluster
 
 import (
 	"slices"
 
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 // A job is kept in several records. Each is written by itself, in an order in
@@ -40,7 +41,7 @@
 const maxParts = protocol.MaxTasks
 
 func newRecords(job string, format int) records {
-	main := &shard{key: KeyJob(job), dirty: true, machines: map[string]bool{}}
+	main := &shard{key: storage.KeyJob(job), dirty: true, machines: map[string]bool{}}
 	return records{format: format, main: main, openShard: main, shardOf: map[string]*shard{},
 		parts: map[int]*shard{}, pages: map[int]*shard{}, oldPages: map[int]*shard{}}
 }
@@ -67,7 +68,7 @@
 	if j.Service() {
 		clear(j.done) // an older version may have taken it for an array
 	}
-	if j.format == FormatNew { // turned, but for this
+	if j.format == storage.FormatNew { // turned, but for this
 		j.forgetOldPages()
 	}
 	j.recount()
@@ -85,10 +86,10 @@
 
 // pageOf gives the record that a task's completion is kept in.
 func (j *Job) pageOf(task int) *shard {
-	pages, kind, n := j.pages, byte(kindPage), task/pageTasks
+	pages, kind, n := j.pages, byte(storage.KindPage), task/pageTasks
 	switch {
-	case j.format == FormatOld:
-		pages, kind, n = j.oldPages, kindOldPage, task/oldPageTasks
+	case j.format == storage.FormatOld:
+		pages, kind, n = j.oldPages, storage.KindOldPage, task/oldPageTasks
 		if n == 0 {
 			return j.main
 		}
@@ -96,7 +97,7 @@
 		return j.main
 	}
 	if pages[n] == nil {
-		pages[n] = &shard{key: keyPart(j.Spec.ID, kind, n)}
+		pages[n] = &shard{key: storage.KeyPart(j.Spec.ID, kind, n)}
 	}
 	return pages[n]
 }
@@ -104,7 +105,7 @@
 // migrate begins to migrate a job into the new form. Its own record is written only
 // after all else: until then it is the old one that names all machines.
 func (j *Job) migrate(room roomFor) {
-	j.format, j.migrating = FormatNew, j.stored
+	j.format, j.migrating = storage.FormatNew, j.stored
 	j.main.dirty = true
 	for p := 0; p*pageTasks < j.Spec.Tasks && j.Spec.Tasks > inlineTasks; p++ {
 		if !bitset(j.done.page(p, pageTasks)).empty() {
@@ -168,7 +169,7 @@
 // in which names that are not needed any more leave room, else a new part.
 func (j *Job) shardFor(machine string) *shard {
 	size := nameSize(machine)
-	if j.format == FormatOld || j.openShard.names+size <= j.openShard.room {
+	if j.format == storage.FormatOld || j.openShard.names+size <= j.openShard.room {
 		return j.openShard
 	}
 	best := j.main
@@ -194,7 +195,7 @@
 		for j.parts[n] != nil {
 			n++
 		}
-		best = &shard{key: keyPart(j.Spec.ID, kindNames, n), machines: map[string]bool{}, room: j.partRoom}
+		best = &shard{key: storage.KeyPart(j.Spec.ID, storage.KindNames, n), machines: map[string]bool{}, room: j.partRoom}
 		j.parts[n] = best
 	}
 	j.openShard = best
@@ -203,7 +204,7 @@
 
 // CanName tells whether the job's records have room to name the machine.
 func (j *Job) CanName(machine string) bool {
-	return j.format != FormatOld || j.main.names+nameSize(machine) <= j.main.room || j.shardOf[machine] != nil
+	return j.format != storage.FormatOld || j.main.names+nameSize(machine) <= j.main.room || j.shardOf[machine] != nil
 }
 
 // MayStartOn tells whether a record durably names the machine, so that a later
--- a/internal/bookkeeping/unconfirmed.go
+++ b/internal/cluster/unconfirmed.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package cluster
 
 import (
 	"iter"
--- a/internal/coordination/admitter.go
+++ b/internal/coordination/admitter.go
@@ -9,9 +9,11 @@
 	"sync/atomic"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -21,7 +23,7 @@
 	options admission.Options
 	teams   []admission.Team
 	keeper  *admission.Keeper
-	store   *bookkeeping.Store // on connections of its own: a watch keeps one
+	store   *kv.Store // on connections of its own: a watch keeps one
 	format  *FleetFormat
 	clock   units.Clock
 	log     *slog.Logger
@@ -39,7 +41,7 @@
 		out[i] = admission.Team{
 			Name:      t.Name,
 			Guarantee: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
-			Limit:     admission.AmountsOf(bookkeeping.LimitOf(t)),
+			Limit:     admission.AmountsOf(cluster.LimitOf(t)),
 		}
 	}
 	return out
@@ -62,7 +64,7 @@
 }
 
 // newAdmitter makes a controller's admitter; nil where admission is off.
-func newAdmitter(s *config.Settings, options admission.Options, store *bookkeeping.Store, format *FleetFormat, clock units.Clock, log *slog.Logger, metrics *Metrics) *admitter {
+func newAdmitter(s *config.Settings, options admission.Options, store *kv.Store, format *FleetFormat, clock units.Clock, log *slog.Logger, metrics *Metrics) *admitter {
 	if !options.On() {
 		return nil
 	}
@@ -121,7 +123,7 @@
 // active tells whether jobs are admitted by the plan: it is turned on, and every
 // controller that may lead knows of it.
 func (a *admitter) active() bool {
-	return a != nil && a.format.Level() >= bookkeeping.FormatAdmission
+	return a != nil && a.format.Level() >= storage.FormatAdmission
 }
 
 // decide decides about a job that is not known. The revision tells on which version of
--- a/internal/coordination/admitter_test.go
+++ b/internal/coordination/admitter_test.go
@@ -9,10 +9,12 @@
 	"time"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -24,12 +26,12 @@
 func admittingTerm(t *testing.T, number uint64, s *standin.State) *Term {
 	t.Helper()
 	term := storedTerm(t, number, s)
-	term.Format.level.Store(bookkeeping.FormatAdmission)
+	term.Format.level.Store(storage.FormatAdmission)
 	settings := *term.Settings
 	settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
 	term.Settings = &settings
 	term.Admitter = newAdmitter(&settings, admission.Options{Horizon: floodHorizon}, term.Store, term.Format, term.Clock, term.Log, term.Metrics)
-	term.ledger = bookkeeping.NewLedger(settings.Fleet.Teams, settings.Fleet.State)
+	term.ledger = cluster.NewLedger(settings.Fleet.Teams, settings.Fleet.State)
 	term.admission = term.newAdmission()
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
@@ -96,10 +98,10 @@
 	}
 }
 
-func (t *Term) nextSave() *bookkeeping.Save {
+func (t *Term) nextSave() *cluster.Save {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ledger.BuildSave(t.saveID(), t.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, t.Clock.Steady())
+	return t.ledger.BuildSave(t.saveID(), t.bucketVersions, cluster.SaveLimits{Tasks: true}, t.Clock.Steady())
 }
 
 // A job whose plan has been replaced before its acceptance was stored is decided by the
@@ -112,7 +114,7 @@
 	}
 	admitted := make(chan answer, 1)
 	go func() { admitted <- term.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
-	var save *bookkeeping.Save
+	var save *cluster.Save
 	for save == nil { // the job is entered, and its save built
 		time.Sleep(time.Millisecond)
 		save = term.nextSave()
@@ -145,7 +147,7 @@
 	}
 	close(unread)
 	<-conflicted
-	if _, stored := s.Get(bookkeeping.KeyJob("j-000001")); stored {
+	if _, stored := s.Get(storage.KeyJob("j-000001")); stored {
 		t.Error("the job was stored by a plan that has been replaced")
 	}
 	if r := <-admitted; r.Status == http.StatusCreated {
@@ -170,7 +172,7 @@
 	flooded(t, term)
 	spec := admittedSpec("j-000901", "team", 1)
 	term.expectWait(t, spec)
-	s.Apply(bookkeeping.ArrivalTxn(bookkeeping.Arrival{Spec: *spec})) // by the plan that is in force
+	s.Apply(cluster.ArrivalTxn(cluster.Arrival{Spec: *spec})) // by the plan that is in force
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +245,7 @@
 	}
 	successor := admittingTerm(t, 2, s)
 	before, _ := s.Get(admission.KeyPlan)
-	var conflict *bookkeeping.ConflictError
+	var conflict *kv.ConflictError
 	if err := former.renewPlan(t.Context()); !errors.As(err, &conflict) {
 		t.Errorf("the former leader writes a plan: %v", err)
 	}
@@ -283,7 +285,7 @@
 			t.Errorf("%s: in force is %v", what, state.Force)
 		}
 		go func() { _ = term.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
-		for _, stored := s.Get(bookkeeping.KeyJob("j-000001")); !stored; _, stored = s.Get(bookkeeping.KeyJob("j-000001")) {
+		for _, stored := s.Get(storage.KeyJob("j-000001")); !stored; _, stored = s.Get(storage.KeyJob("j-000001")) {
 			term.saveOnce(t)
 			time.Sleep(time.Millisecond)
 		}
@@ -298,14 +300,14 @@
 // as it knows it.
 func TestAcceptsAloneOnConditionOfThePlan(t *testing.T) {
 	s := standin.NewState()
-	s.Put(bookkeeping.KeyCatalog, protocol.Encode(modelCatalog))
+	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	term := admittingTerm(t, 1, s)
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	c, _ := refusedController(t, s)
 	c.deps.Settings, c.deps.Store = term.Settings, term.Store // whose limits are far away
-	c.deps.Format.level.Store(bookkeeping.FormatAdmission)
+	c.deps.Format.level.Store(storage.FormatAdmission)
 	a := newAdmitter(term.Settings, admission.Options{Horizon: floodHorizon}, c.deps.Store, c.deps.Format, c.deps.Clock, c.deps.Log, NewMetrics())
 	c.deps.Admitter = a
 	submit := func(id, team string) int {
@@ -320,14 +322,14 @@
 		}
 	}
 	// A controller that has just started does not know that the fleet admits by a plan.
-	c.deps.Format.level.Store(bookkeeping.FormatOld)
+	c.deps.Format.level.Store(storage.FormatOld)
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
-	if _, stored := s.Get(bookkeeping.KeyInbox("j-000001")); stored {
+	if _, stored := s.Get(storage.KeyInbox("j-000001")); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
-	c.deps.Format.level.Store(bookkeeping.FormatAdmission)
+	c.deps.Format.level.Store(storage.FormatAdmission)
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: %d", status)
 	}
@@ -343,7 +345,7 @@
 	if status := submit("j-000003", "other"); status != http.StatusServiceUnavailable {
 		t.Errorf("by a plan that has been replaced: %d", status)
 	}
-	if _, stored := s.Get(bookkeeping.KeyInbox("j-000003")); stored {
+	if _, stored := s.Get(storage.KeyInbox("j-000003")); stored {
 		t.Error("the job was accepted by a plan that has been replaced")
 	}
 	learn()
--- a/internal/coordination/answer.go
+++ b/internal/coordination/answer.go
@@ -4,8 +4,9 @@
 	"context"
 	"net/http"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -64,7 +65,7 @@
 	return answer{Response: r, proof: proof{kind: provisional, readAt: readAt}}
 }
 
-func finalAnswer(id string, f bookkeeping.FinalRecord) answer {
+func finalAnswer(id string, f storage.FinalRecord) answer {
 	return answer{
 		Response: stateAnswer(http.StatusOK, protocol.JobState{UID: id, Stage: f.Stage, Done: f.Done}),
 		proof:    proof{kind: final, version: f.Version},
@@ -90,7 +91,7 @@
 // answerGate is passed by every answer about a job that leaves a controller.
 type answerGate struct {
 	clock     units.Clock
-	revisions *bookkeeping.RevisionHistory
+	revisions *kv.RevisionHistory
 }
 
 // release gives the response of an answer whose proof holds now, and otherwise tells
--- a/internal/coordination/answer_test.go
+++ b/internal/coordination/answer_test.go
@@ -4,8 +4,10 @@
 	"net/http"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -14,7 +16,7 @@
 	clock := &manualClock{now: 100 * units.Second}
 	return answerGate{
 		clock:     clock,
-		revisions: bookkeeping.NewRevisionHistory(clock, 2*settleTime),
+		revisions: kv.NewRevisionHistory(clock, 2*settleTime),
 	}, clock
 }
 
@@ -53,8 +55,8 @@
 		t.Fatal("a final answer is given while older ones are")
 	}
 	gate, clock := testGate()
-	a := finalAnswer("j-000001", bookkeeping.FinalRecord{
-		Final:   bookkeeping.Final{Stage: protocol.StageDone},
+	a := finalAnswer("j-000001", storage.FinalRecord{
+		Final:   storage.Final{Stage: protocol.StageDone},
 		Version: 7,
 	})
 	gate.revisions.Observe(6)
@@ -119,7 +121,7 @@
 		if got := status(); got != http.StatusOK {
 			t.Errorf("a cancellation that nobody can have read: %d", got)
 		}
-		save := term.ledger.BuildSave(term.saveID(), term.bucketVersions, bookkeeping.SaveLimits{}, clock.now)
+		save := term.ledger.BuildSave(term.saveID(), term.bucketVersions, cluster.SaveLimits{}, clock.now)
 		if got := status(); got != http.StatusServiceUnavailable {
 			t.Errorf("its save is on its way: %d", got)
 		}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
@@ -38,7 +38,7 @@
 		term.ledger.NewJob(spec, clock.now, clock.now)
 	}
 	for {
-		s := term.ledger.BuildSave("1-1", term.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, clock.now)
+		s := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, clock.now)
 		if s == nil {
 			break
 		}
@@ -57,7 +57,7 @@
 			}
 			m := term.observe(r, clock.now)
 			for _, a := range m.Sorted() {
-				a.Stage = bookkeeping.Running
+				a.Stage = cluster.Running
 				r.Tasks = append(r.Tasks, protocol.TaskReport{
 					Job:     a.Job.Spec.ID,
 					Index:   a.Index,
@@ -196,7 +196,7 @@
 		j.Changed(units.Second, true)
 	}
 	for {
-		s := term.ledger.BuildSave("1-1", term.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, units.Second)
+		s := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, units.Second)
 		if s == nil {
 			return rows
 		}
@@ -221,7 +221,7 @@
 		rows := saveAll(term)
 		for b.Loop() {
 			later := testTerm(2, &manualClock{now: units.Second})
-			jobs, _, err := bookkeeping.ParseJobs(rows)
+			jobs, _, err := cluster.ParseJobs(rows)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -5,8 +5,9 @@
 	"fmt"
 	"slices"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 func (t *Term) readCatalog(ctx context.Context) {
@@ -31,13 +32,13 @@
 func (t *Term) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
 	state := t.Settings.Fleet.State.Both()
 	versions := t.provisioning.catalogStored
-	for changes := range slices.Chunk(bookkeeping.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
+	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
 		txn := protocol.Txn{Then: changes}
 		for _, ch := range changes {
 			key := ch.Set + ch.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
-		version, err := t.Store.Commit(ctx, txn, bookkeeping.Paced, stateCall)
+		version, err := t.Store.Commit(ctx, txn, kv.Paced, stateCall)
 		if err != nil {
 			t.Log.Info("catalog not stored", "error", err)
 			return
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -3,26 +3,26 @@
 import (
 	"sort"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
 // noteCommand notes the first command of an answer, for heard.
-func noteCommand(m *bookkeeping.Machine, out []protocol.Command, key bookkeeping.AttemptKey) {
+func noteCommand(m *cluster.Machine, out []protocol.Command, key cluster.AttemptKey) {
 	if len(out) == 1 {
-		m.LastCommand = bookkeeping.SentCommand{Given: true, Verb: string(out[0].Verb), Key: key}
+		m.LastCommand = cluster.SentCommand{Given: true, Verb: string(out[0].Verb), Key: key}
 	}
 }
 
 // undurable gives a channel to wait on when some start for the machine lacks
 // the save that must come first.
-func (t *Term) undurable(m *bookkeeping.Machine) <-chan struct{} {
+func (t *Term) undurable(m *cluster.Machine) <-chan struct{} {
 	if m.Term != t.number {
 		return nil
 	}
 	for _, a := range m.Attempts {
-		if a.Stage == bookkeeping.Assigned && !a.Job.MayStartOn(m.ID) {
+		if a.Stage == cluster.Assigned && !a.Job.MayStartOn(m.ID) {
 			return a.Job.Saved()
 		}
 	}
@@ -31,20 +31,20 @@
 
 // commands works out what the machine is to do: what is wanted of it minus
 // what its report shows.
-func (t *Term) commands(m *bookkeeping.Machine, r *protocol.Report, now units.Micros) []protocol.Command {
+func (t *Term) commands(m *cluster.Machine, r *protocol.Report, now units.Micros) []protocol.Command {
 	out := []protocol.Command{}
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
-		key := bookkeeping.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
+		key := cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
 		if c, ok := t.command(m.Attempts[key], task); ok {
 			c.Task, c.Attempt = protocol.TaskName(task.Job, task.Index), task.Attempt
 			out = append(out, c)
 			noteCommand(m, out, key)
 		}
 	}
-	var starts []*bookkeeping.Attempt
+	var starts []*cluster.Attempt
 	for _, a := range m.Attempts {
-		if a.Stage == bookkeeping.Assigned {
+		if a.Stage == cluster.Assigned {
 			starts = append(starts, a)
 		}
 	}
@@ -58,9 +58,9 @@
 				signal(t.saveSignal)
 			}
 		case m.Term == t.number && a.Job.MayStartOn(m.ID) && len(out) < protocol.MaxCommands:
-			a.Stage, a.SentSeq = bookkeeping.Sent, r.Seq
+			a.Stage, a.SentSeq = cluster.Sent, r.Seq
 			out = append(out, protocol.Command{Verb: protocol.Start, Task: a.Task(), Attempt: a.Number})
-			noteCommand(m, out, bookkeeping.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number})
+			noteCommand(m, out, cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number})
 			t.trace("start sent", a)
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // command works out what a machine is to do about a task that it reports, if anything.
-func (t *Term) command(a *bookkeeping.Attempt, task *protocol.TaskReport) (protocol.Command, bool) {
+func (t *Term) command(a *cluster.Attempt, task *protocol.TaskReport) (protocol.Command, bool) {
 	switch {
 	case task.Stage == protocol.TaskExited:
 		// A completion that is not durable stays with the worker: a later
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -12,10 +12,11 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -68,7 +69,7 @@
 func (c *Controller) sawRenewal(version uint64, now units.Micros) {
 	l := c.deps.Lease
 	l.answeredAt = now
-	l.monitor.observe(bookkeeping.Lease{Holder: "leader", Incarnation: 3}, version, now)
+	l.monitor.observe(storage.Lease{Holder: "leader", Incarnation: 3}, version, now)
 }
 
 // While the leader refuses this node's links and renews its lease, workers are
@@ -146,8 +147,8 @@
 // node, and not a leader, whether or not it has taken the job in.
 func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
 	s := standin.NewState()
-	s.Put(bookkeeping.KeyCatalog, protocol.Encode(modelCatalog))
-	s.Put(bookkeeping.KeyFinal("j-000009"), protocol.Encode(bookkeeping.Final{
+	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
+	s.Put(storage.KeyFinal("j-000009"), protocol.Encode(storage.Final{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
@@ -195,7 +196,7 @@
 	}
 	go term.saveLoop(ctx)
 	go term.inboxLoop(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(bookkeeping.PrefixInbox)) > 0; {
+	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixInbox)) > 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
 		}
@@ -213,7 +214,7 @@
 // taken in and cancelled, so its state is read again before the user is told of it.
 func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
 	s := standin.NewState()
-	s.Put(bookkeeping.KeyCatalog, protocol.Encode(modelCatalog))
+	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	c, clock := refusedController(t, s)
 	const id = "j-000001"
 	s.Refuse = func(_, path string) bool {
@@ -226,7 +227,7 @@
 	if got := c.gate().release(a); got.Status != http.StatusOK || state(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
-	if len(s.Keys(bookkeeping.PrefixInbox)) != 1 {
+	if len(s.Keys(storage.PrefixInbox)) != 1 {
 		t.Error("it is not in the inbox")
 	}
 }
@@ -236,10 +237,10 @@
 func TestLateArrivalOfAFinishedJob(t *testing.T) {
 	s := standin.NewState()
 	spec := modelSpec("j-000001")
-	for _, c := range bookkeeping.ArrivalTxn(bookkeeping.Arrival{Spec: *spec}).Then {
+	for _, c := range cluster.ArrivalTxn(cluster.Arrival{Spec: *spec}).Then {
 		s.Put(c.Set, c.Value)
 	}
-	s.Put(bookkeeping.KeyFinal(spec.ID), protocol.Encode(bookkeeping.Final{
+	s.Put(storage.KeyFinal(spec.ID), protocol.Encode(storage.Final{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
@@ -252,7 +253,7 @@
 	}
 	go term.saveLoop(ctx)
 	go term.inboxLoop(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(bookkeeping.PrefixInbox)) > 0; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixInbox)) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
 		}
@@ -296,7 +297,7 @@
 	})
 	l := c.deps.Lease
 	l.answeredAt = clock.now
-	l.monitor.observe(bookkeeping.Lease{Holder: s.Node, Incarnation: 3}, 1, clock.now)
+	l.monitor.observe(storage.Lease{Holder: s.Node, Incarnation: 3}, 1, clock.now)
 	clock.now += recordAge + units.Millisecond
 	go c.peers.Run(t.Context())
 	for deadline := time.Now().Add(10 * time.Second); c.whoLeads() != "next"; time.Sleep(5 * time.Millisecond) {
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -89,7 +89,7 @@
 				j := term.ledger.Jobs["j-000299"]
 				term.ledger.Done(j, done, units.Second)
 				j.Changed(units.Second, true)
-				s := term.ledger.BuildSave("1-1", term.bucketVersions, bookkeeping.SaveLimits{}, units.Second)
+				s := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{}, units.Second)
 				term.ledger.Applied(s, 1)
 			}),
 		}
--- a/internal/coordination/delivery_test.go
+++ b/internal/coordination/delivery_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -47,7 +47,7 @@
 	term, clock := guardTerm(t, 8)
 	const id = "i-000000"
 	seq := uint64(0)
-	report := func(session uint64) *bookkeeping.Machine {
+	report := func(session uint64) *cluster.Machine {
 		seq++
 		term.exchange(testReport(id, session, seq, 7))
 		return term.ledger.Machines[id]
--- a/internal/coordination/direct.go
+++ b/internal/coordination/direct.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
@@ -28,7 +28,7 @@
 // requestDirect notes that a machine is to be told something before its next report:
 // which tasks to stop, and, if a task of a job waits to be started there, to
 // report.
-func (t *Term) requestDirect(m *bookkeeping.Machine, starts *bookkeeping.Job, now units.Micros) {
+func (t *Term) requestDirect(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
 	if m.Endpoint == "" || m.LastAnswered+t.Settings.Fleet.Workers.Report()-now <= directWorth {
 		return
 	}
@@ -39,7 +39,7 @@
 }
 
 // directRequest is why a machine is told something before its next report.
-type directRequest struct{ starts *bookkeeping.Job }
+type directRequest struct{ starts *cluster.Job }
 
 // directLoop tells machines what cannot wait.
 func (t *Term) directLoop(ctx context.Context) {
@@ -81,7 +81,7 @@
 
 // direct gives the commands for a machine that cannot wait, and where to send
 // them.
-func (t *Term) direct(id string, starts *bookkeeping.Job) (endpoint string, body []byte) {
+func (t *Term) direct(id string, starts *cluster.Job) (endpoint string, body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.ledger.Machines[id]
@@ -94,9 +94,9 @@
 			break
 		}
 		switch {
-		case a.Job.Cancelled && a.Stage != bookkeeping.Assigned:
+		case a.Job.Cancelled && a.Stage != cluster.Assigned:
 			out = append(out, stopCommand(a.Task(), a.Number, 0))
-		case a.Stop && (a.Stage == bookkeeping.Running || a.Stage == bookkeeping.Fetching):
+		case a.Stop && (a.Stage == cluster.Running || a.Stage == cluster.Fetching):
 			out = append(out, stopCommand(a.Task(), a.Number, a.Grace))
 		}
 	}
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -1,13 +1,13 @@
 package coordination
 
 import (
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/units"
 )
 
 // drain stops what would be lost when a machine is taken away, in time for it
 // to be saved or begun anew elsewhere.
-func (t *Term) drain(m *bookkeeping.Machine, now units.Micros) {
+func (t *Term) drain(m *cluster.Machine, now units.Micros) {
 	if m.NoticeEnds == 0 && !m.SetAside {
 		return
 	}
--- a/internal/coordination/finals.go
+++ b/internal/coordination/finals.go
@@ -4,12 +4,13 @@
 	"context"
 	"fmt"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-func (t *Term) readFinal(ctx context.Context, id string) (bookkeeping.FinalRecord, bool, error) {
+func (t *Term) readFinal(ctx context.Context, id string) (storage.FinalRecord, bool, error) {
 	return ReadFinal(ctx, t.Store, id)
 }
 
@@ -17,9 +18,9 @@
 const finalCall = 1200 * units.Millisecond
 
 // ReadFinal reads a finished job's record.
-func ReadFinal(ctx context.Context, store *bookkeeping.Store, id string) (bookkeeping.FinalRecord, bool, error) {
-	var f bookkeeping.FinalRecord
-	item, ok, err := store.Get(ctx, bookkeeping.KeyFinal(id), finalCall)
+func ReadFinal(ctx context.Context, store *kv.Store, id string) (storage.FinalRecord, bool, error) {
+	var f storage.FinalRecord
+	item, ok, err := store.Get(ctx, storage.KeyFinal(id), finalCall)
 	if err != nil || !ok {
 		return f, false, err
 	}
@@ -34,21 +35,21 @@
 // bound on their number.
 type finalCache struct {
 	most     int
-	old, new map[string]bookkeeping.FinalRecord
+	old, new map[string]storage.FinalRecord
 }
 
 func newFinalCache(most int) *finalCache {
-	return &finalCache{most: most, old: map[string]bookkeeping.FinalRecord{}, new: map[string]bookkeeping.FinalRecord{}}
+	return &finalCache{most: most, old: map[string]storage.FinalRecord{}, new: map[string]storage.FinalRecord{}}
 }
 
-func (c *finalCache) put(id string, f bookkeeping.FinalRecord) {
+func (c *finalCache) put(id string, f storage.FinalRecord) {
 	if len(c.new) >= c.most/2 {
-		c.old, c.new = c.new, map[string]bookkeeping.FinalRecord{}
+		c.old, c.new = c.new, map[string]storage.FinalRecord{}
 	}
 	c.new[id] = f
 }
 
-func (c *finalCache) get(id string) (bookkeeping.FinalRecord, bool) {
+func (c *finalCache) get(id string) (storage.FinalRecord, bool) {
 	if f, ok := c.new[id]; ok {
 		return f, true
 	}
@@ -60,7 +61,7 @@
 }
 
 // final finds the final state of a job that is not live.
-func (t *Term) final(ctx context.Context, id string) (bookkeeping.FinalRecord, bool, error) {
+func (t *Term) final(ctx context.Context, id string) (storage.FinalRecord, bool, error) {
 	t.mu.Lock()
 	f, ok := t.finals.get(id)
 	t.mu.Unlock()
@@ -68,7 +69,7 @@
 		return f, true, nil
 	}
 	if !t.Store.Spare() {
-		return f, false, bookkeeping.ErrRefused // questions about unknown jobs must not crowd out the rest
+		return f, false, kv.ErrRefused // questions about unknown jobs must not crowd out the rest
 	}
 	f, ok, err := t.readFinal(ctx, id)
 	if ok {
--- a/internal/coordination/fleetsize_test.go
+++ b/internal/coordination/fleetsize_test.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -19,9 +20,9 @@
 	clock := &manualClock{now: units.Second}
 	term := testTerm(1, clock)
 	term.install(nil, modelCatalog)
-	term.ledger.UpgradeFormat(bookkeeping.FormatNew, clock.now)
+	term.ledger.UpgradeFormat(storage.FormatNew, clock.now)
 	term.ledger.Teams["team"].Limit = cpus(perMachine * machines)
-	var all []*bookkeeping.Job
+	var all []*cluster.Job
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
 		spec.Tasks = machines * perMachine / jobs
@@ -56,7 +57,7 @@
 	}
 	later := testTerm(2, &manualClock{now: units.Second})
 	later.ledger.Teams["team"].Limit = term.ledger.Teams["team"].Limit
-	jobs, _, err := bookkeeping.ParseJobs(rows)
+	jobs, _, err := cluster.ParseJobs(rows)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/format.go
+++ b/internal/coordination/format.go
@@ -7,8 +7,9 @@
 	"log/slog"
 	"sync/atomic"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -22,7 +23,7 @@
 type FleetFormat struct {
 	node  string
 	nodes []string // all that are configured
-	store *bookkeeping.Store
+	store *kv.Store
 	log   *slog.Logger
 	reads int // the format that this node tells the others
 
@@ -35,9 +36,9 @@
 
 // NewFleetFormat makes the fleet's format as a controller knows it. The controller tells
 // the others that it reads the format given, and all before it.
-func NewFleetFormat(node string, others []string, reads int, store *bookkeeping.Store, log *slog.Logger) *FleetFormat {
+func NewFleetFormat(node string, others []string, reads int, store *kv.Store, log *slog.Logger) *FleetFormat {
 	f := &FleetFormat{node: node, nodes: append([]string{node}, others...), reads: reads, store: store, log: log}
-	f.level.Store(bookkeeping.FormatOld)
+	f.level.Store(storage.FormatOld)
 	return f
 }
 
@@ -69,19 +70,19 @@
 }
 
 func (f *FleetFormat) read(ctx context.Context) (map[string]stored, error) {
-	list, err := f.store.List(ctx, bookkeeping.PrefixFormats, "", stateCall)
+	list, err := f.store.List(ctx, storage.PrefixFormats, "", stateCall)
 	if err != nil {
 		return nil, err
 	}
 	known := map[string]stored{}
 	for _, item := range list.Items {
-		var r bookkeeping.FormatRecord
+		var r storage.FormatRecord
 		if err := protocol.Decode(item.Value, &r); err != nil {
 			return nil, fmt.Errorf("record %s: %w", item.Key, err)
 		}
 		known[item.Key] = stored{r.Format, item.Version}
 	}
-	f.learn(known[bookkeeping.KeyFleetFormat].format)
+	f.learn(known[storage.KeyFleetFormat].format)
 	return known, nil
 }
 
@@ -92,8 +93,8 @@
 }
 
 func (f *FleetFormat) learn(level int) {
-	if level > bookkeeping.Format && !f.newer.Swap(true) {
-		f.log.Error("the fleet's records have a format of a later version; this node does not lead", "format", level, "known", bookkeeping.Format)
+	if level > storage.Format && !f.newer.Swap(true) {
+		f.log.Error("the fleet's records have a format of a later version; this node does not lead", "format", level, "known", storage.Format)
 	}
 	if level > f.Level() {
 		f.level.Store(int64(level))
@@ -107,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	own := bookkeeping.KeyFormat(f.node)
+	own := storage.KeyFormat(f.node)
 	if known[own].format < f.reads {
 		if err := f.write(ctx, own, f.reads, known[own].version); err != nil {
 			return err
@@ -117,7 +118,7 @@
 	}
 	f.registered = true
 	if level := readByAll(f.nodes, known); leads && level > f.Level() {
-		if err := f.write(ctx, bookkeeping.KeyFleetFormat, level, known[bookkeeping.KeyFleetFormat].version); err != nil {
+		if err := f.write(ctx, storage.KeyFleetFormat, level, known[storage.KeyFleetFormat].version); err != nil {
 			return err
 		}
 		f.learn(level)
@@ -127,9 +128,9 @@
 
 // readByAll gives the newest format that every controller reads.
 func readByAll(nodes []string, known map[string]stored) int {
-	level := bookkeeping.Format
+	level := storage.Format
 	for _, node := range nodes {
-		level = min(level, max(known[bookkeeping.KeyFormat(node)].format, bookkeeping.FormatOld))
+		level = min(level, max(known[storage.KeyFormat(node)].format, storage.FormatOld))
 	}
 	return level
 }
@@ -139,10 +140,10 @@
 		If: []protocol.Condition{{Key: key, Version: on}},
 		Then: []protocol.Change{{
 			Set:   key,
-			Value: protocol.Encode(bookkeeping.FormatRecord{Format: format, By: f.node}),
+			Value: protocol.Encode(storage.FormatRecord{Format: format, By: f.node}),
 		}},
-	}, bookkeeping.Urgent, stateCall)
-	var conflict *bookkeeping.ConflictError
+	}, kv.Urgent, stateCall)
+	var conflict *kv.ConflictError
 	if errors.As(err, &conflict) {
 		return errors.New("another write came first") // the next look tells
 	}
--- a/internal/coordination/format_test.go
+++ b/internal/coordination/format_test.go
@@ -11,10 +11,12 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -24,12 +26,12 @@
 	t.Cleanup(server.Close)
 	out := map[string]*FleetFormat{}
 	for i, node := range nodes {
-		store := bookkeeping.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+		store := kv.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 		}, len(nodes)-1, units.NewSystemClock())
 		others := append(append([]string{}, nodes[:i]...), nodes[i+1:]...)
-		out[node] = NewFleetFormat(node, others, bookkeeping.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		out[node] = NewFleetFormat(node, others, storage.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	return out
 }
@@ -49,16 +51,16 @@
 			t.Errorf("%s goes by format %d, want %d", node, got, want)
 		}
 	}
-	step("a", true, bookkeeping.FormatOld)
-	step("b", false, bookkeeping.FormatOld)
-	step("a", true, bookkeeping.FormatOld) // c is not upgraded, or has never been heard of
-	step("c", false, bookkeeping.FormatOld)
-	step("b", false, bookkeeping.FormatOld) // only a leader raises it
-	step("a", true, bookkeeping.FormatNew)
-	step("b", false, bookkeeping.FormatNew)
-	s.Put(bookkeeping.KeyFormat("c"), protocol.Encode(bookkeeping.FormatRecord{Format: bookkeeping.FormatOld}))
+	step("a", true, storage.FormatOld)
+	step("b", false, storage.FormatOld)
+	step("a", true, storage.FormatOld) // c is not upgraded, or has never been heard of
+	step("c", false, storage.FormatOld)
+	step("b", false, storage.FormatOld) // only a leader raises it
+	step("a", true, storage.FormatNew)
+	step("b", false, storage.FormatNew)
+	s.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
 	later := formatsOn(t, s, "a", "b", "c")["b"]
-	if err := later.step(t.Context(), true); err != nil || later.Level() != bookkeeping.FormatNew {
+	if err := later.step(t.Context(), true); err != nil || later.Level() != storage.FormatNew {
 		t.Errorf("%d, %v", later.Level(), err)
 	}
 }
@@ -69,20 +71,20 @@
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
 	for what, put := range map[string]func(s *standin.State){
 		"the fleet's format": func(s *standin.State) {
-			s.Put(bookkeeping.KeyFleetFormat, protocol.Encode(bookkeeping.FormatRecord{Format: bookkeeping.Format + 1}))
+			s.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.Format + 1}))
 		},
 		"a job's record": func(s *standin.State) {
-			s.Put(bookkeeping.KeyJob("j-000001"), protocol.Encode(map[string]any{
-				"v":     bookkeeping.Format + 1,
+			s.Put(storage.KeyJob("j-000001"), protocol.Encode(map[string]any{
+				"v":     storage.Format + 1,
 				"id":    "j-000001",
 				"tasks": 1,
 			}))
 		},
 		"a part of a job": func(s *standin.State) {
-			s.Put(bookkeeping.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
+			s.Put(storage.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
 		},
 		"a part without its job, which is not over": func(s *standin.State) {
-			s.Put(bookkeeping.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
+			s.Put(storage.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
 		},
 	} {
 		s := standin.NewState()
@@ -111,10 +113,10 @@
 	for _, c := range []struct {
 		level, tasks, want int
 	}{
-		{bookkeeping.FormatOld, modelLimit, http.StatusServiceUnavailable},
-		{bookkeeping.FormatOld, modelLimit + 1, http.StatusUnprocessableEntity},
-		{bookkeeping.FormatNew, modelLimit, 0},
-		{bookkeeping.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
+		{storage.FormatOld, modelLimit, http.StatusServiceUnavailable},
+		{storage.FormatOld, modelLimit + 1, http.StatusUnprocessableEntity},
+		{storage.FormatNew, modelLimit, 0},
+		{storage.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
 	} {
 		term.Format.level.Store(int64(c.level))
 		service.Tasks = c.tasks
@@ -138,7 +140,7 @@
 		TxnOps:   12,
 		Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 	}
-	term.ledger = bookkeeping.NewLedger(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term.ledger = cluster.NewLedger(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if !term.restore(ctx) {
@@ -197,7 +199,7 @@
 	if n := s.Rejected(); n == 0 || n > 3 {
 		t.Errorf("%d saves were rejected", n)
 	}
-	term.Format.level.Store(bookkeeping.FormatNew)
+	term.Format.level.Store(storage.FormatNew)
 	eventually(named(310))
 	name(310, 900)
 	eventually(named(900))
@@ -208,9 +210,9 @@
 	term.mu.Unlock()
 	signal(term.saveSignal)
 	eventually(func() bool { return term.ledger.Jobs[large] == nil })
-	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(bookkeeping.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("left over: %v", s.Keys(bookkeeping.KeyJob(large)))
+			t.Fatalf("left over: %v", s.Keys(storage.KeyJob(large)))
 		}
 	}
 	if f, ok, err := ReadFinal(ctx, term.Store, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
--- a/internal/coordination/harness_test.go
+++ b/internal/coordination/harness_test.go
@@ -6,9 +6,10 @@
 	"math/rand/v2"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -28,7 +29,7 @@
 // save carries out all saves that are due.
 func (t *Term) save() {
 	for {
-		s := t.ledger.BuildSave(t.saveID(), t.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, t.Clock.Steady())
+		s := t.ledger.BuildSave(t.saveID(), t.bucketVersions, cluster.SaveLimits{Tasks: true}, t.Clock.Steady())
 		if s == nil {
 			return
 		}
@@ -122,7 +123,7 @@
 		Clock:       clock,
 		Log:         log,
 		Metrics:     NewMetrics(),
-		Format:      NewFleetFormat("n", nil, bookkeeping.FormatNew, nil, log),
+		Format:      NewFleetFormat("n", nil, storage.FormatNew, nil, log),
 		Unreached:   func() int { return 0 },
 		PeerInReach: func() bool { return false },
 	})
--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -131,7 +131,7 @@
 }
 
 // updateHeadroom notes on the machines of a snapshot what room is kept on them.
-func (t *Term) updateHeadroom(s *Snapshot, machines []*bookkeeping.Machine) {
+func (t *Term) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
 	like := t.headroomReplica()
 	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return t.headroom[machines[k]] != units.Resources{} })
 	clear(t.headroom)
--- a/internal/coordination/inbox.go
+++ b/internal/coordination/inbox.go
@@ -8,8 +8,10 @@
 	"sync/atomic"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -45,11 +47,11 @@
 	if types != nil {
 		return types
 	}
-	list, err := c.deps.Store.List(ctx, bookkeeping.KeyCatalog, "", arrivalCall)
+	list, err := c.deps.Store.List(ctx, storage.KeyCatalog, "", arrivalCall)
 	if err != nil {
 		return nil
 	}
-	catalog, _, err := bookkeeping.ParseCatalog(list.Items)
+	catalog, _, err := storage.ParseCatalog(list.Items)
 	if err != nil || len(catalog.Types) == 0 {
 		return nil
 	}
@@ -73,7 +75,7 @@
 	if status, _ := checkRunnable(spec, c.deps.Settings, c.machineTypes(ctx), c.deps.Format.Level()); status != 0 {
 		return refused
 	}
-	arrival := bookkeeping.ArrivalTxn(bookkeeping.Arrival{
+	arrival := cluster.ArrivalTxn(cluster.Arrival{
 		Spec:      *spec,
 		Submitted: c.deps.Clock.Wall(),
 	})
@@ -85,12 +87,12 @@
 		arrival.If = append(arrival.If, condition)
 	}
 	share := jobMemory(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
-	if c.arrivals.alone.Add(bookkeeping.MemoryOf(spec)) > share {
+	if c.arrivals.alone.Add(cluster.MemoryOf(spec)) > share {
 		return plainAnswer(Refuse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
 	readAt := c.deps.Clock.Steady()
-	_, err := store.Commit(ctx, arrival, bookkeeping.Paced, arrivalCall)
-	var conflict *bookkeeping.ConflictError
+	_, err := store.Commit(ctx, arrival, kv.Paced, arrivalCall)
+	var conflict *kv.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		// It is known already: a repeat, or the leader took it after all.
@@ -140,7 +142,7 @@
 
 // askInbox takes a single job in, if it is in the inbox.
 func (t *Term) askInbox(ctx context.Context, id string) error {
-	item, ok, err := t.Store.Get(ctx, bookkeeping.KeyInbox(id), arrivalCall)
+	item, ok, err := t.Store.Get(ctx, storage.KeyInbox(id), arrivalCall)
 	if err == nil && ok {
 		return t.takeIn(ctx, []protocol.Item{item})
 	}
@@ -153,7 +155,7 @@
 	var over protocol.Txn
 	t.mu.Lock()
 	for _, item := range items {
-		a, err := bookkeeping.ParseArrival(item)
+		a, err := cluster.ParseArrival(item)
 		if err != nil {
 			t.Log.Error("a job in the inbox is not readable; it is left there", "error", err)
 			unreadable = err
@@ -176,7 +178,7 @@
 		signal(t.saveSignal)
 	}
 	if len(over.Then) > 0 {
-		if _, err := t.Store.Commit(ctx, over, bookkeeping.Paced, stateCall); err != nil {
+		if _, err := t.Store.Commit(ctx, over, kv.Paced, stateCall); err != nil {
 			t.Log.Debug("inbox not cleared", "error", err)
 			t.inboxUncleared.Store(true)
 		}
--- a/internal/coordination/inboxwatch.go
+++ b/internal/coordination/inboxwatch.go
@@ -4,8 +4,9 @@
 	"context"
 	"errors"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -26,8 +27,8 @@
 	if w.revision == 0 || now-w.readAt >= inboxResync || t.inboxUncleared.Swap(false) {
 		return w.read(ctx, t, now)
 	}
-	list, err := t.Store.Changes(ctx, bookkeeping.PrefixInbox, w.revision, 0)
-	if errors.Is(err, bookkeeping.ErrTooOld) {
+	list, err := t.Store.Changes(ctx, storage.PrefixInbox, w.revision, 0)
+	if errors.Is(err, kv.ErrTooOld) {
 		return w.read(ctx, t, now)
 	}
 	if err != nil {
@@ -40,7 +41,7 @@
 // read reads the whole inbox.
 func (w *inboxWatch) read(ctx context.Context, t *Term, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
-	items, revision, err := listAll(ctx, t.Store, bookkeeping.PrefixInbox)
+	items, revision, err := listAll(ctx, t.Store, storage.PrefixInbox)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/inboxwatch_test.go
+++ b/internal/coordination/inboxwatch_test.go
@@ -5,16 +5,17 @@
 	"slices"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // arrives puts a job into the inbox, as another controller does.
 func arrives(t *testing.T, s *standin.State, id string) {
 	t.Helper()
-	if _, ok := s.Apply(bookkeeping.ArrivalTxn(bookkeeping.Arrival{Spec: *modelSpec(id)})); !ok {
+	if _, ok := s.Apply(cluster.ArrivalTxn(cluster.Arrival{Spec: *modelSpec(id)})); !ok {
 		t.Fatalf("%s is not taken into the inbox", id)
 	}
 }
@@ -40,7 +41,7 @@
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
-	first, second, third := bookkeeping.KeyInbox("j-000001"), bookkeeping.KeyInbox("j-000002"), bookkeeping.KeyInbox("j-000003")
+	first, second, third := storage.KeyInbox("j-000001"), storage.KeyInbox("j-000002"), storage.KeyInbox("j-000003")
 	arrives(t, s, "j-000001")
 	expect("at first", first)
 	expect("nothing new")
@@ -61,7 +62,7 @@
 	if items, err := watch.next(ended, term); err == nil {
 		t.Fatalf("without an answer: %v", items)
 	}
-	expect("after an outage", bookkeeping.KeyInbox("j-000004"))
+	expect("after an outage", storage.KeyInbox("j-000004"))
 }
 
 // A job that is over is taken out of the inbox, though only the save that would have
@@ -72,9 +73,9 @@
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	over := bookkeeping.Final{Stage: protocol.StageDone, Tasks: 2, Done: 2}
+	over := storage.Final{Stage: protocol.StageDone, Tasks: 2, Done: 2}
 	arrives(t, s, "j-000001")
-	s.Put(bookkeeping.KeyFinal("j-000001"), protocol.Encode(over))
+	s.Put(storage.KeyFinal("j-000001"), protocol.Encode(over))
 	var watch inboxWatch
 	for range 2 {
 		items, err := watch.next(t.Context(), term)
@@ -87,7 +88,7 @@
 		}
 		term.Clock.(*manualClock).now += units.Second
 	}
-	if left := s.Keys(bookkeeping.PrefixInbox); len(left) != 0 {
+	if left := s.Keys(storage.PrefixInbox); len(left) != 0 {
 		t.Errorf("left in the inbox: %v", left)
 	}
 }
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -11,15 +11,16 @@
 	"sync"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // FleetLease holds or watches the fleet lease record.
 type FleetLease struct {
 	node   string
-	store  *bookkeeping.Store
+	store  *kv.Store
 	clock  units.Clock
 	timing LeaseTiming
 	random *rand.Rand
@@ -46,7 +47,7 @@
 }
 
 // NewFleetLease makes the lease of a node.
-func NewFleetLease(node string, store *bookkeeping.Store, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *FleetLease {
+func NewFleetLease(node string, store *kv.Store, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *FleetLease {
 	return &FleetLease{
 		node:       node,
 		store:      store,
@@ -200,16 +201,16 @@
 // write commits the lease record on a version, and finds out what became of
 // it if no answer comes. It gives the version that now stands and whether the
 // record is the one written.
-func (f *FleetLease) write(ctx context.Context, rec bookkeeping.Lease, on uint64) (uint64, bool, error) {
+func (f *FleetLease) write(ctx context.Context, rec storage.Lease, on uint64) (uint64, bool, error) {
 	rev, err := f.store.Commit(ctx, protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.KeyFleet, Version: on}},
-		Then: []protocol.Change{{Set: bookkeeping.KeyFleet, Value: protocol.Encode(rec)}},
-	}, bookkeeping.Urgent, leaseCall)
-	var conflict *bookkeeping.ConflictError
+		If:   []protocol.Condition{{Key: storage.KeyFleet, Version: on}},
+		Then: []protocol.Change{{Set: storage.KeyFleet, Value: protocol.Encode(rec)}},
+	}, kv.Urgent, leaseCall)
+	var conflict *kv.ConflictError
 	switch {
 	case err == nil:
 		return rev, true, nil
-	case errors.As(err, &conflict), errors.Is(err, bookkeeping.ErrUncertain):
+	case errors.As(err, &conflict), errors.Is(err, kv.ErrUncertain):
 		// Either another node was faster, or an earlier save of ours that got
 		// no answer was carried out after all. The record tells.
 		now, version, rerr := f.read(ctx)
@@ -221,14 +222,14 @@
 	return 0, false, err
 }
 
-func (f *FleetLease) read(ctx context.Context) (bookkeeping.Lease, uint64, error) {
-	var rec bookkeeping.Lease
-	item, ok, err := f.store.Get(ctx, bookkeeping.KeyFleet, leaseCall)
+func (f *FleetLease) read(ctx context.Context) (storage.Lease, uint64, error) {
+	var rec storage.Lease
+	item, ok, err := f.store.Get(ctx, storage.KeyFleet, leaseCall)
 	if err != nil || !ok {
 		return rec, 0, err
 	}
 	if err := protocol.Decode(item.Value, &rec); err != nil {
-		return rec, 0, fmt.Errorf("record %s: %w", bookkeeping.KeyFleet, err)
+		return rec, 0, fmt.Errorf("record %s: %w", storage.KeyFleet, err)
 	}
 	return rec, item.Version, nil
 }
@@ -237,7 +238,7 @@
 // was sent, since nobody can have seen it earlier.
 func (f *FleetLease) renew(ctx context.Context) units.Micros {
 	f.mu.Lock()
-	rec := bookkeeping.Lease{
+	rec := storage.Lease{
 		Holder:      f.node,
 		Incarnation: f.term,
 		Save:        f.saveID(),
@@ -248,7 +249,7 @@
 	f.mu.Unlock()
 	version, ours, err := f.write(ctx, rec, on)
 	if err != nil {
-		if !errors.Is(err, bookkeeping.ErrRefused) && !errors.Is(err, bookkeeping.ErrUncertain) {
+		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrUncertain) {
 			f.log.Error("fleet lease not renewed", "term", rec.Incarnation, "error", err)
 		}
 		return retryPause
@@ -309,7 +310,7 @@
 	if err != nil {
 		f.monitor.observeFailure()
 		f.mu.Unlock()
-		if !errors.Is(err, bookkeeping.ErrRefused) && !errors.Is(err, bookkeeping.ErrUncertain) {
+		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrUncertain) {
 			f.log.Error("fleet lease not readable", "error", err)
 		}
 		return f.timing.Poll
@@ -339,9 +340,9 @@
 
 // claim takes the record over by a conditional save that raises the
 // incarnation by one.
-func (f *FleetLease) claim(ctx context.Context, old bookkeeping.Lease, version uint64) units.Micros {
+func (f *FleetLease) claim(ctx context.Context, old storage.Lease, version uint64) units.Micros {
 	f.mu.Lock()
-	rec := bookkeeping.Lease{
+	rec := storage.Lease{
 		Holder:      f.node,
 		Incarnation: old.Incarnation + 1,
 		Save:        f.saveID(),
--- a/internal/coordination/leasemonitor.go
+++ b/internal/coordination/leasemonitor.go
@@ -1,8 +1,8 @@
 package coordination
 
 import (
-	"dunestand/internal/bookkeeping"
 	"dunestand/internal/config"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -72,7 +72,7 @@
 // has seen the record unchanged.
 type leaseMonitor struct {
 	timing  LeaseTiming
-	record  bookkeeping.Lease
+	record  storage.Lease
 	version uint64
 	seen    bool
 	since   units.Micros // when this version was first seen
@@ -81,7 +81,7 @@
 }
 
 // observe takes in a read that was answered at now.
-func (w *leaseMonitor) observe(record bookkeeping.Lease, version uint64, now units.Micros) {
+func (w *leaseMonitor) observe(record storage.Lease, version uint64, now units.Micros) {
 	if w.broken {
 		w.broken, w.grace = false, now+outageGrace
 	}
--- a/internal/coordination/model_store_test.go
+++ b/internal/coordination/model_store_test.go
@@ -7,9 +7,10 @@
 
 	"pgregory.net/rapid"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -66,7 +67,7 @@
 	default:
 		return
 	}
-	m.arrivals = append(m.arrivals, bookkeeping.ArrivalTxn(bookkeeping.Arrival{
+	m.arrivals = append(m.arrivals, cluster.ArrivalTxn(cluster.Arrival{
 		Spec:      spec,
 		Submitted: m.clock.now,
 	}))
@@ -87,7 +88,7 @@
 func (m *model) inbox() []protocol.Item {
 	var items []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
-		if strings.HasPrefix(key, bookkeeping.PrefixInbox) {
+		if strings.HasPrefix(key, storage.PrefixInbox) {
 			items = append(items, m.store.items[key])
 		}
 	}
@@ -97,7 +98,7 @@
 // collect has the leader take the inbox in.
 func (m *model) collect() {
 	for _, item := range m.inbox() {
-		a, err := bookkeeping.ParseArrival(item)
+		a, err := cluster.ParseArrival(item)
 		if err != nil {
 			m.t.Fatal(err)
 		}
@@ -113,9 +114,9 @@
 func (m *model) write() {
 	l := m.leader.ledger
 	if m.save == nil {
-		m.saveNew = m.leader.Format.Level() >= bookkeeping.FormatNew
+		m.saveNew = m.leader.Format.Level() >= storage.FormatNew
 		l.UpgradeFormat(m.leader.Format.Level(), m.clock.now)
-		m.save = l.BuildSave(m.leader.saveID(), m.leader.bucketVersions, bookkeeping.SaveLimits{
+		m.save = l.BuildSave(m.leader.saveID(), m.leader.bucketVersions, cluster.SaveLimits{
 			Lazy:  units.Second,
 			Tasks: true,
 		}, m.clock.now)
@@ -135,11 +136,11 @@
 	if len(failed) > 0 {
 		l.Refused(m.save, m.clock.now)
 		for _, key := range failed {
-			id, final := bookkeeping.JobOfFinal(key)
+			id, final := storage.JobOfFinal(key)
 			if !final || m.finals[id] == "" {
 				m.t.Fatalf("a leader's own save met a conflict: %v", failed)
 			}
-			m.leader.finals.put(id, bookkeeping.FinalRecord{Final: bookkeeping.Final{Stage: m.finals[id]}})
+			m.leader.finals.put(id, storage.FinalRecord{Final: storage.Final{Stage: m.finals[id]}})
 			l.Drop(id) // it was in the inbox still
 		}
 		m.save = nil
@@ -169,7 +170,7 @@
 	}
 }
 
-func (m *model) over(id string, f bookkeeping.Final) {
+func (m *model) over(id string, f storage.Final) {
 	m.finals[id] = f.Stage
 	if m.confirmed[id] != 0 && f.Stage != protocol.StageCancelled {
 		m.t.Fatalf("%s was called cancelled, and is now %s", id, f.Stage)
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -8,10 +8,11 @@
 
 	"pgregory.net/rapid"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -22,8 +23,8 @@
 	leader    *Term
 	terms     uint64
 	workers   []*modelWorker
-	save      *bookkeeping.Save // the leader's, on its way
-	orphans   []*bookkeeping.Save
+	save      *cluster.Save // the leader's, on its way
+	orphans   []*cluster.Save
 	held      []*protocol.Report // held back by the network; their workers have given up
 	jobs      map[string]int     // tasks of each job submitted
 	completed map[taskKey]bool
@@ -46,15 +47,15 @@
 	m.leader = testTerm(m.terms, m.clock)
 	m.leadsNew = rapid.SampledFrom(m.nodes).Draw(m.t, "leader").upgraded
 	// The claim changes every bucket's head, so older saves fail from now on.
-	for b := range bookkeeping.Buckets {
+	for b := range storage.Buckets {
 		m.store.revision++
-		key := bookkeeping.KeyHead(b)
+		key := storage.KeyHead(b)
 		m.store.items[key] = protocol.Item{Key: key, Version: m.store.revision}
 		m.leader.bucketVersions[b] = m.store.revision
 	}
 	var rows []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
-		if len(key) > 4 && key[:4] == bookkeeping.PrefixJobs {
+		if len(key) > 4 && key[:4] == storage.PrefixJobs {
 			rows = append(rows, m.store.items[key])
 		}
 	}
@@ -63,19 +64,19 @@
 			m.t.Fatalf("a leader of the version before cannot restore: %v", err)
 		}
 	}
-	jobs, orphans, err := bookkeeping.ParseJobs(rows)
+	jobs, orphans, err := cluster.ParseJobs(rows)
 	if err != nil {
 		m.t.Fatalf("restore: %v", err)
 	}
 	for id, keys := range orphans {
-		if m.store.items[bookkeeping.KeyFinal(id)].Version == 0 {
+		if m.store.items[storage.KeyFinal(id)].Version == 0 {
 			m.t.Fatalf("%s is not over, and has no record of its own", id)
 		}
 		m.leader.ledger.Leave(id, keys)
 	}
 	if m.leadsNew {
 		// It reads the fleet's format before the records.
-		m.leader.Format.level.Store(int64(max(m.formats()[bookkeeping.KeyFleetFormat].format, bookkeeping.FormatOld)))
+		m.leader.Format.level.Store(int64(max(m.formats()[storage.KeyFleetFormat].format, storage.FormatOld)))
 	}
 	m.leader.install(jobs, modelCatalog)
 }
@@ -102,7 +103,7 @@
 		Estimate: 10 * units.Second,
 	}
 	// One service at most: with two, a larger task might find no machine left.
-	if len(m.services) == 0 && m.leader.Format.Level() >= bookkeeping.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
+	if len(m.services) == 0 && m.leader.Format.Level() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
 		spec.Shape, spec.Tasks, spec.Need, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), cpus(1), protocol.Production, 0
 		m.services[id] = true
 	}
@@ -126,8 +127,8 @@
 		if m.store.takes(m.save.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
 			if _, failed := m.store.commit(m.t, m.save.Txn); len(failed) == 0 {
 				for _, c := range m.save.Txn.Then {
-					if id, final := bookkeeping.JobOfFinal(c.Set); final {
-						var f bookkeeping.Final
+					if id, final := storage.JobOfFinal(c.Set); final {
+						var f storage.Final
 						if protocol.Decode(c.Value, &f) == nil {
 							m.over(id, f)
 						}
@@ -203,7 +204,7 @@
 	m.land()
 	accepted := map[string]bool{}
 	for _, item := range m.inbox() {
-		a, _ := bookkeeping.ParseArrival(item)
+		a, _ := cluster.ParseArrival(item)
 		accepted[a.Spec.ID] = m.finals[a.Spec.ID] == "" && m.leader.ledger.Jobs[a.Spec.ID] == nil
 	}
 	for id, j := range m.leader.ledger.Jobs {
@@ -294,7 +295,7 @@
 		if rapid.Bool().Draw(t, "upgraded before") {
 			for i := range m.nodes {
 				m.nodes[i] = modelNode{true, true}
-				m.put(bookkeeping.KeyFormat(nodeName(i)), bookkeeping.FormatRecord{Format: bookkeeping.Format})
+				m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.Format})
 			}
 		}
 		m.begin()
--- a/internal/coordination/model_upgrade_test.go
+++ b/internal/coordination/model_upgrade_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"dunestand/internal/bookkeeping"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 // modelNode is a controller.
@@ -28,8 +28,8 @@
 func (m *model) formats() map[string]stored {
 	known := map[string]stored{}
 	for key, item := range m.store.items {
-		var r bookkeeping.FormatRecord
-		if strings.HasPrefix(key, bookkeeping.PrefixFormats) && protocol.Decode(item.Value, &r) == nil {
+		var r storage.FormatRecord
+		if strings.HasPrefix(key, storage.PrefixFormats) && protocol.Decode(item.Value, &r) == nil {
 			known[key] = stored{r.Format, item.Version}
 		}
 	}
@@ -49,7 +49,7 @@
 		}
 	case !n.told:
 		n.told = true
-		m.put(bookkeeping.KeyFormat(nodeName(i)), bookkeeping.FormatRecord{Format: bookkeeping.Format})
+		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.Format})
 	}
 }
 
@@ -57,7 +57,7 @@
 // It may die, or hear of it only later.
 func (m *model) raise() {
 	known := m.formats()
-	level := known[bookkeeping.KeyFleetFormat].format
+	level := known[storage.KeyFleetFormat].format
 	if !m.leadsNew {
 		return
 	}
@@ -65,9 +65,9 @@
 	for i := range m.nodes {
 		names = append(names, nodeName(i))
 	}
-	if all := readByAll(names, known); all > max(level, bookkeeping.FormatOld) {
+	if all := readByAll(names, known); all > max(level, storage.FormatOld) {
 		level = all
-		m.put(bookkeeping.KeyFleetFormat, bookkeeping.FormatRecord{Format: level})
+		m.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
 	if m.calm || rapid.Bool().Draw(m.t, "the leader hears of it") {
 		m.learn(level)
@@ -83,7 +83,7 @@
 
 // fall lowers the limits of the state service, some time after the upgrade.
 func (m *model) fall() {
-	if m.formats()[bookkeeping.KeyFleetFormat].format >= bookkeeping.FormatNew {
+	if m.formats()[storage.KeyFleetFormat].format >= storage.FormatNew {
 		m.store.limits = m.store.limits.Both()
 	}
 }
@@ -96,7 +96,7 @@
 	}
 	for i := range m.nodes {
 		m.nodes[i].upgraded, m.nodes[i].told = true, true
-		m.put(bookkeeping.KeyFormat(nodeName(i)), bookkeeping.FormatRecord{Format: bookkeeping.Format})
+		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.Format})
 	}
 	if !m.leadsNew {
 		m.crash()
--- a/internal/coordination/newcontroller.go
+++ b/internal/coordination/newcontroller.go
@@ -5,9 +5,11 @@
 	"math/rand/v2"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cloud"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -65,11 +67,11 @@
 		others[i] = o.Node
 	}
 	options := env.admissionOptions()
-	reads := bookkeeping.FormatNew
+	reads := storage.FormatNew
 	if options.On() {
-		reads = bookkeeping.FormatAdmission
+		reads = storage.FormatAdmission
 	}
-	store := bookkeeping.NewStore(env.Dial, s.Services.State, s.Fleet.State, len(others), env.Clock)
+	store := kv.NewStore(env.Dial, s.Services.State, s.Fleet.State, len(others), env.Clock)
 	format := NewFleetFormat(s.Node, others, reads, store, env.Log)
 	metrics := NewMetrics()
 	return Deps{
@@ -77,7 +79,7 @@
 		Policy:   env.Policy,
 		Store:    store,
 		Dial:     env.Dial,
-		Cloud:    bookkeeping.NewCloud(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
+		Cloud:    cloud.NewCloud(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
 		Lease:    NewFleetLease(s.Node, store.Reserved(), env.Clock, TimingFor(s.Fleet.Workers.Lease()), env.Random, env.Log),
 		Clock:    env.Clock,
 		Log:      env.Log,
--- a/internal/coordination/nolimit_test.go
+++ b/internal/coordination/nolimit_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/standin"
 	"dunestand/internal/units"
@@ -23,7 +23,7 @@
 	t.Helper()
 	term := storedTerm(t, 1, standin.NewState())
 	term.Settings.Fleet.Teams = append(term.Settings.Fleet.Teams, config.Team{Name: "guest"})
-	term.ledger = bookkeeping.NewLedger(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term.ledger = cluster.NewLedger(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	if !term.restore(ctx) {
@@ -52,7 +52,7 @@
 	if len(needs) != 1 || needs[0].Count != guestTasks {
 		t.Errorf("machines are rented for %v, want one need of %d tasks", needs, guestTasks)
 	}
-	machine := &bookkeeping.Machine{}
+	machine := &cluster.Machine{}
 	for i := range 3 {
 		machine = term.ledger.Machine(string(rune('a'+i)), "m", "a", true, 0)
 		machine.Seen, machine.Term = true, term.number
--- a/internal/coordination/order_test.go
+++ b/internal/coordination/order_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
@@ -22,7 +22,7 @@
 		term := testTerm(7, clock)
 		term.install(nil, modelCatalog)
 		due := map[string]units.Micros{}
-		ends := map[bookkeeping.AttemptKey]units.Micros{}
+		ends := map[cluster.AttemptKey]units.Micros{}
 		lasts := rapid.SliceOfN(rapid.IntRange(2, 8), 20, 20).Draw(t, "run times")
 		every := rapid.IntRange(10, 20).Draw(t, "seconds between jobs")
 		for step := range 400 {
@@ -41,10 +41,10 @@
 				r := testReport(fmt.Sprintf("i-%06d", i), 1, uint64(step+1), 7)
 				if m := term.ledger.Machines[r.Machine]; m != nil {
 					for _, a := range m.Sorted() {
-						if a.Stage == bookkeeping.Assigned {
+						if a.Stage == cluster.Assigned {
 							continue
 						}
-						key := bookkeeping.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
+						key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
 						task := protocol.TaskReport{
 							Job:     key.Job,
 							Index:   key.Index,
@@ -66,8 +66,8 @@
 				term.save()
 				term.commands(m, r, clock.now)
 				for _, a := range m.Sorted() {
-					key := bookkeeping.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
-					if a.Stage != bookkeeping.Assigned && ends[key] == 0 {
+					key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
+					if a.Stage != cluster.Assigned && ends[key] == 0 {
 						ends[key] = clock.now + units.Second*units.Micros(lasts[int(a.Number)%len(lasts)])
 						delete(due, key.Job)
 					}
@@ -136,7 +136,7 @@
 	clock.now += units.Second
 	term.ledger.NewJob(*modelSpec("j-000100"), clock.now, clock.now)
 	term.cancelJob(term.ledger.Jobs["j-000030"])
-	s := term.ledger.BuildSave("x", term.bucketVersions, bookkeeping.SaveLimits{}, clock.now)
+	s := term.ledger.BuildSave("x", term.bucketVersions, cluster.SaveLimits{}, clock.now)
 	if first := s.Jobs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
 		t.Errorf("saved first: %v", first)
 	}
--- a/internal/coordination/persistence.go
+++ b/internal/coordination/persistence.go
@@ -8,7 +8,9 @@
 	"time"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
+	"dunestand/internal/kv"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -75,7 +77,7 @@
 // startSave builds the next save if one may be sent now, and counts its writes. It is built
 // only once the rate of writes has room for it: what waits for the rate can still be
 // overtaken by what a user waits for, what is built can not.
-func (t *Term) startSave() *bookkeeping.Save {
+func (t *Term) startSave() *cluster.Save {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.saving >= maxSaving {
@@ -83,7 +85,7 @@
 	}
 	now := t.Clock.Steady()
 	t.ledger.UpgradeFormat(t.Format.Level(), now)
-	s := t.ledger.BuildSave(t.saveID(), t.bucketVersions, bookkeeping.SaveLimits{
+	s := t.ledger.BuildSave(t.saveID(), t.bucketVersions, cluster.SaveLimits{
 		Lazy:    lazySave,
 		Tasks:   t.Store.WritesSpare(),
 		Changes: max(t.leastChanges(), t.Store.WritesAvailable()),
@@ -106,13 +108,13 @@
 // commit carries a save through. A save without an answer may be carried out
 // at any later time, so the very same one is sent until its outcome is known:
 // its conditions see to it that it happens once.
-func (t *Term) commit(ctx context.Context, s *bookkeeping.Save) {
+func (t *Term) commit(ctx context.Context, s *cluster.Save) {
 	uncertain := false
 	began := t.Clock.Steady()
-	pacing := bookkeeping.Reserved
+	pacing := kv.Reserved
 	for wait := commitBackoff; ; wait = min(2*wait, maxCommitBackoff) {
 		version, err := t.Store.Commit(ctx, s.Txn, pacing, stateCall)
-		pacing = bookkeeping.Paced
+		pacing = kv.Paced
 		if err == nil {
 			if t.traces {
 				t.Log.Debug("save carried out", "jobs", s.Jobs(), "changes", len(s.Txn.Then),
@@ -121,7 +123,7 @@
 			t.applied(s, version)
 			return
 		}
-		var conflict *bookkeeping.ConflictError
+		var conflict *kv.ConflictError
 		switch {
 		case errors.As(err, &conflict):
 			if uncertain && s.Probe() != "" {
@@ -136,12 +138,12 @@
 			}
 			t.conflicted(ctx, s, conflict)
 			return
-		case errors.Is(err, bookkeeping.ErrUncertain):
+		case errors.Is(err, kv.ErrUncertain):
 			uncertain = true
-		case errors.Is(err, bookkeeping.ErrRejected):
+		case errors.Is(err, kv.ErrRejected):
 			t.rejected(ctx, s, uncertain)
 			return
-		case !errors.Is(err, bookkeeping.ErrRefused):
+		case !errors.Is(err, kv.ErrRefused):
 			t.Log.Error("save not understood", "jobs", s.Jobs(), "error", err)
 			uncertain = true
 		}
@@ -157,7 +159,7 @@
 // rejected handles a save that the state service will not take as it is: it has
 // lower limits now. The save is built anew. But one that was sent before and got
 // no answer may have been carried out, or may be still.
-func (t *Term) rejected(ctx context.Context, s *bookkeeping.Save, uncertain bool) {
+func (t *Term) rejected(ctx context.Context, s *cluster.Save, uncertain bool) {
 	for uncertain {
 		version, ours, err := t.probe(ctx, s)
 		if err == nil && ours {
@@ -187,7 +189,7 @@
 	t.ledger.Rejected(s, t.Clock.Steady())
 }
 
-func (t *Term) probe(ctx context.Context, s *bookkeeping.Save) (uint64, bool, error) {
+func (t *Term) probe(ctx context.Context, s *cluster.Save) (uint64, bool, error) {
 	item, ok, err := t.Store.Get(ctx, s.Probe(), stateCall)
 	if err != nil || !ok {
 		return 0, false, err
@@ -199,11 +201,11 @@
 	return item.Version, save == s.ID, nil
 }
 
-func (t *Term) applied(s *bookkeeping.Save, version uint64) {
+func (t *Term) applied(s *cluster.Save, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, f := range t.ledger.Applied(s, version) {
-		t.finals.put(id, bookkeeping.FinalRecord{Final: f, Version: version})
+		t.finals.put(id, storage.FinalRecord{Final: f, Version: version})
 		t.Log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
 	}
 	signal(t.roundSignal)
@@ -212,15 +214,15 @@
 // conflicted handles a save that was certainly not carried out: it submits the id of a
 // job that is over, or it accepts a job by an admission plan that has been replaced, or
 // somebody else has claimed our buckets and this term is at its end.
-func (t *Term) conflicted(ctx context.Context, s *bookkeeping.Save, c *bookkeeping.ConflictError) {
-	over := map[string]bookkeeping.FinalRecord{}
+func (t *Term) conflicted(ctx context.Context, s *cluster.Save, c *kv.ConflictError) {
+	over := map[string]storage.FinalRecord{}
 	planMet := false
 	for _, key := range c.Keys {
 		if key == admission.KeyPlan {
 			planMet = true
 			continue
 		}
-		id, isFinal := bookkeeping.JobOfFinal(key)
+		id, isFinal := storage.JobOfFinal(key)
 		if !isFinal {
 			if t.Lease.Valid(t.number) {
 				t.Log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.Jobs())
--- a/internal/coordination/persistence_test.go
+++ b/internal/coordination/persistence_test.go
@@ -5,8 +5,9 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
@@ -26,8 +27,8 @@
 	return term
 }
 
-func pacedStore(term *Term, limits config.State) *bookkeeping.Store {
-	return bookkeeping.NewStore(nil, "127.0.0.1:1", limits, 0, term.Clock)
+func pacedStore(term *Term, limits config.State) *kv.Store {
+	return kv.NewStore(nil, "127.0.0.1:1", limits, 0, term.Clock)
 }
 
 // Saves that had been built waited for the rate of writes, three in a row, and users whose
@@ -39,7 +40,7 @@
 	for i := range 30 {
 		spec := modelSpec("j-0000" + string(rune('0'+i/10)) + string(rune('0'+i%10)))
 		job := term.ledger.NewJob(*spec, 0, 0)
-		save := term.ledger.BuildSave("accept", term.bucketVersions, bookkeeping.SaveLimits{}, 0)
+		save := term.ledger.BuildSave("accept", term.bucketVersions, cluster.SaveLimits{}, 0)
 		term.ledger.Applied(save, uint64(i+1))
 		term.ledger.Assign(job, machine, uint64(i+1), units.Second)
 	}
--- a/internal/coordination/planpublisher.go
+++ b/internal/coordination/planpublisher.go
@@ -11,8 +11,9 @@
 	"golang.org/x/time/rate"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -225,7 +226,7 @@
 // nothing more can be accepted under that. So whoever is not known after it and has to
 // wait by the new plan stays unknown while it is in force.
 func (p *planPublisher) takeInbox(ctx context.Context) error {
-	items, _, err := listAll(ctx, p.term.Store, bookkeeping.PrefixInbox)
+	items, _, err := listAll(ctx, p.term.Store, storage.PrefixInbox)
 	if err != nil {
 		return err
 	}
@@ -237,11 +238,11 @@
 // known what became of it, nobody is told to wait by the plan before.
 func (p *planPublisher) write(ctx context.Context, raw []byte, plan *admission.Plan) error {
 	p.term.planInDoubt()
-	head := bookkeeping.KeyHead(planFence)
+	head := storage.KeyHead(planFence)
 	sent := p.term.Clock.Steady()
-	pacing := bookkeeping.Paced
+	pacing := kv.Paced
 	if p.sentAt == 0 {
-		pacing = bookkeeping.Urgent
+		pacing = kv.Urgent
 	}
 	p.sentAt = sent
 	revision, err := p.term.Store.Commit(ctx, protocol.Txn{
@@ -252,7 +253,7 @@
 		Then: []protocol.Change{{Set: admission.KeyPlan, Value: raw}},
 	}, pacing, stateCall)
 	switch {
-	case errors.Is(err, bookkeeping.ErrRefused):
+	case errors.Is(err, kv.ErrRefused):
 		p.term.planChanged(p.revision)
 		return err
 	case err != nil:
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"sync"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cloud"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
@@ -223,7 +223,7 @@
 // rentOne sends one request and tells whether it was answered.
 func (t *Term) rentOne(ctx context.Context, r protocol.Rent) bool {
 	names, err := t.Cloud.Rent(ctx, r)
-	if err != nil && !errors.Is(err, bookkeeping.ErrNoCapacity) {
+	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		t.Log.Debug("rent not answered", "request", r.Request, "error", err)
 		return false
 	}
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -5,16 +5,18 @@
 	"errors"
 	"net/http"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // recordReader answers polls from the records alone, for a node that does not lead and
 // cannot reach the leader. What they say was committed before anybody was told of it.
 type recordReader struct {
-	store   *bookkeeping.Store
+	store   *kv.Store
 	clock   units.Clock
 	workers config.Workers
 }
@@ -36,12 +38,12 @@
 		return a
 	}
 	readAt := r.clock.Steady()
-	item, ok, err := r.store.Get(ctx, bookkeeping.KeyInbox(id), storedCall)
+	item, ok, err := r.store.Get(ctx, storage.KeyInbox(id), storedCall)
 	if err != nil {
 		return unavailable("state service is out of reach")
 	}
 	if ok {
-		if _, err := bookkeeping.ParseArrival(item); err != nil {
+		if _, err := cluster.ParseArrival(item); err != nil {
 			return unavailable("the job's record is not readable")
 		}
 		return provisionalAnswer(stateAnswer(http.StatusOK, protocol.JobState{UID: id, Stage: protocol.StagePending}), readAt)
@@ -55,12 +57,12 @@
 // liveOrFinal looks for a job in the live and then in the final records.
 func (r recordReader) liveOrFinal(ctx context.Context, id string) (answer, bool) {
 	readAt := r.clock.Steady()
-	item, ok, err := r.store.Get(ctx, bookkeeping.KeyJob(id), storedCall)
+	item, ok, err := r.store.Get(ctx, storage.KeyJob(id), storedCall)
 	if err != nil {
 		return unavailable("state service is out of reach"), true
 	}
 	if ok {
-		jobs, _, err := bookkeeping.ParseJobs([]protocol.Item{item})
+		jobs, _, err := cluster.ParseJobs([]protocol.Item{item})
 		if err != nil {
 			return unavailable("the job's record is not readable"), true
 		}
@@ -68,7 +70,7 @@
 	}
 	f, ok, err := ReadFinal(ctx, r.store, id)
 	switch {
-	case errors.Is(err, bookkeeping.ErrRefused), errors.Is(err, bookkeeping.ErrUncertain):
+	case errors.Is(err, kv.ErrRefused), errors.Is(err, kv.ErrUncertain):
 		return unavailable("state service is out of reach"), true
 	case err != nil:
 		return unavailable("the job's record is not readable"), true
--- a/internal/coordination/release.go
+++ b/internal/coordination/release.go
@@ -4,7 +4,7 @@
 	"context"
 	"sort"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -12,7 +12,7 @@
 // remove drops a machine that is gone. The cloud may have room for another of
 // its kind now, whatever it said before: after a wave of losses, waiting for the
 // refusal to pass once left a quarter of the fleet away for half a minute.
-func (t *Term) remove(m *bookkeeping.Machine, now units.Micros) {
+func (t *Term) remove(m *cluster.Machine, now units.Micros) {
 	t.ledger.Remove(m, now)
 	delete(t.provisioning.refused, Kind{m.Type, m.Zone, m.Spot})
 }
@@ -51,7 +51,7 @@
 // out at any time.
 func (t *Term) unwanted(now units.Micros) []string {
 	chosen := map[string]bool{}
-	mark := func(m *bookkeeping.Machine, why string) {
+	mark := func(m *cluster.Machine, why string) {
 		if !m.Releasing {
 			t.Log.Info("machine is to be released", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
 			m.Releasing = true
@@ -93,12 +93,12 @@
 
 // idle chooses machines that nothing has needed for a while, the dearest
 // first, as long as what is left covers the need and the reserve.
-func (t *Term) idle(now units.Micros) []*bookkeeping.Machine {
+func (t *Term) idle(now units.Micros) []*cluster.Machine {
 	in := t.fleetInput()
 	wait := t.Policy.IdleReturn(in)
 	keep := max(units.AmountOf(in.DemandCPUs), t.Policy.ReserveCPUs(in))
 	have := units.AmountOf(in.FleetCPUs)
-	var out []*bookkeeping.Machine
+	var out []*cluster.Machine
 	for _, m := range t.ledger.Machines {
 		if m.Seen && !m.Releasing && m.Term == t.number && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-t.claimedAt > wait {
 			out = append(out, m)
@@ -142,7 +142,7 @@
 // idleAtATime bounds the machines that are looked at in one go.
 const idleAtATime = 50
 
-func (t *Term) price(m *bookkeeping.Machine) float64 {
+func (t *Term) price(m *cluster.Machine) float64 {
 	typ := t.ledger.Types[m.Type]
 	if m.Spot {
 		return typ.SpotPrice
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -50,10 +50,10 @@
 		t := v.Types[name]
 		for _, zone := range t.Zones {
 			out = append(out,
-				kindOffer{Kind{name, zone, false}, bookkeeping.SizeOf(t), t.Price},
+				kindOffer{Kind{name, zone, false}, cluster.SizeOf(t), t.Price},
 				kindOffer{
 					Kind{name, zone, true},
-					bookkeeping.SizeOf(t),
+					cluster.SizeOf(t),
 					t.SpotPrice * max(v.SpotPreference, 0.01),
 				})
 		}
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -93,7 +93,7 @@
 
 // trace logs a step of an attempt. There are hundreds a second in a large fleet, so
 // nothing is made up for a line that is dropped.
-func (t *Term) trace(what string, a *bookkeeping.Attempt) {
+func (t *Term) trace(what string, a *cluster.Attempt) {
 	if t.traces {
 		t.Log.Debug(what, "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID)
 	}
@@ -106,7 +106,7 @@
 // observe works out the difference between what a machine reports and what
 // the ledger says of it. Old reports, and those of machines that were
 // released, have no effect and give nil.
-func (t *Term) observe(r *protocol.Report, now units.Micros) *bookkeeping.Machine {
+func (t *Term) observe(r *protocol.Report, now units.Micros) *cluster.Machine {
 	if t.released.has(r.Machine) {
 		return nil
 	}
@@ -118,7 +118,7 @@
 	t.observeMachine(m, r, now)
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
-		key := bookkeeping.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
+		key := cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
 		if task.Stage == protocol.TaskExited {
 			t.exited(m, key, task, now)
 		} else {
@@ -138,7 +138,7 @@
 }
 
 // observeMachine takes over what a report tells of the machine itself.
-func (t *Term) observeMachine(m *bookkeeping.Machine, r *protocol.Report, now units.Micros) {
+func (t *Term) observeMachine(m *cluster.Machine, r *protocol.Report, now units.Micros) {
 	if m.Seen && r.Session > m.Session {
 		t.Log.Info("machine began a new session", "machine", m.ID, "session", r.Session, "lost", len(m.Attempts))
 		t.ledger.Emptied(m, now)
@@ -164,11 +164,11 @@
 // dropMissing drops the attempts that a report, whose tasks were taken over, proves not to
 // be on the machine: they were sent with an earlier answer that never arrived, or the
 // worker has forgotten them.
-func (t *Term) dropMissing(m *bookkeeping.Machine, r *protocol.Report, now units.Micros) {
+func (t *Term) dropMissing(m *cluster.Machine, r *protocol.Report, now units.Micros) {
 	for _, a := range m.Attempts {
 		switch {
-		case a.SeenSeq == r.Seq, a.Stage == bookkeeping.Assigned:
-		case a.Stage == bookkeeping.Sent && r.Seq <= a.SentSeq:
+		case a.SeenSeq == r.Seq, a.Stage == cluster.Assigned:
+		case a.Stage == cluster.Sent && r.Seq <= a.SentSeq:
 		default:
 			t.trace("attempt is not there", a)
 			t.ledger.Gone(a, now)
@@ -180,7 +180,7 @@
 // something reached the machine: all of an answer's commands are carried out,
 // or none. A machine that was told nothing shows it by its session: without an
 // answer within its lease it would have begun another one.
-func (t *Term) checkDelivery(m *bookkeeping.Machine, r *protocol.Report, now units.Micros) {
+func (t *Term) checkDelivery(m *cluster.Machine, r *protocol.Report, now units.Micros) {
 	if m.Undelivered > 0 && r.Session == m.Session && now-m.UndeliveredAt > t.workerLease() {
 		t.Log.Info("machine hears again", "machine", m.ID)
 		m.Undelivered = 0
@@ -221,7 +221,7 @@
 // work and is returned as one that is silent would be.
 const maxUndelivered = 2
 
-func (t *Term) exited(m *bookkeeping.Machine, key bookkeeping.AttemptKey, task *protocol.TaskReport, now units.Micros) {
+func (t *Term) exited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskReport, now units.Micros) {
 	j, a := t.ledger.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
 		if j != nil && task.Cause == protocol.CauseDone && key.Index < j.Spec.Tasks && !j.IsDone(key.Index) {
@@ -271,7 +271,7 @@
 	}
 }
 
-func (t *Term) alive(m *bookkeeping.Machine, key bookkeeping.AttemptKey, task *protocol.TaskReport, now units.Micros) {
+func (t *Term) alive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskReport, now units.Micros) {
 	j, a := t.ledger.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
 		if j == nil || key.Index >= j.Spec.Tasks || j.IsDone(key.Index) || j.Live[key.Index] != nil {
@@ -284,10 +284,10 @@
 	a.SeenSeq = m.Seq
 	switch task.Stage {
 	case protocol.TaskFetching:
-		a.Stage = bookkeeping.Fetching
+		a.Stage = cluster.Fetching
 	case protocol.TaskRunning:
-		if a.Stage != bookkeeping.Running {
-			a.Stage, a.RunningSince = bookkeeping.Running, now
+		if a.Stage != cluster.Running {
+			a.Stage, a.RunningSince = cluster.Running, now
 			j.Begun = true
 			t.trace("task runs", a)
 			t.ledger.HoldsImage(m, j)
@@ -296,6 +296,6 @@
 			t.ledger.Steady(a, now)
 		}
 	case protocol.TaskSaving:
-		a.Stage = bookkeeping.Saving
+		a.Stage = cluster.Saving
 	}
 }
--- a/internal/coordination/reportlimiter_test.go
+++ b/internal/coordination/reportlimiter_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
@@ -82,7 +82,7 @@
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
 	job := term.ledger.NewJob(spec, term.Clock.Wall(), term.Clock.Steady())
-	accepted := term.ledger.BuildSave("1-1", term.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, term.Clock.Steady())
+	accepted := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, term.Clock.Steady())
 	term.ledger.Applied(accepted, 1)
 	term.ledger.Assign(job, term.ledger.Machines["i-1"], 1, term.Clock.Steady())
 	waiting := send("i-1", 2)
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/transport"
@@ -32,10 +32,10 @@
 
 // cancelled tells whether the user of a job may be told that it is cancelled, though
 // it is not over.
-func cancelled(j *bookkeeping.Job, w config.Workers) bool { return j.CancelStored && confirmsAtOnce(w) }
+func cancelled(j *cluster.Job, w config.Workers) bool { return j.CancelStored && confirmsAtOnce(w) }
 
 // jobAnswer tells a live job's state as it was read at readAt or later.
-func jobAnswer(status int, j *bookkeeping.Job, w config.Workers, readAt units.Micros) answer {
+func jobAnswer(status int, j *cluster.Job, w config.Workers, readAt units.Micros) answer {
 	s := protocol.JobState{
 		UID:     j.Spec.ID,
 		Stage:   protocol.StagePending,
@@ -116,7 +116,7 @@
 }
 
 // enter adds a new job to the ledger, under the lock, and has it saved.
-func (t *Term) enter(spec *protocol.JobSpec) *bookkeeping.Job {
+func (t *Term) enter(spec *protocol.JobSpec) *cluster.Job {
 	j := t.ledger.NewJob(*spec, t.Clock.Wall(), t.Clock.Steady())
 	t.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"priority", spec.Priority, "tasks", spec.Tasks, "cpus", spec.Need.CPU.Float(),
@@ -238,7 +238,7 @@
 
 // cancelJob notes that a user wants a job cancelled, unless all its tasks are
 // done: then it is done, though its user may not have been told.
-func (t *Term) cancelJob(j *bookkeeping.Job) {
+func (t *Term) cancelJob(j *cluster.Job) {
 	if j.Complete() || j.Cancelled {
 		return
 	}
@@ -246,7 +246,7 @@
 	t.Log.Info("job cancelled", "job", j.Spec.ID, "live", len(j.Live))
 	now := t.Clock.Steady()
 	for _, a := range j.Live {
-		if a.Stage == bookkeeping.Sent || a.Stage == bookkeeping.Fetching {
+		if a.Stage == cluster.Sent || a.Stage == cluster.Fetching {
 			t.requestDirect(a.Machine, nil, now) // or it would begin yet
 		}
 	}
--- a/internal/coordination/restore.go
+++ b/internal/coordination/restore.go
@@ -6,8 +6,10 @@
 	"fmt"
 	"strings"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -58,12 +60,12 @@
 var errUnreadable = errors.New("unreadable")
 
 // readJobs reads all live jobs, and what is left over of jobs that are over, by job.
-func (t *Term) readJobs(ctx context.Context) (jobs []*bookkeeping.Job, orphans map[string][]string, err error) {
-	rows, _, err := listAll(ctx, t.Store, bookkeeping.PrefixJobs)
+func (t *Term) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
+	rows, _, err := listAll(ctx, t.Store, storage.PrefixJobs)
 	if err != nil {
 		return nil, nil, err
 	}
-	jobs, orphans, err = bookkeeping.ParseJobs(rows)
+	jobs, orphans, err = cluster.ParseJobs(rows)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", errUnreadable, err)
 	}
@@ -82,11 +84,11 @@
 // readStoredCatalog reads the catalog that a former leader stored, and the versions of its
 // records. One that cannot be read is logged, and stands for none.
 func (t *Term) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
-	list, _, err := listAll(ctx, t.Store, bookkeeping.KeyCatalog)
+	list, _, err := listAll(ctx, t.Store, storage.KeyCatalog)
 	if err != nil {
 		return protocol.Catalog{}, nil, err
 	}
-	catalog, stored, err := bookkeeping.ParseCatalog(list)
+	catalog, stored, err := storage.ParseCatalog(list)
 	if err != nil {
 		t.Log.Error("stored catalog is not readable", "error", err)
 	}
@@ -98,7 +100,7 @@
 const standBack = 30 * units.Second
 
 // install takes over what the records say.
-func (t *Term) install(jobs []*bookkeeping.Job, catalog protocol.Catalog) {
+func (t *Term) install(jobs []*cluster.Job, catalog protocol.Catalog) {
 	now := t.Clock.Steady()
 	t.ledger.SetTypes(catalog.Types)
 	t.ledger.UpgradeFormat(t.Format.Level(), now)
@@ -116,7 +118,7 @@
 // time: from then on, saves of a former leader that are still on their way
 // fail.
 func (t *Term) claimBuckets(ctx context.Context) error {
-	items, _, err := listAll(ctx, t.Store, bookkeeping.PrefixHeads)
+	items, _, err := listAll(ctx, t.Store, storage.PrefixHeads)
 	if err != nil {
 		return err
 	}
@@ -127,9 +129,9 @@
 	save := t.saveID()
 	var txn protocol.Txn
 	var claiming []int
-	for b := range bookkeeping.Buckets {
-		key := bookkeeping.KeyHead(b)
-		var head bookkeeping.Lease
+	for b := range storage.Buckets {
+		key := storage.KeyHead(b)
+		var head storage.Lease
 		item, ok := byKey[key]
 		if ok {
 			if err := protocol.Decode(item.Value, &head); err != nil {
@@ -140,7 +142,7 @@
 			t.bucketVersions[b] = item.Version // by an earlier try that got no answer
 			continue
 		}
-		head = bookkeeping.Lease{Holder: t.Settings.Node, Incarnation: head.Incarnation + 1, Save: save}
+		head = storage.Lease{Holder: t.Settings.Node, Incarnation: head.Incarnation + 1, Save: save}
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: item.Version})
 		txn.Then = append(txn.Then, protocol.Change{Set: key, Value: protocol.Encode(head)})
 		claiming = append(claiming, b)
@@ -151,7 +153,7 @@
 		version, err := t.Store.Commit(ctx, protocol.Txn{
 			If:   txn.If[from:to],
 			Then: txn.Then[from:to],
-		}, bookkeeping.Urgent, stateCall)
+		}, kv.Urgent, stateCall)
 		if err != nil {
 			return err // tried again, with the versions then read
 		}
@@ -163,7 +165,7 @@
 }
 
 // isOwn tells whether a bucket's head was claimed in this very term.
-func (t *Term) isOwn(head bookkeeping.Lease) bool {
+func (t *Term) isOwn(head storage.Lease) bool {
 	return head.Holder == t.Settings.Node && strings.HasPrefix(head.Save, fmt.Sprintf("%d-", t.number))
 }
 
@@ -172,7 +174,7 @@
 
 // listAll reads all records whose keys have a prefix, and gives the revision from which on
 // changes are not in it.
-func listAll(ctx context.Context, store *bookkeeping.Store, prefix string) (all []protocol.Item, revision uint64, err error) {
+func listAll(ctx context.Context, store *kv.Store, prefix string) (all []protocol.Item, revision uint64, err error) {
 	from := ""
 	for {
 		page, err := store.List(ctx, prefix, from, listCall)
--- a/internal/coordination/round.go
+++ b/internal/coordination/round.go
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -65,7 +65,7 @@
 }
 
 // round plans on a snapshot and takes the outcome over into the ledger.
-func (t *Term) round(now units.Micros, answering *bookkeeping.Machine) {
+func (t *Term) round(now units.Micros, answering *cluster.Machine) {
 	began := t.Clock.Steady()
 	s, refs := t.snapshot(now, answering)
 	wanted := Plan(&s)
@@ -84,7 +84,7 @@
 // so that this one is the companion whatever image it holds. It costs little
 // next to a round: a machine that reports the end of a task has the next one
 // in the answer, however large the fleet is.
-func (t *Term) fill(m *bookkeeping.Machine, now units.Micros) {
+func (t *Term) fill(m *cluster.Machine, now units.Micros) {
 	if !t.allOffered || len(t.queue) == 0 || m.Free().CPU <= 0 || !t.accepts(m, now) {
 		return
 	}
@@ -109,9 +109,9 @@
 
 const fillJobs = 12
 
-func (t *Term) fillFrom(queue []queued, m *bookkeeping.Machine, s *Snapshot, teams map[string]int, now units.Micros) {
+func (t *Term) fillFrom(queue []queued, m *cluster.Machine, s *Snapshot, teams map[string]int, now units.Micros) {
 	s.Jobs = s.Jobs[:0]
-	refs := &snapshotRefs{machines: []*bookkeeping.Machine{m}}
+	refs := &snapshotRefs{machines: []*cluster.Machine{m}}
 	for _, q := range queue {
 		j := q.job
 		if s.Machines[0].Free.Fits(j.Spec.Need) == 0 && m.Freeing == (units.Resources{}) || !t.placeable(j, now) {
--- a/internal/coordination/runnable.go
+++ b/internal/coordination/runnable.go
@@ -4,9 +4,10 @@
 	"net/http"
 	"slices"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 // jobMemory bounds what the live jobs may take, by the reckoning of the ledger: a
@@ -16,7 +17,7 @@
 // checkAdmissible tells why a new job cannot be taken; status 0 if it can.
 func (t *Term) checkAdmissible(spec *protocol.JobSpec) (int, string) {
 	status, why := checkRunnable(spec, t.Settings, t.ledger.Types, t.Format.Level())
-	if status == 0 && t.ledger.Memory()+bookkeeping.MemoryOf(spec) > jobMemory(t.Settings) {
+	if status == 0 && t.ledger.Memory()+cluster.MemoryOf(spec) > jobMemory(t.Settings) {
 		return http.StatusTooManyRequests, "too many unfinished jobs"
 	}
 	return status, why
@@ -28,7 +29,7 @@
 	if i < 0 {
 		return http.StatusUnprocessableEntity, "crew: unknown team"
 	}
-	switch n := bookkeeping.LimitOf(s.Fleet.Teams[i]).Fits(spec.Need); {
+	switch n := cluster.LimitOf(s.Fleet.Teams[i]).Fits(spec.Need); {
 	case n == 0:
 		return http.StatusUnprocessableEntity, "a task needs more than the team's limit"
 	case spec.Shape == protocol.Service && n < spec.Tasks:
@@ -40,15 +41,15 @@
 	fits := false
 	for name, typ := range types {
 		for _, zone := range typ.Zones {
-			fits = fits || allowed(spec, name, zone, false) && bookkeeping.SizeOf(typ).Fits(spec.Need) > 0
+			fits = fits || allowed(spec, name, zone, false) && cluster.SizeOf(typ).Fits(spec.Need) > 0
 		}
 	}
 	switch {
 	case !fits:
 		return http.StatusUnprocessableEntity, "a task fits no allowed machine type"
-	case !bookkeeping.Fits(spec, bookkeeping.Format, s.Fleet.State):
+	case !cluster.Fits(spec, storage.Format, s.Fleet.State):
 		return http.StatusUnprocessableEntity, "the job's texts are too long to be kept"
-	case format < bookkeeping.FormatNew && (spec.Shape == protocol.Service || !bookkeeping.Fits(spec, format, s.Fleet.State)):
+	case format < storage.FormatNew && (spec.Shape == protocol.Service || !cluster.Fits(spec, format, s.Fleet.State)):
 		// A leader of the version before would take a service for an array.
 		return http.StatusServiceUnavailable, "not before all controllers are upgraded"
 	}
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"testing"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -15,7 +16,7 @@
 	t.Helper()
 	clock := &manualClock{now: 100 * units.Second}
 	term := testTerm(7, clock)
-	term.Format.level.Store(bookkeeping.FormatNew)
+	term.Format.level.Store(storage.FormatNew)
 	term.install(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Shape, spec.Tasks, spec.Spread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
@@ -255,17 +256,17 @@
 	spec.Tasks = 3
 	writer := testTerm(7, &manualClock{now: units.Second})
 	writer.ledger.NewJob(spec, 0, 0)
-	s := writer.ledger.BuildSave("1-1", writer.bucketVersions, bookkeeping.SaveLimits{}, 0)
+	s := writer.ledger.BuildSave("1-1", writer.bucketVersions, cluster.SaveLimits{}, 0)
 	writer.ledger.Applied(s, 1)
 	writer.ledger.Done(writer.ledger.Jobs[spec.ID], 1, 0)
-	s = writer.ledger.BuildSave("1-2", writer.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, 10*units.Second)
+	s = writer.ledger.BuildSave("1-2", writer.bucketVersions, cluster.SaveLimits{Tasks: true}, 10*units.Second)
 	var fields map[string]any
 	if err := protocol.Decode(s.Txn.Then[0].Value, &fields); err != nil {
 		t.Fatal(err)
 	}
 	fields["shape"] = uint8(protocol.Service)
-	jobs, _, err := bookkeeping.ParseJobs([]protocol.Item{{
-		Key:     bookkeeping.KeyJob(spec.ID),
+	jobs, _, err := cluster.ParseJobs([]protocol.Item{{
+		Key:     storage.KeyJob(spec.ID),
 		Value:   protocol.Encode(fields),
 		Version: 2,
 	}})
@@ -304,7 +305,7 @@
 		}
 	}
 	a := term.ledger.Jobs["j-000001"].Live[0]
-	a.Stage = bookkeeping.Running
+	a.Stage = cluster.Running
 	term.ledger.Stop(a, units.Second)
 	if _, body := term.direct(a.Machine.ID, nil); body == nil {
 		t.Error("the stop waits")
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -1,7 +1,7 @@
 package coordination
 
 import (
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/units"
 )
 
@@ -78,7 +78,7 @@
 // mayGoAlone tells whether a silent machine of a zone may be released. Where
 // most of a zone is silent, a machine is kept until its tasks are given up
 // anyway and some time more, as long as there are several.
-func (t *Term) mayGoAlone(m *bookkeeping.Machine, zone *health, now units.Micros) bool {
+func (t *Term) mayGoAlone(m *cluster.Machine, zone *health, now units.Micros) bool {
 	return zone == nil || zone.reportTo(1) || zone.silent+zone.late < zoneCutLeast ||
 		now-max(m.LastAnswered, t.claimedAt) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutMost)
 }
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -4,21 +4,21 @@
 	"slices"
 	"sort"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
 type snapshotRefs struct {
-	jobs     []*bookkeeping.Job
-	machines []*bookkeeping.Machine
-	victims  []*bookkeeping.Attempt // grows as machines are asked for theirs
+	jobs     []*cluster.Job
+	machines []*cluster.Machine
+	victims  []*cluster.Attempt // grows as machines are asked for theirs
 }
 
 // queued is a waiting job as the last round saw it.
 type queued struct {
-	job  *bookkeeping.Job
+	job  *cluster.Job
 	view JobView
 }
 
@@ -48,7 +48,7 @@
 }
 
 // accepts tells whether a machine may be given work.
-func (t *Term) accepts(m *bookkeeping.Machine, now units.Micros) bool {
+func (t *Term) accepts(m *cluster.Machine, now units.Micros) bool {
 	return m.Seen && m.Term == t.number && m.Undelivered < maxUndelivered && !m.SetAside && !m.Releasing && m.NoticeEnds == 0 && m.Size.CPU > 0 &&
 		now >= m.BlockedUntil && now-m.LastAnswered < t.silentAfter()
 }
@@ -59,7 +59,7 @@
 const startPatience = 120 * units.Second
 
 // overdue tells whether a job has waited too long and has nothing done yet.
-func (t *Term) overdue(j *bookkeeping.Job) bool {
+func (t *Term) overdue(j *cluster.Job) bool {
 	return j.DoneCount() == 0 && !(j.Service() && j.Begun) && t.Clock.Wall()-j.Submitted > startPatience && j.Spec.Shape != protocol.Gang
 }
 
@@ -71,7 +71,7 @@
 // What is stopped has to be done again, and in a large fleet tasks end all the
 // time: where they leave room enough for the job in a part of what the users'
 // aims allow, it waits that long.
-func (t *Term) patient(j *bookkeeping.Job, now units.Micros) bool {
+func (t *Term) patient(j *cluster.Job, now units.Micros) bool {
 	patience := preemptionPause
 	if j.Spec.Priority < protocol.High {
 		if due := t.Settings.Fleet.GuaranteeDue(); due > 0 {
@@ -84,11 +84,11 @@
 }
 
 // placeable tells whether tasks of a job may be placed now.
-func (t *Term) placeable(j *bookkeeping.Job, now units.Micros) bool {
+func (t *Term) placeable(j *cluster.Job, now units.Micros) bool {
 	return j.Waiting() && now >= j.RetryAt && len(j.Unconfirmed) == 0
 }
 
-func (t *Term) machineView(m *bookkeeping.Machine, now units.Micros, answering bool) MachineView {
+func (t *Term) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
 	next := max(0, m.LastAnswered+t.Settings.Fleet.Workers.Report()-now)
 	return MachineView{
 		ID:        m.ID,
@@ -108,7 +108,7 @@
 }
 
 // spread fills in where a job's tasks are, for jobs that care.
-func (t *Term) spread(view *JobView, j *bookkeeping.Job) {
+func (t *Term) spread(view *JobView, j *cluster.Job) {
 	view.LiveIn, view.LiveOn = nil, nil
 	if j.Spec.OneZone || j.Spec.Spread || j.Spec.Shape == protocol.Service {
 		view.LiveIn = map[string]int{}
@@ -122,11 +122,11 @@
 }
 
 // jobViews are all jobs of known teams as a round sees them, whether they wait or not.
-type jobViews map[*bookkeeping.Job]*JobView
+type jobViews map[*cluster.Job]*JobView
 
 // snapshot takes down what a round decides on. answering is the machine whose report is
 // being answered, nil if none is.
-func (t *Term) snapshot(now units.Micros, answering *bookkeeping.Machine) (Snapshot, *snapshotRefs) {
+func (t *Term) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotRefs) {
 	var s Snapshot
 	refs := new(snapshotRefs)
 	t.completions.pass(now)
@@ -147,7 +147,7 @@
 func (t *Term) snapshotJobs(s *Snapshot, refs *snapshotRefs, teams map[string]int, now units.Micros) jobViews {
 	jobs := t.jobsInOrder()
 	s.Jobs = make([]JobView, 0, len(jobs))
-	refs.jobs = make([]*bookkeeping.Job, 0, len(jobs))
+	refs.jobs = make([]*cluster.Job, 0, len(jobs))
 	views := make(jobViews, len(jobs))
 	committed := make([]units.Resources, len(s.Teams))
 	t.queue = t.queue[:0]
@@ -176,7 +176,7 @@
 	return views
 }
 
-func (t *Term) jobView(j *bookkeeping.Job, team int, guaranteed bool, now units.Micros) *JobView {
+func (t *Term) jobView(j *cluster.Job, team int, guaranteed bool, now units.Micros) *JobView {
 	in := t.rankInput(j)
 	return &JobView{
 		Spec:       &j.Spec,
@@ -196,10 +196,10 @@
 }
 
 // snapshotMachines adds the machines that have reported, and what of services is on each.
-func (t *Term) snapshotMachines(s *Snapshot, refs *snapshotRefs, teams map[string]int, views jobViews, now units.Micros, answering *bookkeeping.Machine) {
+func (t *Term) snapshotMachines(s *Snapshot, refs *snapshotRefs, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
 	machines := t.ledger.Ordered()
 	s.Machines = make([]MachineView, 0, len(machines))
-	refs.machines = make([]*bookkeeping.Machine, 0, len(machines))
+	refs.machines = make([]*cluster.Machine, 0, len(machines))
 	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveOn != nil })
 	for _, m := range machines {
 		if !m.Seen {
@@ -223,11 +223,11 @@
 }
 
 // victims lists the tasks on a machine that could be stopped.
-func (t *Term) victims(m *bookkeeping.Machine, teams map[string]int, views jobViews, refs *snapshotRefs, now units.Micros) []Victim {
+func (t *Term) victims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotRefs, now units.Micros) []Victim {
 	out := make([]Victim, 0, len(m.Attempts))
 	for _, a := range m.Sorted() {
 		team, ok := teams[a.Job.Spec.Team]
-		if !ok || views[a.Job] == nil || a.Stop || a.Stage != bookkeeping.Running && a.Stage != bookkeeping.Fetching {
+		if !ok || views[a.Job] == nil || a.Stop || a.Stage != cluster.Running && a.Stage != cluster.Fetching {
 			continue
 		}
 		if t.overdue(a.Job) && len(a.Job.Live) == 1 {
@@ -240,7 +240,7 @@
 			Need:     a.Job.Spec.Need,
 			Job:      views[a.Job],
 		}
-		if a.Stage == bookkeeping.Running {
+		if a.Stage == cluster.Running {
 			v.Loses = now - a.RunningSince
 		}
 		if a.Job.Spec.Checkpoint > 0 {
@@ -259,7 +259,7 @@
 // that could be stopped: what they lose is not work that can be done again.
 const serviceLoss = 1_000_000 * units.Second
 
-func (t *Term) rankInput(j *bookkeeping.Job) config.RankInput {
+func (t *Term) rankInput(j *cluster.Job) config.RankInput {
 	waited := max(0, t.Clock.Wall()-j.Submitted)
 	estimate := t.ledger.Estimate(j)
 	in := config.RankInput{
@@ -292,8 +292,8 @@
 const estimateTrust = 2.0 / 3
 
 // jobsInOrder lists the jobs in the order of their submission.
-func (t *Term) jobsInOrder() []*bookkeeping.Job {
-	jobs := make([]*bookkeeping.Job, 0, len(t.ledger.Jobs))
+func (t *Term) jobsInOrder() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(t.ledger.Jobs))
 	for _, j := range t.ledger.Jobs {
 		jobs = append(jobs, j)
 	}
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -1,7 +1,7 @@
 package coordination
 
 import (
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -23,7 +23,7 @@
 	var running units.Resources
 	for _, m := range t.ledger.Machines {
 		for _, a := range m.Attempts {
-			if a.Stage == bookkeeping.Running {
+			if a.Stage == cluster.Running {
 				running = running.Plus(a.Job.Spec.Need, 1)
 			}
 		}
--- a/internal/coordination/term.go
+++ b/internal/coordination/term.go
@@ -7,8 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cloud"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
+	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -17,8 +20,8 @@
 type Deps struct {
 	Settings *config.Settings
 	Policy   *config.Policy
-	Store    *bookkeeping.Store
-	Cloud    *bookkeeping.Cloud
+	Store    *kv.Store
+	Cloud    *cloud.Cloud
 	Lease    *FleetLease
 	Clock    units.Clock
 	Log      *slog.Logger
@@ -42,7 +45,7 @@
 	mu                sync.Mutex
 	allConfirmed      bool
 	ready             bool
-	ledger            *bookkeeping.Ledger
+	ledger            *cluster.Ledger
 	bucketVersions    []uint64
 	finals            *finalCache
 	attempts          uint64
@@ -50,18 +53,18 @@
 	rentRequests      uint64
 	completions       completionRate
 	lastRound         units.Micros
-	lastWork          units.Micros                              // when there was an unfinished job that ends by itself
-	roundCost         units.Micros                              // moving mean
-	queue             []queued                                  // waiting jobs as the last round saw them
-	reservedFor       map[*bookkeeping.Machine]*bookkeeping.Job // whose room the last round keeps together for whom
-	allOffered        bool                                      // the last round left no machine unasked for what waits
+	lastWork          units.Micros                      // when there was an unfinished job that ends by itself
+	roundCost         units.Micros                      // moving mean
+	queue             []queued                          // waiting jobs as the last round saw them
+	reservedFor       map[*cluster.Machine]*cluster.Job // whose room the last round keeps together for whom
+	allOffered        bool                              // the last round left no machine unasked for what waits
 	lastSummary       units.Micros
 	lastTimeoutCheck  units.Micros
 	unreached         int          // the most controllers out of reach at a time in this term
 	silenceCountsFrom units.Micros // this node was late itself: until then no machine's silence is judged
 	released          releasedMachines
-	headroom          map[*bookkeeping.Machine]units.Resources // room that the last round kept for replicas
-	directRequests    map[string]*directRequest                // machines that are told something before their next report
+	headroom          map[*cluster.Machine]units.Resources // room that the last round kept for replicas
+	directRequests    map[string]*directRequest            // machines that are told something before their next report
 	saving            int
 	inboxUncleared    atomic.Bool // the inbox may hold what is to be taken out and was not
 	admission         termAdmission
@@ -83,22 +86,22 @@
 		traces:         deps.Log.Enabled(context.Background(), slog.LevelDebug),
 		claimedAt:      deps.Clock.Steady(),
 		lastWork:       deps.Clock.Steady(),
-		ledger:         bookkeeping.NewLedger(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
-		bucketVersions: make([]uint64, bookkeeping.Buckets),
+		ledger:         cluster.NewLedger(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
+		bucketVersions: make([]uint64, storage.Buckets),
 		restored:       make(chan struct{}),
 		finals:         newFinalCache(4096),
 		released:       releasedMachines{},
 		directRequests: map[string]*directRequest{},
-		headroom:       map[*bookkeeping.Machine]units.Resources{},
+		headroom:       map[*cluster.Machine]units.Resources{},
 		provisioning:   newProvisioningState(),
-		reservedFor:    map[*bookkeeping.Machine]*bookkeeping.Job{},
+		reservedFor:    map[*cluster.Machine]*cluster.Job{},
 		saveSignal:     make(chan struct{}, 1),
 		roundSignal:    make(chan struct{}, 1),
 		directSignal:   make(chan struct{}, 1),
 	}
 	t.admission = t.newAdmission()
 	if deps.Admitter != nil {
-		t.ledger.RunSeen = func(j *bookkeeping.Job, run units.Micros) {
+		t.ledger.RunSeen = func(j *cluster.Job, run units.Micros) {
 			t.admission.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
 		}
 	}
--- a/internal/coordination/term_test.go
+++ b/internal/coordination/term_test.go
@@ -9,10 +9,12 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -20,7 +22,7 @@
 	server := httptest.NewServer(state)
 	t.Cleanup(server.Close)
 	term := testTerm(number, &manualClock{now: units.Second})
-	term.Store = bookkeeping.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	term.Store = kv.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e4,
 		WriteRPS: 1e4,
 	}, 0, term.Clock)
@@ -99,7 +101,7 @@
 // polls and for repeated submissions whatever their body now says.
 func TestFinishedJobsAreFoundByLaterLeaders(t *testing.T) {
 	s := standin.NewState()
-	s.Put(bookkeeping.KeyFinal("j-000007"), protocol.Encode(bookkeeping.Final{
+	s.Put(storage.KeyFinal("j-000007"), protocol.Encode(storage.Final{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
@@ -135,7 +137,7 @@
 func TestUnreadableRecordIsLeftAlone(t *testing.T) {
 	s := standin.NewState()
 	raw := protocol.Encode(map[string]any{"v": 99, "id": "j-000001"})
-	s.Put(bookkeeping.KeyJob("j-000001"), raw)
+	s.Put(storage.KeyJob("j-000001"), raw)
 	term := storedTerm(t, 2, s)
 	if term.restore(t.Context()) || term.Ready() {
 		t.Fatal("led in spite of it")
@@ -143,7 +145,7 @@
 	if r := term.Poll(t.Context(), "j-000001"); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Fatalf("poll: %d", r.Status)
 	}
-	if item, _ := s.Get(bookkeeping.KeyJob("j-000001")); string(item.Value) != string(raw) {
+	if item, _ := s.Get(storage.KeyJob("j-000001")); string(item.Value) != string(raw) {
 		t.Fatal("record was changed")
 	}
 }
@@ -211,7 +213,7 @@
 	term := testTerm(1, clock)
 	term.install(nil, modelCatalog)
 	l := term.ledger
-	fail := func(job, machine string) *bookkeeping.Job {
+	fail := func(job, machine string) *cluster.Job {
 		j := l.Jobs[job]
 		if j == nil {
 			j = l.NewJob(*modelSpec(job), clock.now, clock.now)
@@ -227,7 +229,7 @@
 	if !l.Machines["i-1"].SetAside {
 		t.Error("a machine on which two jobs failed is not set aside")
 	}
-	var bad *bookkeeping.Job
+	var bad *cluster.Job
 	for _, m := range []string{"i-2", "i-3", "i-4", "i-5", "i-6"} {
 		bad = fail("j-000003", m)
 	}
@@ -289,14 +291,14 @@
 	spec.Tasks = 1
 	j := l.NewJob(spec, clock.now, clock.now)
 	save := func() {
-		if s := l.BuildSave("2-1", term.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, clock.now); s != nil {
+		if s := l.BuildSave("2-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, clock.now); s != nil {
 			l.Applied(s, 1)
 		}
 	}
 	save()
 	m := l.Machine("i-000001", "m", "a", true, clock.now)
 	a := l.Assign(j, m, 7, clock.now)
-	a.Stage = bookkeeping.Running
+	a.Stage = cluster.Running
 	l.Done(j, 0, clock.now) // told by another machine
 	save()
 	if l.Jobs["j-000001"] != nil {
@@ -334,12 +336,12 @@
 	l := term.ledger
 	j := l.NewJob(*modelSpec("j-000001"), clock.now, clock.now)
 	save := func() {
-		l.Applied(l.BuildSave("2-1", term.bucketVersions, bookkeeping.SaveLimits{Tasks: true}, clock.now), 1)
+		l.Applied(l.BuildSave("2-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, clock.now), 1)
 	}
 	save()
 	m := l.Machine("i-000001", "m", "a", true, clock.now)
 	a := l.Assign(j, m, 7, clock.now)
-	a.Stage = bookkeeping.Running
+	a.Stage = cluster.Running
 	j.RetryAt = 1 << 60 // nothing else starts
 	seq := uint64(0)
 	forgotten := func() bool {
--- a/internal/coordination/transferstore.go
+++ b/internal/coordination/transferstore.go
@@ -5,9 +5,10 @@
 	"errors"
 	"fmt"
 
-	"dunestand/internal/bookkeeping"
 	"dunestand/internal/federation"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -15,7 +16,7 @@
 // conditional on the record's version and on a bucket's head, so that a former leader
 // stores nothing. It implements federation.Store.
 type transferStore struct {
-	store *bookkeeping.Store
+	store *kv.Store
 	// head gives the bucket whose head fences a key, and that head's version.
 	head func(key string) (bucketKey string, version uint64)
 }
@@ -25,8 +26,8 @@
 	return &transferStore{
 		store: t.Store,
 		head: func(key string) (string, uint64) {
-			bucket := bookkeeping.BucketOf(key)
-			return bookkeeping.KeyHead(bucket), t.bucketVersion(bucket)
+			bucket := storage.BucketOf(key)
+			return storage.KeyHead(bucket), t.bucketVersion(bucket)
 		},
 	}
 }
@@ -47,8 +48,8 @@
 	txn := s.transaction(key, value, version)
 	uncertain := false
 	for {
-		revision, err := s.store.Commit(ctx, txn, bookkeeping.Paced, stateCall)
-		var conflict *bookkeeping.ConflictError
+		revision, err := s.store.Commit(ctx, txn, kv.Paced, stateCall)
+		var conflict *kv.ConflictError
 		switch {
 		case err == nil:
 			return revision, nil
@@ -57,7 +58,7 @@
 				return s.outcome(ctx, key, value)
 			}
 			return 0, fmt.Errorf("%w: %v", federation.ErrConflict, conflict.Keys)
-		case errors.Is(err, bookkeeping.ErrUncertain):
+		case errors.Is(err, kv.ErrUncertain):
 			uncertain = true
 		case !uncertain:
 			return 0, err // certainly not carried out
--- a/internal/coordination/transferstore_test.go
+++ b/internal/coordination/transferstore_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
 	"dunestand/internal/federation"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 )
 
 var transferID = federation.TransferID{Origin: "mill", Job: "j-000001", Incarnation: 1}
@@ -84,7 +84,7 @@
 // A record is as a save left it if it has that save's id, or is gone as it was to be.
 func TestRecordAsWritten(t *testing.T) {
 	written := transferRecord(federation.Intended).Encode("1-1")
-	item := func(value []byte) protocol.Item { return protocol.Item{Key: bookkeeping.KeyFleet, Value: value} }
+	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyFleet, Value: value} }
 	for n, c := range []struct {
 		there, value []byte
 		want         bool
--- a/internal/bookkeeping/store.go
+++ b/internal/kv/client.go
@@ -1,7 +1,8 @@
-// Package bookkeeping keeps what the service knows: jobs, attempts, machines
-// and teams' usage in memory, and the records in the state service that
-// outlive every controller.
-package bookkeeping
+// Package kv is the client of the consensus-backed key-value store in which the
+// controllers keep their records. It keeps a node within its share of the store's request
+// and write rates, and tells apart the outcomes of a request: carried out, refused,
+// in conflict with another version, or unknown.
+package kv
 
 import (
 	"context"
--- a/internal/bookkeeping/changes.go
+++ b/internal/kv/watch.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package kv
 
 import (
 	"context"
--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/standin/admissioncheck/checker.go
@@ -10,9 +10,10 @@
 	"github.com/anishathalye/porcupine"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 )
 
 // Checker holds what users are told about their submissions, and what becomes
@@ -82,16 +83,16 @@
 // newJob gives the job that a change makes durable for the first time.
 func newJob(change protocol.Change, get func(string) (protocol.Item, bool)) (id string, isNew bool) {
 	item := protocol.Item{Key: change.Set, Value: change.Value}
-	if a, err := bookkeeping.ParseArrival(item); err == nil {
+	if a, err := cluster.ParseArrival(item); err == nil {
 		return a.Spec.ID, true
 	}
-	jobs, _, err := bookkeeping.ParseJobs([]protocol.Item{item})
+	jobs, _, err := cluster.ParseJobs([]protocol.Item{item})
 	if err != nil || len(jobs) != 1 {
 		return "", false
 	}
 	id = jobs[0].Spec.ID
-	_, live := get(bookkeeping.KeyJob(id))
-	_, arrived := get(bookkeeping.KeyInbox(id))
+	_, live := get(storage.KeyJob(id))
+	_, arrived := get(storage.KeyInbox(id))
 	return id, !live && !arrived
 }
 
--- a/internal/bookkeeping/catalog.go
+++ b/internal/storage/catalog.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"fmt"
@@ -39,7 +39,7 @@
 	const frame = 16 // what is around the types
 	size := frame
 	for _, t := range types {
-		add := jsonSize(t) + 32 // the names on the wire are a little longer
+		add := JSONSize(t) + 32 // the names on the wire are a little longer
 		if frame+add > valueBytes {
 			continue
 		}
--- a/node/answers_test.go
+++ b/node/answers_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 )
 
 // closed gives a channel that holds nothing back.
@@ -70,7 +70,7 @@
 	play(t, plan{}, func(d *day) {
 		j, leader, other := d.acceptedJob(2, 3*time.Second)
 		d.cutPeers(other, true)
-		held, release := d.holdCommits(leader, bookkeeping.KeyFinal(j.info.ID))
+		held, release := d.holdCommits(leader, storage.KeyFinal(j.info.ID))
 		d.until("the end is stored", held.Load)
 		if !j.final(other, 3*time.Second) {
 			t.Error("the end is stored, and the other controller does not tell")
@@ -92,7 +92,7 @@
 		j, leader, other := d.acceptedJob(4, long)
 		d.until("it runs", func() bool { return d.rules.On(j.info.ID) == 4 })
 		d.cutPeers(other, true)
-		held, release := d.holdCommits(leader, bookkeeping.KeyJob(j.info.ID))
+		held, release := d.holdCommits(leader, storage.KeyJob(j.info.ID))
 		j.later(func() { j.cancel(leader) })
 		d.until("the cancellation is stored", held.Load)
 		if !j.final(other, 3*time.Second) {
@@ -116,7 +116,7 @@
 func TestRepeatedSubmissionMeetsTheEnd(t *testing.T) {
 	play(t, plan{}, func(d *day) {
 		j, leader, other := d.acceptedJob(2, 3*time.Second)
-		held, release := d.holdCommits(leader, bookkeeping.KeyFinal(j.info.ID))
+		held, release := d.holdCommits(leader, storage.KeyFinal(j.info.ID))
 		d.until("the end is stored", held.Load)
 		d.holdMesh(other, leader, func() <-chan time.Time { return time.After(400 * time.Millisecond) })
 		for range 10 {
@@ -177,7 +177,7 @@
 		d.wait(runs - 300*time.Millisecond) // the link counts as lost by now
 		d.set(func() {
 			d.answerDelay = func(node int, r *http.Request, _ []byte) <-chan time.Time {
-				if node == other && r.URL.Path == protocol.PathKeys+"/"+bookkeeping.KeyJob(j.info.ID) {
+				if node == other && r.URL.Path == protocol.PathKeys+"/"+storage.KeyJob(j.info.ID) {
 					return time.After(780 * time.Millisecond) // within the limit of such a read
 				}
 				return closed()
