--- a/cmd/dunestand/processes_test.go
+++ b/cmd/dunestand/processes_test.go
@@ -46,7 +46,7 @@
 	state := standin.NewState()
 	p := &processes{t: t, checker: admissioncheck.New(state)}
 	stateServer, cloudServer := httptest.NewServer(state), httptest.NewServer(standin.NewCloud(protocol.Catalog{
-		Types: []protocol.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootS: 1, Zones: []string{"a"}}},
+		Types: []protocol.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootS: 1, Zones: []string{"a"}}},
 	}, 0))
 	t.Cleanup(stateServer.Close)
 	t.Cleanup(cloudServer.Close)
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -26,8 +26,8 @@
 		},
 	}).Plan
 	for _, job := range []protocol.JobSpec{
-		{ID: "j-000001", Team: "planning", Class: "bulk", Tasks: 4, Need: units.Resources{CPU: units.AmountOf(1)}, Estimate: 10 * units.Second},
-		{ID: "j-000002", Team: "dyehouse", Class: "lot", Tasks: 4, Need: units.Resources{CPU: units.AmountOf(1)}, Estimate: 10 * units.Second},
+		{ID: "j-000001", Team: "planning", Class: "bulk", Tasks: 4, Request: units.Resources{CPU: units.AmountOf(1)}, Estimate: 10 * units.Second},
+		{ID: "j-000002", Team: "dyehouse", Class: "lot", Tasks: 4, Request: units.Resources{CPU: units.AmountOf(1)}, Estimate: 10 * units.Second},
 	} {
 		d := plan.Decide(&job)
 		fmt.Println(job.Team, d.Verdict, d.Reason)
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -29,7 +29,7 @@
 		Team:     team,
 		Class:    class,
 		Tasks:    tasks,
-		Need:     units.Resources{CPU: units.AmountOf(1)},
+		Request:  units.Resources{CPU: units.AmountOf(1)},
 		Estimate: units.Seconds(seconds),
 	}
 }
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -147,12 +147,12 @@
 
 // Classify gives a job's cell and its work, as the plan reckons both.
 func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
-	cell := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Need, p.Capacity)}
+	cell := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Request, p.Capacity)}
 	gate, known := p.Team(cell.Team, cell.Pool)
 	if !known {
 		gate = TeamGate{LargeAbove: MaxWork, Correction: Exact}
 	}
-	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Need), runTime(job, gate.Correction, p.Horizon))
+	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Request), runTime(job, gate.Correction, p.Horizon))
 	if cost > gate.LargeAbove {
 		cell.Band = Large
 	}
@@ -171,7 +171,7 @@
 		}
 		run = runTime(job, gate.Correction, p.Horizon)
 	}
-	return cell, WorkOf(unfinished, amountIn(cell.Pool, job.Need), run)
+	return cell, WorkOf(unfinished, amountIn(cell.Pool, job.Request), run)
 }
 
 // position places a job on the ring.
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -191,7 +191,7 @@
 	job := testJob(n, rapid.SampledFrom([]string{"mill", "dye", "ink"}).Draw(t, "team"),
 		rapid.SampledFrom([]string{"bulk", "lot", "rush"}).Draw(t, "class"),
 		rapid.IntRange(1, 2000).Draw(t, "tasks"), float64(rapid.IntRange(1, 100).Draw(t, "seconds")))
-	job.Need.GPU = units.AmountOf(float64(rapid.IntRange(0, 1).Draw(t, "cards")))
+	job.Request.GPU = units.AmountOf(float64(rapid.IntRange(0, 1).Draw(t, "cards")))
 	return job
 }
 
--- a/internal/admission/work.go
+++ b/internal/admission/work.go
@@ -102,7 +102,7 @@
 // owner's estimate and what the team's estimates were off by. A service holds its
 // resources for the whole horizon.
 func runTime(job *protocol.JobSpec, correction PerMille, horizon units.Micros) units.Micros {
-	if job.Shape == protocol.Service {
+	if job.Kind == protocol.Service {
 		return horizon
 	}
 	corrected := Work(job.Estimate).scaled(uint64(correction), uint64(Exact))
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -23,83 +23,83 @@
 var (
 	// ErrNoCapacity: nothing of the kind asked for is to be had.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrCloud: the request was refused, or may or may not be carried out.
-	ErrCloud = errors.New("cloud did not serve the request")
+	// ErrCallFailed: the request was refused, or may or may not be carried out.
+	ErrCallFailed = errors.New("cloud did not serve the request")
 )
 
-const cloudCall = 4 * units.Second
+const callTimeout = 4 * units.Second
 
-// Cloud is the cloud's interface, within its limit.
-type Cloud struct {
-	client *transport.Client
-	limit  *rate.Limiter
+// Client is the cloud's interface, within its limit.
+type Client struct {
+	client  *transport.Client
+	limiter *rate.Limiter
 }
 
-// NewCloud makes a client of the cloud.
-func NewCloud(dial transport.DialFunc, addr string, limits config.Cloud) *Cloud {
-	return &Cloud{
-		client: transport.NewClient(dial, addr, 3, 1<<20),
-		limit:  rate.NewLimiter(rate.Limit(limits.RPS*0.8), max(int(limits.RPS*1.6), 1)),
+// NewClient makes a client of the cloud.
+func NewClient(dial transport.DialFunc, addr string, limits config.Cloud) *Client {
+	return &Client{
+		client:  transport.NewClient(dial, addr, 3, 1<<20),
+		limiter: rate.NewLimiter(rate.Limit(limits.RPS*0.8), max(int(limits.RPS*1.6), 1)),
 	}
 }
 
-func (c *Cloud) call(ctx context.Context, method, path string, body, answer any) (int, error) {
-	if err := c.limit.WaitN(ctx, 1); err != nil {
-		return 0, ErrCloud
+func (c *Client) call(ctx context.Context, method, path string, body, answer any) (int, error) {
+	if err := c.limiter.WaitN(ctx, 1); err != nil {
+		return 0, ErrCallFailed
 	}
 	var raw []byte
 	if body != nil {
 		raw = protocol.Encode(body)
 	}
-	status, raw, err := c.client.Do(ctx, method, path, raw, cloudCall)
+	status, raw, err := c.client.Do(ctx, method, path, raw, callTimeout)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrCloud, err)
+		return 0, fmt.Errorf("%w: %w", ErrCallFailed, err)
 	}
 	if status == http.StatusOK && answer != nil {
 		if err := protocol.Decode(raw, answer); err != nil {
-			return 0, fmt.Errorf("%w: %w", ErrCloud, err)
+			return 0, fmt.Errorf("%w: %w", ErrCallFailed, err)
 		}
 	}
 	if status == http.StatusServiceUnavailable {
-		var p protocol.Problem
-		if protocol.Decode(raw, &p) == nil && p.Error == "no capacity" {
+		var p protocol.ErrorResponse
+		if protocol.Decode(raw, &p) == nil && p.Message == "no capacity" {
 			return status, ErrNoCapacity
 		}
 	}
 	if status != http.StatusOK {
-		return status, fmt.Errorf("%w: status %d", ErrCloud, status)
+		return status, fmt.Errorf("%w: status %d", ErrCallFailed, status)
 	}
 	return status, nil
 }
 
 // Catalog reads the machine types.
-func (c *Cloud) Catalog(ctx context.Context) (protocol.Catalog, error) {
+func (c *Client) Catalog(ctx context.Context) (protocol.Catalog, error) {
 	var out protocol.Catalog
 	_, err := c.call(ctx, http.MethodGet, protocol.PathCatalog, nil, &out)
 	return out, err
 }
 
-// Rent rents machines and gives their names.
-func (c *Cloud) Rent(ctx context.Context, r protocol.Rent) ([]string, error) {
-	var out protocol.MachineNames
-	_, err := c.call(ctx, http.MethodPost, protocol.PathHosts, r, &out)
+// ScaleOut rents machines and gives their names.
+func (c *Client) ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
+	var out protocol.MachineIDs
+	_, err := c.call(ctx, http.MethodPost, protocol.PathMachines, r, &out)
 	return out.Machines, err
 }
 
-// Release returns machines. Without an error they are gone, with all that was
+// ScaleIn returns machines. Without an error they are gone, with all that was
 // on them.
-func (c *Cloud) Release(ctx context.Context, names []string) error {
-	_, err := c.call(ctx, http.MethodPost, protocol.PathRelease, protocol.MachineNames{Machines: names}, nil)
+func (c *Client) ScaleIn(ctx context.Context, names []string) error {
+	_, err := c.call(ctx, http.MethodPost, protocol.PathScaleIn, protocol.MachineIDs{Machines: names}, nil)
 	return err
 }
 
-// List reads the whole machine list, page by page.
-func (c *Cloud) List(ctx context.Context) ([]protocol.ListedMachine, error) {
+// ListMachines reads the whole machine list, page by page.
+func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
-	q := url.Values{"limit": {strconv.Itoa(protocol.MaxList)}}
+	q := url.Values{"limit": {strconv.Itoa(protocol.MaxListPage)}}
 	for {
 		var page protocol.MachineList
-		if _, err := c.call(ctx, http.MethodGet, protocol.PathHosts+"?"+q.Encode(), nil, &page); err != nil {
+		if _, err := c.call(ctx, http.MethodGet, protocol.PathMachines+"?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
--- a/internal/cluster/jobrecord.go
+++ b/internal/cluster/jobrecord.go
@@ -8,49 +8,49 @@
 	"dunestand/internal/units"
 )
 
-// record is a live job as it is stored. Durations are in microseconds.
-type record struct {
-	Format     int          `cbor:"v" json:"v"`
-	Save       string       `cbor:"save" json:"save"`
-	ID         string       `cbor:"id" json:"id"`
-	Class      string       `cbor:"class" json:"class"`
-	Team       string       `cbor:"team" json:"team"`
-	Shape      uint8        `cbor:"shape" json:"shape"`
-	Priority   uint8        `cbor:"priority" json:"priority"`
-	Tasks      int          `cbor:"tasks" json:"tasks"`
-	CPU        units.Amount `cbor:"cpu" json:"cpu"`
-	GPU        units.Amount `cbor:"gpu" json:"gpu"`
-	Memory     units.Amount `cbor:"memory" json:"memory"`
-	Types      []string     `cbor:"types" json:"types"`
-	Zone       string       `cbor:"zone" json:"zone"`
-	OneZone    bool         `cbor:"one_zone" json:"one_zone"`
-	Spread     bool         `cbor:"spread" json:"spread"`
-	Spot       bool         `cbor:"spot" json:"spot"`
-	Image      string       `cbor:"image" json:"image"`
-	ImageSize  units.Amount `cbor:"image_size" json:"image_size"`
-	Estimate   units.Micros `cbor:"estimate" json:"estimate"`
-	Checkpoint units.Micros `cbor:"checkpoint" json:"checkpoint"`
-	SaveTime   units.Micros `cbor:"save_time" json:"save_time"`
-	Deadline   units.Micros `cbor:"deadline" json:"deadline"`
-	Submitted  units.Micros `cbor:"submitted" json:"submitted"` // time of day
-	Cancelled  bool         `cbor:"cancelled" json:"cancelled"`
-	Machines   []string     `cbor:"machines" json:"machines"` // may hold tasks of the job
-	Done       string       `cbor:"done" json:"done"`         // the done set, or the first page of it in the old form
-	Pages      int          `cbor:"pages" json:"pages"`       // further pages, in the old form
+// jobRecord is a live job as it is stored. Durations are in microseconds.
+type jobRecord struct {
+	Format             int          `cbor:"v" json:"v"`
+	WriteID            string       `cbor:"save" json:"save"`
+	ID                 string       `cbor:"id" json:"id"`
+	Class              string       `cbor:"class" json:"class"`
+	Team               string       `cbor:"team" json:"team"`
+	Kind               uint8        `cbor:"shape" json:"shape"`
+	Priority           uint8        `cbor:"priority" json:"priority"`
+	Tasks              int          `cbor:"tasks" json:"tasks"`
+	CPU                units.Amount `cbor:"cpu" json:"cpu"`
+	GPU                units.Amount `cbor:"gpu" json:"gpu"`
+	Memory             units.Amount `cbor:"memory" json:"memory"`
+	InstanceTypes      []string     `cbor:"types" json:"types"`
+	Zone               string       `cbor:"zone" json:"zone"`
+	ZoneAffinity       bool         `cbor:"one_zone" json:"one_zone"`
+	ZoneSpread         bool         `cbor:"spread" json:"spread"`
+	AllowSpot          bool         `cbor:"spot" json:"spot"`
+	Image              string       `cbor:"image" json:"image"`
+	ImageSize          units.Amount `cbor:"image_size" json:"image_size"`
+	Estimate           units.Micros `cbor:"estimate" json:"estimate"`
+	CheckpointInterval units.Micros `cbor:"checkpoint" json:"checkpoint"`
+	CheckpointDuration units.Micros `cbor:"save_time" json:"save_time"`
+	Deadline           units.Micros `cbor:"deadline" json:"deadline"`
+	Submitted          units.Micros `cbor:"submitted" json:"submitted"` // time of day
+	Cancelled          bool         `cbor:"cancelled" json:"cancelled"`
+	Machines           []string     `cbor:"machines" json:"machines"` // may hold tasks of the job
+	Done               string       `cbor:"done" json:"done"`         // the done set, or the first page of it in the old form
+	Pages              int          `cbor:"pages" json:"pages"`       // further pages, in the old form
 }
 
-// names is a further part of the names of machines.
-type names struct {
+// machineNamesRecord is a further part of the machineNamesRecord of machines.
+type machineNamesRecord struct {
 	Format   int      `cbor:"v" json:"v"`
-	Save     string   `cbor:"save" json:"save"`
+	WriteID  string   `cbor:"save" json:"save"`
 	Machines []string `cbor:"machines" json:"machines"`
 }
 
-// page is a part of a large array's done set.
-type page struct {
-	Format int    `cbor:"v,omitempty" json:"v"` // not in the old form
-	Save   string `cbor:"save,omitempty" json:"save"`
-	Done   string `cbor:"done" json:"done"`
+// donePageRecord is a part of a large array's done set.
+type donePageRecord struct {
+	Format  int    `cbor:"v,omitempty" json:"v"` // not in the old form
+	WriteID string `cbor:"save,omitempty" json:"save"`
+	Done    string `cbor:"done" json:"done"`
 }
 
 const (
@@ -85,41 +85,41 @@
 	return nil
 }
 
-func (j *Job) record(save string, machines []string) record {
+func (j *Job) record(save string, machines []string) jobRecord {
 	s := &j.Spec
-	return record{
-		Format:     j.format,
-		Save:       save,
-		ID:         s.ID,
-		Class:      s.Class,
-		Team:       s.Team,
-		Shape:      uint8(s.Shape),
-		Priority:   uint8(s.Priority),
-		Tasks:      s.Tasks,
-		CPU:        s.Need.CPU,
-		GPU:        s.Need.GPU,
-		Memory:     s.Need.Memory,
-		Types:      s.Types,
-		Zone:       s.Zone,
-		OneZone:    s.OneZone,
-		Spread:     s.Spread,
-		Spot:       s.Spot,
-		Image:      s.Image,
-		ImageSize:  s.ImageSize,
-		Estimate:   s.Estimate,
-		Checkpoint: s.Checkpoint,
-		SaveTime:   s.Save,
-		Deadline:   s.Deadline,
-		Submitted:  j.Submitted,
-		Cancelled:  j.Cancelled,
-		Machines:   machines,
-		Done:       encodePage(j.inline()),
-		Pages:      j.oldPageCount(),
+	return jobRecord{
+		Format:             j.format,
+		WriteID:            save,
+		ID:                 s.ID,
+		Class:              s.Class,
+		Team:               s.Team,
+		Kind:               uint8(s.Kind),
+		Priority:           uint8(s.Priority),
+		Tasks:              s.Tasks,
+		CPU:                s.Request.CPU,
+		GPU:                s.Request.GPU,
+		Memory:             s.Request.Memory,
+		InstanceTypes:      s.InstanceTypes,
+		Zone:               s.Zone,
+		ZoneAffinity:       s.ZoneAffinity,
+		ZoneSpread:         s.ZoneSpread,
+		AllowSpot:          s.AllowSpot,
+		Image:              s.Image,
+		ImageSize:          s.ImageSize,
+		Estimate:           s.Estimate,
+		CheckpointInterval: s.CheckpointInterval,
+		CheckpointDuration: s.CheckpointDuration,
+		Deadline:           s.Deadline,
+		Submitted:          j.Submitted,
+		Cancelled:          j.Cancelled,
+		Machines:           machines,
+		Done:               encodePage(j.inlineDone()),
+		Pages:              j.oldPageCount(),
 	}
 }
 
-// inline is the part of the done set that is in the job's own record.
-func (j *Job) inline() []byte {
+// inlineDone is the part of the done set that is in the job's own record.
+func (j *Job) inlineDone() []byte {
 	switch {
 	case j.format == storage.FormatOld:
 		return j.done.page(0, oldPageTasks)
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -16,11 +16,11 @@
 
 // Team is a team and what may be running for it.
 type Team struct {
-	Name      string
-	Guarantee units.Resources
-	Limit     units.Resources
-	Used      units.Resources
-	Freeing   units.Resources // part of Used, held by attempts that were told to stop
+	Name            string
+	GuaranteedQuota units.Resources
+	QuotaLimit      units.Resources
+	Used            units.Resources
+	Freeing         units.Resources // collectWrites of Used, held by attempts that were told to stop
 }
 
 // Exponential backoff of jobs whose tasks fail, and of replicas that keep ending.
@@ -31,54 +31,54 @@
 	maxReplicaBackoff = 30 * units.Second
 )
 
-// Ledger is the leader's view of jobs, machines and teams. It is not safe for
+// State is the leader's view of jobs, machines and teams. It is not safe for
 // concurrent use.
-type Ledger struct {
-	Jobs     map[string]*Job
-	Machines map[string]*Machine
-	Teams    map[string]*Team
-	Types    map[string]protocol.MachineType
-	classes  map[string]float64 // run time against the owners' estimates
-	ordered  []*Machine         // by their names
-	state    config.State       // the limits of the state service
-	rooms    roomFor
-	format   int        // of the fleet: the newest that every leader reads
-	tight    bool       // the limits to come are known to hold
-	left     []leftover // to be deleted
-	memory   int64      // that the jobs are reckoned to take
-	// unconfirmed holds, by machine, the jobs whose records name it while nobody has
+type State struct {
+	Jobs              map[string]*Job
+	Machines          map[string]*Machine
+	Teams             map[string]*Team
+	InstanceTypes     map[string]protocol.InstanceType
+	runtimeRatios     map[string]float64 // run time against the owners' estimates
+	sortedMachines    []*Machine         // by their names
+	limits            config.State       // the limits of the state service
+	nameSpace         nameSpaceFunc
+	format            int           // of the fleet: the newest that every leader reads
+	nextLimitsApplied bool          // the limits to come are known to hold
+	staleRecords      []staleRecord // to be deleted
+	memory            int64         // that the jobs are reckoned to take
+	// unreconciled holds, by machine, the jobs whose records name it while nobody has
 	// told us what it holds; inDoubt holds these jobs. Both shrink as machines
 	// are confirmed, so that each costs what it has to do with and not the whole fleet.
-	unconfirmed     map[string][]*Job
-	unconfirmedJobs map[*Job]bool
+	unreconciled     map[string][]*Job
+	unreconciledJobs map[*Job]bool
 
-	// Acceptance is what the acceptance of a new job is conditional on, beside the job's
+	// AcceptCondition is what the acceptance of a new job is conditional on, beside the job's
 	// own records: the version of the plan that admits jobs. nil: on nothing.
-	Acceptance *protocol.Condition
-	// RunSeen is told of each task that was seen to run from its start to its end.
-	RunSeen func(j *Job, run units.Micros)
+	AcceptCondition *protocol.Condition
+	// OnRunObserved is told of each task that was seen to run from its start to its end.
+	OnRunObserved func(j *Job, run units.Micros)
 }
 
-// NewLedger makes an empty ledger for records in the old form, within the limits
+// NewState makes an empty ledger for records in the old form, within the limits
 // of the state service.
-func NewLedger(teams []config.Team, state config.State) *Ledger {
-	l := &Ledger{
-		state:           state,
-		rooms:           rooms(state.ValueBytes(), state.Both().ValueBytes()),
-		format:          storage.FormatOld,
-		Jobs:            map[string]*Job{},
-		Machines:        map[string]*Machine{},
-		Teams:           map[string]*Team{},
-		Types:           map[string]protocol.MachineType{},
-		classes:         map[string]float64{},
-		unconfirmed:     map[string][]*Job{},
-		unconfirmedJobs: map[*Job]bool{},
+func NewState(teams []config.Team, state config.State) *State {
+	l := &State{
+		limits:           state,
+		nameSpace:        newNameSpace(state.ValueBytes(), state.Both().ValueBytes()),
+		format:           storage.FormatOld,
+		Jobs:             map[string]*Job{},
+		Machines:         map[string]*Machine{},
+		Teams:            map[string]*Team{},
+		InstanceTypes:    map[string]protocol.InstanceType{},
+		runtimeRatios:    map[string]float64{},
+		unreconciled:     map[string][]*Job{},
+		unreconciledJobs: map[*Job]bool{},
 	}
 	for _, t := range teams {
 		l.Teams[t.Name] = &Team{
-			Name:  t.Name,
-			Limit: LimitOf(t),
-			Guarantee: units.Resources{
+			Name:       t.Name,
+			QuotaLimit: QuotaLimitOf(t),
+			GuaranteedQuota: units.Resources{
 				CPU:    units.AmountOf(t.CPUs),
 				GPU:    units.AmountOf(t.GPUs),
 				Memory: unlimited,
@@ -90,7 +90,7 @@
 
 // UpgradeFormat takes over that every leader, now and later, reads a format. Records in
 // the old form are turned as they are written, and all of them in time.
-func (l *Ledger) UpgradeFormat(format int, now units.Micros) {
+func (l *State) UpgradeFormat(format int, now units.Micros) {
 	format = min(format, storage.FormatNew) // jobs' records are the same in later ones
 	if format <= l.format {
 		return
@@ -99,63 +99,63 @@
 	for _, j := range l.Jobs {
 		if j.format < format {
 			j.main.dirty = true
-			j.Changed(now, false)
+			j.MarkChanged(now, false)
 		}
 	}
 }
 
-// oldLeaders tells whether a leader may come that reads the old form alone.
-func (l *Ledger) oldLeaders() bool { return l.format < storage.FormatNew }
+// oldLeadersPossible tells whether a leader may come that reads the old form alone.
+func (l *State) oldLeadersPossible() bool { return l.format < storage.FormatNew }
 
 // ApplyNextLimits takes over that the limits to come hold already, and tells whether
 // that was new.
-func (l *Ledger) ApplyNextLimits() bool {
-	was := l.tight
-	l.tight = true
-	return !was && l.oldLeaders()
+func (l *State) ApplyNextLimits() bool {
+	was := l.nextLimitsApplied
+	l.nextLimitsApplied = true
+	return !was && l.oldLeadersPossible()
 }
 
-// ops is the most changes in a transaction.
-func (l *Ledger) ops() int {
-	if l.tight || !l.oldLeaders() {
-		return l.state.Both().TxnOps
+// maxChanges is the most changes in a transaction.
+func (l *State) maxChanges() int {
+	if l.nextLimitsApplied || !l.oldLeadersPossible() {
+		return l.limits.Both().TxnOps
 	}
-	return l.state.TxnOps
+	return l.limits.TxnOps
 }
 
 // unlimited stands for what a team may use where it has no limit. It is far from the
 // bounds of Amount, so that sums and shares of it do not overflow.
 const unlimited = units.Amount(1) << 56
 
-// LimitOf is what a team's tasks may use at any time. A limit of 0 in the settings is
+// QuotaLimitOf is what a team's tasks may use at any time. A limit of 0 in the settings is
 // none: guests, for instance, have neither guarantee nor limit.
-func LimitOf(t config.Team) units.Resources {
+func QuotaLimitOf(t config.Team) units.Resources {
 	return units.Resources{
-		CPU:    limitAmount(t.CPUsMax),
-		GPU:    limitAmount(t.GPUsMax),
+		CPU:    quotaAmount(t.CPUsMax),
+		GPU:    quotaAmount(t.GPUsMax),
 		Memory: unlimited,
 	}
 }
 
-func limitAmount(setting float64) units.Amount {
+func quotaAmount(setting float64) units.Amount {
 	if setting == 0 {
 		return unlimited
 	}
 	return units.AmountOf(setting)
 }
 
-// SetTypes takes over the cloud's catalog.
-func (l *Ledger) SetTypes(types []protocol.MachineType) {
+// SetInstanceTypes takes over the cloud's catalog.
+func (l *State) SetInstanceTypes(types []protocol.InstanceType) {
 	for _, t := range types {
-		l.Types[t.Name] = t
+		l.InstanceTypes[t.Name] = t
 	}
 	for _, m := range l.Machines {
-		l.size(m)
+		l.setCapacity(m)
 	}
 }
 
-// SizeOf is what a machine of a type has.
-func SizeOf(t protocol.MachineType) units.Resources {
+// CapacityOf is what a machine of a type has.
+func CapacityOf(t protocol.InstanceType) units.Resources {
 	return units.Resources{
 		CPU:    units.AmountOf(t.CPUs),
 		GPU:    units.AmountOf(t.GPUs),
@@ -163,166 +163,166 @@
 	}
 }
 
-func (l *Ledger) size(m *Machine) {
-	if t, ok := l.Types[m.Type]; ok {
-		m.Size, m.Cache = SizeOf(t), units.AmountOf(t.CacheGB)
+func (l *State) setCapacity(m *Machine) {
+	if t, ok := l.InstanceTypes[m.InstanceType]; ok {
+		m.Capacity, m.ImageCache = CapacityOf(t), units.AmountOf(t.CacheGB)
 	}
 }
 
-// Machine gives the machine of that name, made if need be.
-func (l *Ledger) Machine(id, typ, zone string, spot bool, now units.Micros) *Machine {
+// EnsureMachine gives the machine of that name, made if need be.
+func (l *State) EnsureMachine(id, typ, zone string, spot bool, now units.Micros) *Machine {
 	m := l.Machines[id]
 	if m == nil {
-		m = &Machine{ID: id, Type: typ, Zone: zone, Spot: spot, Rented: now, IdleSince: now,
-			Attempts: map[AttemptKey]*Attempt{}, errorJobs: map[string]bool{}}
+		m = &Machine{ID: id, InstanceType: typ, Zone: zone, Spot: spot, RentedAt: now, IdleSince: now,
+			Attempts: map[AttemptKey]*Attempt{}, failedJobs: map[string]bool{}}
 		l.Machines[id] = m
-		i, _ := l.find(id)
-		l.ordered = slices.Insert(l.ordered, i, m)
-		l.size(m)
+		i, _ := l.findMachine(id)
+		l.sortedMachines = slices.Insert(l.sortedMachines, i, m)
+		l.setCapacity(m)
 	}
 	return m
 }
 
-func (l *Ledger) find(id string) (int, bool) {
-	return slices.BinarySearchFunc(l.ordered, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
+func (l *State) findMachine(id string) (int, bool) {
+	return slices.BinarySearchFunc(l.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
 }
 
-// Ordered lists the machines in the order of their names. It is the ledger's
+// SortedMachines lists the machines in the order of their names. It is the ledger's
 // own list.
-func (l *Ledger) Ordered() []*Machine { return l.ordered }
+func (l *State) SortedMachines() []*Machine { return l.sortedMachines }
 
-// Add takes in a job read from its record.
-func (l *Ledger) Add(j *Job) {
-	if !l.oldLeaders() && j.format == storage.FormatOld {
+// AddJob takes in a job read from its record.
+func (l *State) AddJob(j *Job) {
+	if !l.oldLeadersPossible() && j.format == storage.FormatOld {
 		j.main.dirty, j.changed = true, true // to be migrated to the new form
 	}
 	j.changed = j.changed || len(j.obsolete) > 0 // a leader died before they were deleted
-	j.setRooms(l.rooms)
+	j.setNameSpace(l.nameSpace)
 	if l.Jobs[j.Spec.ID] == nil {
-		l.memory += MemoryOf(&j.Spec)
+		l.memory += JobMemory(&j.Spec)
 	}
 	l.Jobs[j.Spec.ID] = j
-	for m := range j.Unconfirmed {
-		l.addUnconfirmed(j, m)
+	for m := range j.UnreconciledMachines {
+		l.addUnreconciled(j, m)
 	}
 }
 
-// remove drops a job that is over, or was never accepted.
-func (l *Ledger) remove(j *Job) {
+// removeJob drops a job that is over, or was never accepted.
+func (l *State) removeJob(j *Job) {
 	if l.Jobs[j.Spec.ID] != nil {
-		l.memory -= MemoryOf(&j.Spec)
+		l.memory -= JobMemory(&j.Spec)
 		delete(l.Jobs, j.Spec.ID)
 	}
-	delete(l.unconfirmedJobs, j)
-	for m := range j.Unconfirmed {
-		if l.unconfirmed[m] = slices.DeleteFunc(l.unconfirmed[m], func(o *Job) bool { return o == j }); len(l.unconfirmed[m]) == 0 {
-			delete(l.unconfirmed, m)
+	delete(l.unreconciledJobs, j)
+	for m := range j.UnreconciledMachines {
+		if l.unreconciled[m] = slices.DeleteFunc(l.unreconciled[m], func(o *Job) bool { return o == j }); len(l.unreconciled[m]) == 0 {
+			delete(l.unreconciled, m)
 		}
 	}
 }
 
 // NewJob adds a submitted job, which is not accepted until it is saved.
-func (l *Ledger) NewJob(spec protocol.JobSpec, wall, now units.Micros) *Job {
+func (l *State) NewJob(spec protocol.JobSpec, wall, now units.Micros) *Job {
 	j := newJob(spec, wall, l.format)
-	j.Since = now
-	l.Add(j)
-	j.Changed(now, true)
+	j.LearnedAt = now
+	l.AddJob(j)
+	j.MarkChanged(now, true)
 	return j
 }
 
 // Assign gives the next pending task of a job to a machine.
-func (l *Ledger) Assign(j *Job, m *Machine, number uint64, now units.Micros) *Attempt {
-	i, ok := j.next()
+func (l *State) Assign(j *Job, m *Machine, number uint64, now units.Micros) *Attempt {
+	i, ok := j.takePendingTask()
 	if !ok {
 		return nil
 	}
 	if c := j.shardOf[m.ID]; c == nil || c.dirty && !c.machines[m.ID] {
-		j.name(m.ID)
-		j.Changed(now, true)
+		j.recordMachine(m.ID)
+		j.MarkChanged(now, true)
 	}
-	return l.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Assigned, Assigned: now})
+	return l.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Assigned, AssignedAt: now})
 }
 
 // Adopt takes in an attempt that a machine reported and that this leader did
 // not start.
-func (l *Ledger) Adopt(j *Job, i int, number uint64, m *Machine, now units.Micros) *Attempt {
-	if j.name(m.ID) {
-		j.Changed(now, false)
+func (l *State) Adopt(j *Job, i int, number uint64, m *Machine, now units.Micros) *Attempt {
+	if j.recordMachine(m.ID) {
+		j.MarkChanged(now, false)
 	}
-	return l.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Fetching, Assigned: now})
+	return l.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Fetching, AssignedAt: now})
 }
 
-func (l *Ledger) attach(a *Attempt) *Attempt {
-	a.Job.Live[a.Index] = a
-	a.Job.on[a.Machine.ID]++
+func (l *State) attach(a *Attempt) *Attempt {
+	a.Job.LiveAttempts[a.Index] = a
+	a.Job.attemptsByMachine[a.Machine.ID]++
 	a.Machine.Attempts[AttemptKey{a.Job.Spec.ID, a.Index, a.Number}] = a
-	l.count(a, 1)
+	l.addUsage(a, 1)
 	return a
 }
 
-func (l *Ledger) count(a *Attempt, n int) {
-	a.Machine.Used = a.Machine.Used.Plus(a.Job.Spec.Need, n)
+func (l *State) addUsage(a *Attempt, n int) {
+	a.Machine.Used = a.Machine.Used.Plus(a.Job.Spec.Request, n)
 	if t := l.Teams[a.Job.Spec.Team]; t != nil {
-		t.Used = t.Used.Plus(a.Job.Spec.Need, n)
+		t.Used = t.Used.Plus(a.Job.Spec.Request, n)
 	}
-	if a.Stop {
-		l.freeing(a, n)
+	if a.Stopping {
+		l.addFreeing(a, n)
 	}
 }
 
-func (l *Ledger) freeing(a *Attempt, n int) {
-	a.Machine.Freeing = a.Machine.Freeing.Plus(a.Job.Spec.Need, n)
+func (l *State) addFreeing(a *Attempt, n int) {
+	a.Machine.Freeing = a.Machine.Freeing.Plus(a.Job.Spec.Request, n)
 	if t := l.Teams[a.Job.Spec.Team]; t != nil {
-		t.Freeing = t.Freeing.Plus(a.Job.Spec.Need, n)
+		t.Freeing = t.Freeing.Plus(a.Job.Spec.Request, n)
 	}
 }
 
-// Stop notes that an attempt is to be stopped, with some time to save.
-func (l *Ledger) Stop(a *Attempt, grace units.Micros) {
-	if !a.Stop {
-		a.Stop = true
-		l.freeing(a, 1)
+// StopAttempt notes that an attempt is to be stopped, with some time to save.
+func (l *State) StopAttempt(a *Attempt, grace units.Micros) {
+	if !a.Stopping {
+		a.Stopping = true
+		l.addFreeing(a, 1)
 	}
-	a.Grace = grace
+	a.GracePeriod = grace
 }
 
-// Gone notes that an attempt is certainly not on its machine any more. Unless
+// AttemptGone notes that an attempt is certainly not on its machine any more. Unless
 // its task is done, the task is pending again.
-func (l *Ledger) Gone(a *Attempt, now units.Micros) {
+func (l *State) AttemptGone(a *Attempt, now units.Micros) {
 	key := AttemptKey{a.Job.Spec.ID, a.Index, a.Number}
 	if a.Machine.Attempts[key] != a {
 		return
 	}
 	delete(a.Machine.Attempts, key)
-	if a.Job.on[a.Machine.ID]--; a.Job.on[a.Machine.ID] == 0 {
-		delete(a.Job.on, a.Machine.ID)
+	if a.Job.attemptsByMachine[a.Machine.ID]--; a.Job.attemptsByMachine[a.Machine.ID] == 0 {
+		delete(a.Job.attemptsByMachine, a.Machine.ID)
 	}
-	if a.Job.Live[a.Index] == a {
-		delete(a.Job.Live, a.Index)
+	if a.Job.LiveAttempts[a.Index] == a {
+		delete(a.Job.LiveAttempts, a.Index)
 		if !a.Job.IsDone(a.Index) {
-			a.Job.retry = append(a.Job.retry, a.Index)
+			a.Job.retryTasks = append(a.Job.retryTasks, a.Index)
 		}
 	}
-	l.count(a, -1)
+	l.addUsage(a, -1)
 	if len(a.Machine.Attempts) == 0 {
 		a.Machine.IdleSince = now
 	}
 }
 
-// Remove drops a machine that is certainly gone, and all that was on it.
-func (l *Ledger) Remove(m *Machine, now units.Micros) {
-	l.Emptied(m, now)
-	l.Confirm(m.ID)
+// RemoveMachine drops a machine that is certainly gone, and all that was on it.
+func (l *State) RemoveMachine(m *Machine, now units.Micros) {
+	l.MachineEmptied(m, now)
+	l.MarkReconciled(m.ID)
 	delete(l.Machines, m.ID)
-	if i, ok := l.find(m.ID); ok {
-		l.ordered = slices.Delete(l.ordered, i, i+1)
+	if i, ok := l.findMachine(m.ID); ok {
+		l.sortedMachines = slices.Delete(l.sortedMachines, i, i+1)
 	}
 }
 
-// Emptied notes that nothing that was on the machine is there any more.
-func (l *Ledger) Emptied(m *Machine, now units.Micros) {
+// MachineEmptied notes that nothing that was on the machine is there any more.
+func (l *State) MachineEmptied(m *Machine, now units.Micros) {
 	for _, a := range sortedAttempts(m) {
-		l.Gone(a, now)
+		l.AttemptGone(a, now)
 	}
 }
 
@@ -340,15 +340,15 @@
 	return out
 }
 
-// HoldsImage notes that a machine has a job's image.
-func (l *Ledger) HoldsImage(m *Machine, j *Job) {
+// RecordImage notes that a machine has a job's image.
+func (l *State) RecordImage(m *Machine, j *Job) {
 	if j.Spec.ImageSize > 0 {
 		m.touchImage(j.Spec.Image, j.Spec.ImageSize)
 	}
 }
 
-// Waiting tells whether tasks of the job are to be placed.
-func (j *Job) Waiting() bool { return j.stored && !j.Cancelled && j.Pending() > 0 }
+// HasTasksToPlace tells whether tasks of the job are to be placed.
+func (j *Job) HasTasksToPlace() bool { return j.stored && !j.Cancelled && j.Pending() > 0 }
 
-// Sorted lists the machine's attempts in a fixed order.
-func (m *Machine) Sorted() []*Attempt { return sortedAttempts(m) }
+// SortedAttempts lists the machine's attempts in a fixed order.
+func (m *Machine) SortedAttempts() []*Attempt { return sortedAttempts(m) }
--- a/internal/cluster/ledger_test.go
+++ b/internal/cluster/ledger_test.go
@@ -12,18 +12,18 @@
 
 // The sums a ledger keeps are those of its attempts, and no task is on two
 // machines or both pending and placed, through any order of events.
-func TestLedgerSums(t *testing.T) {
+func TestUsageIsTheSumOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLedger([]config.Team{{Name: "team", CPUsMax: 100}}, config.State{ValueKB: 8, TxnOps: 12})
-		l.SetTypes([]protocol.MachineType{{Name: "m", CPUs: 64, MemoryGB: 64, CacheGB: 2}})
+		l := NewState([]config.Team{{Name: "team", CPUsMax: 100}}, config.State{ValueKB: 8, TxnOps: 12})
+		l.SetInstanceTypes([]protocol.InstanceType{{Name: "m", CPUs: 64, MemoryGB: 64, CacheGB: 2}})
 		var attempts []*Attempt
 		jobs := []*Job{}
 		for i, n := range []int{1, 4, 9} {
 			jobs = append(jobs, l.NewJob(protocol.JobSpec{
-				ID:    "j-00000" + string(rune('0'+i)),
-				Team:  "team",
-				Tasks: n,
-				Need:  units.Resources{CPU: units.Amount(i + 1)},
+				ID:      "j-00000" + string(rune('0'+i)),
+				Team:    "team",
+				Tasks:   n,
+				Request: units.Resources{CPU: units.Amount(i + 1)},
 			}, 0, 0))
 		}
 		number := uint64(0)
@@ -32,34 +32,34 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				number++
-				m := l.Machine(rapid.SampledFrom([]string{"i-1", "i-2"}).Draw(t, "machine"), "m", "a", true, 0)
+				m := l.EnsureMachine(rapid.SampledFrom([]string{"i-1", "i-2"}).Draw(t, "machine"), "m", "a", true, 0)
 				if a := l.Assign(j, m, number, 0); a != nil {
 					attempts = append(attempts, a)
 				}
 			case 1:
 				if len(attempts) > 0 {
 					a := rapid.SampledFrom(attempts).Draw(t, "attempt")
-					if a.Job.Live[a.Index] == a {
-						l.Done(a.Job, a.Index, 0)
-						l.Gone(a, 0)
+					if a.Job.LiveAttempts[a.Index] == a {
+						l.TaskDone(a.Job, a.Index, 0)
+						l.AttemptGone(a, 0)
 					}
 				}
 			case 2:
 				if len(attempts) > 0 {
-					l.Gone(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
+					l.AttemptGone(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
 				}
 			case 3:
 				if m := l.Machines["i-1"]; m != nil && rapid.IntRange(0, 3).Draw(t, "removed") == 0 {
-					l.Remove(m, 0)
+					l.RemoveMachine(m, 0)
 				}
 			}
 			var team units.Resources
 			for _, m := range l.Machines {
 				var used units.Resources
 				for _, a := range m.Attempts {
-					used = used.Plus(a.Job.Spec.Need, 1)
-					if a.Job.Live[a.Index] != a || a.Job.IsDone(a.Index) {
-						t.Fatalf("%s is on %s but not live", a.Task(), m.ID)
+					used = used.Plus(a.Job.Spec.Request, 1)
+					if a.Job.LiveAttempts[a.Index] != a || a.Job.IsDone(a.Index) {
+						t.Fatalf("%s is on %s but not live", a.TaskName(), m.ID)
 					}
 				}
 				if used != m.Used {
@@ -71,8 +71,8 @@
 				t.Fatalf("team uses %v, counted %v", team, l.Teams["team"].Used)
 			}
 			for _, j := range jobs {
-				if j.Pending() < 0 || j.Pending()+len(j.Live)+j.DoneCount() != j.Spec.Tasks {
-					t.Fatalf("%s: %d pending, %d live, %d done of %d", j.Spec.ID, j.Pending(), len(j.Live), j.DoneCount(), j.Spec.Tasks)
+				if j.Pending() < 0 || j.Pending()+len(j.LiveAttempts)+j.DoneCount() != j.Spec.Tasks {
+					t.Fatalf("%s: %d pending, %d live, %d done of %d", j.Spec.ID, j.Pending(), len(j.LiveAttempts), j.DoneCount(), j.Spec.Tasks)
 				}
 			}
 		}
@@ -80,7 +80,7 @@
 }
 
 func TestImagesAreForgottenAsTheCacheDoes(t *testing.T) {
-	m := &Machine{Cache: 10}
+	m := &Machine{ImageCache: 10}
 	m.touchImage("a", 4)
 	m.touchImage("b", 4)
 	m.touchImage("a", 4)
@@ -92,15 +92,15 @@
 
 // A machine that runs its tasks slower than their siblings elsewhere is found
 // out, and does not spoil what is known of the job.
-func TestSlowMachineIsFound(t *testing.T) {
-	l := NewLedger(nil, config.State{ValueKB: 8, TxnOps: 12})
+func TestSlowMachineIsDetected(t *testing.T) {
+	l := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
 	run := func(machine string, length units.Micros) {
-		a := l.Assign(j, l.Machine(machine, "m", "a", true, 0), 1, 0)
+		a := l.Assign(j, l.EnsureMachine(machine, "m", "a", true, 0), 1, 0)
 		a.Stage, a.RunningSince = Running, units.Second
-		l.Completed(a, units.Second+length)
-		l.Done(j, a.Index, 0)
-		l.Gone(a, 0)
+		l.AttemptCompleted(a, units.Second+length)
+		l.TaskDone(j, a.Index, 0)
+		l.AttemptGone(a, 0)
 	}
 	for range 8 {
 		run("i-1", 10*units.Second)
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -4,44 +4,44 @@
 	"dunestand/internal/units"
 )
 
-// Machine is a machine that reported, is listed, or was rented.
+// EnsureMachine is a machine that reported, is listed, or was rented.
 type Machine struct {
-	ID       string
-	Type     string
-	Zone     string
-	Spot     bool
-	Endpoint string // as the cloud lists it
-	Size     units.Resources
-	Cache    units.Amount
-	Used     units.Resources
-	Freeing  units.Resources // part of Used, held by attempts that were told to stop
-	Attempts map[AttemptKey]*Attempt
-	Ended    int // ended tasks in its last report
+	ID           string
+	InstanceType string
+	Zone         string
+	Spot         bool
+	Endpoint     string // as the cloud lists it
+	Capacity     units.Resources
+	ImageCache   units.Amount
+	Used         units.Resources
+	Freeing      units.Resources // collectWrites of Used, held by attempts that were told to stop
+	Attempts     map[AttemptKey]*Attempt
+	Ended        int // ended tasks in its last report
 
-	Seen          bool   // it reported to this leader
-	Term          uint64 // the highest term it had seen by its last report
-	Session, Seq  uint64
-	LastAnswered  units.Micros // when its last answered report came in
-	LastCommand   SentCommand  // by the last answer
-	Undelivered   int          // answers in a row that had no effect
-	UndeliveredAt units.Micros // when the last of these showed, or its session began
-	// HungCancelled: it held tasks of a cancelled job when its lease ran out, and has
+	Registered            bool   // it reported to this leader
+	FencingToken          uint64 // the highest term it had seen by its last report
+	Incarnation, Sequence uint64
+	LastHeartbeat         units.Micros // when its last answered report came in
+	LastCommand           SentCommand  // by the last answer
+	UndeliveredCommands   int          // answers in a row that had no effect
+	UndeliveredAt         units.Micros // when the last of these showed, or its session began
+	// MayHoldCancelled: it held tasks of a cancelled job when its lease ran out, and has
 	// not reported since. If it hangs they are on it still.
-	HungCancelled bool
-	NoticeEnds    units.Micros // when the cloud takes it away; 0: no notice
-	SetAside      bool         // faulty: gets no work and is returned
-	Slow          bool
-	BlockedUntil  units.Micros // refused for want of room: our count is off
+	MayHoldCancelled bool
+	TerminatesAt     units.Micros // when the cloud takes it away; 0: no notice
+	Quarantined      bool         // faulty: gets no work and is returned
+	Slow             bool
+	BlockedUntil     units.Micros // refused for want of room: our count is off
 
-	Stage      string // as the cloud lists it
-	Rented     units.Micros
-	IdleSince  units.Micros
-	Releasing  bool
-	errorJobs  map[string]bool // jobs that failed here since the last success
-	slowness   float64         // run time against siblings elsewhere, moving mean of its log2
-	slowRuns   int
-	images     []image // the most recently used one last
-	imagesSize units.Amount
+	Stage        string // as the cloud lists it
+	RentedAt     units.Micros
+	IdleSince    units.Micros
+	Releasing    bool
+	failedJobs   map[string]bool // jobs that failed here since the last success
+	slowness     float64         // run time against siblings elsewhere, moving mean of its log2
+	comparedRuns int
+	images       []image // the most recently used one last
+	imageBytes   units.Amount
 }
 
 // AttemptKey names an attempt on its machine.
@@ -53,9 +53,9 @@
 
 // SentCommand is the first command of an answer that was sent to a machine.
 type SentCommand struct {
-	Given bool
-	Verb  string
-	Key   AttemptKey
+	Pending bool
+	Verb    string
+	Key     AttemptKey
 }
 
 type image struct {
@@ -64,7 +64,7 @@
 }
 
 // Free is the room that is left.
-func (m *Machine) Free() units.Resources { return m.Size.Plus(m.Used, -1) }
+func (m *Machine) Free() units.Resources { return m.Capacity.Plus(m.Used, -1) }
 
 // HasImage tells whether the machine is thought to hold an image.
 func (m *Machine) HasImage(name string) bool {
@@ -85,9 +85,9 @@
 		}
 	}
 	m.images = append(m.images, image{name, size})
-	m.imagesSize += size
-	for m.imagesSize > m.Cache && len(m.images) > 1 {
-		m.imagesSize -= m.images[0].size
+	m.imageBytes += size
+	for m.imageBytes > m.ImageCache && len(m.images) > 1 {
+		m.imageBytes -= m.images[0].size
 		m.images = m.images[1:]
 	}
 }
--- a/internal/cluster/memory.go
+++ b/internal/cluster/memory.go
@@ -10,10 +10,10 @@
 	bitsPerTask = 6 // three sets of tasks have a bit for each
 )
 
-// MemoryOf is what a job is reckoned to take in memory, in bytes.
-func MemoryOf(spec *protocol.JobSpec) int64 {
+// JobMemory is what a job is reckoned to take in memory, in bytes.
+func JobMemory(spec *protocol.JobSpec) int64 {
 	return jobBytes + int64(spec.Tasks)*bitsPerTask/8
 }
 
 // Memory is what all live jobs are reckoned to take, in bytes.
-func (l *Ledger) Memory() int64 { return l.memory }
+func (l *State) Memory() int64 { return l.memory }
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -56,23 +56,23 @@
 	}
 	for _, j := range jobs {
 		w := want[j.Spec.ID]
-		if len(j.Unconfirmed) != w.names || j.DoneCount() != w.done || len(old[j.Spec.ID].Machines) != w.names {
-			t.Errorf("%s: %d names, %d done, want %v", j.Spec.ID, len(j.Unconfirmed), j.DoneCount(), w)
+		if len(j.UnreconciledMachines) != w.names || j.DoneCount() != w.done || len(old[j.Spec.ID].Machines) != w.names {
+			t.Errorf("%s: %d names, %d done, want %v", j.Spec.ID, len(j.UnreconciledMachines), j.DoneCount(), w)
 		}
-		if j.Cancelled != (j.Spec.ID == "j-000004") || j.Service() != (j.Spec.ID == "j-000005") {
-			t.Errorf("%s: cancelled %v, service %v", j.Spec.ID, j.Cancelled, j.Service())
+		if j.Cancelled != (j.Spec.ID == "j-000004") || j.IsService() != (j.Spec.ID == "j-000005") {
+			t.Errorf("%s: cancelled %v, service %v", j.Spec.ID, j.Cancelled, j.IsService())
 		}
 	}
 	if len(jobs) != len(want) {
 		t.Errorf("%d jobs", len(jobs))
 	}
-	a, err := ParseArrival(s.items["inbox/j-000007"])
+	a, err := ParsePendingSubmission(s.items["inbox/j-000007"])
 	if err != nil || a.Spec.Tasks != 12 || a.Spec.Team != "planning" {
 		t.Errorf("%+v, %v", a, err)
 	}
-	var lease, head storage.Lease
-	var final storage.Final
-	for key, into := range map[string]any{storage.KeyFleet: &lease, storage.KeyHead(3): &head, storage.KeyFinal("j-000006"): &final} {
+	var lease, head storage.LeaseRecord
+	var final storage.TerminalRecord
+	for key, into := range map[string]any{storage.KeyLeaderLease: &lease, storage.KeyBucketHead(3): &head, storage.KeyTerminal("j-000006"): &final} {
 		if err := protocol.Decode(s.items[key].Value, into); err != nil {
 			t.Errorf("%s: %v", key, err)
 		}
@@ -87,22 +87,22 @@
 
 // A record of the version before that is larger than a value may be by then is
 // divided before it has to be changed. Wherever that stops, all 600 machines are
-// named and all completions kept.
+// machinesToRecord and all completions kept.
 func TestLargeOldRecordsAreDivided(t *testing.T) {
 	limits := config.State{ValueKB: 16, TxnOps: 12, Next: &config.State{ValueKB: 2, TxnOps: 4}}
 	for crash := range 40 {
 		s := &store{items: production(t), revision: 100}
 		for restart := 0; ; restart++ {
-			l := NewLedger(nil, limits)
+			l := NewState(nil, limits)
 			l.UpgradeFormat(storage.FormatNew, 0)
 			jobs, orphans, err := ParseJobs(s.rows())
 			if err != nil || len(orphans) > 0 {
 				t.Fatal(err, orphans)
 			}
 			for _, j := range jobs {
-				l.Add(j)
+				l.AddJob(j)
 			}
-			if got := len(l.Jobs["j-000003"].Unconfirmed); got != 600 {
+			if got := len(l.Jobs["j-000003"].UnreconciledMachines); got != 600 {
 				t.Fatalf("crash after %d saves: %d machines are named", crash, got)
 			}
 			if got := l.Jobs["j-000002"].DoneCount(); got != 12858 {
@@ -110,11 +110,11 @@
 			}
 			n := 0
 			for ; ; n++ {
-				save := l.BuildSave(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, storage.Buckets), SaveLimits{Tasks: true}, 10)
+				save := l.BuildWriteBatch(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, storage.Buckets), BatchLimits{Background: true}, 10)
 				if save == nil || restart == 0 && n == crash {
 					break
 				}
-				l.Applied(save, s.apply(t, save.Txn, limits.Both()))
+				l.BatchCommitted(save, s.apply(t, save.Txn, limits.Both()))
 			}
 			if restart > 0 {
 				break
@@ -130,9 +130,9 @@
 
 // The catalog is divided where it would not fit, and read in both forms.
 func TestCatalogInParts(t *testing.T) {
-	var types []protocol.MachineType
+	var types []protocol.InstanceType
 	for i := range 40 {
-		types = append(types, protocol.MachineType{
+		types = append(types, protocol.InstanceType{
 			Name:     fmt.Sprintf("type-%02d", i),
 			CPUs:     4,
 			MemoryGB: 16.5,
@@ -142,7 +142,7 @@
 	}
 	items := map[string]protocol.Item{}
 	stored := map[string]uint64{}
-	write := func(types []protocol.MachineType, format int) {
+	write := func(types []protocol.InstanceType, format int) {
 		for i, c := range storage.CatalogChanges(types, format, 2048, stored) {
 			if c.Delete != "" {
 				delete(items, c.Delete)
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -26,25 +26,25 @@
 		ID:       fmt.Sprintf("j-%06d", rapid.IntRange(0, 999999).Draw(t, "id")),
 		Class:    text.Draw(t, "class"),
 		Team:     "team",
-		Shape:    protocol.Shape(rapid.IntRange(0, 2).Draw(t, "shape")),
+		Kind:     protocol.JobKind(rapid.IntRange(0, 2).Draw(t, "shape")),
 		Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 		Tasks:    rapid.SampledFrom([]int{1, 7, 8, 9, 300, 16384, 16385, 40000, protocol.MaxTasks}).Draw(t, "tasks"),
-		Need: units.Resources{
+		Request: units.Resources{
 			CPU:    units.Amount(amount.Draw(t, "cpu")),
 			GPU:    units.Amount(amount.Draw(t, "gpu")),
 			Memory: units.Amount(amount.Draw(t, "memory")),
 		},
-		Types:      rapid.SampledFrom([][]string{nil, {"g8", "g16"}}).Draw(t, "types"),
-		Zone:       text.Draw(t, "zone"),
-		OneZone:    rapid.Bool().Draw(t, "one zone"),
-		Spread:     rapid.Bool().Draw(t, "spread"),
-		Spot:       rapid.Bool().Draw(t, "spot"),
-		Image:      text.Draw(t, "image"),
-		ImageSize:  units.Amount(amount.Draw(t, "image size")),
-		Estimate:   units.Micros(amount.Draw(t, "estimate")),
-		Checkpoint: units.Micros(amount.Draw(t, "checkpoint")),
-		Save:       units.Micros(amount.Draw(t, "save")),
-		Deadline:   units.Micros(amount.Draw(t, "deadline")),
+		InstanceTypes:      rapid.SampledFrom([][]string{nil, {"g8", "g16"}}).Draw(t, "types"),
+		Zone:               text.Draw(t, "zone"),
+		ZoneAffinity:       rapid.Bool().Draw(t, "one zone"),
+		ZoneSpread:         rapid.Bool().Draw(t, "spread"),
+		AllowSpot:          rapid.Bool().Draw(t, "spot"),
+		Image:              text.Draw(t, "image"),
+		ImageSize:          units.Amount(amount.Draw(t, "image size")),
+		Estimate:           units.Micros(amount.Draw(t, "estimate")),
+		CheckpointInterval: units.Micros(amount.Draw(t, "checkpoint")),
+		CheckpointDuration: units.Micros(amount.Draw(t, "save")),
+		Deadline:           units.Micros(amount.Draw(t, "deadline")),
 	}
 }
 
@@ -57,7 +57,7 @@
 // apply holds a transaction against the limits, sizes as the service counts them.
 func (s *store) apply(t testingT, txn protocol.Txn, limits config.State) uint64 {
 	for _, c := range txn.If {
-		if !strings.HasPrefix(c.Key, storage.PrefixHeads) && s.items[c.Key].Version != c.Version {
+		if !strings.HasPrefix(c.Key, storage.PrefixBucketHeads) && s.items[c.Key].Version != c.Version {
 			t.Fatalf("condition on %s: version %d, expected %d", c.Key, s.items[c.Key].Version, c.Version)
 		}
 	}
@@ -132,14 +132,14 @@
 // what a restore reads is what was saved, in the old form and in the new one and
 // at every step between: a machine that may hold a task is named, no completion
 // that was durable is lost, and no record or transaction is over its limit.
-func TestSavedJobsAreRestored(t *testing.T) {
+func TestWrittenJobsAreRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := config.State{ValueKB: 16, TxnOps: 12}
 		now.Next = rapid.SampledFrom([]*config.State{nil, {
 			ValueKB: 2,
 			TxnOps:  4,
 		}, {ValueKB: 1, TxnOps: 3}}).Draw(t, "limits to come")
-		l := NewLedger([]config.Team{{Name: "team"}}, now)
+		l := NewState([]config.Team{{Name: "team"}}, now)
 		s := &store{items: map[string]protocol.Item{}}
 		bucketVersions := make([]uint64, storage.Buckets)
 		limits, format := now, storage.FormatOld
@@ -156,7 +156,7 @@
 				}
 			}
 			for id := range orphans {
-				if _, over := s.items[storage.KeyFinal(id)]; !over {
+				if _, over := s.items[storage.KeyTerminal(id)]; !over {
 					t.Fatalf("%s has records but not its own", id)
 				}
 			}
@@ -169,16 +169,16 @@
 					t.Fatalf("restored %+v, saved %+v", got.Spec, want.Spec)
 				}
 				for m := range l.Machines {
-					if want.MayStartOn(m) && !got.Unconfirmed[m] {
+					if want.MachineIsDurable(m) && !got.UnreconciledMachines[m] {
 						t.Fatalf("%s may start on %s, which no record names", got.Spec.ID, m)
 					}
-					if before != nil && want.MayStartOn(m) && !slices.Contains(before[got.Spec.ID].Machines, m) {
+					if before != nil && want.MachineIsDurable(m) && !slices.Contains(before[got.Spec.ID].Machines, m) {
 						t.Fatalf("%s may start on %s, where the version before does not look", got.Spec.ID, m)
 					}
 				}
 				for i := range want.Spec.Tasks {
-					if want.DoneDurably(i) != got.IsDone(i) && (want.DoneDurably(i) || !want.IsDone(i)) {
-						t.Fatalf("%s: task %d is done %v, durably %v, restored %v", got.Spec.ID, i, want.IsDone(i), want.DoneDurably(i), got.IsDone(i))
+					if want.DoneIsDurable(i) != got.IsDone(i) && (want.DoneIsDurable(i) || !want.IsDone(i)) {
+						t.Fatalf("%s: task %d is done %v, durably %v, restored %v", got.Spec.ID, i, want.IsDone(i), want.DoneIsDurable(i), got.IsDone(i))
 					}
 				}
 			}
@@ -186,16 +186,16 @@
 		save := func(most int) {
 			for range most {
 				saves++
-				b := l.BuildSave(fmt.Sprintf("1-%d", saves), bucketVersions, SaveLimits{Tasks: true}, 1)
+				b := l.BuildWriteBatch(fmt.Sprintf("1-%d", saves), bucketVersions, BatchLimits{Background: true}, 1)
 				if b == nil {
 					return
 				}
 				if rapid.IntRange(0, 5).Draw(t, "refused") == 0 {
-					l.Refused(b, 1)
+					l.BatchRefused(b, 1)
 					continue
 				}
 				revision := s.apply(t, b.Txn, limits)
-				if key := b.Probe(); key != "" { // a save without an answer is known by its id
+				if key := b.ProbeKey(); key != "" { // a save without an answer is known by its id
 					var record struct {
 						Save string `cbor:"save"`
 					}
@@ -203,14 +203,14 @@
 						t.Fatalf("%s has save %q of %q, %v", key, record.Save, b.ID, err)
 					}
 				}
-				l.Applied(b, revision)
+				l.BatchCommitted(b, revision)
 				check()
 			}
 		}
 		submit := func() {
 			for range rapid.IntRange(1, 4).Draw(t, "jobs") {
 				spec := drawSpec(t)
-				if l.Jobs[spec.ID] == nil && s.items[storage.KeyFinal(spec.ID)].Version == 0 && Fits(&spec, format, now) && Fits(&spec, storage.Format, now) {
+				if l.Jobs[spec.ID] == nil && s.items[storage.KeyTerminal(spec.ID)].Version == 0 && FitsRecords(&spec, format, now) && FitsRecords(&spec, storage.NewestFormat, now) {
 					l.NewJob(spec, units.Micros(rapid.Int64Range(0, 1e15).Draw(t, "submitted")), 0)
 				}
 			}
@@ -220,22 +220,22 @@
 			for _, id := range slices.Sorted(maps.Keys(l.Jobs)) {
 				j := l.Jobs[id]
 				for _, i := range rapid.SliceOfN(rapid.IntRange(0, j.Spec.Tasks-1), 0, 20).Draw(t, "done") {
-					l.Done(j, i, 0)
+					l.TaskDone(j, i, 0)
 				}
 				if rapid.IntRange(0, 9).Draw(t, "all done") == 0 {
 					for i := range j.Spec.Tasks {
-						l.Done(j, i, 0)
+						l.TaskDone(j, i, 0)
 					}
 				}
 				for range rapid.SampledFrom([]int{0, 1, 5, 400}).Draw(t, "starts") {
-					m := l.Machine(fmt.Sprintf("i-%06d", rapid.IntRange(1, 900).Draw(t, "machine")), "m", "a", true, 0)
-					if number++; j.Accepted() && j.CanName(m.ID) {
+					m := l.EnsureMachine(fmt.Sprintf("i-%06d", rapid.IntRange(1, 900).Draw(t, "machine")), "m", "a", true, 0)
+					if number++; j.Accepted() && j.CanRecordMachine(m.ID) {
 						l.Assign(j, m, number, 0)
 					}
 				}
-				for _, a := range j.Live {
+				for _, a := range j.LiveAttempts {
 					if a.Number%3 == 0 {
-						l.Gone(a, 0)
+						l.AttemptGone(a, 0)
 					}
 				}
 			}
@@ -275,18 +275,18 @@
 	other := good
 	other.Tasks = protocol.MaxTasks + 1
 	later := good
-	later.Format = storage.Format + 1
+	later.Format = storage.NewestFormat + 1
 	for name, row := range map[string]protocol.Item{
 		"not CBOR":          {Key: storage.KeyJob("j-000001"), Value: []byte{0xff}},
 		"under another key": {Key: storage.KeyJob("j-000002"), Value: protocol.Encode(good)},
 		"out of range":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(other)},
 		"later format":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(later)},
-		"unknown part":      {Key: storage.KeyJob("j-000001") + "/x1", Value: protocol.Encode(page{})},
+		"unknown part":      {Key: storage.KeyJob("j-000001") + "/x1", Value: protocol.Encode(donePageRecord{})},
 		"odd number": {
 			Key:   storage.KeyJob("j-000001") + "/m01",
-			Value: protocol.Encode(names{Format: storage.FormatNew}),
+			Value: protocol.Encode(machineNamesRecord{Format: storage.FormatNew}),
 		},
-		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(page{})},
+		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(donePageRecord{})},
 	} {
 		if jobs, _, err := ParseJobs([]protocol.Item{row}); err == nil {
 			t.Errorf("%s: read as %v", name, jobs)
@@ -303,12 +303,12 @@
 		Tasks: 5000,
 	}, 0, storage.FormatNew).record("1-1", nil))
 	for kind, value := range map[byte]protocol.Raw{
-		storage.KindNames: protocol.Encode(names{Format: storage.Format + 1}),
-		storage.KindPage:  protocol.Encode(page{Format: storage.Format + 1}),
+		storage.PartMachineNames: protocol.Encode(machineNamesRecord{Format: storage.NewestFormat + 1}),
+		storage.PartDonePage:     protocol.Encode(donePageRecord{Format: storage.NewestFormat + 1}),
 	} {
 		rows := []protocol.Item{
 			{Key: storage.KeyJob("j-000001"), Value: good},
-			{Key: storage.KeyPart("j-000001", kind, 1), Value: value},
+			{Key: storage.KeyJobPart("j-000001", kind, 1), Value: value},
 		}
 		if _, _, err := ParseJobs(rows); err == nil {
 			t.Errorf("part %c of a later format is read", kind)
@@ -322,39 +322,39 @@
 
 // A machine stays named as long as it may hold a task, and a start may follow
 // only once the name is durable.
-func TestMachinesAreNamedBeforeStarts(t *testing.T) {
-	l := NewLedger(nil, config.State{ValueKB: 8, TxnOps: 12})
+func TestMachinesAreRecordedBeforeStarts(t *testing.T) {
+	l := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
 	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2}, 0, 0)
-	build := func() *Save { return l.BuildSave("1-1", bucketVersions, SaveLimits{Tasks: true}, 0) }
-	l.Applied(build(), 1)
-	m := l.Machine("i-000001", "m", "a", true, 0)
+	build := func() *WriteBatch { return l.BuildWriteBatch("1-1", bucketVersions, BatchLimits{Background: true}, 0) }
+	l.BatchCommitted(build(), 1)
+	m := l.EnsureMachine("i-000001", "m", "a", true, 0)
 	a := l.Assign(j, m, 1, 0)
-	if j.MayStartOn(m.ID) {
+	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start before the save")
 	}
-	saved := j.Saved()
+	saved := j.Durable()
 	s := build()
-	if j.MayStartOn(m.ID) {
+	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start while the save is on its way")
 	}
-	l.Applied(s, 2)
+	l.BatchCommitted(s, 2)
 	select {
 	case <-saved:
 	default:
 		t.Fatal("the save's end was not told")
 	}
-	if !j.MayStartOn(m.ID) {
+	if !j.MachineIsDurable(m.ID) {
 		t.Fatal("may not start after the save")
 	}
-	l.Gone(a, 0)
-	l.Done(j, 0, 0)
+	l.AttemptGone(a, 0)
+	l.TaskDone(j, 0, 0)
 	s = build() // leaves the name out
-	if j.MayStartOn(m.ID) {
+	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start though the name is being taken out")
 	}
-	l.Refused(s, 0)
-	if j.MayStartOn(m.ID) {
+	l.BatchRefused(s, 0)
+	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start after a refused save that took the name out")
 	}
 }
@@ -362,14 +362,14 @@
 // A page in the old form does not tell whose save it was, so the job's own record
 // goes with it: a save that was carried out and not answered must be known again,
 // or its leader takes it for another's.
-func TestOldPagesAreSavedWithTheirJob(t *testing.T) {
-	l := NewLedger(nil, config.State{ValueKB: 8, TxnOps: 12})
+func TestOldPagesAreWrittenWithTheirJob(t *testing.T) {
+	l := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
 	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40_000}, 0, 0)
-	l.Applied(l.BuildSave("1-1", bucketVersions, SaveLimits{}, 0), 1)
-	l.Done(j, 20_000, 0)
-	s := l.BuildSave("1-2", bucketVersions, SaveLimits{Tasks: true}, 10)
-	if s.Probe() != storage.KeyJob("j-000001") || len(s.Txn.Then) != 2 {
-		t.Errorf("known by %s, %d changes", s.Probe(), len(s.Txn.Then))
+	l.BatchCommitted(l.BuildWriteBatch("1-1", bucketVersions, BatchLimits{}, 0), 1)
+	l.TaskDone(j, 20_000, 0)
+	s := l.BuildWriteBatch("1-2", bucketVersions, BatchLimits{Background: true}, 10)
+	if s.ProbeKey() != storage.KeyJob("j-000001") || len(s.Txn.Then) != 2 {
+		t.Errorf("known by %s, %d changes", s.ProbeKey(), len(s.Txn.Then))
 	}
 }
--- a/internal/cluster/recordparse.go
+++ b/internal/cluster/recordparse.go
@@ -11,8 +11,8 @@
 
 // parseRecord reads a job's record. A record that cannot be read is an error,
 // never an empty job.
-func parseRecord(key string, raw protocol.Raw) (*Job, record, error) {
-	var r record
+func parseRecord(key string, raw protocol.Raw) (*Job, jobRecord, error) {
+	var r jobRecord
 	if err := protocol.Decode(raw, &r); err != nil {
 		return nil, r, fmt.Errorf("record %s: %w", key, err)
 	}
@@ -21,34 +21,34 @@
 		return nil, r, fmt.Errorf("record %s: format %d is not known", key, r.Format)
 	case !protocol.ValidJobID(r.ID) || storage.KeyJob(r.ID) != key:
 		return nil, r, fmt.Errorf("record %s: names job %q", key, r.ID)
-	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.Priorities || int(r.Shape) >= protocol.Shapes:
+	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.Priorities || int(r.Kind) >= protocol.JobKinds:
 		return nil, r, fmt.Errorf("record %s: out of range", key)
 	}
 	j := newJob(protocol.JobSpec{
-		ID:         r.ID,
-		Class:      r.Class,
-		Team:       r.Team,
-		Shape:      protocol.Shape(r.Shape),
-		Priority:   protocol.Priority(r.Priority),
-		Tasks:      r.Tasks,
-		Need:       units.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory},
-		Types:      r.Types,
-		Zone:       r.Zone,
-		OneZone:    r.OneZone,
-		Spread:     r.Spread,
-		Spot:       r.Spot,
-		Image:      r.Image,
-		ImageSize:  r.ImageSize,
-		Estimate:   r.Estimate,
-		Checkpoint: r.Checkpoint,
-		Save:       r.SaveTime,
-		Deadline:   r.Deadline,
+		ID:                 r.ID,
+		Class:              r.Class,
+		Team:               r.Team,
+		Kind:               protocol.JobKind(r.Kind),
+		Priority:           protocol.Priority(r.Priority),
+		Tasks:              r.Tasks,
+		Request:            units.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory},
+		InstanceTypes:      r.InstanceTypes,
+		Zone:               r.Zone,
+		ZoneAffinity:       r.ZoneAffinity,
+		ZoneSpread:         r.ZoneSpread,
+		AllowSpot:          r.AllowSpot,
+		Image:              r.Image,
+		ImageSize:          r.ImageSize,
+		Estimate:           r.Estimate,
+		CheckpointInterval: r.CheckpointInterval,
+		CheckpointDuration: r.CheckpointDuration,
+		Deadline:           r.Deadline,
 	}, r.Submitted, r.Format)
 	if r.Pages != j.oldPageCount() {
 		return nil, r, fmt.Errorf("record %s: out of range", key)
 	}
-	j.Cancelled, j.CancelStored = r.Cancelled, r.Cancelled
-	if err := decodePage(r.Done, j.inline()); err != nil {
+	j.Cancelled, j.CancelDurable = r.Cancelled, r.Cancelled
+	if err := decodePage(r.Done, j.inlineDone()); err != nil {
 		return nil, r, fmt.Errorf("record %s: %w", key, err)
 	}
 	return j, r, nil
@@ -78,7 +78,7 @@
 	}
 	orphans = map[string][]string{}
 	for _, row := range parts {
-		key, kind, n, err := storage.ParsePart(row.Key)
+		key, kind, n, err := storage.ParseJobPart(row.Key)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -96,17 +96,17 @@
 		}
 	}
 	for _, j := range jobs {
-		j.restored()
+		j.finishRestore()
 	}
 	return jobs, orphans, nil
 }
 
 // ParsePart takes in one of the job's further records.
 func (j *Job) parsePart(row protocol.Item, kind byte, n int) error {
-	var p page
-	var r names
+	var p donePageRecord
+	var r machineNamesRecord
 	var err error
-	if kind == storage.KindNames {
+	if kind == storage.PartMachineNames {
 		err = protocol.Decode(row.Value, &r)
 		p.Format = r.Format
 	} else {
@@ -115,27 +115,27 @@
 	c := &shard{key: row.Key, version: row.Version}
 	switch size := j.Spec.Tasks - 1; {
 	case err != nil:
-	case kind == storage.KindOldPage:
+	case kind == storage.PartOldDonePage:
 		if n < 1 || n > size/oldPageTasks {
 			err = errors.New("out of range")
 			break
 		}
 		err = decodePage(p.Done, j.done.page(n, oldPageTasks))
-		j.oldPages[n] = c
+		j.oldDonePages[n] = c
 	case p.Format != storage.FormatNew:
 		err = fmt.Errorf("format %d is not known", p.Format)
-	case kind == storage.KindNames:
-		if j.parts[n] != nil || n > maxParts {
+	case kind == storage.PartMachineNames:
+		if j.nameParts[n] != nil || n > maxParts {
 			err = errors.New("out of range")
 			break
 		}
-		j.parts[n] = c
+		j.nameParts[n] = c
 		j.restoreNames(c, r.Machines)
 	case n > size/pageTasks:
 		err = errors.New("out of range")
 	default:
 		err = decodePage(p.Done, j.done.page(n, pageTasks))
-		j.pages[n] = c
+		j.donePages[n] = c
 	}
 	if err != nil {
 		return fmt.Errorf("record %s: %w", row.Key, err)
--- a/internal/cluster/recordroom.go
+++ b/internal/cluster/recordroom.go
@@ -14,46 +14,46 @@
 	maxPartBytes   = 8 << 10
 )
 
-// leastNames is the room for names, in bytes of JSON, without which a job is
+// minNameBytes is the room for names, in bytes of JSON, without which a job is
 // not accepted in the old form.
-const leastNames = 1000
+const minNameBytes = 1000
 
-// longestSave is as long as the id of any save.
-const longestSave = "00000000000000000000-00000000000000000000"
+// longestWriteID is as long as the id of any save.
+const longestWriteID = "00000000000000000000-00000000000000000000"
 
-// roomFor gives the bytes of JSON that are left for the names of machines in a
+// nameSpaceFunc gives the bytes of JSON that are left for the names of machines in a
 // job's record, however far the job gets, and in a further part.
-type roomFor func(spec *protocol.JobSpec, format int) (main, part int)
+type nameSpaceFunc func(spec *protocol.JobSpec, format int) (main, part int)
 
-func rooms(now, both int) roomFor {
+func newNameSpace(now, both int) nameSpaceFunc {
 	return func(spec *protocol.JobSpec, format int) (main, part int) {
-		j := &Job{Spec: *spec, records: records{format: format}}
+		j := &Job{Spec: *spec, jobRecords: jobRecords{format: format}}
 		value, done := now, min(spec.Tasks, oldPageTasks)
 		if format != storage.FormatOld {
 			if value, done = both, spec.Tasks; done > inlineTasks {
 				done = 0
 			}
 		}
-		main = min(value, maxRecordBytes) - storage.JSONSize(j.record(longestSave, nil)) - (done/8+1)*4/3 - 64
-		part = min(value, maxPartBytes) - storage.JSONSize(names{
+		main = min(value, maxRecordBytes) - storage.JSONSize(j.record(longestWriteID, nil)) - (done/8+1)*4/3 - 64
+		part = min(value, maxPartBytes) - storage.JSONSize(machineNamesRecord{
 			Format:   storage.FormatNew,
-			Save:     longestSave,
+			WriteID:  longestWriteID,
 			Machines: []string{},
 		})
 		return main, part
 	}
 }
 
-// Fits tells whether a job can be kept in records of a format, however far the
+// FitsRecords tells whether a job can be kept in records of a format, however far the
 // job gets.
-func Fits(spec *protocol.JobSpec, format int, state config.State) bool {
+func FitsRecords(spec *protocol.JobSpec, format int, state config.State) bool {
 	both := state.Both()
-	main, _ := rooms(state.ValueBytes(), both.ValueBytes())(spec, format)
+	main, _ := newNameSpace(state.ValueBytes(), both.ValueBytes())(spec, format)
 	if format != storage.FormatOld {
 		return main >= 0
 	}
 	// The end of a job takes all its pages away in one transaction.
-	return main >= leastNames && 3+(spec.Tasks-1)/oldPageTasks <= state.TxnOps
+	return main >= minNameBytes && 3+(spec.Tasks-1)/oldPageTasks <= state.TxnOps
 }
 
 // nameSize is what a name takes, with its quotes and comma.
--- a/internal/cluster/saveoutcome.go
+++ b/internal/cluster/saveoutcome.go
@@ -8,24 +8,24 @@
 	"dunestand/internal/units"
 )
 
-// Applied takes over that the save was carried out at a revision. It gives
+// BatchCommitted takes over that the save was carried out at a revision. It gives
 // the jobs that are finished by it; they leave the ledger.
-func (l *Ledger) Applied(s *Save, revision uint64) map[string]storage.Final {
-	finished := map[string]storage.Final{}
+func (l *State) BatchCommitted(s *WriteBatch, revision uint64) map[string]storage.TerminalRecord {
+	finished := map[string]storage.TerminalRecord{}
 	for _, p := range s.parts {
 		j := p.job
-		j.saving, j.alone, j.endInSave = false, false, false
-		clear(j.inSave)
+		j.writeInFlight, j.writeAlone, j.endInFlight = false, false, false
+		clear(j.doneInFlight)
 		for _, w := range p.writes {
-			j.written(w, revision)
+			j.writeCommitted(w, revision)
 		}
-		if p.cancel && !j.CancelStored && j.main.version == revision {
-			j.CancelStored, j.cancelVersion = true, revision
+		if p.cancelled && !j.CancelDurable && j.main.version == revision {
+			j.CancelDurable, j.cancelVersion = true, revision
 		}
-		if p.final != nil {
-			finished[j.Spec.ID] = *p.final
-			l.leave(j)
-			l.remove(j)
+		if p.terminal != nil {
+			finished[j.Spec.ID] = *p.terminal
+			l.addStaleRecordsOf(j)
+			l.removeJob(j)
 		}
 		for _, w := range p.waiters {
 			close(w)
@@ -34,16 +34,16 @@
 	return finished
 }
 
-// written takes over that one of the job's changes was carried out.
-func (j *Job) written(w write, revision uint64) {
+// writeCommitted takes over that one of the job's changes was carried out.
+func (j *Job) writeCommitted(w write, revision uint64) {
 	switch {
 	case w.shard == nil:
 		key := w.change.Delete
-		j.arrived = j.arrived && key != storage.KeyInbox(j.Spec.ID)
+		j.inPendingQueue = j.inPendingQueue && key != storage.KeyPending(j.Spec.ID)
 		j.obsolete = slices.DeleteFunc(j.obsolete, func(o string) bool { return o == key })
-		for n, c := range j.oldPages {
+		for n, c := range j.oldDonePages {
 			if c.key == key {
-				delete(j.oldPages, n)
+				delete(j.oldDonePages, n)
 			}
 		}
 		return
@@ -58,76 +58,76 @@
 	}
 }
 
-// leave notes what is left of a job that is over.
-func (l *Ledger) leave(j *Job) {
+// addStaleRecordsOf notes what is left of a job that is over.
+func (l *State) addStaleRecordsOf(j *Job) {
 	keys := j.obsolete
-	for _, shards := range []map[int]*shard{j.parts, j.pages, j.oldPages} {
+	for _, shards := range []map[int]*shard{j.nameParts, j.donePages, j.oldDonePages} {
 		for _, n := range slices.Sorted(maps.Keys(shards)) {
 			if c := shards[n]; c.version != 0 {
 				keys = append(keys, c.key)
 			}
 		}
 	}
-	l.Leave(j.Spec.ID, keys)
+	l.AddStaleRecords(j.Spec.ID, keys)
 }
 
-// Leave notes records that are left over of a job that is over.
-func (l *Ledger) Leave(job string, keys []string) {
+// AddStaleRecords notes records that are left over of a job that is over.
+func (l *State) AddStaleRecords(job string, keys []string) {
 	for _, key := range keys {
-		l.left = append(l.left, leftover{storage.BucketOf(job), key})
+		l.staleRecords = append(l.staleRecords, staleRecord{storage.BucketOf(job), key})
 	}
 }
 
-// Refused takes over that the save was certainly not carried out and never
+// BatchRefused takes over that the save was certainly not carried out and never
 // will be: its changes are due again.
-func (l *Ledger) Refused(s *Save, now units.Micros) {
-	l.left = append(l.left, s.left...)
+func (l *State) BatchRefused(s *WriteBatch, now units.Micros) {
+	l.staleRecords = append(l.staleRecords, s.stale...)
 	for _, p := range s.parts {
 		j := p.job
-		j.saving, j.endInSave = false, false
-		j.unsaved.addAll(j.inSave)
-		clear(j.inSave)
+		j.writeInFlight, j.endInFlight = false, false
+		j.doneUnwritten.addAll(j.doneInFlight)
+		clear(j.doneInFlight)
 		for _, w := range p.writes {
 			if w.shard != nil {
 				w.shard.dirty = true
 			}
 		}
-		j.Changed(now, true)
-		j.waiting = append(j.waiting, p.waiters...)
+		j.MarkChanged(now, true)
+		j.refusedWaiters = append(j.refusedWaiters, p.waiters...)
 	}
 }
 
-// Rejected is Refused for a save that the state service will not take as it is.
+// BatchRejected is Refused for a save that the state service will not take as it is.
 // It is built anew, each job by itself: one must not hold up the rest.
-func (l *Ledger) Rejected(s *Save, now units.Micros) {
-	l.Refused(s, now)
+func (l *State) BatchRejected(s *WriteBatch, now units.Micros) {
+	l.BatchRefused(s, now)
 	for _, p := range s.parts {
-		p.job.alone = true
+		p.job.writeAlone = true
 	}
 }
 
-// Undecided lists the jobs whose acceptance is not on its way: what admits them may be
+// UnacceptedJobs lists the jobs whose acceptance is not on its way: what admits them may be
 // asked again.
-func (l *Ledger) Undecided() []*Job {
+func (l *State) UnacceptedJobs() []*Job {
 	var out []*Job
 	for _, j := range l.Jobs {
-		if j.new() && !j.saving {
+		if j.isNew() && !j.writeInFlight {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-// Drop removes a job that was never accepted: its id turned out to be that of a finished
+// DropUnaccepted removes a job that was never accepted: its id turned out to be that of a finished
 // job, or it is not admitted after all.
-func (l *Ledger) Drop(id string) {
+func (l *State) DropUnaccepted(id string) {
 	if j := l.Jobs[id]; j != nil && !j.stored {
-		l.remove(j)
-		for _, w := range append(j.waiting, j.saved) {
+		l.removeJob(j)
+		for _, w := range append(j.refusedWaiters, j.durable) {
 			close(w)
 		}
 	}
 }
 
-// Ending tells whether the job's final record is on its way or due.
-func (j *Job) Ending() bool { return j.saving || j.changed }
+// WritePending tells whether the job's final record is on its way or due.
+func (j *Job) WritePending() bool { return j.writeInFlight || j.changed }
--- a/internal/cluster/savepart.go
+++ b/internal/cluster/savepart.go
@@ -8,37 +8,37 @@
 	"dunestand/internal/storage"
 )
 
-// end gives the final record of a job that is over: complete, or cancelled
+// terminal gives the final record of a job that is over: complete, or cancelled
 // and with nothing left on any machine.
-func (j *Job) end(id string) *storage.Final {
+func (j *Job) terminalRecord(id string) *storage.TerminalRecord {
 	switch {
 	case !j.stored:
 		return nil
-	case j.Cancelled && len(j.Live) == 0 && len(j.Unconfirmed) == 0:
-		return &storage.Final{Stage: protocol.StageCancelled, Tasks: j.Spec.Tasks, Done: j.doneCount, Save: id}
+	case j.Cancelled && len(j.LiveAttempts) == 0 && len(j.UnreconciledMachines) == 0:
+		return &storage.TerminalRecord{Stage: protocol.StageCancelled, Tasks: j.Spec.Tasks, Done: j.doneCount, WriteID: id}
 	case !j.Cancelled && j.Complete():
-		return &storage.Final{Stage: protocol.StageDone, Tasks: j.Spec.Tasks, Done: j.doneCount, Save: id}
+		return &storage.TerminalRecord{Stage: protocol.StageDone, Tasks: j.Spec.Tasks, Done: j.doneCount, WriteID: id}
 	}
 	return nil
 }
 
-// userWaits tells whether a user is answered only after the job's next save.
-func (j *Job) userWaits() bool { return !j.stored || j.Cancelled && !j.CancelStored }
+// userAwaitsWrite tells whether a user is answered only after the job's next save.
+func (j *Job) userAwaitsWrite() bool { return !j.stored || j.Cancelled && !j.CancelDurable }
 
-// part gives all that is to be written of a job, in an order in which it is safe
+// collectWrites gives all that is to be written of a job, in an order in which it is safe
 // to stop anywhere.
-func (l *Ledger) part(j *Job, id string) (savePart, []write) {
-	part := savePart{job: j, cancel: j.Cancelled, final: j.end(id)}
-	w := &jobWrites{job: j, saveID: id}
-	if part.final != nil {
-		w.end(part.final)
-		if l.oldLeaders() && j.format == storage.FormatOld {
+func (l *State) collectWrites(j *Job, id string) (batchPart, []write) {
+	part := batchPart{job: j, cancelled: j.Cancelled, terminal: j.terminalRecord(id)}
+	w := &jobWrites{job: j, writeID: id}
+	if part.terminal != nil {
+		w.terminal(part.terminal)
+		if l.oldLeadersPossible() && j.format == storage.FormatOld {
 			w.removeOldPages()
 		}
 		return part, w.writes
 	}
-	if !l.oldLeaders() && j.format == storage.FormatOld {
-		j.migrate(l.rooms)
+	if !l.oldLeadersPossible() && j.format == storage.FormatOld {
+		j.migrate(l.nameSpace)
 	}
 	j.markMainDirty()
 	if !j.migrating {
@@ -52,28 +52,28 @@
 	for _, key := range j.obsolete {
 		w.remove(key, false)
 	}
-	if j.stored && j.arrived && !j.main.dirty {
-		w.remove(storage.KeyInbox(j.Spec.ID), false) // it was accepted in both places
+	if j.stored && j.inPendingQueue && !j.main.dirty {
+		w.remove(storage.KeyPending(j.Spec.ID), false) // it was accepted in both places
 	}
 	return part, w.writes
 }
 
 // markMainDirty marks the job's own record where it must go along with other changes.
 func (j *Job) markMainDirty() {
-	j.main.dirty = j.main.dirty || j.Cancelled && !j.CancelStored
+	j.main.dirty = j.main.dirty || j.Cancelled && !j.CancelDurable
 	if j.format != storage.FormatOld {
 		return
 	}
-	for _, c := range j.oldPages { // a page in the old form does not tell whose save it was
+	for _, c := range j.oldDonePages { // a page in the old form does not tell whose save it was
 		j.main.dirty = j.main.dirty || c.dirty
 	}
 }
 
 // jobWrites gathers what a save writes of a job.
 type jobWrites struct {
-	job    *Job
-	saveID string
-	writes []write
+	job     *Job
+	writeID string
+	writes  []write
 }
 
 // set writes a shard's record.
@@ -85,32 +85,32 @@
 	})
 }
 
-// remove deletes a record; with: only together with the write before.
+// removeJob deletes a record; with: only together with the write before.
 func (w *jobWrites) remove(key string, with bool) {
-	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, with: with})
+	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, withPrevious: with})
 }
 
-// takeFromInbox deletes the job's record in the inbox, if it is there.
-func (w *jobWrites) takeFromInbox() {
-	if w.job.arrived {
-		w.remove(storage.KeyInbox(w.job.Spec.ID), true)
+// removePending deletes the job's record in the inbox, if it is there.
+func (w *jobWrites) removePending() {
+	if w.job.inPendingQueue {
+		w.remove(storage.KeyPending(w.job.Spec.ID), true)
 	}
 }
 
-// end writes the final record in place of the job's own.
-func (w *jobWrites) end(f *storage.Final) {
+// terminal writes the final record in place of the job's own.
+func (w *jobWrites) terminal(f *storage.TerminalRecord) {
 	w.writes = append(w.writes, write{
-		change: protocol.Change{Set: storage.KeyFinal(w.job.Spec.ID), Value: protocol.Encode(f)},
+		change: protocol.Change{Set: storage.KeyTerminal(w.job.Spec.ID), Value: protocol.Encode(f)},
 	})
 	w.remove(w.job.main.key, true)
-	w.takeFromInbox()
+	w.removePending()
 }
 
 // removeOldPages deletes pages together with the job's own record: a reader of the old
 // form refuses pages without their job.
 func (w *jobWrites) removeOldPages() {
-	for _, n := range slices.Sorted(maps.Keys(w.job.oldPages)) {
-		if c := w.job.oldPages[n]; c.version != 0 {
+	for _, n := range slices.Sorted(maps.Keys(w.job.oldDonePages)) {
+		if c := w.job.oldDonePages[n]; c.version != 0 {
 			w.remove(c.key, true)
 		}
 	}
@@ -122,38 +122,38 @@
 	if !j.main.dirty {
 		return
 	}
-	machines := j.named(j.main)
-	w.set(j.main, machines, j.record(w.saveID, machines))
-	w.takeFromInbox()
+	machines := j.machinesToRecord(j.main)
+	w.set(j.main, machines, j.record(w.writeID, machines))
+	w.removePending()
 }
 
-// names writes the further names of machines that have changed.
+// machineNamesRecord writes the further machineNamesRecord of machines that have changed.
 func (w *jobWrites) names() {
 	j := w.job
-	for _, n := range slices.Sorted(maps.Keys(j.parts)) {
-		if c := j.parts[n]; c.dirty {
-			machines := j.named(c)
-			w.set(c, machines, names{storage.FormatNew, w.saveID, machines})
+	for _, n := range slices.Sorted(maps.Keys(j.nameParts)) {
+		if c := j.nameParts[n]; c.dirty {
+			machines := j.machinesToRecord(c)
+			w.set(c, machines, machineNamesRecord{storage.FormatNew, w.writeID, machines})
 		}
 	}
 }
 
-// pages writes the parts of the done set that have changed.
+// donePages writes the parts of the done set that have changed.
 func (w *jobWrites) pages() {
 	j := w.job
-	pages, size, format, saveID := j.pages, pageTasks, storage.FormatNew, w.saveID
+	pages, size, format, saveID := j.donePages, pageTasks, storage.FormatNew, w.writeID
 	if j.format == storage.FormatOld {
-		pages, size, format, saveID = j.oldPages, oldPageTasks, 0, ""
+		pages, size, format, saveID = j.oldDonePages, oldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
 		if c := pages[n]; c.dirty {
-			w.set(c, nil, page{Format: format, Save: saveID, Done: encodePage(j.done.page(n, size))})
+			w.set(c, nil, donePageRecord{Format: format, WriteID: saveID, Done: encodePage(j.done.page(n, size))})
 		}
 	}
 }
 
-// named lists the machines that a record is to name.
-func (j *Job) named(c *shard) []string {
+// machinesToRecord lists the machines that a record is to name.
+func (j *Job) machinesToRecord(c *shard) []string {
 	var out []string
 	for m := range c.machines {
 		if j.inUse(m) {
@@ -166,20 +166,20 @@
 
 func sortedNames(machines map[string]bool) []string { return slices.Sorted(maps.Keys(machines)) }
 
-// nothingToSave notes that a job has nothing to be written after all.
-func (j *Job) nothingToSave() {
+// nothingToWrite notes that a job has nothing to be written after all.
+func (j *Job) nothingToWrite() {
 	j.changed, j.urgent = false, false
-	for _, w := range append(j.waiting, j.saved) {
+	for _, w := range append(j.refusedWaiters, j.durable) {
 		close(w)
 	}
-	j.waiting, j.saved = nil, make(chan struct{})
+	j.refusedWaiters, j.durable = nil, make(chan struct{})
 }
 
-// begin marks the job as being saved. Names that a record leaves out may not
+// beginWrite marks the job as being saved. Names that a record leaves out may not
 // be used any more, whether or not the save is carried out.
-func (j *Job) begin(part *savePart) {
-	j.saving = true
-	j.endInSave = part.final != nil || part.cancel && !j.CancelStored
+func (j *Job) beginWrite(part *batchPart) {
+	j.writeInFlight = true
+	j.endInFlight = part.terminal != nil || part.cancelled && !j.CancelDurable
 	if part.whole {
 		j.changed, j.urgent = false, false
 	}
@@ -190,20 +190,20 @@
 		w.shard.dirty = false
 		for _, m := range sortedNames(w.shard.machines) {
 			if !j.inUse(m) {
-				j.drop(m)
+				j.dropName(m)
 			}
 		}
 	}
-	for i := range j.unsaved.all() {
+	for i := range j.doneUnwritten.all() {
 		if !j.pageOf(i).dirty {
-			j.inSave.add(i)
-			j.unsaved.remove(i)
+			j.doneInFlight.add(i)
+			j.doneUnwritten.remove(i)
 		}
 	}
 	if part.whole {
 		// Waiters are taken when the save is built: what changes later waits for
 		// the next one.
-		part.waiters = append(j.waiting, j.saved)
-		j.waiting, j.sending, j.saved = nil, j.saved, make(chan struct{})
+		part.waiters = append(j.refusedWaiters, j.durable)
+		j.refusedWaiters, j.durableInFlight, j.durable = nil, j.durable, make(chan struct{})
 	}
 }
--- a/internal/cluster/unconfirmed.go
+++ b/internal/cluster/unconfirmed.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-func (l *Ledger) addUnconfirmed(j *Job, machine string) {
-	l.unconfirmed[machine] = append(l.unconfirmed[machine], j)
-	l.unconfirmedJobs[j] = true
+func (l *State) addUnreconciled(j *Job, machine string) {
+	l.unreconciled[machine] = append(l.unreconciled[machine], j)
+	l.unreconciledJobs[j] = true
 }
 
-// Confirm notes that what a machine holds is known.
-func (l *Ledger) Confirm(id string) {
-	for _, j := range l.unconfirmed[id] {
-		delete(j.Unconfirmed, id)
-		if len(j.Unconfirmed) == 0 {
-			delete(l.unconfirmedJobs, j)
+// MarkReconciled notes that what a machine holds is known.
+func (l *State) MarkReconciled(id string) {
+	for _, j := range l.unreconciled[id] {
+		delete(j.UnreconciledMachines, id)
+		if len(j.UnreconciledMachines) == 0 {
+			delete(l.unreconciledJobs, j)
 		}
 	}
-	delete(l.unconfirmed, id)
+	delete(l.unreconciled, id)
 }
 
-// MarkUnconfirmed notes that a machine may hold tasks of a job that nobody has told us of.
-func (l *Ledger) MarkUnconfirmed(j *Job, machine string) {
-	if !j.Unconfirmed[machine] {
-		j.Unconfirmed[machine] = true
-		l.addUnconfirmed(j, machine)
+// MarkUnreconciled notes that a machine may hold tasks of a job that nobody has told us of.
+func (l *State) MarkUnreconciled(j *Job, machine string) {
+	if !j.UnreconciledMachines[machine] {
+		j.UnreconciledMachines[machine] = true
+		l.addUnreconciled(j, machine)
 	}
 }
 
-// IsUnconfirmed tells whether a job may have tasks on the machine that nobody has
+// IsUnreconciled tells whether a job may have tasks on the machine that nobody has
 // told us of.
-func (l *Ledger) IsUnconfirmed(id string) bool { return len(l.unconfirmed[id]) > 0 }
+func (l *State) IsUnreconciled(id string) bool { return len(l.unreconciled[id]) > 0 }
 
 // HoldsCancelled tells whether a machine may hold tasks of a cancelled job.
-func (l *Ledger) HoldsCancelled(id string) bool {
+func (l *State) HoldsCancelled(id string) bool {
 	if m := l.Machines[id]; m != nil {
-		if m.HungCancelled {
+		if m.MayHoldCancelled {
 			return true
 		}
 		for _, a := range m.Attempts {
@@ -46,22 +46,22 @@
 			}
 		}
 	}
-	return slices.ContainsFunc(l.unconfirmed[id], func(j *Job) bool { return j.Cancelled })
+	return slices.ContainsFunc(l.unreconciled[id], func(j *Job) bool { return j.Cancelled })
 }
 
-// UnconfirmedCount counts the machines that may hold tasks nobody has told us of.
-func (l *Ledger) UnconfirmedCount() int { return len(l.unconfirmed) }
+// UnreconciledCount counts the machines that may hold tasks nobody has told us of.
+func (l *State) UnreconciledCount() int { return len(l.unreconciled) }
 
-// UnconfirmedMachines names them, in order.
-func (l *Ledger) UnconfirmedMachines() []string { return slices.Sorted(maps.Keys(l.unconfirmed)) }
+// UnreconciledMachines names them, in order.
+func (l *State) UnreconciledMachines() []string { return slices.Sorted(maps.Keys(l.unreconciled)) }
 
-// UnconfirmedJobs gives the jobs that may have tasks on such machines, in no order.
-func (l *Ledger) UnconfirmedJobs() iter.Seq[*Job] { return maps.Keys(l.unconfirmedJobs) }
+// UnreconciledJobs gives the jobs that may have tasks on such machines, in no order.
+func (l *State) UnreconciledJobs() iter.Seq[*Job] { return maps.Keys(l.unreconciledJobs) }
 
-// UnconfirmedTasks is what the job may be using on machines nobody has told us of, at
+// UnreconciledTasks is what the job may be using on machines nobody has told us of, at
 // worst.
-func (j *Job) UnconfirmedTasks() int {
-	if len(j.Unconfirmed) == 0 {
+func (j *Job) UnreconciledTasks() int {
+	if len(j.UnreconciledMachines) == 0 {
 		return 0
 	}
 	return j.Pending()
--- a/internal/coordination/admitter.go
+++ b/internal/coordination/admitter.go
@@ -23,7 +23,7 @@
 	options admission.Options
 	teams   []admission.Team
 	keeper  *admission.Keeper
-	store   *kv.Store // on connections of its own: a watch keeps one
+	store   *kv.Client // on connections of its own: a watch keeps one
 	format  *FleetFormat
 	clock   units.Clock
 	log     *slog.Logger
@@ -41,7 +41,7 @@
 		out[i] = admission.Team{
 			Name:      t.Name,
 			Guarantee: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
-			Limit:     admission.AmountsOf(cluster.LimitOf(t)),
+			Limit:     admission.AmountsOf(cluster.QuotaLimitOf(t)),
 		}
 	}
 	return out
@@ -64,7 +64,7 @@
 }
 
 // newAdmitter makes a controller's admitter; nil where admission is off.
-func newAdmitter(s *config.Settings, options admission.Options, store *kv.Store, format *FleetFormat, clock units.Clock, log *slog.Logger, metrics *Metrics) *admitter {
+func newAdmitter(s *config.Settings, options admission.Options, store *kv.Client, format *FleetFormat, clock units.Clock, log *slog.Logger, metrics *Metrics) *admitter {
 	if !options.On() {
 		return nil
 	}
@@ -73,7 +73,7 @@
 		options: options,
 		teams:   teams,
 		keeper:  admission.NewKeeper(options, teams, 1+len(s.Others)),
-		store:   store.Reserved(),
+		store:   store.WithOwnConnections(),
 		format:  format,
 		clock:   clock,
 		log:     log,
@@ -211,7 +211,7 @@
 	a := f.admitter
 	sent := a.clock.Steady()
 	if f.revision == 0 {
-		item, revision, err := a.store.Current(ctx, admission.KeyPlan, stateCall)
+		item, revision, err := a.store.ReadAtRevision(ctx, admission.KeyPlan, stateCall)
 		if err != nil {
 			return err
 		}
@@ -219,7 +219,7 @@
 		f.revision, f.asOf, f.began = revision, sent, true
 		return nil
 	}
-	list, err := a.store.Changes(ctx, admission.Prefix, f.revision, planWatch)
+	list, err := a.store.Watch(ctx, admission.Prefix, f.revision, planWatch)
 	if err != nil {
 		f.revision = 0
 		return err
@@ -254,7 +254,7 @@
 // waitingAnswer tells a user that a job is not accepted now, and when to come back.
 func waitingAnswer(d admission.Decision) answer {
 	r := Refuse(http.StatusTooManyRequests, d.Reason.String())
-	r.Body = protocol.Encode(protocol.Problem{Error: d.Reason.String(), Plan: d.Plan})
+	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.Plan})
 	r.RetryAfter = int((d.RetryAfter + units.Second - 1) / units.Second)
 	return plainAnswer(r)
 }
--- a/internal/coordination/admitter_test.go
+++ b/internal/coordination/admitter_test.go
@@ -31,12 +31,12 @@
 	settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
 	term.Settings = &settings
 	term.Admitter = newAdmitter(&settings, admission.Options{Horizon: floodHorizon}, term.Store, term.Format, term.Clock, term.Log, term.Metrics)
-	term.ledger = cluster.NewLedger(settings.Fleet.Teams, settings.Fleet.State)
+	term.ledger = cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
 	term.admission = term.newAdmission()
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	return term
 }
 
@@ -83,10 +83,10 @@
 // expectWait submits a job that has to wait.
 func (t *Term) expectWait(test *testing.T, spec *protocol.JobSpec) {
 	test.Helper()
-	var p protocol.Problem
+	var p protocol.ErrorResponse
 	r := t.Submit(test.Context(), spec)
-	if err := protocol.Decode(r.Body, &p); err != nil || r.Status != http.StatusTooManyRequests || p.Plan == 0 || r.RetryAfter < 1 {
-		test.Fatalf("%s is not told to wait: %d by plan %d, Retry-After %d", spec.ID, r.Status, p.Plan, r.RetryAfter)
+	if err := protocol.Decode(r.Body, &p); err != nil || r.Status != http.StatusTooManyRequests || p.PlanVersion == 0 || r.RetryAfter < 1 {
+		test.Fatalf("%s is not told to wait: %d by plan %d, Retry-After %d", spec.ID, r.Status, p.PlanVersion, r.RetryAfter)
 	}
 }
 
@@ -98,10 +98,10 @@
 	}
 }
 
-func (t *Term) nextSave() *cluster.Save {
+func (t *Term) nextSave() *cluster.WriteBatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ledger.BuildSave(t.saveID(), t.bucketVersions, cluster.SaveLimits{Tasks: true}, t.Clock.Steady())
+	return t.ledger.BuildWriteBatch(t.saveID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
 }
 
 // A job whose plan has been replaced before its acceptance was stored is decided by the
@@ -114,7 +114,7 @@
 	}
 	admitted := make(chan answer, 1)
 	go func() { admitted <- term.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
-	var save *cluster.Save
+	var save *cluster.WriteBatch
 	for save == nil { // the job is entered, and its save built
 		time.Sleep(time.Millisecond)
 		save = term.nextSave()
@@ -154,10 +154,10 @@
 		t.Errorf("its user was told %d", r.Status)
 	}
 	term.expectWait(t, admittedSpec("j-000001", "team", 1))
-	var p protocol.Problem
+	var p protocol.ErrorResponse
 	r := term.Submit(t.Context(), admittedSpec("j-000001", "team", 1))
-	if err := protocol.Decode(r.Body, &p); err != nil || p.Plan != term.admission.publisher.version {
-		t.Errorf("the answer names plan %d, %v", p.Plan, err)
+	if err := protocol.Decode(r.Body, &p); err != nil || p.PlanVersion != term.admission.publisher.version {
+		t.Errorf("the answer names plan %d, %v", p.PlanVersion, err)
 	}
 	if r := term.Submit(t.Context(), admittedSpec("j-000002", "other", 1)); r.Status == http.StatusTooManyRequests {
 		t.Error("the other team waits for the flood")
@@ -172,7 +172,7 @@
 	flooded(t, term)
 	spec := admittedSpec("j-000901", "team", 1)
 	term.expectWait(t, spec)
-	s.Apply(cluster.ArrivalTxn(cluster.Arrival{Spec: *spec})) // by the plan that is in force
+	s.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec})) // by the plan that is in force
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -193,10 +193,10 @@
 	if err := term.renewPlan(t.Context()); err == nil {
 		t.Fatal("the answer was not lost")
 	}
-	var p protocol.Problem
+	var p protocol.ErrorResponse
 	r := term.Submit(t.Context(), spec)
-	if err := protocol.Decode(r.Body, &p); err != nil || r.Status != http.StatusTooManyRequests || p.Plan != 0 {
-		t.Errorf("while the plan is in doubt: %d by plan %d, %v", r.Status, p.Plan, err)
+	if err := protocol.Decode(r.Body, &p); err != nil || r.Status != http.StatusTooManyRequests || p.PlanVersion != 0 {
+		t.Errorf("while the plan is in doubt: %d by plan %d, %v", r.Status, p.PlanVersion, err)
 	}
 	s.Silent = nil
 	written := term.admission.publisher.version + 1
@@ -245,7 +245,7 @@
 	}
 	successor := admittingTerm(t, 2, s)
 	before, _ := s.Get(admission.KeyPlan)
-	var conflict *kv.ConflictError
+	var conflict *kv.VersionConflictError
 	if err := former.renewPlan(t.Context()); !errors.As(err, &conflict) {
 		t.Errorf("the former leader writes a plan: %v", err)
 	}
@@ -326,7 +326,7 @@
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
-	if _, stored := s.Get(storage.KeyInbox("j-000001")); stored {
+	if _, stored := s.Get(storage.KeyPending("j-000001")); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
 	c.deps.Format.level.Store(storage.FormatAdmission)
@@ -345,7 +345,7 @@
 	if status := submit("j-000003", "other"); status != http.StatusServiceUnavailable {
 		t.Errorf("by a plan that has been replaced: %d", status)
 	}
-	if _, stored := s.Get(storage.KeyInbox("j-000003")); stored {
+	if _, stored := s.Get(storage.KeyPending("j-000003")); stored {
 		t.Error("the job was accepted by a plan that has been replaced")
 	}
 	learn()
--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -102,28 +102,28 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	endpoints = map[string]string{}
-	for _, id := range t.ledger.UnconfirmedMachines() {
-		if m := t.ledger.Machines[id]; m != nil && !m.Seen && !m.Releasing && m.Endpoint != "" {
+	for _, id := range t.ledger.UnreconciledMachines() {
+		if m := t.ledger.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
 			endpoints[id] = m.Endpoint
 		}
 	}
-	return t.ledger.UnconfirmedCount() > 0, endpoints
+	return t.ledger.UnreconciledCount() > 0, endpoints
 }
 
 func (t *Term) announce(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
 	session := uint64(1) // of most machines; else the answer tells
 	for range 2 {
 		body := protocol.Encode(protocol.DirectCommands{
-			Term:     t.number,
-			Session:  session,
-			Commands: []protocol.Command{},
+			FencingToken: t.number,
+			Incarnation:  session,
+			Commands:     []protocol.Command{},
 		})
 		status, raw, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, limit)
 		if err != nil {
 			t.Log.Debug("machine not told of the term", "machine", id, "error", err)
 			return
 		}
-		r, err := protocol.ParseReport(raw)
+		r, err := protocol.ParseHeartbeat(raw)
 		if err != nil || r.Machine != id {
 			return
 		}
@@ -131,17 +131,17 @@
 			t.announced(r)
 			return
 		}
-		session = r.Session
+		session = r.Incarnation
 	}
 }
 
 // announced takes in the report that a machine sent for direct commands. Only
 // the first word of a machine may come this way: once it has reported by
 // itself, an answer may be on its way to it that this report does not show.
-func (t *Term) announced(r *protocol.Report) {
+func (t *Term) announced(r *protocol.Heartbeat) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if m := t.ledger.Machines[r.Machine]; m != nil && !m.Seen && t.Lease.Valid(t.number) {
+	if m := t.ledger.Machines[r.Machine]; m != nil && !m.Registered && t.Lease.Valid(t.number) {
 		t.observe(r, t.Clock.Steady())
 	}
 }
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -27,8 +27,8 @@
 	}))
 	defer worker.Close()
 	unconfirm := func(id, endpoint string) {
-		term.ledger.Machine(id, "m", "a", true, clock.now).Endpoint = endpoint
-		term.ledger.MarkUnconfirmed(j, id)
+		term.ledger.EnsureMachine(id, "m", "a", true, clock.now).Endpoint = endpoint
+		term.ledger.MarkUnreconciled(j, id)
 	}
 	for i := range 32 {
 		unconfirm(fmt.Sprintf("i-%06d", i), hanging.Addr().String())
@@ -47,7 +47,7 @@
 	confirmed := func() bool {
 		term.mu.Lock()
 		defer term.mu.Unlock()
-		return !term.ledger.IsUnconfirmed(last)
+		return !term.ledger.IsUnreconciled(last)
 	}
 	for deadline := time.Now().Add(10 * time.Second); !confirmed(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/coordination/answer.go
+++ b/internal/coordination/answer.go
@@ -65,9 +65,9 @@
 	return answer{Response: r, proof: proof{kind: provisional, readAt: readAt}}
 }
 
-func finalAnswer(id string, f storage.FinalRecord) answer {
+func finalAnswer(id string, f storage.StoredTerminalRecord) answer {
 	return answer{
-		Response: stateAnswer(http.StatusOK, protocol.JobState{UID: id, Stage: f.Stage, Done: f.Done}),
+		Response: stateAnswer(http.StatusOK, protocol.JobState{ID: id, Stage: f.Stage, Done: f.Done}),
 		proof:    proof{kind: final, version: f.Version},
 	}
 }
@@ -78,7 +78,7 @@
 	switch r.Status {
 	case http.StatusOK, http.StatusCreated:
 		var state protocol.JobState
-		if err := protocol.Decode(r.Body, &state); err == nil && state.Stage.Final() {
+		if err := protocol.Decode(r.Body, &state); err == nil && state.Stage.IsTerminal() {
 			return plainAnswer(r)
 		}
 		return provisionalAnswer(r, sentAt)
--- a/internal/coordination/answer_test.go
+++ b/internal/coordination/answer_test.go
@@ -20,8 +20,8 @@
 	}, clock
 }
 
-func jobState(stage protocol.Stage) transport.Response {
-	return stateAnswer(http.StatusOK, protocol.JobState{UID: "j-000001", Stage: stage})
+func jobState(stage protocol.JobStage) transport.Response {
+	return stateAnswer(http.StatusOK, protocol.JobState{ID: "j-000001", Stage: stage})
 }
 
 // An answer that is not final is given for a while after its state was read, whatever
@@ -55,9 +55,9 @@
 		t.Fatal("a final answer is given while older ones are")
 	}
 	gate, clock := testGate()
-	a := finalAnswer("j-000001", storage.FinalRecord{
-		Final:   storage.Final{Stage: protocol.StageDone},
-		Version: 7,
+	a := finalAnswer("j-000001", storage.StoredTerminalRecord{
+		TerminalRecord: storage.TerminalRecord{Stage: protocol.StageDone},
+		Version:        7,
 	})
 	gate.revisions.Observe(6)
 	clock.now += 2 * settleTime
@@ -94,7 +94,7 @@
 			t.Errorf("%d in time, of %d", got.Status, r.Status)
 		}
 	}
-	for _, stage := range []protocol.Stage{protocol.StageDone, protocol.StageCancelled} {
+	for _, stage := range []protocol.JobStage{protocol.StageDone, protocol.StageCancelled} {
 		if got := gate.release(relayedAnswer(jobState(stage), sentAt)); got.Status != http.StatusOK {
 			t.Errorf("%s is not passed on: %d", stage, got.Status)
 		}
@@ -121,14 +121,14 @@
 		if got := status(); got != http.StatusOK {
 			t.Errorf("a cancellation that nobody can have read: %d", got)
 		}
-		save := term.ledger.BuildSave(term.saveID(), term.bucketVersions, cluster.SaveLimits{}, clock.now)
+		save := term.ledger.BuildWriteBatch(term.saveID(), term.bucketVersions, cluster.BatchLimits{}, clock.now)
 		if got := status(); got != http.StatusServiceUnavailable {
 			t.Errorf("its save is on its way: %d", got)
 		}
 		if stored {
 			term.applied(save, 5)
 		} else {
-			term.ledger.Refused(save, clock.now)
+			term.ledger.BatchRefused(save, clock.now)
 		}
 		if got := status(); got != http.StatusOK {
 			t.Errorf("stored %v: %d", stored, got)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -16,10 +16,10 @@
 
 // busyTerm is a leader under a burst: full machines with 16 tasks each, and
 // 300 jobs of up to 3,000 tasks that wait.
-func busyTerm(machines int) (*Term, []*protocol.Report) {
+func busyTerm(machines int) (*Term, []*protocol.Heartbeat) {
 	clock := &manualClock{now: units.Second}
 	term := testTerm(1, clock)
-	types := []protocol.MachineType{{
+	types := []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      32,
 		MemoryGB:  64,
@@ -30,35 +30,35 @@
 		Zones:     []string{"a"},
 	}}
 	term.install(nil, protocol.Catalog{Types: types})
-	term.ledger.Teams["team"].Limit = cpus(32 * machines * 2)
+	term.ledger.Teams["team"].QuotaLimit = cpus(32 * machines * 2)
 	const jobs = 300
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
-		spec.Tasks, spec.Need, spec.Priority = 1+i*3000/jobs, cpus(2), protocol.Priority(i%3)
+		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, cpus(2), protocol.Priority(i%3)
 		term.ledger.NewJob(spec, clock.now, clock.now)
 	}
 	for {
-		s := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, clock.now)
+		s := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now)
 		if s == nil {
 			break
 		}
-		term.ledger.Applied(s, 1)
+		term.ledger.BatchCommitted(s, 1)
 	}
-	reports := make([]*protocol.Report, machines)
+	reports := make([]*protocol.Heartbeat, machines)
 	for seq := uint64(1); seq <= 2; seq++ {
 		for i := range reports {
-			r := &protocol.Report{
-				Machine: fmt.Sprintf("i-%06d", i),
-				Type:    "m",
-				Zone:    "a",
-				Session: 1,
-				Seq:     seq,
-				Term:    1,
+			r := &protocol.Heartbeat{
+				Machine:      fmt.Sprintf("i-%06d", i),
+				InstanceType: "m",
+				Zone:         "a",
+				Incarnation:  1,
+				Sequence:     seq,
+				FencingToken: 1,
 			}
 			m := term.observe(r, clock.now)
-			for _, a := range m.Sorted() {
+			for _, a := range m.SortedAttempts() {
 				a.Stage = cluster.Running
-				r.Tasks = append(r.Tasks, protocol.TaskReport{
+				r.Tasks = append(r.Tasks, protocol.TaskStatus{
 					Job:     a.Job.Spec.ID,
 					Index:   a.Index,
 					Attempt: a.Number,
@@ -76,7 +76,7 @@
 }
 
 // perFleet runs a benchmark on fleets of growing size.
-func perFleet(b *testing.B, run func(b *testing.B, term *Term, reports []*protocol.Report)) {
+func perFleet(b *testing.B, run func(b *testing.B, term *Term, reports []*protocol.Heartbeat)) {
 	for _, machines := range []int{50, 200, 800, 1700, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			term, reports := busyTerm(machines)
@@ -88,10 +88,10 @@
 
 // A report that shows nothing new, compared with the ledger and answered.
 func BenchmarkReport(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Report) {
+	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
 			r := reports[i%len(reports)]
-			r.Seq += 10
+			r.Sequence += 10
 			m := term.observe(r, units.Second)
 			_ = term.commands(m, r, units.Second)
 		}
@@ -116,7 +116,7 @@
 // The whole exchange of such a report over a kept connection: HTTP, echo and
 // CBOR on both sides, the client's share included.
 func BenchmarkExchange(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Report) {
+	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
 		c := testController(term)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -129,11 +129,11 @@
 		bolts := map[string]protocol.Raw{}
 		for i := 0; b.Loop(); i++ {
 			r := reports[i%len(reports)]
-			r.Seq += 10
+			r.Sequence += 10
 			if bolts[r.Machine] == nil {
 				bolts[r.Machine] = listOf(r)
 			}
-			status, _, err := client.Do(ctx, http.MethodPost, protocol.PathReport, encodeReport(r, bolts[r.Machine]), 5*units.Second)
+			status, _, err := client.Do(ctx, http.MethodPost, protocol.PathHeartbeat, encodeReport(r, bolts[r.Machine]), 5*units.Second)
 			if err != nil || status != http.StatusOK {
 				b.Fatal(status, err)
 			}
@@ -142,7 +142,7 @@
 }
 
 // listOf is a report's list of tasks as a worker sends it.
-func listOf(r *protocol.Report) protocol.Raw {
+func listOf(r *protocol.Heartbeat) protocol.Raw {
 	bolts := make([]map[string]any, len(r.Tasks))
 	for i, k := range r.Tasks {
 		bolts[i] = map[string]any{
@@ -155,16 +155,16 @@
 }
 
 // encodeReport is a report as a worker sends it.
-func encodeReport(r *protocol.Report, bolts protocol.Raw) []byte {
+func encodeReport(r *protocol.Heartbeat, bolts protocol.Raw) []byte {
 	return protocol.Encode(map[string]any{
 		"dune":     r.Machine,
 		"endpoint": "10.1.0.1:9000",
-		"loom":     r.Type,
+		"loom":     r.InstanceType,
 		"yard":     r.Zone,
 		"borrowed": r.Spot,
-		"shift":    r.Session,
-		"tally":    r.Seq,
-		"baton":    r.Term,
+		"shift":    r.Incarnation,
+		"tally":    r.Sequence,
+		"baton":    r.FencingToken,
 		"recall_s": nil,
 		"bolts":    bolts,
 	})
@@ -172,17 +172,17 @@
 
 // The end of a task is reported and the next one is placed in its stead.
 func BenchmarkFill(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Report) {
+	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
 			m := term.ledger.Machines[reports[i%len(reports)].Machine]
-			term.ledger.Gone(m.Sorted()[0], units.Second)
+			term.ledger.AttemptGone(m.SortedAttempts()[0], units.Second)
 			term.fill(m, units.Second)
 		}
 	})
 }
 
 func BenchmarkRound(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, _ []*protocol.Report) {
+	perFleet(b, func(b *testing.B, term *Term, _ []*protocol.Heartbeat) {
 		for b.Loop() {
 			term.round(units.Second, nil)
 		}
@@ -193,22 +193,22 @@
 func saveAll(term *Term) []protocol.Item {
 	var rows []protocol.Item
 	for _, j := range term.ledger.Jobs {
-		j.Changed(units.Second, true)
+		j.MarkChanged(units.Second, true)
 	}
 	for {
-		s := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, units.Second)
+		s := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, units.Second)
 		if s == nil {
 			return rows
 		}
 		for _, c := range s.Txn.Then {
 			rows = append(rows, protocol.Item{Key: c.Set, Value: c.Value, Version: 1})
 		}
-		term.ledger.Applied(s, 1)
+		term.ledger.BatchCommitted(s, 1)
 	}
 }
 
 func BenchmarkSave(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, _ []*protocol.Report) {
+	perFleet(b, func(b *testing.B, term *Term, _ []*protocol.Heartbeat) {
 		for b.Loop() {
 			saveAll(term)
 		}
@@ -217,7 +217,7 @@
 
 // A restore reads every live job's record, and then each machine's report.
 func BenchmarkRestore(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Report) {
+	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
 		rows := saveAll(term)
 		for b.Loop() {
 			later := testTerm(2, &manualClock{now: units.Second})
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -17,7 +17,7 @@
 		return
 	}
 	t.mu.Lock()
-	t.ledger.SetTypes(c.Types)
+	t.ledger.SetInstanceTypes(c.Types)
 	changed := !sameTypes(c, t.provisioning.catalog)
 	t.provisioning.catalog, t.provisioning.catalogAt = c, t.Clock.Steady()
 	t.mu.Unlock()
@@ -38,7 +38,7 @@
 			key := ch.Set + ch.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
-		version, err := t.Store.Commit(ctx, txn, kv.Paced, stateCall)
+		version, err := t.Store.CompareAndSwap(ctx, txn, kv.Paced, stateCall)
 		if err != nil {
 			t.Log.Info("catalog not stored", "error", err)
 			return
@@ -56,7 +56,7 @@
 
 // sameTypes compares catalogs but for the spot prices, which move all the time.
 func sameTypes(a, b protocol.Catalog) bool {
-	return slices.EqualFunc(a.Types, b.Types, func(x, y protocol.MachineType) bool {
+	return slices.EqualFunc(a.Types, b.Types, func(x, y protocol.InstanceType) bool {
 		x.SpotPrice, y.SpotPrice = 0, 0
 		zones := slices.Equal(x.Zones, y.Zones)
 		x.Zones, y.Zones = nil, nil
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -11,19 +11,19 @@
 // noteCommand notes the first command of an answer, for heard.
 func noteCommand(m *cluster.Machine, out []protocol.Command, key cluster.AttemptKey) {
 	if len(out) == 1 {
-		m.LastCommand = cluster.SentCommand{Given: true, Verb: string(out[0].Verb), Key: key}
+		m.LastCommand = cluster.SentCommand{Pending: true, Verb: string(out[0].Verb), Key: key}
 	}
 }
 
 // undurable gives a channel to wait on when some start for the machine lacks
 // the save that must come first.
 func (t *Term) undurable(m *cluster.Machine) <-chan struct{} {
-	if m.Term != t.number {
+	if m.FencingToken != t.number {
 		return nil
 	}
 	for _, a := range m.Attempts {
-		if a.Stage == cluster.Assigned && !a.Job.MayStartOn(m.ID) {
-			return a.Job.Saved()
+		if a.Stage == cluster.Assigned && !a.Job.MachineIsDurable(m.ID) {
+			return a.Job.Durable()
 		}
 	}
 	return nil
@@ -31,7 +31,7 @@
 
 // commands works out what the machine is to do: what is wanted of it minus
 // what its report shows.
-func (t *Term) commands(m *cluster.Machine, r *protocol.Report, now units.Micros) []protocol.Command {
+func (t *Term) commands(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) []protocol.Command {
 	out := []protocol.Command{}
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
@@ -51,15 +51,15 @@
 	sort.Slice(starts, func(i, k int) bool { return starts[i].Number < starts[k].Number })
 	for _, a := range starts {
 		switch {
-		case a.Stop || a.Job.Cancelled || a.Job.IsDone(a.Index):
-			t.ledger.Gone(a, now) // it was never sent
+		case a.Stopping || a.Job.Cancelled || a.Job.IsDone(a.Index):
+			t.ledger.AttemptGone(a, now) // it was never sent
 			if a.Job.Cancelled {
-				a.Job.Changed(now, true)
+				a.Job.MarkChanged(now, true)
 				signal(t.saveSignal)
 			}
-		case m.Term == t.number && a.Job.MayStartOn(m.ID) && len(out) < protocol.MaxCommands:
-			a.Stage, a.SentSeq = cluster.Sent, r.Seq
-			out = append(out, protocol.Command{Verb: protocol.Start, Task: a.Task(), Attempt: a.Number})
+		case m.FencingToken == t.number && a.Job.MachineIsDurable(m.ID) && len(out) < protocol.MaxCommands:
+			a.Stage, a.SentSequence = cluster.Sent, r.Sequence
+			out = append(out, protocol.Command{Verb: protocol.VerbStart, Task: a.TaskName(), Attempt: a.Number})
 			noteCommand(m, out, cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number})
 			t.trace("start sent", a)
 		}
@@ -68,23 +68,23 @@
 }
 
 // command works out what a machine is to do about a task that it reports, if anything.
-func (t *Term) command(a *cluster.Attempt, task *protocol.TaskReport) (protocol.Command, bool) {
+func (t *Term) command(a *cluster.Attempt, task *protocol.TaskStatus) (protocol.Command, bool) {
 	switch {
 	case task.Stage == protocol.TaskExited:
 		// A completion that is not durable stays with the worker: a later
 		// leader must be able to learn of it.
 		j := t.ledger.Jobs[task.Job]
-		forget := j == nil || j.Cancelled || j.Service() || task.Cause != protocol.CauseDone || j.DoneDurably(task.Index)
-		return protocol.Command{Verb: protocol.Forget}, forget
+		forget := j == nil || j.Cancelled || j.IsService() || task.Cause != protocol.CauseDone || j.DoneIsDurable(task.Index)
+		return protocol.Command{Verb: protocol.VerbForget}, forget
 	case a == nil, a.Job.Cancelled:
 		return stopCommand("", 0, 0), true
-	case a.Stop && task.Stage != protocol.TaskSaving:
-		return stopCommand("", 0, a.Grace), true
+	case a.Stopping && task.Stage != protocol.TaskCheckpointing:
+		return stopCommand("", 0, a.GracePeriod), true
 	}
 	return protocol.Command{}, false
 }
 
 func stopCommand(task string, attempt uint64, grace units.Micros) protocol.Command {
 	g := grace.Seconds()
-	return protocol.Command{Verb: protocol.Stop, Task: task, Attempt: attempt, Grace: &g}
+	return protocol.Command{Verb: protocol.VerbStop, Task: task, Attempt: attempt, Grace: &g}
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -22,7 +22,7 @@
 	lastWorker atomic.Int64 // steady time of the last worker's report
 	lastUseful atomic.Int64 // steady time when it last led or reached the leader
 	arrivals   arrivals
-	reader     *protocol.ReportReader
+	reader     *protocol.HeartbeatReader
 	reports    *reportLimiter
 	bypassed   atomic.Int64 // steady time since when another node leads that refuses this one's links; 0: none does
 }
@@ -59,8 +59,8 @@
 }
 
 func (c *Controller) lead(ctx context.Context, number uint64) {
-	c.deps.Store.Lead(true)
-	defer c.deps.Store.Lead(false)
+	c.deps.Store.SetLeader(true)
+	defer c.deps.Store.SetLeader(false)
 	t := NewTerm(number, c.deps)
 	c.term.Store(t)
 	t.Run(ctx)
@@ -107,7 +107,7 @@
 	s.Handle(http.MethodGet, protocol.PathHealth, func(context.Context, transport.Request) transport.Response {
 		return c.health()
 	})
-	s.Handle(http.MethodPost, protocol.PathReport, c.report)
+	s.Handle(http.MethodPost, protocol.PathHeartbeat, c.report)
 	s.Handle(http.MethodGet, "/metrics", func(context.Context, transport.Request) transport.Response {
 		return transport.Response{
 			Status:      http.StatusOK,
@@ -288,7 +288,7 @@
 	if t == nil {
 		return transport.Response{
 			Status: http.StatusMisdirectedRequest,
-			Body:   protocol.Encode(protocol.Redirect{Leader: c.whoLeads()}),
+			Body:   protocol.Encode(protocol.LeaderRedirect{Leader: c.whoLeads()}),
 		}
 	}
 	answer, ok := t.Report(ctx, report, slot)
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -69,7 +69,7 @@
 func (c *Controller) sawRenewal(version uint64, now units.Micros) {
 	l := c.deps.Lease
 	l.answeredAt = now
-	l.monitor.observe(storage.Lease{Holder: "leader", Incarnation: 3}, version, now)
+	l.monitor.observe(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version, now)
 }
 
 // While the leader refuses this node's links and renews its lease, workers are
@@ -148,7 +148,7 @@
 func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
 	s := standin.NewState()
 	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
-	s.Put(storage.KeyFinal("j-000009"), protocol.Encode(storage.Final{
+	s.Put(storage.KeyTerminal("j-000009"), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
@@ -196,7 +196,7 @@
 	}
 	go term.saveLoop(ctx)
 	go term.inboxLoop(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixInbox)) > 0; {
+	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
 		}
@@ -227,7 +227,7 @@
 	if got := c.gate().release(a); got.Status != http.StatusOK || state(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
-	if len(s.Keys(storage.PrefixInbox)) != 1 {
+	if len(s.Keys(storage.PrefixPending)) != 1 {
 		t.Error("it is not in the inbox")
 	}
 }
@@ -237,10 +237,10 @@
 func TestLateArrivalOfAFinishedJob(t *testing.T) {
 	s := standin.NewState()
 	spec := modelSpec("j-000001")
-	for _, c := range cluster.ArrivalTxn(cluster.Arrival{Spec: *spec}).Then {
+	for _, c := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
 		s.Put(c.Set, c.Value)
 	}
-	s.Put(storage.KeyFinal(spec.ID), protocol.Encode(storage.Final{
+	s.Put(storage.KeyTerminal(spec.ID), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
@@ -253,7 +253,7 @@
 	}
 	go term.saveLoop(ctx)
 	go term.inboxLoop(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixInbox)) > 0; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
 		}
@@ -279,7 +279,7 @@
 		_ = transport.ServeMesh(t.Context(), mesh, log, func(ctx context.Context, frame []byte) ([]byte, error) {
 			return answerFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
 				return stateAnswer(http.StatusOK, protocol.JobState{
-					UID:   "j-000001",
+					ID:    "j-000001",
 					Stage: protocol.StagePending,
 				})
 			})
@@ -297,7 +297,7 @@
 	})
 	l := c.deps.Lease
 	l.answeredAt = clock.now
-	l.monitor.observe(storage.Lease{Holder: s.Node, Incarnation: 3}, 1, clock.now)
+	l.monitor.observe(storage.LeaseRecord{Holder: s.Node, Incarnation: 3}, 1, clock.now)
 	clock.now += recordAge + units.Millisecond
 	go c.peers.Run(t.Context())
 	for deadline := time.Now().Add(10 * time.Second); c.whoLeads() != "next"; time.Sleep(5 * time.Millisecond) {
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -41,7 +41,7 @@
 			spec.Tasks = c.tasks
 			job := term.ledger.NewJob(spec, clock.now, clock.now)
 			for index := range c.tasks / 2 {
-				term.ledger.Done(job, 2*index, clock.now)
+				term.ledger.TaskDone(job, 2*index, clock.now)
 			}
 		}
 		saveAll(term)
@@ -67,10 +67,10 @@
 	steps := func(machines int) map[string]float64 {
 		term, reports := busyTerm(machines)
 		i := 0
-		next := func() *protocol.Report {
+		next := func() *protocol.Heartbeat {
 			i++
 			r := reports[i%len(reports)]
-			r.Seq += 10
+			r.Sequence += 10
 			return r
 		}
 		done := 0
@@ -81,16 +81,16 @@
 			}),
 			"end of a task": testing.AllocsPerRun(100, func() {
 				m := term.ledger.Machines[next().Machine]
-				term.ledger.Gone(m.Sorted()[0], units.Second)
+				term.ledger.AttemptGone(m.SortedAttempts()[0], units.Second)
 				term.fill(m, units.Second)
 			}),
 			"save": testing.AllocsPerRun(100, func() {
 				done++
 				j := term.ledger.Jobs["j-000299"]
-				term.ledger.Done(j, done, units.Second)
-				j.Changed(units.Second, true)
-				s := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{}, units.Second)
-				term.ledger.Applied(s, 1)
+				term.ledger.TaskDone(j, done, units.Second)
+				j.MarkChanged(units.Second, true)
+				s := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{}, units.Second)
+				term.ledger.BatchCommitted(s, 1)
 			}),
 		}
 	}
@@ -112,7 +112,7 @@
 		t.Fatalf("the machine has only %d tasks", len(r.Tasks))
 	}
 	allocs := testing.AllocsPerRun(100, func() {
-		r.Seq++
+		r.Sequence++
 		m := term.observe(r, units.Second)
 		if out := term.commands(m, r, units.Second); len(out) > 0 {
 			t.Errorf("commands for nothing new: %v", out)
--- a/internal/coordination/delivery_test.go
+++ b/internal/coordination/delivery_test.go
@@ -23,7 +23,7 @@
 	starts := 0
 	for seq := uint64(1); seq < 10; seq++ {
 		for _, c := range term.exchange(testReport(lost, 1, seq, 7)) {
-			if c.Verb == protocol.Start {
+			if c.Verb == protocol.VerbStart {
 				starts++
 			}
 		}
@@ -56,21 +56,21 @@
 		report(1)
 	}
 	m := report(1)
-	if m.Undelivered < maxUndelivered {
+	if m.UndeliveredCommands < maxUndelivered {
 		t.Fatal("the machine is not thought to get no answers")
 	}
 	// No answers still: a new session each lease.
 	for session := uint64(2); session < 5; session++ {
 		for range 8 {
 			clock.now += modelLease / 8
-			if report(session); m.Undelivered < maxUndelivered {
+			if report(session); m.UndeliveredCommands < maxUndelivered {
 				t.Fatal("a machine that begins a new session with each lease is thought to hear")
 			}
 		}
 	}
 	for range 12 {
 		clock.now += modelLease / 8
-		if report(4); m.Undelivered == 0 && term.accepts(m, clock.now) {
+		if report(4); m.UndeliveredCommands == 0 && term.accepts(m, clock.now) {
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 // A machine that hears some of its answers gets enough of them.
 func TestLostAnswerIsForgiven(t *testing.T) {
 	term, clock := guardTerm(t, 8)
-	var last []protocol.TaskReport
+	var last []protocol.TaskStatus
 	for seq := uint64(1); seq < 6; seq++ {
 		r := testReport("i-000001", 1, seq, 7)
 		r.Tasks = last
@@ -90,12 +90,12 @@
 		}
 		last = nil
 		for _, c := range out {
-			if c.Verb == protocol.Start {
+			if c.Verb == protocol.VerbStart {
 				var index int
 				if _, err := fmt.Sscanf(c.Task, "j-000001/%d", &index); err != nil {
 					t.Fatal(err)
 				}
-				last = append(last, protocol.TaskReport{
+				last = append(last, protocol.TaskStatus{
 					Job:     "j-000001",
 					Index:   index,
 					Attempt: c.Attempt,
@@ -105,8 +105,8 @@
 			}
 		}
 	}
-	if m := term.ledger.Machines["i-000001"]; m.Undelivered >= maxUndelivered || !term.accepts(m, clock.now) {
-		t.Errorf("%d answers count as unheard", m.Undelivered)
+	if m := term.ledger.Machines["i-000001"]; m.UndeliveredCommands >= maxUndelivered || !term.accepts(m, clock.now) {
+		t.Errorf("%d answers count as unheard", m.UndeliveredCommands)
 	}
 }
 
@@ -125,7 +125,7 @@
 	}
 	// Of one that was released in this term, however late.
 	term.observe(testReport("i-000002", 1, 1, 7), clock.now)
-	term.ledger.Remove(term.ledger.Machines["i-000002"], clock.now)
+	term.ledger.RemoveMachine(term.ledger.Machines["i-000002"], clock.now)
 	term.released.add("i-000002", clock.now)
 	clock.now += 600 * units.Second
 	if m := term.observe(testReport("i-000002", 1, 9, 7), clock.now); m != nil || term.ledger.Machines["i-000002"] != nil {
@@ -133,18 +133,18 @@
 	}
 	// Of one that is known: the older report has no effect.
 	m := term.observe(testReport("i-000003", 2, 4, 7), clock.now)
-	heard := m.LastAnswered
+	heard := m.LastHeartbeat
 	clock.now += 5 * units.Second
-	for _, r := range []*protocol.Report{testReport("i-000003", 2, 4, 7), testReport("i-000003", 1, 99, 7)} {
-		if term.observe(r, clock.now) != nil || m.LastAnswered != heard {
+	for _, r := range []*protocol.Heartbeat{testReport("i-000003", 2, 4, 7), testReport("i-000003", 1, 99, 7)} {
+		if term.observe(r, clock.now) != nil || m.LastHeartbeat != heard {
 			t.Error("an old report renews the machine's lease")
 		}
 	}
 	// A machine stays unconfirmed whatever an earlier term's report says.
 	j := term.ledger.Jobs["j-000001"]
-	term.ledger.MarkUnconfirmed(j, "i-000004")
+	term.ledger.MarkUnreconciled(j, "i-000004")
 	term.observe(testReport("i-000004", 1, 1, 6), clock.now)
-	if !j.Unconfirmed["i-000004"] {
+	if !j.UnreconciledMachines["i-000004"] {
 		t.Error("a report from before this term confirms a machine")
 	}
 }
@@ -156,17 +156,17 @@
 func TestAnnouncementIsOnlyAFirstWord(t *testing.T) {
 	term, clock := guardTerm(t, 2)
 	j := term.ledger.Jobs["j-000001"]
-	term.ledger.MarkUnconfirmed(j, "i-000001")
-	term.ledger.Machine("i-000001", "m", "a", true, clock.now)
+	term.ledger.MarkUnreconciled(j, "i-000001")
+	term.ledger.EnsureMachine("i-000001", "m", "a", true, clock.now)
 	term.announced(testReport("i-000001", 1, 5, 7))
-	if len(j.Unconfirmed) > 0 {
+	if len(j.UnreconciledMachines) > 0 {
 		t.Error("a report that shows this term does not confirm the machine")
 	}
-	if out := term.exchange(testReport("i-000001", 1, 6, 7)); len(out) != 2 || out[0].Verb != protocol.Start {
+	if out := term.exchange(testReport("i-000001", 1, 6, 7)); len(out) != 2 || out[0].Verb != protocol.VerbStart {
 		t.Fatalf("no starts: %v", out)
 	}
 	term.announced(testReport("i-000001", 1, 7, 7))
-	if len(j.Live) != 2 {
+	if len(j.LiveAttempts) != 2 {
 		t.Error("starts that are on their way are taken for lost")
 	}
 	// A machine that the ledger does not know is not brought in this way.
--- a/internal/coordination/direct.go
+++ b/internal/coordination/direct.go
@@ -29,7 +29,7 @@
 // which tasks to stop, and, if a task of a job waits to be started there, to
 // report.
 func (t *Term) requestDirect(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
-	if m.Endpoint == "" || m.LastAnswered+t.Settings.Fleet.Workers.Report()-now <= directWorth {
+	if m.Endpoint == "" || m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now <= directWorth {
 		return
 	}
 	if t.directRequests[m.ID] == nil || starts != nil {
@@ -85,25 +85,25 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.ledger.Machines[id]
-	if m == nil || m.Term != t.number || !t.Lease.Valid(t.number) {
+	if m == nil || m.FencingToken != t.number || !t.Lease.Valid(t.number) {
 		return "", nil
 	}
 	var out []protocol.Command
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		if len(out) == protocol.MaxCommands {
 			break
 		}
 		switch {
 		case a.Job.Cancelled && a.Stage != cluster.Assigned:
-			out = append(out, stopCommand(a.Task(), a.Number, 0))
-		case a.Stop && (a.Stage == cluster.Running || a.Stage == cluster.Fetching):
-			out = append(out, stopCommand(a.Task(), a.Number, a.Grace))
+			out = append(out, stopCommand(a.TaskName(), a.Number, 0))
+		case a.Stopping && (a.Stage == cluster.Running || a.Stage == cluster.Fetching):
+			out = append(out, stopCommand(a.TaskName(), a.Number, a.GracePeriod))
 		}
 	}
 	if starts != nil && starts.Spec.Tasks < protocol.MaxTasks {
 		t.attempts++
 		out = append(out, protocol.Command{
-			Verb:    protocol.Start,
+			Verb:    protocol.VerbStart,
 			Task:    protocol.TaskName(starts.Spec.ID, starts.Spec.Tasks),
 			Attempt: t.number<<32 | t.attempts,
 		})
@@ -112,8 +112,8 @@
 		return "", nil
 	}
 	return m.Endpoint, protocol.Encode(protocol.DirectCommands{
-		Term:     t.number,
-		Session:  m.Session,
-		Commands: out,
+		FencingToken: t.number,
+		Incarnation:  m.Incarnation,
+		Commands:     out,
 	})
 }
--- a/internal/coordination/finals.go
+++ b/internal/coordination/finals.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-func (t *Term) readFinal(ctx context.Context, id string) (storage.FinalRecord, bool, error) {
+func (t *Term) readFinal(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
 	return ReadFinal(ctx, t.Store, id)
 }
 
@@ -18,13 +18,13 @@
 const finalCall = 1200 * units.Millisecond
 
 // ReadFinal reads a finished job's record.
-func ReadFinal(ctx context.Context, store *kv.Store, id string) (storage.FinalRecord, bool, error) {
-	var f storage.FinalRecord
-	item, ok, err := store.Get(ctx, storage.KeyFinal(id), finalCall)
+func ReadFinal(ctx context.Context, store *kv.Client, id string) (storage.StoredTerminalRecord, bool, error) {
+	var f storage.StoredTerminalRecord
+	item, ok, err := store.Get(ctx, storage.KeyTerminal(id), finalCall)
 	if err != nil || !ok {
 		return f, false, err
 	}
-	if err := protocol.Decode(item.Value, &f.Final); err != nil || !f.Stage.Final() {
+	if err := protocol.Decode(item.Value, &f.TerminalRecord); err != nil || !f.Stage.IsTerminal() {
 		return f, false, fmt.Errorf("record %s is not readable: %w", item.Key, err)
 	}
 	f.Version = item.Version
@@ -35,21 +35,21 @@
 // bound on their number.
 type finalCache struct {
 	most     int
-	old, new map[string]storage.FinalRecord
+	old, new map[string]storage.StoredTerminalRecord
 }
 
 func newFinalCache(most int) *finalCache {
-	return &finalCache{most: most, old: map[string]storage.FinalRecord{}, new: map[string]storage.FinalRecord{}}
+	return &finalCache{most: most, old: map[string]storage.StoredTerminalRecord{}, new: map[string]storage.StoredTerminalRecord{}}
 }
 
-func (c *finalCache) put(id string, f storage.FinalRecord) {
+func (c *finalCache) put(id string, f storage.StoredTerminalRecord) {
 	if len(c.new) >= c.most/2 {
-		c.old, c.new = c.new, map[string]storage.FinalRecord{}
+		c.old, c.new = c.new, map[string]storage.StoredTerminalRecord{}
 	}
 	c.new[id] = f
 }
 
-func (c *finalCache) get(id string) (storage.FinalRecord, bool) {
+func (c *finalCache) get(id string) (storage.StoredTerminalRecord, bool) {
 	if f, ok := c.new[id]; ok {
 		return f, true
 	}
@@ -61,14 +61,14 @@
 }
 
 // final finds the final state of a job that is not live.
-func (t *Term) final(ctx context.Context, id string) (storage.FinalRecord, bool, error) {
+func (t *Term) final(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
 	t.mu.Lock()
 	f, ok := t.finals.get(id)
 	t.mu.Unlock()
 	if ok {
 		return f, true, nil
 	}
-	if !t.Store.Spare() {
+	if !t.Store.HasRequestBudget() {
 		return f, false, kv.ErrRefused // questions about unknown jobs must not crowd out the rest
 	}
 	f, ok, err := t.readFinal(ctx, id)
--- a/internal/coordination/fleetsize_test.go
+++ b/internal/coordination/fleetsize_test.go
@@ -15,13 +15,13 @@
 const largestFleet = 4000
 
 // namedFleet is a leader with jobs on every machine of a fleet, and the reports of these.
-func namedFleet(machines int) (*Term, []*protocol.Report) {
+func namedFleet(machines int) (*Term, []*protocol.Heartbeat) {
 	const perMachine, jobs = 4, 40
 	clock := &manualClock{now: units.Second}
 	term := testTerm(1, clock)
 	term.install(nil, modelCatalog)
 	term.ledger.UpgradeFormat(storage.FormatNew, clock.now)
-	term.ledger.Teams["team"].Limit = cpus(perMachine * machines)
+	term.ledger.Teams["team"].QuotaLimit = cpus(perMachine * machines)
 	var all []*cluster.Job
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
@@ -29,14 +29,14 @@
 		all = append(all, term.ledger.NewJob(spec, clock.now, clock.now))
 	}
 	term.save()
-	reports := make([]*protocol.Report, machines)
+	reports := make([]*protocol.Heartbeat, machines)
 	for i := range reports {
 		reports[i] = testReport(fmt.Sprintf("i-%06d", i), 1, 1, 1)
 		machine := term.observe(reports[i], clock.now)
 		for k := range perMachine {
 			number := uint64(i*perMachine + k + 1)
 			a := term.ledger.Assign(all[int(number-1)%jobs], machine, number, clock.now)
-			reports[i].Tasks = append(reports[i].Tasks, protocol.TaskReport{
+			reports[i].Tasks = append(reports[i].Tasks, protocol.TaskStatus{
 				Job: a.Job.Spec.ID, Index: a.Index, Attempt: a.Number, Stage: protocol.TaskRunning,
 			})
 		}
@@ -56,24 +56,24 @@
 		}
 	}
 	later := testTerm(2, &manualClock{now: units.Second})
-	later.ledger.Teams["team"].Limit = term.ledger.Teams["team"].Limit
+	later.ledger.Teams["team"].QuotaLimit = term.ledger.Teams["team"].QuotaLimit
 	jobs, _, err := cluster.ParseJobs(rows)
 	if err != nil {
 		t.Fatal(err)
 	}
 	later.install(jobs, modelCatalog)
-	if n := later.ledger.UnconfirmedCount(); n != largestFleet {
+	if n := later.ledger.UnreconciledCount(); n != largestFleet {
 		t.Fatalf("%d machines are unconfirmed after the restore", n)
 	}
 	for _, r := range reports {
-		r.Seq, r.Term = r.Seq+1, 2
+		r.Sequence, r.FencingToken = r.Sequence+1, 2
 		later.observe(r, units.Second)
 	}
 	live := 0
 	for _, j := range later.ledger.Jobs {
-		live += len(j.Live)
+		live += len(j.LiveAttempts)
 	}
-	if n := later.ledger.UnconfirmedCount(); n != 0 || live != 4*largestFleet {
+	if n := later.ledger.UnreconciledCount(); n != 0 || live != 4*largestFleet {
 		t.Errorf("%d machines are unconfirmed after their reports, %d tasks are known", n, live)
 	}
 }
@@ -104,7 +104,7 @@
 func TestMachineListLeavesRequestsToRents(t *testing.T) {
 	cloud := config.Cloud{RPS: 6, ListLagS: 4}
 	for _, machines := range []int{0, 400, 1700, largestFleet, 3 * largestFleet} {
-		pages := float64(1 + machines/protocol.MaxList)
+		pages := float64(1 + machines/protocol.MaxListPage)
 		every := listEvery(cloud, machines)
 		if rate := pages / every.Seconds(); rate > cloud.RPS/3 {
 			t.Errorf("%d machines: the list takes %.2f requests a second of %.0f", machines, rate, cloud.RPS)
--- a/internal/coordination/format.go
+++ b/internal/coordination/format.go
@@ -23,7 +23,7 @@
 type FleetFormat struct {
 	node  string
 	nodes []string // all that are configured
-	store *kv.Store
+	store *kv.Client
 	log   *slog.Logger
 	reads int // the format that this node tells the others
 
@@ -36,7 +36,7 @@
 
 // NewFleetFormat makes the fleet's format as a controller knows it. The controller tells
 // the others that it reads the format given, and all before it.
-func NewFleetFormat(node string, others []string, reads int, store *kv.Store, log *slog.Logger) *FleetFormat {
+func NewFleetFormat(node string, others []string, reads int, store *kv.Client, log *slog.Logger) *FleetFormat {
 	f := &FleetFormat{node: node, nodes: append([]string{node}, others...), reads: reads, store: store, log: log}
 	f.level.Store(storage.FormatOld)
 	return f
@@ -93,8 +93,8 @@
 }
 
 func (f *FleetFormat) learn(level int) {
-	if level > storage.Format && !f.newer.Swap(true) {
-		f.log.Error("the fleet's records have a format of a later version; this node does not lead", "format", level, "known", storage.Format)
+	if level > storage.NewestFormat && !f.newer.Swap(true) {
+		f.log.Error("the fleet's records have a format of a later version; this node does not lead", "format", level, "known", storage.NewestFormat)
 	}
 	if level > f.Level() {
 		f.level.Store(int64(level))
@@ -128,7 +128,7 @@
 
 // readByAll gives the newest format that every controller reads.
 func readByAll(nodes []string, known map[string]stored) int {
-	level := storage.Format
+	level := storage.NewestFormat
 	for _, node := range nodes {
 		level = min(level, max(known[storage.KeyFormat(node)].format, storage.FormatOld))
 	}
@@ -136,14 +136,14 @@
 }
 
 func (f *FleetFormat) write(ctx context.Context, key string, format int, on uint64) error {
-	_, err := f.store.Commit(ctx, protocol.Txn{
+	_, err := f.store.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{{Key: key, Version: on}},
 		Then: []protocol.Change{{
 			Set:   key,
-			Value: protocol.Encode(storage.FormatRecord{Format: format, By: f.node}),
+			Value: protocol.Encode(storage.FormatRecord{Format: format, WrittenBy: f.node}),
 		}},
 	}, kv.Urgent, stateCall)
-	var conflict *kv.ConflictError
+	var conflict *kv.VersionConflictError
 	if errors.As(err, &conflict) {
 		return errors.New("another write came first") // the next look tells
 	}
--- a/internal/coordination/format_test.go
+++ b/internal/coordination/format_test.go
@@ -26,7 +26,7 @@
 	t.Cleanup(server.Close)
 	out := map[string]*FleetFormat{}
 	for i, node := range nodes {
-		store := kv.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+		store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 		}, len(nodes)-1, units.NewSystemClock())
@@ -71,11 +71,11 @@
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
 	for what, put := range map[string]func(s *standin.State){
 		"the fleet's format": func(s *standin.State) {
-			s.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.Format + 1}))
+			s.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
 		},
 		"a job's record": func(s *standin.State) {
 			s.Put(storage.KeyJob("j-000001"), protocol.Encode(map[string]any{
-				"v":     storage.Format + 1,
+				"v":     storage.NewestFormat + 1,
 				"id":    "j-000001",
 				"tasks": 1,
 			}))
@@ -107,9 +107,9 @@
 // back; what can never run is refused for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	term := testTerm(1, &manualClock{})
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	service := *modelSpec("j-000001")
-	service.Shape, service.Tasks = protocol.Service, modelLimit
+	service.Kind, service.Tasks = protocol.Service, modelLimit
 	for _, c := range []struct {
 		level, tasks, want int
 	}{
@@ -140,13 +140,13 @@
 		TxnOps:   12,
 		Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 	}
-	term.ledger = cluster.NewLedger(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term.ledger = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	go term.saveLoop(ctx)
 	submit := func(id string, tasks int) {
 		t.Helper()
@@ -181,12 +181,12 @@
 		term.mu.Lock()
 		defer term.mu.Unlock()
 		for i := from; i < to; i++ {
-			term.ledger.Assign(term.ledger.Jobs[large], term.ledger.Machine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
+			term.ledger.Assign(term.ledger.Jobs[large], term.ledger.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
 		}
 		signal(term.saveSignal)
 	}
 	named := func(to int) func() bool {
-		return func() bool { return term.ledger.Jobs[large].MayStartOn(fmt.Sprintf("i-%06d", to-1)) }
+		return func() bool { return term.ledger.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
 	}
 	name(0, 300)
 	eventually(named(300))
@@ -205,7 +205,7 @@
 	eventually(named(900))
 	term.mu.Lock()
 	for i := range protocol.MaxTasks {
-		term.ledger.Done(term.ledger.Jobs[large], i, 0)
+		term.ledger.TaskDone(term.ledger.Jobs[large], i, 0)
 	}
 	term.mu.Unlock()
 	signal(term.saveSignal)
--- a/internal/coordination/harness_test.go
+++ b/internal/coordination/harness_test.go
@@ -29,17 +29,17 @@
 // save carries out all saves that are due.
 func (t *Term) save() {
 	for {
-		s := t.ledger.BuildSave(t.saveID(), t.bucketVersions, cluster.SaveLimits{Tasks: true}, t.Clock.Steady())
+		s := t.ledger.BuildWriteBatch(t.saveID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
 		if s == nil {
 			return
 		}
-		t.ledger.Applied(s, 1)
+		t.ledger.BatchCommitted(s, 1)
 	}
 }
 
 // exchange is one report and its answer; saves that the answer needs are
 // carried out first.
-func (t *Term) exchange(r *protocol.Report) []protocol.Command {
+func (t *Term) exchange(r *protocol.Heartbeat) []protocol.Command {
 	now := t.Clock.Steady()
 	m := t.observe(r, now)
 	if m == nil {
@@ -51,15 +51,15 @@
 	return t.commands(m, r, now)
 }
 
-func testReport(machine string, session, seq, term uint64) *protocol.Report {
-	return &protocol.Report{
-		Machine: machine,
-		Type:    "m",
-		Zone:    "a",
-		Spot:    true,
-		Session: session,
-		Seq:     seq,
-		Term:    term,
+func testReport(machine string, session, seq, term uint64) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine:      machine,
+		InstanceType: "m",
+		Zone:         "a",
+		Spot:         true,
+		Incarnation:  session,
+		Sequence:     seq,
+		FencingToken: term,
 	}
 }
 
@@ -98,7 +98,7 @@
 		Resources: config.Resources{CoreShare: 1, RAMMB: 100, MaxConnections: 100}}}
 }
 
-var modelCatalog = protocol.Catalog{Types: []protocol.MachineType{
+var modelCatalog = protocol.Catalog{Types: []protocol.InstanceType{
 	{
 		Name:      "m",
 		CPUs:      modelMachine,
--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -34,7 +34,7 @@
 	needed := typesNeededWhole(machines, jobs, like)
 	byZone, fleet := headroomCandidates(machines, like)
 	each := headroomPerZone
-	if all := like.Need.CPU * headroomFleetShare * units.Amount(len(byZone)); all > 0 {
+	if all := like.Request.CPU * headroomFleetShare * units.Amount(len(byZone)); all > 0 {
 		each = int(min(units.Amount(each), fleet/all))
 	}
 	var out []int
@@ -44,7 +44,7 @@
 			x, y := &machines[a], &machines[b]
 			return cmp.Or(
 				compareBools(needed[x.Type], needed[y.Type]),
-				-compareBools(x.Free.Fits(like.Need) > 0, y.Free.Fits(like.Need) > 0),
+				-compareBools(x.Free.Fits(like.Request) > 0, y.Free.Fits(like.Request) > 0),
 				-compareBools(before(a), before(b)),
 				-compareBools(x.Images(like.Image), y.Images(like.Image)),
 				-cmp.Compare(x.Size.CPU, y.Size.CPU))
@@ -63,9 +63,9 @@
 		if _, seen := needed[m.Type]; seen {
 			continue
 		}
-		rest := m.Size.Plus(like.Need, -1)
+		rest := m.Size.Plus(like.Request, -1)
 		needed[m.Type] = slices.ContainsFunc(jobs, func(j JobView) bool {
-			return m.Size.Fits(j.Spec.Need) > 0 && rest.Fits(j.Spec.Need) == 0
+			return m.Size.Fits(j.Spec.Request) > 0 && rest.Fits(j.Spec.Request) == 0
 		})
 	}
 	return needed
@@ -81,7 +81,7 @@
 			continue
 		}
 		fleet += m.Size.CPU
-		if !m.Slow && m.Size.Fits(like.Need) > 0 && allowed(like, m.Type, m.Zone, m.Spot) {
+		if !m.Slow && m.Size.Fits(like.Request) > 0 && allowed(like, m.Type, m.Zone, m.Spot) {
 			byZone[m.Zone] = append(byZone[m.Zone], k)
 		}
 	}
@@ -105,8 +105,8 @@
 	var like *protocol.JobSpec
 	for _, j := range t.ledger.Jobs {
 		s := &j.Spec
-		if j.Service() && !j.Cancelled && s.Priority >= protocol.High && (like == nil ||
-			cmp.Or(cmp.Compare(s.Need.CPU, like.Need.CPU), cmp.Compare(s.Need.Memory, like.Need.Memory), -cmp.Compare(s.ID, like.ID)) > 0) {
+		if j.IsService() && !j.Cancelled && s.Priority >= protocol.High && (like == nil ||
+			cmp.Or(cmp.Compare(s.Request.CPU, like.Request.CPU), cmp.Compare(s.Request.Memory, like.Request.Memory), -cmp.Compare(s.ID, like.ID)) > 0) {
 			like = s
 		}
 	}
@@ -119,13 +119,13 @@
 func (t *Term) headroomReplicas(like *protocol.JobSpec) int {
 	var used units.Amount
 	for _, j := range t.ledger.Jobs {
-		if j.Service() && !j.Cancelled {
-			used += j.Spec.Need.CPU * units.Amount(j.Spec.Tasks)
+		if j.IsService() && !j.Cancelled {
+			used += j.Spec.Request.CPU * units.Amount(j.Spec.Tasks)
 		}
 	}
 	n := headroomPerZone * len(t.Settings.Fleet.Zones)
-	if like.Need.CPU > 0 {
-		n = max(n, int(used/like.Need.CPU/headroomServiceShare))
+	if like.Request.CPU > 0 {
+		n = max(n, int(used/like.Request.CPU/headroomServiceShare))
 	}
 	return n
 }
@@ -136,7 +136,7 @@
 	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return t.headroom[machines[k]] != units.Resources{} })
 	clear(t.headroom)
 	for _, k := range kept {
-		s.Machines[k].Headroom = like.Need
-		t.headroom[machines[k]] = like.Need
+		s.Machines[k].Headroom = like.Request
+		t.headroom[machines[k]] = like.Request
 	}
 }
--- a/internal/coordination/inbox.go
+++ b/internal/coordination/inbox.go
@@ -30,12 +30,12 @@
 type arrivals struct {
 	alone atomic.Int64 // memory of the jobs accepted so since it last reached a leader
 	mu    sync.Mutex
-	types map[string]protocol.MachineType
+	types map[string]protocol.InstanceType
 	until units.Micros
 }
 
 // machineTypes gives the types that the last leader stored.
-func (c *Controller) machineTypes(ctx context.Context) map[string]protocol.MachineType {
+func (c *Controller) machineTypes(ctx context.Context) map[string]protocol.InstanceType {
 	a := &c.arrivals
 	now := c.deps.Clock.Steady()
 	a.mu.Lock()
@@ -55,7 +55,7 @@
 	if err != nil || len(catalog.Types) == 0 {
 		return nil
 	}
-	types = map[string]protocol.MachineType{}
+	types = map[string]protocol.InstanceType{}
 	for _, t := range catalog.Types {
 		types[t.Name] = t
 	}
@@ -69,13 +69,13 @@
 // taken; otherwise the refusal stands, and a leader decides when there is one.
 func (c *Controller) acceptAlone(ctx context.Context, spec *protocol.JobSpec, refused answer) answer {
 	store, lease := c.deps.Store, c.deps.Lease
-	if lease.Unanswered() >= lease.timing.Length || !store.Spare() || !store.WritesSpare() {
+	if lease.Unanswered() >= lease.timing.Length || !store.HasRequestBudget() || !store.HasWriteBudget() {
 		return refused
 	}
 	if status, _ := checkRunnable(spec, c.deps.Settings, c.machineTypes(ctx), c.deps.Format.Level()); status != 0 {
 		return refused
 	}
-	arrival := cluster.ArrivalTxn(cluster.Arrival{
+	arrival := cluster.PendingSubmissionTxn(cluster.PendingSubmission{
 		Spec:      *spec,
 		Submitted: c.deps.Clock.Wall(),
 	})
@@ -87,12 +87,12 @@
 		arrival.If = append(arrival.If, condition)
 	}
 	share := jobMemory(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
-	if c.arrivals.alone.Add(cluster.MemoryOf(spec)) > share {
+	if c.arrivals.alone.Add(cluster.JobMemory(spec)) > share {
 		return plainAnswer(Refuse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
 	readAt := c.deps.Clock.Steady()
-	_, err := store.Commit(ctx, arrival, kv.Paced, arrivalCall)
-	var conflict *kv.ConflictError
+	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, arrivalCall)
+	var conflict *kv.VersionConflictError
 	switch {
 	case errors.As(err, &conflict):
 		// It is known already: a repeat, or the leader took it after all.
@@ -104,7 +104,7 @@
 		return refused
 	}
 	c.deps.Log.Info("job accepted without a leader", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-	accepted := provisionalAnswer(stateAnswer(http.StatusCreated, protocol.JobState{UID: spec.ID, Stage: protocol.StagePending}), readAt)
+	accepted := provisionalAnswer(stateAnswer(http.StatusCreated, protocol.JobState{ID: spec.ID, Stage: protocol.StagePending}), readAt)
 	if c.gate().outdated(accepted) {
 		return c.records().poll(ctx, spec.ID) // it may be over by now
 	}
@@ -128,7 +128,7 @@
 func (t *Term) inboxLoop(ctx context.Context) {
 	var watch inboxWatch
 	for wait := units.Micros(0); pause(ctx, wait); wait = inboxEvery {
-		if !t.Lease.Valid(t.number) || !t.Store.Spare() {
+		if !t.Lease.Valid(t.number) || !t.Store.HasRequestBudget() {
 			continue
 		}
 		items, err := watch.next(ctx, t)
@@ -142,7 +142,7 @@
 
 // askInbox takes a single job in, if it is in the inbox.
 func (t *Term) askInbox(ctx context.Context, id string) error {
-	item, ok, err := t.Store.Get(ctx, storage.KeyInbox(id), arrivalCall)
+	item, ok, err := t.Store.Get(ctx, storage.KeyPending(id), arrivalCall)
 	if err == nil && ok {
 		return t.takeIn(ctx, []protocol.Item{item})
 	}
@@ -155,7 +155,7 @@
 	var over protocol.Txn
 	t.mu.Lock()
 	for _, item := range items {
-		a, err := cluster.ParseArrival(item)
+		a, err := cluster.ParsePendingSubmission(item)
 		if err != nil {
 			t.Log.Error("a job in the inbox is not readable; it is left there", "error", err)
 			unreadable = err
@@ -165,7 +165,7 @@
 			if t.ledger.Jobs[a.Spec.ID] == nil {
 				t.Log.Info("job taken in", "job", a.Spec.ID, "class", a.Spec.Class, "team", a.Spec.Team, "tasks", a.Spec.Tasks)
 			}
-			t.ledger.TakeIn(a, t.Clock.Steady())
+			t.ledger.AddPending(a, t.Clock.Steady())
 		} else if len(over.Then) < t.Settings.Fleet.State.Both().TxnOps {
 			over.If = append(over.If, protocol.Condition{Key: item.Key, Version: item.Version})
 			over.Then = append(over.Then, protocol.Change{Delete: item.Key})
@@ -178,7 +178,7 @@
 		signal(t.saveSignal)
 	}
 	if len(over.Then) > 0 {
-		if _, err := t.Store.Commit(ctx, over, kv.Paced, stateCall); err != nil {
+		if _, err := t.Store.CompareAndSwap(ctx, over, kv.Paced, stateCall); err != nil {
 			t.Log.Debug("inbox not cleared", "error", err)
 			t.inboxUncleared.Store(true)
 		}
--- a/internal/coordination/inboxwatch.go
+++ b/internal/coordination/inboxwatch.go
@@ -27,8 +27,8 @@
 	if w.revision == 0 || now-w.readAt >= inboxResync || t.inboxUncleared.Swap(false) {
 		return w.read(ctx, t, now)
 	}
-	list, err := t.Store.Changes(ctx, storage.PrefixInbox, w.revision, 0)
-	if errors.Is(err, kv.ErrTooOld) {
+	list, err := t.Store.Watch(ctx, storage.PrefixPending, w.revision, 0)
+	if errors.Is(err, kv.ErrCompacted) {
 		return w.read(ctx, t, now)
 	}
 	if err != nil {
@@ -41,7 +41,7 @@
 // read reads the whole inbox.
 func (w *inboxWatch) read(ctx context.Context, t *Term, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
-	items, revision, err := listAll(ctx, t.Store, storage.PrefixInbox)
+	items, revision, err := listAll(ctx, t.Store, storage.PrefixPending)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/inboxwatch_test.go
+++ b/internal/coordination/inboxwatch_test.go
@@ -15,7 +15,7 @@
 // arrives puts a job into the inbox, as another controller does.
 func arrives(t *testing.T, s *standin.State, id string) {
 	t.Helper()
-	if _, ok := s.Apply(cluster.ArrivalTxn(cluster.Arrival{Spec: *modelSpec(id)})); !ok {
+	if _, ok := s.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *modelSpec(id)})); !ok {
 		t.Fatalf("%s is not taken into the inbox", id)
 	}
 }
@@ -41,7 +41,7 @@
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
-	first, second, third := storage.KeyInbox("j-000001"), storage.KeyInbox("j-000002"), storage.KeyInbox("j-000003")
+	first, second, third := storage.KeyPending("j-000001"), storage.KeyPending("j-000002"), storage.KeyPending("j-000003")
 	arrives(t, s, "j-000001")
 	expect("at first", first)
 	expect("nothing new")
@@ -62,7 +62,7 @@
 	if items, err := watch.next(ended, term); err == nil {
 		t.Fatalf("without an answer: %v", items)
 	}
-	expect("after an outage", storage.KeyInbox("j-000004"))
+	expect("after an outage", storage.KeyPending("j-000004"))
 }
 
 // A job that is over is taken out of the inbox, though only the save that would have
@@ -73,9 +73,9 @@
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	over := storage.Final{Stage: protocol.StageDone, Tasks: 2, Done: 2}
+	over := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
 	arrives(t, s, "j-000001")
-	s.Put(storage.KeyFinal("j-000001"), protocol.Encode(over))
+	s.Put(storage.KeyTerminal("j-000001"), protocol.Encode(over))
 	var watch inboxWatch
 	for range 2 {
 		items, err := watch.next(t.Context(), term)
@@ -88,7 +88,7 @@
 		}
 		term.Clock.(*manualClock).now += units.Second
 	}
-	if left := s.Keys(storage.PrefixInbox); len(left) != 0 {
+	if left := s.Keys(storage.PrefixPending); len(left) != 0 {
 		t.Errorf("left in the inbox: %v", left)
 	}
 }
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -20,7 +20,7 @@
 // FleetLease holds or watches the fleet lease record.
 type FleetLease struct {
 	node   string
-	store  *kv.Store
+	store  *kv.Client
 	clock  units.Clock
 	timing LeaseTiming
 	random *rand.Rand
@@ -47,7 +47,7 @@
 }
 
 // NewFleetLease makes the lease of a node.
-func NewFleetLease(node string, store *kv.Store, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *FleetLease {
+func NewFleetLease(node string, store *kv.Client, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *FleetLease {
 	return &FleetLease{
 		node:       node,
 		store:      store,
@@ -201,35 +201,35 @@
 // write commits the lease record on a version, and finds out what became of
 // it if no answer comes. It gives the version that now stands and whether the
 // record is the one written.
-func (f *FleetLease) write(ctx context.Context, rec storage.Lease, on uint64) (uint64, bool, error) {
-	rev, err := f.store.Commit(ctx, protocol.Txn{
-		If:   []protocol.Condition{{Key: storage.KeyFleet, Version: on}},
-		Then: []protocol.Change{{Set: storage.KeyFleet, Value: protocol.Encode(rec)}},
+func (f *FleetLease) write(ctx context.Context, rec storage.LeaseRecord, on uint64) (uint64, bool, error) {
+	rev, err := f.store.CompareAndSwap(ctx, protocol.Txn{
+		If:   []protocol.Condition{{Key: storage.KeyLeaderLease, Version: on}},
+		Then: []protocol.Change{{Set: storage.KeyLeaderLease, Value: protocol.Encode(rec)}},
 	}, kv.Urgent, leaseCall)
-	var conflict *kv.ConflictError
+	var conflict *kv.VersionConflictError
 	switch {
 	case err == nil:
 		return rev, true, nil
-	case errors.As(err, &conflict), errors.Is(err, kv.ErrUncertain):
+	case errors.As(err, &conflict), errors.Is(err, kv.ErrOutcomeUnknown):
 		// Either another node was faster, or an earlier save of ours that got
 		// no answer was carried out after all. The record tells.
 		now, version, rerr := f.read(ctx)
 		if rerr != nil {
 			return 0, false, rerr
 		}
-		return version, now.Save == rec.Save, nil
+		return version, now.WriteID == rec.WriteID, nil
 	}
 	return 0, false, err
 }
 
-func (f *FleetLease) read(ctx context.Context) (storage.Lease, uint64, error) {
-	var rec storage.Lease
-	item, ok, err := f.store.Get(ctx, storage.KeyFleet, leaseCall)
+func (f *FleetLease) read(ctx context.Context) (storage.LeaseRecord, uint64, error) {
+	var rec storage.LeaseRecord
+	item, ok, err := f.store.Get(ctx, storage.KeyLeaderLease, leaseCall)
 	if err != nil || !ok {
 		return rec, 0, err
 	}
 	if err := protocol.Decode(item.Value, &rec); err != nil {
-		return rec, 0, fmt.Errorf("record %s: %w", storage.KeyFleet, err)
+		return rec, 0, fmt.Errorf("record %s: %w", storage.KeyLeaderLease, err)
 	}
 	return rec, item.Version, nil
 }
@@ -238,18 +238,18 @@
 // was sent, since nobody can have seen it earlier.
 func (f *FleetLease) renew(ctx context.Context) units.Micros {
 	f.mu.Lock()
-	rec := storage.Lease{
-		Holder:      f.node,
-		Incarnation: f.term,
-		Save:        f.saveID(),
-		Resigned:    f.resigning,
-		Handed:      f.handedAt,
+	rec := storage.LeaseRecord{
+		Holder:       f.node,
+		Incarnation:  f.term,
+		WriteID:      f.saveID(),
+		Resigned:     f.resigning,
+		HandedOverAt: f.handedAt,
 	}
 	on, sent := f.version, f.clock.Steady()
 	f.mu.Unlock()
 	version, ours, err := f.write(ctx, rec, on)
 	if err != nil {
-		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrUncertain) {
+		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrOutcomeUnknown) {
 			f.log.Error("fleet lease not renewed", "term", rec.Incarnation, "error", err)
 		}
 		return retryPause
@@ -283,7 +283,7 @@
 	if err != nil {
 		return retryPause
 	}
-	if rec.Holder == f.node && rec.Incarnation == f.term && f.isOwn(rec.Save) {
+	if rec.Holder == f.node && rec.Incarnation == f.term && f.isOwn(rec.WriteID) {
 		f.version = v // an earlier save of ours, carried out late
 		return 0
 	}
@@ -310,7 +310,7 @@
 	if err != nil {
 		f.monitor.observeFailure()
 		f.mu.Unlock()
-		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrUncertain) {
+		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrOutcomeUnknown) {
 			f.log.Error("fleet lease not readable", "error", err)
 		}
 		return f.timing.Poll
@@ -340,13 +340,13 @@
 
 // claim takes the record over by a conditional save that raises the
 // incarnation by one.
-func (f *FleetLease) claim(ctx context.Context, old storage.Lease, version uint64) units.Micros {
+func (f *FleetLease) claim(ctx context.Context, old storage.LeaseRecord, version uint64) units.Micros {
 	f.mu.Lock()
-	rec := storage.Lease{
-		Holder:      f.node,
-		Incarnation: old.Incarnation + 1,
-		Save:        f.saveID(),
-		Handed:      old.Handed,
+	rec := storage.LeaseRecord{
+		Holder:       f.node,
+		Incarnation:  old.Incarnation + 1,
+		WriteID:      f.saveID(),
+		HandedOverAt: old.HandedOverAt,
 	}
 	sent := f.clock.Steady()
 	f.mu.Unlock()
@@ -356,7 +356,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.holding, f.resigning, f.term, f.version, f.handedAt = true, false, rec.Incarnation, now, rec.Handed
+	f.holding, f.resigning, f.term, f.version, f.handedAt = true, false, rec.Incarnation, now, rec.HandedOverAt
 	f.validUntil = sent + f.timing.Length
 	f.log.Info("fleet lease claimed", "term", f.term, "from", old.Holder)
 	return f.timing.Renew
--- a/internal/coordination/lease_test.go
+++ b/internal/coordination/lease_test.go
@@ -38,7 +38,7 @@
 func (c *driftingClock) Wall() units.Micros { return c.Steady() }
 
 func newLeaseNode(name string, server *httptest.Server, clock units.Clock, seed uint64) *FleetLease {
-	store := kv.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e6,
 		WriteRPS: 1e6,
 	}, 0, clock)
@@ -120,23 +120,23 @@
 	if w.claimable("me", 0) {
 		t.Fatal("claimable before anything was read")
 	}
-	w.observe(storage.Lease{Holder: "other", Incarnation: 1}, 5, 100)
+	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 5, 100)
 	if w.claimable("me", 100+due-1) || !w.claimable("me", 100+due) {
 		t.Fatal("a foreign record is claimable when it was seen unchanged for the lease and its margin, and no sooner")
 	}
-	w.observe(storage.Lease{Holder: "other", Incarnation: 1}, 6, 100+due)
+	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 6, 100+due)
 	if w.claimable("me", 100+due) {
 		t.Fatal("a renewal starts the wait anew")
 	}
 	// After an outage the holder goes first: it keeps its term, and nothing
 	// has to be settled anew.
 	w.observeFailure()
-	w.observe(storage.Lease{Holder: "other", Incarnation: 1}, 6, 100+3*due)
+	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 6, 100+3*due)
 	if w.claimable("me", 100+3*due) || !w.claimable("me", 100+3*due+units.Second) {
 		t.Fatal("no grace for the holder after an outage")
 	}
 	own := leaseMonitor{timing: w.timing}
-	own.observe(storage.Lease{Holder: "me", Incarnation: 4}, 9, 0)
+	own.observe(storage.LeaseRecord{Holder: "me", Incarnation: 4}, 9, 0)
 	if !own.claimable("me", 0) {
 		t.Fatal("a node's former process is dead; its lease is claimable at once")
 	}
@@ -173,8 +173,8 @@
 		t.Fatal("valid though it is being given up")
 	}
 	f.renew(t.Context())
-	var rec storage.Lease
-	item, _ := state.Get(storage.KeyFleet)
+	var rec storage.LeaseRecord
+	item, _ := state.Get(storage.KeyLeaderLease)
 	if err := protocol.Decode(item.Value, &rec); err != nil || !rec.Resigned {
 		t.Fatalf("record %+v, %v: not given up", rec, err)
 	}
--- a/internal/coordination/leasemonitor.go
+++ b/internal/coordination/leasemonitor.go
@@ -72,7 +72,7 @@
 // has seen the record unchanged.
 type leaseMonitor struct {
 	timing  LeaseTiming
-	record  storage.Lease
+	record  storage.LeaseRecord
 	version uint64
 	seen    bool
 	since   units.Micros // when this version was first seen
@@ -81,7 +81,7 @@
 }
 
 // observe takes in a read that was answered at now.
-func (w *leaseMonitor) observe(record storage.Lease, version uint64, now units.Micros) {
+func (w *leaseMonitor) observe(record storage.LeaseRecord, version uint64, now units.Micros) {
 	if w.broken {
 		w.broken, w.grace = false, now+outageGrace
 	}
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -99,7 +99,7 @@
 	for _, j := range t.ledger.Jobs {
 		k := key{j.Spec.Class, j.Spec.Priority}
 		pending[k] += j.Pending()
-		running[k] += len(j.Live)
+		running[k] += len(j.LiveAttempts)
 	}
 	for k, n := range pending {
 		fmt.Fprintf(b, "dunestand_tasks_pending{class=%q,priority=%q} %d\n", k.class, k.priority.String(), n)
@@ -108,7 +108,7 @@
 	reporting := 0
 	now := t.Clock.Steady()
 	for _, m := range t.ledger.Machines {
-		if m.Seen && now-m.LastAnswered < t.silentAfter() {
+		if m.Registered && now-m.LastHeartbeat < t.silentAfter() {
 			reporting++
 		}
 	}
--- a/internal/coordination/model_store_test.go
+++ b/internal/coordination/model_store_test.go
@@ -67,7 +67,7 @@
 	default:
 		return
 	}
-	m.arrivals = append(m.arrivals, cluster.ArrivalTxn(cluster.Arrival{
+	m.arrivals = append(m.arrivals, cluster.PendingSubmissionTxn(cluster.PendingSubmission{
 		Spec:      spec,
 		Submitted: m.clock.now,
 	}))
@@ -88,7 +88,7 @@
 func (m *model) inbox() []protocol.Item {
 	var items []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
-		if strings.HasPrefix(key, storage.PrefixInbox) {
+		if strings.HasPrefix(key, storage.PrefixPending) {
 			items = append(items, m.store.items[key])
 		}
 	}
@@ -98,7 +98,7 @@
 // collect has the leader take the inbox in.
 func (m *model) collect() {
 	for _, item := range m.inbox() {
-		a, err := cluster.ParseArrival(item)
+		a, err := cluster.ParsePendingSubmission(item)
 		if err != nil {
 			m.t.Fatal(err)
 		}
@@ -106,7 +106,7 @@
 			delete(m.store.items, item.Key)
 			continue
 		}
-		m.leader.ledger.TakeIn(a, m.clock.now)
+		m.leader.ledger.AddPending(a, m.clock.now)
 	}
 }
 
@@ -116,9 +116,9 @@
 	if m.save == nil {
 		m.saveNew = m.leader.Format.Level() >= storage.FormatNew
 		l.UpgradeFormat(m.leader.Format.Level(), m.clock.now)
-		m.save = l.BuildSave(m.leader.saveID(), m.leader.bucketVersions, cluster.SaveLimits{
-			Lazy:  units.Second,
-			Tasks: true,
+		m.save = l.BuildWriteBatch(m.leader.saveID(), m.leader.bucketVersions, cluster.BatchLimits{
+			CoalesceFor: units.Second,
+			Background:  true,
 		}, m.clock.now)
 		return
 	}
@@ -128,28 +128,28 @@
 		if m.saveNew {
 			m.t.Fatalf("a save in the new form is over the limits: %d changes", len(m.save.Txn.Then))
 		}
-		l.Rejected(m.save, m.clock.now)
+		l.BatchRejected(m.save, m.clock.now)
 		m.save = nil
 		return
 	}
 	rev, failed := m.store.commit(m.t, m.save.Txn)
 	if len(failed) > 0 {
-		l.Refused(m.save, m.clock.now)
+		l.BatchRefused(m.save, m.clock.now)
 		for _, key := range failed {
-			id, final := storage.JobOfFinal(key)
+			id, final := storage.JobOfTerminalKey(key)
 			if !final || m.finals[id] == "" {
 				m.t.Fatalf("a leader's own save met a conflict: %v", failed)
 			}
-			m.leader.finals.put(id, storage.FinalRecord{Final: storage.Final{Stage: m.finals[id]}})
-			l.Drop(id) // it was in the inbox still
+			m.leader.finals.put(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
+			l.DropUnaccepted(id) // it was in the inbox still
 		}
 		m.save = nil
 		return
 	}
-	if m.save.Probe() != "" {
+	if m.save.ProbeKey() != "" {
 		m.repeats = append(m.repeats, m.save.Txn)
 	}
-	for id, f := range l.Applied(m.save, rev) {
+	for id, f := range l.BatchCommitted(m.save, rev) {
 		m.over(id, f)
 	}
 	m.save = nil
@@ -170,7 +170,7 @@
 	}
 }
 
-func (m *model) over(id string, f storage.Final) {
+func (m *model) over(id string, f storage.TerminalRecord) {
 	m.finals[id] = f.Stage
 	if m.confirmed[id] != 0 && f.Stage != protocol.StageCancelled {
 		m.t.Fatalf("%s was called cancelled, and is now %s", id, f.Stage)
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -23,12 +23,12 @@
 	leader    *Term
 	terms     uint64
 	workers   []*modelWorker
-	save      *cluster.Save // the leader's, on its way
-	orphans   []*cluster.Save
-	held      []*protocol.Report // held back by the network; their workers have given up
-	jobs      map[string]int     // tasks of each job submitted
+	save      *cluster.WriteBatch // the leader's, on its way
+	orphans   []*cluster.WriteBatch
+	held      []*protocol.Heartbeat // held back by the network; their workers have given up
+	jobs      map[string]int        // tasks of each job submitted
 	completed map[taskKey]bool
-	finals    map[string]protocol.Stage
+	finals    map[string]protocol.JobStage
 	told      []told
 	leadsNew  bool // the leader is of the new version
 	saveNew   bool // the save on its way was built in the new form
@@ -49,7 +49,7 @@
 	// The claim changes every bucket's head, so older saves fail from now on.
 	for b := range storage.Buckets {
 		m.store.revision++
-		key := storage.KeyHead(b)
+		key := storage.KeyBucketHead(b)
 		m.store.items[key] = protocol.Item{Key: key, Version: m.store.revision}
 		m.leader.bucketVersions[b] = m.store.revision
 	}
@@ -69,10 +69,10 @@
 		m.t.Fatalf("restore: %v", err)
 	}
 	for id, keys := range orphans {
-		if m.store.items[storage.KeyFinal(id)].Version == 0 {
+		if m.store.items[storage.KeyTerminal(id)].Version == 0 {
 			m.t.Fatalf("%s is not over, and has no record of its own", id)
 		}
-		m.leader.ledger.Leave(id, keys)
+		m.leader.ledger.AddStaleRecords(id, keys)
 	}
 	if m.leadsNew {
 		// It reads the fleet's format before the records.
@@ -92,19 +92,19 @@
 func (m *model) draw() protocol.JobSpec {
 	id := fmt.Sprintf("j-%06d", len(m.jobs))
 	spec := protocol.JobSpec{
-		ID:       id,
-		Class:    "c",
-		Team:     "team",
-		Tasks:    rapid.IntRange(1, 6).Draw(m.t, "tasks"),
-		Need:     cpus(rapid.IntRange(1, 3).Draw(m.t, "cpus")),
-		Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(m.t, "priority")),
-		Spot:     true,
-		Image:    "i",
-		Estimate: 10 * units.Second,
+		ID:        id,
+		Class:     "c",
+		Team:      "team",
+		Tasks:     rapid.IntRange(1, 6).Draw(m.t, "tasks"),
+		Request:   cpus(rapid.IntRange(1, 3).Draw(m.t, "cpus")),
+		Priority:  protocol.Priority(rapid.IntRange(0, 3).Draw(m.t, "priority")),
+		AllowSpot: true,
+		Image:     "i",
+		Estimate:  10 * units.Second,
 	}
 	// One service at most: with two, a larger task might find no machine left.
 	if len(m.services) == 0 && m.leader.Format.Level() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
-		spec.Shape, spec.Tasks, spec.Need, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), cpus(1), protocol.Production, 0
+		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), cpus(1), protocol.Production, 0
 		m.services[id] = true
 	}
 	m.jobs[id] = spec.Tasks
@@ -127,8 +127,8 @@
 		if m.store.takes(m.save.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
 			if _, failed := m.store.commit(m.t, m.save.Txn); len(failed) == 0 {
 				for _, c := range m.save.Txn.Then {
-					if id, final := storage.JobOfFinal(c.Set); final {
-						var f storage.Final
+					if id, final := storage.JobOfTerminalKey(c.Set); final {
+						var f storage.TerminalRecord
 						if protocol.Decode(c.Value, &f) == nil {
 							m.over(id, f)
 						}
@@ -204,7 +204,7 @@
 	m.land()
 	accepted := map[string]bool{}
 	for _, item := range m.inbox() {
-		a, _ := cluster.ParseArrival(item)
+		a, _ := cluster.ParsePendingSubmission(item)
 		accepted[a.Spec.ID] = m.finals[a.Spec.ID] == "" && m.leader.ledger.Jobs[a.Spec.ID] == nil
 	}
 	for id, j := range m.leader.ledger.Jobs {
@@ -220,7 +220,7 @@
 		for i := range m.workers {
 			w := m.workers[i]
 			m.leaseOf(w)
-			if machine := m.leader.ledger.Machines[w.id]; machine != nil && (machine.SetAside || machine.Undelivered >= maxUndelivered) {
+			if machine := m.leader.ledger.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= maxUndelivered) {
 				m.releaseWorker(i)
 				continue
 			}
@@ -267,7 +267,7 @@
 
 func (m *model) need(job string) int {
 	if j := m.leader.ledger.Jobs[job]; j != nil {
-		return int(j.Spec.Need.CPU / 1_000_000)
+		return int(j.Spec.Request.CPU / 1_000_000)
 	}
 	return 0
 }
@@ -286,7 +286,7 @@
 			confirmed: map[string]units.Micros{},
 			jobs:      map[string]int{},
 			completed: map[taskKey]bool{},
-			finals:    map[string]protocol.Stage{},
+			finals:    map[string]protocol.JobStage{},
 		}
 		// Some days begin with far more machines than the team can use.
 		for range rapid.SampledFrom([]int{2, 2, 2, 2, 16}).Draw(t, "machines") {
@@ -295,7 +295,7 @@
 		if rapid.Bool().Draw(t, "upgraded before") {
 			for i := range m.nodes {
 				m.nodes[i] = modelNode{true, true}
-				m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.Format})
+				m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.NewestFormat})
 			}
 		}
 		m.begin()
--- a/internal/coordination/model_upgrade_test.go
+++ b/internal/coordination/model_upgrade_test.go
@@ -49,7 +49,7 @@
 		}
 	case !n.told:
 		n.told = true
-		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.Format})
+		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.NewestFormat})
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	for i := range m.nodes {
 		m.nodes[i].upgraded, m.nodes[i].told = true, true
-		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.Format})
+		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.NewestFormat})
 	}
 	if !m.leadsNew {
 		m.crash()
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -14,7 +14,7 @@
 type modelTask struct {
 	attempt uint64
 	stage   protocol.TaskStage
-	cause   protocol.Cause
+	cause   protocol.ExitCause
 }
 
 type taskKey struct {
@@ -31,7 +31,7 @@
 	tasks         map[taskKey]modelTask
 	awaited       bool // a report is in flight
 	sentAt        units.Micros
-	answer        *protocol.ReportAnswer // on its way
+	answer        *protocol.HeartbeatResponse // on its way
 	reportSession uint64
 	answersLost   bool // its reports arrive, answers do not reach it
 	reportsLost   bool // it reaches no controller; direct commands reach it
@@ -43,7 +43,7 @@
 // told is a worker's answer to an announcement, on its way.
 type told struct {
 	to     *Term
-	report *protocol.Report
+	report *protocol.Heartbeat
 }
 
 func (m *model) report() {
@@ -53,21 +53,21 @@
 }
 
 // report makes a worker's report of now.
-func (w *modelWorker) report() *protocol.Report {
+func (w *modelWorker) report() *protocol.Heartbeat {
 	w.seq++
-	r := &protocol.Report{
-		Machine: w.id,
-		Type:    "m",
-		Zone:    "a",
-		Spot:    true,
-		Session: w.session,
-		Seq:     w.seq,
-		Term:    w.token,
+	r := &protocol.Heartbeat{
+		Machine:      w.id,
+		InstanceType: "m",
+		Zone:         "a",
+		Spot:         true,
+		Incarnation:  w.session,
+		Sequence:     w.seq,
+		FencingToken: w.token,
 	}
 	keys := slices.SortedFunc(maps.Keys(w.tasks), func(a, b taskKey) int { return len(a.job) - len(b.job) + a.index - b.index })
 	for _, k := range keys {
 		task := w.tasks[k]
-		r.Tasks = append(r.Tasks, protocol.TaskReport{
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{
 			Job:     k.job,
 			Index:   k.index,
 			Attempt: task.attempt,
@@ -91,7 +91,7 @@
 	w.answer = m.serve(r)
 }
 
-func (m *model) serve(r *protocol.Report) *protocol.ReportAnswer {
+func (m *model) serve(r *protocol.Heartbeat) *protocol.HeartbeatResponse {
 	t, now := m.leader, m.clock.now
 	machine := t.observe(r, now)
 	if machine == nil {
@@ -99,7 +99,7 @@
 	}
 	t.expire(now)
 	t.round(now, machine)
-	return &protocol.ReportAnswer{Term: t.number, Commands: t.commands(machine, r, now)}
+	return &protocol.HeartbeatResponse{FencingToken: t.number, Commands: t.commands(machine, r, now)}
 }
 
 // late brings the leader a report that was held back. Nobody waits for the
@@ -111,7 +111,7 @@
 	i := rapid.IntRange(0, len(m.held)-1).Draw(m.t, "held report")
 	r := m.held[i]
 	for _, w := range m.workers {
-		if w.id == r.Machine && w.awaited && w.seq == r.Seq && w.session == r.Session {
+		if w.id == r.Machine && w.awaited && w.seq == r.Sequence && w.session == r.Incarnation {
 			return // it still waits
 		}
 	}
@@ -130,10 +130,10 @@
 	lost := w.answersLost || !m.calm && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
 	a := w.answer
 	w.awaited, w.answer = false, nil
-	if lost || a == nil || m.clock.now-w.sentAt > workerWaits || a.Term < w.token || w.reportSession != w.session {
+	if lost || a == nil || m.clock.now-w.sentAt > workerWaits || a.FencingToken < w.token || w.reportSession != w.session {
 		return
 	}
-	w.token, w.leaseFrom = a.Term, w.sentAt
+	w.token, w.leaseFrom = a.FencingToken, w.sentAt
 	for _, c := range a.Commands {
 		m.execute(w, c)
 	}
@@ -147,7 +147,7 @@
 	k.job = c.Task[:8]
 	task, here := w.tasks[k]
 	switch c.Verb {
-	case protocol.Start:
+	case protocol.VerbStart:
 		if here && (task.attempt == c.Attempt || task.stage != protocol.TaskExited) {
 			return
 		}
@@ -160,11 +160,11 @@
 			m.t.Fatalf("%s starts though its job is over", c.Task)
 		}
 		w.tasks[k] = modelTask{attempt: c.Attempt, stage: protocol.TaskRunning}
-	case protocol.Stop:
+	case protocol.VerbStop:
 		if here && task.attempt == c.Attempt && task.stage != protocol.TaskExited {
 			w.tasks[k] = modelTask{c.Attempt, protocol.TaskExited, protocol.CauseStopped}
 		}
-	case protocol.Forget:
+	case protocol.VerbForget:
 		if here && task.attempt == c.Attempt && task.stage == protocol.TaskExited {
 			delete(w.tasks, k)
 		}
@@ -213,9 +213,9 @@
 	t, now := m.leader, m.clock.now
 	t.released.add(w.id, now)
 	if machine := t.ledger.Machines[w.id]; machine != nil {
-		t.ledger.Remove(machine, now)
+		t.ledger.RemoveMachine(machine, now)
 	} else {
-		t.ledger.Confirm(w.id)
+		t.ledger.MarkReconciled(w.id)
 	}
 	m.workers[i] = m.newWorker()
 }
@@ -239,7 +239,7 @@
 		return
 	}
 	w.token = m.leader.number
-	m.leader.ledger.Machine(w.id, "m", "a", true, m.clock.now)
+	m.leader.ledger.EnsureMachine(w.id, "m", "a", true, m.clock.now)
 	m.told = append(m.told, told{m.leader, w.report()})
 	if rapid.Bool().Draw(m.t, "answered at once") {
 		m.hearTold()
--- a/internal/coordination/newcontroller.go
+++ b/internal/coordination/newcontroller.go
@@ -42,7 +42,7 @@
 func NewController(s *config.Settings, env Environment) *Controller {
 	c := &Controller{
 		deps:    newDeps(s, env),
-		reader:  protocol.NewReportReader(),
+		reader:  protocol.NewHeartbeatReader(),
 		reports: newReportLimiter(),
 		peers:   NewPeers(env.Dial, s.Others, env.Clock, env.Random, env.Log),
 		server: transport.NewServer(usersSockets(s.Fleet.Resources.MaxConnections),
@@ -71,7 +71,7 @@
 	if options.On() {
 		reads = storage.FormatAdmission
 	}
-	store := kv.NewStore(env.Dial, s.Services.State, s.Fleet.State, len(others), env.Clock)
+	store := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(others), env.Clock)
 	format := NewFleetFormat(s.Node, others, reads, store, env.Log)
 	metrics := NewMetrics()
 	return Deps{
@@ -79,8 +79,8 @@
 		Policy:   env.Policy,
 		Store:    store,
 		Dial:     env.Dial,
-		Cloud:    cloud.NewCloud(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
-		Lease:    NewFleetLease(s.Node, store.Reserved(), env.Clock, TimingFor(s.Fleet.Workers.Lease()), env.Random, env.Log),
+		Cloud:    cloud.NewClient(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
+		Lease:    NewFleetLease(s.Node, store.WithOwnConnections(), env.Clock, TimingFor(s.Fleet.Workers.Lease()), env.Random, env.Log),
 		Clock:    env.Clock,
 		Log:      env.Log,
 		Metrics:  metrics,
@@ -107,7 +107,7 @@
 		{"dunestand_state_requests_total", func() float64 { return float64(stats.Requests.Load()) }},
 		{"dunestand_state_writes_total", func() float64 { return float64(stats.Writes.Load()) }},
 		{"dunestand_state_refused_total", func() float64 { return float64(stats.Refused.Load()) }},
-		{"dunestand_state_unanswered_total", func() float64 { return float64(stats.Uncertain.Load()) }},
+		{"dunestand_state_unanswered_total", func() float64 { return float64(stats.OutcomeUnknown.Load()) }},
 		{"dunestand_state_write_limit", func() float64 { return limits.WriteRPS }},
 		{"dunestand_state_request_limit", func() float64 { return limits.RPS }},
 	}
--- a/internal/coordination/nolimit_test.go
+++ b/internal/coordination/nolimit_test.go
@@ -23,18 +23,18 @@
 	t.Helper()
 	term := storedTerm(t, 1, standin.NewState())
 	term.Settings.Fleet.Teams = append(term.Settings.Fleet.Teams, config.Team{Name: "guest"})
-	term.ledger = cluster.NewLedger(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term.ledger = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	go term.saveLoop(ctx)
 	spec := modelSpec("j-000001")
 	spec.Team = "guest"
 	spec.Tasks = guestTasks
-	spec.Need = units.Resources{CPU: units.AmountOf(0.25)}
+	spec.Request = units.Resources{CPU: units.AmountOf(0.25)}
 	if r := term.Submit(ctx, spec); r.Status != http.StatusCreated {
 		t.Fatalf("a job of a team without a limit: %d %s", r.Status, r.Body)
 	}
@@ -54,8 +54,8 @@
 	}
 	machine := &cluster.Machine{}
 	for i := range 3 {
-		machine = term.ledger.Machine(string(rune('a'+i)), "m", "a", true, 0)
-		machine.Seen, machine.Term = true, term.number
+		machine = term.ledger.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
+		machine.Registered, machine.FencingToken = true, term.number
 	}
 	s, _ := term.snapshot(term.Clock.Steady(), machine)
 	s.Batch = guestTasks
--- a/internal/coordination/order_test.go
+++ b/internal/coordination/order_test.go
@@ -30,7 +30,7 @@
 			if step%every == 0 {
 				spec := *modelSpec(fmt.Sprintf("j-%06d", step))
 				spec.Tasks = rapid.IntRange(40, 90).Draw(t, "tasks")
-				spec.Need = cpus(rapid.IntRange(1, 3).Draw(t, "cpus"))
+				spec.Request = cpus(rapid.IntRange(1, 3).Draw(t, "cpus"))
 				spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
 				spec.Estimate = 5 * units.Second
 				term.ledger.NewJob(spec, clock.now, clock.now)
@@ -40,18 +40,18 @@
 			for i := range 2 {
 				r := testReport(fmt.Sprintf("i-%06d", i), 1, uint64(step+1), 7)
 				if m := term.ledger.Machines[r.Machine]; m != nil {
-					for _, a := range m.Sorted() {
+					for _, a := range m.SortedAttempts() {
 						if a.Stage == cluster.Assigned {
 							continue
 						}
 						key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
-						task := protocol.TaskReport{
+						task := protocol.TaskStatus{
 							Job:     key.Job,
 							Index:   key.Index,
 							Attempt: key.Number,
 							Stage:   protocol.TaskRunning,
 						}
-						if a.Stop || clock.now >= ends[key] {
+						if a.Stopping || clock.now >= ends[key] {
 							task.Stage, task.Cause = protocol.TaskExited, protocol.CauseDone
 						}
 						r.Tasks = append(r.Tasks, task)
@@ -65,7 +65,7 @@
 				}
 				term.save()
 				term.commands(m, r, clock.now)
-				for _, a := range m.Sorted() {
+				for _, a := range m.SortedAttempts() {
 					key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
 					if a.Stage != cluster.Assigned && ends[key] == 0 {
 						ends[key] = clock.now + units.Second*units.Micros(lasts[int(a.Number)%len(lasts)])
@@ -75,7 +75,7 @@
 			}
 			for id, at := range due {
 				if clock.now > at {
-					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, term.ledger.Jobs[id].Spec.Need.CPU/1_000_000)
+					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, term.ledger.Jobs[id].Spec.Request.CPU/1_000_000)
 				}
 			}
 		}
@@ -109,7 +109,7 @@
 		clock.now += units.Second
 		term.completions.freed = cpus(4).CPU // a second, 8 in the patience of 2 s
 	}
-	j.Since = clock.now
+	j.LearnedAt = clock.now
 	if term.patient(j, clock.now) {
 		t.Error("a job of ten processors waits for eight")
 	}
@@ -130,14 +130,14 @@
 	}
 	term.save()
 	for _, j := range term.ledger.Jobs {
-		term.ledger.Done(j, 0, clock.now)
-		j.Changed(clock.now, true)
+		term.ledger.TaskDone(j, 0, clock.now)
+		j.MarkChanged(clock.now, true)
 	}
 	clock.now += units.Second
 	term.ledger.NewJob(*modelSpec("j-000100"), clock.now, clock.now)
 	term.cancelJob(term.ledger.Jobs["j-000030"])
-	s := term.ledger.BuildSave("x", term.bucketVersions, cluster.SaveLimits{}, clock.now)
-	if first := s.Jobs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
+	s := term.ledger.BuildWriteBatch("x", term.bucketVersions, cluster.BatchLimits{}, clock.now)
+	if first := s.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
 		t.Errorf("saved first: %v", first)
 	}
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -80,7 +80,7 @@
 		return
 	}
 	l.heard.Store(int64(p.clock.Steady()))
-	if f.Kind != protocol.FrameAnswer {
+	if f.Kind != protocol.FrameResponse {
 		return
 	}
 	if f.ID == 0 { // the answer to a ping
@@ -183,7 +183,7 @@
 	defer cancel()
 	select {
 	case f, ok := <-answer:
-		if !ok || f.Kind != protocol.FrameAnswer || f.Status < 200 || f.Status > 599 {
+		if !ok || f.Kind != protocol.FrameResponse || f.Status < 200 || f.Status > 599 {
 			return transport.Response{}, errors.New("no answer from the leader")
 		}
 		return transport.Response{Status: f.Status, Body: f.Body, RetryAfter: f.RetryAfter}, nil
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := protocol.Frame{ID: f.ID, Kind: protocol.FrameAnswer, Status: http.StatusOK}
+	out := protocol.Frame{ID: f.ID, Kind: protocol.FrameResponse, Status: http.StatusOK}
 	switch f.Kind {
 	case protocol.FramePing:
 		out.Job = leading
--- a/internal/coordination/persistence.go
+++ b/internal/coordination/persistence.go
@@ -77,7 +77,7 @@
 // startSave builds the next save if one may be sent now, and counts its writes. It is built
 // only once the rate of writes has room for it: what waits for the rate can still be
 // overtaken by what a user waits for, what is built can not.
-func (t *Term) startSave() *cluster.Save {
+func (t *Term) startSave() *cluster.WriteBatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.saving >= maxSaving {
@@ -85,10 +85,10 @@
 	}
 	now := t.Clock.Steady()
 	t.ledger.UpgradeFormat(t.Format.Level(), now)
-	s := t.ledger.BuildSave(t.saveID(), t.bucketVersions, cluster.SaveLimits{
-		Lazy:    lazySave,
-		Tasks:   t.Store.WritesSpare(),
-		Changes: max(t.leastChanges(), t.Store.WritesAvailable()),
+	s := t.ledger.BuildWriteBatch(t.saveID(), t.bucketVersions, cluster.BatchLimits{
+		CoalesceFor: lazySave,
+		Background:  t.Store.HasWriteBudget(),
+		MaxChanges:  max(t.leastChanges(), t.Store.WritesAvailable()),
 	}, now)
 	if s == nil {
 		return nil
@@ -108,25 +108,25 @@
 // commit carries a save through. A save without an answer may be carried out
 // at any later time, so the very same one is sent until its outcome is known:
 // its conditions see to it that it happens once.
-func (t *Term) commit(ctx context.Context, s *cluster.Save) {
+func (t *Term) commit(ctx context.Context, s *cluster.WriteBatch) {
 	uncertain := false
 	began := t.Clock.Steady()
-	pacing := kv.Reserved
+	pacing := kv.Prepaid
 	for wait := commitBackoff; ; wait = min(2*wait, maxCommitBackoff) {
-		version, err := t.Store.Commit(ctx, s.Txn, pacing, stateCall)
+		version, err := t.Store.CompareAndSwap(ctx, s.Txn, pacing, stateCall)
 		pacing = kv.Paced
 		if err == nil {
 			if t.traces {
-				t.Log.Debug("save carried out", "jobs", s.Jobs(), "changes", len(s.Txn.Then),
+				t.Log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
 					"took_us", int64(t.Clock.Steady()-began))
 			}
 			t.applied(s, version)
 			return
 		}
-		var conflict *kv.ConflictError
+		var conflict *kv.VersionConflictError
 		switch {
 		case errors.As(err, &conflict):
-			if uncertain && s.Probe() != "" {
+			if uncertain && s.ProbeKey() != "" {
 				version, ours, err := t.probe(ctx, s)
 				if err != nil {
 					break
@@ -138,13 +138,13 @@
 			}
 			t.conflicted(ctx, s, conflict)
 			return
-		case errors.Is(err, kv.ErrUncertain):
+		case errors.Is(err, kv.ErrOutcomeUnknown):
 			uncertain = true
-		case errors.Is(err, kv.ErrRejected):
+		case errors.Is(err, kv.ErrInvalidRequest):
 			t.rejected(ctx, s, uncertain)
 			return
 		case !errors.Is(err, kv.ErrRefused):
-			t.Log.Error("save not understood", "jobs", s.Jobs(), "error", err)
+			t.Log.Error("save not understood", "jobs", s.JobIDs(), "error", err)
 			uncertain = true
 		}
 		if !pause(ctx, wait) {
@@ -159,7 +159,7 @@
 // rejected handles a save that the state service will not take as it is: it has
 // lower limits now. The save is built anew. But one that was sent before and got
 // no answer may have been carried out, or may be still.
-func (t *Term) rejected(ctx context.Context, s *cluster.Save, uncertain bool) {
+func (t *Term) rejected(ctx context.Context, s *cluster.WriteBatch, uncertain bool) {
 	for uncertain {
 		version, ours, err := t.probe(ctx, s)
 		if err == nil && ours {
@@ -168,7 +168,7 @@
 		}
 		if err == nil {
 			// Only a new term's claim makes certain that it never is.
-			t.Log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.Jobs())
+			t.Log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.JobIDs())
 			t.Lease.Resign()
 			return
 		}
@@ -180,17 +180,17 @@
 	first := t.ledger.ApplyNextLimits()
 	t.mu.Unlock()
 	t.Store.ApplyNextLimits()
-	t.Log.Error("save rejected; it is built anew", "jobs", s.Jobs(), "changes", len(s.Txn.Then), "limits_lowered", first)
+	t.Log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
 	if !first && !pause(ctx, rejectedPause) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ledger.Rejected(s, t.Clock.Steady())
+	t.ledger.BatchRejected(s, t.Clock.Steady())
 }
 
-func (t *Term) probe(ctx context.Context, s *cluster.Save) (uint64, bool, error) {
-	item, ok, err := t.Store.Get(ctx, s.Probe(), stateCall)
+func (t *Term) probe(ctx context.Context, s *cluster.WriteBatch) (uint64, bool, error) {
+	item, ok, err := t.Store.Get(ctx, s.ProbeKey(), stateCall)
 	if err != nil || !ok {
 		return 0, false, err
 	}
@@ -201,11 +201,11 @@
 	return item.Version, save == s.ID, nil
 }
 
-func (t *Term) applied(s *cluster.Save, version uint64) {
+func (t *Term) applied(s *cluster.WriteBatch, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, f := range t.ledger.Applied(s, version) {
-		t.finals.put(id, storage.FinalRecord{Final: f, Version: version})
+	for id, f := range t.ledger.BatchCommitted(s, version) {
+		t.finals.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
 		t.Log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
 	}
 	signal(t.roundSignal)
@@ -214,18 +214,18 @@
 // conflicted handles a save that was certainly not carried out: it submits the id of a
 // job that is over, or it accepts a job by an admission plan that has been replaced, or
 // somebody else has claimed our buckets and this term is at its end.
-func (t *Term) conflicted(ctx context.Context, s *cluster.Save, c *kv.ConflictError) {
-	over := map[string]storage.FinalRecord{}
+func (t *Term) conflicted(ctx context.Context, s *cluster.WriteBatch, c *kv.VersionConflictError) {
+	over := map[string]storage.StoredTerminalRecord{}
 	planMet := false
 	for _, key := range c.Keys {
 		if key == admission.KeyPlan {
 			planMet = true
 			continue
 		}
-		id, isFinal := storage.JobOfFinal(key)
+		id, isFinal := storage.JobOfTerminalKey(key)
 		if !isFinal {
 			if t.Lease.Valid(t.number) {
-				t.Log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.Jobs())
+				t.Log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.JobIDs())
 			}
 			t.Lease.Resign()
 			return
@@ -244,7 +244,7 @@
 		}
 	}
 	t.mu.Lock()
-	t.ledger.Refused(s, t.Clock.Steady())
+	t.ledger.BatchRefused(s, t.Clock.Steady())
 	if planMet {
 		t.decideAnew()
 	}
@@ -256,7 +256,7 @@
 	defer t.mu.Unlock()
 	for id, f := range over {
 		t.finals.put(id, f)
-		t.ledger.Drop(id)
+		t.ledger.DropUnaccepted(id)
 		t.inboxUncleared.Store(true) // it may have come from there
 	}
 }
--- a/internal/coordination/persistence_test.go
+++ b/internal/coordination/persistence_test.go
@@ -19,7 +19,7 @@
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	limits := config.State{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
 	term.Settings.Fleet.State = limits
 	term.Store = pacedStore(term, limits)
@@ -27,8 +27,8 @@
 	return term
 }
 
-func pacedStore(term *Term, limits config.State) *kv.Store {
-	return kv.NewStore(nil, "127.0.0.1:1", limits, 0, term.Clock)
+func pacedStore(term *Term, limits config.State) *kv.Client {
+	return kv.NewClient(nil, "127.0.0.1:1", limits, 0, term.Clock)
 }
 
 // Saves that had been built waited for the rate of writes, three in a row, and users whose
@@ -36,12 +36,12 @@
 // job on accepted it a second time. What waits for the rate is not built yet.
 func TestSavesAreBuiltOnceTheRateHasRoom(t *testing.T) {
 	term := pacedTerm(t)
-	machine := term.ledger.Machine("i-000001", "m", "a", true, 0)
+	machine := term.ledger.EnsureMachine("i-000001", "m", "a", true, 0)
 	for i := range 30 {
 		spec := modelSpec("j-0000" + string(rune('0'+i/10)) + string(rune('0'+i%10)))
 		job := term.ledger.NewJob(*spec, 0, 0)
-		save := term.ledger.BuildSave("accept", term.bucketVersions, cluster.SaveLimits{}, 0)
-		term.ledger.Applied(save, uint64(i+1))
+		save := term.ledger.BuildWriteBatch("accept", term.bucketVersions, cluster.BatchLimits{}, 0)
+		term.ledger.BatchCommitted(save, uint64(i+1))
 		term.ledger.Assign(job, machine, uint64(i+1), units.Second)
 	}
 	awaitWrites(t, term, mostAwaited)
@@ -50,7 +50,7 @@
 	if save == nil {
 		t.Fatal("nothing is saved though there is room")
 	}
-	if jobs := save.Jobs(); jobs[0] != "j-900001" || len(jobs) > 2*mostAwaited {
+	if jobs := save.JobIDs(); jobs[0] != "j-900001" || len(jobs) > 2*mostAwaited {
 		t.Errorf("saved %s, want few jobs and the one whose user waits first", strings.Join(jobs, " "))
 	}
 	if left := term.Store.WritesAvailable(); left >= mostAwaited {
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -159,7 +159,7 @@
 // planJob starts what it can of a job, and makes room for the rest where that is allowed.
 func (p *planner) planJob(i int, j *JobView) {
 	switch {
-	case j.Spec.Shape == protocol.Gang:
+	case j.Spec.Kind == protocol.Gang:
 		p.placeGang(i, j)
 		return
 	case j.Overdue:
@@ -220,12 +220,12 @@
 // teamRoom is how many more tasks of the job its team's limit allows.
 func (p *planner) teamRoom(j *JobView) int {
 	t := &p.s.Teams[j.Team]
-	return t.Limit.Plus(t.Used, -1).Fits(j.Spec.Need)
+	return t.Limit.Plus(t.Used, -1).Fits(j.Spec.Request)
 }
 
 // freeFor is a machine's room for a job.
 func (m *MachineView) freeFor(j *JobView) units.Resources {
-	if j.Spec.Shape == protocol.Service || j.Overdue {
+	if j.Spec.Kind == protocol.Service || j.Overdue {
 		return m.Free
 	}
 	return m.Free.Plus(m.Headroom, -1)
@@ -238,10 +238,10 @@
 		return 0
 	}
 	room := j.Spec.Tasks
-	if j.Spec.Spread {
+	if j.Spec.ZoneSpread {
 		room = (j.Spec.Tasks+1)/2 - j.LiveIn[zone]
 	}
-	if j.Spec.OneZone {
+	if j.Spec.ZoneAffinity {
 		for other, n := range j.LiveIn {
 			if n > 0 && other != zone {
 				return 0
@@ -253,8 +253,8 @@
 
 // allowed tells whether a job's tasks may be on machines of this kind.
 func allowed(spec *protocol.JobSpec, typ, zone string, spot bool) bool {
-	return (spec.Types == nil || slices.Contains(spec.Types, typ)) &&
-		(spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
+	return (spec.InstanceTypes == nil || slices.Contains(spec.InstanceTypes, typ)) &&
+		(spec.Zone == "" || spec.Zone == zone) && (spec.AllowSpot || !spot)
 }
 
 // usable tells whether a job may be started on a machine, room aside. A slow
@@ -270,7 +270,7 @@
 // travel with the answers, and then the one with most room. A slow machine comes
 // last.
 func (p *planner) place(i int, j *JobView) {
-	oneByOne := j.Spec.Shape == protocol.Service
+	oneByOne := j.Spec.Kind == protocol.Service
 	for again := true; again; {
 		again = false
 		if min(j.Pending, p.batch, p.teamRoom(j)) <= 0 {
@@ -278,7 +278,7 @@
 		}
 		for _, c := range p.findCompanions(j) {
 			m := &p.s.Machines[c.machine]
-			n := min(j.Pending, p.batch, p.teamRoom(j), m.freeFor(j).Fits(j.Spec.Need), zoneRoom(j, m.Zone))
+			n := min(j.Pending, p.batch, p.teamRoom(j), m.freeFor(j).Fits(j.Spec.Request), zoneRoom(j, m.Zone))
 			if n <= 0 {
 				continue
 			}
@@ -298,11 +298,11 @@
 	p.companions = p.companions[:0]
 	for k := range p.s.Machines {
 		m := &p.s.Machines[k]
-		if m.Held || m.freeFor(j).Fits(j.Spec.Need) == 0 || !p.usable(k, j) {
+		if m.Held || m.freeFor(j).Fits(j.Spec.Request) == 0 || !p.usable(k, j) {
 			continue
 		}
 		c := companion{machine: k, key: [7]int64{5: int64(m.Free.CPU), 6: -int64(m.Reports)}}
-		service := j.Spec.Shape == protocol.Service
+		service := j.Spec.Kind == protocol.Service
 		if service {
 			// Replicas go to different zones, then to different machines.
 			c.key[0], c.key[1] = -int64(j.LiveIn[m.Zone]), -int64(j.LiveOn[k])
@@ -349,7 +349,7 @@
 	var fit []int
 	for k := range p.s.Machines {
 		m := &p.s.Machines[k]
-		if !m.Held && m.Size.Fits(j.Spec.Need) > 0 && m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Need) == 0 && p.usable(k, j) {
+		if !m.Held && m.Size.Fits(j.Spec.Request) > 0 && m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request) == 0 && p.usable(k, j) {
 			fit = append(fit, k)
 		}
 	}
@@ -384,10 +384,10 @@
 
 func (p *planner) start(i int, j *JobView, machine, n int) {
 	m := &p.s.Machines[machine]
-	m.Free = m.Free.Plus(j.Spec.Need, -n)
+	m.Free = m.Free.Plus(j.Spec.Request, -n)
 	t := &p.s.Teams[j.Team]
-	t.Used = t.Used.Plus(j.Spec.Need, n)
-	p.leave[j.Team] = p.leave[j.Team].Plus(j.Spec.Need, n)
+	t.Used = t.Used.Plus(j.Spec.Request, n)
+	p.leave[j.Team] = p.leave[j.Team].Plus(j.Spec.Request, n)
 	if j.LiveIn != nil {
 		j.LiveIn[m.Zone] += n
 	}
--- a/internal/coordination/plan_test.go
+++ b/internal/coordination/plan_test.go
@@ -61,16 +61,16 @@
 	for i := range rapid.IntRange(0, 6).Draw(t, "jobs") {
 		n := rapid.IntRange(1, 12).Draw(t, "tasks")
 		spec := &protocol.JobSpec{
-			ID:       fmt.Sprintf("j-%06d", i),
-			Tasks:    n,
-			Need:     cpus(rapid.IntRange(1, 5).Draw(t, "need")),
-			Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
-			Spot:     rapid.Bool().Draw(t, "may spot"),
-			Image:    "x",
-			OneZone:  rapid.Bool().Draw(t, "one zone"),
-			Spread:   rapid.Bool().Draw(t, "spread"),
-			Types:    rapid.SampledFrom([][]string{nil, {"small"}}).Draw(t, "types"),
-			Zone:     rapid.SampledFrom([]string{"", "a"}).Draw(t, "in zone"),
+			ID:            fmt.Sprintf("j-%06d", i),
+			Tasks:         n,
+			Request:       cpus(rapid.IntRange(1, 5).Draw(t, "need")),
+			Priority:      protocol.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
+			AllowSpot:     rapid.Bool().Draw(t, "may spot"),
+			Image:         "x",
+			ZoneAffinity:  rapid.Bool().Draw(t, "one zone"),
+			ZoneSpread:    rapid.Bool().Draw(t, "spread"),
+			InstanceTypes: rapid.SampledFrom([][]string{nil, {"small"}}).Draw(t, "types"),
+			Zone:          rapid.SampledFrom([]string{"", "a"}).Draw(t, "in zone"),
 		}
 		s.Jobs = append(s.Jobs, JobView{
 			Spec:       spec,
@@ -124,8 +124,8 @@
 			if x.Count <= 0 || !m.Accepts || !allowed(j.Spec, m.Type, m.Zone, m.Spot) {
 				t.Fatalf("start %+v is not allowed", x)
 			}
-			used[j.Team] = used[j.Team].Plus(j.Spec.Need, x.Count)
-			free[x.Machine] = free[x.Machine].Plus(j.Spec.Need, -x.Count)
+			used[j.Team] = used[j.Team].Plus(j.Spec.Request, x.Count)
+			free[x.Machine] = free[x.Machine].Plus(j.Spec.Request, -x.Count)
 			if zones[x.Job] == nil {
 				zones[x.Job] = map[string]int{}
 			}
@@ -146,11 +146,11 @@
 		}
 		for i, z := range zones {
 			spec := before.Jobs[i].Spec
-			if spec.OneZone && len(z) > 1 {
+			if spec.ZoneAffinity && len(z) > 1 {
 				t.Fatalf("job %d is in zones %v", i, z)
 			}
 			for zone, n := range z {
-				if spec.Spread && n > (spec.Tasks+1)/2 {
+				if spec.ZoneSpread && n > (spec.Tasks+1)/2 {
 					t.Fatalf("job %d has %d of %d tasks in %s", i, n, spec.Tasks, zone)
 				}
 			}
@@ -219,7 +219,7 @@
 			{Accepts: true, Free: cpus(2), Images: holds(true)},
 		},
 		Jobs: []JobView{{
-			Spec:    &protocol.JobSpec{ID: "j-1", Tasks: 3, Need: cpus(1)},
+			Spec:    &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: cpus(1)},
 			Pending: 3,
 			LiveIn:  map[string]int{},
 			Avoid:   func(string) bool { return false },
@@ -246,7 +246,7 @@
 	}
 	job := func(id string, need int, overdue bool) JobView {
 		return JobView{
-			Spec:    &protocol.JobSpec{ID: id, Tasks: 5, Need: cpus(need)},
+			Spec:    &protocol.JobSpec{ID: id, Tasks: 5, Request: cpus(need)},
 			Pending: 5,
 			Overdue: overdue,
 			Avoid:   func(string) bool { return false },
--- a/internal/coordination/planpublisher.go
+++ b/internal/coordination/planpublisher.go
@@ -171,13 +171,13 @@
 	if !asked && !p.failed && plan.Like(p.written) {
 		return false
 	}
-	return p.term.Store.WritesSpare() && p.pace.Allow()
+	return p.term.Store.HasWriteBudget() && p.pace.Allow()
 }
 
 // read finds out what the record holds now.
 func (p *planPublisher) read(ctx context.Context) error {
 	asked := p.term.Clock.Steady()
-	item, revision, err := p.term.Store.Current(ctx, admission.KeyPlan, stateCall)
+	item, revision, err := p.term.Store.ReadAtRevision(ctx, admission.KeyPlan, stateCall)
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 // nothing more can be accepted under that. So whoever is not known after it and has to
 // wait by the new plan stays unknown while it is in force.
 func (p *planPublisher) takeInbox(ctx context.Context) error {
-	items, _, err := listAll(ctx, p.term.Store, storage.PrefixInbox)
+	items, _, err := listAll(ctx, p.term.Store, storage.PrefixPending)
 	if err != nil {
 		return err
 	}
@@ -238,14 +238,14 @@
 // known what became of it, nobody is told to wait by the plan before.
 func (p *planPublisher) write(ctx context.Context, raw []byte, plan *admission.Plan) error {
 	p.term.planInDoubt()
-	head := storage.KeyHead(planFence)
+	head := storage.KeyBucketHead(planFence)
 	sent := p.term.Clock.Steady()
 	pacing := kv.Paced
 	if p.sentAt == 0 {
 		pacing = kv.Urgent
 	}
 	p.sentAt = sent
-	revision, err := p.term.Store.Commit(ctx, protocol.Txn{
+	revision, err := p.term.Store.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{
 			{Key: admission.KeyPlan, Version: p.revision},
 			{Key: head, Version: p.term.bucketVersion(planFence)},
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -24,15 +24,15 @@
 		return
 	}
 	want := p.preemptInTeam(i, j)
-	p.s.Teams[j.Team].Freeing = p.s.Teams[j.Team].Freeing.Plus(j.Spec.Need, -want)
+	p.s.Teams[j.Team].Freeing = p.s.Teams[j.Team].Freeing.Plus(j.Spec.Request, -want)
 	for k := range p.s.Machines {
 		if want <= 0 {
 			return
 		}
 		m := &p.s.Machines[k]
-		coming := min(m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Need), want)
+		coming := min(m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request), want)
 		if coming > 0 && p.usable(k, j) {
-			p.reserve(m, j.Spec.Need, coming)
+			p.reserve(m, j.Spec.Request, coming)
 			want -= coming
 		}
 	}
@@ -86,7 +86,7 @@
 // the job, and gives how many of the job's tasks it then has room for.
 func (p *planner) preemptInTeam(i int, j *JobView) int {
 	t := &p.s.Teams[j.Team]
-	room := func() int { return min(j.Pending, t.Limit.Plus(t.Used, -1).Plus(t.Freeing, 1).Fits(j.Spec.Need)) }
+	room := func() int { return min(j.Pending, t.Limit.Plus(t.Used, -1).Plus(t.Freeing, 1).Fits(j.Spec.Request)) }
 	if room() == j.Pending || j.Spec.Priority < protocol.High || j.Patient {
 		return room()
 	}
@@ -161,7 +161,7 @@
 		}
 		room = room.Plus(v.Need, 1)
 		chosen = append(chosen, v)
-		if n := min(room.Fits(j.Spec.Need), want); n > made {
+		if n := min(room.Fits(j.Spec.Request), want); n > made {
 			for _, c := range chosen {
 				p.stop(m, c, i)
 			}
@@ -170,7 +170,7 @@
 		}
 	}
 	if made > 0 {
-		p.reserve(m, j.Spec.Need, made)
+		p.reserve(m, j.Spec.Request, made)
 	}
 	return made
 }
