--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -21,7 +21,7 @@
 	listAt        units.Micros
 	listed        int // machines in the last list
 	refused       map[Kind]refusal
-	open          []protocol.Rent // sent, and not answered yet
+	open          []protocol.ScaleOutRequest // sent, and not answered yet
 }
 
 type refusal struct {
@@ -75,14 +75,14 @@
 
 // listEvery is how often the machine list is read.
 func listEvery(cloud config.Cloud, machines int) units.Micros {
-	pages := 1 + machines/protocol.MaxList
+	pages := 1 + machines/protocol.MaxListPage
 	paced := units.Seconds(float64(pages) / (cloud.RPS * listRateShare))
 	return max(listLeast, units.Seconds(cloud.ListLagS)/2, paced)
 }
 
 // readList takes in which machines the cloud lists.
 func (t *Term) readList(ctx context.Context) {
-	listed, err := t.Cloud.List(ctx)
+	listed, err := t.Cloud.ListMachines(ctx)
 	if err != nil {
 		t.Log.Debug("machines not listed", "error", err)
 		return
@@ -98,20 +98,20 @@
 			continue
 		}
 		_, known := t.ledger.Machines[l.ID]
-		m := t.ledger.Machine(l.ID, l.Type, l.Zone, l.Spot, now)
+		m := t.ledger.EnsureMachine(l.ID, l.InstanceType, l.Zone, l.Spot, now)
 		if !known {
-			m.Rented = now - units.Seconds(l.AgeS)
-			t.Log.Debug("machine listed", "machine", l.ID, "type", l.Type, "zone", l.Zone, "stage", l.Stage)
+			m.RentedAt = now - units.Seconds(l.AgeSeconds)
+			t.Log.Debug("machine listed", "machine", l.ID, "type", l.InstanceType, "zone", l.Zone, "stage", l.Stage)
 		}
-		if !m.Seen {
+		if !m.Registered {
 			m.Stage, m.Endpoint = l.Stage, l.Endpoint
 		}
 		if l.Stage == protocol.MachineFailed && !m.Releasing {
 			// It has stopped on its own: nothing runs there any more. The
 			// release only takes it off the list.
 			t.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
-			t.ledger.Emptied(m, now)
-			t.ledger.Confirm(m.ID)
+			t.ledger.MachineEmptied(m, now)
+			t.ledger.MarkReconciled(m.ID)
 			m.Releasing = true
 			signal(t.roundSignal)
 		}
@@ -120,7 +120,7 @@
 	for _, m := range t.ledger.Machines {
 		// Taken or deleted before it was up. That a machine is not listed proves
 		// nothing about one that may hold tasks: its lease decides.
-		if !m.Seen && !present[m.ID] && now-m.Rented > 4*lag+20*units.Second && !t.ledger.IsUnconfirmed(m.ID) {
+		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !t.ledger.IsUnreconciled(m.ID) {
 			t.remove(m, now)
 		}
 	}
@@ -134,22 +134,22 @@
 func (t *Term) fleetInput() config.FleetInput {
 	in := config.FleetInput{Hour: int(t.Clock.Wall() / units.Second / 3600 % 24)}
 	for _, j := range t.ledger.Jobs {
-		if !j.Service() {
+		if !j.IsService() {
 			t.lastWork = t.Clock.Steady()
 			break
 		}
 	}
 	in.QuietS = (t.Clock.Steady() - t.lastWork).Seconds()
 	for _, team := range t.ledger.Teams {
-		in.GuaranteedCPUs += team.Guarantee.CPU.Float()
-		in.LimitCPUs += team.Limit.CPU.Float()
+		in.GuaranteedCPUs += team.GuaranteedQuota.CPU.Float()
+		in.LimitCPUs += team.QuotaLimit.CPU.Float()
 	}
 	for _, n := range t.needs() {
-		in.DemandCPUs += n.Spec.Need.CPU.Float() * float64(n.Count)
+		in.DemandCPUs += n.Spec.Request.CPU.Float() * float64(n.Count)
 	}
 	for _, m := range t.ledger.Machines {
 		if !m.Releasing {
-			in.FleetCPUs += m.Size.CPU.Float()
+			in.FleetCPUs += m.Capacity.CPU.Float()
 		}
 	}
 	return in
@@ -160,7 +160,7 @@
 func (t *Term) needs() []Need {
 	left := map[string]units.Resources{}
 	for name, team := range t.ledger.Teams {
-		left[name] = team.Limit
+		left[name] = team.QuotaLimit
 	}
 	var out []Need
 	for _, j := range t.jobsInOrder() {
@@ -168,8 +168,8 @@
 			continue
 		}
 		room := left[j.Spec.Team]
-		if n := min(j.Unfinished(), room.Fits(j.Spec.Need)); n > 0 {
-			left[j.Spec.Team] = room.Plus(j.Spec.Need, -n)
+		if n := min(j.Unfinished(), room.Fits(j.Spec.Request)); n > 0 {
+			left[j.Spec.Team] = room.Plus(j.Spec.Request, -n)
 			out = append(out, Need{&j.Spec, n})
 		}
 	}
@@ -205,7 +205,7 @@
 			}()
 		}
 		wg.Wait()
-		var open []protocol.Rent // sent again under the same names
+		var open []protocol.ScaleOutRequest // sent again under the same names
 		for i, r := range orders {
 			if unanswered[i] {
 				open = append(open, r)
@@ -221,16 +221,16 @@
 }
 
 // rentOne sends one request and tells whether it was answered.
-func (t *Term) rentOne(ctx context.Context, r protocol.Rent) bool {
-	names, err := t.Cloud.Rent(ctx, r)
+func (t *Term) rentOne(ctx context.Context, r protocol.ScaleOutRequest) bool {
+	names, err := t.Cloud.ScaleOut(ctx, r)
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
-		t.Log.Debug("rent not answered", "request", r.Request, "error", err)
+		t.Log.Debug("rent not answered", "request", r.RequestID, "error", err)
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Steady()
-	kind := Kind{r.Type, r.Zone, r.Spot}
+	kind := Kind{r.InstanceType, r.Zone, r.Spot}
 	if len(names) < r.Count {
 		was := t.provisioning.refused[kind]
 		wait := min(max(2*was.wait, refusedFirst), refusedMost)
@@ -240,44 +240,44 @@
 	}
 	for _, id := range names {
 		if !t.released.has(id) {
-			m := t.ledger.Machine(id, r.Type, r.Zone, r.Spot, now)
+			m := t.ledger.EnsureMachine(id, r.InstanceType, r.Zone, r.Spot, now)
 			if m.Stage == "" {
 				m.Stage = protocol.MachineBooting
 			}
 		}
 	}
-	t.Log.Info("machines rented", "request", r.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", names)
+	t.Log.Info("machines rented", "request", r.RequestID, "type", r.InstanceType, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", names)
 	return true
 }
 
 // fleetView is what the renting decision looks at.
 func (t *Term) fleetView(in config.FleetInput) FleetView {
-	v := FleetView{Types: t.ledger.Types, Have: map[Kind]int{}, Needs: t.needs(),
+	v := FleetView{Types: t.ledger.InstanceTypes, Have: map[Kind]int{}, Needs: t.needs(),
 		Reserve: t.Policy.ReserveCPUs(in), SpotPreference: t.Policy.SpotPreference(in)}
 	now := t.Clock.Steady()
 	for _, m := range t.ledger.Machines {
-		boot := units.Seconds(t.ledger.Types[m.Type].BootS)
-		if m.Releasing || m.SetAside || m.NoticeEnds > 0 || !m.Seen && now-m.Rented > bootPatience*boot+10*units.Second {
+		boot := units.Seconds(t.ledger.InstanceTypes[m.InstanceType].BootS)
+		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.RentedAt > bootPatience*boot+10*units.Second {
 			continue
 		}
-		v.Have[Kind{m.Type, m.Zone, m.Spot}]++
+		v.Have[Kind{m.InstanceType, m.Zone, m.Spot}]++
 	}
 	return v
 }
 
 // orders turns what is wanted into requests with names never used before: the
 // term is in them, and no two terms are alike.
-func (t *Term) orders(now units.Micros) []protocol.Rent {
-	if len(t.ledger.Types) == 0 || t.provisioning.listAt == 0 {
+func (t *Term) orders(now units.Micros) []protocol.ScaleOutRequest {
+	if len(t.ledger.InstanceTypes) == 0 || t.provisioning.listAt == 0 {
 		return nil // what there is, is not known yet
 	}
 	v := t.fleetView(t.fleetInput())
 	v.Refused = func(k Kind) bool { return now < t.provisioning.refused[k].until }
-	var out []protocol.Rent
+	var out []protocol.ScaleOutRequest
 	for _, o := range WantRented(&v) {
 		t.rentRequests++
-		out = append(out, protocol.Rent{Request: fmt.Sprintf("r-%d-%d", t.number, t.rentRequests),
-			Type: o.Kind.Type, Zone: o.Kind.Zone, Spot: o.Kind.Spot, Count: o.Count})
+		out = append(out, protocol.ScaleOutRequest{RequestID: fmt.Sprintf("r-%d-%d", t.number, t.rentRequests),
+			InstanceType: o.Kind.Type, Zone: o.Kind.Zone, Spot: o.Kind.Spot, Count: o.Count})
 	}
 	return out
 }
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -16,7 +16,7 @@
 // recordReader answers polls from the records alone, for a node that does not lead and
 // cannot reach the leader. What they say was committed before anybody was told of it.
 type recordReader struct {
-	store   *kv.Store
+	store   *kv.Client
 	clock   units.Clock
 	workers config.Workers
 }
@@ -26,7 +26,7 @@
 
 // poll tells a job's state.
 func (r recordReader) poll(ctx context.Context, id string) answer {
-	if !r.store.Spare() {
+	if !r.store.HasRequestBudget() {
 		return unavailable("no leader")
 	}
 	// From the inbox a job moves to the live records and from there to the final
@@ -38,15 +38,15 @@
 		return a
 	}
 	readAt := r.clock.Steady()
-	item, ok, err := r.store.Get(ctx, storage.KeyInbox(id), storedCall)
+	item, ok, err := r.store.Get(ctx, storage.KeyPending(id), storedCall)
 	if err != nil {
 		return unavailable("state service is out of reach")
 	}
 	if ok {
-		if _, err := cluster.ParseArrival(item); err != nil {
+		if _, err := cluster.ParsePendingSubmission(item); err != nil {
 			return unavailable("the job's record is not readable")
 		}
-		return provisionalAnswer(stateAnswer(http.StatusOK, protocol.JobState{UID: id, Stage: protocol.StagePending}), readAt)
+		return provisionalAnswer(stateAnswer(http.StatusOK, protocol.JobState{ID: id, Stage: protocol.StagePending}), readAt)
 	}
 	if a, found := r.liveOrFinal(ctx, id); found {
 		return a
@@ -70,7 +70,7 @@
 	}
 	f, ok, err := ReadFinal(ctx, r.store, id)
 	switch {
-	case errors.Is(err, kv.ErrRefused), errors.Is(err, kv.ErrUncertain):
+	case errors.Is(err, kv.ErrRefused), errors.Is(err, kv.ErrOutcomeUnknown):
 		return unavailable("state service is out of reach"), true
 	case err != nil:
 		return unavailable("the job's record is not readable"), true
--- a/internal/coordination/release.go
+++ b/internal/coordination/release.go
@@ -13,8 +13,8 @@
 // its kind now, whatever it said before: after a wave of losses, waiting for the
 // refusal to pass once left a quarter of the fleet away for half a minute.
 func (t *Term) remove(m *cluster.Machine, now units.Micros) {
-	t.ledger.Remove(m, now)
-	delete(t.provisioning.refused, Kind{m.Type, m.Zone, m.Spot})
+	t.ledger.RemoveMachine(m, now)
+	delete(t.provisioning.refused, Kind{m.InstanceType, m.Zone, m.Spot})
 }
 
 // releaseUnwanted returns machines that are faulty, lost, never came up, or
@@ -24,8 +24,8 @@
 	names := t.unwanted(t.Clock.Steady())
 	t.mu.Unlock()
 	for len(names) > 0 {
-		n := min(len(names), protocol.MaxRelease)
-		if err := t.Cloud.Release(ctx, names[:n]); err != nil {
+		n := min(len(names), protocol.MaxScaleIn)
+		if err := t.Cloud.ScaleIn(ctx, names[:n]); err != nil {
 			t.Log.Debug("machines not released", "machines", names[:n], "error", err)
 			return
 		}
@@ -36,7 +36,7 @@
 			if m := t.ledger.Machines[id]; m != nil {
 				t.remove(m, now)
 			} else {
-				t.ledger.Confirm(id)
+				t.ledger.MarkReconciled(id)
 			}
 		}
 		t.Log.Info("machines released", "machines", names[:n])
@@ -60,13 +60,13 @@
 	silent := t.silentMachines(now)
 	for _, id := range sortedKeys(t.ledger.Machines) {
 		m := t.ledger.Machines[id]
-		boot := units.Seconds(t.ledger.Types[m.Type].BootS)
+		boot := units.Seconds(t.ledger.InstanceTypes[m.InstanceType].BootS)
 		switch {
-		case m.Seen && m.SetAside && len(m.Attempts) == 0:
+		case m.Registered && m.Quarantined && len(m.Attempts) == 0:
 			mark(m, "faulty")
-		case !m.Seen && m.Stage != protocol.MachineRunning && now-m.Rented > bootLimit*boot+30*units.Second && now-t.claimedAt > 30*units.Second:
+		case !m.Registered && m.Stage != protocol.MachineRunning && now-m.RentedAt > bootLimit*boot+30*units.Second && now-t.claimedAt > 30*units.Second:
 			mark(m, "never came up")
-		case !m.Seen && now-max(t.claimedAt, m.Rented) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutMost):
+		case !m.Registered && now-max(t.claimedAt, m.RentedAt) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutMost):
 			// It runs, the cloud says, but has not been heard in this term: its
 			// zone may be cut off, for a while.
 			mark(m, "silent")
@@ -100,7 +100,7 @@
 	have := units.AmountOf(in.FleetCPUs)
 	var out []*cluster.Machine
 	for _, m := range t.ledger.Machines {
-		if m.Seen && !m.Releasing && m.Term == t.number && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-t.claimedAt > wait {
+		if m.Registered && !m.Releasing && m.FencingToken == t.number && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-t.claimedAt > wait {
 			out = append(out, m)
 		}
 	}
@@ -124,15 +124,15 @@
 	}
 	n, lacks := 0, lacking()
 	for _, m := range out[:min(len(out), idleAtATime)] {
-		if have-m.Size.CPU < keep {
+		if have-m.Capacity.CPU < keep {
 			continue
 		}
-		kind := Kind{m.Type, m.Zone, m.Spot}
+		kind := Kind{m.InstanceType, m.Zone, m.Spot}
 		if view.Have[kind]--; lacking() > lacks {
 			view.Have[kind]++
 			continue
 		}
-		have -= m.Size.CPU
+		have -= m.Capacity.CPU
 		out[n] = m
 		n++
 	}
@@ -143,7 +143,7 @@
 const idleAtATime = 50
 
 func (t *Term) price(m *cluster.Machine) float64 {
-	typ := t.ledger.Types[m.Type]
+	typ := t.ledger.InstanceTypes[m.InstanceType]
 	if m.Spot {
 		return typ.SpotPrice
 	}
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -17,7 +17,7 @@
 
 // FleetView is what the renting decision looks at.
 type FleetView struct {
-	Types          map[string]protocol.MachineType
+	Types          map[string]protocol.InstanceType
 	Have           map[Kind]int // machines that work or are thought to come up
 	Needs          []Need       // tasks that are not done, within their teams' limits
 	Reserve        units.Amount // processors to keep whatever is needed
@@ -50,10 +50,10 @@
 		t := v.Types[name]
 		for _, zone := range t.Zones {
 			out = append(out,
-				kindOffer{Kind{name, zone, false}, cluster.SizeOf(t), t.Price},
+				kindOffer{Kind{name, zone, false}, cluster.CapacityOf(t), t.Price},
 				kindOffer{
 					Kind{name, zone, true},
-					cluster.SizeOf(t),
+					cluster.CapacityOf(t),
 					t.SpotPrice * max(v.SpotPreference, 0.01),
 				})
 		}
@@ -132,8 +132,8 @@
 	left := n.Count
 	for i := range p.offers {
 		o := &p.offers[i]
-		if k := min(left, p.pool[o.kind].Fits(n.Spec.Need)); k > 0 && o.allows(n) {
-			p.pool[o.kind] = p.pool[o.kind].Plus(n.Spec.Need, -k)
+		if k := min(left, p.pool[o.kind].Fits(n.Spec.Request)); k > 0 && o.allows(n) {
+			p.pool[o.kind] = p.pool[o.kind].Plus(n.Spec.Request, -k)
 			left -= k
 		}
 	}
@@ -150,7 +150,7 @@
 	bestCost, bestFits := 0.0, 0
 	for i := range p.offers {
 		o := &p.offers[i]
-		fits := o.size.Fits(n.Spec.Need)
+		fits := o.size.Fits(n.Spec.Request)
 		if fits == 0 || p.view.Refused(o.kind) || !o.allows(n) {
 			continue
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	p.rent(*best, (tasks+bestFits-1)/bestFits)
-	p.pool[best.kind] = p.pool[best.kind].Plus(n.Spec.Need, -tasks)
+	p.pool[best.kind] = p.pool[best.kind].Plus(n.Spec.Request, -tasks)
 }
 
 // rentReserve rents what lacks to the reserve, machine by machine.
@@ -183,7 +183,7 @@
 	var best *kindOffer
 	for i := range p.offers {
 		o := &p.offers[i]
-		if o.size.CPU == 0 || p.view.Refused(o.kind) || p.orders[o.kind] >= protocol.MaxRent {
+		if o.size.CPU == 0 || p.view.Refused(o.kind) || p.orders[o.kind] >= protocol.MaxScaleOut {
 			continue
 		}
 		if best == nil {
@@ -205,7 +205,7 @@
 	var out []Order
 	for _, o := range p.offers {
 		if n := p.orders[o.kind]; n > 0 {
-			out = append(out, Order{o.kind, min(n, protocol.MaxRent)})
+			out = append(out, Order{o.kind, min(n, protocol.MaxScaleOut)})
 		}
 	}
 	return out
--- a/internal/coordination/rent_test.go
+++ b/internal/coordination/rent_test.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-var rentTypes = map[string]protocol.MachineType{
+var rentTypes = map[string]protocol.InstanceType{
 	"small": {Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, Zones: []string{"a", "b"}},
 	"big":   {Name: "big", CPUs: 32, MemoryGB: 128, Price: 7, SpotPrice: 2, Zones: []string{"a"}},
 }
@@ -28,14 +28,14 @@
 			Refused: func(k Kind) bool { return refused[k] }}
 		for range rapid.IntRange(0, 4).Draw(t, "needs") {
 			v.Needs = append(v.Needs, Need{&protocol.JobSpec{
-				Need: cpus(rapid.IntRange(1, 4).Draw(t, "cpus")),
-				Spot: rapid.Bool().Draw(t, "spot"),
-				Zone: rapid.SampledFrom([]string{"", "b"}).Draw(t, "zone"),
+				Request:   cpus(rapid.IntRange(1, 4).Draw(t, "cpus")),
+				AllowSpot: rapid.Bool().Draw(t, "spot"),
+				Zone:      rapid.SampledFrom([]string{"", "b"}).Draw(t, "zone"),
 			},
 				rapid.IntRange(1, 30).Draw(t, "count")})
 		}
 		for _, o := range WantRented(&v) {
-			if refused[o.Kind] || o.Count <= 0 || o.Count > protocol.MaxRent {
+			if refused[o.Kind] || o.Count <= 0 || o.Count > protocol.MaxScaleOut {
 				t.Fatalf("order %+v", o)
 			}
 			v.Have[o.Kind] += o.Count
@@ -56,7 +56,7 @@
 		}
 		var need, have units.Amount
 		for _, n := range v.Needs {
-			need += n.Spec.Need.CPU * units.Amount(n.Count)
+			need += n.Spec.Request.CPU * units.Amount(n.Count)
 		}
 		for k, n := range v.Have {
 			have += units.AmountOf(rentTypes[k.Type].CPUs) * units.Amount(n)
@@ -73,7 +73,7 @@
 		Have:           map[Kind]int{},
 		SpotPreference: 1,
 		Refused:        func(Kind) bool { return false },
-		Needs:          []Need{{&protocol.JobSpec{Need: cpus(4), Spot: true}, 8}},
+		Needs:          []Need{{&protocol.JobSpec{Request: cpus(4), AllowSpot: true}, 8}},
 	}
 	want := []Order{{Kind{"big", "a", true}, 1}}
 	if got := WantRented(&v); !reflect.DeepEqual(got, want) {
@@ -86,7 +86,7 @@
 func TestLostMachineIsReplacedAtOnce(t *testing.T) {
 	term, clock := guardTerm(t, 40)
 	term.provisioning.listAt = clock.now
-	m := term.ledger.Machine("i-000001", "m", "a", true, clock.now)
+	m := term.ledger.EnsureMachine("i-000001", "m", "a", true, clock.now)
 	for _, spot := range []bool{false, true} {
 		term.provisioning.refused[Kind{"m", "a", spot}] = refusal{
 			until: clock.now + refusedMost,
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -53,15 +53,15 @@
 // An answer prolongs the worker's lease, and with it whatever runs there. So none
 // is given before the records are restored: this node might not know yet of a
 // cancellation that a former leader's user was told of.
-func (t *Term) Report(ctx context.Context, r *protocol.Report, slot *reportSlot) (protocol.ReportAnswer, bool) {
-	answer := protocol.ReportAnswer{Term: t.number, Commands: []protocol.Command{}}
+func (t *Term) Report(ctx context.Context, r *protocol.Heartbeat, slot *reportSlot) (protocol.HeartbeatResponse, bool) {
+	answer := protocol.HeartbeatResponse{FencingToken: t.number, Commands: []protocol.Command{}}
 	if !t.waitRestored(ctx, slot) {
 		return answer, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Steady()
-	if !t.Lease.Valid(t.number) || r.Term > t.number {
+	if !t.Lease.Valid(t.number) || r.FencingToken > t.number {
 		return answer, false
 	}
 	m := t.observe(r, now)
@@ -83,7 +83,7 @@
 		case <-time.After(t.durableWait().Duration()):
 		}
 		t.mu.Lock()
-		if m.Session != r.Session || m.Seq != r.Seq || !t.Lease.Valid(t.number) {
+		if m.Incarnation != r.Incarnation || m.Sequence != r.Sequence || !t.Lease.Valid(t.number) {
 			return answer, false
 		}
 	}
@@ -95,23 +95,23 @@
 // nothing is made up for a line that is dropped.
 func (t *Term) trace(what string, a *cluster.Attempt) {
 	if t.traces {
-		t.Log.Debug(what, "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID)
+		t.Log.Debug(what, "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID)
 	}
 }
 
-func newer(r *protocol.Report, session, seq uint64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+func newer(r *protocol.Heartbeat, session, seq uint64) bool {
+	return r.Incarnation > session || r.Incarnation == session && r.Sequence > seq
 }
 
 // observe works out the difference between what a machine reports and what
 // the ledger says of it. Old reports, and those of machines that were
 // released, have no effect and give nil.
-func (t *Term) observe(r *protocol.Report, now units.Micros) *cluster.Machine {
+func (t *Term) observe(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
 	if t.released.has(r.Machine) {
 		return nil
 	}
-	m := t.ledger.Machine(r.Machine, r.Type, r.Zone, r.Spot, now)
-	if m.Seen && !newer(r, m.Session, m.Seq) {
+	m := t.ledger.EnsureMachine(r.Machine, r.InstanceType, r.Zone, r.Spot, now)
+	if m.Registered && !newer(r, m.Incarnation, m.Sequence) {
 		return nil
 	}
 	t.checkDelivery(m, r, now)
@@ -129,49 +129,49 @@
 	// Only a report that shows our term was sent after an answer of ours was
 	// received. Any other may be a copy that comes late, of a machine that is
 	// gone by now, and an answer of a former leader may still be on its way.
-	if m.Term != r.Term && r.Term == t.number {
-		t.ledger.Confirm(m.ID)
+	if m.FencingToken != r.FencingToken && r.FencingToken == t.number {
+		t.ledger.MarkReconciled(m.ID)
 		signal(t.roundSignal)
 	}
-	m.Term, m.HungCancelled = r.Term, false
+	m.FencingToken, m.MayHoldCancelled = r.FencingToken, false
 	return m
 }
 
 // observeMachine takes over what a report tells of the machine itself.
-func (t *Term) observeMachine(m *cluster.Machine, r *protocol.Report, now units.Micros) {
-	if m.Seen && r.Session > m.Session {
-		t.Log.Info("machine began a new session", "machine", m.ID, "session", r.Session, "lost", len(m.Attempts))
-		t.ledger.Emptied(m, now)
+func (t *Term) observeMachine(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+	if m.Registered && r.Incarnation > m.Incarnation {
+		t.Log.Info("machine began a new session", "machine", m.ID, "session", r.Incarnation, "lost", len(m.Attempts))
+		t.ledger.MachineEmptied(m, now)
 	}
-	if !m.Seen {
-		t.Log.Info("machine reports", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "tasks", len(r.Tasks))
+	if !m.Registered {
+		t.Log.Info("machine reports", "machine", m.ID, "type", m.InstanceType, "zone", m.Zone, "spot", m.Spot, "tasks", len(r.Tasks))
 	}
-	m.Seen = true
-	m.Session, m.Seq = r.Session, r.Seq
-	m.LastAnswered = now
+	m.Registered = true
+	m.Incarnation, m.Sequence = r.Incarnation, r.Sequence
+	m.LastHeartbeat = now
 	m.Stage = protocol.MachineRunning
 	if r.Endpoint != "" {
 		m.Endpoint = r.Endpoint
 	}
-	if r.Noticed {
-		if m.NoticeEnds == 0 {
-			t.Log.Info("machine is to be taken", "machine", m.ID, "in_ms", r.Notice/units.Millisecond)
+	if r.TerminationNoticed {
+		if m.TerminatesAt == 0 {
+			t.Log.Info("machine is to be taken", "machine", m.ID, "in_ms", r.TerminationIn/units.Millisecond)
 		}
-		m.NoticeEnds = now + r.Notice
+		m.TerminatesAt = now + r.TerminationIn
 	}
 }
 
 // dropMissing drops the attempts that a report, whose tasks were taken over, proves not to
 // be on the machine: they were sent with an earlier answer that never arrived, or the
 // worker has forgotten them.
-func (t *Term) dropMissing(m *cluster.Machine, r *protocol.Report, now units.Micros) {
+func (t *Term) dropMissing(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
 	for _, a := range m.Attempts {
 		switch {
-		case a.SeenSeq == r.Seq, a.Stage == cluster.Assigned:
-		case a.Stage == cluster.Sent && r.Seq <= a.SentSeq:
+		case a.SeenSequence == r.Sequence, a.Stage == cluster.Assigned:
+		case a.Stage == cluster.Sent && r.Sequence <= a.SentSequence:
 		default:
 			t.trace("attempt is not there", a)
-			t.ledger.Gone(a, now)
+			t.ledger.AttemptGone(a, now)
 		}
 	}
 }
@@ -180,15 +180,15 @@
 // something reached the machine: all of an answer's commands are carried out,
 // or none. A machine that was told nothing shows it by its session: without an
 // answer within its lease it would have begun another one.
-func (t *Term) checkDelivery(m *cluster.Machine, r *protocol.Report, now units.Micros) {
-	if m.Undelivered > 0 && r.Session == m.Session && now-m.UndeliveredAt > t.workerLease() {
+func (t *Term) checkDelivery(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+	if m.UndeliveredCommands > 0 && r.Incarnation == m.Incarnation && now-m.UndeliveredAt > t.workerLease() {
 		t.Log.Info("machine hears again", "machine", m.ID)
-		m.Undelivered = 0
+		m.UndeliveredCommands = 0
 	}
-	if r.Session != m.Session {
+	if r.Incarnation != m.Incarnation {
 		m.UndeliveredAt = now
 	}
-	if !m.LastCommand.Given {
+	if !m.LastCommand.Pending {
 		return
 	}
 	there, live := false, false
@@ -199,18 +199,18 @@
 	}
 	carriedOut := !there
 	switch protocol.Verb(m.LastCommand.Verb) {
-	case protocol.Start:
+	case protocol.VerbStart:
 		carriedOut = there
-	case protocol.Stop:
+	case protocol.VerbStop:
 		carriedOut = !live
 	}
-	m.LastCommand.Given = false
-	if carriedOut && r.Session == m.Session {
-		m.Undelivered = 0
+	m.LastCommand.Pending = false
+	if carriedOut && r.Incarnation == m.Incarnation {
+		m.UndeliveredCommands = 0
 		return
 	}
 	m.UndeliveredAt = now
-	if m.Undelivered++; m.Undelivered == maxUndelivered {
+	if m.UndeliveredCommands++; m.UndeliveredCommands == maxUndelivered {
 		t.Log.Info("machine carries nothing out", "machine", m.ID, "task", protocol.TaskName(m.LastCommand.Key.Job, m.LastCommand.Key.Index),
 			"attempt", m.LastCommand.Key.Number, "verb", m.LastCommand.Verb)
 	}
@@ -221,13 +221,13 @@
 // work and is returned as one that is silent would be.
 const maxUndelivered = 2
 
-func (t *Term) exited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskReport, now units.Micros) {
+func (t *Term) exited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
 	j, a := t.ledger.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
 		if j != nil && task.Cause == protocol.CauseDone && key.Index < j.Spec.Tasks && !j.IsDone(key.Index) {
-			t.ledger.Done(j, key.Index, now)
-			if other := j.Live[key.Index]; other != nil {
-				t.ledger.Stop(other, 0)
+			t.ledger.TaskDone(j, key.Index, now)
+			if other := j.LiveAttempts[key.Index]; other != nil {
+				t.ledger.StopAttempt(other, 0)
 			}
 		}
 		return
@@ -236,66 +236,66 @@
 	// that was done elsewhere was still on its way out.
 	j = a.Job
 	if t.traces {
-		t.Log.Debug("task ended", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "cause", task.Cause, "saved", task.Saved)
+		t.Log.Debug("task ended", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID, "cause", task.Cause, "saved", task.Checkpointed)
 	}
 	switch task.Cause {
 	case protocol.CauseDone:
-		if j.Service() {
-			t.ledger.Ended(a, false, now)
+		if j.IsService() {
+			t.ledger.ReplicaEnded(a, false, now)
 			break
 		}
-		t.completions.freed += j.Spec.Need.CPU
-		t.ledger.Completed(a, now)
-		t.ledger.Done(j, key.Index, now)
+		t.completions.freed += j.Spec.Request.CPU
+		t.ledger.AttemptCompleted(a, now)
+		t.ledger.TaskDone(j, key.Index, now)
 		if j.Complete() {
 			signal(t.saveSignal)
 		}
 	case protocol.CauseError:
-		if j.Service() {
-			t.ledger.Ended(a, true, now)
+		if j.IsService() {
+			t.ledger.ReplicaEnded(a, true, now)
 		} else {
-			t.ledger.Failed(a, now)
+			t.ledger.AttemptFailed(a, now)
 		}
-		if m.SetAside {
-			t.Log.Info("machine set aside as faulty", "machine", m.ID, "task", a.Task())
+		if m.Quarantined {
+			t.Log.Info("machine set aside as faulty", "machine", m.ID, "task", a.TaskName())
 		}
-	case protocol.CauseNoRoom:
+	case protocol.CauseNoCapacity:
 		m.BlockedUntil = now + noRoomPause
-	case protocol.CauseUnknown, protocol.CauseBusy:
+	case protocol.CauseNoSuchTask, protocol.CauseInUse:
 		j.RetryAt = now + units.Second
 	}
-	t.ledger.Gone(a, now)
-	if j.Cancelled && len(j.Live) == 0 {
-		j.Changed(now, true)
+	t.ledger.AttemptGone(a, now)
+	if j.Cancelled && len(j.LiveAttempts) == 0 {
+		j.MarkChanged(now, true)
 		signal(t.saveSignal)
 	}
 }
 
-func (t *Term) alive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskReport, now units.Micros) {
+func (t *Term) alive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
 	j, a := t.ledger.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
-		if j == nil || key.Index >= j.Spec.Tasks || j.IsDone(key.Index) || j.Live[key.Index] != nil {
+		if j == nil || key.Index >= j.Spec.Tasks || j.IsDone(key.Index) || j.LiveAttempts[key.Index] != nil {
 			return // commands will stop it
 		}
 		a = t.ledger.Adopt(j, key.Index, key.Number, m, now)
 		t.trace("attempt adopted", a)
 	}
 	j = a.Job
-	a.SeenSeq = m.Seq
+	a.SeenSequence = m.Sequence
 	switch task.Stage {
 	case protocol.TaskFetching:
 		a.Stage = cluster.Fetching
 	case protocol.TaskRunning:
 		if a.Stage != cluster.Running {
 			a.Stage, a.RunningSince = cluster.Running, now
-			j.Begun = true
+			j.Started = true
 			t.trace("task runs", a)
-			t.ledger.HoldsImage(m, j)
+			t.ledger.RecordImage(m, j)
 		}
-		if j.Service() {
-			t.ledger.Steady(a, now)
+		if j.IsService() {
+			t.ledger.ReplicaSteady(a, now)
 		}
-	case protocol.TaskSaving:
-		a.Stage = cluster.Saving
+	case protocol.TaskCheckpointing:
+		a.Stage = cluster.Checkpointing
 	}
 }
--- a/internal/coordination/reportlimiter_test.go
+++ b/internal/coordination/reportlimiter_test.go
@@ -51,13 +51,13 @@
 	controller := testController(term)
 	send := func(machine string, seq uint64) <-chan int {
 		status := make(chan int, 1)
-		body := encodeReport(&protocol.Report{
-			Machine: machine,
-			Type:    "m",
-			Zone:    "a",
-			Session: 1,
-			Seq:     seq,
-			Term:    1,
+		body := encodeReport(&protocol.Heartbeat{
+			Machine:      machine,
+			InstanceType: "m",
+			Zone:         "a",
+			Incarnation:  1,
+			Sequence:     seq,
+			FencingToken: 1,
 		}, nil)
 		go func() {
 			status <- controller.report(t.Context(), transport.Request{Body: body}).Status
@@ -82,8 +82,8 @@
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
 	job := term.ledger.NewJob(spec, term.Clock.Wall(), term.Clock.Steady())
-	accepted := term.ledger.BuildSave("1-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, term.Clock.Steady())
-	term.ledger.Applied(accepted, 1)
+	accepted := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, term.Clock.Steady())
+	term.ledger.BatchCommitted(accepted, 1)
 	term.ledger.Assign(job, term.ledger.Machines["i-1"], 1, term.Clock.Steady())
 	waiting := send("i-1", 2)
 	time.Sleep(20 * time.Millisecond) // it waits by now
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -19,7 +19,7 @@
 
 // Refuse gives the answer that refuses a request in one line.
 func Refuse(status int, why string) transport.Response {
-	r := transport.Response{Status: status, Body: protocol.Encode(protocol.Problem{Error: why})}
+	r := transport.Response{Status: status, Body: protocol.Encode(protocol.ErrorResponse{Message: why})}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		r.RetryAfter = 1
 	}
@@ -32,12 +32,12 @@
 
 // cancelled tells whether the user of a job may be told that it is cancelled, though
 // it is not over.
-func cancelled(j *cluster.Job, w config.Workers) bool { return j.CancelStored && confirmsAtOnce(w) }
+func cancelled(j *cluster.Job, w config.Workers) bool { return j.CancelDurable && confirmsAtOnce(w) }
 
 // jobAnswer tells a live job's state as it was read at readAt or later.
 func jobAnswer(status int, j *cluster.Job, w config.Workers, readAt units.Micros) answer {
 	s := protocol.JobState{
-		UID:     j.Spec.ID,
+		ID:      j.Spec.ID,
 		Stage:   protocol.StagePending,
 		Done:    j.DoneCount(),
 		Running: j.Running(),
@@ -72,7 +72,7 @@
 	switch {
 	case j == nil || !j.Accepted():
 		return answer{}, false
-	case j.EndBeingStored():
+	case j.EndInFlight():
 		return unavailable("the job's end is being stored"), true // others may tell of it
 	}
 	return jobAnswer(status, j, t.Settings.Fleet.Workers, readAt), true
@@ -98,7 +98,7 @@
 		}
 		j = t.enter(spec)
 	}
-	saved := j.Saved()
+	saved := j.Durable()
 	noted := t.Clock.Steady()
 	t.mu.Unlock()
 	stored := waitFor(ctx, saved)
@@ -119,7 +119,7 @@
 func (t *Term) enter(spec *protocol.JobSpec) *cluster.Job {
 	j := t.ledger.NewJob(*spec, t.Clock.Wall(), t.Clock.Steady())
 	t.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
-		"priority", spec.Priority, "tasks", spec.Tasks, "cpus", spec.Need.CPU.Float(),
+		"priority", spec.Priority, "tasks", spec.Tasks, "cpus", spec.Request.CPU.Float(),
 		"estimate_ms", spec.Estimate/units.Millisecond, "deadline_ms", spec.Deadline/units.Millisecond)
 	signal(t.saveSignal)
 	return j
@@ -219,7 +219,7 @@
 		return t.Poll(ctx, id)
 	}
 	t.cancelJob(j)
-	saved := j.Saved()
+	saved := j.Durable()
 	t.mu.Unlock()
 	if !waitFor(ctx, saved) {
 		return unavailable("state service is slow")
@@ -243,13 +243,13 @@
 		return
 	}
 	j.Cancelled = true
-	t.Log.Info("job cancelled", "job", j.Spec.ID, "live", len(j.Live))
+	t.Log.Info("job cancelled", "job", j.Spec.ID, "live", len(j.LiveAttempts))
 	now := t.Clock.Steady()
-	for _, a := range j.Live {
+	for _, a := range j.LiveAttempts {
 		if a.Stage == cluster.Sent || a.Stage == cluster.Fetching {
 			t.requestDirect(a.Machine, nil, now) // or it would begin yet
 		}
 	}
-	j.Changed(now, true)
+	j.MarkChanged(now, true)
 	signal(t.saveSignal)
 }
--- a/internal/coordination/restore.go
+++ b/internal/coordination/restore.go
@@ -50,7 +50,7 @@
 	defer t.mu.Unlock()
 	t.provisioning.catalogStored = stored
 	for _, id := range sortedKeys(orphans) {
-		t.ledger.Leave(id, orphans[id])
+		t.ledger.AddStaleRecords(id, orphans[id])
 	}
 	t.install(jobs, catalog)
 	return true
@@ -102,15 +102,15 @@
 // install takes over what the records say.
 func (t *Term) install(jobs []*cluster.Job, catalog protocol.Catalog) {
 	now := t.Clock.Steady()
-	t.ledger.SetTypes(catalog.Types)
+	t.ledger.SetInstanceTypes(catalog.Types)
 	t.ledger.UpgradeFormat(t.Format.Level(), now)
 	for _, j := range jobs {
-		j.Since = now
-		t.ledger.Add(j)
+		j.LearnedAt = now
+		t.ledger.AddJob(j)
 	}
 	t.ready = true
 	close(t.restored)
-	t.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", t.ledger.UnconfirmedCount(), "took_ms", (now-t.claimedAt)/units.Millisecond)
+	t.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", t.ledger.UnreconciledCount(), "took_ms", (now-t.claimedAt)/units.Millisecond)
 	signal(t.roundSignal)
 }
 
@@ -118,7 +118,7 @@
 // time: from then on, saves of a former leader that are still on their way
 // fail.
 func (t *Term) claimBuckets(ctx context.Context) error {
-	items, _, err := listAll(ctx, t.Store, storage.PrefixHeads)
+	items, _, err := listAll(ctx, t.Store, storage.PrefixBucketHeads)
 	if err != nil {
 		return err
 	}
@@ -130,8 +130,8 @@
 	var txn protocol.Txn
 	var claiming []int
 	for b := range storage.Buckets {
-		key := storage.KeyHead(b)
-		var head storage.Lease
+		key := storage.KeyBucketHead(b)
+		var head storage.LeaseRecord
 		item, ok := byKey[key]
 		if ok {
 			if err := protocol.Decode(item.Value, &head); err != nil {
@@ -142,7 +142,7 @@
 			t.bucketVersions[b] = item.Version // by an earlier try that got no answer
 			continue
 		}
-		head = storage.Lease{Holder: t.Settings.Node, Incarnation: head.Incarnation + 1, Save: save}
+		head = storage.LeaseRecord{Holder: t.Settings.Node, Incarnation: head.Incarnation + 1, WriteID: save}
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: item.Version})
 		txn.Then = append(txn.Then, protocol.Change{Set: key, Value: protocol.Encode(head)})
 		claiming = append(claiming, b)
@@ -150,7 +150,7 @@
 	step := t.Settings.Fleet.State.Both().TxnOps
 	for from := 0; from < len(claiming); from += step {
 		to := min(from+step, len(claiming))
-		version, err := t.Store.Commit(ctx, protocol.Txn{
+		version, err := t.Store.CompareAndSwap(ctx, protocol.Txn{
 			If:   txn.If[from:to],
 			Then: txn.Then[from:to],
 		}, kv.Urgent, stateCall)
@@ -165,8 +165,8 @@
 }
 
 // isOwn tells whether a bucket's head was claimed in this very term.
-func (t *Term) isOwn(head storage.Lease) bool {
-	return head.Holder == t.Settings.Node && strings.HasPrefix(head.Save, fmt.Sprintf("%d-", t.number))
+func (t *Term) isOwn(head storage.LeaseRecord) bool {
+	return head.Holder == t.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", t.number))
 }
 
 // listCall bounds the read of one page of a list.
@@ -174,7 +174,7 @@
 
 // listAll reads all records whose keys have a prefix, and gives the revision from which on
 // changes are not in it.
-func listAll(ctx context.Context, store *kv.Store, prefix string) (all []protocol.Item, revision uint64, err error) {
+func listAll(ctx context.Context, store *kv.Client, prefix string) (all []protocol.Item, revision uint64, err error) {
 	from := ""
 	for {
 		page, err := store.List(ctx, prefix, from, listCall)
--- a/internal/coordination/round.go
+++ b/internal/coordination/round.go
@@ -114,14 +114,14 @@
 	refs := &snapshotRefs{machines: []*cluster.Machine{m}}
 	for _, q := range queue {
 		j := q.job
-		if s.Machines[0].Free.Fits(j.Spec.Need) == 0 && m.Freeing == (units.Resources{}) || !t.placeable(j, now) {
+		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !t.placeable(j, now) {
 			continue
 		}
 		view := q.view
-		if view.Overdue && len(j.Live) > 0 {
+		if view.Overdue && len(j.LiveAttempts) > 0 {
 			continue // it has begun; its turn for the rest is found by the next round
 		}
-		view.Pending, view.Live, view.Team = j.Pending(), len(j.Live), teams[j.Spec.Team]
+		view.Pending, view.Live, view.Team = j.Pending(), len(j.LiveAttempts), teams[j.Spec.Team]
 		t.spread(&view, j)
 		if view.LiveOn != nil {
 			continue // replicas are placed with all machines in view
@@ -144,7 +144,7 @@
 		j, m := refs.jobs[w.Job], refs.machines[w.Machine]
 		for range w.Count {
 			// A gang's tasks find each other by the attempt they share.
-			if j.Spec.Shape != protocol.Gang || !gangs[w.Job] {
+			if j.Spec.Kind != protocol.Gang || !gangs[w.Job] {
 				t.attempts++
 				gangs[w.Job] = true
 			}
@@ -153,20 +153,20 @@
 				break
 			}
 			t.trace("task placed", a)
-			t.Metrics.placed(now - j.Since)
+			t.Metrics.placed(now - j.LearnedAt)
 		}
-		if !j.MayStartOn(m.ID) {
+		if !j.MachineIsDurable(m.ID) {
 			signal(t.saveSignal)
 		}
-		if j.Service() {
+		if j.IsService() {
 			t.requestDirect(m, j, now)
 		}
 	}
 	for _, p := range wanted.Stops {
 		a := refs.victims[p.Victim]
-		t.ledger.Stop(a, a.Job.Spec.Save+saveMargin)
+		t.ledger.StopAttempt(a, a.Job.Spec.CheckpointDuration+saveMargin)
 		t.requestDirect(a.Machine, nil, now)
-		t.Log.Info("task preempted", "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID,
+		t.Log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
 			"class", a.Job.Spec.Class, "for", refs.jobs[p.For].Spec.ID, "for_class", refs.jobs[p.For].Spec.Class)
 	}
 }
--- a/internal/coordination/runnable.go
+++ b/internal/coordination/runnable.go
@@ -16,23 +16,23 @@
 
 // checkAdmissible tells why a new job cannot be taken; status 0 if it can.
 func (t *Term) checkAdmissible(spec *protocol.JobSpec) (int, string) {
-	status, why := checkRunnable(spec, t.Settings, t.ledger.Types, t.Format.Level())
-	if status == 0 && t.ledger.Memory()+cluster.MemoryOf(spec) > jobMemory(t.Settings) {
+	status, why := checkRunnable(spec, t.Settings, t.ledger.InstanceTypes, t.Format.Level())
+	if status == 0 && t.ledger.Memory()+cluster.JobMemory(spec) > jobMemory(t.Settings) {
 		return http.StatusTooManyRequests, "too many unfinished jobs"
 	}
 	return status, why
 }
 
 // checkRunnable tells why a job could never run, or why that is not known yet.
-func checkRunnable(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.MachineType, format int) (int, string) {
+func checkRunnable(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format int) (int, string) {
 	i := slices.IndexFunc(s.Fleet.Teams, func(t config.Team) bool { return t.Name == spec.Team })
 	if i < 0 {
 		return http.StatusUnprocessableEntity, "crew: unknown team"
 	}
-	switch n := cluster.LimitOf(s.Fleet.Teams[i]).Fits(spec.Need); {
+	switch n := cluster.QuotaLimitOf(s.Fleet.Teams[i]).Fits(spec.Request); {
 	case n == 0:
 		return http.StatusUnprocessableEntity, "a task needs more than the team's limit"
-	case spec.Shape == protocol.Service && n < spec.Tasks:
+	case spec.Kind == protocol.Service && n < spec.Tasks:
 		return http.StatusUnprocessableEntity, "a service's tasks together need more than the team's limit"
 	}
 	if len(types) == 0 {
@@ -41,15 +41,15 @@
 	fits := false
 	for name, typ := range types {
 		for _, zone := range typ.Zones {
-			fits = fits || allowed(spec, name, zone, false) && cluster.SizeOf(typ).Fits(spec.Need) > 0
+			fits = fits || allowed(spec, name, zone, false) && cluster.CapacityOf(typ).Fits(spec.Request) > 0
 		}
 	}
 	switch {
 	case !fits:
 		return http.StatusUnprocessableEntity, "a task fits no allowed machine type"
-	case !cluster.Fits(spec, storage.Format, s.Fleet.State):
+	case !cluster.FitsRecords(spec, storage.NewestFormat, s.Fleet.State):
 		return http.StatusUnprocessableEntity, "the job's texts are too long to be kept"
-	case format < storage.FormatNew && (spec.Shape == protocol.Service || !cluster.Fits(spec, format, s.Fleet.State)):
+	case format < storage.FormatNew && (spec.Kind == protocol.Service || !cluster.FitsRecords(spec, format, s.Fleet.State)):
 		// A leader of the version before would take a service for an array.
 		return http.StatusServiceUnavailable, "not before all controllers are upgraded"
 	}
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -19,10 +19,10 @@
 	term.Format.level.Store(storage.FormatNew)
 	term.install(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
-	spec.Shape, spec.Tasks, spec.Spread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
+	spec.Kind, spec.Tasks, spec.ZoneSpread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
 	term.ledger.NewJob(spec, clock.now, clock.now)
 	term.save()
-	f := &serviceFleet{t: t, term: term, clock: clock, machines: map[string]*protocol.Report{}}
+	f := &serviceFleet{t: t, term: term, clock: clock, machines: map[string]*protocol.Heartbeat{}}
 	for i, zone := range []string{"a", "a", "b", "b"} {
 		r := testReport(fmt.Sprintf("i-%06d", i), 1, 0, 7)
 		r.Zone = zone
@@ -36,7 +36,7 @@
 	t        *testing.T
 	term     *Term
 	clock    *manualClock
-	machines map[string]*protocol.Report
+	machines map[string]*protocol.Heartbeat
 	started  int
 }
 
@@ -46,27 +46,27 @@
 	f.clock.now += units.Second
 	for _, id := range sortedKeys(f.machines) {
 		r := f.machines[id]
-		r.Seq++
+		r.Sequence++
 		for _, c := range f.term.exchange(r) {
 			f.execute(r, c)
 		}
 	}
 }
 
-func (f *serviceFleet) execute(r *protocol.Report, c protocol.Command) {
+func (f *serviceFleet) execute(r *protocol.Heartbeat, c protocol.Command) {
 	f.t.Helper()
-	var tasks []protocol.TaskReport
+	var tasks []protocol.TaskStatus
 	for _, task := range r.Tasks {
 		switch mine := protocol.TaskName(task.Job, task.Index) == c.Task && task.Attempt == c.Attempt; {
-		case mine && c.Verb == protocol.Forget:
+		case mine && c.Verb == protocol.VerbForget:
 			continue
-		case mine && c.Verb == protocol.Stop && task.Stage != protocol.TaskExited:
+		case mine && c.Verb == protocol.VerbStop && task.Stage != protocol.TaskExited:
 			task.Stage, task.Cause = protocol.TaskExited, protocol.CauseStopped
 		}
 		tasks = append(tasks, task)
 	}
 	r.Tasks = tasks
-	if c.Verb != protocol.Start {
+	if c.Verb != protocol.VerbStart {
 		return
 	}
 	var job string
@@ -78,7 +78,7 @@
 		f.t.Fatalf("%s starts on %s while it is on %s", c.Task, r.Machine, on)
 	}
 	f.started++
-	r.Tasks = append(r.Tasks, protocol.TaskReport{
+	r.Tasks = append(r.Tasks, protocol.TaskStatus{
 		Job:     job,
 		Index:   index,
 		Attempt: c.Attempt,
@@ -87,7 +87,7 @@
 }
 
 // where tells on which machine a replica runs.
-func (f *serviceFleet) where(job string, index int) (machine string, task *protocol.TaskReport) {
+func (f *serviceFleet) where(job string, index int) (machine string, task *protocol.TaskStatus) {
 	for id, r := range f.machines {
 		for i := range r.Tasks {
 			if r.Tasks[i].Job == job && r.Tasks[i].Index == index && r.Tasks[i].Stage != protocol.TaskExited {
@@ -121,7 +121,7 @@
 }
 
 // end has a replica end by itself.
-func (f *serviceFleet) end(index int, cause protocol.Cause) {
+func (f *serviceFleet) end(index int, cause protocol.ExitCause) {
 	_, task := f.where("j-000001", index)
 	task.Stage, task.Cause = protocol.TaskExited, cause
 }
@@ -140,8 +140,8 @@
 	}
 	on, _ := f.where("j-000001", 2)
 	late := *f.machines[on]
-	late.Tasks = append([]protocol.TaskReport{}, late.Tasks...)
-	for i, cause := range []protocol.Cause{protocol.CauseDone, protocol.CauseError, protocol.CauseDone, protocol.CauseDone} {
+	late.Tasks = append([]protocol.TaskStatus{}, late.Tasks...)
+	for i, cause := range []protocol.ExitCause{protocol.CauseDone, protocol.CauseError, protocol.CauseDone, protocol.CauseDone} {
 		f.end(i, cause)
 	}
 	f.report()
@@ -192,7 +192,7 @@
 	term, clock, f := serviceTerm(t, 2, true)
 	f.report()
 	on, _ := f.where("j-000001", 0)
-	f.machines[on].Noticed, f.machines[on].Notice = true, 12*units.Second
+	f.machines[on].TerminationNoticed, f.machines[on].TerminationIn = true, 12*units.Second
 	f.report()
 	f.report()
 	if now, _ := f.where("j-000001", 0); now == on || now == "" || f.running() != 2 {
@@ -200,7 +200,7 @@
 	}
 	gone, _ := f.where("j-000001", 0)
 	zone := f.machines[gone].Zone
-	lost := map[string]*protocol.Report{}
+	lost := map[string]*protocol.Heartbeat{}
 	for id, r := range f.machines {
 		if r.Zone == zone {
 			lost[id] = r
@@ -218,7 +218,7 @@
 	}
 	for id, r := range lost {
 		f.machines[id] = r
-		r.Session, r.Tasks = r.Session+1, nil // its lease has run out
+		r.Incarnation, r.Tasks = r.Incarnation+1, nil // its lease has run out
 	}
 	f.report()
 	f.report()
@@ -244,7 +244,7 @@
 	if f.started > started || f.zones()["a"]+f.zones()["b"] != 0 {
 		t.Errorf("%d starts after the cancellation, replicas in %v", f.started-started, f.zones())
 	}
-	if !j.CancelStored || term.ledger.Jobs["j-000001"] != nil {
+	if !j.CancelDurable || term.ledger.Jobs["j-000001"] != nil {
 		t.Error("it is not over")
 	}
 }
@@ -256,10 +256,10 @@
 	spec.Tasks = 3
 	writer := testTerm(7, &manualClock{now: units.Second})
 	writer.ledger.NewJob(spec, 0, 0)
-	s := writer.ledger.BuildSave("1-1", writer.bucketVersions, cluster.SaveLimits{}, 0)
-	writer.ledger.Applied(s, 1)
-	writer.ledger.Done(writer.ledger.Jobs[spec.ID], 1, 0)
-	s = writer.ledger.BuildSave("1-2", writer.bucketVersions, cluster.SaveLimits{Tasks: true}, 10*units.Second)
+	s := writer.ledger.BuildWriteBatch("1-1", writer.bucketVersions, cluster.BatchLimits{}, 0)
+	writer.ledger.BatchCommitted(s, 1)
+	writer.ledger.TaskDone(writer.ledger.Jobs[spec.ID], 1, 0)
+	s = writer.ledger.BuildWriteBatch("1-2", writer.bucketVersions, cluster.BatchLimits{Background: true}, 10*units.Second)
 	var fields map[string]any
 	if err := protocol.Decode(s.Txn.Then[0].Value, &fields); err != nil {
 		t.Fatal(err)
@@ -273,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j := jobs[0]; !j.Service() || j.DoneCount() != 0 || j.Pending() != 3 || j.Complete() {
+	if j := jobs[0]; !j.IsService() || j.DoneCount() != 0 || j.Pending() != 3 || j.Complete() {
 		t.Errorf("%d done, %d pending", j.DoneCount(), j.Pending())
 	}
 }
@@ -286,7 +286,7 @@
 	term.Settings.Fleet.Workers.ReportS = 5
 	for _, r := range f.machines {
 		r.Endpoint = "127.0.0.1:1"
-		r.Seq++
+		r.Sequence++
 		term.observe(r, clock.now)
 	}
 	term.lastRound = -units.Second
@@ -300,13 +300,13 @@
 		if err := protocol.Decode(body, &d); err != nil {
 			t.Fatal(err)
 		}
-		if d.Term != 7 || d.Session != 1 || len(d.Commands) != 1 || d.Commands[0].Verb != protocol.Start || d.Commands[0].Task != "j-000001/2" {
+		if d.FencingToken != 7 || d.Incarnation != 1 || len(d.Commands) != 1 || d.Commands[0].Verb != protocol.VerbStart || d.Commands[0].Task != "j-000001/2" {
 			t.Errorf("%s is told %+v", id, d)
 		}
 	}
-	a := term.ledger.Jobs["j-000001"].Live[0]
+	a := term.ledger.Jobs["j-000001"].LiveAttempts[0]
 	a.Stage = cluster.Running
-	term.ledger.Stop(a, units.Second)
+	term.ledger.StopAttempt(a, units.Second)
 	if _, body := term.direct(a.Machine.ID, nil); body == nil {
 		t.Error("the stop waits")
 	}
@@ -324,7 +324,7 @@
 // nothing but replicas is planned there.
 func TestRoomIsKeptForReplicas(t *testing.T) {
 	like := modelSpec("j-000001")
-	like.Spot, like.Need = false, cpus(2)
+	like.AllowSpot, like.Request = false, cpus(2)
 	var machines []MachineView
 	for i := range 40 {
 		m := MachineView{
@@ -354,16 +354,16 @@
 	}
 	// A task that needs a whole machine of some type finds one.
 	whole := modelSpec("j-000003")
-	whole.Need = cpus(8)
+	whole.Request = cpus(8)
 	for _, k := range []int{1, 3, 5} {
 		machines[k].Type, machines[k].Size = "large", cpus(16)
 	}
 	if got := reserveHeadroom(machines, []JobView{{Spec: whole}}, like, func(int) bool { return false }); fmt.Sprint(got) != "[4 0 1 3]" {
 		t.Errorf("kept on %v, where a task needs a whole machine", got)
 	}
-	machines[4].Headroom = like.Need
+	machines[4].Headroom = like.Request
 	array, service := modelSpec("j-000002"), *like
-	array.Need, service.Shape = cpus(2), protocol.Service
+	array.Request, service.Kind = cpus(2), protocol.Service
 	for _, c := range []struct {
 		spec    *protocol.JobSpec
 		overdue bool
@@ -383,7 +383,7 @@
 			}},
 		}
 		if got := len(Plan(&s).Starts); got != c.want {
-			t.Errorf("%d starts of a job of shape %d", got, c.spec.Shape)
+			t.Errorf("%d starts of a job of shape %d", got, c.spec.Kind)
 		}
 	}
 }
@@ -397,7 +397,7 @@
 		r := testReport(fmt.Sprintf("i-%06d", 100+i), 1, 0, 7)
 		f.machines[r.Machine] = r
 	}
-	term.ledger.Teams["team"].Guarantee, term.ledger.Teams["team"].Limit = cpus(100), cpus(200)
+	term.ledger.Teams["team"].GuaranteedQuota, term.ledger.Teams["team"].QuotaLimit = cpus(100), cpus(200)
 	array := *modelSpec("j-000002")
 	term.ledger.NewJob(array, clock.now, clock.now)
 	for range 60 {
@@ -406,8 +406,8 @@
 	if got := len(term.idle(clock.now)); got != 0 || term.fleetInput().QuietS != 0 {
 		t.Errorf("%d machines are returned while there is work", got)
 	}
-	term.ledger.Done(term.ledger.Jobs["j-000002"], 0, clock.now)
-	term.ledger.Done(term.ledger.Jobs["j-000002"], 1, clock.now)
+	term.ledger.TaskDone(term.ledger.Jobs["j-000002"], 0, clock.now)
+	term.ledger.TaskDone(term.ledger.Jobs["j-000002"], 1, clock.now)
 	for range 60 {
 		f.report()
 	}
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -28,30 +28,30 @@
 	zones := map[string]*health{}
 	report := t.Settings.Fleet.Workers.Report()
 	limit := t.silentAfter() + units.Second
-	for _, m := range t.ledger.Ordered() {
+	for _, m := range t.ledger.SortedMachines() {
 		zone := zones[m.Zone]
 		if zone == nil {
 			zone = new(health)
 			zones[m.Zone] = zone
 		}
 		switch {
-		case m.Seen && (now-m.LastAnswered > limit || m.Undelivered >= maxUndelivered):
+		case m.Registered && (now-m.LastHeartbeat > limit || m.UndeliveredCommands >= maxUndelivered):
 			silent[m.ID] = true
 			fleet.silent++
 			zone.silent++
-		case m.Seen && now-m.LastAnswered > report.Share(5, 4)+units.Second:
+		case m.Registered && now-m.LastHeartbeat > report.Share(5, 4)+units.Second:
 			fleet.late++
 			zone.late++
-		case m.Seen:
+		case m.Registered:
 			fleet.reporting++
 			zone.reporting++
 		}
 	}
 	t.unreached = max(t.unreached, t.Unreached())
 	if now-t.claimedAt > searchStart+report.Share(5, 4)+searchNode*units.Micros(t.unreached) {
-		for _, id := range t.ledger.UnconfirmedMachines() {
+		for _, id := range t.ledger.UnreconciledMachines() {
 			m := t.ledger.Machines[id]
-			if m != nil && m.Seen {
+			if m != nil && m.Registered {
 				continue
 			}
 			silent[id] = true
@@ -80,7 +80,7 @@
 // anyway and some time more, as long as there are several.
 func (t *Term) mayGoAlone(m *cluster.Machine, zone *health, now units.Micros) bool {
 	return zone == nil || zone.reportTo(1) || zone.silent+zone.late < zoneCutLeast ||
-		now-max(m.LastAnswered, t.claimedAt) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutMost)
+		now-max(m.LastHeartbeat, t.claimedAt) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutMost)
 }
 
 // checkContact gives the lease up when none of several machines has been
@@ -93,13 +93,13 @@
 	// expect, the records say.
 	last, known := t.claimedAt+workerReturn, 0
 	for _, m := range t.ledger.Machines {
-		if m.Seen && !m.Releasing {
+		if m.Registered && !m.Releasing {
 			known++
-			last = max(last, m.LastAnswered)
+			last = max(last, m.LastHeartbeat)
 		}
 	}
 	if known == 0 {
-		known = t.ledger.UnconfirmedCount()
+		known = t.ledger.UnreconciledCount()
 	}
 	if t.ready && known >= 2 && now-last > quiet && now-last < 3*quiet {
 		t.Log.Info("no machine reports; the lease is given up", "machines", known, "silent_ms", (now-last)/units.Millisecond)
@@ -111,10 +111,10 @@
 func (t *Term) expire(now units.Micros) {
 	lease := t.workerLease()
 	for _, m := range t.ledger.Machines {
-		if len(m.Attempts) > 0 && now-max(m.LastAnswered, t.claimedAt) >= lease {
+		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, t.claimedAt) >= lease {
 			t.Log.Info("machine's lease ran out", "machine", m.ID, "lost", len(m.Attempts))
-			m.HungCancelled = m.HungCancelled || t.ledger.HoldsCancelled(m.ID)
-			t.ledger.Emptied(m, now)
+			m.MayHoldCancelled = m.MayHoldCancelled || t.ledger.HoldsCancelled(m.ID)
+			t.ledger.MachineEmptied(m, now)
 		}
 	}
 	if !t.allConfirmed && t.ready && now-t.claimedAt >= lease {
@@ -122,17 +122,17 @@
 		// accepted an answer of this one since: and these have told what they hold,
 		// as an answer is accepted only to the newest report. A machine that hears
 		// no answer would otherwise stay unconfirmed for as long as it reports.
-		for _, id := range t.ledger.UnconfirmedMachines() {
-			t.ledger.Confirm(id)
+		for _, id := range t.ledger.UnreconciledMachines() {
+			t.ledger.MarkReconciled(id)
 		}
 	}
-	if !t.allConfirmed && t.ready && t.ledger.UnconfirmedCount() == 0 {
+	if !t.allConfirmed && t.ready && t.ledger.UnreconciledCount() == 0 {
 		t.allConfirmed = true
 		t.Log.Info("all machines confirmed", "after_ms", (now-t.claimedAt)/units.Millisecond)
 	}
 	for _, j := range t.ledger.Jobs {
-		if j.Cancelled && len(j.Live) == 0 && len(j.Unconfirmed) == 0 && j.CancelStored && !j.Ending() {
-			j.Changed(now, true)
+		if j.Cancelled && len(j.LiveAttempts) == 0 && len(j.UnreconciledMachines) == 0 && j.CancelDurable && !j.WritePending() {
+			j.MarkChanged(now, true)
 			signal(t.saveSignal)
 		}
 	}
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -41,7 +41,7 @@
 func TestZoneThatNeverReportedIsKept(t *testing.T) {
 	term, clock := guardTerm(t, 1)
 	for i, stage := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineBooting} {
-		m := term.ledger.Machine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.now-500*units.Second)
+		m := term.ledger.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.now-500*units.Second)
 		m.Stage = stage
 	}
 	clock.now += 90 * units.Second
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -30,8 +30,8 @@
 		team := t.ledger.Teams[name]
 		teams[name] = len(s.Teams)
 		s.Teams = append(s.Teams, TeamView{
-			Guarantee: team.Guarantee,
-			Limit:     team.Limit,
+			Guarantee: team.GuaranteedQuota,
+			Limit:     team.QuotaLimit,
 			Used:      team.Used,
 			Freeing:   team.Freeing,
 		})
@@ -39,9 +39,9 @@
 	if t.allConfirmed {
 		return teams
 	}
-	for j := range t.ledger.UnconfirmedJobs() {
+	for j := range t.ledger.UnreconciledJobs() {
 		if i, ok := teams[j.Spec.Team]; ok {
-			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Need, j.UnconfirmedTasks())
+			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Request, j.UnreconciledTasks())
 		}
 	}
 	return teams
@@ -49,8 +49,8 @@
 
 // accepts tells whether a machine may be given work.
 func (t *Term) accepts(m *cluster.Machine, now units.Micros) bool {
-	return m.Seen && m.Term == t.number && m.Undelivered < maxUndelivered && !m.SetAside && !m.Releasing && m.NoticeEnds == 0 && m.Size.CPU > 0 &&
-		now >= m.BlockedUntil && now-m.LastAnswered < t.silentAfter()
+	return m.Registered && m.FencingToken == t.number && m.UndeliveredCommands < maxUndelivered && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
+		now >= m.BlockedUntil && now-m.LastHeartbeat < t.silentAfter()
 }
 
 // startPatience is how long a job may wait for its first task until that goes
@@ -60,7 +60,7 @@
 
 // overdue tells whether a job has waited too long and has nothing done yet.
 func (t *Term) overdue(j *cluster.Job) bool {
-	return j.DoneCount() == 0 && !(j.Service() && j.Begun) && t.Clock.Wall()-j.Submitted > startPatience && j.Spec.Shape != protocol.Gang
+	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && t.Clock.Wall()-j.Submitted > startPatience && j.Spec.Kind != protocol.Gang
 }
 
 // preemptionPause is how long a job waits for room where no aim says how soon it is to
@@ -80,25 +80,25 @@
 	} else if due := t.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
 		patience = due / 8
 	}
-	return now-j.Since < patience && t.completions.within(patience) >= j.Spec.Need.CPU*units.Amount(j.Pending())
+	return now-j.LearnedAt < patience && t.completions.within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
 }
 
 // placeable tells whether tasks of a job may be placed now.
 func (t *Term) placeable(j *cluster.Job, now units.Micros) bool {
-	return j.Waiting() && now >= j.RetryAt && len(j.Unconfirmed) == 0
+	return j.HasTasksToPlace() && now >= j.RetryAt && len(j.UnreconciledMachines) == 0
 }
 
 func (t *Term) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
-	next := max(0, m.LastAnswered+t.Settings.Fleet.Workers.Report()-now)
+	next := max(0, m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now)
 	return MachineView{
 		ID:        m.ID,
-		Type:      m.Type,
+		Type:      m.InstanceType,
 		Zone:      m.Zone,
 		Spot:      m.Spot,
 		Slow:      m.Slow,
 		Accepts:   t.accepts(m, now),
-		FetchRate: units.AmountOf(t.ledger.Types[m.Type].FetchRate),
-		Size:      m.Size,
+		FetchRate: units.AmountOf(t.ledger.InstanceTypes[m.InstanceType].FetchRate),
+		Size:      m.Capacity,
 		Free:      m.Free(),
 		Freeing:   m.Freeing,
 		Images:    m.HasImage,
@@ -110,13 +110,13 @@
 // spread fills in where a job's tasks are, for jobs that care.
 func (t *Term) spread(view *JobView, j *cluster.Job) {
 	view.LiveIn, view.LiveOn = nil, nil
-	if j.Spec.OneZone || j.Spec.Spread || j.Spec.Shape == protocol.Service {
+	if j.Spec.ZoneAffinity || j.Spec.ZoneSpread || j.Spec.Kind == protocol.Service {
 		view.LiveIn = map[string]int{}
-		for _, a := range j.Live {
+		for _, a := range j.LiveAttempts {
 			view.LiveIn[a.Machine.Zone]++
 		}
 	}
-	if j.Spec.Shape == protocol.Service {
+	if j.Spec.Kind == protocol.Service {
 		view.LiveOn = map[int]int{} // filled by the machines' numbers
 	}
 }
@@ -156,7 +156,7 @@
 		if !ok {
 			continue
 		}
-		committed[team] = committed[team].Plus(j.Spec.Need, j.Spec.Tasks)
+		committed[team] = committed[team].Plus(j.Spec.Request, j.Spec.Tasks)
 		guarantee := s.Teams[team].Guarantee
 		guaranteed := committed[team].CPU <= guarantee.CPU && committed[team].GPU <= guarantee.GPU
 		view := t.jobView(j, team, guaranteed, now)
@@ -183,26 +183,26 @@
 		Team:       team,
 		Order:      int64(j.Submitted),
 		Pending:    j.Pending(),
-		Live:       len(j.Live),
+		Live:       len(j.LiveAttempts),
 		Guaranteed: guaranteed,
 		Patient:    t.patient(j, now),
 		Late:       in.Late,
 		Rank:       t.Policy.Rank(in),
-		Overdue:    t.overdue(j) && len(j.Live) == 0,
+		Overdue:    t.overdue(j) && len(j.LiveAttempts) == 0,
 		Avoid: func(machine string) bool {
-			return j.ErrorsOn[machine] && len(j.ErrorsOn) < 3 || !j.CanName(machine)
+			return j.FailedMachines[machine] && len(j.FailedMachines) < 3 || !j.CanRecordMachine(machine)
 		},
 	}
 }
 
 // snapshotMachines adds the machines that have reported, and what of services is on each.
 func (t *Term) snapshotMachines(s *Snapshot, refs *snapshotRefs, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
-	machines := t.ledger.Ordered()
+	machines := t.ledger.SortedMachines()
 	s.Machines = make([]MachineView, 0, len(machines))
 	refs.machines = make([]*cluster.Machine, 0, len(machines))
 	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveOn != nil })
 	for _, m := range machines {
-		if !m.Seen {
+		if !m.Registered {
 			continue
 		}
 		t.drain(m, now)
@@ -225,28 +225,28 @@
 // victims lists the tasks on a machine that could be stopped.
 func (t *Term) victims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotRefs, now units.Micros) []Victim {
 	out := make([]Victim, 0, len(m.Attempts))
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		team, ok := teams[a.Job.Spec.Team]
-		if !ok || views[a.Job] == nil || a.Stop || a.Stage != cluster.Running && a.Stage != cluster.Fetching {
+		if !ok || views[a.Job] == nil || a.Stopping || a.Stage != cluster.Running && a.Stage != cluster.Fetching {
 			continue
 		}
-		if t.overdue(a.Job) && len(a.Job.Live) == 1 {
+		if t.overdue(a.Job) && len(a.Job.LiveAttempts) == 1 {
 			continue // all that its job has, after a long wait
 		}
 		v := Victim{
 			Ref:      len(refs.victims),
 			Team:     team,
 			Priority: a.Job.Spec.Priority,
-			Need:     a.Job.Spec.Need,
+			Need:     a.Job.Spec.Request,
 			Job:      views[a.Job],
 		}
 		if a.Stage == cluster.Running {
 			v.Loses = now - a.RunningSince
 		}
-		if a.Job.Spec.Checkpoint > 0 {
-			v.Loses = a.Job.Spec.Save
+		if a.Job.Spec.CheckpointInterval > 0 {
+			v.Loses = a.Job.Spec.CheckpointDuration
 		}
-		if a.Job.Service() {
+		if a.Job.IsService() {
 			v.Loses += serviceLoss
 		}
 		refs.victims = append(refs.victims, a)
@@ -261,17 +261,17 @@
 
 func (t *Term) rankInput(j *cluster.Job) config.RankInput {
 	waited := max(0, t.Clock.Wall()-j.Submitted)
-	estimate := t.ledger.Estimate(j)
+	estimate := t.ledger.EstimateRuntime(j)
 	in := config.RankInput{
 		Class: j.Spec.Class, Team: j.Spec.Team, Priority: int(j.Spec.Priority),
 		Tasks: j.Spec.Tasks, Unfinished: j.Unfinished(), Pending: j.Pending(),
 		WaitedS: waited.Seconds(), RunS: estimate.Seconds(),
-		WorkS: estimate.Seconds() * float64(j.Unfinished()) * j.Spec.Need.CPU.Float(),
+		WorkS: estimate.Seconds() * float64(j.Unfinished()) * j.Spec.Request.CPU.Float(),
 		DueS:  config.NoDeadline, StartDueS: config.NoDeadline,
 	}
 	in.FinishS = in.RunS
-	if team := t.ledger.Teams[j.Spec.Team]; team != nil && team.Limit.CPU > 0 {
-		in.FinishS = max(in.RunS, in.WorkS/team.Limit.CPU.Float())
+	if team := t.ledger.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
+		in.FinishS = max(in.RunS, in.WorkS/team.QuotaLimit.CPU.Float())
 	}
 	for _, due := range t.Settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
 		in.DueS = (due - waited).Seconds()
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -11,9 +11,9 @@
 	var size, used units.Resources
 	reporting := 0
 	for _, m := range t.ledger.Machines {
-		if m.Seen && now-m.LastAnswered < t.silentAfter() {
+		if m.Registered && now-m.LastHeartbeat < t.silentAfter() {
 			reporting++
-			size, used = size.Plus(m.Size, 1), used.Plus(m.Used, 1)
+			size, used = size.Plus(m.Capacity, 1), used.Plus(m.Used, 1)
 		}
 	}
 	var pending [protocol.Priorities]int
@@ -24,13 +24,13 @@
 	for _, m := range t.ledger.Machines {
 		for _, a := range m.Attempts {
 			if a.Stage == cluster.Running {
-				running = running.Plus(a.Job.Spec.Need, 1)
+				running = running.Plus(a.Job.Spec.Request, 1)
 			}
 		}
 	}
 	full := 0
 	for _, team := range t.ledger.Teams {
-		if team.Used.CPU > team.Limit.CPU*9/10 {
+		if team.Used.CPU > team.QuotaLimit.CPU*9/10 {
 			full++
 		}
 	}
--- a/internal/coordination/term.go
+++ b/internal/coordination/term.go
@@ -20,8 +20,8 @@
 type Deps struct {
 	Settings *config.Settings
 	Policy   *config.Policy
-	Store    *kv.Store
-	Cloud    *cloud.Cloud
+	Store    *kv.Client
+	Cloud    *cloud.Client
 	Lease    *FleetLease
 	Clock    units.Clock
 	Log      *slog.Logger
@@ -45,7 +45,7 @@
 	mu                sync.Mutex
 	allConfirmed      bool
 	ready             bool
-	ledger            *cluster.Ledger
+	ledger            *cluster.State
 	bucketVersions    []uint64
 	finals            *finalCache
 	attempts          uint64
@@ -86,7 +86,7 @@
 		traces:         deps.Log.Enabled(context.Background(), slog.LevelDebug),
 		claimedAt:      deps.Clock.Steady(),
 		lastWork:       deps.Clock.Steady(),
-		ledger:         cluster.NewLedger(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
+		ledger:         cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
 		bucketVersions: make([]uint64, storage.Buckets),
 		restored:       make(chan struct{}),
 		finals:         newFinalCache(4096),
@@ -101,7 +101,7 @@
 	}
 	t.admission = t.newAdmission()
 	if deps.Admitter != nil {
-		t.ledger.RunSeen = func(j *cluster.Job, run units.Micros) {
+		t.ledger.OnRunObserved = func(j *cluster.Job, run units.Micros) {
 			t.admission.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
 		}
 	}
--- a/internal/coordination/term_test.go
+++ b/internal/coordination/term_test.go
@@ -22,7 +22,7 @@
 	server := httptest.NewServer(state)
 	t.Cleanup(server.Close)
 	term := testTerm(number, &manualClock{now: units.Second})
-	term.Store = kv.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	term.Store = kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e4,
 		WriteRPS: 1e4,
 	}, 0, term.Clock)
@@ -36,13 +36,13 @@
 
 func modelSpec(id string) *protocol.JobSpec {
 	return &protocol.JobSpec{
-		ID:    id,
-		Class: "c",
-		Team:  "team",
-		Tasks: 2,
-		Need:  cpus(1),
-		Spot:  true,
-		Image: "i",
+		ID:        id,
+		Class:     "c",
+		Team:      "team",
+		Tasks:     2,
+		Request:   cpus(1),
+		AllowSpot: true,
+		Image:     "i",
 	}
 }
 
@@ -68,7 +68,7 @@
 			t.Fatal("not restored")
 		}
 	}
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	go term.saveLoop(ctx)
 	if r := term.Poll(ctx, "j-000001"); r.Status != http.StatusNotFound {
 		t.Fatalf("unknown job: %d", r.Status)
@@ -101,7 +101,7 @@
 // polls and for repeated submissions whatever their body now says.
 func TestFinishedJobsAreFoundByLaterLeaders(t *testing.T) {
 	s := standin.NewState()
-	s.Put(storage.KeyFinal("j-000007"), protocol.Encode(storage.Final{
+	s.Put(storage.KeyTerminal("j-000007"), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
@@ -112,7 +112,7 @@
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	go term.saveLoop(ctx)
 	bad := modelSpec("j-000007")
 	bad.Team = "nobody"
@@ -166,12 +166,12 @@
 			t.Errorf("%s: %d", name, r.Status)
 		}
 	}
-	if _, ok := term.Report(t.Context(), &protocol.Report{
-		Machine: "i-1",
-		Type:    "m",
-		Zone:    "a",
-		Session: 1,
-		Seq:     1,
+	if _, ok := term.Report(t.Context(), &protocol.Heartbeat{
+		Machine:      "i-1",
+		InstanceType: "m",
+		Zone:         "a",
+		Incarnation:  1,
+		Sequence:     1,
 	}, nil); ok {
 		t.Error("a report was accepted")
 	}
@@ -181,26 +181,26 @@
 func TestOldReportsHaveNoEffect(t *testing.T) {
 	term := testTerm(5, &manualClock{now: units.Second})
 	term.install(nil, modelCatalog)
-	fresh := &protocol.Report{Machine: "i-1", Type: "m", Zone: "a", Session: 2, Seq: 7}
+	fresh := &protocol.Heartbeat{Machine: "i-1", InstanceType: "m", Zone: "a", Incarnation: 2, Sequence: 7}
 	if _, ok := term.Report(t.Context(), fresh, nil); !ok {
 		t.Fatal("fresh report refused")
 	}
-	for _, old := range []protocol.Report{{Session: 2, Seq: 7}, {Session: 2, Seq: 6}, {Session: 1, Seq: 99}} {
-		old.Machine, old.Type, old.Zone = "i-1", "m", "a"
+	for _, old := range []protocol.Heartbeat{{Incarnation: 2, Sequence: 7}, {Incarnation: 2, Sequence: 6}, {Incarnation: 1, Sequence: 99}} {
+		old.Machine, old.InstanceType, old.Zone = "i-1", "m", "a"
 		if _, ok := term.Report(t.Context(), &old, nil); ok {
-			t.Errorf("old report %d/%d accepted", old.Session, old.Seq)
+			t.Errorf("old report %d/%d accepted", old.Incarnation, old.Sequence)
 		}
 	}
-	if m := term.ledger.Machines["i-1"]; m.Session != 2 || m.Seq != 7 {
-		t.Errorf("machine at %d/%d", m.Session, m.Seq)
+	if m := term.ledger.Machines["i-1"]; m.Incarnation != 2 || m.Sequence != 7 {
+		t.Errorf("machine at %d/%d", m.Incarnation, m.Sequence)
 	}
-	if _, ok := term.Report(t.Context(), &protocol.Report{
-		Machine: "i-2",
-		Type:    "m",
-		Zone:    "a",
-		Session: 1,
-		Seq:     1,
-		Term:    6,
+	if _, ok := term.Report(t.Context(), &protocol.Heartbeat{
+		Machine:      "i-2",
+		InstanceType: "m",
+		Zone:         "a",
+		Incarnation:  1,
+		Sequence:     1,
+		FencingToken: 6,
 	}, nil); ok {
 		t.Error("a worker that has seen a later term was answered")
 	}
@@ -218,15 +218,15 @@
 		if j == nil {
 			j = l.NewJob(*modelSpec(job), clock.now, clock.now)
 		}
-		m := l.Machine(machine, "m", "a", true, clock.now)
+		m := l.EnsureMachine(machine, "m", "a", true, clock.now)
 		a := l.Assign(j, m, term.number<<32|uint64(len(job)), clock.now)
-		l.Failed(a, clock.now)
-		l.Gone(a, clock.now)
+		l.AttemptFailed(a, clock.now)
+		l.AttemptGone(a, clock.now)
 		return j
 	}
 	fail("j-000001", "i-1")
 	fail("j-000002", "i-1")
-	if !l.Machines["i-1"].SetAside {
+	if !l.Machines["i-1"].Quarantined {
 		t.Error("a machine on which two jobs failed is not set aside")
 	}
 	var bad *cluster.Job
@@ -234,7 +234,7 @@
 		bad = fail("j-000003", m)
 	}
 	for _, m := range []string{"i-2", "i-3", "i-4", "i-5", "i-6"} {
-		if l.Machines[m].SetAside {
+		if l.Machines[m].Quarantined {
 			t.Errorf("%s is blamed for a job that fails everywhere", m)
 		}
 	}
@@ -252,13 +252,13 @@
 	term.install(nil, modelCatalog)
 	report := func(machines int, seq uint64) {
 		for i := range machines {
-			r := &protocol.Report{
-				Machine: fmt.Sprintf("i-%06d", i),
-				Type:    "m",
-				Zone:    "a",
-				Session: 1,
-				Seq:     seq,
-				Term:    1,
+			r := &protocol.Heartbeat{
+				Machine:      fmt.Sprintf("i-%06d", i),
+				InstanceType: "m",
+				Zone:         "a",
+				Incarnation:  1,
+				Sequence:     seq,
+				FencingToken: 1,
 			}
 			if _, ok := term.Report(t.Context(), r, nil); !ok {
 				t.Fatal("report refused")
@@ -291,32 +291,32 @@
 	spec.Tasks = 1
 	j := l.NewJob(spec, clock.now, clock.now)
 	save := func() {
-		if s := l.BuildSave("2-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, clock.now); s != nil {
-			l.Applied(s, 1)
+		if s := l.BuildWriteBatch("2-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now); s != nil {
+			l.BatchCommitted(s, 1)
 		}
 	}
 	save()
-	m := l.Machine("i-000001", "m", "a", true, clock.now)
+	m := l.EnsureMachine("i-000001", "m", "a", true, clock.now)
 	a := l.Assign(j, m, 7, clock.now)
 	a.Stage = cluster.Running
-	l.Done(j, 0, clock.now) // told by another machine
+	l.TaskDone(j, 0, clock.now) // told by another machine
 	save()
 	if l.Jobs["j-000001"] != nil {
 		t.Fatal("the job is still there")
 	}
-	for seq, task := range []protocol.TaskReport{
+	for seq, task := range []protocol.TaskStatus{
 		{Job: "j-000001", Attempt: 7, Stage: protocol.TaskFetching},
 		{Job: "j-000001", Attempt: 7, Stage: protocol.TaskRunning},
 		{Job: "j-000001", Attempt: 7, Stage: protocol.TaskExited, Cause: protocol.CauseDone},
 	} {
-		r := &protocol.Report{
-			Machine: m.ID,
-			Type:    "m",
-			Zone:    "a",
-			Session: 1,
-			Seq:     uint64(seq + 1),
-			Term:    2,
-			Tasks:   []protocol.TaskReport{task},
+		r := &protocol.Heartbeat{
+			Machine:      m.ID,
+			InstanceType: "m",
+			Zone:         "a",
+			Incarnation:  1,
+			Sequence:     uint64(seq + 1),
+			FencingToken: 2,
+			Tasks:        []protocol.TaskStatus{task},
 		}
 		if _, ok := term.Report(t.Context(), r, nil); !ok {
 			t.Fatal("report refused")
@@ -336,24 +336,24 @@
 	l := term.ledger
 	j := l.NewJob(*modelSpec("j-000001"), clock.now, clock.now)
 	save := func() {
-		l.Applied(l.BuildSave("2-1", term.bucketVersions, cluster.SaveLimits{Tasks: true}, clock.now), 1)
+		l.BatchCommitted(l.BuildWriteBatch("2-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now), 1)
 	}
 	save()
-	m := l.Machine("i-000001", "m", "a", true, clock.now)
+	m := l.EnsureMachine("i-000001", "m", "a", true, clock.now)
 	a := l.Assign(j, m, 7, clock.now)
 	a.Stage = cluster.Running
 	j.RetryAt = 1 << 60 // nothing else starts
 	seq := uint64(0)
 	forgotten := func() bool {
 		seq++
-		r := &protocol.Report{
-			Machine: m.ID,
-			Type:    "m",
-			Zone:    "a",
-			Session: 1,
-			Seq:     seq,
-			Term:    2,
-			Tasks: []protocol.TaskReport{
+		r := &protocol.Heartbeat{
+			Machine:      m.ID,
+			InstanceType: "m",
+			Zone:         "a",
+			Incarnation:  1,
+			Sequence:     seq,
+			FencingToken: 2,
+			Tasks: []protocol.TaskStatus{
 				{
 					Job:     "j-000001",
 					Index:   a.Index,
@@ -367,7 +367,7 @@
 			t.Fatal("report refused")
 		}
 		for _, c := range answer.Commands {
-			if c.Verb == protocol.Forget {
+			if c.Verb == protocol.VerbForget {
 				return true
 			}
 		}
--- a/internal/coordination/termadmission.go
+++ b/internal/coordination/termadmission.go
@@ -103,7 +103,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.admission.settled, t.admission.everSettled = true, true
-	t.ledger.Acceptance = &protocol.Condition{Key: admission.KeyPlan, Version: revision}
+	t.ledger.AcceptCondition = &protocol.Condition{Key: admission.KeyPlan, Version: revision}
 	t.decideAnew()
 	signal(t.saveSignal)
 }
@@ -113,11 +113,11 @@
 // that were on their way when the plan changed come back here when their save fails.
 func (t *Term) decideAnew() {
 	now := t.Clock.Steady()
-	for _, j := range t.ledger.Undecided() {
+	for _, j := range t.ledger.UnacceptedJobs() {
 		d, _ := t.Admitter.decide(&j.Spec, admission.Leading)
 		if d.Verdict == admission.Wait || d.Reason == admission.PlanUnclear {
 			t.admission.waiting.Add(j.Spec.ID, d, now)
-			t.ledger.Drop(j.Spec.ID)
+			t.ledger.DropUnaccepted(j.Spec.ID)
 			t.Log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
 		}
 	}
@@ -133,13 +133,13 @@
 	reckoning := t.Admitter.keeper.Reckoning()
 	for _, j := range t.ledger.Jobs {
 		if !j.Cancelled {
-			cell, work := reckoning.Remaining(&j.Spec, j.Unfinished(), j.MeanRun())
+			cell, work := reckoning.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
 			m.Loads = append(m.Loads, admission.Load{Cell: cell, Work: work})
 		}
 	}
 	for _, machine := range t.ledger.Machines {
-		if machine.Seen && !machine.Releasing {
-			for pool, amount := range admission.AmountsOf(machine.Size) {
+		if machine.Registered && !machine.Releasing {
+			for pool, amount := range admission.AmountsOf(machine.Capacity) {
 				m.Fleet[pool] += amount
 			}
 		}
--- a/internal/coordination/transferstore.go
+++ b/internal/coordination/transferstore.go
@@ -16,7 +16,7 @@
 // conditional on the record's version and on a bucket's head, so that a former leader
 // stores nothing. It implements federation.Store.
 type transferStore struct {
-	store *kv.Store
+	store *kv.Client
 	// head gives the bucket whose head fences a key, and that head's version.
 	head func(key string) (bucketKey string, version uint64)
 }
@@ -27,7 +27,7 @@
 		store: t.Store,
 		head: func(key string) (string, uint64) {
 			bucket := storage.BucketOf(key)
-			return storage.KeyHead(bucket), t.bucketVersion(bucket)
+			return storage.KeyBucketHead(bucket), t.bucketVersion(bucket)
 		},
 	}
 }
@@ -48,8 +48,8 @@
 	txn := s.transaction(key, value, version)
 	uncertain := false
 	for {
-		revision, err := s.store.Commit(ctx, txn, kv.Paced, stateCall)
-		var conflict *kv.ConflictError
+		revision, err := s.store.CompareAndSwap(ctx, txn, kv.Paced, stateCall)
+		var conflict *kv.VersionConflictError
 		switch {
 		case err == nil:
 			return revision, nil
@@ -58,7 +58,7 @@
 				return s.outcome(ctx, key, value)
 			}
 			return 0, fmt.Errorf("%w: %v", federation.ErrConflict, conflict.Keys)
-		case errors.Is(err, kv.ErrUncertain):
+		case errors.Is(err, kv.ErrOutcomeUnknown):
 			uncertain = true
 		case !uncertain:
 			return 0, err // certainly not carried out
--- a/internal/coordination/transferstore_test.go
+++ b/internal/coordination/transferstore_test.go
@@ -84,7 +84,7 @@
 // A record is as a save left it if it has that save's id, or is gone as it was to be.
 func TestRecordAsWritten(t *testing.T) {
 	written := transferRecord(federation.Intended).Encode("1-1")
-	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyFleet, Value: value} }
+	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyLeaderLease, Value: value} }
 	for n, c := range []struct {
 		there, value []byte
 		want         bool
--- a/internal/coordination/unconfirmed_test.go
+++ b/internal/coordination/unconfirmed_test.go
@@ -16,7 +16,7 @@
 		for i := range jobs {
 			j := term.ledger.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.now, clock.now)
 			for k := range machines {
-				term.ledger.MarkUnconfirmed(j, fmt.Sprintf("i-%06d", k))
+				term.ledger.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
 		}
 		return testing.AllocsPerRun(20, func() { term.expire(clock.now) })
@@ -37,36 +37,36 @@
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
 			j := l.NewJob(spec, clock.now, clock.now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
-				l.MarkUnconfirmed(j, fmt.Sprintf("i-%06d", k))
+				l.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
-			named[spec.ID] = j.Unconfirmed
+			named[spec.ID] = j.UnreconciledMachines
 		}
 		for _, k := range rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}).Draw(rt, "order") {
 			id := fmt.Sprintf("i-%06d", k)
 			want := 0
 			for _, j := range l.Jobs {
-				if len(j.Unconfirmed) > 0 {
+				if len(j.UnreconciledMachines) > 0 {
 					want++
 				}
 			}
 			got := 0
-			for range l.UnconfirmedJobs() {
+			for range l.UnreconciledJobs() {
 				got++
 			}
 			if got != want {
 				rt.Fatalf("%d jobs unconfirmed, %d name machines", got, want)
 			}
 			if jobs := sortedKeys(named); len(jobs) > 0 && rapid.Bool().Draw(rt, "a job ends first") {
-				l.Drop(jobs[0])
+				l.DropUnaccepted(jobs[0])
 				delete(named, jobs[0])
 			}
-			l.Confirm(id)
-			if l.IsUnconfirmed(id) {
+			l.MarkReconciled(id)
+			if l.IsUnreconciled(id) {
 				rt.Fatal("a confirmed machine is unconfirmed")
 			}
 		}
-		if l.UnconfirmedCount() != 0 || len(l.UnconfirmedMachines()) != 0 {
-			rt.Fatalf("still unconfirmed: %v", l.UnconfirmedMachines())
+		if l.UnreconciledCount() != 0 || len(l.UnreconciledMachines()) != 0 {
+			rt.Fatalf("still unconfirmed: %v", l.UnreconciledMachines())
 		}
 	})
 }
--- a/internal/kv/revisions.go
+++ b/internal/kv/revisions.go
@@ -14,11 +14,11 @@
 	clock units.Clock
 	keep  units.Micros
 
-	mu   sync.Mutex
-	seen []revisionSeen // both fields rise
+	mu           sync.Mutex
+	observations []observation // both fields rise
 }
 
-type revisionSeen struct {
+type observation struct {
 	revision uint64
 	at       units.Micros
 }
@@ -32,24 +32,24 @@
 func (h *RevisionHistory) Observe(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n := len(h.seen); n > 0 && h.seen[n-1].revision >= revision {
+	if n := len(h.observations); n > 0 && h.observations[n-1].revision >= revision {
 		return
 	}
 	now := h.clock.Steady()
-	h.seen = append(h.seen, revisionSeen{revision: revision, at: now})
+	h.observations = append(h.observations, observation{revision: revision, at: now})
 	// One observation as old as keep answers for all before it.
 	old := 0
-	for old+1 < len(h.seen) && now-h.seen[old+1].at >= h.keep {
+	for old+1 < len(h.observations) && now-h.observations[old+1].at >= h.keep {
 		old++
 	}
-	h.seen = append(h.seen[:0], h.seen[old:]...)
+	h.observations = append(h.observations[:0], h.observations[old:]...)
 }
 
 // Age is for how long a revision has surely existed, at least; 0 if it was never seen.
 func (h *RevisionHistory) Age(revision uint64) units.Micros {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range h.seen {
+	for _, s := range h.observations {
 		if s.revision >= revision {
 			return h.clock.Steady() - s.at
 		}
--- a/internal/kv/revisions_test.go
+++ b/internal/kv/revisions_test.go
@@ -56,7 +56,7 @@
 		clock.now += 10 * units.Millisecond
 		h.Observe(revision + 1)
 	}
-	if n := len(h.seen); n > 102 {
+	if n := len(h.observations); n > 102 {
 		t.Errorf("%d revisions are remembered of the 100 in a second", n)
 	}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -2,20 +2,20 @@
 
 // Paths of the cloud's interface.
 const (
-	PathCatalog = "/catalog"
-	PathHosts   = "/hosts"
-	PathRelease = "/hosts/release"
+	PathCatalog  = "/catalog"
+	PathMachines = "/hosts"
+	PathScaleIn  = "/hosts/release"
 )
 
 // Limits of the cloud's requests.
 const (
-	MaxRent    = 50
-	MaxRelease = 100
-	MaxList    = 500
+	MaxScaleOut = 50
+	MaxScaleIn  = 100
+	MaxListPage = 500
 )
 
-// MachineType is an entry of the cloud's catalog.
-type MachineType struct {
+// InstanceType is an entry of the cloud's catalog.
+type InstanceType struct {
 	Name      string   `cbor:"name"`
 	CPUs      float64  `cbor:"vcpus"`
 	GPUs      float64  `cbor:"cards"`
@@ -30,32 +30,32 @@
 
 // Catalog lists the machine types.
 type Catalog struct {
-	Types []MachineType `cbor:"looms"`
+	Types []InstanceType `cbor:"looms"`
 }
 
-// Rent asks for machines. Request is never used again for anything else.
-type Rent struct {
-	Request string `cbor:"hire"`
-	Type    string `cbor:"loom"`
-	Zone    string `cbor:"yard"`
-	Spot    bool   `cbor:"borrowed"`
-	Count   int    `cbor:"count"`
+// ScaleOutRequest asks for machines. Request is never used again for anything else.
+type ScaleOutRequest struct {
+	RequestID    string `cbor:"hire"`
+	InstanceType string `cbor:"loom"`
+	Zone         string `cbor:"yard"`
+	Spot         bool   `cbor:"borrowed"`
+	Count        int    `cbor:"count"`
 }
 
-// MachineNames is the answer to Rent, and the body of a release.
-type MachineNames struct {
+// MachineIDs is the answer to Rent, and the body of a release.
+type MachineIDs struct {
 	Machines []string `cbor:"dunes"`
 }
 
 // ListedMachine is a machine as the cloud lists it.
 type ListedMachine struct {
-	ID       string  `cbor:"uid"`
-	Endpoint string  `cbor:"endpoint"`
-	Type     string  `cbor:"loom"`
-	Zone     string  `cbor:"yard"`
-	Spot     bool    `cbor:"borrowed"`
-	Stage    string  `cbor:"stage"`
-	AgeS     float64 `cbor:"age_s"`
+	ID           string  `cbor:"uid"`
+	Endpoint     string  `cbor:"endpoint"`
+	InstanceType string  `cbor:"loom"`
+	Zone         string  `cbor:"yard"`
+	Spot         bool    `cbor:"borrowed"`
+	Stage        string  `cbor:"stage"`
+	AgeSeconds   float64 `cbor:"age_s"`
 }
 
 // Stages of a listed machine.
--- a/internal/protocol/mesh.go
+++ b/internal/protocol/mesh.go
@@ -14,11 +14,11 @@
 
 // The kinds of frames.
 const (
-	FramePing   = wire.KindPing
-	FrameSubmit = wire.KindSubmit
-	FramePoll   = wire.KindPoll
-	FrameCancel = wire.KindCancel
-	FrameAnswer = wire.KindAnswer
+	FramePing     = wire.KindPing
+	FrameSubmit   = wire.KindSubmit
+	FramePoll     = wire.KindPoll
+	FrameCancel   = wire.KindCancel
+	FrameResponse = wire.KindAnswer
 )
 
 // Frame is a message between controllers: a user's request passed on to the
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if job.ID != "j-000412" || job.Tasks != 16 || job.Priority != High || job.Need.CPU != 8_000_000 || job.Deadline != 900_000_000 || !job.OneZone || job.Zone != "" {
+	if job.ID != "j-000412" || job.Tasks != 16 || job.Priority != High || job.Request.CPU != 8_000_000 || job.Deadline != 900_000_000 || !job.ZoneAffinity || job.Zone != "" {
 		t.Fatalf("%+v", job)
 	}
 	// Fields that may be null may be left out; unknown ones are ignored; whole
@@ -55,7 +55,7 @@
 	}
 	s["colour"], s["vcpus"] = "red", 8
 	job, err = ParseSubmission(Encode(s))
-	if err != nil || job.Types != nil || job.Zone != "" || job.Deadline != 0 {
+	if err != nil || job.InstanceTypes != nil || job.Zone != "" || job.Deadline != 0 {
 		t.Fatalf("%+v, %v", job, err)
 	}
 }
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestReports(t *testing.T) {
+func TestHeartbeats(t *testing.T) {
 	good := map[string]any{
 		"dune":     "i-000231",
 		"endpoint": "10.1.0.232:9000",
@@ -136,15 +136,15 @@
 		"bolts": []any{map[string]any{"bolt": "j-000412/3", "try": uint64(1) << 40, "stage": "running"},
 			map[string]any{"bolt": "j-000398/0", "try": 1, "stage": "ended", "cause": "done"}},
 	}
-	r, err := ParseReport(Encode(good))
+	r, err := ParseHeartbeat(Encode(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []TaskReport{
+	want := []TaskStatus{
 		{Job: "j-000412", Index: 3, Attempt: 1 << 40, Stage: TaskRunning},
 		{Job: "j-000398", Attempt: 1, Stage: TaskExited, Cause: CauseDone},
 	}
-	if !reflect.DeepEqual(r.Tasks, want) || !r.Noticed || r.Notice != 3_500_000 || r.Term != 41 {
+	if !reflect.DeepEqual(r.Tasks, want) || !r.TerminationNoticed || r.TerminationIn != 3_500_000 || r.FencingToken != 41 {
 		t.Fatalf("%+v", r)
 	}
 	for field, value := range map[string]any{
@@ -159,7 +159,7 @@
 			bad[k] = v
 		}
 		bad[field] = value
-		if _, err := ParseReport(Encode(bad)); err == nil {
+		if _, err := ParseHeartbeat(Encode(bad)); err == nil {
 			t.Errorf("%s = %v is taken", field, value)
 		}
 	}
@@ -169,7 +169,7 @@
 			bad[k] = v
 		}
 		bad["bolts"] = []any{map[string]any{"bolt": task, "try": 1, "stage": "running"}}
-		if _, err := ParseReport(Encode(bad)); err == nil {
+		if _, err := ParseHeartbeat(Encode(bad)); err == nil {
 			t.Errorf("task %q is taken", task)
 		}
 	}
@@ -179,7 +179,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := Frame{
 			ID:         rapid.Uint64().Draw(t, "id"),
-			Kind:       rapid.SampledFrom([]FrameKind{FramePing, FrameSubmit, FramePoll, FrameCancel, FrameAnswer}).Draw(t, "kind"),
+			Kind:       rapid.SampledFrom([]FrameKind{FramePing, FrameSubmit, FramePoll, FrameCancel, FrameResponse}).Draw(t, "kind"),
 			Job:        rapid.String().Draw(t, "job"),
 			Body:       rapid.SliceOf(rapid.Byte()).Draw(t, "body"),
 			Status:     int(rapid.Uint16().Draw(t, "status")),
@@ -225,7 +225,7 @@
 	})
 }
 
-func FuzzReports(f *testing.F) {
+func FuzzHeartbeats(f *testing.F) {
 	f.Add(Encode(map[string]any{
 		"dune":  "i-1",
 		"loom":  "m",
@@ -235,7 +235,7 @@
 		"bolts": []any{},
 	}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if r, err := ParseReport(data); err == nil {
+		if r, err := ParseHeartbeat(data); err == nil {
 			for _, task := range r.Tasks {
 				if !ValidJobID(task.Job) || task.Index < 0 || task.Index >= MaxTasks {
 					t.Fatalf("task %+v", task)
@@ -249,13 +249,13 @@
 	f.Add(Encode(goodSubmission()))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		job, err := ParseSubmission(data)
-		if err == nil && (!ValidJobID(job.ID) || job.Tasks < 1 || job.Tasks > MaxTasks || job.Need.CPU < 0 || job.Deadline < 0) {
+		if err == nil && (!ValidJobID(job.ID) || job.Tasks < 1 || job.Tasks > MaxTasks || job.Request.CPU < 0 || job.Deadline < 0) {
 			t.Fatalf("%+v", job)
 		}
 	})
 }
 
-func BenchmarkParseReport(b *testing.B) {
+func BenchmarkParseHeartbeat(b *testing.B) {
 	bolts := make([]any, 16)
 	for i := range bolts {
 		bolts[i] = map[string]any{
@@ -278,7 +278,7 @@
 	})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := ParseReport(body); err != nil {
+		if _, err := ParseHeartbeat(body); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -297,11 +297,11 @@
 	}
 	want := []Frame{
 		{Kind: FramePing},
-		{Kind: FrameAnswer, Job: "dune-1", Status: 200},
+		{Kind: FrameResponse, Job: "dune-1", Status: 200},
 		{ID: 5, Kind: FrameSubmit, Body: []byte{0xa1, 0x61, 0x61, 0x01}},
 		{ID: 6, Kind: FramePoll, Job: "j-000412"},
 		{ID: 7, Kind: FrameCancel, Job: "j-000412"},
-		{ID: 7, Kind: FrameAnswer, Status: 503, RetryAfter: 1, Body: []byte{0xa0}},
+		{ID: 7, Kind: FrameResponse, Status: 503, RetryAfter: 1, Body: []byte{0xa0}},
 	}
 	for i, data := range frames {
 		f, err := DecodeFrame(data)
@@ -321,7 +321,7 @@
 
 // A report that lists the same tasks as the one before costs little, and says the same
 // as one that is read alone. A list that changed is read anew, whatever came between.
-func TestSameTasksAreNotReadAgain(t *testing.T) {
+func TestUnchangedTaskListIsNotParsedAgain(t *testing.T) {
 	body := func(seq uint64, stage string, tasks int) []byte {
 		bolts := []map[string]any{}
 		for i := range tasks {
@@ -336,10 +336,10 @@
 			"bolts": bolts,
 		})
 	}
-	reader := NewReportReader()
+	reader := NewHeartbeatReader()
 	for seq, b := range [][]byte{body(1, "running", 3), body(2, "running", 3), body(3, "fetching", 3), body(4, "running", 3), body(5, "running", 2), body(6, "no stage", 2), body(7, "running", 2)} {
 		got, err := reader.Parse(b)
-		want, alone := ParseReport(b)
+		want, alone := ParseHeartbeat(b)
 		if (err == nil) != (alone == nil) || err == nil && !reflect.DeepEqual(got, want) {
 			t.Fatalf("report %d: %+v %v, read alone %+v %v", seq+1, got, err, want, alone)
 		}
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -54,8 +54,8 @@
 	Then []Change    `cbor:"then"`
 }
 
-// TxnAnswer is the answer to a Txn.
-type TxnAnswer struct {
+// TxnResponse is the answer to a Txn.
+type TxnResponse struct {
 	Revision uint64   `cbor:"epoch"`
 	Failed   []string `cbor:"failed"`
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -34,9 +34,9 @@
 
 // Bounds on a submission's numbers.
 const (
-	mostAmount  = 1e6
-	mostMemory  = 1e8 // GB
-	mostSeconds = 1e9
+	maxAmount   = 1e6
+	maxMemoryGB = 1e8 // GB
+	maxSeconds  = 1e9
 )
 
 // ParseSubmission reads and checks a user's submission. Its error is the one
@@ -83,7 +83,7 @@
 	if !ValidJobID(*w.UID) {
 		return errors.New("uid: not of the form j-000412")
 	}
-	if _, known := shapes[*w.Shape]; !known {
+	if _, known := jobKinds[*w.Shape]; !known {
 		return errors.New("shape: unknown")
 	}
 	if _, known := ParsePriority(*w.Urgency); !known {
@@ -101,20 +101,20 @@
 		value *float64
 		most  float64
 	}{
-		{"vcpus", w.VCPUs, mostAmount},
-		{"cards", w.Cards, mostAmount},
-		{"memory_gb", w.Memory, mostMemory},
-		{"image_gb", w.ImageGB, mostAmount},
-		{"expect_s", w.Expect, mostSeconds},
-		{"mark_s", w.Mark, mostSeconds},
-		{"stow_s", w.Stow, mostSeconds},
+		{"vcpus", w.VCPUs, maxAmount},
+		{"cards", w.Cards, maxAmount},
+		{"memory_gb", w.Memory, maxMemoryGB},
+		{"image_gb", w.ImageGB, maxAmount},
+		{"expect_s", w.Expect, maxSeconds},
+		{"mark_s", w.Mark, maxSeconds},
+		{"stow_s", w.Stow, maxSeconds},
 	}
 	for _, n := range numbers {
 		if n.value == nil || !within(*n.value, n.most) {
 			return fmt.Errorf("%s: missing or out of range", n.field)
 		}
 	}
-	if w.Due != nil && !within(*w.Due, mostSeconds) {
+	if w.Due != nil && !within(*w.Due, maxSeconds) {
 		return errors.New("due_s: out of range")
 	}
 	return nil
@@ -168,23 +168,23 @@
 		ID:       *w.UID,
 		Class:    *w.Queue,
 		Team:     *w.Crew,
-		Shape:    shapes[*w.Shape],
+		Kind:     jobKinds[*w.Shape],
 		Priority: priority,
 		Tasks:    int(*w.Bolts),
-		Need: units.Resources{
+		Request: units.Resources{
 			CPU:    units.AmountOf(*w.VCPUs),
 			GPU:    units.AmountOf(*w.Cards),
 			Memory: units.AmountOf(*w.Memory),
 		},
-		Types:      w.Looms,
-		OneZone:    *w.Together,
-		Spread:     *w.Apart,
-		Spot:       *w.Borrowed,
-		Image:      *w.Pattern,
-		ImageSize:  units.AmountOf(*w.ImageGB),
-		Estimate:   units.Seconds(*w.Expect),
-		Checkpoint: units.Seconds(*w.Mark),
-		Save:       units.Seconds(*w.Stow),
+		InstanceTypes:      w.Looms,
+		ZoneAffinity:       *w.Together,
+		ZoneSpread:         *w.Apart,
+		AllowSpot:          *w.Borrowed,
+		Image:              *w.Pattern,
+		ImageSize:          units.AmountOf(*w.ImageGB),
+		Estimate:           units.Seconds(*w.Expect),
+		CheckpointInterval: units.Seconds(*w.Mark),
+		CheckpointDuration: units.Seconds(*w.Stow),
 	}
 	if w.Yard != nil {
 		job.Zone = *w.Yard
@@ -192,7 +192,7 @@
 	if w.Due != nil {
 		job.Deadline = max(units.Seconds(*w.Due), 1) // 0 stands for none
 	}
-	if job.Shape == Service {
+	if job.Kind == Service {
 		job.Estimate, job.Deadline = 0, 0 // it has no end
 	}
 	return job
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -9,26 +9,26 @@
 
 // Paths of the users' and workers' interface.
 const (
-	PathSubmit = "/submissions"
-	PathPoll   = "/submissions/:id"
-	PathCancel = "/submissions/:id/cancel"
-	PathHealth = "/healthz"
-	PathReport = "/agent/beat"
+	PathSubmit    = "/submissions"
+	PathPoll      = "/submissions/:id"
+	PathCancel    = "/submissions/:id/cancel"
+	PathHealth    = "/healthz"
+	PathHeartbeat = "/agent/beat"
 )
 
-// Stage is a job's state as its user sees it.
-type Stage string
+// JobStage is a job's state as its user sees it.
+type JobStage string
 
 // The stages of a job.
 const (
-	StagePending   Stage = "pending"
-	StageRunning   Stage = "running"
-	StageDone      Stage = "done"
-	StageCancelled Stage = "aborted"
+	StagePending   JobStage = "pending"
+	StageRunning   JobStage = "running"
+	StageDone      JobStage = "done"
+	StageCancelled JobStage = "aborted"
 )
 
-// Final tells whether a job in this stage stays there.
-func (s Stage) Final() bool { return s == StageDone || s == StageCancelled }
+// IsTerminal tells whether a job in this stage stays there.
+func (s JobStage) IsTerminal() bool { return s == StageDone || s == StageCancelled }
 
 // Priority orders jobs; a larger one goes first.
 type Priority uint8
@@ -63,21 +63,21 @@
 	return 0, false
 }
 
-// Shape is how a job's tasks belong together.
-type Shape uint8
+// Kind is how a job's tasks belong together.
+type JobKind uint8
 
 // The shapes. Array tasks are independent. A gang's tasks start only when all
 // fit at once; a service's tasks are replicas, kept apart where possible.
 const (
-	Array Shape = iota
+	Array JobKind = iota
 	Gang
 	Service
 )
 
-var shapes = map[string]Shape{"sweep": Array, "gang": Gang, "service": Service}
+var jobKinds = map[string]JobKind{"sweep": Array, "gang": Gang, "service": Service}
 
-// Shapes is the number of shapes.
-const Shapes = 3
+// JobKinds is the number of shapes.
+const JobKinds = 3
 
 // MaxTasks is the most tasks that a job may have.
 const MaxTasks = 100_000
@@ -90,24 +90,24 @@
 
 // JobSpec is a submission, checked.
 type JobSpec struct {
-	ID         string
-	Class      string
-	Team       string
-	Shape      Shape
-	Priority   Priority
-	Tasks      int
-	Need       units.Resources
-	Types      []string // allowed machine types; nil: any
-	Zone       string   // the only allowed zone; "": any
-	OneZone    bool
-	Spread     bool
-	Spot       bool
-	Image      string
-	ImageSize  units.Amount
-	Estimate   units.Micros
-	Checkpoint units.Micros
-	Save       units.Micros
-	Deadline   units.Micros // from the submission; 0: none
+	ID                 string
+	Class              string
+	Team               string
+	Kind               JobKind
+	Priority           Priority
+	Tasks              int
+	Request            units.Resources
+	InstanceTypes      []string // allowed machine types; nil: any
+	Zone               string   // the only allowed zone; "": any
+	ZoneAffinity       bool
+	ZoneSpread         bool
+	AllowSpot          bool
+	Image              string
+	ImageSize          units.Amount
+	Estimate           units.Micros
+	CheckpointInterval units.Micros
+	CheckpointDuration units.Micros
+	Deadline           units.Micros // from the submission; 0: none
 }
 
 const maxJobDigits = 18
@@ -141,15 +141,15 @@
 
 // JobState is the answer about a job.
 type JobState struct {
-	UID     string `cbor:"uid"`
-	Stage   Stage  `cbor:"stage"`
-	Done    int    `cbor:"done"`
-	Running int    `cbor:"running"`
+	ID      string   `cbor:"uid"`
+	Stage   JobStage `cbor:"stage"`
+	Done    int      `cbor:"done"`
+	Running int      `cbor:"running"`
 }
 
-// Problem is the body of an answer that refuses something.
-type Problem struct {
-	Error string `cbor:"error"`
-	// Plan is the version of the admission plan by which a job has to wait.
-	Plan uint64 `cbor:"plan,omitempty"`
+// ErrorResponse is the body of an answer that refuses something.
+type ErrorResponse struct {
+	Message string `cbor:"error"`
+	// PlanVersion is the version of the admission plan by which a job has to wait.
+	PlanVersion uint64 `cbor:"plan,omitempty"`
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -19,7 +19,7 @@
 const (
 	TaskFetching TaskStage = iota + 1
 	TaskRunning
-	TaskSaving
+	TaskCheckpointing
 	TaskExited
 )
 
@@ -27,50 +27,50 @@
 	"fetching":  TaskFetching,
 	"gathering": TaskFetching,
 	"running":   TaskRunning,
-	"flushing":  TaskSaving,
+	"flushing":  TaskCheckpointing,
 	"ended":     TaskExited,
 }
 
-// Cause is why a task has ended.
-type Cause string
+// ExitCause is why a task has ended.
+type ExitCause string
 
 // The causes of an end.
 const (
-	CauseDone    Cause = "done"
-	CauseStopped Cause = "stopped"
-	CauseError   Cause = "error"
-	CauseNoRoom  Cause = "full"
-	CauseBusy    Cause = "in_use"
-	CauseUnknown Cause = "no_such"
+	CauseDone       ExitCause = "done"
+	CauseStopped    ExitCause = "stopped"
+	CauseError      ExitCause = "error"
+	CauseNoCapacity ExitCause = "full"
+	CauseInUse      ExitCause = "in_use"
+	CauseNoSuchTask ExitCause = "no_such"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Job     string
-	Index   int
-	Attempt uint64
-	Stage   TaskStage
-	Cause   Cause
-	Saved   bool
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Job          string
+	Index        int
+	Attempt      uint64
+	Stage        TaskStage
+	Cause        ExitCause
+	Checkpointed bool
 }
 
-// Report is a worker's report, checked. The report with the larger
+// Heartbeat is a worker's report, checked. The report with the larger
 // (Session, Seq) is the newer one.
-type Report struct {
-	Machine  string
-	Endpoint string
-	Type     string
-	Zone     string
-	Spot     bool
-	Session  uint64
-	Seq      uint64
-	Term     uint64 // the highest term the worker has seen
-	Notice   units.Micros
-	Noticed  bool // the cloud takes the machine away after Notice
-	Tasks    []TaskReport
+type Heartbeat struct {
+	Machine            string
+	Endpoint           string
+	InstanceType       string
+	Zone               string
+	Spot               bool
+	Incarnation        uint64
+	Sequence           uint64
+	FencingToken       uint64 // the highest term the worker has seen
+	TerminationIn      units.Micros
+	TerminationNoticed bool // the cloud takes the machine away after Notice
+	Tasks              []TaskStatus
 }
 
-type wireReport struct {
+type wireHeartbeat struct {
 	Dune     *string  `cbor:"dune"`
 	Endpoint string   `cbor:"endpoint"`
 	Loom     *string  `cbor:"loom"`
@@ -83,7 +83,7 @@
 	Bolts    Raw      `cbor:"bolts"`
 }
 
-type wireTask struct {
+type wireTaskStatus struct {
 	Bolt  string `cbor:"bolt"`
 	Try   uint64 `cbor:"try"`
 	Stage string `cbor:"stage"`
@@ -91,9 +91,9 @@
 	Kept  bool   `cbor:"kept"`
 }
 
-// ReportReader reads and checks workers' reports. Most reports of a machine list the
+// HeartbeatReader reads and checks workers' reports. Most reports of a machine list the
 // same tasks as the one before, and these are not read again.
-type ReportReader struct {
+type HeartbeatReader struct {
 	mu   sync.Mutex
 	last map[string]taskList // by machine
 }
@@ -101,17 +101,17 @@
 // taskList is a report's list of tasks, as it came and as it was read.
 type taskList struct {
 	raw   Raw
-	tasks []TaskReport
+	tasks []TaskStatus
 }
 
-// maxLists bounds the lists that are kept; beyond it they are gathered anew.
-const maxLists = 8192
+// maxCachedTaskLists bounds the lists that are kept; beyond it they are gathered anew.
+const maxCachedTaskLists = 8192
 
-// NewReportReader makes a reader that has read nothing.
-func NewReportReader() *ReportReader { return &ReportReader{last: map[string]taskList{}} }
+// NewHeartbeatReader makes a reader that has read nothing.
+func NewHeartbeatReader() *HeartbeatReader { return &HeartbeatReader{last: map[string]taskList{}} }
 
 // tasks gives a machine's tasks, which must not be changed.
-func (p *ReportReader) tasks(machine string, raw Raw) ([]TaskReport, error) {
+func (p *HeartbeatReader) tasks(machine string, raw Raw) ([]TaskStatus, error) {
 	p.mu.Lock()
 	last, known := p.last[machine]
 	p.mu.Unlock()
@@ -124,23 +124,23 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.last) >= maxLists && !known {
+	if len(p.last) >= maxCachedTaskLists && !known {
 		clear(p.last)
 	}
 	p.last[machine] = taskList{raw, tasks}
 	return tasks, nil
 }
 
-func parseTasks(raw Raw) ([]TaskReport, error) {
-	var bolts []wireTask
+func parseTasks(raw Raw) ([]TaskStatus, error) {
+	var bolts []wireTaskStatus
 	if len(raw) > 0 {
 		if err := decoder.Unmarshal(raw, &bolts); err != nil {
 			return nil, fmt.Errorf("bolts: not valid: %w", err)
 		}
 	}
-	tasks := make([]TaskReport, 0, len(bolts))
+	tasks := make([]TaskStatus, 0, len(bolts))
 	for _, b := range bolts {
-		job, index, err := splitTask(b.Bolt)
+		job, index, err := parseTaskName(b.Bolt)
 		if err != nil {
 			return nil, err
 		}
@@ -148,15 +148,15 @@
 		if !ok {
 			return nil, errors.New("bolts: unknown stage")
 		}
-		tasks = append(tasks, TaskReport{Job: job, Index: index, Attempt: b.Try, Stage: stage,
-			Cause: Cause(b.Cause), Saved: b.Kept})
+		tasks = append(tasks, TaskStatus{Job: job, Index: index, Attempt: b.Try, Stage: stage,
+			Cause: ExitCause(b.Cause), Checkpointed: b.Kept})
 	}
 	return tasks, nil
 }
 
 // Parse reads and checks a worker's report.
-func (p *ReportReader) Parse(body []byte) (*Report, error) {
-	var w wireReport
+func (p *HeartbeatReader) Parse(body []byte) (*Heartbeat, error) {
+	var w wireHeartbeat
 	if err := Decode(body, &w); err != nil {
 		return nil, err
 	}
@@ -174,13 +174,13 @@
 	case len(w.Endpoint) > maxText:
 		return nil, errors.New("endpoint: too long")
 	}
-	r := &Report{Machine: *w.Dune, Endpoint: w.Endpoint, Type: *w.Loom, Zone: *w.Yard, Spot: w.Borrowed,
-		Session: *w.Shift, Seq: *w.Tally, Term: w.Baton}
+	r := &Heartbeat{Machine: *w.Dune, Endpoint: w.Endpoint, InstanceType: *w.Loom, Zone: *w.Yard, Spot: w.Borrowed,
+		Incarnation: *w.Shift, Sequence: *w.Tally, FencingToken: w.Baton}
 	if w.Recall != nil {
 		if math.IsNaN(*w.Recall) {
 			return nil, errors.New("recall_s: not a number")
 		}
-		r.Notice, r.Noticed = units.Seconds(max(*w.Recall, 0)), true
+		r.TerminationIn, r.TerminationNoticed = units.Seconds(max(*w.Recall, 0)), true
 	}
 	var err error
 	if r.Tasks, err = p.tasks(r.Machine, w.Bolts); err != nil {
@@ -189,13 +189,13 @@
 	return r, nil
 }
 
-// ParseReport reads and checks a single report.
-func ParseReport(body []byte) (*Report, error) { return NewReportReader().Parse(body) }
+// ParseHeartbeat reads and checks a single report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) { return NewHeartbeatReader().Parse(body) }
 
 // TaskName gives a task's name: TaskName("j-000412", 3) is j-000412/3.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-func splitTask(s string) (string, int, error) {
+func parseTaskName(s string) (string, int, error) {
 	job, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
 	plain := onlyDigits(num) && (num[0] != '0' || len(num) == 1) // as TaskName writes it
@@ -217,9 +217,9 @@
 
 // The commands to a worker.
 const (
-	Start  Verb = "launch"
-	Stop   Verb = "stop"
-	Forget Verb = "clear"
+	VerbStart  Verb = "launch"
+	VerbStop   Verb = "stop"
+	VerbForget Verb = "clear"
 )
 
 // Command is one command to a worker.
@@ -233,10 +233,10 @@
 // MaxCommands keeps an answer to a worker well under the size limit.
 const MaxCommands = 400
 
-// ReportAnswer is the answer to a report that was accepted.
-type ReportAnswer struct {
-	Term     uint64    `cbor:"baton"`
-	Commands []Command `cbor:"orders"`
+// HeartbeatResponse is the answer to a report that was accepted.
+type HeartbeatResponse struct {
+	FencingToken uint64    `cbor:"baton"`
+	Commands     []Command `cbor:"orders"`
 }
 
 // PathCommands is a worker's path for direct commands.
@@ -247,12 +247,12 @@
 
 // DirectCommands are sent straight to a worker, which answers with a report.
 type DirectCommands struct {
-	Term     uint64    `cbor:"baton"`
-	Session  uint64    `cbor:"shift"`
-	Commands []Command `cbor:"orders"`
+	FencingToken uint64    `cbor:"baton"`
+	Incarnation  uint64    `cbor:"shift"`
+	Commands     []Command `cbor:"orders"`
 }
 
-// Redirect names the node that a worker should report to.
-type Redirect struct {
+// LeaderRedirect names the node that a worker should report to.
+type LeaderRedirect struct {
 	Leader string `cbor:"foreman,omitempty"`
 }
--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/standin/admissioncheck/checker.go
@@ -83,7 +83,7 @@
 // newJob gives the job that a change makes durable for the first time.
 func newJob(change protocol.Change, get func(string) (protocol.Item, bool)) (id string, isNew bool) {
 	item := protocol.Item{Key: change.Set, Value: change.Value}
-	if a, err := cluster.ParseArrival(item); err == nil {
+	if a, err := cluster.ParsePendingSubmission(item); err == nil {
 		return a.Spec.ID, true
 	}
 	jobs, _, err := cluster.ParseJobs([]protocol.Item{item})
@@ -92,7 +92,7 @@
 	}
 	id = jobs[0].Spec.ID
 	_, live := get(storage.KeyJob(id))
-	_, arrived := get(storage.KeyInbox(id))
+	_, arrived := get(storage.KeyPending(id))
 	return id, !live && !arrived
 }
 
@@ -150,9 +150,9 @@
 	case http.StatusOK, http.StatusCreated:
 		return SaysAccepted, 0
 	case http.StatusTooManyRequests:
-		var p protocol.Problem
-		if protocol.Decode(body, &p) == nil && p.Plan > 0 {
-			return SaysWait, p.Plan
+		var p protocol.ErrorResponse
+		if protocol.Decode(body, &p) == nil && p.PlanVersion > 0 {
+			return SaysWait, p.PlanVersion
 		}
 	}
 	return SaysNothing, 0
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -41,21 +41,21 @@
 	switch {
 	case r.URL.Path == protocol.PathCatalog:
 		reply(w, http.StatusOK, c.catalog)
-	case r.URL.Path == protocol.PathHosts && r.Method == http.MethodGet:
+	case r.URL.Path == protocol.PathMachines && r.Method == http.MethodGet:
 		list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 		for _, m := range c.machines {
 			list.Machines = append(list.Machines, m)
 		}
 		reply(w, http.StatusOK, list)
-	case r.URL.Path == protocol.PathHosts:
-		var rent protocol.Rent
+	case r.URL.Path == protocol.PathMachines:
+		var rent protocol.ScaleOutRequest
 		if protocol.Decode(body, &rent) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		c.rent(w, rent)
-	case r.URL.Path == protocol.PathRelease:
-		var names protocol.MachineNames
+	case r.URL.Path == protocol.PathScaleIn:
+		var names protocol.MachineIDs
 		_ = protocol.Decode(body, &names)
 		for _, id := range names.Machines {
 			delete(c.machines, id)
@@ -67,9 +67,9 @@
 	}
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, rent protocol.Rent) {
-	if names, again := c.hires[rent.Request]; again {
-		reply(w, http.StatusOK, protocol.MachineNames{Machines: names})
+func (c *Cloud) rent(w http.ResponseWriter, rent protocol.ScaleOutRequest) {
+	if names, again := c.hires[rent.RequestID]; again {
+		reply(w, http.StatusOK, protocol.MachineIDs{Machines: names})
 		return
 	}
 	var names []string
@@ -81,12 +81,12 @@
 	}
 	for ; len(names) < rent.Count && there < c.capacity; there++ {
 		m := protocol.ListedMachine{
-			ID:       fmt.Sprintf("i-%06d", c.made),
-			Endpoint: fmt.Sprintf("i-%06d:9000", c.made),
-			Type:     rent.Type,
-			Zone:     rent.Zone,
-			Spot:     rent.Spot,
-			Stage:    protocol.MachineRunning,
+			ID:           fmt.Sprintf("i-%06d", c.made),
+			Endpoint:     fmt.Sprintf("i-%06d:9000", c.made),
+			InstanceType: rent.InstanceType,
+			Zone:         rent.Zone,
+			Spot:         rent.Spot,
+			Stage:        protocol.MachineRunning,
 		}
 		c.made++
 		c.machines[m.ID] = m
@@ -96,9 +96,9 @@
 		}
 	}
 	if len(names) == 0 {
-		reply(w, http.StatusServiceUnavailable, protocol.Problem{Error: "no capacity"})
+		reply(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Message: "no capacity"})
 		return
 	}
-	c.hires[rent.Request] = names
-	reply(w, http.StatusOK, protocol.MachineNames{Machines: names})
+	c.hires[rent.RequestID] = names
+	reply(w, http.StatusOK, protocol.MachineIDs{Machines: names})
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -18,7 +18,7 @@
 	Began  time.Time
 	Ended  time.Time // when the answer came in
 	Status int       // 0: no answer
-	Stage  protocol.Stage
+	Stage  protocol.JobStage
 	// Abandoned: its user had stopped waiting by the time the answer came in.
 	Abandoned bool
 }
@@ -106,7 +106,7 @@
 	defer h.mu.Unlock()
 	n := 0
 	for _, all := range h.requests {
-		if slices.ContainsFunc(all, func(r Request) bool { return r.Stage.Final() && !r.Abandoned }) {
+		if slices.ContainsFunc(all, func(r Request) bool { return r.Stage.IsTerminal() && !r.Abandoned }) {
 			n++
 		}
 	}
@@ -163,5 +163,5 @@
 	if r.denies() {
 		return true
 	}
-	return earlier.Stage.Final() && r.Stage != earlier.Stage
+	return earlier.Stage.IsTerminal() && r.Stage != earlier.Stage
 }
--- a/internal/standin/history_test.go
+++ b/internal/standin/history_test.go
@@ -14,7 +14,7 @@
 	type asked struct {
 		began, ended int
 		status       int
-		stage        protocol.Stage
+		stage        protocol.JobStage
 		abandoned    bool
 	}
 	const done, running, cancelled = protocol.StageDone, protocol.StageRunning, protocol.StageCancelled
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -62,7 +62,7 @@
 	index   int
 	attempt uint64
 	stage   string
-	cause   protocol.Cause
+	cause   protocol.ExitCause
 	until   time.Time // when the stage ends by itself
 	left    time.Duration
 }
@@ -281,7 +281,7 @@
 			m.take(answer, session, sent)
 			m.waitForNext(ctx, sent)
 		case http.StatusMisdirectedRequest:
-			var r protocol.Redirect
+			var r protocol.LeaderRedirect
 			_ = protocol.Decode(answer, &r)
 			if next := slices.Index(m.nodes, r.Leader); next >= 0 && next != node {
 				node = next
@@ -326,7 +326,7 @@
 func (m *Machine) post(ctx context.Context, node string, body []byte) (int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, workerGivesUp)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+UsersPort+protocol.PathReport, bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+UsersPort+protocol.PathHeartbeat, bytes.NewReader(body))
 	resp, err := m.client.Do(req)
 	if err != nil {
 		return 0, nil
--- a/internal/standin/machinecommands.go
+++ b/internal/standin/machinecommands.go
@@ -12,16 +12,16 @@
 
 // take carries out the answer to a report.
 func (m *Machine) take(body []byte, session uint64, sent time.Time) {
-	var a protocol.ReportAnswer
+	var a protocol.HeartbeatResponse
 	if protocol.Decode(body, &a) != nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone || session != m.session || a.Term < m.term || a.Term == 0 {
+	if m.gone || session != m.session || a.FencingToken < m.term || a.FencingToken == 0 {
 		return
 	}
-	m.sees(a.Term)
+	m.sees(a.FencingToken)
 	m.leaseFrom = sent
 	m.execute(a.Commands)
 }
@@ -39,7 +39,7 @@
 func (m *Machine) serve(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
 	var c protocol.DirectCommands
-	if protocol.Decode(raw, &c) != nil || c.Term == 0 {
+	if protocol.Decode(raw, &c) != nil || c.FencingToken == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -56,10 +56,10 @@
 	m.step()
 	m.mu.Lock()
 	status := http.StatusOK
-	if m.gone || c.Term < m.term || c.Session != m.session {
+	if m.gone || c.FencingToken < m.term || c.Incarnation != m.session {
 		status = http.StatusConflict
 	} else {
-		m.sees(c.Term)
+		m.sees(c.FencingToken)
 		m.execute(c.Commands)
 	}
 	changed := m.changed
@@ -74,16 +74,16 @@
 	for _, c := range commands {
 		t := m.tasks[c.Task]
 		switch c.Verb {
-		case protocol.Start:
+		case protocol.VerbStart:
 			m.launch(c, t)
-		case protocol.Stop:
+		case protocol.VerbStop:
 			if t != nil && t.attempt == c.Attempt && t.stage != "ended" {
 				if t.stage != "fetching" {
 					m.rules.Ended(t.job.ID, t.index, m.ID, false)
 				}
 				t.stage, t.cause, t.until, m.changed = "ended", protocol.CauseStopped, time.Time{}, true
 			}
-		case protocol.Forget:
+		case protocol.VerbForget:
 			if t != nil && t.attempt == c.Attempt && t.stage == "ended" {
 				delete(m.tasks, c.Task)
 			}
@@ -108,9 +108,9 @@
 	n := &machineTask{job: job, index: index, attempt: c.Attempt}
 	switch {
 	case !known || index >= job.Tasks:
-		n.stage, n.cause = "ended", protocol.CauseUnknown
+		n.stage, n.cause = "ended", protocol.CauseNoSuchTask
 	case used > m.CPUs:
-		n.stage, n.cause = "ended", protocol.CauseNoRoom
+		n.stage, n.cause = "ended", protocol.CauseNoCapacity
 	default:
 		n.stage, n.until = "fetching", time.Now().Add(cmp.Or(job.Fetch, machineFetch))
 		n.left = job.Runs * time.Duration(index+1) / time.Duration(job.Tasks)
--- a/internal/standin/rulechecker.go
+++ b/internal/standin/rulechecker.go
@@ -48,7 +48,7 @@
 	JobInfo
 	known     bool // its user was told that it is accepted
 	asked     bool // its user wants it cancelled
-	told      protocol.Stage
+	told      protocol.JobStage
 	confirmed time.Time
 	answered  time.Time // when its user was last answered
 	done      map[int]bool
@@ -97,7 +97,7 @@
 }
 
 // Answered holds an answer to a user against what was told before.
-func (r *RuleChecker) Answered(id string, repeat bool, status int, stage protocol.Stage) {
+func (r *RuleChecker) Answered(id string, repeat bool, status int, stage protocol.JobStage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
@@ -117,7 +117,7 @@
 	if status == 200 || status == 201 {
 		j.known = true
 	}
-	if j.told.Final() && stage != j.told {
+	if j.told.IsTerminal() && stage != j.told {
 		r.breach("went_back: %s was called %s, now %s", id, j.told, stage)
 	}
 	switch {
@@ -228,7 +228,7 @@
 }
 
 // Told gives what the user of a job was told last.
-func (r *RuleChecker) Told(job string) protocol.Stage {
+func (r *RuleChecker) Told(job string) protocol.JobStage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs[job].told
@@ -253,7 +253,7 @@
 	defer r.mu.Unlock()
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
-		if j := r.jobs[id]; j.known && !j.told.Final() {
+		if j := r.jobs[id]; j.known && !j.told.IsTerminal() {
 			out = append(out, fmt.Sprintf("%s: %d of %d done, told %q", id, len(j.done), j.Tasks, j.told))
 		}
 	}
@@ -267,7 +267,7 @@
 	defer r.mu.Unlock()
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
-		if j := r.jobs[id]; j.known && !j.told.Final() && time.Since(j.answered) > d {
+		if j := r.jobs[id]; j.known && !j.told.IsTerminal() && time.Since(j.answered) > d {
 			out = append(out, id)
 		}
 	}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -190,10 +190,10 @@
 }
 
 // Apply carries a transaction out.
-func (s *State) Apply(txn protocol.Txn) (protocol.TxnAnswer, bool) {
+func (s *State) Apply(txn protocol.Txn) (protocol.TxnResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var answer protocol.TxnAnswer
+	var answer protocol.TxnResponse
 	for _, c := range txn.If {
 		if s.items[c.Key].Version != c.Version {
 			answer.Failed = append(answer.Failed, c.Key)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -58,7 +58,7 @@
 	defer client.CloseIdleConnections()
 	report := workerReport{
 		Dune:     w.Machine.ID,
-		Loom:     w.Machine.Type,
+		Loom:     w.Machine.InstanceType,
 		Yard:     w.Machine.Zone,
 		Borrowed: w.Machine.Spot,
 		Shift:    1,
@@ -70,8 +70,8 @@
 		answer, ok := w.send(ctx, client, w.Nodes[node], report)
 		if !ok {
 			node = (node + 1) % len(w.Nodes)
-		} else if answer.Term >= report.Baton {
-			report.Baton = answer.Term
+		} else if answer.FencingToken >= report.Baton {
+			report.Baton = answer.FencingToken
 			w.execute(answer.Commands)
 		}
 		select {
@@ -81,9 +81,9 @@
 	}
 }
 
-func (w *Worker) send(ctx context.Context, client *http.Client, node string, report workerReport) (protocol.ReportAnswer, bool) {
-	var answer protocol.ReportAnswer
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+protocol.PathReport, bytes.NewReader(protocol.Encode(report)))
+func (w *Worker) send(ctx context.Context, client *http.Client, node string, report workerReport) (protocol.HeartbeatResponse, bool) {
+	var answer protocol.HeartbeatResponse
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+protocol.PathHeartbeat, bytes.NewReader(protocol.Encode(report)))
 	if err != nil {
 		return answer, false
 	}
@@ -119,14 +119,14 @@
 	for _, c := range commands {
 		t := w.tasks[c.Task]
 		switch {
-		case c.Verb == protocol.Start && (t == nil || t.ended && t.attempt != c.Attempt):
+		case c.Verb == protocol.VerbStart && (t == nil || t.ended && t.attempt != c.Attempt):
 			w.tasks[c.Task] = &workerTask{attempt: c.Attempt, began: time.Now()}
 			if w.Started != nil {
 				w.Started(c.Task, c.Attempt)
 			}
-		case c.Verb == protocol.Stop && t != nil && t.attempt == c.Attempt && !t.ended:
+		case c.Verb == protocol.VerbStop && t != nil && t.attempt == c.Attempt && !t.ended:
 			t.ended, t.cause = true, string(protocol.CauseStopped)
-		case c.Verb == protocol.Forget && t != nil && t.attempt == c.Attempt && t.ended:
+		case c.Verb == protocol.VerbForget && t != nil && t.attempt == c.Attempt && t.ended:
 			delete(w.tasks, c.Task)
 		}
 	}
--- a/internal/storage/catalog.go
+++ b/internal/storage/catalog.go
@@ -18,13 +18,13 @@
 // CatalogChanges gives what is to be written so that the state service holds a
 // catalog in a format: sets first, so that no type is missing meanwhile. stored
 // tells what it holds now, by key. A type that fits no record is left out.
-func CatalogChanges(types []protocol.MachineType, format, valueBytes int, stored map[string]uint64) []protocol.Change {
+func CatalogChanges(types []protocol.InstanceType, format, valueBytes int, stored map[string]uint64) []protocol.Change {
 	if format == FormatOld {
 		return []protocol.Change{{Set: KeyCatalog, Value: protocol.Encode(protocol.Catalog{Types: types})}}
 	}
 	var out []protocol.Change
 	kept := map[string]bool{}
-	var part []protocol.MachineType
+	var part []protocol.InstanceType
 	flush := func() {
 		if len(part) > 0 {
 			key := keyCatalogPart(len(out))
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -17,15 +17,15 @@
 // Keys of the records. Jobs live in buckets under their bucket's head; final
 // states live apart, so that a restore does not grow with them.
 const (
-	KeyFleet   = "fleet"
-	KeyCatalog = "catalog" // and what begins with it
+	KeyLeaderLease = "fleet"
+	KeyCatalog     = "catalog" // and what begins with it
 	// Below PrefixFormats are the formats that each controller reads, and the
 	// fleet's.
-	PrefixFormats  = "format/"
-	KeyFleetFormat = "format/fleet"
-	PrefixHeads    = "bucket/"
-	PrefixJobs     = "job/"
-	prefixFinal    = "final/"
+	PrefixFormats     = "format/"
+	KeyFleetFormat    = "format/fleet"
+	PrefixBucketHeads = "bucket/"
+	PrefixJobs        = "job/"
+	prefixTerminal    = "final/"
 )
 
 // Buckets is the number of buckets (DESIGN).
@@ -43,35 +43,35 @@
 
 // FormatRecord is a format, of a controller or of the fleet.
 type FormatRecord struct {
-	Format int    `cbor:"format"`
-	By     string `cbor:"by"` // the controller that wrote it
+	Format    int    `cbor:"format"`
+	WrittenBy string `cbor:"by"` // the controller that wrote it
 }
 
-// KeyHead is the key of a bucket's head.
-func KeyHead(bucket int) string { return fmt.Sprintf("%s%02d", PrefixHeads, bucket) }
+// KeyBucketHead is the key of a bucket's head.
+func KeyBucketHead(bucket int) string { return fmt.Sprintf("%s%02d", PrefixBucketHeads, bucket) }
 
 // KeyJob is the key of a live job's record.
 func KeyJob(job string) string { return fmt.Sprintf("%s%02d/%s", PrefixJobs, BucketOf(job), job) }
 
-// KeyFinal is the key of a finished job's final state.
-func KeyFinal(job string) string { return prefixFinal + job }
+// KeyTerminal is the key of a finished job's final state.
+func KeyTerminal(job string) string { return prefixTerminal + job }
 
 // The kinds of a job's further records, which lie below its own: parts of the names of
 // machines, pages of the set of completed tasks, and such pages in the old format.
 const (
-	KindNames   = 'm'
-	KindPage    = 'd'
-	KindOldPage = 'p'
+	PartMachineNames = 'm'
+	PartDonePage     = 'd'
+	PartOldDonePage  = 'p'
 )
 
-// KeyPart is the key of a job's further record: the n-th of a kind.
-func KeyPart(job string, kind byte, n int) string {
+// KeyJobPart is the key of a job's further record: the n-th of a kind.
+func KeyJobPart(job string, kind byte, n int) string {
 	return fmt.Sprintf("%s/%c%d", KeyJob(job), kind, n)
 }
 
-// ParsePart reads what a key below a job's says: the job's key, the kind and the
+// ParseJobPart reads what a key below a job's says: the job's key, the kind and the
 // number.
-func ParsePart(key string) (job string, kind byte, n int, err error) {
+func ParseJobPart(key string) (job string, kind byte, n int, err error) {
 	cut := strings.LastIndexByte(key, '/')
 	job, rest := key[:cut], key[cut+1:]
 	if len(rest) >= 2 {
@@ -84,29 +84,29 @@
 	return job, kind, n, nil
 }
 
-// Lease is a leased record: the fleet's, which names the leader and whose
+// LeaseRecord is a leased record: the fleet's, which names the leader and whose
 // incarnation is the workers' term, or a bucket's.
-type Lease struct {
+type LeaseRecord struct {
 	Holder      string `cbor:"holder"`
 	Incarnation uint64 `cbor:"incarnation"`
-	Save        string `cbor:"save"`               // names the save, so that its author knows it again
+	WriteID     string `cbor:"save"`               // names the save, so that its author knows it again
 	Resigned    bool   `cbor:"resigned,omitempty"` // the holder gave it up: no need to wait
-	// Handed is the time of day when a holder that had fallen behind last gave
+	// HandedOverAt is the time of day when a holder that had fallen behind last gave
 	// it up.
-	Handed units.Micros `cbor:"handed,omitempty"`
+	HandedOverAt units.Micros `cbor:"handed,omitempty"`
 }
 
-// Final is the record of a finished job.
-type Final struct {
-	Stage protocol.Stage `cbor:"stage"`
-	Tasks int            `cbor:"tasks"`
-	Done  int            `cbor:"done"`
-	Save  string         `cbor:"save"`
+// TerminalRecord is the record of a finished job.
+type TerminalRecord struct {
+	Stage   protocol.JobStage `cbor:"stage"`
+	Tasks   int               `cbor:"tasks"`
+	Done    int               `cbor:"done"`
+	WriteID string            `cbor:"save"`
 }
 
-// FinalRecord is a Final as it was read or stored.
-type FinalRecord struct {
-	Final
+// StoredTerminalRecord is a Final as it was read or stored.
+type StoredTerminalRecord struct {
+	TerminalRecord
 	Version uint64
 }
 
@@ -120,16 +120,16 @@
 	// FormatAdmission has the records of FormatNew. All controllers of such a fleet
 	// admit jobs by the admission plan; one that does not know it must not lead.
 	FormatAdmission = 3
-	// Format is the newest that this version reads and writes.
-	Format = FormatAdmission
+	// NewestFormat is the newest that this version reads and writes.
+	NewestFormat = FormatAdmission
 )
 
-// PrefixInbox holds jobs that a controller accepted while it could not reach a
+// PrefixPending holds jobs that a controller accepted while it could not reach a
 // leader. Only the leader writes jobs' own records; it takes the inbox in.
-const PrefixInbox = "inbox/"
+const PrefixPending = "inbox/"
 
-// KeyInbox is the key of a job that no leader has taken in yet.
-func KeyInbox(job string) string { return PrefixInbox + job }
+// KeyPending is the key of a job that no leader has taken in yet.
+func KeyPending(job string) string { return PrefixPending + job }
 
-// JobOfFinal gives the job whose final state a key holds.
-func JobOfFinal(key string) (string, bool) { return strings.CutPrefix(key, prefixFinal) }
+// JobOfTerminalKey gives the job whose final state a key holds.
+func JobOfTerminalKey(key string) (string, bool) { return strings.CutPrefix(key, prefixTerminal) }
--- a/node/admissionday_test.go
+++ b/node/admissionday_test.go
@@ -42,7 +42,7 @@
 	began := time.Now()
 	for try := 0; d.ctx.Err() == nil && time.Since(began) < time.Minute; try++ {
 		if d.submitChecked(number, (number+try)%len(d.nodes), j) {
-			for !d.rules.Told(j.ID).Final() && d.ctx.Err() == nil {
+			for !d.rules.Told(j.ID).IsTerminal() && d.ctx.Err() == nil {
 				d.wait(3 * time.Second)
 				d.told(number%len(d.nodes), j.ID, false, http.MethodGet, "/submissions/"+j.ID, nil)
 				number++
--- a/node/answers_test.go
+++ b/node/answers_test.go
@@ -70,7 +70,7 @@
 	play(t, plan{}, func(d *day) {
 		j, leader, other := d.acceptedJob(2, 3*time.Second)
 		d.cutPeers(other, true)
-		held, release := d.holdCommits(leader, storage.KeyFinal(j.info.ID))
+		held, release := d.holdCommits(leader, storage.KeyTerminal(j.info.ID))
 		d.until("the end is stored", held.Load)
 		if !j.final(other, 3*time.Second) {
 			t.Error("the end is stored, and the other controller does not tell")
@@ -116,7 +116,7 @@
 func TestRepeatedSubmissionMeetsTheEnd(t *testing.T) {
 	play(t, plan{}, func(d *day) {
 		j, leader, other := d.acceptedJob(2, 3*time.Second)
-		held, release := d.holdCommits(leader, storage.KeyFinal(j.info.ID))
+		held, release := d.holdCommits(leader, storage.KeyTerminal(j.info.ID))
 		d.until("the end is stored", held.Load)
 		d.holdMesh(other, leader, func() <-chan time.Time { return time.After(400 * time.Millisecond) })
 		for range 10 {
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -152,7 +152,7 @@
 
 // startCloud starts the cloud; each rented machine gets a worker.
 func (c *cluster) startCloud() {
-	fleet := standin.NewCloud(protocol.Catalog{Types: []protocol.MachineType{{
+	fleet := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      c.plan.cpus,
 		MemoryGB:  64,
--- a/node/day_test.go
+++ b/node/day_test.go
@@ -177,7 +177,7 @@
 		Cloud:     config.Cloud{RPS: 50, ListLagS: 1},
 		Resources: config.Resources{CoreShare: 1, RAMMB: p.memoryMB, MaxConnections: 400},
 	}
-	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.MachineType{
+	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{
 		{
 			Name:      "m",
 			CPUs:      dayCPUs,
@@ -344,7 +344,7 @@
 	for _, n := range d.nodes {
 		names = append(names, n.name)
 	}
-	machine := standin.NewMachine(standin.MachineInfo{ID: m.ID, Zone: m.Zone}, m.Type, m.Spot, dayCPUs,
+	machine := standin.NewMachine(standin.MachineInfo{ID: m.ID, Zone: m.Zone}, m.InstanceType, m.Spot, dayCPUs,
 		standin.Pace{
 			Report: units.Seconds(d.settings.Workers.ReportS).Duration(),
 			Lease:  dayLease,
--- a/node/dayusers_test.go
+++ b/node/dayusers_test.go
@@ -43,7 +43,7 @@
 }
 
 // told asks a controller about a job and has the rule checker hear the answer.
-func (d *day) told(node int, id string, repeat bool, method, path string, body any) (int, protocol.Stage) {
+func (d *day) told(node int, id string, repeat bool, method, path string, body any) (int, protocol.JobStage) {
 	status, raw := d.ask(node, method, path, body)
 	var s protocol.JobState
 	_ = protocol.Decode(raw, &s)
@@ -90,7 +90,7 @@
 		d.wait(time.Second)
 	}
 	go func() {
-		for try := 0; d.ctx.Err() == nil && !d.rules.Told(j.ID).Final(); try++ {
+		for try := 0; d.ctx.Err() == nil && !d.rules.Told(j.ID).IsTerminal(); try++ {
 			d.wait(3 * time.Second)
 			d.told((first+try)%dayNodes, j.ID, false, http.MethodGet, "/submissions/"+j.ID, nil)
 		}
@@ -102,7 +102,7 @@
 	d.rules.Asked(id)
 	go func() {
 		for try := 0; d.ctx.Err() == nil; try++ {
-			if status, stage := d.told((d.users+try)%dayNodes, id, false, http.MethodPost, "/submissions/"+id+"/cancel", nil); status == 200 && stage.Final() {
+			if status, stage := d.told((d.users+try)%dayNodes, id, false, http.MethodPost, "/submissions/"+id+"/cancel", nil); status == 200 && stage.IsTerminal() {
 				return
 			}
 			d.wait(time.Second)
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -133,7 +133,7 @@
 		for node := range j.day.nodes {
 			j.later(func() { j.poll(node) })
 		}
-		if j.day.rules.Told(j.info.ID).Final() {
+		if j.day.rules.Told(j.info.ID).IsTerminal() {
 			if askedMore++; askedMore > 12 {
 				return
 			}
--- a/node/impatient_test.go
+++ b/node/impatient_test.go
@@ -63,8 +63,8 @@
 	}
 	var state protocol.JobState
 	_ = protocol.Decode(raw, &state)
-	if response.StatusCode < http.StatusMultipleChoices && state.UID != j.info.ID {
-		j.day.t.Errorf("asked about %s, answered about %q", j.info.ID, state.UID)
+	if response.StatusCode < http.StatusMultipleChoices && state.ID != j.info.ID {
+		j.day.t.Errorf("asked about %s, answered about %q", j.info.ID, state.ID)
 	}
 	request.Ended, request.Status, request.Stage = time.Now(), response.StatusCode, state.Stage
 	request.Abandoned = request.Ended.Sub(request.Began) > patience
@@ -110,7 +110,7 @@
 // final polls one controller until it calls the job done or cancelled.
 func (j *watchedJob) final(node int, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); j.day.wait(100 * time.Millisecond) {
-		if j.poll(node).Stage.Final() {
+		if j.poll(node).Stage.IsTerminal() {
 			return true
 		}
 	}
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -25,8 +25,8 @@
 // ReadAdmissionPlan reads the plan that a fleet's controllers go by. It needs the state
 // service alone, no controller. dial opens connections; nil: by the machine's own network.
 func ReadAdmissionPlan(ctx context.Context, s *config.Settings, dial transport.DialFunc) (*AdmissionPlan, error) {
-	store := kv.NewStore(dial, s.Services.State, s.Fleet.State, len(s.Others), units.NewSystemClock())
-	item, _, err := store.Current(ctx, admission.KeyPlan, inspectCall)
+	store := kv.NewClient(dial, s.Services.State, s.Fleet.State, len(s.Others), units.NewSystemClock())
+	item, _, err := store.ReadAtRevision(ctx, admission.KeyPlan, inspectCall)
 	if err != nil {
 		return nil, fmt.Errorf("state service %s: %w", s.Services.State, err)
 	}
