--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -4,7 +4,7 @@
 	"dunestand/internal/units"
 )
 
-// EnsureMachine is a machine that reported, is listed, or was rented.
+// Machine is a machine that reported, is listed, or was rented.
 type Machine struct {
 	ID           string
 	InstanceType string
--- a/internal/coordination/admitter.go
+++ b/internal/coordination/admitter.go
@@ -24,12 +24,12 @@
 	teams   []admission.Team
 	keeper  *admission.Keeper
 	store   *kv.Client // on connections of its own: a watch keeps one
-	format  *FleetFormat
+	format  *FormatNegotiator
 	clock   units.Clock
 	log     *slog.Logger
 	metrics *Metrics
-	// replan asks the leader's loop for a new plan at once.
-	replan chan struct{}
+	// replanSignal asks the leader's loop for a new plan at once.
+	replanSignal chan struct{}
 	// unreadable is the revision of a record that could not be read, 0: none.
 	unreadable atomic.Uint64
 }
@@ -64,21 +64,21 @@
 }
 
 // newAdmitter makes a controller's admitter; nil where admission is off.
-func newAdmitter(s *config.Settings, options admission.Options, store *kv.Client, format *FleetFormat, clock units.Clock, log *slog.Logger, metrics *Metrics) *admitter {
+func newAdmitter(s *config.Settings, options admission.Options, store *kv.Client, format *FormatNegotiator, clock units.Clock, log *slog.Logger, metrics *Metrics) *admitter {
 	if !options.On() {
 		return nil
 	}
 	teams := admissionTeams(s.Fleet.Teams)
 	a := &admitter{
-		options: options,
-		teams:   teams,
-		keeper:  admission.NewKeeper(options, teams, 1+len(s.Others)),
-		store:   store.WithOwnConnections(),
-		format:  format,
-		clock:   clock,
-		log:     log,
-		metrics: metrics,
-		replan:  make(chan struct{}, 1),
+		options:      options,
+		teams:        teams,
+		keeper:       admission.NewKeeper(options, teams, 1+len(s.Others)),
+		store:        store.WithOwnConnections(),
+		format:       format,
+		clock:        clock,
+		log:          log,
+		metrics:      metrics,
+		replanSignal: make(chan struct{}, 1),
 	}
 	a.addMetrics()
 	return a
@@ -123,7 +123,7 @@
 // active tells whether jobs are admitted by the plan: it is turned on, and every
 // controller that may lead knows of it.
 func (a *admitter) active() bool {
-	return a != nil && a.format.Level() >= storage.FormatAdmission
+	return a != nil && a.format.Current() >= storage.FormatAdmission
 }
 
 // decide decides about a job that is not known. The revision tells on which version of
@@ -134,7 +134,7 @@
 
 // decideAlone decides without the leader, and gives what an acceptance is conditional on.
 // A controller that does not know yet that the fleet admits by a plan, as after its start,
-// accepts a job only if there is none.
+// machineSchedulable a job only if there is none.
 func (a *admitter) decideAlone(spec *protocol.JobSpec) (admission.Decision, protocol.Condition) {
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
@@ -144,7 +144,7 @@
 }
 
 // adopt takes over what the record held at an item's version. A record that cannot be
-// read is neither obeyed nor taken for none.
+// readRecords is neither obeyed nor taken for none.
 func (a *admitter) adopt(item protocol.Item, after, before units.Micros) {
 	plan, err := admission.Decode(item.Value)
 	held := admission.Held{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
@@ -163,12 +163,12 @@
 }
 
 const (
-	planWatch    = 2 * units.Second // how long a watch of the plan's record stays open
-	planRetry    = units.Second
-	heldBackTick = units.Second
+	planWatchTimeout       = 2 * units.Second // how long a watch of the plan's record stays open
+	planRetryDelay         = units.Second
+	activationPollInterval = units.Second
 )
 
-// follow keeps the controller's plan up to date until ctx ends.
+// watch keeps the controller's plan up to date until ctx ends.
 func (a *admitter) follow(ctx context.Context) {
 	if a == nil || !a.waitActive(ctx) {
 		return
@@ -177,7 +177,7 @@
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil {
 			a.log.Debug("the admission plan is not followed", "error", err)
-			if !pause(ctx, planRetry) {
+			if !sleep(ctx, planRetryDelay) {
 				return
 			}
 		}
@@ -190,7 +190,7 @@
 		a.log.Info("admission is held back until every controller has it turned on")
 	}
 	for !a.active() {
-		if !pause(ctx, heldBackTick) {
+		if !sleep(ctx, activationPollInterval) {
 			return false
 		}
 	}
@@ -211,7 +211,7 @@
 	a := f.admitter
 	sent := a.clock.Steady()
 	if f.revision == 0 {
-		item, revision, err := a.store.ReadAtRevision(ctx, admission.KeyPlan, stateCall)
+		item, revision, err := a.store.ReadAtRevision(ctx, admission.KeyPlan, kvTimeout)
 		if err != nil {
 			return err
 		}
@@ -219,7 +219,7 @@
 		f.revision, f.asOf, f.began = revision, sent, true
 		return nil
 	}
-	list, err := a.store.Watch(ctx, admission.Prefix, f.revision, planWatch)
+	list, err := a.store.Watch(ctx, admission.Prefix, f.revision, planWatchTimeout)
 	if err != nil {
 		f.revision = 0
 		return err
@@ -253,7 +253,7 @@
 
 // waitingAnswer tells a user that a job is not accepted now, and when to come back.
 func waitingAnswer(d admission.Decision) answer {
-	r := Refuse(http.StatusTooManyRequests, d.Reason.String())
+	r := ErrorResponse(http.StatusTooManyRequests, d.Reason.String())
 	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.Plan})
 	r.RetryAfter = int((d.RetryAfter + units.Second - 1) / units.Second)
 	return plainAnswer(r)
--- a/internal/coordination/admitter_test.go
+++ b/internal/coordination/admitter_test.go
@@ -21,27 +21,27 @@
 // floodHorizon is short, so that one large backlog fills it.
 const floodHorizon = 20 * units.Second
 
-// admittingTerm is a leader that admits by a plan, with its records restored. It has no
+// admittingLeader is a leader that admits by a plan, with its records restored. It has no
 // loops: tests take each step.
-func admittingTerm(t *testing.T, number uint64, s *standin.State) *Term {
+func admittingLeader(t *testing.T, number uint64, s *standin.State) *Leader {
 	t.Helper()
-	term := storedTerm(t, number, s)
-	term.Format.level.Store(storage.FormatAdmission)
+	term := storedLeader(t, number, s)
+	term.Format.current.Store(storage.FormatAdmission)
 	settings := *term.Settings
 	settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
 	term.Settings = &settings
-	term.Admitter = newAdmitter(&settings, admission.Options{Horizon: floodHorizon}, term.Store, term.Format, term.Clock, term.Log, term.Metrics)
-	term.ledger = cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
-	term.admission = term.newAdmission()
+	term.Admitter = newAdmitter(&settings, admission.Options{Horizon: floodHorizon}, term.KV, term.Format, term.Clock, term.Log, term.Metrics)
+	term.state = cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
+	term.admission = term.newLeaderAdmission()
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetInstanceTypes(modelCatalog.Types)
+	term.state.SetInstanceTypes(modelCatalog.Types)
 	return term
 }
 
 // renewPlan has the leader write a plan now.
-func (t *Term) renewPlan(ctx context.Context) error {
+func (t *Leader) renewPlan(ctx context.Context) error {
 	t.Clock.(*manualClock).now += units.Second
 	return t.admission.publisher.step(ctx, true)
 }
@@ -54,17 +54,17 @@
 
 // flooded has the first team take all there is, by jobs that are stored, and another one
 // that waits.
-func flooded(t *testing.T, term *Term) {
+func flooded(t *testing.T, term *Leader) {
 	t.Helper()
 	const jobs = 60
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range jobs {
-		term.ledger.NewJob(*admittedSpec(fmt.Sprintf("j-%06d", 1000+i), "team", 1), term.Clock.Wall(), term.Clock.Steady())
+		term.state.NewJob(*admittedSpec(fmt.Sprintf("j-%06d", 1000+i), "team", 1), term.Clock.Wall(), term.Clock.Steady())
 	}
 	for s := term.nextSave(); s != nil; s = term.nextSave() {
-		term.commit(t.Context(), s)
+		term.commitBatch(t.Context(), s)
 	}
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	if r := term.Submit(t.Context(), admittedSpec("j-000901", "team", 1)); r.Status == http.StatusCreated {
 		t.Fatal("admitted though its team has all there is")
 	}
-	if term.waitingJobs() != 1 {
+	if term.waitingCount() != 1 {
 		t.Fatal("the job was entered though its team has all there is")
 	}
 	if err := term.renewPlan(t.Context()); err != nil {
@@ -81,7 +81,7 @@
 }
 
 // expectWait submits a job that has to wait.
-func (t *Term) expectWait(test *testing.T, spec *protocol.JobSpec) {
+func (t *Leader) expectWait(test *testing.T, spec *protocol.JobSpec) {
 	test.Helper()
 	var p protocol.ErrorResponse
 	r := t.Submit(test.Context(), spec)
@@ -91,24 +91,24 @@
 }
 
 // saveOnce carries the next save through.
-func (t *Term) saveOnce(test *testing.T) {
+func (t *Leader) saveOnce(test *testing.T) {
 	test.Helper()
 	if s := t.nextSave(); s != nil {
-		t.commit(test.Context(), s)
+		t.commitBatch(test.Context(), s)
 	}
 }
 
-func (t *Term) nextSave() *cluster.WriteBatch {
+func (t *Leader) nextSave() *cluster.WriteBatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ledger.BuildWriteBatch(t.saveID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
+	return t.state.BuildWriteBatch(t.nextWriteID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
 }
 
 // A job whose plan has been replaced before its acceptance was stored is decided by the
-// new plan: the version that is current at the commit decides.
+// isNewer plan: the version that is current at the commit decides.
 func TestAcceptanceIsConditionalOnThePlan(t *testing.T) {
 	s := standin.NewState()
-	term := admittingTerm(t, 1, s)
+	term := admittingLeader(t, 1, s)
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	conflicted := make(chan struct{})
 	go func() {
 		defer close(conflicted)
-		term.commit(t.Context(), save)
+		term.commitBatch(t.Context(), save)
 	}()
 	for range 50 {
 		time.Sleep(time.Millisecond)
@@ -166,9 +166,9 @@
 
 // What another controller accepted under the plan before is known before anybody is told
 // to wait by the new one.
-func TestInboxIsTakenInWithEachPlan(t *testing.T) {
+func TestPendingQueueIsIngestedWithEachPlan(t *testing.T) {
 	s := standin.NewState()
-	term := admittingTerm(t, 1, s)
+	term := admittingLeader(t, 1, s)
 	flooded(t, term)
 	spec := admittedSpec("j-000901", "team", 1)
 	term.expectWait(t, spec)
@@ -185,7 +185,7 @@
 // one before: others may go by the new one already.
 func TestNobodyWaitsWhileThePlanIsInDoubt(t *testing.T) {
 	s := standin.NewState()
-	term := admittingTerm(t, 1, s)
+	term := admittingLeader(t, 1, s)
 	flooded(t, term)
 	spec := admittedSpec("j-000901", "team", 1)
 	term.expectWait(t, spec)
@@ -213,7 +213,7 @@
 // admit it by its own part of the quota.
 func TestUsedUpQuotaIsNotPassedOn(t *testing.T) {
 	s := standin.NewState()
-	term := admittingTerm(t, 1, s)
+	term := admittingLeader(t, 1, s)
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -226,7 +226,7 @@
 		if d.Verdict == admission.Admit {
 			continue
 		}
-		r := term.refuseForNow(t.Context(), spec.ID, d)
+		r := term.deferSubmission(t.Context(), spec.ID, d)
 		if d.Verdict != admission.Undecided || r.Status != http.StatusTooManyRequests || r.RetryAfter != 1 {
 			t.Errorf("%v: %d, Retry-After %d", d.Verdict, r.Status, r.RetryAfter)
 		}
@@ -239,11 +239,11 @@
 // the successor has claimed the buckets.
 func TestFormerLeaderWritesNoPlan(t *testing.T) {
 	s := standin.NewState()
-	former := admittingTerm(t, 1, s)
+	former := admittingLeader(t, 1, s)
 	if err := former.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	successor := admittingTerm(t, 2, s)
+	successor := admittingLeader(t, 2, s)
 	before, _ := s.Get(admission.KeyPlan)
 	var conflict *kv.VersionConflictError
 	if err := former.renewPlan(t.Context()); !errors.As(err, &conflict) {
@@ -262,7 +262,7 @@
 }
 
 // A record that no leader wrote is neither obeyed nor overwritten. The floor is in force
-// until an operator has deleted it.
+// typesValidUntil an operator has deleted it.
 func TestUnreadablePlanIsLeftAlone(t *testing.T) {
 	for what, record := range map[string]any{
 		"no plan":         map[string]any{"v": 1, "n": "seven"},
@@ -271,7 +271,7 @@
 	} {
 		s := standin.NewState()
 		s.Put(admission.KeyPlan, protocol.Encode(record))
-		term := admittingTerm(t, 1, s)
+		term := admittingLeader(t, 1, s)
 		before, _ := s.Get(admission.KeyPlan)
 		for range 3 {
 			if err := term.renewPlan(t.Context()); !errors.Is(err, errPlanUnreadable) {
@@ -301,14 +301,14 @@
 func TestAcceptsAloneOnConditionOfThePlan(t *testing.T) {
 	s := standin.NewState()
 	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
-	term := admittingTerm(t, 1, s)
+	term := admittingLeader(t, 1, s)
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	c, _ := refusedController(t, s)
-	c.deps.Settings, c.deps.Store = term.Settings, term.Store // whose limits are far away
-	c.deps.Format.level.Store(storage.FormatAdmission)
-	a := newAdmitter(term.Settings, admission.Options{Horizon: floodHorizon}, c.deps.Store, c.deps.Format, c.deps.Clock, c.deps.Log, NewMetrics())
+	c.deps.Settings, c.deps.KV = term.Settings, term.KV // whose limits are far away
+	c.deps.Format.current.Store(storage.FormatAdmission)
+	a := newAdmitter(term.Settings, admission.Options{Horizon: floodHorizon}, c.deps.KV, c.deps.Format, c.deps.Clock, c.deps.Log, NewMetrics())
 	c.deps.Admitter = a
 	submit := func(id, team string) int {
 		spec := admittedSpec(id, team, 1)
@@ -322,14 +322,14 @@
 		}
 	}
 	// A controller that has just started does not know that the fleet admits by a plan.
-	c.deps.Format.level.Store(storage.FormatOld)
+	c.deps.Format.current.Store(storage.FormatOld)
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
 	if _, stored := s.Get(storage.KeyPending("j-000001")); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
-	c.deps.Format.level.Store(storage.FormatAdmission)
+	c.deps.Format.current.Store(storage.FormatAdmission)
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: %d", status)
 	}
--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -11,74 +11,74 @@
 )
 
 const (
-	announceAfter = units.Second // workers that report often have come by then
-	announceAgain = 4 * units.Second
-	announceLeast = 4  // at once, in a small fleet
-	announceShare = 32 // of the unconfirmed machines are told at once
+	broadcastDelay      = units.Second // workers that report often have come by then
+	broadcastRetryDelay = 4 * units.Second
+	minBroadcastCalls   = 4  // at once, in a small fleet
+	broadcastShare      = 32 // of the unconfirmed machines are told at once
 )
 
 // Bounds on the machines that are told something at once. They grow with the sockets that
 // a node has, so that telling a fleet of 4,000 takes no longer than telling one of 800.
 const (
-	announceSocketShare = 64
-	announceMost        = 24
-	announceMostLarge   = 128
-	directSocketShare   = 128
-	directMost          = 16
-	directMostLarge     = 64
+	broadcastSocketShare   = 64
+	maxBroadcastCalls      = 24
+	maxBroadcastCallsLarge = 128
+	pushSocketShare        = 128
+	maxPushCalls           = 16
+	maxPushCallsLarge      = 64
 )
 
-// announceSlots is how many machines are told of the term at once.
-func announceSlots(unconfirmed, maxConnections int) int {
-	most := min(max(maxConnections/announceSocketShare, announceMost), announceMostLarge)
-	return min(max(unconfirmed/announceShare, announceLeast), most)
+// broadcastSlots is how many machines are told of the term at once.
+func broadcastSlots(unconfirmed, maxConnections int) int {
+	most := min(max(maxConnections/broadcastSocketShare, maxBroadcastCalls), maxBroadcastCallsLarge)
+	return min(max(unconfirmed/broadcastShare, minBroadcastCalls), most)
 }
 
-// directSlots is how many machines are sent direct commands at once.
-func directSlots(maxConnections int) int {
-	return min(max(maxConnections/directSocketShare, directMost), directMostLarge)
+// pushSlots is how many machines are sent direct commands at once.
+func pushSlots(maxConnections int) int {
+	return min(max(maxConnections/pushSocketShare, maxPushCalls), maxPushCallsLarge)
 }
 
 // otherSockets are for links, the state service and the cloud.
 const otherSockets = 24
 
-// socketsKept are left for these and for direct commands of both sorts; the others are
+// reservedSockets are left for these and for direct commands of both sorts; the others are
 // for users and workers.
-func socketsKept(maxConnections int) int {
-	return otherSockets + announceSlots(math.MaxInt32, maxConnections) + directSlots(maxConnections)
+func reservedSockets(maxConnections int) int {
+	return otherSockets + broadcastSlots(math.MaxInt32, maxConnections) + pushSlots(maxConnections)
 }
 
-// announceCalls is how long each try waits. In a large fleet hundreds may be
+// broadcastTimeouts is how long each try waits. In a large fleet hundreds may be
 // cut off or hang, and those that would answer must not wait behind them: an
 // answer takes some milliseconds, so the first try is short.
-var announceCalls = []units.Micros{300 * units.Millisecond, 1500 * units.Millisecond}
+var broadcastTimeouts = []units.Micros{300 * units.Millisecond, 1500 * units.Millisecond}
 
-// announceLoop tells the machines that records name, and that have not reported
+// broadcastLoop tells the machines that records name, and that have not reported
 // yet, which term it is: by an empty list of direct commands, which has no
 // effect at any later time but to show the worker our term. The answer is a
-// report that tells what the machine holds, and the worker looks for the new
-// leader at once instead of when its next report is due.
-func (t *Term) announceLoop(ctx context.Context) {
+// heartbeat that tells what the machine holds, and the worker looks for the new
+// leaderName at once instead of when its next report is due.
+func (t *Leader) broadcastLoop(ctx context.Context) {
 	caller := transport.NewCaller(t.Dial, protocol.MaxBody)
 	at := map[string]units.Micros{}
 	tries := map[string]int{}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for wait := announceAfter; pause(ctx, wait); wait = cloudTick {
-		if !t.Lease.Valid(t.number) {
+	for wait := broadcastDelay; sleep(ctx, wait); wait = autoscaleInterval {
+		if !t.Elector.Valid(t.token) {
 			continue
 		}
-		open, endpoints := t.unannounced()
+		open, endpoints := t.broadcastTargets()
 		if !open {
 			return
 		}
 		now := t.Clock.Steady()
-		slots := make(chan struct{}, announceSlots(len(endpoints), t.Settings.Fleet.Resources.MaxConnections))
+		slots := make(chan struct{}, broadcastSlots(len(endpoints), t.Settings.Fleet.Resources.MaxConnections))
 		for _, id := range sortedKeys(endpoints) {
-			if tries[id] >= len(announceCalls) || tries[id] > 0 && now-at[id] < announceAgain {
+			if tries[id] >= len(broadcastTimeouts) || tries[id] > 0 && now-at[id] < broadcastRetryDelay {
 				continue
 			}
-			limit := announceCalls[tries[id]]
+			limit := broadcastTimeouts[tries[id]]
 			tries[id]++
 			at[id] = now
 			select {
@@ -89,32 +89,32 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				t.announce(ctx, caller, id, endpoints[id], limit)
+				t.broadcastTo(ctx, caller, id, endpoints[id], limit)
 				<-slots
 			}()
 		}
 	}
 }
 
-// unannounced gives the endpoints of machines that are unconfirmed and have not
+// broadcastTargets gives the endpoints of machines that are unconfirmed and have not
 // reported in this term, and whether any machine is unconfirmed at all.
-func (t *Term) unannounced() (open bool, endpoints map[string]string) {
+func (t *Leader) broadcastTargets() (open bool, endpoints map[string]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	endpoints = map[string]string{}
-	for _, id := range t.ledger.UnreconciledMachines() {
-		if m := t.ledger.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
+	for _, id := range t.state.UnreconciledMachines() {
+		if m := t.state.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
 			endpoints[id] = m.Endpoint
 		}
 	}
-	return t.ledger.UnreconciledCount() > 0, endpoints
+	return t.state.UnreconciledCount() > 0, endpoints
 }
 
-func (t *Term) announce(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
+func (t *Leader) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
 	session := uint64(1) // of most machines; else the answer tells
 	for range 2 {
 		body := protocol.Encode(protocol.DirectCommands{
-			FencingToken: t.number,
+			FencingToken: t.token,
 			Incarnation:  session,
 			Commands:     []protocol.Command{},
 		})
@@ -128,20 +128,20 @@
 			return
 		}
 		if status == 200 {
-			t.announced(r)
+			t.broadcastAnswered(r)
 			return
 		}
 		session = r.Incarnation
 	}
 }
 
-// announced takes in the report that a machine sent for direct commands. Only
+// broadcastAnswered takes in the report that a machine sent for direct commands. Only
 // the first word of a machine may come this way: once it has reported by
 // itself, an answer may be on its way to it that this report does not show.
-func (t *Term) announced(r *protocol.Heartbeat) {
+func (t *Leader) broadcastAnswered(r *protocol.Heartbeat) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if m := t.ledger.Machines[r.Machine]; m != nil && !m.Registered && t.Lease.Valid(t.number) {
-		t.observe(r, t.Clock.Steady())
+	if m := t.state.Machines[r.Machine]; m != nil && !m.Registered && t.Elector.Valid(t.token) {
+		t.reconcile(r, t.Clock.Steady())
 	}
 }
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -13,22 +13,22 @@
 // Machines that are cut off or hang do not keep the one that would answer
 // waiting: with a third of a large fleet gone, each in the queue once cost 1.5 s
 // of one of four places.
-func TestAnnouncementReachesThoseThatAnswer(t *testing.T) {
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts nothing: requests wait
+func TestBroadcastReachesMachinesThatAnswer(t *testing.T) {
+	hanging, err := net.Listen("tcp", "127.0.0.1:0") // machineSchedulable nothing: requests wait
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hanging.Close()
-	term, clock := guardTerm(t, 1)
-	j := term.ledger.Jobs["j-000001"]
+	term, clock := leaderWithJob(t, 1)
+	j := term.state.Jobs["j-000001"]
 	const last = "i-000099"
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(encodeReport(testReport(last, 1, 1, term.number), nil))
+		_, _ = w.Write(encodeHeartbeat(testHeartbeat(last, 1, 1, term.token), nil))
 	}))
 	defer worker.Close()
 	unconfirm := func(id, endpoint string) {
-		term.ledger.EnsureMachine(id, "m", "a", true, clock.now).Endpoint = endpoint
-		term.ledger.MarkUnreconciled(j, id)
+		term.state.EnsureMachine(id, "m", "a", true, clock.now).Endpoint = endpoint
+		term.state.MarkUnreconciled(j, id)
 	}
 	for i := range 32 {
 		unconfirm(fmt.Sprintf("i-%06d", i), hanging.Addr().String())
@@ -38,7 +38,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		term.announceLoop(ctx)
+		term.broadcastLoop(ctx)
 	}()
 	defer func() {
 		cancel()
@@ -47,7 +47,7 @@
 	confirmed := func() bool {
 		term.mu.Lock()
 		defer term.mu.Unlock()
-		return !term.ledger.IsUnreconciled(last)
+		return !term.state.IsUnreconciled(last)
 	}
 	for deadline := time.Now().Add(10 * time.Second); !confirmed(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/coordination/answer.go
+++ b/internal/coordination/answer.go
@@ -15,12 +15,12 @@
 // give an older answer, not even one that was worked out before and was delayed. Answers
 // are worked out from the leader's memory or from the records, pass other controllers
 // and are written while other answers overtake them. So each one carries its proof, and
-// answerGate holds the proof against two times, on the way out of every controller:
+// monotonicReadGate holds the proof against two times, on the way out of every controller:
 //
 //   - A provisional answer (the job is not over, or not known) is given within
 //     maxAnswerAge after its state was read.
 //   - A final answer (done or cancelled) is given once its record has been durable for
-//     settleTime, which is longer.
+//     stableAge, which is longer.
 //
 // A state that was read before the final record was durable is then gone by the time at
 // which the first final answer is given. Nobody reads such a state later: not from the
@@ -28,23 +28,23 @@
 // (Job.EndBeingStored). Each controller measures both times by its own clock.
 const (
 	maxAnswerAge = 500 * units.Millisecond
-	// settleTime leaves, beyond maxAnswerAge, time for the way of a provisional answer
+	// stableAge leaves, beyond maxAnswerAge, time for the way of a provisional answer
 	// to its user: one packet sent again.
-	settleTime = maxAnswerAge + 400*units.Millisecond
+	stableAge = maxAnswerAge + 400*units.Millisecond
 )
 
-// proofKind is what an answer claims about a job.
-type proofKind uint8
+// evidenceKind is what an answer claims about a job.
+type evidenceKind uint8
 
 const (
-	noClaim     proofKind = iota // it says nothing of a job's state
-	provisional                  // the job's state may change
-	final                        // the job stays in this state
+	noEvidence  evidenceKind = iota // it says nothing of a job's state
+	provisional                     // the job's state may change
+	terminal                        // the job stays in this state
 )
 
-// proof is what an answer about a job rests on.
-type proof struct {
-	kind    proofKind
+// evidence is what an answer about a job rests on.
+type evidence struct {
+	kind    evidenceKind
 	readAt  units.Micros // of a provisional answer: its state was read then or later
 	version uint64       // of a final answer: of the record that tells of it
 }
@@ -52,23 +52,25 @@
 // answer is a response to a user together with its proof.
 type answer struct {
 	transport.Response
-	proof proof
+	evidence evidence
 }
 
 // plainAnswer is an answer that says nothing of a job's state.
 func plainAnswer(r transport.Response) answer { return answer{Response: r} }
 
 // unavailable refuses a request for now.
-func unavailable(why string) answer { return plainAnswer(Refuse(http.StatusServiceUnavailable, why)) }
+func unavailable(why string) answer {
+	return plainAnswer(ErrorResponse(http.StatusServiceUnavailable, why))
+}
 
 func provisionalAnswer(r transport.Response, readAt units.Micros) answer {
-	return answer{Response: r, proof: proof{kind: provisional, readAt: readAt}}
+	return answer{Response: r, evidence: evidence{kind: provisional, readAt: readAt}}
 }
 
-func finalAnswer(id string, f storage.StoredTerminalRecord) answer {
+func terminalAnswer(id string, f storage.StoredTerminalRecord) answer {
 	return answer{
 		Response: stateAnswer(http.StatusOK, protocol.JobState{ID: id, Stage: f.Stage, Done: f.Done}),
-		proof:    proof{kind: final, version: f.Version},
+		evidence: evidence{kind: terminal, version: f.Version},
 	}
 }
 
@@ -88,40 +90,40 @@
 	return plainAnswer(r)
 }
 
-// answerGate is passed by every answer about a job that leaves a controller.
-type answerGate struct {
+// monotonicReadGate is passed by every answer about a job that leaves a controller.
+type monotonicReadGate struct {
 	clock     units.Clock
 	revisions *kv.RevisionHistory
 }
 
-// release gives the response of an answer whose proof holds now, and otherwise tells
+// check gives the response of an answer whose proof holds now, and otherwise tells
 // the user to come back.
-func (g answerGate) release(a answer) transport.Response {
+func (g monotonicReadGate) check(a answer) transport.Response {
 	switch {
-	case g.outdated(a):
+	case g.isStale(a):
 		return unavailable("the answer came too late to be sure of").Response
-	case g.unsettled(a) > 0:
+	case g.untilStable(a) > 0:
 		return unavailable("the job's end was stored just now").Response
 	}
 	return a.Response
 }
 
-// outdated tells whether the state of a provisional answer was read too long ago.
-func (g answerGate) outdated(a answer) bool {
-	return a.proof.kind == provisional && g.clock.Steady()-a.proof.readAt > maxAnswerAge
+// isStale tells whether the state of a provisional answer was read too long ago.
+func (g monotonicReadGate) isStale(a answer) bool {
+	return a.evidence.kind == provisional && g.clock.Steady()-a.evidence.readAt > maxAnswerAge
 }
 
-// unsettled is how long it takes until a final answer may be given.
-func (g answerGate) unsettled(a answer) units.Micros {
-	if a.proof.kind != final {
+// untilStable is how long it takes until a final answer may be given.
+func (g monotonicReadGate) untilStable(a answer) units.Micros {
+	if a.evidence.kind != terminal {
 		return 0
 	}
-	return max(0, settleTime-g.revisions.Age(a.proof.version))
+	return max(0, stableAge-g.revisions.Age(a.evidence.version))
 }
 
 // await waits until a final answer may be given, if that is before the time given.
-func (g answerGate) await(ctx context.Context, a answer, until units.Micros) {
-	if wait := g.unsettled(a); wait > 0 && g.clock.Steady()+wait <= until {
-		pause(ctx, wait)
+func (g monotonicReadGate) await(ctx context.Context, a answer, until units.Micros) {
+	if wait := g.untilStable(a); wait > 0 && g.clock.Steady()+wait <= until {
+		sleep(ctx, wait)
 	}
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -14,11 +14,11 @@
 	"dunestand/internal/units"
 )
 
-// busyTerm is a leader under a burst: full machines with 16 tasks each, and
+// busyLeader is a leader under a burst: full machines with 16 tasks each, and
 // 300 jobs of up to 3,000 tasks that wait.
-func busyTerm(machines int) (*Term, []*protocol.Heartbeat) {
+func busyLeader(machines int) (*Leader, []*protocol.Heartbeat) {
 	clock := &manualClock{now: units.Second}
-	term := testTerm(1, clock)
+	term := testLeader(1, clock)
 	types := []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      32,
@@ -29,20 +29,20 @@
 		BootS:     5,
 		Zones:     []string{"a"},
 	}}
-	term.install(nil, protocol.Catalog{Types: types})
-	term.ledger.Teams["team"].QuotaLimit = cpus(32 * machines * 2)
+	term.installRecords(nil, protocol.Catalog{Types: types})
+	term.state.Teams["team"].QuotaLimit = cpus(32 * machines * 2)
 	const jobs = 300
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
 		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, cpus(2), protocol.Priority(i%3)
-		term.ledger.NewJob(spec, clock.now, clock.now)
+		term.state.NewJob(spec, clock.now, clock.now)
 	}
 	for {
-		s := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now)
+		s := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now)
 		if s == nil {
 			break
 		}
-		term.ledger.BatchCommitted(s, 1)
+		term.state.BatchCommitted(s, 1)
 	}
 	reports := make([]*protocol.Heartbeat, machines)
 	for seq := uint64(1); seq <= 2; seq++ {
@@ -55,7 +55,7 @@
 				Sequence:     seq,
 				FencingToken: 1,
 			}
-			m := term.observe(r, clock.now)
+			m := term.reconcile(r, clock.now)
 			for _, a := range m.SortedAttempts() {
 				a.Stage = cluster.Running
 				r.Tasks = append(r.Tasks, protocol.TaskStatus{
@@ -67,19 +67,19 @@
 			}
 			reports[i] = r
 		}
-		for started := -1; started != int(term.attempts); {
-			started = int(term.attempts)
-			term.round(clock.now, nil)
+		for started := -1; started != int(term.attemptsStarted); {
+			started = int(term.attemptsStarted)
+			term.runCycle(clock.now, nil)
 		}
 	}
 	return term, reports
 }
 
 // perFleet runs a benchmark on fleets of growing size.
-func perFleet(b *testing.B, run func(b *testing.B, term *Term, reports []*protocol.Heartbeat)) {
+func perFleet(b *testing.B, run func(b *testing.B, term *Leader, reports []*protocol.Heartbeat)) {
 	for _, machines := range []int{50, 200, 800, 1700, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			term, reports := busyTerm(machines)
+			term, reports := busyLeader(machines)
 			b.ReportAllocs()
 			run(b, term, reports)
 		})
@@ -87,19 +87,19 @@
 }
 
 // A report that shows nothing new, compared with the ledger and answered.
-func BenchmarkReport(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
+func BenchmarkHeartbeat(b *testing.B) {
+	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
 			r := reports[i%len(reports)]
 			r.Sequence += 10
-			m := term.observe(r, units.Second)
+			m := term.reconcile(r, units.Second)
 			_ = term.commands(m, r, units.Second)
 		}
 	})
 }
 
 // testController is a node that leads a term, without a state service or a cloud.
-func testController(term *Term) *Controller {
+func testController(term *Leader) *Controller {
 	s := modelSettings()
 	s.Services.State, s.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
 	c := NewController(s, Environment{
@@ -108,15 +108,15 @@
 		Random: rand.New(rand.NewPCG(1, 1)),
 		Log:    term.Log,
 	})
-	c.deps.Lease = term.Lease
-	c.term.Store(term)
+	c.deps.Elector = term.Elector
+	c.leader.Store(term)
 	return c
 }
 
 // The whole exchange of such a report over a kept connection: HTTP, echo and
 // CBOR on both sides, the client's share included.
 func BenchmarkExchange(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
+	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
 		c := testController(term)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -133,7 +133,7 @@
 			if bolts[r.Machine] == nil {
 				bolts[r.Machine] = listOf(r)
 			}
-			status, _, err := client.Do(ctx, http.MethodPost, protocol.PathHeartbeat, encodeReport(r, bolts[r.Machine]), 5*units.Second)
+			status, _, err := client.Do(ctx, http.MethodPost, protocol.PathHeartbeat, encodeHeartbeat(r, bolts[r.Machine]), 5*units.Second)
 			if err != nil || status != http.StatusOK {
 				b.Fatal(status, err)
 			}
@@ -154,8 +154,8 @@
 	return protocol.Encode(bolts)
 }
 
-// encodeReport is a report as a worker sends it.
-func encodeReport(r *protocol.Heartbeat, bolts protocol.Raw) []byte {
+// encodeHeartbeat is a report as a worker sends it.
+func encodeHeartbeat(r *protocol.Heartbeat, bolts protocol.Raw) []byte {
 	return protocol.Encode(map[string]any{
 		"dune":     r.Machine,
 		"endpoint": "10.1.0.1:9000",
@@ -171,44 +171,44 @@
 }
 
 // The end of a task is reported and the next one is placed in its stead.
-func BenchmarkFill(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
+func BenchmarkPlaceOnMachine(b *testing.B) {
+	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
-			m := term.ledger.Machines[reports[i%len(reports)].Machine]
-			term.ledger.AttemptGone(m.SortedAttempts()[0], units.Second)
-			term.fill(m, units.Second)
+			m := term.state.Machines[reports[i%len(reports)].Machine]
+			term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
+			term.placeOnMachine(m, units.Second)
 		}
 	})
 }
 
-func BenchmarkRound(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, _ []*protocol.Heartbeat) {
+func BenchmarkCycle(b *testing.B) {
+	perFleet(b, func(b *testing.B, term *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
-			term.round(units.Second, nil)
+			term.runCycle(units.Second, nil)
 		}
 	})
 }
 
 // saveAll saves every job and gives the records.
-func saveAll(term *Term) []protocol.Item {
+func saveAll(term *Leader) []protocol.Item {
 	var rows []protocol.Item
-	for _, j := range term.ledger.Jobs {
+	for _, j := range term.state.Jobs {
 		j.MarkChanged(units.Second, true)
 	}
 	for {
-		s := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, units.Second)
+		s := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, units.Second)
 		if s == nil {
 			return rows
 		}
 		for _, c := range s.Txn.Then {
 			rows = append(rows, protocol.Item{Key: c.Set, Value: c.Value, Version: 1})
 		}
-		term.ledger.BatchCommitted(s, 1)
+		term.state.BatchCommitted(s, 1)
 	}
 }
 
-func BenchmarkSave(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, _ []*protocol.Heartbeat) {
+func BenchmarkWriteBatch(b *testing.B) {
+	perFleet(b, func(b *testing.B, term *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
 			saveAll(term)
 		}
@@ -217,17 +217,17 @@
 
 // A restore reads every live job's record, and then each machine's report.
 func BenchmarkRestore(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Term, reports []*protocol.Heartbeat) {
+	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
 		rows := saveAll(term)
 		for b.Loop() {
-			later := testTerm(2, &manualClock{now: units.Second})
+			later := testLeader(2, &manualClock{now: units.Second})
 			jobs, _, err := cluster.ParseJobs(rows)
 			if err != nil {
 				b.Fatal(err)
 			}
-			later.install(jobs, protocol.Catalog{})
+			later.installRecords(jobs, protocol.Catalog{})
 			for _, r := range reports {
-				later.observe(r, units.Second)
+				later.reconcile(r, units.Second)
 			}
 		}
 	})
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -10,26 +10,26 @@
 	"dunestand/internal/storage"
 )
 
-func (t *Term) readCatalog(ctx context.Context) {
+func (t *Leader) refreshCatalog(ctx context.Context) {
 	c, err := t.Cloud.Catalog(ctx)
 	if err != nil || len(c.Types) == 0 {
 		t.Log.Info("catalog not read", "error", err)
 		return
 	}
 	t.mu.Lock()
-	t.ledger.SetInstanceTypes(c.Types)
+	t.state.SetInstanceTypes(c.Types)
 	changed := !sameTypes(c, t.provisioning.catalog)
-	t.provisioning.catalog, t.provisioning.catalogAt = c, t.Clock.Steady()
+	t.provisioning.catalog, t.provisioning.catalogReadAt = c, t.Clock.Steady()
 	t.mu.Unlock()
-	signal(t.roundSignal)
-	if format := t.Format.Level(); changed || format != t.provisioning.catalogFormat {
+	raise(t.cycleSignal)
+	if format := t.Format.Current(); changed || format != t.provisioning.catalogFormat {
 		t.storeCatalog(ctx, c, format)
 	}
 }
 
 // storeCatalog keeps the catalog for a leader that begins during an outage of
 // the cloud. Whether it succeeds matters to nobody now.
-func (t *Term) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
+func (t *Leader) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
 	state := t.Settings.Fleet.State.Both()
 	versions := t.provisioning.catalogStored
 	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
@@ -38,7 +38,7 @@
 			key := ch.Set + ch.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
-		version, err := t.Store.CompareAndSwap(ctx, txn, kv.Paced, stateCall)
+		version, err := t.KV.CompareAndSwap(ctx, txn, kv.Paced, kvTimeout)
 		if err != nil {
 			t.Log.Info("catalog not stored", "error", err)
 			return
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -8,17 +8,17 @@
 	"dunestand/internal/units"
 )
 
-// noteCommand notes the first command of an answer, for heard.
-func noteCommand(m *cluster.Machine, out []protocol.Command, key cluster.AttemptKey) {
+// recordSentCommand notes the first command of an answer, for heard.
+func recordSentCommand(m *cluster.Machine, out []protocol.Command, key cluster.AttemptKey) {
 	if len(out) == 1 {
 		m.LastCommand = cluster.SentCommand{Pending: true, Verb: string(out[0].Verb), Key: key}
 	}
 }
 
-// undurable gives a channel to wait on when some start for the machine lacks
+// unwrittenStart gives a channel to wait on when some start for the machine lacks
 // the save that must come first.
-func (t *Term) undurable(m *cluster.Machine) <-chan struct{} {
-	if m.FencingToken != t.number {
+func (t *Leader) unwrittenStart(m *cluster.Machine) <-chan struct{} {
+	if m.FencingToken != t.token {
 		return nil
 	}
 	for _, a := range m.Attempts {
@@ -31,7 +31,7 @@
 
 // commands works out what the machine is to do: what is wanted of it minus
 // what its report shows.
-func (t *Term) commands(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) []protocol.Command {
+func (t *Leader) commands(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) []protocol.Command {
 	out := []protocol.Command{}
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
@@ -39,7 +39,7 @@
 		if c, ok := t.command(m.Attempts[key], task); ok {
 			c.Task, c.Attempt = protocol.TaskName(task.Job, task.Index), task.Attempt
 			out = append(out, c)
-			noteCommand(m, out, key)
+			recordSentCommand(m, out, key)
 		}
 	}
 	var starts []*cluster.Attempt
@@ -52,28 +52,28 @@
 	for _, a := range starts {
 		switch {
 		case a.Stopping || a.Job.Cancelled || a.Job.IsDone(a.Index):
-			t.ledger.AttemptGone(a, now) // it was never sent
+			t.state.AttemptGone(a, now) // it was never sent
 			if a.Job.Cancelled {
 				a.Job.MarkChanged(now, true)
-				signal(t.saveSignal)
+				raise(t.writeSignal)
 			}
-		case m.FencingToken == t.number && a.Job.MachineIsDurable(m.ID) && len(out) < protocol.MaxCommands:
+		case m.FencingToken == t.token && a.Job.MachineIsDurable(m.ID) && len(out) < protocol.MaxCommands:
 			a.Stage, a.SentSequence = cluster.Sent, r.Sequence
 			out = append(out, protocol.Command{Verb: protocol.VerbStart, Task: a.TaskName(), Attempt: a.Number})
-			noteCommand(m, out, cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number})
-			t.trace("start sent", a)
+			recordSentCommand(m, out, cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number})
+			t.traceAttempt("start sent", a)
 		}
 	}
 	return out
 }
 
 // command works out what a machine is to do about a task that it reports, if anything.
-func (t *Term) command(a *cluster.Attempt, task *protocol.TaskStatus) (protocol.Command, bool) {
+func (t *Leader) command(a *cluster.Attempt, task *protocol.TaskStatus) (protocol.Command, bool) {
 	switch {
 	case task.Stage == protocol.TaskExited:
 		// A completion that is not durable stays with the worker: a later
-		// leader must be able to learn of it.
-		j := t.ledger.Jobs[task.Job]
+		// leaderName must be able to learn of it.
+		j := t.state.Jobs[task.Job]
 		forget := j == nil || j.Cancelled || j.IsService() || task.Cause != protocol.CauseDone || j.DoneIsDurable(task.Index)
 		return protocol.Command{Verb: protocol.VerbForget}, forget
 	case a == nil, a.Job.Cancelled:
--- a/internal/coordination/completionrate.go
+++ b/internal/coordination/completionrate.go
@@ -6,16 +6,16 @@
 
 // completionRate is what tasks that end by themselves leave, as observed.
 type completionRate struct {
-	freed     units.Amount // since then
+	freedCPU  units.Amount // unchangedSince then
 	since     units.Micros
 	perSecond units.Amount // processors, moving mean
 }
 
-// pass brings the mean up to date.
-func (o *completionRate) pass(now units.Micros) {
+// advance brings the mean up to date.
+func (o *completionRate) advance(now units.Micros) {
 	if passed := now - o.since; passed >= units.Second {
-		rate := o.freed * units.Amount(units.Second/units.Millisecond) / units.Amount(passed/units.Millisecond)
-		o.perSecond, o.freed, o.since = (3*o.perSecond+rate)/4, 0, now
+		rate := o.freedCPU * units.Amount(units.Second/units.Millisecond) / units.Amount(passed/units.Millisecond)
+		o.perSecond, o.freedCPU, o.since = (3*o.perSecond+rate)/4, 0, now
 	}
 }
 
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -15,21 +15,21 @@
 // Controller is one controller node: it serves users, workers and the other
 // controllers, and leads while it holds the fleet lease.
 type Controller struct {
-	deps       Deps
-	peers      *Peers
-	server     *transport.Server
-	term       atomic.Pointer[Term]
-	lastWorker atomic.Int64 // steady time of the last worker's report
-	lastUseful atomic.Int64 // steady time when it last led or reached the leader
-	arrivals   arrivals
-	reader     *protocol.HeartbeatReader
-	reports    *reportLimiter
-	bypassed   atomic.Int64 // steady time since when another node leads that refuses this one's links; 0: none does
+	deps             Deps
+	peers            *Peers
+	server           *transport.Server
+	leader           atomic.Pointer[Leader]
+	lastHeartbeat    atomic.Int64 // steady time of the last worker's report
+	lastUseful       atomic.Int64 // steady time when it last led or reached the leader
+	leaderless       leaderlessAdmission
+	heartbeatReader  *protocol.HeartbeatReader
+	heartbeatLimiter *heartbeatLimiter
+	bypassedSince    atomic.Int64 // steady time since when another node leads that refuses this one's links; 0: none does
 }
 
-// usersPause is longer than users wait between two questions, and workers
-// report more often than that: a connection that is in use is not closed.
-const usersPause = 10 * units.Second
+// userPollGap is longer than users wait between two questions, and workers
+// heartbeat more often than that: a connection that is in use is not closed.
+const userPollGap = 10 * units.Second
 
 // Run serves on the two listeners until ctx ends.
 func (c *Controller) Run(ctx context.Context, clients, mesh net.Listener) error {
@@ -42,8 +42,8 @@
 		func() { errs <- transport.ServeMesh(ctx, mesh, c.deps.Log, c.answerPeer) },
 		func() { c.peers.Run(ctx) },
 		func() { c.logRuntime(ctx) },
-		func() { c.deps.Format.Run(ctx, func() bool { return c.leading() != nil }) },
-		func() { c.deps.Lease.Run(ctx, c.lead) },
+		func() { c.deps.Format.Run(ctx, func() bool { return c.activeLeader() != nil }) },
+		func() { c.deps.Elector.Run(ctx, c.runLeader) },
 		func() { c.deps.Admitter.follow(ctx) },
 	} {
 		wg.Add(1)
@@ -58,33 +58,33 @@
 	return err
 }
 
-func (c *Controller) lead(ctx context.Context, number uint64) {
-	c.deps.Store.SetLeader(true)
-	defer c.deps.Store.SetLeader(false)
-	t := NewTerm(number, c.deps)
-	c.term.Store(t)
+func (c *Controller) runLeader(ctx context.Context, number uint64) {
+	c.deps.KV.SetLeader(true)
+	defer c.deps.KV.SetLeader(false)
+	t := NewLeader(number, c.deps)
+	c.leader.Store(t)
 	t.Run(ctx)
-	c.term.CompareAndSwap(t, nil)
+	c.leader.CompareAndSwap(t, nil)
 }
 
-// recordAge is for how long the fleet record, once read, tells who leads.
-const recordAge = 2 * units.Second
+// leaseRecordTTL is for how long the fleet record, once read, tells who leads.
+const leaseRecordTTL = 2 * units.Second
 
-// leader names the node that leads as far as this one knows: the one that the
+// leaderName names the node that leads as far as this one knows: the one that the
 // record names, or, when this node has lost the state service and would not
-// learn of a change from there, the one that says so itself.
-func (c *Controller) leader() string {
-	if c.deps.Lease.Unanswered() > recordAge {
-		if node := c.peers.Leading(); node != "" {
+// adopt of a change from there, the one that says so itself.
+func (c *Controller) leaderName() string {
+	if c.deps.Elector.UnansweredFor() > leaseRecordTTL {
+		if node := c.peers.Leader(); node != "" {
 			return node
 		}
 	}
-	return c.deps.Lease.Leader()
+	return c.deps.Elector.Leader()
 }
 
-// leading gives the term if this node leads it now.
-func (c *Controller) leading() *Term {
-	if t := c.term.Load(); t != nil && c.deps.Lease.Valid(t.number) {
+// activeLeader gives the term if this node leads it now.
+func (c *Controller) activeLeader() *Leader {
+	if t := c.leader.Load(); t != nil && c.deps.Elector.Valid(t.token) {
 		return t
 	}
 	return nil
@@ -94,25 +94,25 @@
 	s := c.server
 	s.Handle(http.MethodPost, protocol.PathSubmit, func(ctx context.Context, r transport.Request) transport.Response {
 		if r.TooLarge {
-			return Refuse(http.StatusBadRequest, "body over 64 KiB")
+			return ErrorResponse(http.StatusBadRequest, "body over 64 KiB")
 		}
-		return c.gate().release(c.submit(ctx, r.Body, true))
+		return c.gate().check(c.submit(ctx, r.Body, true))
 	})
 	s.Handle(http.MethodGet, protocol.PathPoll, func(ctx context.Context, r transport.Request) transport.Response {
-		return c.gate().release(c.poll(ctx, r.ID, true))
+		return c.gate().check(c.poll(ctx, r.ID, true))
 	})
 	s.Handle(http.MethodPost, protocol.PathCancel, func(ctx context.Context, r transport.Request) transport.Response {
-		return c.gate().release(c.cancel(ctx, r.ID, true))
+		return c.gate().check(c.cancel(ctx, r.ID, true))
 	})
 	s.Handle(http.MethodGet, protocol.PathHealth, func(context.Context, transport.Request) transport.Response {
 		return c.health()
 	})
-	s.Handle(http.MethodPost, protocol.PathHeartbeat, c.report)
+	s.Handle(http.MethodPost, protocol.PathHeartbeat, c.heartbeat)
 	s.Handle(http.MethodGet, "/metrics", func(context.Context, transport.Request) transport.Response {
 		return transport.Response{
 			Status:      http.StatusOK,
 			ContentType: "text/plain; version=0.0.4",
-			Body:        c.deps.Metrics.Text(c.leading()),
+			Body:        c.deps.Metrics.Text(c.activeLeader()),
 		}
 	})
 }
@@ -124,47 +124,47 @@
 // it renews its lease. A leader that was just restarted is redialled sooner.
 const bypassPatience = 3 * units.Second
 
-// health: a node is of use while it leads or reaches the leader, and for a
+// heartbeatHealth: a node is of use while it leads or reaches the leader, and for a
 // while after. A change of leader takes a few seconds; were every node to call
 // itself unhealthy meanwhile, the load balancer would keep them all out for
 // longer than that, and longer each time. It is of no use, and says so soon,
 // while another node leads that it cannot pass requests on to, or while it is
 // itself cut off from the state service and all other controllers.
 func (c *Controller) health() transport.Response {
-	now, lease, leader := c.deps.Clock.Steady(), c.deps.Lease, c.leader()
-	if t := c.leading(); t != nil && t.Ready() || c.peers.Reaches(leader) {
+	now, lease, leader := c.deps.Clock.Steady(), c.deps.Elector, c.leaderName()
+	if t := c.activeLeader(); t != nil && t.Ready() || c.peers.Reachable(leader) {
 		c.lastUseful.Store(int64(now))
 	}
-	if !c.peers.Reaches(leader) && c.peers.Refused(leader) && lease.Renewed() {
-		c.bypassed.CompareAndSwap(0, int64(now))
+	if !c.peers.Reachable(leader) && c.peers.RefusesConnections(leader) && lease.SeesRenewals() {
+		c.bypassedSince.CompareAndSwap(0, int64(now))
 	} else {
-		c.bypassed.Store(0)
+		c.bypassedSince.Store(0)
 	}
-	switch since := units.Micros(c.bypassed.Load()); {
+	switch since := units.Micros(c.bypassedSince.Load()); {
 	case since != 0 && now-since >= bypassPatience:
 		return unavailable("the leader refuses this node's links").Response
-	case len(c.deps.Settings.Others) > 0 && !c.peers.ReachesAny() && lease.Unanswered() > lease.timing.Length:
+	case len(c.deps.Settings.Others) > 0 && !c.peers.AnyReachable() && lease.UnansweredFor() > lease.timing.Duration:
 		return unavailable("cut off from the state service and the other controllers").Response
-	case now-units.Micros(c.lastUseful.Load()) <= 2*lease.timing.Length+restartTime:
+	case now-units.Micros(c.lastUseful.Load()) <= 2*lease.timing.Duration+restartTime:
 		return transport.Response{Status: http.StatusOK}
 	}
 	return unavailable("no leader in reach").Response
 }
 
 // Ready tells whether the records are restored.
-func (t *Term) Ready() bool {
+func (t *Leader) Ready() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ready
 }
 
 // gate is what every answer about a job passes on its way out.
-func (c *Controller) gate() answerGate {
-	return answerGate{clock: c.deps.Clock, revisions: c.deps.Store.Revisions}
+func (c *Controller) gate() monotonicReadGate {
+	return monotonicReadGate{clock: c.deps.Clock, revisions: c.deps.KV.Revisions}
 }
 
 func (c *Controller) records() recordReader {
-	return recordReader{store: c.deps.Store, clock: c.deps.Clock, workers: c.deps.Settings.Fleet.Workers}
+	return recordReader{store: c.deps.KV, clock: c.deps.Clock, workers: c.deps.Settings.Fleet.Workers}
 }
 
 func (c *Controller) submit(ctx context.Context, body []byte, forward bool) answer {
@@ -176,33 +176,33 @@
 			if known.Status != http.StatusNotFound {
 				return known
 			}
-			return answer{Response: Refuse(http.StatusBadRequest, err.Error()), proof: known.proof}
+			return answer{Response: ErrorResponse(http.StatusBadRequest, err.Error()), evidence: known.evidence}
 		}
-		return plainAnswer(Refuse(http.StatusBadRequest, err.Error()))
+		return plainAnswer(ErrorResponse(http.StatusBadRequest, err.Error()))
 	}
 	var r answer
-	if t := c.leading(); t == nil {
+	if t := c.activeLeader(); t == nil {
 		r = c.forward(ctx, forward, protocol.FrameSubmit, "", body)
 	} else if r = t.Submit(ctx, spec); t.Ready() {
 		return r
 	}
 	if forward && r.Status == http.StatusServiceUnavailable {
-		return c.acceptAlone(ctx, spec, r)
+		return c.acceptWithoutLeader(ctx, spec, r)
 	}
-	c.arrivals.alone.Store(0)
+	c.leaderless.acceptedBytes.Store(0)
 	return r
 }
 
 func (c *Controller) poll(ctx context.Context, id string, forward bool) answer {
 	if !protocol.ValidJobID(id) {
-		return plainAnswer(Refuse(http.StatusNotFound, "no such job"))
+		return plainAnswer(ErrorResponse(http.StatusNotFound, "no such job"))
 	}
-	if t := c.leading(); t != nil {
+	if t := c.activeLeader(); t != nil {
 		return t.Poll(ctx, id)
 	}
 	r := c.forward(ctx, forward, protocol.FramePoll, id, nil)
-	if forward && r.Status == http.StatusServiceUnavailable && !c.peers.Reaches(c.leader()) &&
-		c.deps.Lease.Unanswered() < c.deps.Lease.timing.Length {
+	if forward && r.Status == http.StatusServiceUnavailable && !c.peers.Reachable(c.leaderName()) &&
+		c.deps.Elector.UnansweredFor() < c.deps.Elector.timing.Duration {
 		return c.records().poll(ctx, id)
 	}
 	return r
@@ -210,10 +210,10 @@
 
 func (c *Controller) cancel(ctx context.Context, id string, forward bool) answer {
 	if !protocol.ValidJobID(id) {
-		return plainAnswer(Refuse(http.StatusNotFound, "no such job"))
+		return plainAnswer(ErrorResponse(http.StatusNotFound, "no such job"))
 	}
-	if t := c.leading(); t != nil {
-		until := c.deps.Clock.Steady() + acceptWait
+	if t := c.activeLeader(); t != nil {
+		until := c.deps.Clock.Steady() + writeWaitTimeout
 		a := t.Cancel(ctx, id)
 		c.gate().await(ctx, a, until)
 		return a
@@ -225,7 +225,7 @@
 // another controller is not passed on again. A leader that has not answered for
 // a while is not waited for.
 func (c *Controller) forward(ctx context.Context, allowed bool, kind protocol.FrameKind, id string, body []byte) answer {
-	if leader := c.leader(); allowed && leader != c.deps.Settings.Node && c.peers.Reaches(leader) {
+	if leader := c.leaderName(); allowed && leader != c.deps.Settings.Node && c.peers.Reachable(leader) {
 		sent := c.deps.Clock.Steady()
 		r, err := c.peers.Forward(ctx, leader, kind, id, body)
 		if err == nil {
@@ -240,7 +240,7 @@
 
 func (c *Controller) answerPeer(ctx context.Context, data []byte) ([]byte, error) {
 	leading := ""
-	if c.leading() != nil {
+	if c.activeLeader() != nil {
 		leading = c.deps.Settings.Node
 	}
 	return answerFrame(ctx, data, leading, func(ctx context.Context, f protocol.Frame) transport.Response {
@@ -253,46 +253,46 @@
 		default:
 			a = c.cancel(ctx, f.Job, false)
 		}
-		return c.gate().release(a)
+		return c.gate().check(a)
 	})
 }
 
-// whoLeads names the node that workers should report to, "" if it is not
+// redirectTarget names the node that workers should report to, "" if it is not
 // known. A leader that refuses this node's links may serve workers all the
 // same; the record tells while it is renewed.
-func (c *Controller) whoLeads() string {
-	leader := c.leader()
-	if leader == c.deps.Settings.Node || !c.peers.Reaches(leader) && !(c.peers.Refused(leader) && c.deps.Lease.Renewed()) {
+func (c *Controller) redirectTarget() string {
+	leader := c.leaderName()
+	if leader == c.deps.Settings.Node || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.deps.Elector.SeesRenewals()) {
 		return ""
 	}
 	return leader
 }
 
-// report answers a worker. Without the right to command the answer names the
+// heartbeat answers a worker. Without the right to command the answer names the
 // leader, if it is known and is another node.
-func (c *Controller) report(ctx context.Context, r transport.Request) transport.Response {
+func (c *Controller) heartbeat(ctx context.Context, r transport.Request) transport.Response {
 	if r.TooLarge {
-		return Refuse(http.StatusBadRequest, "body over 64 KiB")
+		return ErrorResponse(http.StatusBadRequest, "body over 64 KiB")
 	}
-	slot := c.reports.acquire(ctx)
+	slot := c.heartbeatLimiter.acquire(ctx)
 	if slot == nil {
 		return unavailable("the node ends").Response
 	}
 	defer slot.release()
-	report, err := c.reader.Parse(r.Body)
+	report, err := c.heartbeatReader.Parse(r.Body)
 	if err != nil {
-		return Refuse(http.StatusBadRequest, err.Error())
+		return ErrorResponse(http.StatusBadRequest, err.Error())
 	}
-	c.lastWorker.Store(int64(c.deps.Clock.Steady()))
-	t := c.leading()
+	c.lastHeartbeat.Store(int64(c.deps.Clock.Steady()))
+	t := c.activeLeader()
 	if t == nil {
 		return transport.Response{
 			Status: http.StatusMisdirectedRequest,
-			Body:   protocol.Encode(protocol.LeaderRedirect{Leader: c.whoLeads()}),
+			Body:   protocol.Encode(protocol.LeaderRedirect{Leader: c.redirectTarget()}),
 		}
 	}
-	answer, ok := t.Report(ctx, report, slot)
-	if !ok || !c.deps.Lease.Valid(t.number) {
+	answer, ok := t.Heartbeat(ctx, report, slot)
+	if !ok || !c.deps.Elector.Valid(t.token) {
 		return unavailable("no right to command, or an old report").Response
 	}
 	return transport.Response{Status: http.StatusOK, Body: protocol.Encode(answer)}
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -31,7 +31,7 @@
 	}
 	addr := closed.Addr().String()
 	closed.Close()
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts nothing: requests wait
+	hanging, err := net.Listen("tcp", "127.0.0.1:0") // machineSchedulable nothing: requests wait
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go c.peers.Run(ctx)
-	for deadline := time.Now().Add(10 * time.Second); !c.peers.Refused("leader"); {
+	for deadline := time.Now().Add(10 * time.Second); !c.peers.RefusesConnections("leader"); {
 		if time.Now().After(deadline) {
 			t.Fatal("the link is not refused")
 		}
@@ -67,19 +67,19 @@
 
 // sawRenewal is a read of the record that shows a new version.
 func (c *Controller) sawRenewal(version uint64, now units.Micros) {
-	l := c.deps.Lease
+	l := c.deps.Elector
 	l.answeredAt = now
 	l.monitor.observe(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version, now)
 }
 
 // While the leader refuses this node's links and renews its lease, workers are
-// told its name and users are sent elsewhere. Once the record is stale nobody
-// leads: then no name is told, and the node stays in use for the election.
+// sentHeartbeat its name and users are sent elsewhere. Once the record is stale nobody
+// mayAnswer: then no name is told, and the node stays in use for the election.
 func TestNodeThatTheLeaderRefuses(t *testing.T) {
 	c, clock := refusedController(t, nil)
 	for v := uint64(1); v <= 2; v++ {
 		c.sawRenewal(v, clock.now)
-		if got := c.whoLeads(); got != "leader" {
+		if got := c.redirectTarget(); got != "leader" {
 			t.Fatalf("workers are sent to %q", got)
 		}
 		if r := c.health(); r.Status != http.StatusOK {
@@ -92,9 +92,9 @@
 	if r := c.health(); r.Status != http.StatusServiceUnavailable {
 		t.Error("a node that can pass nothing on counts as healthy")
 	}
-	clock.now += c.deps.Lease.timing.Length
-	c.deps.Lease.answeredAt = clock.now // the record is read, and unchanged
-	if got := c.whoLeads(); got != "" {
+	clock.now += c.deps.Elector.timing.Duration
+	c.deps.Elector.answeredAt = clock.now // the record is read, and unchanged
+	if got := c.redirectTarget(); got != "" {
 		t.Errorf("workers are sent to %q, which does not renew", got)
 	}
 	if r := c.health(); r.Status != http.StatusOK {
@@ -106,7 +106,7 @@
 // answers at once instead of asking the state service.
 func TestNodeCutOffFromStateAndPeers(t *testing.T) {
 	c, clock := refusedController(t, nil)
-	clock.now += c.deps.Lease.timing.Length + units.Millisecond
+	clock.now += c.deps.Elector.timing.Duration + units.Millisecond
 	if r := c.health(); r.Status != http.StatusServiceUnavailable {
 		t.Error("it counts as healthy")
 	}
@@ -179,7 +179,7 @@
 		t.Errorf("poll of an unknown job: %d", r.Status)
 	}
 
-	term := storedTerm(t, 1, s)
+	term := storedLeader(t, 1, s)
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
@@ -194,8 +194,8 @@
 	if r := term.Submit(ctx, unknown); r.Status == http.StatusUnprocessableEntity {
 		t.Error("the repeat of an accepted job is refused")
 	}
-	go term.saveLoop(ctx)
-	go term.inboxLoop(ctx)
+	go term.writeLoop(ctx)
+	go term.ingestLoop(ctx)
 	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
@@ -211,7 +211,7 @@
 }
 
 // A job is accepted without a leader by a commit that takes long. By then it may have been
-// taken in and cancelled, so its state is read again before the user is told of it.
+// preempted in and cancelled, so its state is read again before the user is told of it.
 func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
 	s := standin.NewState()
 	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
@@ -224,7 +224,7 @@
 		return false
 	}
 	a := c.submit(t.Context(), submission(modelSpec(id), "team"), true)
-	if got := c.gate().release(a); got.Status != http.StatusOK || state(t, a).Stage != protocol.StagePending {
+	if got := c.gate().check(a); got.Status != http.StatusOK || state(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
 	if len(s.Keys(storage.PrefixPending)) != 1 {
@@ -234,7 +234,7 @@
 
 // What was put into the inbox late, for a job that is over by then, is cleared
 // away and never answered for: the job's final state stands.
-func TestLateArrivalOfAFinishedJob(t *testing.T) {
+func TestLatePendingSubmissionOfAFinishedJob(t *testing.T) {
 	s := standin.NewState()
 	spec := modelSpec("j-000001")
 	for _, c := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
@@ -245,14 +245,14 @@
 		Tasks: 2,
 		Done:  2,
 	}))
-	term := storedTerm(t, 1, s)
+	term := storedLeader(t, 1, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	go term.saveLoop(ctx)
-	go term.inboxLoop(ctx)
+	go term.writeLoop(ctx)
+	go term.ingestLoop(ctx)
 	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
@@ -295,14 +295,14 @@
 		Random: rand.New(rand.NewPCG(1, 1)),
 		Log:    log,
 	})
-	l := c.deps.Lease
+	l := c.deps.Elector
 	l.answeredAt = clock.now
 	l.monitor.observe(storage.LeaseRecord{Holder: s.Node, Incarnation: 3}, 1, clock.now)
-	clock.now += recordAge + units.Millisecond
+	clock.now += leaseRecordTTL + units.Millisecond
 	go c.peers.Run(t.Context())
-	for deadline := time.Now().Add(10 * time.Second); c.whoLeads() != "next"; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); c.redirectTarget() != "next"; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("workers are sent to %q", c.whoLeads())
+			t.Fatalf("workers are sent to %q", c.redirectTarget())
 		}
 	}
 	if r := c.poll(t.Context(), "j-000001", true); r.Status != http.StatusOK {
@@ -312,7 +312,7 @@
 		t.Errorf("health: %s", r.Body)
 	}
 	l.answeredAt = clock.now
-	if got := c.leader(); got != s.Node {
+	if got := c.leaderName(); got != s.Node {
 		t.Errorf("the record was just read, and %q counts as the leader", got)
 	}
 }
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -13,11 +13,11 @@
 // While much waits, rounds come every 25 ms. Going over the whole fleet for what has
 // passed its time is not needed as often.
 func TestTimeoutsAreCheckedFourTimesASecond(t *testing.T) {
-	term, clock := guardTerm(t, 1)
+	term, clock := leaderWithJob(t, 1)
 	term.lastSummary = clock.now + units.Second // this term has no state service to count requests of
 	checks := 0
 	for range 40 {
-		clock.now += roundPause
+		clock.now += minCycleInterval
 		before := term.lastTimeoutCheck
 		term.checkTimeouts(clock.now)
 		if term.lastTimeoutCheck != before {
@@ -34,18 +34,18 @@
 func TestJobsAtTheBoundLeaveRoom(t *testing.T) {
 	const mostTaken = 0.5 // of what is reckoned
 	for _, c := range []struct{ jobs, tasks int }{{400, 1}, {400, 3000}, {20, protocol.MaxTasks}} {
-		term, clock := guardTerm(t, 1)
-		before, reckonedBefore := heapInUse(), term.ledger.Memory()
+		term, clock := leaderWithJob(t, 1)
+		before, reckonedBefore := heapInUse(), term.state.Memory()
 		for i := range c.jobs {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+100))
 			spec.Tasks = c.tasks
-			job := term.ledger.NewJob(spec, clock.now, clock.now)
+			job := term.state.NewJob(spec, clock.now, clock.now)
 			for index := range c.tasks / 2 {
-				term.ledger.TaskDone(job, 2*index, clock.now)
+				term.state.TaskDone(job, 2*index, clock.now)
 			}
 		}
 		saveAll(term)
-		taken, reckoned := float64(heapInUse()-before), float64(term.ledger.Memory()-reckonedBefore)
+		taken, reckoned := float64(heapInUse()-before), float64(term.state.Memory()-reckonedBefore)
 		if taken > reckoned*mostTaken {
 			t.Errorf("%d jobs of %d tasks take %.0f bytes, reckoned are %.0f", c.jobs, c.tasks, taken, reckoned)
 		}
@@ -65,7 +65,7 @@
 // hundreds of reports a second.
 func TestOneStepCostsTheSameInALargeFleet(t *testing.T) {
 	steps := func(machines int) map[string]float64 {
-		term, reports := busyTerm(machines)
+		term, reports := busyLeader(machines)
 		i := 0
 		next := func() *protocol.Heartbeat {
 			i++
@@ -77,20 +77,20 @@
 		return map[string]float64{
 			"report": testing.AllocsPerRun(100, func() {
 				r := next()
-				term.commands(term.observe(r, units.Second), r, units.Second)
+				term.commands(term.reconcile(r, units.Second), r, units.Second)
 			}),
 			"end of a task": testing.AllocsPerRun(100, func() {
-				m := term.ledger.Machines[next().Machine]
-				term.ledger.AttemptGone(m.SortedAttempts()[0], units.Second)
-				term.fill(m, units.Second)
+				m := term.state.Machines[next().Machine]
+				term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
+				term.placeOnMachine(m, units.Second)
 			}),
 			"save": testing.AllocsPerRun(100, func() {
 				done++
-				j := term.ledger.Jobs["j-000299"]
-				term.ledger.TaskDone(j, done, units.Second)
+				j := term.state.Jobs["j-000299"]
+				term.state.TaskDone(j, done, units.Second)
 				j.MarkChanged(units.Second, true)
-				s := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{}, units.Second)
-				term.ledger.BatchCommitted(s, 1)
+				s := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{}, units.Second)
+				term.state.BatchCommitted(s, 1)
 			}),
 		}
 	}
@@ -105,15 +105,15 @@
 // A report that shows nothing new is compared with the ledger hundreds of times a
 // second on a small machine: it leaves nothing for the collector, however many tasks
 // the machine has and whatever would be logged of them.
-func TestReportWithoutNewsAllocatesNothing(t *testing.T) {
-	term, reports := busyTerm(20)
+func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
+	term, reports := busyLeader(20)
 	r := reports[0]
 	if len(r.Tasks) < 10 {
 		t.Fatalf("the machine has only %d tasks", len(r.Tasks))
 	}
 	allocs := testing.AllocsPerRun(100, func() {
 		r.Sequence++
-		m := term.observe(r, units.Second)
+		m := term.reconcile(r, units.Second)
 		if out := term.commands(m, r, units.Second); len(out) > 0 {
 			t.Errorf("commands for nothing new: %v", out)
 		}
--- a/internal/coordination/delay.go
+++ b/internal/coordination/delay.go
@@ -7,45 +7,45 @@
 )
 
 // delayMonitor notices that this process falls behind: its timers fire late. A
-// leader that computes too slowly makes everybody wait, and there are others.
+// leaderName that computes too slowly makes everybody wait, and there are others.
 type delayMonitor struct {
-	mean  units.Micros // moving mean of how late the timer fires
-	since units.Micros // since when it has been too late; 0: it is not
+	mean        units.Micros // moving mean of how late the timer fires
+	behindSince units.Micros // unchangedSince when it has been too late; 0: it is not
 }
 
 const (
-	delayTick     = 250 * units.Millisecond
-	maxDelay      = 400 * units.Millisecond // mean lateness that is too much
-	delayPatience = 3 * units.Second        // for so long
-	minTermLength = 20 * units.Second       // a term begins with more work than usual
-	handOverPause = 120 * units.Second      // between hand-overs, or the lease would go round in circles
+	delayTick        = 250 * units.Millisecond
+	maxDelay         = 400 * units.Millisecond // mean lateness that is too much
+	delayPatience    = 3 * units.Second        // for so long
+	minLeadership    = 20 * units.Second       // a term begins with more work than usual
+	handOverInterval = 120 * units.Second      // between hand-overs, or the lease would go round in circles
 )
 
-// late takes in how late the timer fired and tells whether it has been too late
+// suspected takes in how suspected the timer fired and tells whether it has been too suspected
 // for too long.
-func (w *delayMonitor) late(by, now units.Micros) bool {
+func (w *delayMonitor) observe(by, now units.Micros) bool {
 	w.mean = (7*w.mean + max(0, by)) / 8
 	switch {
 	case w.mean < maxDelay:
-		w.since = 0
-	case w.since == 0:
-		w.since = now
+		w.behindSince = 0
+	case w.behindSince == 0:
+		w.behindSince = now
 	}
-	return w.since != 0 && now-w.since >= delayPatience
+	return w.behindSince != 0 && now-w.behindSince >= delayPatience
 }
 
-// delayLoop hands the lease over when this node has fallen behind and another one
+// monitorDelay hands the lease over when this node has fallen behind and another one
 // is there to take it.
-func (t *Term) delayLoop(ctx context.Context) {
+func (t *Leader) monitorDelay(ctx context.Context) {
 	var w delayMonitor
-	for last := t.Clock.Steady(); pause(ctx, delayTick); {
+	for last := t.Clock.Steady(); sleep(ctx, delayTick); {
 		now := t.Clock.Steady()
-		behind := w.late(now-last-delayTick, now)
+		behind := w.observe(now-last-delayTick, now)
 		if w.mean >= maxDelay {
 			t.noteDelay(now)
 		}
 		last = now
-		if behind && now-t.claimedAt > minTermLength && t.PeerInReach() && t.Lease.HandOver(t.Clock.Wall()) {
+		if behind && now-t.electedAt > minLeadership && t.PeerReachable() && t.Elector.HandOver(t.Clock.Wall()) {
 			t.Log.Info("this node has fallen behind; the lease is handed over", "late_ms", w.mean/units.Millisecond)
 			w = delayMonitor{}
 		}
@@ -55,8 +55,8 @@
 // noteDelay notes that this node has been late: reports may have waited for it, or
 // have been given up by their workers. Each machine then has the time for another
 // one before its silence is judged.
-func (t *Term) noteDelay(now units.Micros) {
+func (t *Leader) noteDelay(now units.Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.silenceCountsFrom = now + t.silentAfter()
+	t.judgeSilenceFrom = now + t.suspectAfter()
 }
--- a/internal/coordination/delay_test.go
+++ b/internal/coordination/delay_test.go
@@ -11,26 +11,26 @@
 
 // A pause now and then, as long as it may be, is no reason to hand the lease
 // over; being late all the time is, within a few seconds.
-func TestLagThatLasts(t *testing.T) {
+func TestLastingDelayIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w delayMonitor
 		now := 100 * units.Second
 		for range rapid.IntRange(1, 20).Draw(t, "pauses") {
 			by := units.Micros(rapid.IntRange(0, 2000).Draw(t, "pause")) * units.Millisecond
 			now += delayTick + by
-			if w.late(by, now) {
+			if w.observe(by, now) {
 				t.Fatal("one pause is taken for falling behind")
 			}
 			for range 24 { // and then on time
 				now += delayTick
-				if w.late(0, now) {
+				if w.observe(0, now) {
 					t.Fatal("one pause is taken for falling behind")
 				}
 			}
 		}
 		by := units.Micros(rapid.IntRange(800, 4000).Draw(t, "late by")) * units.Millisecond
 		began := now
-		for !w.late(by, now) {
+		for !w.observe(by, now) {
 			if now += delayTick + by; now-began > 30*units.Second {
 				t.Fatalf("late by %v all the time, and not noticed", by)
 			}
@@ -40,15 +40,15 @@
 
 // The lease is handed over once in a while at most, whoever holds it: the time
 // of the last hand-over goes with the record.
-func TestLeaseDoesNotGoRoundInCircles(t *testing.T) {
+func TestLeaseIsNotHandedOverRepeatedly(t *testing.T) {
 	clock := &manualClock{now: 1000 * units.Second}
-	lease := testTerm(1, clock).Lease
+	lease := testLeader(1, clock).Elector
 	if !lease.HandOver(clock.now) || lease.Valid(1) {
 		t.Fatal("not handed over")
 	}
-	next := testTerm(2, clock).Lease
-	next.handedAt = lease.handedAt // as read from the record
-	clock.now += handOverPause - units.Second
+	next := testLeader(2, clock).Elector
+	next.handedOverAt = lease.handedOverAt // as read from the record
+	clock.now += handOverInterval - units.Second
 	if next.HandOver(clock.now) || !next.Valid(2) {
 		t.Error("handed over again at once")
 	}
@@ -61,23 +61,23 @@
 // A leader that stood still, or cannot keep up, finds reports that have waited
 // for it. It must not take the machines that it gets to last for silent, and give
 // them away.
-func TestLateLeaderJudgesNoSilence(t *testing.T) {
-	term, clock := guardTerm(t, 1)
+func TestDelayedLeaderSuspectsNoMachine(t *testing.T) {
+	term, clock := leaderWithJob(t, 1)
 	report := func(from, to int, seq uint64) {
 		for i := from; i < to; i++ {
-			term.observe(testReport(fmt.Sprintf("i-%06d", i), 1, seq, 7), clock.now)
+			term.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, seq, 7), clock.now)
 		}
 	}
 	report(0, 30, 1)
 	clock.now += 20 * units.Second
 	term.noteDelay(clock.now)
 	report(0, 25, 2)
-	if silent := term.silentMachines(clock.now); len(silent) != 0 {
+	if silent := term.lostMachines(clock.now); len(silent) != 0 {
 		t.Errorf("to be released: %v", silent)
 	}
-	clock.now += term.silentAfter() + units.Second
+	clock.now += term.suspectAfter() + units.Second
 	report(0, 29, 3)
-	if silent := term.silentMachines(clock.now); len(silent) != 1 || !silent["i-000029"] {
+	if silent := term.lostMachines(clock.now); len(silent) != 1 || !silent["i-000029"] {
 		t.Errorf("to be released after a while: %v", silent)
 	}
 }
--- a/internal/coordination/delivery_test.go
+++ b/internal/coordination/delivery_test.go
@@ -12,29 +12,29 @@
 // A machine whose reports arrive but which carries nothing out gets no more
 // work and is returned; what was sent there is waiting again. On one that hears
 // again nothing is held against it.
-func TestMachineWithoutAnswersIsReturned(t *testing.T) {
-	term, clock := guardTerm(t, 8)
+func TestMachineThatReceivesNoCommandsIsReleased(t *testing.T) {
+	term, clock := leaderWithJob(t, 8)
 	for i := range 4 {
 		for seq := uint64(1); seq <= 2; seq++ {
-			term.observe(testReport(fmt.Sprintf("i-%06d", i+1), 1, seq, 7), clock.now)
+			term.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i+1), 1, seq, 7), clock.now)
 		}
 	}
 	lost := "i-000000"
 	starts := 0
 	for seq := uint64(1); seq < 10; seq++ {
-		for _, c := range term.exchange(testReport(lost, 1, seq, 7)) {
+		for _, c := range term.exchange(testHeartbeat(lost, 1, seq, 7)) {
 			if c.Verb == protocol.VerbStart {
 				starts++
 			}
 		}
 	}
-	if starts == 0 || starts > maxUndelivered*modelMachine {
+	if starts == 0 || starts > maxUndeliveredCommands*modelMachine {
 		t.Errorf("%d starts were sent to a machine that never carried one out", starts)
 	}
-	if m := term.ledger.Machines[lost]; term.accepts(m, clock.now) || len(m.Attempts) > 0 {
+	if m := term.state.Machines[lost]; term.machineSchedulable(m, clock.now) || len(m.Attempts) > 0 {
 		t.Error("a machine that gets no answers is given work")
 	}
-	if silent := term.silentMachines(clock.now); !silent[lost] || len(silent) != 1 {
+	if silent := term.lostMachines(clock.now); !silent[lost] || len(silent) != 1 {
 		t.Errorf("to be released: %v", silent)
 	}
 }
@@ -43,34 +43,34 @@
 // that it hears again. Its session does: without an answer it would begin another one
 // within its lease. Where too many got none for any to be returned, they would else
 // never get work again, with jobs waiting.
-func TestMachineWithAnswersGetsWorkAgain(t *testing.T) {
-	term, clock := guardTerm(t, 8)
+func TestMachineThatReceivesCommandsGetsWorkAgain(t *testing.T) {
+	term, clock := leaderWithJob(t, 8)
 	const id = "i-000000"
 	seq := uint64(0)
 	report := func(session uint64) *cluster.Machine {
 		seq++
-		term.exchange(testReport(id, session, seq, 7))
-		return term.ledger.Machines[id]
+		term.exchange(testHeartbeat(id, session, seq, 7))
+		return term.state.Machines[id]
 	}
 	for range 10 {
 		report(1)
 	}
 	m := report(1)
-	if m.UndeliveredCommands < maxUndelivered {
+	if m.UndeliveredCommands < maxUndeliveredCommands {
 		t.Fatal("the machine is not thought to get no answers")
 	}
 	// No answers still: a new session each lease.
 	for session := uint64(2); session < 5; session++ {
 		for range 8 {
 			clock.now += modelLease / 8
-			if report(session); m.UndeliveredCommands < maxUndelivered {
+			if report(session); m.UndeliveredCommands < maxUndeliveredCommands {
 				t.Fatal("a machine that begins a new session with each lease is thought to hear")
 			}
 		}
 	}
 	for range 12 {
 		clock.now += modelLease / 8
-		if report(4); m.UndeliveredCommands == 0 && term.accepts(m, clock.now) {
+		if report(4); m.UndeliveredCommands == 0 && term.machineSchedulable(m, clock.now) {
 			return
 		}
 	}
@@ -78,11 +78,11 @@
 }
 
 // A machine that hears some of its answers gets enough of them.
-func TestLostAnswerIsForgiven(t *testing.T) {
-	term, clock := guardTerm(t, 8)
+func TestLostAnswerIsTolerated(t *testing.T) {
+	term, clock := leaderWithJob(t, 8)
 	var last []protocol.TaskStatus
 	for seq := uint64(1); seq < 6; seq++ {
-		r := testReport("i-000001", 1, seq, 7)
+		r := testHeartbeat("i-000001", 1, seq, 7)
 		r.Tasks = last
 		out := term.exchange(r)
 		if seq%2 == 0 { // every other answer is lost
@@ -105,45 +105,45 @@
 			}
 		}
 	}
-	if m := term.ledger.Machines["i-000001"]; m.UndeliveredCommands >= maxUndelivered || !term.accepts(m, clock.now) {
+	if m := term.state.Machines["i-000001"]; m.UndeliveredCommands >= maxUndeliveredCommands || !term.machineSchedulable(m, clock.now) {
 		t.Errorf("%d answers count as unheard", m.UndeliveredCommands)
 	}
 }
 
 // Copies of reports come late, of machines that are gone or that this term does
 // not know. They bring no room for work, confirm nothing and renew nothing.
-func TestLateReportsChangeNothing(t *testing.T) {
-	term, clock := guardTerm(t, 1)
+func TestLateHeartbeatsChangeNothing(t *testing.T) {
+	term, clock := leaderWithJob(t, 1)
 	// Of a machine that worked under an earlier term and is gone.
 	for seq := uint64(5); seq < 9; seq++ {
-		if out := term.exchange(testReport("i-000001", 3, seq, 6)); len(out) > 0 {
+		if out := term.exchange(testHeartbeat("i-000001", 3, seq, 6)); len(out) > 0 {
 			t.Fatalf("a machine that has not shown this term is sent %v", out)
 		}
 	}
-	if term.accepts(term.ledger.Machines["i-000001"], clock.now) {
+	if term.machineSchedulable(term.state.Machines["i-000001"], clock.now) {
 		t.Error("it may be given work")
 	}
 	// Of one that was released in this term, however late.
-	term.observe(testReport("i-000002", 1, 1, 7), clock.now)
-	term.ledger.RemoveMachine(term.ledger.Machines["i-000002"], clock.now)
+	term.reconcile(testHeartbeat("i-000002", 1, 1, 7), clock.now)
+	term.state.RemoveMachine(term.state.Machines["i-000002"], clock.now)
 	term.released.add("i-000002", clock.now)
 	clock.now += 600 * units.Second
-	if m := term.observe(testReport("i-000002", 1, 9, 7), clock.now); m != nil || term.ledger.Machines["i-000002"] != nil {
+	if m := term.reconcile(testHeartbeat("i-000002", 1, 9, 7), clock.now); m != nil || term.state.Machines["i-000002"] != nil {
 		t.Error("a released machine is back")
 	}
 	// Of one that is known: the older report has no effect.
-	m := term.observe(testReport("i-000003", 2, 4, 7), clock.now)
+	m := term.reconcile(testHeartbeat("i-000003", 2, 4, 7), clock.now)
 	heard := m.LastHeartbeat
 	clock.now += 5 * units.Second
-	for _, r := range []*protocol.Heartbeat{testReport("i-000003", 2, 4, 7), testReport("i-000003", 1, 99, 7)} {
-		if term.observe(r, clock.now) != nil || m.LastHeartbeat != heard {
+	for _, r := range []*protocol.Heartbeat{testHeartbeat("i-000003", 2, 4, 7), testHeartbeat("i-000003", 1, 99, 7)} {
+		if term.reconcile(r, clock.now) != nil || m.LastHeartbeat != heard {
 			t.Error("an old report renews the machine's lease")
 		}
 	}
 	// A machine stays unconfirmed whatever an earlier term's report says.
-	j := term.ledger.Jobs["j-000001"]
-	term.ledger.MarkUnreconciled(j, "i-000004")
-	term.observe(testReport("i-000004", 1, 1, 6), clock.now)
+	j := term.state.Jobs["j-000001"]
+	term.state.MarkUnreconciled(j, "i-000004")
+	term.reconcile(testHeartbeat("i-000004", 1, 1, 6), clock.now)
 	if !j.UnreconciledMachines["i-000004"] {
 		t.Error("a report from before this term confirms a machine")
 	}
@@ -153,24 +153,24 @@
 // in the term. Once it has reported by itself, a start may be on its way to it
 // that such a report does not show; taking the start for lost would run the task
 // twice.
-func TestAnnouncementIsOnlyAFirstWord(t *testing.T) {
-	term, clock := guardTerm(t, 2)
-	j := term.ledger.Jobs["j-000001"]
-	term.ledger.MarkUnreconciled(j, "i-000001")
-	term.ledger.EnsureMachine("i-000001", "m", "a", true, clock.now)
-	term.announced(testReport("i-000001", 1, 5, 7))
+func TestBroadcastAnswerCountsOnlyBeforeTheFirstHeartbeat(t *testing.T) {
+	term, clock := leaderWithJob(t, 2)
+	j := term.state.Jobs["j-000001"]
+	term.state.MarkUnreconciled(j, "i-000001")
+	term.state.EnsureMachine("i-000001", "m", "a", true, clock.now)
+	term.broadcastAnswered(testHeartbeat("i-000001", 1, 5, 7))
 	if len(j.UnreconciledMachines) > 0 {
 		t.Error("a report that shows this term does not confirm the machine")
 	}
-	if out := term.exchange(testReport("i-000001", 1, 6, 7)); len(out) != 2 || out[0].Verb != protocol.VerbStart {
+	if out := term.exchange(testHeartbeat("i-000001", 1, 6, 7)); len(out) != 2 || out[0].Verb != protocol.VerbStart {
 		t.Fatalf("no starts: %v", out)
 	}
-	term.announced(testReport("i-000001", 1, 7, 7))
+	term.broadcastAnswered(testHeartbeat("i-000001", 1, 7, 7))
 	if len(j.LiveAttempts) != 2 {
 		t.Error("starts that are on their way are taken for lost")
 	}
 	// A machine that the ledger does not know is not brought in this way.
-	if term.announced(testReport("i-000009", 1, 1, 7)); term.ledger.Machines["i-000009"] != nil {
+	if term.broadcastAnswered(testHeartbeat("i-000009", 1, 1, 7)); term.state.Machines["i-000009"] != nil {
 		t.Error("an unknown machine is taken in")
 	}
 }
--- a/internal/coordination/direct.go
+++ b/internal/coordination/direct.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-// Starts travel only in answers to reports, since a command that is sent straight
+// Placements travel only in answers to reports, since a command that is sent straight
 // to a worker may be carried out minutes later. But a report may be seconds away,
 // and what is urgent need not wait for it:
 //
@@ -21,41 +21,41 @@
 //     the refusal makes it report; the answer brings the real start.
 
 const (
-	directCall  = units.Second
-	directWorth = units.Second // a report that is due sooner is waited for
+	pushTimeout = units.Second
+	minPushLead = units.Second // a report that is due sooner is waited for
 )
 
-// requestDirect notes that a machine is to be told something before its next report:
+// requestPush notes that a machine is to be told something before its next report:
 // which tasks to stop, and, if a task of a job waits to be started there, to
 // report.
-func (t *Term) requestDirect(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
-	if m.Endpoint == "" || m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now <= directWorth {
+func (t *Leader) requestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
+	if m.Endpoint == "" || m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now <= minPushLead {
 		return
 	}
-	if t.directRequests[m.ID] == nil || starts != nil {
-		t.directRequests[m.ID] = &directRequest{starts}
+	if t.pushRequests[m.ID] == nil || starts != nil {
+		t.pushRequests[m.ID] = &pushRequest{starts}
 	}
-	signal(t.directSignal)
+	raise(t.pushSignal)
 }
 
-// directRequest is why a machine is told something before its next report.
-type directRequest struct{ starts *cluster.Job }
+// pushRequest is why a machine is told something before its next report.
+type pushRequest struct{ startOf *cluster.Job }
 
-// directLoop tells machines what cannot wait.
-func (t *Term) directLoop(ctx context.Context) {
+// pushLoop tells machines what cannot wait.
+func (t *Leader) pushLoop(ctx context.Context) {
 	caller := transport.NewCaller(t.Dial, protocol.MaxBody)
-	slots := make(chan struct{}, directSlots(t.Settings.Fleet.Resources.MaxConnections))
+	slots := make(chan struct{}, pushSlots(t.Settings.Fleet.Resources.MaxConnections))
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.directSignal:
+		case <-t.pushSignal:
 		}
 		t.mu.Lock()
-		machines := t.directRequests
-		t.directRequests = map[string]*directRequest{}
+		machines := t.pushRequests
+		t.pushRequests = map[string]*pushRequest{}
 		t.mu.Unlock()
 		for _, id := range sortedKeys(machines) {
 			select {
@@ -67,11 +67,11 @@
 			go func() {
 				defer wg.Done()
 				defer func() { <-slots }()
-				endpoint, body := t.direct(id, machines[id].starts)
+				endpoint, body := t.pushCommands(id, machines[id].startOf)
 				if body == nil {
 					return
 				}
-				if status, _, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, directCall); err != nil || status != 200 {
+				if status, _, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, pushTimeout); err != nil || status != 200 {
 					t.Log.Debug("direct commands not taken", "machine", id, "status", status, "error", err)
 				}
 			}()
@@ -79,13 +79,13 @@
 	}
 }
 
-// direct gives the commands for a machine that cannot wait, and where to send
+// pushCommands gives the commands for a machine that cannot wait, and where to send
 // them.
-func (t *Term) direct(id string, starts *cluster.Job) (endpoint string, body []byte) {
+func (t *Leader) pushCommands(id string, starts *cluster.Job) (endpoint string, body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := t.ledger.Machines[id]
-	if m == nil || m.FencingToken != t.number || !t.Lease.Valid(t.number) {
+	m := t.state.Machines[id]
+	if m == nil || m.FencingToken != t.token || !t.Elector.Valid(t.token) {
 		return "", nil
 	}
 	var out []protocol.Command
@@ -101,18 +101,18 @@
 		}
 	}
 	if starts != nil && starts.Spec.Tasks < protocol.MaxTasks {
-		t.attempts++
+		t.attemptsStarted++
 		out = append(out, protocol.Command{
 			Verb:    protocol.VerbStart,
 			Task:    protocol.TaskName(starts.Spec.ID, starts.Spec.Tasks),
-			Attempt: t.number<<32 | t.attempts,
+			Attempt: t.token<<32 | t.attemptsStarted,
 		})
 	}
 	if len(out) == 0 {
 		return "", nil
 	}
 	return m.Endpoint, protocol.Encode(protocol.DirectCommands{
-		FencingToken: t.number,
+		FencingToken: t.token,
 		Incarnation:  m.Incarnation,
 		Commands:     out,
 	})
--- a/internal/coordination/finals.go
+++ b/internal/coordination/finals.go
@@ -10,17 +10,17 @@
 	"dunestand/internal/units"
 )
 
-func (t *Term) readFinal(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
-	return ReadFinal(ctx, t.Store, id)
+func (t *Leader) readTerminal(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
+	return ReadTerminal(ctx, t.KV, id)
 }
 
-// finalCall bounds the read of a final record. A user waits for it, for 2 s in all.
-const finalCall = 1200 * units.Millisecond
+// terminalReadTimeout bounds the read of a final record. A user waits for it, for 2 s in all.
+const terminalReadTimeout = 1200 * units.Millisecond
 
-// ReadFinal reads a finished job's record.
-func ReadFinal(ctx context.Context, store *kv.Client, id string) (storage.StoredTerminalRecord, bool, error) {
+// ReadTerminal reads a finished job's record.
+func ReadTerminal(ctx context.Context, store *kv.Client, id string) (storage.StoredTerminalRecord, bool, error) {
 	var f storage.StoredTerminalRecord
-	item, ok, err := store.Get(ctx, storage.KeyTerminal(id), finalCall)
+	item, ok, err := store.Get(ctx, storage.KeyTerminal(id), terminalReadTimeout)
 	if err != nil || !ok {
 		return f, false, err
 	}
@@ -31,50 +31,50 @@
 	return f, true, nil
 }
 
-// finalCache keeps the final states of the jobs asked about last, with a
+// terminalCache keeps the final states of the jobs asked about last, with a
 // bound on their number.
-type finalCache struct {
-	most     int
-	old, new map[string]storage.StoredTerminalRecord
+type terminalCache struct {
+	maxEntries   int
+	older, newer map[string]storage.StoredTerminalRecord
 }
 
-func newFinalCache(most int) *finalCache {
-	return &finalCache{most: most, old: map[string]storage.StoredTerminalRecord{}, new: map[string]storage.StoredTerminalRecord{}}
+func newTerminalCache(most int) *terminalCache {
+	return &terminalCache{maxEntries: most, older: map[string]storage.StoredTerminalRecord{}, newer: map[string]storage.StoredTerminalRecord{}}
 }
 
-func (c *finalCache) put(id string, f storage.StoredTerminalRecord) {
-	if len(c.new) >= c.most/2 {
-		c.old, c.new = c.new, map[string]storage.StoredTerminalRecord{}
+func (c *terminalCache) put(id string, f storage.StoredTerminalRecord) {
+	if len(c.newer) >= c.maxEntries/2 {
+		c.older, c.newer = c.newer, map[string]storage.StoredTerminalRecord{}
 	}
-	c.new[id] = f
+	c.newer[id] = f
 }
 
-func (c *finalCache) get(id string) (storage.StoredTerminalRecord, bool) {
-	if f, ok := c.new[id]; ok {
+func (c *terminalCache) get(id string) (storage.StoredTerminalRecord, bool) {
+	if f, ok := c.newer[id]; ok {
 		return f, true
 	}
-	f, ok := c.old[id]
+	f, ok := c.older[id]
 	if ok {
 		c.put(id, f)
 	}
 	return f, ok
 }
 
-// final finds the final state of a job that is not live.
-func (t *Term) final(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
+// terminalJob finds the terminalJob state of a job that is not live.
+func (t *Leader) terminalJob(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
 	t.mu.Lock()
-	f, ok := t.finals.get(id)
+	f, ok := t.terminalJobs.get(id)
 	t.mu.Unlock()
 	if ok {
 		return f, true, nil
 	}
-	if !t.Store.HasRequestBudget() {
+	if !t.KV.HasRequestBudget() {
 		return f, false, kv.ErrRefused // questions about unknown jobs must not crowd out the rest
 	}
-	f, ok, err := t.readFinal(ctx, id)
+	f, ok, err := t.readTerminal(ctx, id)
 	if ok {
 		t.mu.Lock()
-		t.finals.put(id, f)
+		t.terminalJobs.put(id, f)
 		t.mu.Unlock()
 	}
 	return f, ok, err
--- a/internal/coordination/format.go
+++ b/internal/coordination/format.go
@@ -13,121 +13,121 @@
 	"dunestand/internal/units"
 )
 
-// FleetFormat answers one question, for all that is written: which format of
+// FormatNegotiator answers one question, for all that is written: which format of
 // records does every controller read that may ever lead again? During an upgrade
 // controllers of the version before are among them, and any of them may lead at
 // any moment. Each controller says in a record of its own, durably, which format
 // it reads; once all that are configured have said so, the leader raises the
 // fleet's format. It is never lowered, so a leader that comes later decides the
 // same.
-type FleetFormat struct {
-	node  string
-	nodes []string // all that are configured
-	store *kv.Client
-	log   *slog.Logger
-	reads int // the format that this node tells the others
-
-	level      atomic.Int64
-	newer      atomic.Bool // the fleet has a format that this version does not know
+type FormatNegotiator struct {
+	node      string
+	nodes     []string // all that are configured
+	kvClient  *kv.Client
+	log       *slog.Logger
+	supported int // the format that this node tells the others
+
+	current    atomic.Int64
+	tooNew     atomic.Bool // the fleet has a format that this version does not know
 	registered bool
 }
 
-const formatEvery = units.Second
+const formatInterval = units.Second
 
-// NewFleetFormat makes the fleet's format as a controller knows it. The controller tells
+// NewFormatNegotiator makes the fleet's format as a controller knows it. The controller tells
 // the others that it reads the format given, and all before it.
-func NewFleetFormat(node string, others []string, reads int, store *kv.Client, log *slog.Logger) *FleetFormat {
-	f := &FleetFormat{node: node, nodes: append([]string{node}, others...), reads: reads, store: store, log: log}
-	f.level.Store(storage.FormatOld)
+func NewFormatNegotiator(node string, others []string, reads int, store *kv.Client, log *slog.Logger) *FormatNegotiator {
+	f := &FormatNegotiator{node: node, nodes: append([]string{node}, others...), supported: reads, kvClient: store, log: log}
+	f.current.Store(storage.FormatOld)
 	return f
 }
 
-// Level is the format that may be written.
-func (f *FleetFormat) Level() int { return int(f.level.Load()) }
+// Current is the format that may be written.
+func (f *FormatNegotiator) Current() int { return int(f.current.Load()) }
 
-// Newer tells whether records may have a format that this version does not
+// TooNew tells whether records may have a format that this version does not
 // know. It then must not lead: what it cannot read it would forget.
-func (f *FleetFormat) Newer() bool { return f.newer.Load() }
+func (f *FormatNegotiator) TooNew() bool { return f.tooNew.Load() }
 
 // Run tells the others which format this node reads, and raises the fleet's
 // while it leads.
-func (f *FleetFormat) Run(ctx context.Context, leads func() bool) {
-	for wait := units.Micros(0); pause(ctx, wait); wait = formatEvery {
+func (f *FormatNegotiator) Run(ctx context.Context, leads func() bool) {
+	for wait := units.Micros(0); sleep(ctx, wait); wait = formatInterval {
 		err := f.step(ctx, leads())
 		if err != nil {
 			f.log.Debug("the fleet's format is not known for certain", "error", err)
 		}
-		if err == nil && f.registered && f.Level() >= f.reads {
+		if err == nil && f.registered && f.Current() >= f.supported {
 			return
 		}
 	}
 }
 
-// Read finds out what the fleet's format is now.
-func (f *FleetFormat) Read(ctx context.Context) error {
-	_, err := f.read(ctx)
+// Refresh finds out what the fleet's format is now.
+func (f *FormatNegotiator) Refresh(ctx context.Context) error {
+	_, err := f.readRecords(ctx)
 	return err
 }
 
-func (f *FleetFormat) read(ctx context.Context) (map[string]stored, error) {
-	list, err := f.store.List(ctx, storage.PrefixFormats, "", stateCall)
+func (f *FormatNegotiator) readRecords(ctx context.Context) (map[string]storedFormat, error) {
+	list, err := f.kvClient.List(ctx, storage.PrefixFormats, "", kvTimeout)
 	if err != nil {
 		return nil, err
 	}
-	known := map[string]stored{}
+	known := map[string]storedFormat{}
 	for _, item := range list.Items {
 		var r storage.FormatRecord
 		if err := protocol.Decode(item.Value, &r); err != nil {
 			return nil, fmt.Errorf("record %s: %w", item.Key, err)
 		}
-		known[item.Key] = stored{r.Format, item.Version}
+		known[item.Key] = storedFormat{r.Format, item.Version}
 	}
-	f.learn(known[storage.KeyFleetFormat].format)
+	f.adopt(known[storage.KeyFleetFormat].format)
 	return known, nil
 }
 
-// stored is a format as a record has it.
-type stored struct {
+// storedFormat is a format as a record has it.
+type storedFormat struct {
 	format  int
 	version uint64
 }
 
-func (f *FleetFormat) learn(level int) {
-	if level > storage.NewestFormat && !f.newer.Swap(true) {
+func (f *FormatNegotiator) adopt(level int) {
+	if level > storage.NewestFormat && !f.tooNew.Swap(true) {
 		f.log.Error("the fleet's records have a format of a later version; this node does not lead", "format", level, "known", storage.NewestFormat)
 	}
-	if level > f.Level() {
-		f.level.Store(int64(level))
-		f.store.ApplyNextLimits()
+	if level > f.Current() {
+		f.current.Store(int64(level))
+		f.kvClient.ApplyNextLimits()
 		f.log.Info("fleet format", "format", level)
 	}
 }
 
-func (f *FleetFormat) step(ctx context.Context, leads bool) error {
-	known, err := f.read(ctx)
+func (f *FormatNegotiator) step(ctx context.Context, leads bool) error {
+	known, err := f.readRecords(ctx)
 	if err != nil {
 		return err
 	}
 	own := storage.KeyFormat(f.node)
-	if known[own].format < f.reads {
-		if err := f.write(ctx, own, f.reads, known[own].version); err != nil {
+	if known[own].format < f.supported {
+		if err := f.write(ctx, own, f.supported, known[own].version); err != nil {
 			return err
 		}
-		f.log.Info("format told", "node", f.node, "format", f.reads)
-		known[own] = stored{format: f.reads}
+		f.log.Info("format told", "node", f.node, "format", f.supported)
+		known[own] = storedFormat{format: f.supported}
 	}
 	f.registered = true
-	if level := readByAll(f.nodes, known); leads && level > f.Level() {
+	if level := supportedByAll(f.nodes, known); leads && level > f.Current() {
 		if err := f.write(ctx, storage.KeyFleetFormat, level, known[storage.KeyFleetFormat].version); err != nil {
 			return err
 		}
-		f.learn(level)
+		f.adopt(level)
 	}
 	return nil
 }
 
-// readByAll gives the newest format that every controller reads.
-func readByAll(nodes []string, known map[string]stored) int {
+// supportedByAll gives the newest format that every controller reads.
+func supportedByAll(nodes []string, known map[string]storedFormat) int {
 	level := storage.NewestFormat
 	for _, node := range nodes {
 		level = min(level, max(known[storage.KeyFormat(node)].format, storage.FormatOld))
@@ -135,14 +135,14 @@
 	return level
 }
 
-func (f *FleetFormat) write(ctx context.Context, key string, format int, on uint64) error {
-	_, err := f.store.CompareAndSwap(ctx, protocol.Txn{
+func (f *FormatNegotiator) write(ctx context.Context, key string, format int, on uint64) error {
+	_, err := f.kvClient.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{{Key: key, Version: on}},
 		Then: []protocol.Change{{
 			Set:   key,
 			Value: protocol.Encode(storage.FormatRecord{Format: format, WrittenBy: f.node}),
 		}},
-	}, kv.Urgent, stateCall)
+	}, kv.Urgent, kvTimeout)
 	var conflict *kv.VersionConflictError
 	if errors.As(err, &conflict) {
 		return errors.New("another write came first") // the next look tells
--- a/internal/coordination/format_test.go
+++ b/internal/coordination/format_test.go
@@ -21,17 +21,17 @@
 )
 
 // formatsOn makes what each of some controllers knows of the fleet's format.
-func formatsOn(t *testing.T, s *standin.State, nodes ...string) map[string]*FleetFormat {
+func formatsOn(t *testing.T, s *standin.State, nodes ...string) map[string]*FormatNegotiator {
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
-	out := map[string]*FleetFormat{}
+	out := map[string]*FormatNegotiator{}
 	for i, node := range nodes {
 		store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 		}, len(nodes)-1, units.NewSystemClock())
 		others := append(append([]string{}, nodes[:i]...), nodes[i+1:]...)
-		out[node] = NewFleetFormat(node, others, storage.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		out[node] = NewFormatNegotiator(node, others, storage.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	return out
 }
@@ -47,7 +47,7 @@
 		if err := f[node].step(t.Context(), leads); err != nil {
 			t.Fatal(err)
 		}
-		if got := f[node].Level(); got != want {
+		if got := f[node].Current(); got != want {
 			t.Errorf("%s goes by format %d, want %d", node, got, want)
 		}
 	}
@@ -60,14 +60,14 @@
 	step("b", false, storage.FormatNew)
 	s.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
 	later := formatsOn(t, s, "a", "b", "c")["b"]
-	if err := later.step(t.Context(), true); err != nil || later.Level() != storage.FormatNew {
-		t.Errorf("%d, %v", later.Level(), err)
+	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatNew {
+		t.Errorf("%d, %v", later.Current(), err)
 	}
 }
 
 // Records of a format that this version does not know are neither skipped nor
-// taken for less than they are: the node gives the lease to others and does not
-// claim it while the fleet has a later format.
+// preempted for less than they are: the node gives the lease to others and does not
+// campaign it while the fleet has a later format.
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
 	for what, put := range map[string]func(s *standin.State){
 		"the fleet's format": func(s *standin.State) {
@@ -89,14 +89,14 @@
 	} {
 		s := standin.NewState()
 		put(s)
-		term := storedTerm(t, 1, s)
+		term := storedLeader(t, 1, s)
 		if term.restore(t.Context()) || term.Ready() {
 			t.Errorf("%s: the node leads", what)
 		}
-		if term.Lease.Valid(1) || term.Lease.backFor != standBack {
+		if term.Elector.Valid(1) || term.Elector.abstainFor != unreadableAbstention {
 			t.Errorf("%s: the node keeps the lease", what)
 		}
-		if newer := term.Format.Newer(); newer != (what == "the fleet's format") {
+		if newer := term.Format.TooNew(); newer != (what == "the fleet's format") {
 			t.Errorf("%s: a later version's %v", what, newer)
 		}
 	}
@@ -106,8 +106,8 @@
 // version before would call it done when its replicas end. It is told to come
 // back; what can never run is refused for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
-	term := testTerm(1, &manualClock{})
-	term.ledger.SetInstanceTypes(modelCatalog.Types)
+	term := testLeader(1, &manualClock{})
+	term.state.SetInstanceTypes(modelCatalog.Types)
 	service := *modelSpec("j-000001")
 	service.Kind, service.Tasks = protocol.Service, modelLimit
 	for _, c := range []struct {
@@ -118,7 +118,7 @@
 		{storage.FormatNew, modelLimit, 0},
 		{storage.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
 	} {
-		term.Format.level.Store(int64(c.level))
+		term.Format.current.Store(int64(c.level))
 		service.Tasks = c.tasks
 		if got, why := term.checkAdmissible(&service); got != c.want {
 			t.Errorf("format %d, %d tasks: %d %s, want %d", c.level, c.tasks, got, why, c.want)
@@ -132,7 +132,7 @@
 func TestLimitsThatFall(t *testing.T) {
 	s := standin.NewState()
 	s.Limit(16<<10, 12, 1000)
-	term := storedTerm(t, 1, s)
+	term := storedLeader(t, 1, s)
 	term.Settings.Fleet.State = config.State{
 		RPS:      1e4,
 		WriteRPS: 1e4,
@@ -140,14 +140,14 @@
 		TxnOps:   12,
 		Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 	}
-	term.ledger = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term.state = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetInstanceTypes(modelCatalog.Types)
-	go term.saveLoop(ctx)
+	term.state.SetInstanceTypes(modelCatalog.Types)
+	go term.writeLoop(ctx)
 	submit := func(id string, tasks int) {
 		t.Helper()
 		spec := *modelSpec(id)
@@ -181,12 +181,12 @@
 		term.mu.Lock()
 		defer term.mu.Unlock()
 		for i := from; i < to; i++ {
-			term.ledger.Assign(term.ledger.Jobs[large], term.ledger.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
+			term.state.Assign(term.state.Jobs[large], term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
 		}
-		signal(term.saveSignal)
+		raise(term.writeSignal)
 	}
 	named := func(to int) func() bool {
-		return func() bool { return term.ledger.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
+		return func() bool { return term.state.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
 	}
 	name(0, 300)
 	eventually(named(300))
@@ -195,27 +195,27 @@
 	for i := range 10 {
 		submit(fmt.Sprintf("j-%06d", i+10), 3)
 	}
-	time.Sleep(2 * rejectedPause.Duration())
+	time.Sleep(2 * rejectedRetryDelay.Duration())
 	if n := s.Rejected(); n == 0 || n > 3 {
 		t.Errorf("%d saves were rejected", n)
 	}
-	term.Format.level.Store(storage.FormatNew)
+	term.Format.current.Store(storage.FormatNew)
 	eventually(named(310))
 	name(310, 900)
 	eventually(named(900))
 	term.mu.Lock()
 	for i := range protocol.MaxTasks {
-		term.ledger.TaskDone(term.ledger.Jobs[large], i, 0)
+		term.state.TaskDone(term.state.Jobs[large], i, 0)
 	}
 	term.mu.Unlock()
-	signal(term.saveSignal)
-	eventually(func() bool { return term.ledger.Jobs[large] == nil })
+	raise(term.writeSignal)
+	eventually(func() bool { return term.state.Jobs[large] == nil })
 	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("left over: %v", s.Keys(storage.KeyJob(large)))
 		}
 	}
-	if f, ok, err := ReadFinal(ctx, term.Store, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
+	if f, ok, err := ReadTerminal(ctx, term.KV, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
 		t.Errorf("%+v %v %v", f, ok, err)
 	}
 }
--- a/internal/coordination/harness_test.go
+++ b/internal/coordination/harness_test.go
@@ -13,45 +13,45 @@
 	"dunestand/internal/units"
 )
 
-// guardTerm is a leader of a job that is stored and waits.
-func guardTerm(t *testing.T, tasks int) (*Term, *manualClock) {
+// leaderWithJob is a leader of a job that is stored and waits.
+func leaderWithJob(t *testing.T, tasks int) (*Leader, *manualClock) {
 	t.Helper()
 	clock := &manualClock{now: 100 * units.Second}
-	term := testTerm(7, clock)
-	term.install(nil, modelCatalog)
+	term := testLeader(7, clock)
+	term.installRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Tasks = tasks
-	term.ledger.NewJob(spec, clock.now, clock.now)
+	term.state.NewJob(spec, clock.now, clock.now)
 	term.save()
 	return term, clock
 }
 
 // save carries out all saves that are due.
-func (t *Term) save() {
+func (t *Leader) save() {
 	for {
-		s := t.ledger.BuildWriteBatch(t.saveID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
+		s := t.state.BuildWriteBatch(t.nextWriteID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
 		if s == nil {
 			return
 		}
-		t.ledger.BatchCommitted(s, 1)
+		t.state.BatchCommitted(s, 1)
 	}
 }
 
 // exchange is one report and its answer; saves that the answer needs are
 // carried out first.
-func (t *Term) exchange(r *protocol.Heartbeat) []protocol.Command {
+func (t *Leader) exchange(r *protocol.Heartbeat) []protocol.Command {
 	now := t.Clock.Steady()
-	m := t.observe(r, now)
+	m := t.reconcile(r, now)
 	if m == nil {
 		return nil
 	}
-	t.lastRound = -units.Second
-	t.round(now, m)
+	t.lastCycle = -units.Second
+	t.runCycle(now, m)
 	t.save()
 	return t.commands(m, r, now)
 }
 
-func testReport(machine string, session, seq, term uint64) *protocol.Heartbeat {
+func testHeartbeat(machine string, session, seq, term uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine:      machine,
 		InstanceType: "m",
@@ -110,21 +110,21 @@
 		Zones:     []string{"a"},
 	}}}
 
-// testTerm makes a term whose lease holds until it is taken from it.
-func testTerm(number uint64, clock units.Clock) *Term {
+// testLeader makes a term whose lease holds until it is taken from it.
+func testLeader(number uint64, clock units.Clock) *Leader {
 	settings := modelSettings()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	lease := NewFleetLease("n", nil, clock, TimingFor(modelLease), rand.New(rand.NewPCG(1, number)), log)
-	lease.holding, lease.term, lease.validUntil = true, number, 1<<60
-	return NewTerm(number, Deps{
-		Settings:    settings,
-		Policy:      config.DefaultPolicy(),
-		Lease:       lease,
-		Clock:       clock,
-		Log:         log,
-		Metrics:     NewMetrics(),
-		Format:      NewFleetFormat("n", nil, storage.FormatNew, nil, log),
-		Unreached:   func() int { return 0 },
-		PeerInReach: func() bool { return false },
+	lease := NewElector("n", nil, clock, TimingFor(modelLease), rand.New(rand.NewPCG(1, number)), log)
+	lease.leading, lease.token, lease.validUntil = true, number, 1<<60
+	return NewLeader(number, Deps{
+		Settings:         settings,
+		Policy:           config.DefaultPolicy(),
+		Elector:          lease,
+		Clock:            clock,
+		Log:              log,
+		Metrics:          NewMetrics(),
+		Format:           NewFormatNegotiator("n", nil, storage.FormatNew, nil, log),
+		UnreachablePeers: func() int { return 0 },
+		PeerReachable:    func() bool { return false },
 	})
 }
--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -43,11 +43,11 @@
 		slices.SortStableFunc(list, func(a, b int) int {
 			x, y := &machines[a], &machines[b]
 			return cmp.Or(
-				compareBools(needed[x.Type], needed[y.Type]),
+				compareBools(needed[x.InstanceType], needed[y.InstanceType]),
 				-compareBools(x.Free.Fits(like.Request) > 0, y.Free.Fits(like.Request) > 0),
 				-compareBools(before(a), before(b)),
-				-compareBools(x.Images(like.Image), y.Images(like.Image)),
-				-cmp.Compare(x.Size.CPU, y.Size.CPU))
+				-compareBools(x.HasImage(like.Image), y.HasImage(like.Image)),
+				-cmp.Compare(x.Capacity.CPU, y.Capacity.CPU))
 		})
 		out = append(out, list[:min(each, len(list))]...)
 	}
@@ -60,12 +60,12 @@
 	needed := map[string]bool{}
 	for k := range machines {
 		m := &machines[k]
-		if _, seen := needed[m.Type]; seen {
+		if _, seen := needed[m.InstanceType]; seen {
 			continue
 		}
-		rest := m.Size.Plus(like.Request, -1)
-		needed[m.Type] = slices.ContainsFunc(jobs, func(j JobView) bool {
-			return m.Size.Fits(j.Spec.Request) > 0 && rest.Fits(j.Spec.Request) == 0
+		rest := m.Capacity.Plus(like.Request, -1)
+		needed[m.InstanceType] = slices.ContainsFunc(jobs, func(j JobView) bool {
+			return m.Capacity.Fits(j.Spec.Request) > 0 && rest.Fits(j.Spec.Request) == 0
 		})
 	}
 	return needed
@@ -77,11 +77,11 @@
 	byZone = map[string][]int{}
 	for k := range machines {
 		m := &machines[k]
-		if !m.Accepts {
+		if !m.Schedulable {
 			continue
 		}
-		fleet += m.Size.CPU
-		if !m.Slow && m.Size.Fits(like.Request) > 0 && allowed(like, m.Type, m.Zone, m.Spot) {
+		fleet += m.Capacity.CPU
+		if !m.Slow && m.Capacity.Fits(like.Request) > 0 && PlacementAllowed(like, m.InstanceType, m.Zone, m.Spot) {
 			byZone[m.Zone] = append(byZone[m.Zone], k)
 		}
 	}
@@ -101,9 +101,9 @@
 
 // headroomReplica gives the urgent service whose replicas take most, nil if there is
 // none.
-func (t *Term) headroomReplica() *protocol.JobSpec {
+func (t *Leader) headroomReplica() *protocol.JobSpec {
 	var like *protocol.JobSpec
-	for _, j := range t.ledger.Jobs {
+	for _, j := range t.state.Jobs {
 		s := &j.Spec
 		if j.IsService() && !j.Cancelled && s.Priority >= protocol.High && (like == nil ||
 			cmp.Or(cmp.Compare(s.Request.CPU, like.Request.CPU), cmp.Compare(s.Request.Memory, like.Request.Memory), -cmp.Compare(s.ID, like.ID)) > 0) {
@@ -113,12 +113,12 @@
 	return like
 }
 
-// headroomReplicas is how many replicas more than there are the fleet is to have room
+// headroomReplicaCount is how many replicas more than there are the fleet is to have room
 // for: enough in each zone for a new service, and for the loss of some machines
 // together, since renting others takes a boot.
-func (t *Term) headroomReplicas(like *protocol.JobSpec) int {
+func (t *Leader) headroomReplicaCount(like *protocol.JobSpec) int {
 	var used units.Amount
-	for _, j := range t.ledger.Jobs {
+	for _, j := range t.state.Jobs {
 		if j.IsService() && !j.Cancelled {
 			used += j.Spec.Request.CPU * units.Amount(j.Spec.Tasks)
 		}
@@ -131,7 +131,7 @@
 }
 
 // updateHeadroom notes on the machines of a snapshot what room is kept on them.
-func (t *Term) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
+func (t *Leader) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
 	like := t.headroomReplica()
 	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return t.headroom[machines[k]] != units.Resources{} })
 	clear(t.headroom)
--- a/internal/coordination/inbox.go
+++ b/internal/coordination/inbox.go
@@ -21,33 +21,33 @@
 // seconds, and users would be refused for all of that time.
 
 const (
-	inboxEvery  = units.Second
-	arrivalCall = 1200 * units.Millisecond
-	typesAge    = 60 * units.Second
+	ingestInterval   = units.Second
+	pendingTimeout   = 1200 * units.Millisecond
+	instanceTypesTTL = 60 * units.Second
 )
 
-// arrivals is what a node needs to accept jobs without a leader.
-type arrivals struct {
-	alone atomic.Int64 // memory of the jobs accepted so since it last reached a leader
-	mu    sync.Mutex
-	types map[string]protocol.InstanceType
-	until units.Micros
+// leaderless is what a node needs to accept jobs without a leader.
+type leaderlessAdmission struct {
+	acceptedBytes   atomic.Int64 // memory of the jobs accepted so since it last reached a leader
+	mu              sync.Mutex
+	instanceTypes   map[string]protocol.InstanceType
+	typesValidUntil units.Micros
 }
 
 // machineTypes gives the types that the last leader stored.
 func (c *Controller) machineTypes(ctx context.Context) map[string]protocol.InstanceType {
-	a := &c.arrivals
+	a := &c.leaderless
 	now := c.deps.Clock.Steady()
 	a.mu.Lock()
-	types := a.types
-	if now >= a.until {
+	types := a.instanceTypes
+	if now >= a.typesValidUntil {
 		types = nil
 	}
 	a.mu.Unlock()
 	if types != nil {
 		return types
 	}
-	list, err := c.deps.Store.List(ctx, storage.KeyCatalog, "", arrivalCall)
+	list, err := c.deps.KV.List(ctx, storage.KeyCatalog, "", pendingTimeout)
 	if err != nil {
 		return nil
 	}
@@ -61,18 +61,18 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.types, a.until = types, now+typesAge
+	a.instanceTypes, a.typesValidUntil = types, now+instanceTypesTTL
 	return types
 }
 
-// acceptAlone puts a job into the inbox, if it is certain that the job can be
+// acceptWithoutLeader puts a job into the inbox, if it is certain that the job can be
 // taken; otherwise the refusal stands, and a leader decides when there is one.
-func (c *Controller) acceptAlone(ctx context.Context, spec *protocol.JobSpec, refused answer) answer {
-	store, lease := c.deps.Store, c.deps.Lease
-	if lease.Unanswered() >= lease.timing.Length || !store.HasRequestBudget() || !store.HasWriteBudget() {
+func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, refused answer) answer {
+	store, lease := c.deps.KV, c.deps.Elector
+	if lease.UnansweredFor() >= lease.timing.Duration || !store.HasRequestBudget() || !store.HasWriteBudget() {
 		return refused
 	}
-	if status, _ := checkRunnable(spec, c.deps.Settings, c.machineTypes(ctx), c.deps.Format.Level()); status != 0 {
+	if status, _ := checkFeasible(spec, c.deps.Settings, c.machineTypes(ctx), c.deps.Format.Current()); status != 0 {
 		return refused
 	}
 	arrival := cluster.PendingSubmissionTxn(cluster.PendingSubmission{
@@ -82,16 +82,16 @@
 	if a := c.deps.Admitter; a != nil {
 		d, condition := a.decideAlone(spec)
 		if d.Verdict != admission.Admit {
-			return c.refuseAlone(ctx, spec.ID, d, refused)
+			return c.refuseWithoutLeader(ctx, spec.ID, d, refused)
 		}
 		arrival.If = append(arrival.If, condition)
 	}
-	share := jobMemory(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
-	if c.arrivals.alone.Add(cluster.JobMemory(spec)) > share {
-		return plainAnswer(Refuse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
+	share := jobMemoryLimit(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
+	if c.leaderless.acceptedBytes.Add(cluster.JobMemory(spec)) > share {
+		return plainAnswer(ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
 	readAt := c.deps.Clock.Steady()
-	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, arrivalCall)
+	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, pendingTimeout)
 	var conflict *kv.VersionConflictError
 	switch {
 	case errors.As(err, &conflict):
@@ -105,15 +105,15 @@
 	}
 	c.deps.Log.Info("job accepted without a leader", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 	accepted := provisionalAnswer(stateAnswer(http.StatusCreated, protocol.JobState{ID: spec.ID, Stage: protocol.StagePending}), readAt)
-	if c.gate().outdated(accepted) {
+	if c.gate().isStale(accepted) {
 		return c.records().poll(ctx, spec.ID) // it may be over by now
 	}
 	return accepted
 }
 
-// refuseAlone answers for a job that is not admitted without the leader, unless the
+// refuseWithoutLeader answers for a job that is not admitted without the leader, unless the
 // records tell of it.
-func (c *Controller) refuseAlone(ctx context.Context, id string, d admission.Decision, refused answer) answer {
+func (c *Controller) refuseWithoutLeader(ctx context.Context, id string, d admission.Decision, refused answer) answer {
 	known := c.records().poll(ctx, id)
 	switch {
 	case known.Status == http.StatusOK:
@@ -124,11 +124,11 @@
 	return refused
 }
 
-// inboxLoop takes in what other controllers accepted.
-func (t *Term) inboxLoop(ctx context.Context) {
-	var watch inboxWatch
-	for wait := units.Micros(0); pause(ctx, wait); wait = inboxEvery {
-		if !t.Lease.Valid(t.number) || !t.Store.HasRequestBudget() {
+// ingestLoop takes in what other controllers accepted.
+func (t *Leader) ingestLoop(ctx context.Context) {
+	var watch pendingWatcher
+	for wait := units.Micros(0); sleep(ctx, wait); wait = ingestInterval {
+		if !t.Elector.Valid(t.token) || !t.KV.HasRequestBudget() {
 			continue
 		}
 		items, err := watch.next(ctx, t)
@@ -136,22 +136,22 @@
 			t.Log.Debug("inbox not read", "error", err)
 			continue
 		}
-		t.takeIn(ctx, items)
+		t.ingest(ctx, items)
 	}
 }
 
-// askInbox takes a single job in, if it is in the inbox.
-func (t *Term) askInbox(ctx context.Context, id string) error {
-	item, ok, err := t.Store.Get(ctx, storage.KeyPending(id), arrivalCall)
+// ingestOne takes a single job in, if it is in the inbox.
+func (t *Leader) ingestOne(ctx context.Context, id string) error {
+	item, ok, err := t.KV.Get(ctx, storage.KeyPending(id), pendingTimeout)
 	if err == nil && ok {
-		return t.takeIn(ctx, []protocol.Item{item})
+		return t.ingest(ctx, []protocol.Item{item})
 	}
 	return err
 }
 
-// takeIn adds jobs from the inbox to the ledger. One that is over has no more
+// ingest adds jobs from the inbox to the ledger. One that is over has no more
 // use there: its user sent it again, and the leader was in reach then.
-func (t *Term) takeIn(ctx context.Context, items []protocol.Item) (unreadable error) {
+func (t *Leader) ingest(ctx context.Context, items []protocol.Item) (unreadable error) {
 	var over protocol.Txn
 	t.mu.Lock()
 	for _, item := range items {
@@ -161,34 +161,34 @@
 			unreadable = err
 			continue
 		}
-		if _, final := t.finals.get(a.Spec.ID); !final {
-			if t.ledger.Jobs[a.Spec.ID] == nil {
+		if _, final := t.terminalJobs.get(a.Spec.ID); !final {
+			if t.state.Jobs[a.Spec.ID] == nil {
 				t.Log.Info("job taken in", "job", a.Spec.ID, "class", a.Spec.Class, "team", a.Spec.Team, "tasks", a.Spec.Tasks)
 			}
-			t.ledger.AddPending(a, t.Clock.Steady())
+			t.state.AddPending(a, t.Clock.Steady())
 		} else if len(over.Then) < t.Settings.Fleet.State.Both().TxnOps {
 			over.If = append(over.If, protocol.Condition{Key: item.Key, Version: item.Version})
 			over.Then = append(over.Then, protocol.Change{Delete: item.Key})
 		} else {
-			t.inboxUncleared.Store(true)
+			t.pendingUncleared.Store(true)
 		}
 	}
 	t.mu.Unlock()
 	if len(items) > 0 {
-		signal(t.saveSignal)
+		raise(t.writeSignal)
 	}
 	if len(over.Then) > 0 {
-		if _, err := t.Store.CompareAndSwap(ctx, over, kv.Paced, stateCall); err != nil {
+		if _, err := t.KV.CompareAndSwap(ctx, over, kv.Paced, kvTimeout); err != nil {
 			t.Log.Debug("inbox not cleared", "error", err)
-			t.inboxUncleared.Store(true)
+			t.pendingUncleared.Store(true)
 		}
 	}
 	return unreadable
 }
 
-// knows tells whether a job is live here.
-func (t *Term) knows(id string) bool {
+// isLive tells whether a job is live here.
+func (t *Leader) isLive(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ledger.Jobs[id] != nil
+	return t.state.Jobs[id] != nil
 }
--- a/internal/coordination/inboxwatch.go
+++ b/internal/coordination/inboxwatch.go
@@ -10,24 +10,24 @@
 	"dunestand/internal/units"
 )
 
-// inboxResync is how often the whole inbox is read again, whatever the changes told.
-const inboxResync = 30 * units.Second
+// pendingResyncInterval is how often the whole inbox is read again, whatever the changes told.
+const pendingResyncInterval = 30 * units.Second
 
-// inboxWatch follows the inbox. Hundreds of jobs may be in it for half a minute after a
+// pendingWatcher follows the inbox. Hundreds of jobs may be in it for half a minute after a
 // burst, and to read them all each second took much of a leader's processor just then: so
 // the whole is read once in a while, and the changes since in between.
-type inboxWatch struct {
+type pendingWatcher struct {
 	revision uint64 // up to which the inbox is known, 0: it has to be read whole
 	readAt   units.Micros
 }
 
 // next gives what is new in the inbox.
-func (w *inboxWatch) next(ctx context.Context, t *Term) ([]protocol.Item, error) {
+func (w *pendingWatcher) next(ctx context.Context, t *Leader) ([]protocol.Item, error) {
 	now := t.Clock.Steady()
-	if w.revision == 0 || now-w.readAt >= inboxResync || t.inboxUncleared.Swap(false) {
+	if w.revision == 0 || now-w.readAt >= pendingResyncInterval || t.pendingUncleared.Swap(false) {
 		return w.read(ctx, t, now)
 	}
-	list, err := t.Store.Watch(ctx, storage.PrefixPending, w.revision, 0)
+	list, err := t.KV.Watch(ctx, storage.PrefixPending, w.revision, 0)
 	if errors.Is(err, kv.ErrCompacted) {
 		return w.read(ctx, t, now)
 	}
@@ -35,13 +35,13 @@
 		return nil, err
 	}
 	w.revision = max(w.revision, list.Revision)
-	return arrivedItems(list.Changes), nil
+	return remainingItems(list.Changes), nil
 }
 
-// read reads the whole inbox.
-func (w *inboxWatch) read(ctx context.Context, t *Term, now units.Micros) ([]protocol.Item, error) {
+// readRecords reads the whole inbox.
+func (w *pendingWatcher) read(ctx context.Context, t *Leader, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
-	items, revision, err := listAll(ctx, t.Store, storage.PrefixPending)
+	items, revision, err := listAll(ctx, t.KV, storage.PrefixPending)
 	if err != nil {
 		return nil, err
 	}
@@ -49,8 +49,8 @@
 	return items, nil
 }
 
-// arrivedItems gives the records that were put and not deleted since.
-func arrivedItems(changes []protocol.KeyChange) []protocol.Item {
+// remainingItems gives the records that were put and not deleted since.
+func remainingItems(changes []protocol.KeyChange) []protocol.Item {
 	deletedAt := map[string]uint64{}
 	for _, change := range changes {
 		if change.Delete != "" {
--- a/internal/coordination/inboxwatch_test.go
+++ b/internal/coordination/inboxwatch_test.go
@@ -22,11 +22,11 @@
 
 // After a burst the inbox held hundreds of jobs, and reading them all each second took
 // much of the leader's processor. Each job is read once, unless something went wrong.
-func TestInboxIsReadByItsChanges(t *testing.T) {
+func TestPendingQueueIsReadByItsChanges(t *testing.T) {
 	s := standin.NewState()
-	term := storedTerm(t, 1, s)
+	term := storedLeader(t, 1, s)
 	clock := term.Clock.(*manualClock)
-	var watch inboxWatch
+	var watch pendingWatcher
 	expect := func(what string, want ...string) {
 		t.Helper()
 		items, err := watch.next(t.Context(), term)
@@ -51,10 +51,10 @@
 	expect("one came and went, one came", third)
 	s.Put("other/key", protocol.Encode("x"))
 	expect("a change elsewhere")
-	term.inboxUncleared.Store(true)
+	term.pendingUncleared.Store(true)
 	expect("something was not cleared", first, third)
 	expect("and then no more")
-	clock.now += inboxResync
+	clock.now += pendingResyncInterval
 	expect("once in a while", first, third)
 	ended, end := context.WithCancel(t.Context())
 	end()
@@ -67,24 +67,24 @@
 
 // A job that is over is taken out of the inbox, though only the save that would have
 // accepted it once more tells so.
-func TestInboxOfFinishedJobsIsCleared(t *testing.T) {
+func TestPendingQueueOfFinishedJobsIsCleared(t *testing.T) {
 	s := standin.NewState()
-	term := storedTerm(t, 1, s)
+	term := storedLeader(t, 1, s)
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	over := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
 	arrives(t, s, "j-000001")
 	s.Put(storage.KeyTerminal("j-000001"), protocol.Encode(over))
-	var watch inboxWatch
+	var watch pendingWatcher
 	for range 2 {
 		items, err := watch.next(t.Context(), term)
 		if err != nil {
 			t.Fatal(err)
 		}
-		term.takeIn(t.Context(), items)
-		if save := term.startSave(); save != nil {
-			term.commit(t.Context(), save)
+		term.ingest(t.Context(), items)
+		if save := term.nextBatch(); save != nil {
+			term.commitBatch(t.Context(), save)
 		}
 		term.Clock.(*manualClock).now += units.Second
 	}
--- a/internal/coordination/lease_test.go
+++ b/internal/coordination/lease_test.go
@@ -22,7 +22,7 @@
 // leaseNode is one node's lease with a clock of its own, which starts
 // anywhere and runs up to 0.05% off.
 type leaseNode struct {
-	lease *FleetLease
+	lease *Elector
 	clock *driftingClock
 }
 
@@ -37,28 +37,28 @@
 }
 func (c *driftingClock) Wall() units.Micros { return c.Steady() }
 
-func newLeaseNode(name string, server *httptest.Server, clock units.Clock, seed uint64) *FleetLease {
+func newLeaseNode(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
 	store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e6,
 		WriteRPS: 1e6,
 	}, 0, clock)
-	return NewFleetLease(name, store, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(7, seed)), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return NewElector(name, store, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(7, seed)), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // step does what Run does between two pauses.
 func (n *leaseNode) step(ctx context.Context) {
-	if n.lease.isHolding() {
+	if n.lease.holdsLease() {
 		n.lease.renew(ctx)
 	} else {
-		n.lease.follow(ctx)
+		n.lease.watch(ctx)
 	}
 }
 
 // At no moment do two nodes hold the lease, whatever the nodes' clocks, their
 // pauses, the state service's outages, and commits without an answer or that
 // come late; and terms only go up. A process that is back at once, between its
-// claim and the outcome too, never goes on in a term of its former self: the
-// term must tell a worker's report to it from one to the other.
+// campaign and the outcome too, never goes on in a term of its former self: the
+// token must tell a worker's report to it from one to the other.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
@@ -80,7 +80,7 @@
 		late := rapid.SliceOfN(rapid.IntRange(0, 3), 13, 13).Draw(t, "late")
 		state.Late = func(n int) bool { return late[n%13] == 0 }
 		flush := rapid.SliceOfN(rapid.IntRange(0, 2), 17, 17).Draw(t, "carried out")
-		owners := map[uint64]*FleetLease{}
+		owners := map[uint64]*Elector{}
 		step := 0
 		top := uint64(0)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
@@ -95,7 +95,7 @@
 			}
 			holders := 0
 			for _, n := range nodes {
-				if term := n.lease.Term(); n.lease.Valid(term) {
+				if term := n.lease.Token(); n.lease.Valid(term) {
 					holders++
 					if term < top {
 						t.Fatalf("term %d holds after term %d", term, top)
@@ -116,7 +116,7 @@
 
 func TestLeaseRules(t *testing.T) {
 	w := leaseMonitor{timing: TimingFor(10 * units.Second)}
-	due := withDrift(w.timing.Length, w.timing.Margin)
+	due := withDrift(w.timing.Duration, w.timing.ClaimMargin)
 	if w.claimable("me", 0) {
 		t.Fatal("claimable before anything was read")
 	}
@@ -144,7 +144,7 @@
 
 // A lease that lapsed in an outage is renewed in the same term, if nobody
 // claimed it meanwhile.
-func TestLapsedLeaseIsRenewed(t *testing.T) {
+func TestExpiredLeaseIsRenewed(t *testing.T) {
 	state := standin.NewState()
 	down := false
 	state.Refuse = func(string, string) bool { return down }
@@ -152,8 +152,8 @@
 	defer server.Close()
 	truth := units.Second
 	f := newLeaseNode("a", server, &driftingClock{truth: &truth}, 1)
-	f.follow(t.Context())
-	term := f.Term()
+	f.watch(t.Context())
+	term := f.Token()
 	if !f.Valid(term) {
 		t.Fatal("not claimed")
 	}
@@ -168,7 +168,7 @@
 	if !f.Valid(term) {
 		t.Fatal("not renewed in its term")
 	}
-	f.Resign()
+	f.StepDown()
 	if f.Valid(term) {
 		t.Fatal("valid though it is being given up")
 	}
@@ -188,17 +188,17 @@
 	defer server.Close()
 	truth := units.Second
 	first := newLeaseNode("a", server, &driftingClock{truth: &truth}, 1)
-	first.follow(t.Context())
+	first.watch(t.Context())
 	again := newLeaseNode("a", server, &driftingClock{truth: &truth}, 2)
 	connected := false
 	again.Connected = func() bool { return connected }
-	again.follow(t.Context())
-	if again.isHolding() {
+	again.watch(t.Context())
+	if again.holdsLease() {
 		t.Fatal("claimed while it hears nobody")
 	}
 	connected = true
-	again.follow(t.Context())
-	if !again.isHolding() || again.Term() != 2 {
+	again.watch(t.Context())
+	if !again.holdsLease() || again.Token() != 2 {
 		t.Fatal("not claimed though it hears others")
 	}
 }
--- a/internal/coordination/leasemonitor.go
+++ b/internal/coordination/leasemonitor.go
@@ -8,49 +8,49 @@
 
 // LeaseTiming is the pace of the fleet lease.
 type LeaseTiming struct {
-	Length units.Micros // counted by the holder from when a renewal was sent
-	Renew  units.Micros
-	Poll   units.Micros
-	Margin units.Micros // a claimer waits this much longer than the length
+	Duration    units.Micros // counted by the holder from when a renewal was sent
+	RenewEvery  units.Micros
+	PollEvery   units.Micros
+	ClaimMargin units.Micros // a claimer waits this much longer than the length
 }
 
-// drift is how far apart two steady clocks can run, in millionths: each is
+// clockDriftPPM is how far apart two steady clocks can run, in millionths: each is
 // off by up to 0.05%.
-const drift = 1000
+const clockDriftPPM = 1000
 
 // withDrift is how long to wait by our clock so that a length has passed by
 // any other.
 func withDrift(length, margin units.Micros) units.Micros {
-	return length + length*drift/1_000_000 + margin
+	return length + length*clockDriftPPM/1_000_000 + margin
 }
 
 // workerLeaseMargin covers what a report and its answer take on their way.
 const workerLeaseMargin = 500 * units.Millisecond
 
-// leaseBound is how long a machine's tasks may go on after its last answered report
+// workerLeaseBound is how long a machine's tasks may go on after its last answered report
 // came in here, by any clock.
-func leaseBound(w config.Workers) units.Micros { return withDrift(w.Lease(), workerLeaseMargin) }
+func workerLeaseBound(w config.Workers) units.Micros { return withDrift(w.Lease(), workerLeaseMargin) }
 
-// confirmsAtOnce tells whether a user may be told of a cancellation as soon as it is
+// confirmsCancellationAtOnce tells whether a user may be told of a cancellation as soon as it is
 // durable. From then on every controller that prolongs a worker's lease knows of it:
 // the leader that stored it had noted it before, former ones have no lease any more,
 // and later ones answer no worker before they have read the records. So what no
 // command reaches ends with the worker's lease, and that must be within cancel_s.
 // Otherwise the user is told once nothing of the job is left on any machine.
-func confirmsAtOnce(w config.Workers) bool { return leaseBound(w) <= w.Cancel() }
+func confirmsCancellationAtOnce(w config.Workers) bool { return workerLeaseBound(w) <= w.Cancel() }
 
 // The pace of the fleet lease: its length is a share of the workers' lease within bounds.
 const (
-	minLease    = 3 * units.Second
-	maxLease    = 5 * units.Second
-	leasePoll   = 400 * units.Millisecond
-	claimMargin = 300 * units.Millisecond
+	minLeaseDuration  = 3 * units.Second
+	maxLeaseDuration  = 5 * units.Second
+	leasePollInterval = 400 * units.Millisecond
+	claimMargin       = 300 * units.Millisecond
 	// outageGrace is the time that a holder has to renew once an outage is over.
 	outageGrace = 800 * units.Millisecond
 	// A follower reads the record more often as its end comes near, no sooner than
-	// minLeasePoll, and spread over leasePollSpread so that nodes do not race.
-	minLeasePoll    = 20 * units.Millisecond
-	leasePollSpread = 100 * units.Millisecond
+	// minLeasePollInterval, and spread over leasePollJitter so that nodes do not race.
+	minLeasePollInterval = 20 * units.Millisecond
+	leasePollJitter      = 100 * units.Millisecond
 )
 
 // TimingFor chooses the lease's pace. A leader's loss costs the lease and the
@@ -58,12 +58,12 @@
 // fleet lease only helps through outages of the state service, which the
 // workers' lease bridges too.
 func TimingFor(workerLease units.Micros) LeaseTiming {
-	length := min(max(workerLease.Share(3, 10), minLease), maxLease)
+	length := min(max(workerLease.Share(3, 10), minLeaseDuration), maxLeaseDuration)
 	return LeaseTiming{
-		Length: length,
-		Renew:  length / 5,
-		Poll:   leasePoll,
-		Margin: claimMargin,
+		Duration:    length,
+		RenewEvery:  length / 5,
+		PollEvery:   leasePollInterval,
+		ClaimMargin: claimMargin,
 	}
 }
 
@@ -71,37 +71,37 @@
 // clocks of different machines: what counts is for how long this node itself
 // has seen the record unchanged.
 type leaseMonitor struct {
-	timing  LeaseTiming
-	record  storage.LeaseRecord
-	version uint64
-	seen    bool
-	since   units.Micros // when this version was first seen
-	grace   units.Micros // after an outage the holder may go first
-	broken  bool         // the last read failed
+	timing         LeaseTiming
+	record         storage.LeaseRecord
+	version        uint64
+	seen           bool
+	unchangedSince units.Micros // when this version was first seen
+	graceUntil     units.Micros // after an outage the holder may go first
+	readFailed     bool         // the last read failed
 }
 
-// observe takes in a read that was answered at now.
+// reconcile takes in a read that was answered at now.
 func (w *leaseMonitor) observe(record storage.LeaseRecord, version uint64, now units.Micros) {
-	if w.broken {
-		w.broken, w.grace = false, now+outageGrace
+	if w.readFailed {
+		w.readFailed, w.graceUntil = false, now+outageGrace
 	}
 	if !w.seen || version != w.version {
-		w.seen, w.record, w.version, w.since = true, record, version, now
+		w.seen, w.record, w.version, w.unchangedSince = true, record, version, now
 	}
 }
 
 // observeFailure takes in a read that was not answered.
-func (w *leaseMonitor) observeFailure() { w.broken = true }
+func (w *leaseMonitor) observeFailure() { w.readFailed = true }
 
 // claimable tells whether the record may be claimed: there is none, its
 // holder gave it up or was this node's former process, or it has not changed
 // for the whole lease.
 func (w *leaseMonitor) claimable(self string, now units.Micros) bool {
 	switch {
-	case !w.seen || w.broken || now < w.grace:
+	case !w.seen || w.readFailed || now < w.graceUntil:
 		return false
 	case w.version == 0 || w.record.Resigned || w.record.Holder == self:
 		return true
 	}
-	return now-w.since >= withDrift(w.timing.Length, w.timing.Margin)
+	return now-w.unchangedSince >= withDrift(w.timing.Duration, w.timing.ClaimMargin)
 }
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -68,27 +68,27 @@
 
 // logRuntime logs the runtime's figures until ctx ends.
 func (c *Controller) logRuntime(ctx context.Context) {
-	for pause(ctx, runtimeLogEvery) {
-		c.deps.Log.Info("process", "leading", c.leading() != nil, "runtime", runtimestats.Read())
+	for sleep(ctx, runtimeLogEvery) {
+		c.deps.Log.Info("process", "leading", c.activeLeader() != nil, "runtime", runtimestats.Read())
 	}
 }
 
 // Text writes the metrics; term may be nil.
-func (m *Metrics) Text(term *Term) []byte {
+func (m *Metrics) Text(term *Leader) []byte {
 	var b bytes.Buffer
 	m.set.WritePrometheus(&b)
 	for _, write := range m.writers {
 		write(&b)
 	}
 	if term != nil {
-		term.writeQueue(&b)
+		term.writeQueueMetrics(&b)
 		term.admission.publisher.writeStandings(&b)
 	}
 	return b.Bytes()
 }
 
-// writeQueue writes what waits and runs, by class and priority.
-func (t *Term) writeQueue(b *bytes.Buffer) {
+// writeQueueMetrics writes what waits and runs, by class and priority.
+func (t *Leader) writeQueueMetrics(b *bytes.Buffer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	type key struct {
@@ -96,7 +96,7 @@
 		priority protocol.Priority
 	}
 	pending, running := map[key]int{}, map[key]int{}
-	for _, j := range t.ledger.Jobs {
+	for _, j := range t.state.Jobs {
 		k := key{j.Spec.Class, j.Spec.Priority}
 		pending[k] += j.Pending()
 		running[k] += len(j.LiveAttempts)
@@ -107,10 +107,10 @@
 	}
 	reporting := 0
 	now := t.Clock.Steady()
-	for _, m := range t.ledger.Machines {
-		if m.Registered && now-m.LastHeartbeat < t.silentAfter() {
+	for _, m := range t.state.Machines {
+		if m.Registered && now-m.LastHeartbeat < t.suspectAfter() {
 			reporting++
 		}
 	}
-	fmt.Fprintf(b, "dunestand_machines %d\ndunestand_machines_reporting %d\ndunestand_term %d\n", len(t.ledger.Machines), reporting, t.number)
+	fmt.Fprintf(b, "dunestand_machines %d\ndunestand_machines_reporting %d\ndunestand_term %d\n", len(t.state.Machines), reporting, t.token)
 }
--- a/internal/coordination/model_store_test.go
+++ b/internal/coordination/model_store_test.go
@@ -30,7 +30,7 @@
 	return len(txn.Then) <= s.limits.TxnOps && len(txn.If) <= 4*s.limits.TxnOps
 }
 
-// commit gives the keys that were not as expected, none if it was carried out.
+// commitBatch gives the keys that were not as expected, none if it was carried out.
 func (s *modelStore) commit(t *rapid.T, txn protocol.Txn) (uint64, []string) {
 	var failed []string
 	for _, c := range txn.If {
@@ -84,8 +84,8 @@
 	m.arrivals = nil
 }
 
-// inbox lists what no leader has taken in.
-func (m *model) inbox() []protocol.Item {
+// pendingQueue lists what no leader has taken in.
+func (m *model) pendingQueue() []protocol.Item {
 	var items []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
 		if strings.HasPrefix(key, storage.PrefixPending) {
@@ -97,26 +97,26 @@
 
 // collect has the leader take the inbox in.
 func (m *model) collect() {
-	for _, item := range m.inbox() {
+	for _, item := range m.pendingQueue() {
 		a, err := cluster.ParsePendingSubmission(item)
 		if err != nil {
 			m.t.Fatal(err)
 		}
-		if _, over := m.leader.finals.get(a.Spec.ID); over {
+		if _, over := m.leader.terminalJobs.get(a.Spec.ID); over {
 			delete(m.store.items, item.Key)
 			continue
 		}
-		m.leader.ledger.AddPending(a, m.clock.now)
+		m.leader.state.AddPending(a, m.clock.now)
 	}
 }
 
-// write sends the leader's next save, or completes the one on its way.
+// compareAndSwap sends the leader's next save, or completes the one on its way.
 func (m *model) write() {
-	l := m.leader.ledger
+	l := m.leader.state
 	if m.save == nil {
-		m.saveNew = m.leader.Format.Level() >= storage.FormatNew
-		l.UpgradeFormat(m.leader.Format.Level(), m.clock.now)
-		m.save = l.BuildWriteBatch(m.leader.saveID(), m.leader.bucketVersions, cluster.BatchLimits{
+		m.saveNew = m.leader.Format.Current() >= storage.FormatNew
+		l.UpgradeFormat(m.leader.Format.Current(), m.clock.now)
+		m.save = l.BuildWriteBatch(m.leader.nextWriteID(), m.leader.bucketVersions, cluster.BatchLimits{
 			CoalesceFor: units.Second,
 			Background:  true,
 		}, m.clock.now)
@@ -140,7 +140,7 @@
 			if !final || m.finals[id] == "" {
 				m.t.Fatalf("a leader's own save met a conflict: %v", failed)
 			}
-			m.leader.finals.put(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
+			m.leader.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
 			l.DropUnaccepted(id) // it was in the inbox still
 		}
 		m.save = nil
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -20,7 +20,7 @@
 	t         *rapid.T
 	clock     *manualClock
 	store     *modelStore
-	leader    *Term
+	leader    *Leader
 	terms     uint64
 	workers   []*modelWorker
 	save      *cluster.WriteBatch // the leader's, on its way
@@ -29,7 +29,7 @@
 	jobs      map[string]int        // tasks of each job submitted
 	completed map[taskKey]bool
 	finals    map[string]protocol.JobStage
-	told      []told
+	told      []sentHeartbeat
 	leadsNew  bool // the leader is of the new version
 	saveNew   bool // the save on its way was built in the new form
 	specs     []protocol.JobSpec
@@ -44,7 +44,7 @@
 // begin makes any of the controllers the leader.
 func (m *model) begin() {
 	m.terms++
-	m.leader = testTerm(m.terms, m.clock)
+	m.leader = testLeader(m.terms, m.clock)
 	m.leadsNew = rapid.SampledFrom(m.nodes).Draw(m.t, "leader").upgraded
 	// The claim changes every bucket's head, so older saves fail from now on.
 	for b := range storage.Buckets {
@@ -72,20 +72,20 @@
 		if m.store.items[storage.KeyTerminal(id)].Version == 0 {
 			m.t.Fatalf("%s is not over, and has no record of its own", id)
 		}
-		m.leader.ledger.AddStaleRecords(id, keys)
+		m.leader.state.AddStaleRecords(id, keys)
 	}
 	if m.leadsNew {
 		// It reads the fleet's format before the records.
-		m.leader.Format.level.Store(int64(max(m.formats()[storage.KeyFleetFormat].format, storage.FormatOld)))
+		m.leader.Format.current.Store(int64(max(m.formats()[storage.KeyFleetFormat].format, storage.FormatOld)))
 	}
-	m.leader.install(jobs, modelCatalog)
+	m.leader.installRecords(jobs, modelCatalog)
 }
 
 func (m *model) submit() {
 	if len(m.jobs) >= 6 {
 		return
 	}
-	m.leader.ledger.NewJob(m.draw(), m.clock.now, m.clock.now)
+	m.leader.state.NewJob(m.draw(), m.clock.now, m.clock.now)
 }
 
 // draw makes a new job.
@@ -103,7 +103,7 @@
 		Estimate:  10 * units.Second,
 	}
 	// One service at most: with two, a larger task might find no machine left.
-	if len(m.services) == 0 && m.leader.Format.Level() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
+	if len(m.services) == 0 && m.leader.Format.Current() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
 		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), cpus(1), protocol.Production, 0
 		m.services[id] = true
 	}
@@ -117,11 +117,11 @@
 	for _, w := range m.workers {
 		m.leaseOf(w)
 	}
-	m.leader.expire(m.clock.now)
+	m.leader.expireLeases(m.clock.now)
 }
 
 // crash ends the leader. What it had sent may be carried out before the next
-// leader claims the buckets; later it must fail.
+// leaderName claims the buckets; later it must fail.
 func (m *model) crash() {
 	if m.save != nil {
 		if m.store.takes(m.save.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
@@ -152,18 +152,18 @@
 }
 
 func (m *model) cancel() {
-	ids := slices.Sorted(maps.Keys(m.leader.ledger.Jobs))
+	ids := slices.Sorted(maps.Keys(m.leader.state.Jobs))
 	if len(ids) == 0 {
 		return
 	}
-	if j := m.leader.ledger.Jobs[rapid.SampledFrom(ids).Draw(m.t, "job")]; j.Accepted() {
+	if j := m.leader.state.Jobs[rapid.SampledFrom(ids).Draw(m.t, "job")]; j.Accepted() {
 		m.leader.cancelJob(j)
 	}
 }
 
 func (m *model) check() {
-	for id, j := range m.leader.ledger.Jobs {
-		if m.confirmed[id] == 0 && cancelled(j, m.leader.Settings.Fleet.Workers) {
+	for id, j := range m.leader.state.Jobs {
+		if m.confirmed[id] == 0 && cancellationConfirmed(j, m.leader.Settings.Fleet.Workers) {
 			m.confirmed[id] = m.clock.now
 		}
 	}
@@ -194,20 +194,20 @@
 }
 
 // endTroubles ends all troubles and plays on until every accepted job that was not
-// cancelled is done. Nothing may be forgotten, and nothing may wait for ever.
+// cancellationConfirmed is done. Nothing may be forgotten, and nothing may wait for ever.
 func (m *model) endTroubles() {
 	m.calm = true
 	for _, w := range m.workers {
-		w.answersLost, w.reportsLost, w.hungUntil = false, false, 0
+		w.answersLost, w.heartbeatsLost, w.hungUntil = false, false, 0
 	}
 	m.finishUpgrade()
 	m.land()
 	accepted := map[string]bool{}
-	for _, item := range m.inbox() {
+	for _, item := range m.pendingQueue() {
 		a, _ := cluster.ParsePendingSubmission(item)
-		accepted[a.Spec.ID] = m.finals[a.Spec.ID] == "" && m.leader.ledger.Jobs[a.Spec.ID] == nil
+		accepted[a.Spec.ID] = m.finals[a.Spec.ID] == "" && m.leader.state.Jobs[a.Spec.ID] == nil
 	}
-	for id, j := range m.leader.ledger.Jobs {
+	for id, j := range m.leader.state.Jobs {
 		accepted[id] = (j.Accepted() || accepted[id]) && !j.Cancelled
 	}
 	for range 600 {
@@ -216,11 +216,11 @@
 		for range 4 {
 			m.write()
 		}
-		m.leader.expire(m.clock.now)
+		m.leader.expireLeases(m.clock.now)
 		for i := range m.workers {
 			w := m.workers[i]
 			m.leaseOf(w)
-			if machine := m.leader.ledger.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= maxUndelivered) {
+			if machine := m.leader.state.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= maxUndeliveredCommands) {
 				m.releaseWorker(i)
 				continue
 			}
@@ -228,14 +228,14 @@
 				w.awaited, w.answer = false, nil
 			}
 			if !w.awaited {
-				m.reportOf(w)
+				m.heartbeatOf(w)
 			}
 			m.deliverTo(w)
 			m.workOn(w)
 			m.check()
 		}
 	}
-	if left := m.inbox(); len(left) > 0 {
+	if left := m.pendingQueue(); len(left) > 0 {
 		m.t.Fatalf("%d jobs are in the inbox long after all troubles", len(left))
 	}
 	for id, open := range accepted {
@@ -246,7 +246,7 @@
 			continue
 		}
 		if open && m.finals[id] != protocol.StageDone {
-			j := m.leader.ledger.Jobs[id]
+			j := m.leader.state.Jobs[id]
 			m.t.Fatalf("%s is not done long after all troubles: final %q, known %v", id, m.finals[id], j != nil)
 		}
 	}
@@ -266,13 +266,13 @@
 }
 
 func (m *model) need(job string) int {
-	if j := m.leader.ledger.Jobs[job]; j != nil {
+	if j := m.leader.state.Jobs[job]; j != nil {
 		return int(j.Spec.Request.CPU / 1_000_000)
 	}
 	return 0
 }
 
-func TestRandomDaysKeepTheRules(t *testing.T) {
+func TestRandomDaysKeepTheInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			t:        t,
@@ -299,8 +299,8 @@
 			}
 		}
 		m.begin()
-		actions := []func(){m.submit, m.report, m.report, m.report, m.deliver, m.deliver, m.deliver, m.work, m.work,
-			m.write, m.write, m.write, m.pass, m.crash, m.cancel, m.release, m.late, m.loseAnswers, m.announce, m.hearTold, m.arrive, m.land, m.collect, m.upgrade, m.raise, m.fall, m.loseReports, m.hang, m.cancelAtEnd, m.repeat, m.absence, m.lateAnswer}
+		actions := []func(){m.submit, m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver, m.work, m.work,
+			m.write, m.write, m.write, m.pass, m.crash, m.cancel, m.release, m.late, m.loseAnswers, m.broadcast, m.hearTold, m.arrive, m.land, m.collect, m.upgrade, m.raise, m.fall, m.loseHeartbeats, m.hang, m.cancelAtEnd, m.repeat, m.absence, m.lateAnswer}
 		weights := []int{0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 12, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 1, 4, 2, 5, 3, 6, 13, 13, 14, 15, 16, 16, 17, 18, 18, 19, 20, 21, 22, 22, 23, 23, 23, 23, 23, 23, 24, 24, 24, 25, 26, 26, 27, 27, 28, 28, 29, 30, 30, 30, 30, 31, 31, 31}
 		for range rapid.IntRange(50, 250).Draw(t, "steps") {
 			actions[rapid.SampledFrom(weights).Draw(t, "action")]()
--- a/internal/coordination/model_upgrade_test.go
+++ b/internal/coordination/model_upgrade_test.go
@@ -25,12 +25,12 @@
 }
 
 // formats gives what the controllers have said, and the fleet's format.
-func (m *model) formats() map[string]stored {
-	known := map[string]stored{}
+func (m *model) formats() map[string]storedFormat {
+	known := map[string]storedFormat{}
 	for key, item := range m.store.items {
 		var r storage.FormatRecord
 		if strings.HasPrefix(key, storage.PrefixFormats) && protocol.Decode(item.Value, &r) == nil {
-			known[key] = stored{r.Format, item.Version}
+			known[key] = storedFormat{r.Format, item.Version}
 		}
 	}
 	return known
@@ -65,7 +65,7 @@
 	for i := range m.nodes {
 		names = append(names, nodeName(i))
 	}
-	if all := readByAll(names, known); all > max(level, storage.FormatOld) {
+	if all := supportedByAll(names, known); all > max(level, storage.FormatOld) {
 		level = all
 		m.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
@@ -75,10 +75,10 @@
 }
 
 func (m *model) learn(level int) {
-	if level > m.leader.Format.Level() {
-		m.leader.Format.level.Store(int64(level))
+	if level > m.leader.Format.Current() {
+		m.leader.Format.current.Store(int64(level))
 	}
-	m.leader.ledger.UpgradeFormat(m.leader.Format.Level(), m.clock.now)
+	m.leader.state.UpgradeFormat(m.leader.Format.Current(), m.clock.now)
 }
 
 // fall lowers the limits of the state service, some time after the upgrade.
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -23,45 +23,45 @@
 }
 
 type modelWorker struct {
-	id            string
-	alive         bool
-	session, seq  uint64
-	token         uint64
-	leaseFrom     units.Micros
-	tasks         map[taskKey]modelTask
-	awaited       bool // a report is in flight
-	sentAt        units.Micros
-	answer        *protocol.HeartbeatResponse // on its way
-	reportSession uint64
-	answersLost   bool // its reports arrive, answers do not reach it
-	reportsLost   bool // it reaches no controller; direct commands reach it
-	hungUntil     units.Micros
+	id                    string
+	alive                 bool
+	incarnation, sequence uint64
+	token                 uint64
+	leaseFrom             units.Micros
+	tasks                 map[taskKey]modelTask
+	awaited               bool // a report is in flight
+	sentAt                units.Micros
+	answer                *protocol.HeartbeatResponse // on its way
+	heartbeatIncarnation  uint64
+	answersLost           bool // its reports arrive, answers do not reach it
+	heartbeatsLost        bool // it reaches no controller; direct commands reach it
+	hungUntil             units.Micros
 }
 
 func (m *model) hung(w *modelWorker) bool { return m.clock.now < w.hungUntil }
 
-// told is a worker's answer to an announcement, on its way.
-type told struct {
-	to     *Term
-	report *protocol.Heartbeat
+// sentHeartbeat is a worker's answer to an announcement, on its way.
+type sentHeartbeat struct {
+	to        *Leader
+	heartbeat *protocol.Heartbeat
 }
 
-func (m *model) report() {
-	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && !w.awaited && !w.reportsLost && !m.hung(w) {
-		m.reportOf(w)
+func (m *model) heartbeat() {
+	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && !w.awaited && !w.heartbeatsLost && !m.hung(w) {
+		m.heartbeatOf(w)
 	}
 }
 
-// report makes a worker's report of now.
-func (w *modelWorker) report() *protocol.Heartbeat {
-	w.seq++
+// heartbeat makes a worker's heartbeat of now.
+func (w *modelWorker) heartbeat() *protocol.Heartbeat {
+	w.sequence++
 	r := &protocol.Heartbeat{
 		Machine:      w.id,
 		InstanceType: "m",
 		Zone:         "a",
 		Spot:         true,
-		Incarnation:  w.session,
-		Sequence:     w.seq,
+		Incarnation:  w.incarnation,
+		Sequence:     w.sequence,
 		FencingToken: w.token,
 	}
 	keys := slices.SortedFunc(maps.Keys(w.tasks), func(a, b taskKey) int { return len(a.job) - len(b.job) + a.index - b.index })
@@ -78,9 +78,9 @@
 	return r
 }
 
-func (m *model) reportOf(w *modelWorker) {
-	r := w.report()
-	w.awaited, w.sentAt, w.reportSession, w.answer = true, m.clock.now, w.session, nil
+func (m *model) heartbeatOf(w *modelWorker) {
+	r := w.heartbeat()
+	w.awaited, w.sentAt, w.heartbeatIncarnation, w.answer = true, m.clock.now, w.incarnation, nil
 	if !m.calm && rapid.IntRange(0, 5).Draw(m.t, "report copied") == 0 {
 		m.held = append(m.held, r) // the copy comes at any later time
 	}
@@ -93,16 +93,16 @@
 
 func (m *model) serve(r *protocol.Heartbeat) *protocol.HeartbeatResponse {
 	t, now := m.leader, m.clock.now
-	machine := t.observe(r, now)
+	machine := t.reconcile(r, now)
 	if machine == nil {
 		return nil
 	}
-	t.expire(now)
-	t.round(now, machine)
-	return &protocol.HeartbeatResponse{FencingToken: t.number, Commands: t.commands(machine, r, now)}
+	t.expireLeases(now)
+	t.runCycle(now, machine)
+	return &protocol.HeartbeatResponse{FencingToken: t.token, Commands: t.commands(machine, r, now)}
 }
 
-// late brings the leader a report that was held back. Nobody waits for the
+// suspected brings the leader a report that was held back. Nobody waits for the
 // answer any more.
 func (m *model) late() {
 	if len(m.held) == 0 {
@@ -111,7 +111,7 @@
 	i := rapid.IntRange(0, len(m.held)-1).Draw(m.t, "held report")
 	r := m.held[i]
 	for _, w := range m.workers {
-		if w.id == r.Machine && w.awaited && w.seq == r.Sequence && w.session == r.Incarnation {
+		if w.id == r.Machine && w.awaited && w.sequence == r.Sequence && w.incarnation == r.Incarnation {
 			return // it still waits
 		}
 	}
@@ -130,7 +130,7 @@
 	lost := w.answersLost || !m.calm && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
 	a := w.answer
 	w.awaited, w.answer = false, nil
-	if lost || a == nil || m.clock.now-w.sentAt > workerWaits || a.FencingToken < w.token || w.reportSession != w.session {
+	if lost || a == nil || m.clock.now-w.sentAt > workerWaits || a.FencingToken < w.token || w.heartbeatIncarnation != w.incarnation {
 		return
 	}
 	w.token, w.leaseFrom = a.FencingToken, w.sentAt
@@ -196,13 +196,13 @@
 // leaseOf lets a worker begin its next session when its lease has run out.
 func (m *model) leaseOf(w *modelWorker) {
 	if w.alive && !m.hung(w) && m.clock.now-w.leaseFrom > modelLease {
-		w.session++
+		w.incarnation++
 		w.leaseFrom = m.clock.now
 		clear(w.tasks)
 	}
 }
 
-// release returns a machine to the cloud; by its answer the machine is gone.
+// check returns a machine to the cloud; by its answer the machine is gone.
 func (m *model) release() {
 	m.releaseWorker(rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "released"))
 }
@@ -212,10 +212,10 @@
 	w.alive = false
 	t, now := m.leader, m.clock.now
 	t.released.add(w.id, now)
-	if machine := t.ledger.Machines[w.id]; machine != nil {
-		t.ledger.RemoveMachine(machine, now)
+	if machine := t.state.Machines[w.id]; machine != nil {
+		t.state.RemoveMachine(machine, now)
 	} else {
-		t.ledger.MarkReconciled(w.id)
+		t.state.MarkReconciled(w.id)
 	}
 	m.workers[i] = m.newWorker()
 }
@@ -224,23 +224,23 @@
 	id := fmt.Sprintf("i-%06d", m.store.revision*10+uint64(len(m.workers)))
 	m.store.revision++
 	return &modelWorker{
-		id:        id,
-		alive:     true,
-		session:   1,
-		leaseFrom: m.clock.now,
-		tasks:     map[taskKey]modelTask{},
+		id:          id,
+		alive:       true,
+		incarnation: 1,
+		leaseFrom:   m.clock.now,
+		tasks:       map[taskKey]modelTask{},
 	}
 }
 
-// announce tells a worker the term; its answer may come late.
-func (m *model) announce() {
+// broadcastTo tells a worker the term; its answer may come late.
+func (m *model) broadcast() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
 	if !w.alive || w.answersLost || m.hung(w) {
 		return
 	}
-	w.token = m.leader.number
-	m.leader.ledger.EnsureMachine(w.id, "m", "a", true, m.clock.now)
-	m.told = append(m.told, told{m.leader, w.report()})
+	w.token = m.leader.token
+	m.leader.state.EnsureMachine(w.id, "m", "a", true, m.clock.now)
+	m.told = append(m.told, sentHeartbeat{m.leader, w.heartbeat()})
 	if rapid.Bool().Draw(m.t, "answered at once") {
 		m.hearTold()
 	}
@@ -250,7 +250,7 @@
 func (m *model) hearTold() {
 	for _, a := range m.told {
 		if a.to == m.leader {
-			a.to.announced(a.report)
+			a.to.broadcastAnswered(a.heartbeat)
 		}
 	}
 	m.told = nil
@@ -262,10 +262,10 @@
 	w.answersLost = !w.answersLost
 }
 
-// loseReports keeps a worker's reports from all controllers, or ends that.
-func (m *model) loseReports() {
+// loseHeartbeats keeps a worker's reports from all controllers, or ends that.
+func (m *model) loseHeartbeats() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	w.reportsLost = !w.reportsLost
+	w.heartbeatsLost = !w.heartbeatsLost
 }
 
 // hang stops a worker for a while, and cancels a job that runs there.
@@ -293,7 +293,7 @@
 // cancelOn cancels a job that a worker holds.
 func (m *model) cancelOn(w *modelWorker) {
 	for _, k := range slices.SortedFunc(maps.Keys(w.tasks), func(a, b taskKey) int { return len(a.job) - len(b.job) + a.index - b.index }) {
-		if j := m.leader.ledger.Jobs[k.job]; j != nil && j.Accepted() && m.jobs[k.job]%2 == 0 {
+		if j := m.leader.state.Jobs[k.job]; j != nil && j.Accepted() && m.jobs[k.job]%2 == 0 {
 			m.leader.cancelJob(j)
 			return
 		}
@@ -324,7 +324,7 @@
 	if !m.undisturbed(w) {
 		return
 	}
-	copied := w.report()
+	copied := w.heartbeat()
 	m.write() // the names that starts wait for
 	m.write()
 	m.ask(w)
@@ -336,13 +336,13 @@
 
 // undisturbed tells whether a worker is neither waiting for an answer nor in any trouble.
 func (m *model) undisturbed(w *modelWorker) bool {
-	return w.alive && !w.awaited && !w.answersLost && !w.reportsLost && !m.hung(w)
+	return w.alive && !w.awaited && !w.answersLost && !w.heartbeatsLost && !m.hung(w)
 }
 
 // ask has a worker report to the leader at once; the answer is on its way.
 func (m *model) ask(w *modelWorker) {
-	w.awaited, w.sentAt, w.reportSession = true, m.clock.now, w.session
-	w.answer = m.serve(w.report())
+	w.awaited, w.sentAt, w.heartbeatIncarnation = true, m.clock.now, w.incarnation
+	w.answer = m.serve(w.heartbeat())
 }
 
 // goOnWithout lets a time pass in which all but one worker report and are answered.
@@ -352,16 +352,16 @@
 		m.clock.now += step
 		m.write()
 		m.write()
-		m.leader.expire(m.clock.now)
+		m.leader.expireLeases(m.clock.now)
 		for _, w := range m.workers {
 			m.leaseOf(w)
-			if w == absent || !w.alive || w.reportsLost || m.hung(w) {
+			if w == absent || !w.alive || w.heartbeatsLost || m.hung(w) {
 				continue
 			}
 			if w.awaited {
 				m.deliverTo(w)
 			} else {
-				m.reportOf(w)
+				m.heartbeatOf(w)
 			}
 			m.check()
 		}
--- a/internal/coordination/newcontroller.go
+++ b/internal/coordination/newcontroller.go
@@ -14,9 +14,9 @@
 	"dunestand/internal/units"
 )
 
-// usersSockets are for users and workers.
-func usersSockets(maxConnections int) int {
-	return max(maxConnections-socketsKept(maxConnections), maxConnections/2)
+// userSockets are for users and workers.
+func userSockets(maxConnections int) int {
+	return max(maxConnections-reservedSockets(maxConnections), maxConnections/2)
 }
 
 // Environment is what a node gets from the program around it.
@@ -41,20 +41,20 @@
 // NewController makes a node from its settings.
 func NewController(s *config.Settings, env Environment) *Controller {
 	c := &Controller{
-		deps:    newDeps(s, env),
-		reader:  protocol.NewHeartbeatReader(),
-		reports: newReportLimiter(),
-		peers:   NewPeers(env.Dial, s.Others, env.Clock, env.Random, env.Log),
-		server: transport.NewServer(usersSockets(s.Fleet.Resources.MaxConnections),
-			3*s.Fleet.Workers.Report()+usersPause, env.Log),
+		deps:             newDeps(s, env),
+		heartbeatReader:  protocol.NewHeartbeatReader(),
+		heartbeatLimiter: newHeartbeatLimiter(),
+		peers:            NewPeers(env.Dial, s.Others, env.Clock, env.Random, env.Log),
+		server: transport.NewServer(userSockets(s.Fleet.Resources.MaxConnections),
+			3*s.Fleet.Workers.Report()+userPollGap, env.Log),
 	}
-	c.deps.Unreached, c.deps.PeerInReach = c.peers.Unreached, c.peers.ReachesAny
-	c.lastWorker.Store(-1 << 50)
+	c.deps.UnreachablePeers, c.deps.PeerReachable = c.peers.UnreachableCount, c.peers.AnyReachable
+	c.lastHeartbeat.Store(-1 << 50)
 	// A node begins as if it had just been of use: when all were restarted, the
 	// load balancer is to know them again by the time one of them leads.
 	c.lastUseful.Store(int64(env.Clock.Steady()))
-	c.deps.Lease.Connected = c.connected
-	c.deps.Lease.Able = func() bool { return !c.deps.Format.Newer() }
+	c.deps.Elector.Connected = c.connected
+	c.deps.Elector.Eligible = func() bool { return !c.deps.Format.TooNew() }
 	c.deps.addMetrics()
 	c.routes()
 	return c
@@ -72,15 +72,15 @@
 		reads = storage.FormatAdmission
 	}
 	store := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(others), env.Clock)
-	format := NewFleetFormat(s.Node, others, reads, store, env.Log)
+	format := NewFormatNegotiator(s.Node, others, reads, store, env.Log)
 	metrics := NewMetrics()
 	return Deps{
 		Settings: s,
 		Policy:   env.Policy,
-		Store:    store,
+		KV:       store,
 		Dial:     env.Dial,
 		Cloud:    cloud.NewClient(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
-		Lease:    NewFleetLease(s.Node, store.WithOwnConnections(), env.Clock, TimingFor(s.Fleet.Workers.Lease()), env.Random, env.Log),
+		Elector:  NewElector(s.Node, store.WithOwnConnections(), env.Clock, TimingFor(s.Fleet.Workers.Lease()), env.Random, env.Log),
 		Clock:    env.Clock,
 		Log:      env.Log,
 		Metrics:  metrics,
@@ -91,19 +91,19 @@
 
 // connected tells whether this node hears workers or other controllers, or is alone.
 func (c *Controller) connected() bool {
-	sinceWorker := c.deps.Clock.Steady() - units.Micros(c.lastWorker.Load())
-	return len(c.deps.Settings.Others) == 0 || c.peers.ReachesAny() || sinceWorker < linkFresh
+	sinceWorker := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeat.Load())
+	return len(c.deps.Settings.Others) == 0 || c.peers.AnyReachable() || sinceWorker < linkFreshness
 }
 
 // addMetrics shows the node's own state and its use of the state service.
 func (d *Deps) addMetrics() {
-	stats, limits := d.Store.Stats, d.Settings.Fleet.State
+	stats, limits := d.KV.Stats, d.Settings.Fleet.State
 	gauges := []struct {
 		name  string
 		value func() float64
 	}{
-		{"dunestand_fleet_format", func() float64 { return float64(d.Format.Level()) }},
-		{"dunestand_lease_remaining_seconds", func() float64 { return d.Lease.Remaining().Seconds() }},
+		{"dunestand_fleet_format", func() float64 { return float64(d.Format.Current()) }},
+		{"dunestand_lease_remaining_seconds", func() float64 { return d.Elector.Remaining().Seconds() }},
 		{"dunestand_state_requests_total", func() float64 { return float64(stats.Requests.Load()) }},
 		{"dunestand_state_writes_total", func() float64 { return float64(stats.Writes.Load()) }},
 		{"dunestand_state_refused_total", func() float64 { return float64(stats.Refused.Load()) }},
--- a/internal/coordination/nolimit_test.go
+++ b/internal/coordination/nolimit_test.go
@@ -17,20 +17,20 @@
 // guestTasks is more than all machines of the model and any limit have room for.
 const guestTasks = 25_000
 
-// guestTerm is a restored term with a second team that has neither guarantee nor limit,
+// guestLeader is a restored term with a second team that has neither guarantee nor limit,
 // and with a job of that team.
-func guestTerm(t *testing.T) *Term {
+func guestLeader(t *testing.T) *Leader {
 	t.Helper()
-	term := storedTerm(t, 1, standin.NewState())
+	term := storedLeader(t, 1, standin.NewState())
 	term.Settings.Fleet.Teams = append(term.Settings.Fleet.Teams, config.Team{Name: "guest"})
-	term.ledger = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term.state = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetInstanceTypes(modelCatalog.Types)
-	go term.saveLoop(ctx)
+	term.state.SetInstanceTypes(modelCatalog.Types)
+	go term.writeLoop(ctx)
 	spec := modelSpec("j-000001")
 	spec.Team = "guest"
 	spec.Tasks = guestTasks
@@ -45,22 +45,22 @@
 // of 0 is none. Such a job is accepted, machines are rented for all of it, and its tasks
 // are placed wherever there is room.
 func TestTeamWithoutALimitIsServed(t *testing.T) {
-	term := guestTerm(t)
+	term := guestLeader(t)
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	needs := term.needs()
+	needs := term.demand()
 	if len(needs) != 1 || needs[0].Count != guestTasks {
 		t.Errorf("machines are rented for %v, want one need of %d tasks", needs, guestTasks)
 	}
 	machine := &cluster.Machine{}
 	for i := range 3 {
-		machine = term.ledger.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
-		machine.Registered, machine.FencingToken = true, term.number
+		machine = term.state.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
+		machine.Registered, machine.FencingToken = true, term.token
 	}
 	s, _ := term.snapshot(term.Clock.Steady(), machine)
-	s.Batch = guestTasks
+	s.MaxPlacements = guestTasks
 	placed := 0
-	for _, start := range Plan(&s).Starts {
+	for _, start := range Plan(&s).Placements {
 		placed += start.Count
 	}
 	if want := 3 * modelMachine * 4; placed != want {
@@ -71,19 +71,19 @@
 // The summary counts teams near their limit: one without a limit never is, also where
 // nine tenths of "no limit" would be reckoned.
 func TestTeamWithoutALimitIsNeverNearIt(t *testing.T) {
-	term := guestTerm(t)
+	term := guestLeader(t)
 	term.mu.Lock()
 	defer term.mu.Unlock()
 	var log bytes.Buffer
 	term.Log = slog.New(slog.NewTextHandler(&log, nil))
-	term.ledger.Teams["guest"].Used = cpus(1_000_000)
-	term.summary(0)
+	term.state.Teams["guest"].Used = cpus(1_000_000)
+	term.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=0") {
 		t.Errorf("the summary: %s", log.String())
 	}
-	term.ledger.Teams["team"].Used = cpus(modelLimit)
+	term.state.Teams["team"].Used = cpus(modelLimit)
 	log.Reset()
-	term.summary(0)
+	term.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=1") {
 		t.Errorf("the summary with a team at its limit: %s", log.String())
 	}
@@ -91,7 +91,7 @@
 
 // Why a submission was refused for good is logged: users are told, on-call people asked.
 func TestRefusalsAreLogged(t *testing.T) {
-	term := guestTerm(t)
+	term := guestLeader(t)
 	var log bytes.Buffer
 	term.Log = slog.New(slog.NewTextHandler(&log, nil))
 	spec := modelSpec("j-000002")
--- a/internal/coordination/order_test.go
+++ b/internal/coordination/order_test.go
@@ -19,8 +19,8 @@
 func TestEveryJobBeginsUnderOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &manualClock{now: 100 * units.Second}
-		term := testTerm(7, clock)
-		term.install(nil, modelCatalog)
+		term := testLeader(7, clock)
+		term.installRecords(nil, modelCatalog)
 		due := map[string]units.Micros{}
 		ends := map[cluster.AttemptKey]units.Micros{}
 		lasts := rapid.SliceOfN(rapid.IntRange(2, 8), 20, 20).Draw(t, "run times")
@@ -33,13 +33,13 @@
 				spec.Request = cpus(rapid.IntRange(1, 3).Draw(t, "cpus"))
 				spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
 				spec.Estimate = 5 * units.Second
-				term.ledger.NewJob(spec, clock.now, clock.now)
+				term.state.NewJob(spec, clock.now, clock.now)
 				due[spec.ID] = clock.now + 240*units.Second
 				term.save()
 			}
 			for i := range 2 {
-				r := testReport(fmt.Sprintf("i-%06d", i), 1, uint64(step+1), 7)
-				if m := term.ledger.Machines[r.Machine]; m != nil {
+				r := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, uint64(step+1), 7)
+				if m := term.state.Machines[r.Machine]; m != nil {
 					for _, a := range m.SortedAttempts() {
 						if a.Stage == cluster.Assigned {
 							continue
@@ -57,11 +57,11 @@
 						r.Tasks = append(r.Tasks, task)
 					}
 				}
-				m := term.observe(r, clock.now)
+				m := term.reconcile(r, clock.now)
 				if step%3 == 0 {
-					term.round(clock.now, m)
+					term.runCycle(clock.now, m)
 				} else {
-					term.fill(m, clock.now)
+					term.placeOnMachine(m, clock.now)
 				}
 				term.save()
 				term.commands(m, r, clock.now)
@@ -75,7 +75,7 @@
 			}
 			for id, at := range due {
 				if clock.now > at {
-					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, term.ledger.Jobs[id].Spec.Request.CPU/1_000_000)
+					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, term.state.Jobs[id].Spec.Request.CPU/1_000_000)
 				}
 			}
 		}
@@ -86,9 +86,9 @@
 // of the grown mills a job of 97 s by its estimate, due after 120 s, was put
 // behind everything once it had waited 23 s.
 func TestALittleLateByTheEstimateIsNotLate(t *testing.T) {
-	term, clock := guardTerm(t, 1)
+	term, clock := leaderWithJob(t, 1)
 	term.Settings.Fleet.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 120}}
-	j := term.ledger.Jobs["j-000001"]
+	j := term.state.Jobs["j-000001"]
 	j.Spec.Estimate = 97 * units.Second
 	for waited, late := range map[units.Micros]bool{10: false, 40: false, 70: true} {
 		j.Submitted = clock.now - waited*units.Second
@@ -100,43 +100,43 @@
 
 // A job waits for tasks to end by themselves only where enough of them do: in a
 // small fleet its tasks would start late for nothing.
-func TestPatienceNeedsCompletions(t *testing.T) {
-	term, clock := guardTerm(t, 10)
-	j := term.ledger.Jobs["j-000001"]
+func TestAwaitingCompletionsNeedsCompletions(t *testing.T) {
+	term, clock := leaderWithJob(t, 10)
+	j := term.state.Jobs["j-000001"]
 	j.Spec.Priority = protocol.High
 	for range 20 {
-		term.completions.pass(clock.now)
+		term.completions.advance(clock.now)
 		clock.now += units.Second
-		term.completions.freed = cpus(4).CPU // a second, 8 in the patience of 2 s
+		term.completions.freedCPU = cpus(4).CPU // a second, 8 in the patience of 2 s
 	}
 	j.LearnedAt = clock.now
-	if term.patient(j, clock.now) {
+	if term.awaitsCompletions(j, clock.now) {
 		t.Error("a job of ten processors waits for eight")
 	}
 	j.Spec.Tasks = 7
-	if !term.patient(j, clock.now) {
+	if !term.awaitsCompletions(j, clock.now) {
 		t.Error("a job of seven processors does not wait for eight")
 	}
-	if term.patient(j, clock.now+2*units.Second) {
+	if term.awaitsCompletions(j, clock.now+2*units.Second) {
 		t.Error("it waits for ever")
 	}
 }
 
 // When more is to be written than may be, what a user waits for goes first.
-func TestUsersAreSavedFirst(t *testing.T) {
-	term, clock := guardTerm(t, 1)
+func TestUserRequestsAreWrittenFirst(t *testing.T) {
+	term, clock := leaderWithJob(t, 1)
 	for i := range 40 {
-		term.ledger.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.now, clock.now)
+		term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.now, clock.now)
 	}
 	term.save()
-	for _, j := range term.ledger.Jobs {
-		term.ledger.TaskDone(j, 0, clock.now)
+	for _, j := range term.state.Jobs {
+		term.state.TaskDone(j, 0, clock.now)
 		j.MarkChanged(clock.now, true)
 	}
 	clock.now += units.Second
-	term.ledger.NewJob(*modelSpec("j-000100"), clock.now, clock.now)
-	term.cancelJob(term.ledger.Jobs["j-000030"])
-	s := term.ledger.BuildWriteBatch("x", term.bucketVersions, cluster.BatchLimits{}, clock.now)
+	term.state.NewJob(*modelSpec("j-000100"), clock.now, clock.now)
+	term.cancelJob(term.state.Jobs["j-000030"])
+	s := term.state.BuildWriteBatch("x", term.bucketVersions, cluster.BatchLimits{}, clock.now)
 	if first := s.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
 		t.Errorf("saved first: %v", first)
 	}
@@ -145,8 +145,8 @@
 // A start whose save is a little late goes with the next report, which is seconds
 // away where reports come seldom: there the answer waits longer for the save, and
 // always far less than the 4 s after which the worker gives up.
-func TestAnswersWaitForSavesByThePaceOfReports(t *testing.T) {
-	term, _ := guardTerm(t, 1)
+func TestHeartbeatAnswersWaitForWritesByTheHeartbeatInterval(t *testing.T) {
+	term, _ := leaderWithJob(t, 1)
 	for seconds, want := range map[float64]units.Micros{0.8: 150, 3: 300, 5: 500, 60: 500} {
 		term.Settings.Fleet.Workers.ReportS = seconds
 		if got := term.durableWait(); got != want*units.Millisecond {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -23,28 +23,28 @@
 }
 
 type peerLink struct {
-	link   *transport.Link
-	heard  atomic.Int64 // steady time of the last answer
-	leads  atomic.Bool  // as the peer itself said then
-	nextID atomic.Uint64
-	mu     sync.Mutex
-	open   map[uint64]chan protocol.Frame
+	link         *transport.Link
+	lastAnswerAt atomic.Int64 // steady time of the last answer
+	leading      atomic.Bool  // as the peer itself said then
+	nextID       atomic.Uint64
+	mu           sync.Mutex
+	pending      map[uint64]chan protocol.Frame
 }
 
 const (
-	pingEvery   = units.Second
-	pingFirst   = 150 * units.Millisecond  // until a peer answers
-	forwardWait = 1700 * units.Millisecond // users wait 2 s for a poll
-	submitWait  = 200 * units.Millisecond  // then the node can still accept a job by itself
-	linkFresh   = 3 * units.Second
+	pingInterval         = units.Second
+	firstPingInterval    = 150 * units.Millisecond  // typesValidUntil a peer answers
+	forwardTimeout       = 1700 * units.Millisecond // users wait 2 s for a poll
+	forwardSubmitTimeout = 200 * units.Millisecond  // then the node can still accept a job by itself
+	linkFreshness        = 3 * units.Second
 )
 
 // NewPeers makes the links to the other controllers.
 func NewPeers(dial transport.DialFunc, others []config.Peer, clock units.Clock, random *rand.Rand, log *slog.Logger) *Peers {
 	p := &Peers{clock: clock, links: map[string]*peerLink{}}
 	for _, o := range others {
-		l := &peerLink{open: map[uint64]chan protocol.Frame{}}
-		l.heard.Store(-1 << 50)
+		l := &peerLink{pending: map[uint64]chan protocol.Frame{}}
+		l.lastAnswerAt.Store(-1 << 50)
 		seeded := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 		l.link = transport.NewLink(dial, o.Endpoint, func(frame []byte) { p.received(l, frame) }, l.drop, seeded, log)
 		p.links[o.Node] = l
@@ -63,10 +63,10 @@
 		}()
 		go func() {
 			defer wg.Done()
-			for wait := pingFirst; pause(ctx, wait); {
+			for wait := firstPingInterval; sleep(ctx, wait); {
 				_ = l.link.Send(protocol.EncodeFrame(protocol.Frame{Kind: protocol.FramePing}))
-				if wait = pingEvery; !p.fresh(l) {
-					wait = pingFirst
+				if wait = pingInterval; !p.fresh(l) {
+					wait = firstPingInterval
 				}
 			}
 		}()
@@ -79,17 +79,17 @@
 	if err != nil {
 		return
 	}
-	l.heard.Store(int64(p.clock.Steady()))
+	l.lastAnswerAt.Store(int64(p.clock.Steady()))
 	if f.Kind != protocol.FrameResponse {
 		return
 	}
 	if f.ID == 0 { // the answer to a ping
-		l.leads.Store(f.Job != "")
+		l.leading.Store(f.Job != "")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c := l.open[f.ID]; c != nil {
-		delete(l.open, f.ID)
+	if c := l.pending[f.ID]; c != nil {
+		delete(l.pending, f.ID)
 		c <- f // has room for one
 	}
 }
@@ -98,40 +98,40 @@
 func (l *peerLink) drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, c := range l.open {
-		delete(l.open, id)
+	for id, c := range l.pending {
+		delete(l.pending, id)
 		close(c)
 	}
 }
 
-// Reaches tells whether a peer has answered lately.
-func (p *Peers) Reaches(node string) bool {
+// Reachable tells whether a peer has answered lately.
+func (p *Peers) Reachable(node string) bool {
 	l := p.links[node]
 	return l != nil && p.fresh(l)
 }
 
 func (p *Peers) fresh(l *peerLink) bool {
-	return l.link.Up() && p.clock.Steady()-units.Micros(l.heard.Load()) < linkFresh
+	return l.link.Up() && p.clock.Steady()-units.Micros(l.lastAnswerAt.Load()) < linkFreshness
 }
 
-// Leading names the peer that says it leads, "" if none does.
-func (p *Peers) Leading() string {
+// Leader names the peer that says it leads, "" if none does.
+func (p *Peers) Leader() string {
 	for _, node := range sortedKeys(p.links) {
-		if l := p.links[node]; p.fresh(l) && l.leads.Load() {
+		if l := p.links[node]; p.fresh(l) && l.leading.Load() {
 			return node
 		}
 	}
 	return ""
 }
 
-// Refused tells whether a peer's machine refuses connections.
-func (p *Peers) Refused(node string) bool {
+// RefusesConnections tells whether a peer's machine refuses connections.
+func (p *Peers) RefusesConnections(node string) bool {
 	l := p.links[node]
 	return l != nil && l.link.Refused()
 }
 
-// Unreached counts the peers from which nothing comes, not even a refusal.
-func (p *Peers) Unreached() int {
+// UnreachableCount counts the peers from which nothing comes, not even a refusal.
+func (p *Peers) UnreachableCount() int {
 	n := 0
 	for _, l := range p.links {
 		if !p.fresh(l) && !l.link.Refused() {
@@ -141,10 +141,10 @@
 	return n
 }
 
-// ReachesAny tells whether any peer has answered lately.
-func (p *Peers) ReachesAny() bool {
+// AnyReachable tells whether any peer has answered lately.
+func (p *Peers) AnyReachable() bool {
 	for node := range p.links {
-		if p.Reaches(node) {
+		if p.Reachable(node) {
 			return true
 		}
 	}
@@ -160,11 +160,11 @@
 	id := l.nextID.Add(1)
 	answer := make(chan protocol.Frame, 1)
 	l.mu.Lock()
-	l.open[id] = answer
+	l.pending[id] = answer
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.open, id)
+		delete(l.pending, id)
 		l.mu.Unlock()
 	}()
 	if err := l.link.Send(protocol.EncodeFrame(protocol.Frame{
@@ -175,9 +175,9 @@
 	})); err != nil {
 		return transport.Response{}, err
 	}
-	wait := forwardWait
+	wait := forwardTimeout
 	if kind == protocol.FrameSubmit {
-		wait = submitWait
+		wait = forwardSubmitTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
--- a/internal/coordination/persistence.go
+++ b/internal/coordination/persistence.go
@@ -14,87 +14,89 @@
 	"dunestand/internal/units"
 )
 
-func (t *Term) saveID() string {
-	t.saves++
-	return fmt.Sprintf("%d-%d", t.number, t.saves)
+func (t *Leader) nextWriteID() string {
+	t.writes++
+	return fmt.Sprintf("%d-%d", t.token, t.writes)
 }
 
 const (
-	maxSaving  = 3                       // saves on their way at a time
-	lazySave   = units.Second            // changes nobody waits for are gathered so long
-	saveGather = 2 * units.Millisecond   // submissions that come together are saved together
-	saveTick   = 200 * units.Millisecond // for the changes nobody waits for
-	// mostAwaited bounds for how many changes the rate of writes must have room before a
+	maxWritesInFlight       = 3                       // writes on their way at a time
+	coalesceBackground      = units.Second            // changes nobody waits for are gathered so long
+	coalesceUrgent          = 2 * units.Millisecond   // submissions that come together are saved together
+	backgroundWriteInterval = 200 * units.Millisecond // for the changes nobody waits for
+	// maxBatchWait bounds for how many changes the rate of writes must have room before a
 	// save is built. Fewer would be many small transactions; more would let what comes
 	// meanwhile wait longer.
-	mostAwaited = 4
-	// writesRetry is until the rate is looked at again.
-	writesRetry = 50 * units.Millisecond
+	maxBatchWait = 4
+	// writeBudgetRetry is until the rate is looked at again.
+	writeBudgetRetry = 50 * units.Millisecond
 )
 
-// saveLoop writes changed records.
-func (t *Term) saveLoop(ctx context.Context) {
+// writeLoop writes changed records.
+func (t *Leader) writeLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	tick := saveTick
+	tick := backgroundWriteInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.saveSignal:
-			if !pause(ctx, saveGather) {
+		case <-t.writeSignal:
+			if !sleep(ctx, coalesceUrgent) {
 				return
 			}
 		case <-time.After(tick.Duration()):
 		}
-		tick = saveTick
+		tick = backgroundWriteInterval
 		for {
-			if t.Store.WritesAvailable() < t.leastChanges() {
-				tick = writesRetry
+			if t.KV.WritesAvailable() < t.minBatchChanges() {
+				tick = writeBudgetRetry
 				break
 			}
-			s := t.startSave()
+			s := t.nextBatch()
 			if s == nil {
 				break
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				t.commit(ctx, s)
+				t.commitBatch(ctx, s)
 				t.mu.Lock()
-				t.saving--
+				t.writesInFlight--
 				t.mu.Unlock()
-				signal(t.saveSignal)
+				raise(t.writeSignal)
 			}()
 		}
 	}
 }
 
-// leastChanges is for how many changes the rate of writes must have room before a save is
+// minBatchChanges is for how many changes the rate of writes must have room before a save is
 // built.
-func (t *Term) leastChanges() int { return min(mostAwaited, t.Settings.Fleet.State.Both().TxnOps) }
+func (t *Leader) minBatchChanges() int {
+	return min(maxBatchWait, t.Settings.Fleet.State.Both().TxnOps)
+}
 
-// startSave builds the next save if one may be sent now, and counts its writes. It is built
+// nextBatch builds the next save if one may be sent now, and counts its writes. It is built
 // only once the rate of writes has room for it: what waits for the rate can still be
 // overtaken by what a user waits for, what is built can not.
-func (t *Term) startSave() *cluster.WriteBatch {
+func (t *Leader) nextBatch() *cluster.WriteBatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.saving >= maxSaving {
+	if t.writesInFlight >= maxWritesInFlight {
 		return nil
 	}
 	now := t.Clock.Steady()
-	t.ledger.UpgradeFormat(t.Format.Level(), now)
-	s := t.ledger.BuildWriteBatch(t.saveID(), t.bucketVersions, cluster.BatchLimits{
-		CoalesceFor: lazySave,
-		Background:  t.Store.HasWriteBudget(),
-		MaxChanges:  max(t.leastChanges(), t.Store.WritesAvailable()),
+	t.state.UpgradeFormat(t.Format.Current(), now)
+	s := t.state.BuildWriteBatch(t.nextWriteID(), t.bucketVersions, cluster.BatchLimits{
+		CoalesceFor: coalesceBackground,
+		Background:  t.KV.HasWriteBudget(),
+		MaxChanges:  max(t.minBatchChanges(), t.KV.WritesAvailable()),
 	}, now)
 	if s == nil {
 		return nil
 	}
-	t.saving++
-	t.Store.ReserveWrites(len(s.Txn.Then))
+	t.writesInFlight++
+	t.KV.ReserveWrites(len(s.Txn.Then))
 	return s
 }
 
@@ -102,119 +104,119 @@
 const (
 	commitBackoff    = 100 * units.Millisecond
 	maxCommitBackoff = 400 * units.Millisecond
-	readRetry        = 200 * units.Millisecond
+	readRetryDelay   = 200 * units.Millisecond
 )
 
-// commit carries a save through. A save without an answer may be carried out
+// commitBatch carries a save through. A save without an answer may be carried out
 // at any later time, so the very same one is sent until its outcome is known:
 // its conditions see to it that it happens once.
-func (t *Term) commit(ctx context.Context, s *cluster.WriteBatch) {
+func (t *Leader) commitBatch(ctx context.Context, s *cluster.WriteBatch) {
 	uncertain := false
 	began := t.Clock.Steady()
 	pacing := kv.Prepaid
 	for wait := commitBackoff; ; wait = min(2*wait, maxCommitBackoff) {
-		version, err := t.Store.CompareAndSwap(ctx, s.Txn, pacing, stateCall)
+		version, err := t.KV.CompareAndSwap(ctx, s.Txn, pacing, kvTimeout)
 		pacing = kv.Paced
 		if err == nil {
-			if t.traces {
+			if t.traceAttempts {
 				t.Log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
 					"took_us", int64(t.Clock.Steady()-began))
 			}
-			t.applied(s, version)
+			t.batchCommitted(s, version)
 			return
 		}
 		var conflict *kv.VersionConflictError
 		switch {
 		case errors.As(err, &conflict):
 			if uncertain && s.ProbeKey() != "" {
-				version, ours, err := t.probe(ctx, s)
+				version, ours, err := t.probeOutcome(ctx, s)
 				if err != nil {
 					break
 				}
 				if ours {
-					t.applied(s, version)
+					t.batchCommitted(s, version)
 					return
 				}
 			}
-			t.conflicted(ctx, s, conflict)
+			t.batchConflicted(ctx, s, conflict)
 			return
 		case errors.Is(err, kv.ErrOutcomeUnknown):
 			uncertain = true
 		case errors.Is(err, kv.ErrInvalidRequest):
-			t.rejected(ctx, s, uncertain)
+			t.batchRejected(ctx, s, uncertain)
 			return
 		case !errors.Is(err, kv.ErrRefused):
 			t.Log.Error("save not understood", "jobs", s.JobIDs(), "error", err)
 			uncertain = true
 		}
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			return
 		}
 	}
 }
 
-// rejectedPause spaces saves that the state service does not take.
-const rejectedPause = 400 * units.Millisecond
+// rejectedRetryDelay spaces saves that the state service does not take.
+const rejectedRetryDelay = 400 * units.Millisecond
 
-// rejected handles a save that the state service will not take as it is: it has
+// batchRejected handles a save that the state service will not take as it is: it has
 // lower limits now. The save is built anew. But one that was sent before and got
 // no answer may have been carried out, or may be still.
-func (t *Term) rejected(ctx context.Context, s *cluster.WriteBatch, uncertain bool) {
+func (t *Leader) batchRejected(ctx context.Context, s *cluster.WriteBatch, uncertain bool) {
 	for uncertain {
-		version, ours, err := t.probe(ctx, s)
+		version, ours, err := t.probeOutcome(ctx, s)
 		if err == nil && ours {
-			t.applied(s, version)
+			t.batchCommitted(s, version)
 			return
 		}
 		if err == nil {
 			// Only a new term's claim makes certain that it never is.
 			t.Log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.JobIDs())
-			t.Lease.Resign()
+			t.Elector.StepDown()
 			return
 		}
-		if !pause(ctx, rejectedPause) {
+		if !sleep(ctx, rejectedRetryDelay) {
 			return
 		}
 	}
 	t.mu.Lock()
-	first := t.ledger.ApplyNextLimits()
+	first := t.state.ApplyNextLimits()
 	t.mu.Unlock()
-	t.Store.ApplyNextLimits()
+	t.KV.ApplyNextLimits()
 	t.Log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
-	if !first && !pause(ctx, rejectedPause) {
+	if !first && !sleep(ctx, rejectedRetryDelay) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ledger.BatchRejected(s, t.Clock.Steady())
+	t.state.BatchRejected(s, t.Clock.Steady())
 }
 
-func (t *Term) probe(ctx context.Context, s *cluster.WriteBatch) (uint64, bool, error) {
-	item, ok, err := t.Store.Get(ctx, s.ProbeKey(), stateCall)
+func (t *Leader) probeOutcome(ctx context.Context, s *cluster.WriteBatch) (uint64, bool, error) {
+	item, ok, err := t.KV.Get(ctx, s.ProbeKey(), kvTimeout)
 	if err != nil || !ok {
 		return 0, false, err
 	}
-	save, err := saveOf(item.Value)
+	save, err := writeIDOf(item.Value)
 	if err != nil {
 		return 0, false, err
 	}
 	return item.Version, save == s.ID, nil
 }
 
-func (t *Term) applied(s *cluster.WriteBatch, version uint64) {
+func (t *Leader) batchCommitted(s *cluster.WriteBatch, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, f := range t.ledger.BatchCommitted(s, version) {
-		t.finals.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
+	for id, f := range t.state.BatchCommitted(s, version) {
+		t.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
 		t.Log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
 	}
-	signal(t.roundSignal)
+	raise(t.cycleSignal)
 }
 
-// conflicted handles a save that was certainly not carried out: it submits the id of a
+// batchConflicted handles a save that was certainly not carried out: it submits the id of a
 // job that is over, or it accepts a job by an admission plan that has been replaced, or
 // somebody else has claimed our buckets and this term is at its end.
-func (t *Term) conflicted(ctx context.Context, s *cluster.WriteBatch, c *kv.VersionConflictError) {
+func (t *Leader) batchConflicted(ctx context.Context, s *cluster.WriteBatch, c *kv.VersionConflictError) {
 	over := map[string]storage.StoredTerminalRecord{}
 	planMet := false
 	for _, key := range c.Keys {
@@ -224,39 +226,39 @@
 		}
 		id, isFinal := storage.JobOfTerminalKey(key)
 		if !isFinal {
-			if t.Lease.Valid(t.number) {
+			if t.Elector.Valid(t.token) {
 				t.Log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.JobIDs())
 			}
-			t.Lease.Resign()
+			t.Elector.StepDown()
 			return
 		}
 		for {
-			f, ok, err := t.readFinal(ctx, id)
+			f, ok, err := t.readTerminal(ctx, id)
 			if err == nil {
 				if ok {
 					over[id] = f
 				}
 				break
 			}
-			if !pause(ctx, readRetry) {
+			if !sleep(ctx, readRetryDelay) {
 				return
 			}
 		}
 	}
 	t.mu.Lock()
-	t.ledger.BatchRefused(s, t.Clock.Steady())
+	t.state.BatchRefused(s, t.Clock.Steady())
 	if planMet {
-		t.decideAnew()
+		t.reconsiderAdmissions()
 	}
 	t.mu.Unlock()
 	if planMet {
-		t.admission.publisher.reread(ctx)
+		t.admission.publisher.rereadRecord(ctx)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, f := range over {
-		t.finals.put(id, f)
-		t.ledger.DropUnaccepted(id)
-		t.inboxUncleared.Store(true) // it may have come from there
+		t.terminalJobs.put(id, f)
+		t.state.DropUnaccepted(id)
+		t.pendingUncleared.Store(true) // it may have come from there
 	}
 }
