--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -11,35 +11,35 @@
 // Snapshot is all that a round of decisions looks at. Planning is a pure
 // function of it: no clock, no input or output, no chance.
 type Snapshot struct {
-	Teams    []TeamView
-	Machines []MachineView
-	Jobs     []JobView
-	Batch    int  // the most starts in this round
-	Partial  bool // not all machines are in view: none is held for a job
+	Teams         []TeamView
+	Machines      []MachineView
+	Jobs          []JobView
+	MaxPlacements int  // the most starts in this round
+	Partial       bool // not all machines are in view: none is held for a job
 }
 
 // TeamView is a team's limit and what may be running for it.
 type TeamView struct {
-	Guarantee, Limit, Used units.Resources
-	Freeing                units.Resources // part of Used, held by tasks that were told to stop
-	Closed                 bool            // a job that goes first finds no room in the limit
+	GuaranteedQuota, QuotaLimit, Used units.Resources
+	Freeing                           units.Resources // part of Used, held by tasks that were told to stop
+	Blocked                           bool            // a job that goes first finds no room in the limit
 }
 
 // MachineView is a machine.
 type MachineView struct {
-	ID         string
-	Type, Zone string
-	Spot       bool
-	Accepts    bool // may be given work
-	Answering  bool // its report is being answered: a start reaches it now
-	Reports    int  // a start reaches it with its next report, in so many half seconds
-	Slow       bool
-	Held       bool // its room is kept for a job that goes before the rest
-	Size, Free units.Resources
-	Freeing    units.Resources // held by tasks that were told to stop
-	Headroom   units.Resources // part of the free room, for replicas of services alone
-	FetchRate  units.Amount    // GB a second
-	Images     func(name string) bool
+	ID                     string
+	InstanceType, Zone     string
+	Spot                   bool
+	Schedulable            bool // may be given work
+	HeartbeatPending       bool // its report is being answered: a start reaches it now
+	HalfSecondsToHeartbeat int  // a start reaches it with its next report, in so many half seconds
+	Slow                   bool
+	Reserved               bool // its room is kept for a job that goes before the rest
+	Capacity, Free         units.Resources
+	Freeing                units.Resources // held by tasks that were told to stop
+	Headroom               units.Resources // part of the free room, for replicas of services alone
+	FetchRate              units.Amount    // GB a second
+	HasImage               func(name string) bool
 	// Victims lists the tasks that could be stopped; nil if none may be. It is
 	// asked once, and only if room has to be made; the list is the planner's.
 	Victims func() []Victim
@@ -50,62 +50,62 @@
 	Ref      int // the caller's own number for it
 	Team     int
 	Priority protocol.Priority
-	Need     units.Resources
-	Loses    units.Micros // the work that is lost by stopping it
+	Request  units.Resources
+	LostWork units.Micros // the work that is lost by stopping it
 	Job      *JobView     // what it would be planned as, once stopped
 }
 
 // JobView is a job that has pending tasks.
 type JobView struct {
-	Spec       *protocol.JobSpec
-	Team       int
-	Guaranteed bool // within its team's guarantee
-	Late       bool // cannot be in time any more
-	Patient    bool // tasks that end by themselves may still make room in time
-	Overdue    bool // has waited too long for its first task to begin
-	Rank       float64
-	Order      int64 // settles ties: the earlier submission first
-	Pending    int
-	Live       int            // tasks that may be on machines
-	LiveIn     map[string]int // the same by zone, for jobs that care
-	LiveOn     map[int]int    // and by machine, for services
-	Avoid      func(machine string) bool
+	Spec              *protocol.JobSpec
+	Team              int
+	WithinGuarantee   bool // within its team's guarantee
+	MissesDeadline    bool // cannot be in time any more
+	AwaitsCompletions bool // tasks that end by themselves may still make room in time
+	Starved           bool // has waited too long for its first task to begin
+	Rank              float64
+	SubmittedAt       int64 // settles ties: the earlier submission first
+	Pending           int
+	LiveTasks         int            // tasks that may be on machines
+	LiveByZone        map[string]int // the same by zone, for jobs that care
+	LiveByMachine     map[int]int    // and by machine, for services
+	Avoid             func(machine string) bool
 }
 
-// Starts is a number of a job's tasks to be started on a machine.
-type Starts struct{ Job, Machine, Count int }
+// Placement is a number of a job's tasks to be started on a machine.
+type Placement struct{ Job, Machine, Count int }
 
 // Preemption stops a victim (Victim.Ref) to make room for a job.
-type Preemption struct{ Victim, For int }
+type Preemption struct{ Victim, Job int }
 
-// Hold keeps a machine's free room together for a job, until a task of the job
+// Reservation keeps a machine's free room together for a job, until a task of the job
 // fits.
-type Hold struct{ Machine, For int }
-
-// Wanted is the outcome of a round.
-type Wanted struct {
-	Starts []Starts
-	Stops  []Preemption
-	Holds  []Hold
-	Cut    bool // the batch ended the round: more might have been started
+type Reservation struct{ Machine, Job int }
+
+// Decisions is the outcome of a round.
+type Decisions struct {
+	Placements   []Placement
+	Preemptions  []Preemption
+	Reservations []Reservation
+	Truncated    bool // the batch ended the round: more might have been started
 }
 
 // planner is a round in the making. It changes its copies of the views.
 type planner struct {
-	s     *Snapshot
-	out   Wanted
-	batch int
-	taken map[int]bool      // victims chosen
-	leave []units.Resources // what each team has left once its victims are gone
-
-	companions []companion
-	victims    [][]Victim        // by machine, once asked
-	ofTeam     map[int][]located // by team, once asked
-	freeing    bool              // some machine has room coming
+	snapshot             *Snapshot
+	decisions            Decisions
+	placementsLeft       int
+	preempted            map[int]bool      // preemptionVictims chosen
+	usageAfterPreemption []units.Resources // what each team has left once its victims are gone
+
+	candidates       []candidate
+	victimsByMachine [][]Victim              // by machine, once asked
+	victimsByTeam    map[int][]machineVictim // by team, once asked
+	anyFreeing       bool                    // some machine has room coming
 }
 
-// companion is a machine that has room for a job; the largest key goes first.
-type companion struct {
+// candidate is a machine that has room for a job; the largest key goes first.
+type candidate struct {
 	machine int
 	key     [7]int64
 }
@@ -116,43 +116,43 @@
 // Of the others, what can still be in time goes before what is late anyway,
 // whatever their priority; then jobs inside their team's guarantee, then by
 // priority, then by rank.
-func Plan(s *Snapshot) Wanted {
+func Plan(s *Snapshot) Decisions {
 	p := newPlanner(s)
-	for _, i := range p.order() {
-		if p.batch <= 0 {
-			p.out.Cut = true
+	for _, i := range p.jobOrder() {
+		if p.placementsLeft <= 0 {
+			p.decisions.Truncated = true
 			break
 		}
-		if j := &s.Jobs[i]; !s.Teams[j.Team].Closed {
+		if j := &s.Jobs[i]; !s.Teams[j.Team].Blocked {
 			p.planJob(i, j)
 		}
 	}
-	return p.out
+	return p.decisions
 }
 
 func newPlanner(s *Snapshot) *planner {
 	p := &planner{
-		s:     s,
-		batch: s.Batch,
-		taken: map[int]bool{},
-		leave: make([]units.Resources, len(s.Teams)),
+		snapshot:             s,
+		placementsLeft:       s.MaxPlacements,
+		preempted:            map[int]bool{},
+		usageAfterPreemption: make([]units.Resources, len(s.Teams)),
 	}
 	for i := range s.Teams {
-		p.leave[i] = s.Teams[i].Used
+		p.usageAfterPreemption[i] = s.Teams[i].Used
 	}
 	for k := range s.Machines {
-		p.freeing = p.freeing || s.Machines[k].Freeing != units.Resources{}
+		p.anyFreeing = p.anyFreeing || s.Machines[k].Freeing != units.Resources{}
 	}
 	return p
 }
 
-// order gives the places of the jobs in the snapshot, the one that goes first first.
-func (p *planner) order() []int {
-	order := make([]int, len(p.s.Jobs))
+// jobOrder gives the places of the jobs in the snapshot, the one that goes first first.
+func (p *planner) jobOrder() []int {
+	order := make([]int, len(p.snapshot.Jobs))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int { return compareJobs(&p.s.Jobs[a], &p.s.Jobs[b]) })
+	slices.SortFunc(order, func(a, b int) int { return compareJobs(&p.snapshot.Jobs[a], &p.snapshot.Jobs[b]) })
 	return order
 }
 
@@ -162,38 +162,38 @@
 	case j.Spec.Kind == protocol.Gang:
 		p.placeGang(i, j)
 		return
-	case j.Overdue:
-		p.planOverdue(i, j)
+	case j.Starved:
+		p.planStarved(i, j)
 		return
 	}
 	p.place(i, j)
 	if j.Pending == 0 {
 		return
 	}
-	p.closeFullTeam(j)
+	p.blockFullTeam(j)
 	p.preempt(i, j)
-	if j.Patient && j.Spec.Priority >= protocol.High {
-		p.hold(i, j, j.Pending)
+	if j.AwaitsCompletions && j.Spec.Priority >= protocol.High {
+		p.reserveMachines(i, j, j.Pending)
 	}
 }
 
-// planOverdue has one task of a job that has waited too long go before everything; the
+// planStarved has one task of a job that has waited too long go before everything; the
 // rest goes in its turn.
-func (p *planner) planOverdue(i int, j *JobView) {
+func (p *planner) planStarved(i int, j *JobView) {
 	rest := j.Pending - 1
 	j.Pending = 1
 	p.place(i, j)
-	p.closeFullTeam(j)
+	p.blockFullTeam(j)
 	if j.Pending > 0 {
 		p.preempt(i, j)
-		p.hold(i, j, 1)
+		p.reserveMachines(i, j, 1)
 	}
 	j.Pending += rest
 }
 
-// closeFullTeam keeps the jobs that come after one whose team's limit has no room for it
+// blockFullTeam keeps the jobs that come after one whose team's limit has no room for it
 // from taking what is left of the limit bit by bit: a larger task would wait for ever.
-func (p *planner) closeFullTeam(j *JobView) { p.s.Teams[j.Team].Closed = p.teamRoom(j) == 0 }
+func (p *planner) blockFullTeam(j *JobView) { p.snapshot.Teams[j.Team].Blocked = p.quotaRoom(j) == 0 }
 
 func compareJobs(a, b *JobView) int {
 	urgent := func(j *JobView) int {
@@ -202,47 +202,47 @@
 		}
 		return 0
 	}
-	if a.Overdue && b.Overdue {
-		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Spec.ID, b.Spec.ID))
+	if a.Starved && b.Starved {
+		return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	}
 	return cmp.Or(
-		-compareBools(a.Overdue, b.Overdue),
+		-compareBools(a.Starved, b.Starved),
 		-cmp.Compare(urgent(a), urgent(b)),
-		compareBools(a.Late, b.Late),
-		-compareBools(a.Guaranteed, b.Guaranteed),
+		compareBools(a.MissesDeadline, b.MissesDeadline),
+		-compareBools(a.WithinGuarantee, b.WithinGuarantee),
 		-cmp.Compare(a.Spec.Priority, b.Spec.Priority),
 		cmp.Compare(a.Rank, b.Rank),
-		cmp.Compare(a.Order, b.Order),
+		cmp.Compare(a.SubmittedAt, b.SubmittedAt),
 		cmp.Compare(a.Spec.ID, b.Spec.ID),
 	)
 }
 
-// teamRoom is how many more tasks of the job its team's limit allows.
-func (p *planner) teamRoom(j *JobView) int {
-	t := &p.s.Teams[j.Team]
-	return t.Limit.Plus(t.Used, -1).Fits(j.Spec.Request)
+// quotaRoom is how many more tasks of the job its team's limit allows.
+func (p *planner) quotaRoom(j *JobView) int {
+	t := &p.snapshot.Teams[j.Team]
+	return t.QuotaLimit.Plus(t.Used, -1).Fits(j.Spec.Request)
 }
 
 // freeFor is a machine's room for a job.
 func (m *MachineView) freeFor(j *JobView) units.Resources {
-	if j.Spec.Kind == protocol.Service || j.Overdue {
+	if j.Spec.Kind == protocol.Service || j.Starved {
 		return m.Free
 	}
 	return m.Free.Plus(m.Headroom, -1)
 }
 
-// zoneRoom is how many more tasks of the job may be in a zone, and whether
+// zoneCapacity is how many more tasks of the job may be in a zone, and whether
 // the zone is allowed at all.
-func zoneRoom(j *JobView, zone string) int {
+func zoneCapacity(j *JobView, zone string) int {
 	if j.Spec.Zone != "" && j.Spec.Zone != zone {
 		return 0
 	}
 	room := j.Spec.Tasks
 	if j.Spec.ZoneSpread {
-		room = (j.Spec.Tasks+1)/2 - j.LiveIn[zone]
+		room = (j.Spec.Tasks+1)/2 - j.LiveByZone[zone]
 	}
 	if j.Spec.ZoneAffinity {
-		for other, n := range j.LiveIn {
+		for other, n := range j.LiveByZone {
 			if n > 0 && other != zone {
 				return 0
 			}
@@ -251,8 +251,8 @@
 	return room
 }
 
-// allowed tells whether a job's tasks may be on machines of this kind.
-func allowed(spec *protocol.JobSpec, typ, zone string, spot bool) bool {
+// PlacementAllowed tells whether a job's tasks may be on machines of this kind.
+func PlacementAllowed(spec *protocol.JobSpec, typ, zone string, spot bool) bool {
 	return (spec.InstanceTypes == nil || slices.Contains(spec.InstanceTypes, typ)) &&
 		(spec.Zone == "" || spec.Zone == zone) && (spec.AllowSpot || !spot)
 }
@@ -260,8 +260,8 @@
 // usable tells whether a job may be started on a machine, room aside. A slow
 // machine gets no urgent work.
 func (p *planner) usable(i int, j *JobView) bool {
-	m := &p.s.Machines[i]
-	return m.Accepts && !(m.Slow && j.Spec.Priority >= protocol.High) && allowed(j.Spec, m.Type, m.Zone, m.Spot) && zoneRoom(j, m.Zone) > 0 && !j.Avoid(m.ID)
+	m := &p.snapshot.Machines[i]
+	return m.Schedulable && !(m.Slow && j.Spec.Priority >= protocol.High) && PlacementAllowed(j.Spec, m.InstanceType, m.Zone, m.Spot) && zoneCapacity(j, m.Zone) > 0 && !j.Avoid(m.ID)
 }
 
 // place starts as many of the job's tasks as there is room for. The companion
@@ -273,128 +273,128 @@
 	oneByOne := j.Spec.Kind == protocol.Service
 	for again := true; again; {
 		again = false
-		if min(j.Pending, p.batch, p.teamRoom(j)) <= 0 {
+		if min(j.Pending, p.placementsLeft, p.quotaRoom(j)) <= 0 {
 			return
 		}
-		for _, c := range p.findCompanions(j) {
-			m := &p.s.Machines[c.machine]
-			n := min(j.Pending, p.batch, p.teamRoom(j), m.freeFor(j).Fits(j.Spec.Request), zoneRoom(j, m.Zone))
+		for _, c := range p.rankCandidates(j) {
+			m := &p.snapshot.Machines[c.machine]
+			n := min(j.Pending, p.placementsLeft, p.quotaRoom(j), m.freeFor(j).Fits(j.Spec.Request), zoneCapacity(j, m.Zone))
 			if n <= 0 {
 				continue
 			}
 			if oneByOne { // each start changes the order of the rest
-				p.start(i, j, c.machine, 1)
+				p.placeTasks(i, j, c.machine, 1)
 				again = true
 				break
 			}
-			p.start(i, j, c.machine, n)
+			p.placeTasks(i, j, c.machine, n)
 		}
 	}
 }
 
-// findCompanions lists the machines that have room for the job, the best
+// rankCandidates lists the machines that have room for the job, the best
 // first.
-func (p *planner) findCompanions(j *JobView) []companion {
-	p.companions = p.companions[:0]
-	for k := range p.s.Machines {
-		m := &p.s.Machines[k]
-		if m.Held || m.freeFor(j).Fits(j.Spec.Request) == 0 || !p.usable(k, j) {
+func (p *planner) rankCandidates(j *JobView) []candidate {
+	p.candidates = p.candidates[:0]
+	for k := range p.snapshot.Machines {
+		m := &p.snapshot.Machines[k]
+		if m.Reserved || m.freeFor(j).Fits(j.Spec.Request) == 0 || !p.usable(k, j) {
 			continue
 		}
-		c := companion{machine: k, key: [7]int64{5: int64(m.Free.CPU), 6: -int64(m.Reports)}}
+		c := candidate{machine: k, key: [7]int64{5: int64(m.Free.CPU), 6: -int64(m.HalfSecondsToHeartbeat)}}
 		service := j.Spec.Kind == protocol.Service
 		if service {
 			// Replicas go to different zones, then to different machines.
-			c.key[0], c.key[1] = -int64(j.LiveIn[m.Zone]), -int64(j.LiveOn[k])
+			c.key[0], c.key[1] = -int64(j.LiveByZone[m.Zone]), -int64(j.LiveByMachine[k])
 		}
 		if !m.Slow {
 			c.key[2] = 1
 		}
 		switch {
-		case m.Images(j.Spec.Image):
+		case m.HasImage(j.Spec.Image):
 			// Many may hold it, in a large fleet with room: the soonest reached.
 			c.key[3], c.key[5], c.key[6] = 1, c.key[6], c.key[5]
 		case service:
 			// Each second counts: the one on which the replica is up soonest.
-			c.key[5], c.key[6] = -m.upIn(j.Spec.ImageSize), c.key[5]
+			c.key[5], c.key[6] = -m.startDelay(j.Spec.ImageSize), c.key[5]
 		}
-		if m.Answering {
+		if m.HeartbeatPending {
 			c.key[4] = 1
 		}
-		p.companions = append(p.companions, c)
+		p.candidates = append(p.candidates, c)
 	}
-	slices.SortFunc(p.companions, func(a, b companion) int {
+	slices.SortFunc(p.candidates, func(a, b candidate) int {
 		return cmp.Or(-slices.Compare(a.key[:], b.key[:]), cmp.Compare(a.machine, b.machine))
 	})
-	return p.companions
+	return p.candidates
 }
 
-// upIn is when a task with an image of that size would run on the machine, in
+// startDelay is when a task with an image of that size would run on the machine, in
 // half seconds, image fetch included.
-func (m *MachineView) upIn(image units.Amount) int64 {
-	wait := min(int64(m.Reports), 1) // it is woken
+func (m *MachineView) startDelay(image units.Amount) int64 {
+	wait := min(int64(m.HalfSecondsToHeartbeat), 1) // it is woken
 	if m.FetchRate <= 0 {
 		return wait
 	}
 	return wait + int64(2*image/m.FetchRate)
 }
 
-// hold keeps the room of some machines together for a job, or small tasks would
+// reserveMachines keeps the room of some machines together for a job, or small tasks would
 // go on taking it bit by bit: of the largest, where tasks end most often, those
 // that have most room.
-func (p *planner) hold(i int, j *JobView, n int) {
-	if p.s.Partial {
+func (p *planner) reserveMachines(i int, j *JobView, n int) {
+	if p.snapshot.Partial {
 		return
 	}
 	var fit []int
-	for k := range p.s.Machines {
-		m := &p.s.Machines[k]
-		if !m.Held && m.Size.Fits(j.Spec.Request) > 0 && m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request) == 0 && p.usable(k, j) {
+	for k := range p.snapshot.Machines {
+		m := &p.snapshot.Machines[k]
+		if !m.Reserved && m.Capacity.Fits(j.Spec.Request) > 0 && m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request) == 0 && p.usable(k, j) {
 			fit = append(fit, k)
 		}
 	}
 	slices.SortStableFunc(fit, func(a, b int) int {
-		x, y := &p.s.Machines[a], &p.s.Machines[b]
-		return cmp.Or(-cmp.Compare(x.Size.CPU, y.Size.CPU), -cmp.Compare(x.Free.CPU, y.Free.CPU))
+		x, y := &p.snapshot.Machines[a], &p.snapshot.Machines[b]
+		return cmp.Or(-cmp.Compare(x.Capacity.CPU, y.Capacity.CPU), -cmp.Compare(x.Free.CPU, y.Free.CPU))
 	})
-	for _, k := range fit[:min(len(fit), n, p.teamRoom(j))] {
-		p.s.Machines[k].Held = true
-		p.out.Holds = append(p.out.Holds, Hold{Machine: k, For: i})
+	for _, k := range fit[:min(len(fit), n, p.quotaRoom(j))] {
+		p.snapshot.Machines[k].Reserved = true
+		p.decisions.Reservations = append(p.decisions.Reservations, Reservation{Machine: k, Job: i})
 	}
 }
 
 // placeGang starts all of a gang's tasks or none. While some of its tasks may
 // still be on machines, the rest waits for them to end.
 func (p *planner) placeGang(i int, j *JobView) {
-	if j.Live > 0 || p.teamRoom(j) < j.Pending {
+	if j.LiveTasks > 0 || p.quotaRoom(j) < j.Pending {
 		return
 	}
-	machines, pending, batch, starts := slices.Clone(p.s.Machines), j.Pending, p.batch, len(p.out.Starts)
-	used, leave := p.s.Teams[j.Team].Used, p.leave[j.Team]
-	p.batch = max(p.batch, pending)
+	machines, pending, batch, starts := slices.Clone(p.snapshot.Machines), j.Pending, p.placementsLeft, len(p.decisions.Placements)
+	used, leave := p.snapshot.Teams[j.Team].Used, p.usageAfterPreemption[j.Team]
+	p.placementsLeft = max(p.placementsLeft, pending)
 	p.place(i, j)
 	if j.Pending == 0 {
 		return
 	}
-	copy(p.s.Machines, machines)
-	j.Pending, p.batch, p.out.Starts = pending, batch, p.out.Starts[:starts]
-	p.s.Teams[j.Team].Used, p.leave[j.Team] = used, leave
-	clear(j.LiveIn)
+	copy(p.snapshot.Machines, machines)
+	j.Pending, p.placementsLeft, p.decisions.Placements = pending, batch, p.decisions.Placements[:starts]
+	p.snapshot.Teams[j.Team].Used, p.usageAfterPreemption[j.Team] = used, leave
+	clear(j.LiveByZone)
 }
 
-func (p *planner) start(i int, j *JobView, machine, n int) {
-	m := &p.s.Machines[machine]
+func (p *planner) placeTasks(i int, j *JobView, machine, n int) {
+	m := &p.snapshot.Machines[machine]
 	m.Free = m.Free.Plus(j.Spec.Request, -n)
-	t := &p.s.Teams[j.Team]
+	t := &p.snapshot.Teams[j.Team]
 	t.Used = t.Used.Plus(j.Spec.Request, n)
-	p.leave[j.Team] = p.leave[j.Team].Plus(j.Spec.Request, n)
-	if j.LiveIn != nil {
-		j.LiveIn[m.Zone] += n
+	p.usageAfterPreemption[j.Team] = p.usageAfterPreemption[j.Team].Plus(j.Spec.Request, n)
+	if j.LiveByZone != nil {
+		j.LiveByZone[m.Zone] += n
 	}
-	if j.LiveOn != nil {
-		j.LiveOn[machine] += n
+	if j.LiveByMachine != nil {
+		j.LiveByMachine[machine] += n
 	}
 	j.Pending -= n
-	p.batch -= n
-	p.out.Starts = append(p.out.Starts, Starts{Job: i, Machine: machine, Count: n})
+	p.placementsLeft -= n
+	p.decisions.Placements = append(p.decisions.Placements, Placement{Job: i, Machine: machine, Count: n})
 }
--- a/internal/coordination/plan_test.go
+++ b/internal/coordination/plan_test.go
@@ -17,42 +17,42 @@
 }
 
 func drawSnapshot(t *rapid.T) Snapshot {
-	s := Snapshot{Batch: rapid.IntRange(1, 60).Draw(t, "batch")}
+	s := Snapshot{MaxPlacements: rapid.IntRange(1, 60).Draw(t, "batch")}
 	teams := rapid.IntRange(1, 3).Draw(t, "teams")
 	for range teams {
 		g := rapid.IntRange(0, 20).Draw(t, "guarantee")
 		s.Teams = append(s.Teams, TeamView{
-			Guarantee: cpus(g),
-			Limit:     cpus(g + rapid.IntRange(0, 30).Draw(t, "beyond")),
+			GuaranteedQuota: cpus(g),
+			QuotaLimit:      cpus(g + rapid.IntRange(0, 30).Draw(t, "beyond")),
 		})
 	}
 	ref := 0
 	for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 		m := MachineView{
-			Type:    rapid.SampledFrom([]string{"small", "big"}).Draw(t, "type"),
-			Zone:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
-			Spot:    rapid.Bool().Draw(t, "spot"),
-			Accepts: rapid.Bool().Draw(t, "accepts"),
-			Slow:    i == 3,
-			Free:    cpus(rapid.IntRange(0, 16).Draw(t, "free")),
-			Freeing: cpus(rapid.IntRange(0, 4).Draw(t, "freeing")),
+			InstanceType: rapid.SampledFrom([]string{"small", "big"}).Draw(t, "type"),
+			Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
+			Spot:         rapid.Bool().Draw(t, "spot"),
+			Schedulable:  rapid.Bool().Draw(t, "accepts"),
+			Slow:         i == 3,
+			Free:         cpus(rapid.IntRange(0, 16).Draw(t, "free")),
+			Freeing:      cpus(rapid.IntRange(0, 4).Draw(t, "freeing")),
 		}
 		image := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image")
-		m.Images = func(name string) bool { return name == image }
+		m.HasImage = func(name string) bool { return name == image }
 		var victims []Victim
 		for range rapid.IntRange(0, 4).Draw(t, "victims") {
 			v := Victim{Ref: ref, Team: rapid.IntRange(0, teams-1).Draw(t, "victim team"),
 				Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "victim priority")),
-				Need:     cpus(rapid.IntRange(1, 4).Draw(t, "victim need"))}
+				Request:  cpus(rapid.IntRange(1, 4).Draw(t, "victim need"))}
 			v.Job = &JobView{
-				Spec:       &protocol.JobSpec{ID: fmt.Sprintf("j-9%05d", ref), Priority: v.Priority},
-				Team:       v.Team,
-				Late:       rapid.Bool().Draw(t, "victim late"),
-				Guaranteed: rapid.Bool().Draw(t, "victim guaranteed"),
-				Rank:       float64(rapid.IntRange(0, 3).Draw(t, "victim rank")),
+				Spec:            &protocol.JobSpec{ID: fmt.Sprintf("j-9%05d", ref), Priority: v.Priority},
+				Team:            v.Team,
+				MissesDeadline:  rapid.Bool().Draw(t, "victim late"),
+				WithinGuarantee: rapid.Bool().Draw(t, "victim guaranteed"),
+				Rank:            float64(rapid.IntRange(0, 3).Draw(t, "victim rank")),
 			}
 			ref++
-			s.Teams[v.Team].Used = s.Teams[v.Team].Used.Plus(v.Need, 1)
+			s.Teams[v.Team].Used = s.Teams[v.Team].Used.Plus(v.Request, 1)
 			victims = append(victims, v)
 		}
 		m.Victims = func() []Victim { return victims }
@@ -73,13 +73,13 @@
 			Zone:          rapid.SampledFrom([]string{"", "a"}).Draw(t, "in zone"),
 		}
 		s.Jobs = append(s.Jobs, JobView{
-			Spec:       spec,
-			Team:       rapid.IntRange(0, teams-1).Draw(t, "team"),
-			Guaranteed: rapid.Bool().Draw(t, "guaranteed"),
-			Rank:       float64(rapid.IntRange(0, 3).Draw(t, "rank")),
-			Pending:    n,
-			LiveIn:     map[string]int{},
-			Avoid:      func(string) bool { return false },
+			Spec:            spec,
+			Team:            rapid.IntRange(0, teams-1).Draw(t, "team"),
+			WithinGuarantee: rapid.Bool().Draw(t, "guaranteed"),
+			Rank:            float64(rapid.IntRange(0, 3).Draw(t, "rank")),
+			Pending:         n,
+			LiveByZone:      map[string]int{},
+			Avoid:           func(string) bool { return false },
 		})
 	}
 	return s
@@ -92,10 +92,10 @@
 	s.Jobs = append([]JobView(nil), s.Jobs...)
 	for i := range s.Jobs {
 		live := map[string]int{}
-		for z, n := range s.Jobs[i].LiveIn {
+		for z, n := range s.Jobs[i].LiveByZone {
 			live[z] = n
 		}
-		s.Jobs[i].LiveIn = live
+		s.Jobs[i].LiveByZone = live
 	}
 	return s
 }
@@ -104,7 +104,7 @@
 // the victims still counted (they run until they are gone; this was broken
 // once), no machine beyond its free room, no task where its job does not
 // allow it, nobody stopped without the right.
-func TestPlanKeepsTheRules(t *testing.T) {
+func TestPlanKeepsTheInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
 		before := clone(s)
@@ -119,9 +119,9 @@
 		}
 		zones := make([]map[string]int, len(before.Jobs))
 		started, total := map[int]int{}, 0
-		for _, x := range w.Starts {
+		for _, x := range w.Placements {
 			j, m := before.Jobs[x.Job], before.Machines[x.Machine]
-			if x.Count <= 0 || !m.Accepts || !allowed(j.Spec, m.Type, m.Zone, m.Spot) {
+			if x.Count <= 0 || !m.Schedulable || !PlacementAllowed(j.Spec, m.InstanceType, m.Zone, m.Spot) {
 				t.Fatalf("start %+v is not allowed", x)
 			}
 			used[j.Team] = used[j.Team].Plus(j.Spec.Request, x.Count)
@@ -135,8 +135,8 @@
 		}
 		for i, u := range used {
 			// What a team used before is not the plan's doing.
-			if u != before.Teams[i].Used && before.Teams[i].Limit.Plus(u, -1).Fits(cpus(0)) == 0 {
-				t.Fatalf("team %d uses %v of %v", i, u, before.Teams[i].Limit)
+			if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).Fits(cpus(0)) == 0 {
+				t.Fatalf("team %d uses %v of %v", i, u, before.Teams[i].QuotaLimit)
 			}
 		}
 		for i, f := range free {
@@ -158,17 +158,17 @@
 				t.Fatalf("job %d: %d started of %d", i, started[i], before.Jobs[i].Pending)
 			}
 		}
-		if total > before.Batch {
-			t.Fatalf("%d starts in a batch of %d", total, before.Batch)
+		if total > before.MaxPlacements {
+			t.Fatalf("%d starts in a batch of %d", total, before.MaxPlacements)
 		}
 		checkStops(t, before, w)
 	})
 }
 
-func checkStops(t *rapid.T, s Snapshot, w Wanted) {
+func checkStops(t *rapid.T, s Snapshot, w Decisions) {
 	stopped := map[int]bool{}
-	for _, stop := range w.Stops {
-		ref, j := stop.Victim, s.Jobs[stop.For]
+	for _, stop := range w.Preemptions {
+		ref, j := stop.Victim, s.Jobs[stop.Job]
 		if stopped[ref] {
 			t.Fatalf("victim %d stopped twice", ref)
 		}
@@ -181,10 +181,10 @@
 				// Room on a machine that the job may not use helps nobody:
 				// urgent jobs went on stopping tasks on slow machines, 2,700
 				// on one day.
-				if !m.Accepts || m.Slow && j.Spec.Priority >= protocol.High || !allowed(j.Spec, m.Type, m.Zone, m.Spot) {
+				if !m.Schedulable || m.Slow && j.Spec.Priority >= protocol.High || !PlacementAllowed(j.Spec, m.InstanceType, m.Zone, m.Spot) {
 					t.Fatalf("victim %+v stopped for %+v, which may not use its machine", v, j)
 				}
-				if v.Priority >= j.Spec.Priority && !j.Guaranteed {
+				if v.Priority >= j.Spec.Priority && !j.WithinGuarantee {
 					t.Fatalf("victim %+v stopped for %+v, which does not outrank it", v, j)
 				}
 				// A victim that comes first in the order would get the room
@@ -212,21 +212,21 @@
 func TestPlanPrefersTheMachineWithTheImage(t *testing.T) {
 	holds := func(yes bool) func(string) bool { return func(string) bool { return yes } }
 	s := Snapshot{
-		Batch: 10,
-		Teams: []TeamView{{Limit: cpus(100)}},
+		MaxPlacements: 10,
+		Teams:         []TeamView{{QuotaLimit: cpus(100)}},
 		Machines: []MachineView{
-			{Accepts: true, Free: cpus(16), Images: holds(false)},
-			{Accepts: true, Free: cpus(2), Images: holds(true)},
+			{Schedulable: true, Free: cpus(16), HasImage: holds(false)},
+			{Schedulable: true, Free: cpus(2), HasImage: holds(true)},
 		},
 		Jobs: []JobView{{
-			Spec:    &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: cpus(1)},
-			Pending: 3,
-			LiveIn:  map[string]int{},
-			Avoid:   func(string) bool { return false },
+			Spec:       &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: cpus(1)},
+			Pending:    3,
+			LiveByZone: map[string]int{},
+			Avoid:      func(string) bool { return false },
 		}},
 	}
-	got := Plan(&s).Starts
-	want := []Starts{{Job: 0, Machine: 1, Count: 2}, {Job: 0, Machine: 0, Count: 1}}
+	got := Plan(&s).Placements
+	want := []Placement{{Job: 0, Machine: 1, Count: 2}, {Job: 0, Machine: 0, Count: 1}}
 	if !reflect.DeepEqual(got, want) {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
@@ -234,59 +234,59 @@
 
 // A task that needs two processors never finds them where tasks of one end one
 // by one, unless the room is kept together for it.
-func TestRoomIsKeptTogetherForOverdueJobs(t *testing.T) {
-	s := Snapshot{Batch: 10, Teams: []TeamView{{Limit: cpus(100)}}}
+func TestMachinesAreReservedForStarvedJobs(t *testing.T) {
+	s := Snapshot{MaxPlacements: 10, Teams: []TeamView{{QuotaLimit: cpus(100)}}}
 	for range 2 {
 		s.Machines = append(s.Machines, MachineView{
-			Accepts: true,
-			Size:    cpus(4),
-			Free:    cpus(1),
-			Images:  func(string) bool { return false },
+			Schedulable: true,
+			Capacity:    cpus(4),
+			Free:        cpus(1),
+			HasImage:    func(string) bool { return false },
 		})
 	}
 	job := func(id string, need int, overdue bool) JobView {
 		return JobView{
 			Spec:    &protocol.JobSpec{ID: id, Tasks: 5, Request: cpus(need)},
 			Pending: 5,
-			Overdue: overdue,
+			Starved: overdue,
 			Avoid:   func(string) bool { return false },
 		}
 	}
 	s.Jobs = []JobView{job("j-000001", 1, false), job("j-000002", 2, true)}
 	w := Plan(&s)
-	if len(w.Holds) != 1 || w.Holds[0].For != 1 || len(w.Starts) != 1 || w.Starts[0].Machine == w.Holds[0].Machine {
+	if len(w.Reservations) != 1 || w.Reservations[0].Job != 1 || len(w.Placements) != 1 || w.Placements[0].Machine == w.Reservations[0].Machine {
 		t.Fatalf("%+v", w)
 	}
 }
 
-// Starts travel with the answers to reports. In a large fleet with room many
+// Placements travel with the answers to reports. In a large fleet with room many
 // machines hold an image, and the one with most room may report seconds later
 // than others: half of all starts on a calm day of the fleet's waited for that.
 // An image still goes before a report.
-func TestPlanPrefersTheMachineThatReportsSoonest(t *testing.T) {
+func TestPlanPrefersTheMachineWithTheNextHeartbeat(t *testing.T) {
 	machine := func(id string, image bool, free, reports int) MachineView {
 		return MachineView{
-			ID:      id,
-			Type:    "m",
-			Zone:    "a",
-			Accepts: true,
-			Size:    cpus(32),
-			Free:    cpus(free),
-			Reports: reports,
-			Images:  func(string) bool { return image },
+			ID:                     id,
+			InstanceType:           "m",
+			Zone:                   "a",
+			Schedulable:            true,
+			Capacity:               cpus(32),
+			Free:                   cpus(free),
+			HalfSecondsToHeartbeat: reports,
+			HasImage:               func(string) bool { return image },
 		}
 	}
 	s := Snapshot{
-		Batch:    10,
-		Teams:    []TeamView{{Guarantee: cpus(100), Limit: cpus(100)}},
-		Machines: []MachineView{machine("now", false, 32, 0), machine("late", true, 32, 9), machine("soon", true, 4, 1)},
+		MaxPlacements: 10,
+		Teams:         []TeamView{{GuaranteedQuota: cpus(100), QuotaLimit: cpus(100)}},
+		Machines:      []MachineView{machine("now", false, 32, 0), machine("late", true, 32, 9), machine("soon", true, 4, 1)},
 		Jobs: []JobView{{
 			Spec:    modelSpec("j-000001"),
 			Pending: 2,
 			Avoid:   func(string) bool { return false },
 		}},
 	}
-	if w := Plan(&s); len(w.Starts) != 1 || w.Starts[0].Machine != 2 || w.Starts[0].Count != 2 {
-		t.Errorf("starts: %+v", w.Starts)
+	if w := Plan(&s); len(w.Placements) != 1 || w.Placements[0].Machine != 2 || w.Placements[0].Count != 2 {
+		t.Errorf("starts: %+v", w.Placements)
 	}
 }
--- a/internal/coordination/planpublisher.go
+++ b/internal/coordination/planpublisher.go
@@ -20,38 +20,38 @@
 // planPublisher makes and writes the admission plan while its node leads.
 type planPublisher struct {
 	admitter *admitter
-	term     *Term
+	leader   *Leader
 
-	// busy holds a token while the record is read or written. What follows is for its
+	// recordLock holds a token while the record is read or written. What follows is for its
 	// holder alone.
-	busy     chan struct{}
-	planner  *admission.Planner
-	revision uint64 // of the record, as this leader knows it
-	known    bool   // it does
-	version  uint64 // of the last plan
-	written  *admission.Plan
-	sentAt   units.Micros // of the last one that this leader wrote; 0: none yet
-	failed   bool         // it is not known whether that one was written, or it was not
-	tooLarge bool         // the last plan did not fit, and that was logged
-	pace     *rate.Limiter
+	recordLock  chan struct{}
+	planner     *admission.Planner
+	revision    uint64 // of the record, as this leader knows it
+	recordKnown bool   // it does
+	version     uint64 // of the last plan
+	written     *admission.Plan
+	sentAt      units.Micros // of the last one that this leader wrote; 0: none yet
+	failed      bool         // it is not known whether that one was written, or it was not
+	tooLarge    bool         // the last plan did not fit, and that was logged
+	limiter     *rate.Limiter
 
 	standings atomic.Pointer[[]admission.Standing] // of the teams, by the last proposal
 }
 
-func newPlanPublisher(admitter *admitter, term *Term) *planPublisher {
-	return &planPublisher{admitter: admitter, term: term, busy: make(chan struct{}, 1), pace: rate.NewLimiter(plansPerSecond, plansAtOnce)}
+func newPlanPublisher(admitter *admitter, term *Leader) *planPublisher {
+	return &planPublisher{admitter: admitter, leader: term, recordLock: make(chan struct{}, 1), limiter: rate.NewLimiter(plansPerSecond, planBurst)}
 }
 
 // The pace of plans. Exhausted quotas are renewed sooner, what is a matter of course is
 // not written again before it is about to lapse.
 const (
-	planTick     = 250 * units.Millisecond
-	planLeast    = 500 * units.Millisecond // between two plans
-	planSoonest  = 120 * units.Millisecond // likewise, when a quota is used up
-	planRenewals = 3                       // of an unchanged plan, in its lifetime
+	planInterval          = 250 * units.Millisecond
+	minPlanInterval       = 500 * units.Millisecond // between two plans
+	minUrgentPlanInterval = 120 * units.Millisecond // likewise, when a quota is used up
+	renewalsPerLifetime   = 3                       // of an unchanged plan, in its lifetime
 	// Further plans are few, so that they take little of the writes.
 	plansPerSecond = 2
-	plansAtOnce    = 4
+	planBurst      = 4
 )
 
 // writeStandings writes how the teams stand, for the metrics of the leader.
@@ -78,24 +78,24 @@
 // acquire waits for the token.
 func (p *planPublisher) acquire(ctx context.Context) error {
 	select {
-	case p.busy <- struct{}{}:
+	case p.recordLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (p *planPublisher) release() { <-p.busy }
+func (p *planPublisher) release() { <-p.recordLock }
 
 // loop publishes plans until ctx ends.
 func (p *planPublisher) loop(ctx context.Context) {
 	if p.admitter == nil {
 		return
 	}
-	tick := time.NewTicker(planTick.Duration())
+	tick := time.NewTicker(planInterval.Duration())
 	defer tick.Stop()
 	for asked := true; ; {
-		if p.admitter.active() && p.term.Lease.Valid(p.term.number) {
+		if p.admitter.active() && p.leader.Elector.Valid(p.leader.token) {
 			if err := p.step(ctx, asked); err != nil {
 				p.admitter.log.Debug("the admission plan is not written", "error", err)
 			}
@@ -105,7 +105,7 @@
 			return
 		case <-tick.C:
 			asked = false
-		case <-p.admitter.replan:
+		case <-p.admitter.replanSignal:
 			asked = true
 		}
 	}
@@ -117,25 +117,25 @@
 		return err
 	}
 	defer p.release()
-	if !p.known {
+	if !p.recordKnown {
 		if err := p.read(ctx); err != nil {
 			return err
 		}
 	}
 	if p.admitter.unreadable.Load() != 0 {
-		p.known = false // an operator may repair or delete the record
+		p.recordKnown = false // an operator may repair or delete the record
 		return errPlanUnreadable
 	}
-	now := p.term.Clock.Steady()
-	if p.sentAt != 0 && now-p.sentAt < leastPause(asked) {
+	now := p.leader.Clock.Steady()
+	if p.sentAt != 0 && now-p.sentAt < planPause(asked) {
 		return nil
 	}
-	proposal := p.planner.Next(p.version+1, p.term.number, p.term.measure(now))
+	proposal := p.planner.Next(p.version+1, p.leader.token, p.leader.measure(now))
 	p.standings.Store(&proposal.Standings)
 	if !p.due(proposal.Plan, now, asked) {
 		return nil
 	}
-	raw, held, err := admission.Encode(proposal.Plan, p.term.Settings.Fleet.State.Both().ValueBytes())
+	raw, held, err := admission.Encode(proposal.Plan, p.leader.Settings.Fleet.State.Both().ValueBytes())
 	if err != nil {
 		if !p.tooLarge {
 			p.admitter.log.Error("the admission plan is not written; jobs are admitted by the built-in floor", "error", err)
@@ -155,29 +155,29 @@
 
 var errPlanUnreadable = errors.New("the plan's record is not readable")
 
-// leastPause is the time between two plans.
-func leastPause(asked bool) units.Micros {
+// planPause is the time between two plans.
+func planPause(asked bool) units.Micros {
 	if asked {
-		return planSoonest
+		return minUrgentPlanInterval
 	}
-	return planLeast
+	return minPlanInterval
 }
 
 // due tells whether a plan is to be written now.
 func (p *planPublisher) due(plan *admission.Plan, now units.Micros, asked bool) bool {
-	if p.sentAt == 0 || now-p.sentAt >= admission.Lifetime/planRenewals {
+	if p.sentAt == 0 || now-p.sentAt >= admission.Lifetime/renewalsPerLifetime {
 		return true
 	}
 	if !asked && !p.failed && plan.Like(p.written) {
 		return false
 	}
-	return p.term.Store.HasWriteBudget() && p.pace.Allow()
+	return p.leader.KV.HasWriteBudget() && p.limiter.Allow()
 }
 
-// read finds out what the record holds now.
+// readRecords finds out what the record holds now.
 func (p *planPublisher) read(ctx context.Context) error {
-	asked := p.term.Clock.Steady()
-	item, revision, err := p.term.Store.ReadAtRevision(ctx, admission.KeyPlan, stateCall)
+	asked := p.leader.Clock.Steady()
+	item, revision, err := p.leader.KV.ReadAtRevision(ctx, admission.KeyPlan, kvTimeout)
 	if err != nil {
 		return err
 	}
@@ -189,19 +189,19 @@
 		if p.sentAt != 0 && item.Version > p.revision {
 			after = p.sentAt // it is the one whose answer was lost
 		}
-		p.admitter.adopt(item, after, p.term.Clock.Steady())
+		p.admitter.adopt(item, after, p.leader.Clock.Steady())
 	}
 	if p.admitter.unreadable.Load() == 0 {
 		if err := p.continueFrom(item); err != nil {
 			return err
 		}
 	}
-	if err := p.takeInbox(ctx); err != nil {
+	if err := p.ingestPending(ctx); err != nil {
 		return err
 	}
-	p.known = true
+	p.recordKnown = true
 	p.revision = item.Version
-	p.term.planChanged(p.revision)
+	p.leader.planChanged(p.revision)
 	return nil
 }
 
@@ -217,80 +217,80 @@
 		p.version = plan.Version
 	}
 	if p.planner == nil {
-		p.planner = admission.NewPlanner(p.admitter.options, p.admitter.teams, former, p.term.Clock.Steady())
+		p.planner = admission.NewPlanner(p.admitter.options, p.admitter.teams, former, p.leader.Clock.Steady())
 	}
 	return nil
 }
 
-// takeInbox takes in what was accepted under the plan before: once a new one is durable,
+// ingestPending takes in what was accepted under the plan before: once a new one is durable,
 // nothing more can be accepted under that. So whoever is not known after it and has to
-// wait by the new plan stays unknown while it is in force.
-func (p *planPublisher) takeInbox(ctx context.Context) error {
-	items, _, err := listAll(ctx, p.term.Store, storage.PrefixPending)
+// delay by the new plan stays unknown while it is in force.
+func (p *planPublisher) ingestPending(ctx context.Context) error {
+	items, _, err := listAll(ctx, p.leader.KV, storage.PrefixPending)
 	if err != nil {
 		return err
 	}
-	return p.term.takeIn(ctx, items)
+	return p.leader.ingest(ctx, items)
 }
 
-// write makes a plan durable, on condition that the record is as this leader knows it and
+// compareAndSwap makes a plan durable, on condition that the record is as this leader knows it and
 // that no later leader has claimed the buckets. From before the plan is sent until it is
-// known what became of it, nobody is told to wait by the plan before.
+// recordKnown what became of it, nobody is told to wait by the plan before.
 func (p *planPublisher) write(ctx context.Context, raw []byte, plan *admission.Plan) error {
-	p.term.planInDoubt()
-	head := storage.KeyBucketHead(planFence)
-	sent := p.term.Clock.Steady()
+	p.leader.planUncertain()
+	head := storage.KeyBucketHead(planFenceBucket)
+	sent := p.leader.Clock.Steady()
 	pacing := kv.Paced
 	if p.sentAt == 0 {
 		pacing = kv.Urgent
 	}
 	p.sentAt = sent
-	revision, err := p.term.Store.CompareAndSwap(ctx, protocol.Txn{
+	revision, err := p.leader.KV.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{
 			{Key: admission.KeyPlan, Version: p.revision},
-			{Key: head, Version: p.term.bucketVersion(planFence)},
+			{Key: head, Version: p.leader.bucketVersion(planFenceBucket)},
 		},
 		Then: []protocol.Change{{Set: admission.KeyPlan, Value: raw}},
-	}, pacing, stateCall)
+	}, pacing, kvTimeout)
 	switch {
 	case errors.Is(err, kv.ErrRefused):
-		p.term.planChanged(p.revision)
+		p.leader.planChanged(p.revision)
 		return err
 	case err != nil:
-		p.known = false
+		p.recordKnown = false
 		return err
 	}
 	if !plan.Like(p.written) {
 		p.admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.Gates(),
-			"turns", plan.Turns(), "waiting", p.term.waitingJobs())
+			"turns", plan.Turns(), "waiting", p.leader.waitingCount())
 	}
 	p.written, p.version = plan, plan.Version
-	if err := p.takeInbox(ctx); err != nil {
-		p.known = false // it is read again, with the inbox
+	if err := p.ingestPending(ctx); err != nil {
+		p.recordKnown = false // it is read again, with the inbox
 		p.revision = revision
 		return err
 	}
 	if err := p.admitter.keeper.Adopt(admission.Held{
-		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.term.Clock.Steady(),
+		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.leader.Clock.Steady(),
 	}); err != nil {
 		return err
 	}
 	p.revision = revision
-	p.term.planChanged(revision)
+	p.leader.planChanged(revision)
 	return nil
 }
 
-// planFence is the bucket whose head fences the plans of former leaders.
-const planFence = 0
+// planFenceBucket is the bucket whose head fences the plans of former leaders.
+const planFenceBucket = 0
 
-// reread finds out about the record after a save met another version of it.
-func (p *planPublisher) reread(ctx context.Context) {
+// rereadRecord finds out about the record after a save met another version of it.
+func (p *planPublisher) rereadRecord(ctx context.Context) {
 	if p.acquire(ctx) != nil {
 		return
 	}
 	defer p.release()
-	p.known = false
-	for p.read(ctx) != nil && pause(ctx, readRetry) {
+	p.recordKnown = false
+	for p.read(ctx) != nil && sleep(ctx, readRetryDelay) {
 		continue
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -8,8 +8,8 @@
 	"dunestand/internal/units"
 )
 
-// located is a victim and its machine.
-type located struct {
+// machineVictim is a victim and its machine.
+type machineVictim struct {
 	machine int
 	victim  *Victim
 }
@@ -19,25 +19,25 @@
 // machines. Room that stopped tasks are about to leave is reckoned with first,
 // so that no round stops again for the same need.
 func (p *planner) preempt(i int, j *JobView) {
-	mayStop := !j.Patient && p.mayStopAny(j)
-	if !mayStop && !p.freeing {
+	mayStop := !j.AwaitsCompletions && p.mayPreemptAny(j)
+	if !mayStop && !p.anyFreeing {
 		return
 	}
 	want := p.preemptInTeam(i, j)
-	p.s.Teams[j.Team].Freeing = p.s.Teams[j.Team].Freeing.Plus(j.Spec.Request, -want)
-	for k := range p.s.Machines {
+	p.snapshot.Teams[j.Team].Freeing = p.snapshot.Teams[j.Team].Freeing.Plus(j.Spec.Request, -want)
+	for k := range p.snapshot.Machines {
 		if want <= 0 {
 			return
 		}
-		m := &p.s.Machines[k]
+		m := &p.snapshot.Machines[k]
 		coming := min(m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request), want)
 		if coming > 0 && p.usable(k, j) {
-			p.reserve(m, j.Spec.Request, coming)
+			p.claimRoom(m, j.Spec.Request, coming)
 			want -= coming
 		}
 	}
-	for k := range p.s.Machines {
-		m := &p.s.Machines[k]
+	for k := range p.snapshot.Machines {
+		m := &p.snapshot.Machines[k]
 		if want <= 0 || !mayStop {
 			return
 		}
@@ -48,16 +48,16 @@
 	}
 }
 
-// mayStopAny tells whether any task at all could be stopped for the job.
-func (p *planner) mayStopAny(j *JobView) bool {
+// mayPreemptAny tells whether any task at all could be stopped for the job.
+func (p *planner) mayPreemptAny(j *JobView) bool {
 	if j.Spec.Priority >= protocol.High {
 		return true
 	}
-	if !j.Guaranteed {
+	if !j.WithinGuarantee {
 		return false
 	}
-	for i := range p.s.Teams {
-		if g := p.s.Teams[i].Guarantee; i != j.Team && (p.leave[i].CPU > g.CPU || p.leave[i].GPU > g.GPU) {
+	for i := range p.snapshot.Teams {
+		if g := p.snapshot.Teams[i].GuaranteedQuota; i != j.Team && (p.usageAfterPreemption[i].CPU > g.CPU || p.usageAfterPreemption[i].GPU > g.GPU) {
 			return true
 		}
 	}
@@ -67,35 +67,37 @@
 // victimsOn gives the tasks on a machine that could be stopped, the one to be
 // stopped first first.
 func (p *planner) victimsOn(k int) []Victim {
-	if p.victims == nil {
-		p.victims = make([][]Victim, len(p.s.Machines))
+	if p.victimsByMachine == nil {
+		p.victimsByMachine = make([][]Victim, len(p.snapshot.Machines))
 	}
-	if p.victims[k] == nil {
-		if list := p.s.Machines[k].Victims; list != nil {
-			p.victims[k] = list()
-			slices.SortFunc(p.victims[k], compareVictims)
+	if p.victimsByMachine[k] == nil {
+		if list := p.snapshot.Machines[k].Victims; list != nil {
+			p.victimsByMachine[k] = list()
+			slices.SortFunc(p.victimsByMachine[k], compareVictims)
 		}
-		if p.victims[k] == nil {
-			p.victims[k] = []Victim{} // asked, and none
+		if p.victimsByMachine[k] == nil {
+			p.victimsByMachine[k] = []Victim{} // asked, and none
 		}
 	}
-	return p.victims[k]
+	return p.victimsByMachine[k]
 }
 
 // preemptInTeam stops tasks of the job's own team until its limit has room for
 // the job, and gives how many of the job's tasks it then has room for.
 func (p *planner) preemptInTeam(i int, j *JobView) int {
-	t := &p.s.Teams[j.Team]
-	room := func() int { return min(j.Pending, t.Limit.Plus(t.Used, -1).Plus(t.Freeing, 1).Fits(j.Spec.Request)) }
-	if room() == j.Pending || j.Spec.Priority < protocol.High || j.Patient {
+	t := &p.snapshot.Teams[j.Team]
+	room := func() int {
+		return min(j.Pending, t.QuotaLimit.Plus(t.Used, -1).Plus(t.Freeing, 1).Fits(j.Spec.Request))
+	}
+	if room() == j.Pending || j.Spec.Priority < protocol.High || j.AwaitsCompletions {
 		return room()
 	}
 	for _, c := range p.victimsOf(j.Team) {
 		if c.victim.Priority >= j.Spec.Priority || room() >= j.Pending {
 			break
 		}
-		if !p.taken[c.victim.Ref] && p.usable(c.machine, j) && p.mayStop(j, *c.victim) {
-			p.stop(&p.s.Machines[c.machine], *c.victim, i)
+		if !p.preempted[c.victim.Ref] && p.usable(c.machine, j) && p.mayPreempt(j, *c.victim) {
+			p.preemptVictim(&p.snapshot.Machines[c.machine], *c.victim, i)
 		}
 	}
 	return room()
@@ -103,41 +105,41 @@
 
 // victimsOf gives a team's tasks that could be stopped, the one to be stopped
 // first first.
-func (p *planner) victimsOf(team int) []located {
-	if p.ofTeam == nil {
-		p.ofTeam = map[int][]located{}
-		for k := range p.s.Machines {
+func (p *planner) victimsOf(team int) []machineVictim {
+	if p.victimsByTeam == nil {
+		p.victimsByTeam = map[int][]machineVictim{}
+		for k := range p.snapshot.Machines {
 			on := p.victimsOn(k)
 			for n := range on {
-				p.ofTeam[on[n].Team] = append(p.ofTeam[on[n].Team], located{k, &on[n]})
+				p.victimsByTeam[on[n].Team] = append(p.victimsByTeam[on[n].Team], machineVictim{k, &on[n]})
 			}
 		}
-		for _, list := range p.ofTeam {
-			slices.SortFunc(list, func(a, b located) int { return compareVictims(*a.victim, *b.victim) })
+		for _, list := range p.victimsByTeam {
+			slices.SortFunc(list, func(a, b machineVictim) int { return compareVictims(*a.victim, *b.victim) })
 		}
 	}
-	return p.ofTeam[team]
+	return p.victimsByTeam[team]
 }
 
 // compareVictims orders victims, the one to be stopped first first.
 func compareVictims(a, b Victim) int {
-	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Loses, b.Loses), cmp.Compare(a.Ref, b.Ref))
+	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.Ref, b.Ref))
 }
 
-// stop chooses a victim. It counts against its team's limit and on its machine
-// until it is gone.
-func (p *planner) stop(m *MachineView, v Victim, i int) {
-	p.taken[v.Ref] = true
-	p.out.Stops = append(p.out.Stops, Preemption{Victim: v.Ref, For: i})
-	m.Freeing = m.Freeing.Plus(v.Need, 1)
-	p.freeing = true
-	t := &p.s.Teams[v.Team]
-	t.Freeing = t.Freeing.Plus(v.Need, 1)
-	p.leave[v.Team] = p.leave[v.Team].Plus(v.Need, -1)
+// preemptVictim chooses a victim. It counts against its team's limit and on its machine
+// typesValidUntil it is gone.
+func (p *planner) preemptVictim(m *MachineView, v Victim, i int) {
+	p.preempted[v.Ref] = true
+	p.decisions.Preemptions = append(p.decisions.Preemptions, Preemption{Victim: v.Ref, Job: i})
+	m.Freeing = m.Freeing.Plus(v.Request, 1)
+	p.anyFreeing = true
+	t := &p.snapshot.Teams[v.Team]
+	t.Freeing = t.Freeing.Plus(v.Request, 1)
+	p.usageAfterPreemption[v.Team] = p.usageAfterPreemption[v.Team].Plus(v.Request, -1)
 }
 
-// reserve takes room that is free or about to be from the machine's views.
-func (p *planner) reserve(m *MachineView, need units.Resources, n int) {
+// claimRoom takes room that is free or about to be from the machine's views.
+func (p *planner) claimRoom(m *MachineView, need units.Resources, n int) {
 	total := m.Free.Plus(m.Freeing, 1).Plus(need, -n)
 	m.Freeing = units.Resources{
 		CPU:    min(m.Freeing.CPU, total.CPU),
@@ -148,7 +150,7 @@
 }
 
 func (p *planner) preemptOn(k, i int, j *JobView, want int) int {
-	m := &p.s.Machines[k]
+	m := &p.snapshot.Machines[k]
 	made := 0
 	room := m.freeFor(j).Plus(m.Freeing, 1)
 	var chosen []Victim
@@ -156,36 +158,36 @@
 		if made >= want {
 			break
 		}
-		if p.taken[v.Ref] || !p.mayStop(j, v) {
+		if p.preempted[v.Ref] || !p.mayPreempt(j, v) {
 			continue
 		}
-		room = room.Plus(v.Need, 1)
+		room = room.Plus(v.Request, 1)
 		chosen = append(chosen, v)
 		if n := min(room.Fits(j.Spec.Request), want); n > made {
 			for _, c := range chosen {
-				p.stop(m, c, i)
+				p.preemptVictim(m, c, i)
 			}
 			chosen = nil
 			made = n
 		}
 	}
 	if made > 0 {
-		p.reserve(m, j.Spec.Request, made)
+		p.claimRoom(m, j.Spec.Request, made)
 	}
 	return made
 }
 
-// mayStop tells whether a task may be stopped to make room for a job: one of
+// mayPreempt tells whether a task may be stopped to make room for a job: one of
 // lower priority, or one that its team runs beyond its guarantee while the
 // job is within its own. The victim waits again once it is stopped, so it must
 // come after the job in the order: else the next round would give it the room
 // again, and the two would go on taking turns.
-func (p *planner) mayStop(j *JobView, v Victim) bool {
+func (p *planner) mayPreempt(j *JobView, v Victim) bool {
 	if v.Priority >= j.Spec.Priority || j.Spec.Priority < protocol.High {
-		if !j.Guaranteed || v.Team == j.Team || v.Priority > j.Spec.Priority && v.Priority >= protocol.High {
+		if !j.WithinGuarantee || v.Team == j.Team || v.Priority > j.Spec.Priority && v.Priority >= protocol.High {
 			return false
 		}
-		g, rest := p.s.Teams[v.Team].Guarantee, p.leave[v.Team].Plus(v.Need, -1)
+		g, rest := p.snapshot.Teams[v.Team].GuaranteedQuota, p.usageAfterPreemption[v.Team].Plus(v.Request, -1)
 		if rest.CPU < g.CPU || rest.GPU < g.GPU {
 			return false
 		}
--- a/internal/coordination/records.go
+++ b/internal/coordination/records.go
@@ -51,7 +51,7 @@
 	if a, found := r.liveOrFinal(ctx, id); found {
 		return a
 	}
-	return provisionalAnswer(Refuse(http.StatusNotFound, "no such job"), began)
+	return provisionalAnswer(ErrorResponse(http.StatusNotFound, "no such job"), began)
 }
 
 // liveOrFinal looks for a job in the live and then in the final records.
@@ -66,14 +66,14 @@
 		if err != nil {
 			return unavailable("the job's record is not readable"), true
 		}
-		return jobAnswer(http.StatusOK, jobs[0], r.workers, readAt), true
+		return liveJobAnswer(http.StatusOK, jobs[0], r.workers, readAt), true
 	}
-	f, ok, err := ReadFinal(ctx, r.store, id)
+	f, ok, err := ReadTerminal(ctx, r.store, id)
 	switch {
 	case errors.Is(err, kv.ErrRefused), errors.Is(err, kv.ErrOutcomeUnknown):
 		return unavailable("state service is out of reach"), true
 	case err != nil:
 		return unavailable("the job's record is not readable"), true
 	}
-	return finalAnswer(id, f), ok
+	return terminalAnswer(id, f), ok
 }
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -9,50 +9,50 @@
 	"dunestand/internal/units"
 )
 
-// Kind is a kind of machine as the cloud rents it.
-type Kind struct {
-	Type, Zone string
-	Spot       bool
-}
-
-// FleetView is what the renting decision looks at.
-type FleetView struct {
-	Types          map[string]protocol.InstanceType
-	Have           map[Kind]int // machines that work or are thought to come up
-	Needs          []Need       // tasks that are not done, within their teams' limits
-	Reserve        units.Amount // processors to keep whatever is needed
+// Offering is a kind of machine as the cloud rents it.
+type Offering struct {
+	InstanceType, Zone string
+	Spot               bool
+}
+
+// CapacityView is what the renting decision looks at.
+type CapacityView struct {
+	InstanceTypes  map[string]protocol.InstanceType
+	Machines       map[Offering]int // machines that work or are thought to come up
+	Demand         []TaskDemand     // tasks that are not done, within their teams' limits
+	ReserveCPUs    units.Amount     // processors to keep whatever is needed
 	SpotPreference float64
-	Refused        func(Kind) bool // asked lately and refused
+	Unavailable    func(Offering) bool // asked lately and refused
 }
 
-// Need is a number of tasks alike.
-type Need struct {
+// TaskDemand is a number of tasks alike.
+type TaskDemand struct {
 	Spec  *protocol.JobSpec
 	Count int
 }
 
 // Order is a number of machines to rent.
 type Order struct {
-	Kind  Kind
-	Count int
+	Offering Offering
+	Count    int
 }
 
-// kindOffer is a kind with what it gives and costs.
-type kindOffer struct {
-	kind Kind
-	size units.Resources
-	cost float64
+// pricedOffering is a kind with what it gives and costs.
+type pricedOffering struct {
+	offering Offering
+	capacity units.Resources
+	cost     float64
 }
 
-func offers(v *FleetView) []kindOffer {
-	var out []kindOffer
-	for _, name := range sortedKeys(v.Types) {
-		t := v.Types[name]
+func pricedOfferings(v *CapacityView) []pricedOffering {
+	var out []pricedOffering
+	for _, name := range sortedKeys(v.InstanceTypes) {
+		t := v.InstanceTypes[name]
 		for _, zone := range t.Zones {
 			out = append(out,
-				kindOffer{Kind{name, zone, false}, cluster.CapacityOf(t), t.Price},
-				kindOffer{
-					Kind{name, zone, true},
+				pricedOffering{Offering{name, zone, false}, cluster.CapacityOf(t), t.Price},
+				pricedOffering{
+					Offering{name, zone, true},
 					cluster.CapacityOf(t),
 					t.SpotPrice * max(v.SpotPreference, 0.01),
 				})
@@ -61,79 +61,79 @@
 	return out
 }
 
-// WantRented works out what to rent: what the tasks need beyond what there
+// PlanScaleOut works out what to rent: what the tasks need beyond what there
 // is, on the cheapest kinds that they allow and that were not refused lately,
 // and then the reserve. Room is reckoned as one pool a kind.
-func WantRented(v *FleetView) []Order {
-	p := newRentPlan(v)
-	needs := slices.Clone(v.Needs)
+func PlanScaleOut(v *CapacityView) []Order {
+	p := newScaleOutPlan(v)
+	needs := slices.Clone(v.Demand)
 	// What has the fewest kinds to choose from chooses first.
-	slices.SortStableFunc(needs, func(a, b Need) int { return cmp.Compare(p.choices(a), p.choices(b)) })
+	slices.SortStableFunc(needs, func(a, b TaskDemand) int { return cmp.Compare(p.choices(a), p.choices(b)) })
 	for _, n := range needs {
-		if left := p.useRoom(n); left > 0 {
-			p.rentFor(n, left)
+		if left := p.useFreeCapacity(n); left > 0 {
+			p.orderFor(n, left)
 		}
 	}
-	p.rentReserve()
+	p.orderReserve()
 	return p.result()
 }
 
-// rentPlan is a renting decision in the making.
-type rentPlan struct {
-	view   *FleetView
-	offers []kindOffer
-	pool   map[Kind]units.Resources // room left, of what there is and what is to be rented
-	orders map[Kind]int
-	total  units.Amount // processors of both
+// scaleOutPlan is a renting decision in the making.
+type scaleOutPlan struct {
+	view         *CapacityView
+	offerings    []pricedOffering
+	freeCapacity map[Offering]units.Resources // room left, of what there is and what is to be rented
+	orders       map[Offering]int
+	total        units.Amount // processors of both
 }
 
-func newRentPlan(v *FleetView) *rentPlan {
-	p := &rentPlan{
-		view:   v,
-		offers: offers(v),
-		pool:   map[Kind]units.Resources{},
-		orders: map[Kind]int{},
+func newScaleOutPlan(v *CapacityView) *scaleOutPlan {
+	p := &scaleOutPlan{
+		view:         v,
+		offerings:    pricedOfferings(v),
+		freeCapacity: map[Offering]units.Resources{},
+		orders:       map[Offering]int{},
 	}
-	for _, o := range p.offers {
-		p.addMachines(o, v.Have[o.kind])
+	for _, o := range p.offerings {
+		p.addMachines(o, v.Machines[o.offering])
 	}
 	return p
 }
 
 // addMachines adds the room of some machines.
-func (p *rentPlan) addMachines(o kindOffer, n int) {
-	p.pool[o.kind] = p.pool[o.kind].Plus(o.size, n)
-	p.total += o.size.CPU * units.Amount(n)
+func (p *scaleOutPlan) addMachines(o pricedOffering, n int) {
+	p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(o.capacity, n)
+	p.total += o.capacity.CPU * units.Amount(n)
 }
 
-func (p *rentPlan) rent(o kindOffer, n int) {
-	p.orders[o.kind] += n
+func (p *scaleOutPlan) order(o pricedOffering, n int) {
+	p.orders[o.offering] += n
 	p.addMachines(o, n)
 }
 
 // allows tells whether a need's tasks may be on machines of an offered kind.
-func (o *kindOffer) allows(n Need) bool {
-	return allowed(n.Spec, o.kind.Type, o.kind.Zone, o.kind.Spot)
+func (o *pricedOffering) allows(n TaskDemand) bool {
+	return PlacementAllowed(n.Spec, o.offering.InstanceType, o.offering.Zone, o.offering.Spot)
 }
 
 // choices counts the kinds that a need's tasks may be on.
-func (p *rentPlan) choices(n Need) int {
+func (p *scaleOutPlan) choices(n TaskDemand) int {
 	count := 0
-	for i := range p.offers {
-		if p.offers[i].allows(n) {
+	for i := range p.offerings {
+		if p.offerings[i].allows(n) {
 			count++
 		}
 	}
 	return count
 }
 
-// useRoom takes room for a need's tasks and gives how many of them find none.
-func (p *rentPlan) useRoom(n Need) int {
+// useFreeCapacity takes room for a need's tasks and gives how many of them find none.
+func (p *scaleOutPlan) useFreeCapacity(n TaskDemand) int {
 	left := n.Count
-	for i := range p.offers {
-		o := &p.offers[i]
-		if k := min(left, p.pool[o.kind].Fits(n.Spec.Request)); k > 0 && o.allows(n) {
-			p.pool[o.kind] = p.pool[o.kind].Plus(n.Spec.Request, -k)
+	for i := range p.offerings {
+		o := &p.offerings[i]
+		if k := min(left, p.freeCapacity[o.offering].Fits(n.Spec.Request)); k > 0 && o.allows(n) {
+			p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(n.Spec.Request, -k)
 			left -= k
 		}
 	}
@@ -141,71 +141,71 @@
 }
 
 // planned is how many machines of a kind there are and are to be rented.
-func (p *rentPlan) planned(kind Kind) int { return p.view.Have[kind] + p.orders[kind] }
+func (p *scaleOutPlan) planned(kind Offering) int { return p.view.Machines[kind] + p.orders[kind] }
 
-// rentFor rents machines of the kind that is cheapest for each of a need's tasks. Of
+// orderFor rents machines of the kind that is cheapest for each of a need's tasks. Of
 // those alike it is the one with fewer machines.
-func (p *rentPlan) rentFor(n Need, tasks int) {
-	var best *kindOffer
+func (p *scaleOutPlan) orderFor(n TaskDemand, tasks int) {
+	var best *pricedOffering
 	bestCost, bestFits := 0.0, 0
-	for i := range p.offers {
-		o := &p.offers[i]
-		fits := o.size.Fits(n.Spec.Request)
-		if fits == 0 || p.view.Refused(o.kind) || !o.allows(n) {
+	for i := range p.offerings {
+		o := &p.offerings[i]
+		fits := o.capacity.Fits(n.Spec.Request)
+		if fits == 0 || p.view.Unavailable(o.offering) || !o.allows(n) {
 			continue
 		}
 		cost := o.cost / float64(fits)
-		if best == nil || cost < bestCost || cost == bestCost && p.planned(o.kind) < p.planned(best.kind) {
+		if best == nil || cost < bestCost || cost == bestCost && p.planned(o.offering) < p.planned(best.offering) {
 			best, bestCost, bestFits = o, cost, fits
 		}
 	}
 	if best == nil {
 		return
 	}
-	p.rent(*best, (tasks+bestFits-1)/bestFits)
-	p.pool[best.kind] = p.pool[best.kind].Plus(n.Spec.Request, -tasks)
+	p.order(*best, (tasks+bestFits-1)/bestFits)
+	p.freeCapacity[best.offering] = p.freeCapacity[best.offering].Plus(n.Spec.Request, -tasks)
 }
 
-// rentReserve rents what lacks to the reserve, machine by machine.
-func (p *rentPlan) rentReserve() {
-	for p.total < p.view.Reserve {
+// orderReserve rents what lacks to the reserve, machine by machine.
+func (p *scaleOutPlan) orderReserve() {
+	for p.total < p.view.ReserveCPUs {
 		best := p.cheapestPerCPU()
 		if best == nil {
 			return
 		}
-		p.rent(*best, 1)
+		p.order(*best, 1)
 	}
 }
 
 // cheapestPerCPU gives the kind that may still be rented whose processors cost least; of
 // those alike, the one with fewer machines.
-func (p *rentPlan) cheapestPerCPU() *kindOffer {
-	var best *kindOffer
-	for i := range p.offers {
-		o := &p.offers[i]
-		if o.size.CPU == 0 || p.view.Refused(o.kind) || p.orders[o.kind] >= protocol.MaxScaleOut {
+func (p *scaleOutPlan) cheapestPerCPU() *pricedOffering {
+	var best *pricedOffering
+	for i := range p.offerings {
+		o := &p.offerings[i]
+		if o.capacity.CPU == 0 || p.view.Unavailable(o.offering) || p.orders[o.offering] >= protocol.MaxScaleOut {
 			continue
 		}
 		if best == nil {
 			best = o
 			continue
 		}
-		cost, bestCost := o.cost*best.size.CPU.Float(), best.cost*o.size.CPU.Float()
-		if o.costPerCPU() < best.costPerCPU() || cost == bestCost && p.planned(o.kind) < p.planned(best.kind) {
+		cost, bestCost := o.cost*best.capacity.CPU.Float(), best.cost*o.capacity.CPU.Float()
+		if o.costPerCPU() < best.costPerCPU() || cost == bestCost && p.planned(o.offering) < p.planned(best.offering) {
 			best = o
 		}
 	}
 	return best
 }
 
-func (o *kindOffer) costPerCPU() float64 { return o.cost / o.size.CPU.Float() }
+func (o *pricedOffering) costPerCPU() float64 { return o.cost / o.capacity.CPU.Float() }
 
 // result gives the orders, in the order of the offers.
-func (p *rentPlan) result() []Order {
+func (p *scaleOutPlan) result() []Order {
 	var out []Order
-	for _, o := range p.offers {
-		if n := p.orders[o.kind]; n > 0 {
-			out = append(out, Order{o.kind, min(n, protocol.MaxScaleOut)})
+	for _, o := range p.offerings {
+		if n := p.orders[o.offering]; n > 0 {
+			out = append(out, Order{o.offering, min(n, protocol.MaxScaleOut)})
 		}
 	}
 	return out
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	minDurableWait = 150 * units.Millisecond
-	maxDurableWait = 500 * units.Millisecond
-	// noRoomPause is how long a machine that refused a start for want of room gets none.
-	noRoomPause = 2 * units.Second
+	minStartDurableWait = 150 * units.Millisecond
+	maxStartDurableWait = 500 * units.Millisecond
+	// noCapacityPause is how long a machine that refused a start for want of room gets none.
+	noCapacityPause = 2 * units.Second
 )
 
 // durableWait is how long an answer to a report waits for the save that must
 // come before the starts it is to carry: else they go with the next report, so
 // where reports come seldom it waits longer.
-func (t *Term) durableWait() units.Micros {
-	return min(max(t.Settings.Fleet.Workers.Report()/10, minDurableWait), maxDurableWait)
+func (t *Leader) durableWait() units.Micros {
+	return min(max(t.Settings.Fleet.Workers.Report()/10, minStartDurableWait), maxStartDurableWait)
 }
 
 // restoreWait is how long a report waits for the restore of the records: mostly
@@ -28,7 +28,7 @@
 const restoreWait = 2 * units.Second
 
 // waitRestored waits until the records are restored, and tells whether they are.
-func (t *Term) waitRestored(ctx context.Context, slot *reportSlot) bool {
+func (t *Leader) waitRestored(ctx context.Context, slot *heartbeatSlot) bool {
 	select {
 	case <-t.restored:
 		return true
@@ -46,35 +46,35 @@
 	return false
 }
 
-// Report takes in a worker's report and gives the commands for it. It is not
+// Heartbeat takes in a worker's report and gives the commands for it. It is not
 // accepted (false) when this node may not command, or the report is an old
 // one. It releases the slot before it waits for anything.
 //
 // An answer prolongs the worker's lease, and with it whatever runs there. So none
 // is given before the records are restored: this node might not know yet of a
 // cancellation that a former leader's user was told of.
-func (t *Term) Report(ctx context.Context, r *protocol.Heartbeat, slot *reportSlot) (protocol.HeartbeatResponse, bool) {
-	answer := protocol.HeartbeatResponse{FencingToken: t.number, Commands: []protocol.Command{}}
+func (t *Leader) Heartbeat(ctx context.Context, r *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, bool) {
+	answer := protocol.HeartbeatResponse{FencingToken: t.token, Commands: []protocol.Command{}}
 	if !t.waitRestored(ctx, slot) {
 		return answer, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Steady()
-	if !t.Lease.Valid(t.number) || r.FencingToken > t.number {
+	if !t.Elector.Valid(t.token) || r.FencingToken > t.token {
 		return answer, false
 	}
-	m := t.observe(r, now)
+	m := t.reconcile(r, now)
 	if m == nil {
 		return answer, false
 	}
-	if t.roundDue(now) {
-		t.round(now, m)
+	if t.cycleDue(now) {
+		t.runCycle(now, m)
 	} else {
-		t.fill(m, now)
+		t.placeOnMachine(m, now)
 	}
-	if wait := t.undurable(m); wait != nil {
-		signal(t.saveSignal)
+	if wait := t.unwrittenStart(m); wait != nil {
+		raise(t.writeSignal)
 		t.mu.Unlock()
 		slot.release()
 		select {
@@ -83,7 +83,7 @@
 		case <-time.After(t.durableWait().Duration()):
 		}
 		t.mu.Lock()
-		if m.Incarnation != r.Incarnation || m.Sequence != r.Sequence || !t.Lease.Valid(t.number) {
+		if m.Incarnation != r.Incarnation || m.Sequence != r.Sequence || !t.Elector.Valid(t.token) {
 			return answer, false
 		}
 	}
@@ -91,57 +91,57 @@
 	return answer, true
 }
 
-// trace logs a step of an attempt. There are hundreds a second in a large fleet, so
+// traceAttempt logs a step of an attempt. There are hundreds a second in a large fleet, so
 // nothing is made up for a line that is dropped.
-func (t *Term) trace(what string, a *cluster.Attempt) {
-	if t.traces {
+func (t *Leader) traceAttempt(what string, a *cluster.Attempt) {
+	if t.traceAttempts {
 		t.Log.Debug(what, "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID)
 	}
 }
 
-func newer(r *protocol.Heartbeat, session, seq uint64) bool {
+func isNewer(r *protocol.Heartbeat, session, seq uint64) bool {
 	return r.Incarnation > session || r.Incarnation == session && r.Sequence > seq
 }
 
-// observe works out the difference between what a machine reports and what
+// reconcile works out the difference between what a machine reports and what
 // the ledger says of it. Old reports, and those of machines that were
 // released, have no effect and give nil.
-func (t *Term) observe(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
+func (t *Leader) reconcile(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
 	if t.released.has(r.Machine) {
 		return nil
 	}
-	m := t.ledger.EnsureMachine(r.Machine, r.InstanceType, r.Zone, r.Spot, now)
-	if m.Registered && !newer(r, m.Incarnation, m.Sequence) {
+	m := t.state.EnsureMachine(r.Machine, r.InstanceType, r.Zone, r.Spot, now)
+	if m.Registered && !isNewer(r, m.Incarnation, m.Sequence) {
 		return nil
 	}
 	t.checkDelivery(m, r, now)
-	t.observeMachine(m, r, now)
+	t.reconcileMachine(m, r, now)
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
 		key := cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
 		if task.Stage == protocol.TaskExited {
-			t.exited(m, key, task, now)
+			t.taskExited(m, key, task, now)
 		} else {
-			t.alive(m, key, task, now)
+			t.taskAlive(m, key, task, now)
 		}
 	}
-	t.dropMissing(m, r, now)
+	t.dropMissingAttempts(m, r, now)
 	// Only a report that shows our term was sent after an answer of ours was
 	// received. Any other may be a copy that comes late, of a machine that is
 	// gone by now, and an answer of a former leader may still be on its way.
-	if m.FencingToken != r.FencingToken && r.FencingToken == t.number {
-		t.ledger.MarkReconciled(m.ID)
-		signal(t.roundSignal)
+	if m.FencingToken != r.FencingToken && r.FencingToken == t.token {
+		t.state.MarkReconciled(m.ID)
+		raise(t.cycleSignal)
 	}
 	m.FencingToken, m.MayHoldCancelled = r.FencingToken, false
 	return m
 }
 
-// observeMachine takes over what a report tells of the machine itself.
-func (t *Term) observeMachine(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+// reconcileMachine takes over what a report tells of the machine itself.
+func (t *Leader) reconcileMachine(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
 	if m.Registered && r.Incarnation > m.Incarnation {
 		t.Log.Info("machine began a new session", "machine", m.ID, "session", r.Incarnation, "lost", len(m.Attempts))
-		t.ledger.MachineEmptied(m, now)
+		t.state.MachineEmptied(m, now)
 	}
 	if !m.Registered {
 		t.Log.Info("machine reports", "machine", m.ID, "type", m.InstanceType, "zone", m.Zone, "spot", m.Spot, "tasks", len(r.Tasks))
@@ -161,17 +161,17 @@
 	}
 }
 
-// dropMissing drops the attempts that a report, whose tasks were taken over, proves not to
+// dropMissingAttempts drops the attempts that a report, whose tasks were taken over, proves not to
 // be on the machine: they were sent with an earlier answer that never arrived, or the
 // worker has forgotten them.
-func (t *Term) dropMissing(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+func (t *Leader) dropMissingAttempts(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
 	for _, a := range m.Attempts {
 		switch {
 		case a.SeenSequence == r.Sequence, a.Stage == cluster.Assigned:
 		case a.Stage == cluster.Sent && r.Sequence <= a.SentSequence:
 		default:
-			t.trace("attempt is not there", a)
-			t.ledger.AttemptGone(a, now)
+			t.traceAttempt("attempt is not there", a)
+			t.state.AttemptGone(a, now)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 // something reached the machine: all of an answer's commands are carried out,
 // or none. A machine that was told nothing shows it by its session: without an
 // answer within its lease it would have begun another one.
-func (t *Term) checkDelivery(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+func (t *Leader) checkDelivery(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
 	if m.UndeliveredCommands > 0 && r.Incarnation == m.Incarnation && now-m.UndeliveredAt > t.workerLease() {
 		t.Log.Info("machine hears again", "machine", m.ID)
 		m.UndeliveredCommands = 0
@@ -210,24 +210,24 @@
 		return
 	}
 	m.UndeliveredAt = now
-	if m.UndeliveredCommands++; m.UndeliveredCommands == maxUndelivered {
+	if m.UndeliveredCommands++; m.UndeliveredCommands == maxUndeliveredCommands {
 		t.Log.Info("machine carries nothing out", "machine", m.ID, "task", protocol.TaskName(m.LastCommand.Key.Job, m.LastCommand.Key.Index),
 			"attempt", m.LastCommand.Key.Number, "verb", m.LastCommand.Verb)
 	}
 }
 
-// maxUndelivered is how many answers in a row may have no effect on a machine until
+// maxUndeliveredCommands is how many answers in a row may have no effect on a machine until
 // no answer is taken to reach it: it reports, but commands do not reach it. It then gets no
 // work and is returned as one that is silent would be.
-const maxUndelivered = 2
+const maxUndeliveredCommands = 2
 
-func (t *Term) exited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
-	j, a := t.ledger.Jobs[key.Job], m.Attempts[key]
+func (t *Leader) taskExited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
+	j, a := t.state.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
 		if j != nil && task.Cause == protocol.CauseDone && key.Index < j.Spec.Tasks && !j.IsDone(key.Index) {
-			t.ledger.TaskDone(j, key.Index, now)
+			t.state.TaskDone(j, key.Index, now)
 			if other := j.LiveAttempts[key.Index]; other != nil {
-				t.ledger.StopAttempt(other, 0)
+				t.state.StopAttempt(other, 0)
 			}
 		}
 		return
@@ -235,50 +235,50 @@
 	// The job may have ended and left the ledger while an attempt of a task
 	// that was done elsewhere was still on its way out.
 	j = a.Job
-	if t.traces {
+	if t.traceAttempts {
 		t.Log.Debug("task ended", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID, "cause", task.Cause, "saved", task.Checkpointed)
 	}
 	switch task.Cause {
 	case protocol.CauseDone:
 		if j.IsService() {
-			t.ledger.ReplicaEnded(a, false, now)
+			t.state.ReplicaEnded(a, false, now)
 			break
 		}
-		t.completions.freed += j.Spec.Request.CPU
-		t.ledger.AttemptCompleted(a, now)
-		t.ledger.TaskDone(j, key.Index, now)
+		t.completions.freedCPU += j.Spec.Request.CPU
+		t.state.AttemptCompleted(a, now)
+		t.state.TaskDone(j, key.Index, now)
 		if j.Complete() {
-			signal(t.saveSignal)
+			raise(t.writeSignal)
 		}
 	case protocol.CauseError:
 		if j.IsService() {
-			t.ledger.ReplicaEnded(a, true, now)
+			t.state.ReplicaEnded(a, true, now)
 		} else {
-			t.ledger.AttemptFailed(a, now)
+			t.state.AttemptFailed(a, now)
 		}
 		if m.Quarantined {
 			t.Log.Info("machine set aside as faulty", "machine", m.ID, "task", a.TaskName())
 		}
 	case protocol.CauseNoCapacity:
-		m.BlockedUntil = now + noRoomPause
+		m.BlockedUntil = now + noCapacityPause
 	case protocol.CauseNoSuchTask, protocol.CauseInUse:
 		j.RetryAt = now + units.Second
 	}
-	t.ledger.AttemptGone(a, now)
+	t.state.AttemptGone(a, now)
 	if j.Cancelled && len(j.LiveAttempts) == 0 {
 		j.MarkChanged(now, true)
-		signal(t.saveSignal)
+		raise(t.writeSignal)
 	}
 }
 
-func (t *Term) alive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
-	j, a := t.ledger.Jobs[key.Job], m.Attempts[key]
+func (t *Leader) taskAlive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
+	j, a := t.state.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
 		if j == nil || key.Index >= j.Spec.Tasks || j.IsDone(key.Index) || j.LiveAttempts[key.Index] != nil {
 			return // commands will stop it
 		}
-		a = t.ledger.Adopt(j, key.Index, key.Number, m, now)
-		t.trace("attempt adopted", a)
+		a = t.state.Adopt(j, key.Index, key.Number, m, now)
+		t.traceAttempt("attempt adopted", a)
 	}
 	j = a.Job
 	a.SeenSequence = m.Sequence
@@ -289,11 +289,11 @@
 		if a.Stage != cluster.Running {
 			a.Stage, a.RunningSince = cluster.Running, now
 			j.Started = true
-			t.trace("task runs", a)
-			t.ledger.RecordImage(m, j)
+			t.traceAttempt("task runs", a)
+			t.state.RecordImage(m, j)
 		}
 		if j.IsService() {
-			t.ledger.ReplicaSteady(a, now)
+			t.state.ReplicaSteady(a, now)
 		}
 	case protocol.TaskCheckpointing:
 		a.Stage = cluster.Checkpointing
--- a/internal/coordination/reportlimiter.go
+++ b/internal/coordination/reportlimiter.go
@@ -5,36 +5,36 @@
 	"runtime"
 )
 
-// reportLimiter lets workers' reports through one at a time.
+// heartbeatLimiter lets workers' reports through one at a time.
 //
-// Reports make up nearly all of a leader's load. A user's request, a save or the
+// HalfSecondsToHeartbeat make up nearly all of a leader's load. A user's request, a save or the
 // renewal of the lease takes several steps, and each step waits behind every goroutine
 // that can run already. Without a bound, a processor that has fallen behind has tens
 // of reports to run between any two of these steps; with it there is one.
-type reportLimiter struct{ slot chan struct{} }
+type heartbeatLimiter struct{ slot chan struct{} }
 
-func newReportLimiter() *reportLimiter { return &reportLimiter{slot: make(chan struct{}, 1)} }
+func newHeartbeatLimiter() *heartbeatLimiter { return &heartbeatLimiter{slot: make(chan struct{}, 1)} }
 
 // acquire waits until the caller may work on its report. It gives nil if ctx ends first.
-func (l *reportLimiter) acquire(ctx context.Context) *reportSlot {
+func (l *heartbeatLimiter) acquire(ctx context.Context) *heartbeatSlot {
 	select {
 	case l.slot <- struct{}{}:
-		return &reportSlot{limiter: l}
+		return &heartbeatSlot{limiter: l}
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// reportSlot is the right to work on a report. A nil one is for callers that are not
+// heartbeatSlot is the right to work on a report. A nil one is for callers that are not
 // bounded: releasing it does nothing.
-type reportSlot struct {
-	limiter  *reportLimiter
+type heartbeatSlot struct {
+	limiter  *heartbeatLimiter
 	released bool
 }
 
-// release lets the next report through, and everything else that can run before it.
+// check lets the next report through, and everything else that can run before it.
 // Whoever is about to wait for something releases first. A second call does nothing.
-func (s *reportSlot) release() {
+func (s *heartbeatSlot) release() {
 	if s == nil || s.released {
 		return
 	}
--- a/internal/coordination/reportlimiter_test.go
+++ b/internal/coordination/reportlimiter_test.go
@@ -13,8 +13,8 @@
 	"dunestand/internal/units"
 )
 
-func TestReportsAreWorkedOnOneAtATime(t *testing.T) {
-	reports := newReportLimiter()
+func TestHeartbeatsAreHandledOneAtATime(t *testing.T) {
+	reports := newHeartbeatLimiter()
 	var inside, most atomic.Int64
 	var wg sync.WaitGroup
 	for range 20 {
@@ -44,14 +44,14 @@
 	held.release()
 }
 
-// Reports are worked on one at a time, but one that waits for a save, or for the
+// HalfSecondsToHeartbeat are worked on one at a time, but one that waits for a save, or for the
 // restore, does not hold up the others.
-func TestWaitingReportLetsOthersThrough(t *testing.T) {
-	term := testTerm(1, &manualClock{now: units.Second})
+func TestWaitingHeartbeatLetsOthersThrough(t *testing.T) {
+	term := testLeader(1, &manualClock{now: units.Second})
 	controller := testController(term)
 	send := func(machine string, seq uint64) <-chan int {
 		status := make(chan int, 1)
-		body := encodeReport(&protocol.Heartbeat{
+		body := encodeHeartbeat(&protocol.Heartbeat{
 			Machine:      machine,
 			InstanceType: "m",
 			Zone:         "a",
@@ -60,7 +60,7 @@
 			FencingToken: 1,
 		}, nil)
 		go func() {
-			status <- controller.report(t.Context(), transport.Request{Body: body}).Status
+			status <- controller.heartbeat(t.Context(), transport.Request{Body: body}).Status
 		}()
 		return status
 	}
@@ -68,12 +68,12 @@
 	time.Sleep(20 * time.Millisecond) // both wait by now
 	soon, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	other := controller.reports.acquire(soon)
+	other := controller.heartbeatLimiter.acquire(soon)
 	if other == nil {
 		t.Fatal("a report that waits for the restore holds up the others")
 	}
 	other.release()
-	term.install(nil, modelCatalog)
+	term.installRecords(nil, modelCatalog)
 	for _, status := range beforeRestore {
 		expectStatus(t, status, 200)
 	}
@@ -81,10 +81,10 @@
 	// i-1 gets a task whose save does not come.
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
-	job := term.ledger.NewJob(spec, term.Clock.Wall(), term.Clock.Steady())
-	accepted := term.ledger.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, term.Clock.Steady())
-	term.ledger.BatchCommitted(accepted, 1)
-	term.ledger.Assign(job, term.ledger.Machines["i-1"], 1, term.Clock.Steady())
+	job := term.state.NewJob(spec, term.Clock.Wall(), term.Clock.Steady())
+	accepted := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, term.Clock.Steady())
+	term.state.BatchCommitted(accepted, 1)
+	term.state.Assign(job, term.state.Machines["i-1"], 1, term.Clock.Steady())
 	waiting := send("i-1", 2)
 	time.Sleep(20 * time.Millisecond) // it waits by now
 	expectStatus(t, send("i-2", 2), 200)
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -13,12 +13,12 @@
 	"dunestand/internal/units"
 )
 
-// acceptWait is how long a submission or cancellation waits for its save. A
+// writeWaitTimeout is how long a submission or cancellation waits for its save. A
 // save that takes longer meets trouble, and the user is told to come back.
-const acceptWait = 1500 * units.Millisecond
+const writeWaitTimeout = 1500 * units.Millisecond
 
-// Refuse gives the answer that refuses a request in one line.
-func Refuse(status int, why string) transport.Response {
+// ErrorResponse gives the answer that refuses a request in one line.
+func ErrorResponse(status int, why string) transport.Response {
 	r := transport.Response{Status: status, Body: protocol.Encode(protocol.ErrorResponse{Message: why})}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		r.RetryAfter = 1
@@ -30,23 +30,25 @@
 	return transport.Response{Status: status, Body: protocol.Encode(s)}
 }
 
-// cancelled tells whether the user of a job may be told that it is cancelled, though
+// cancellationConfirmed tells whether the user of a job may be told that it is cancellationConfirmed, though
 // it is not over.
-func cancelled(j *cluster.Job, w config.Workers) bool { return j.CancelDurable && confirmsAtOnce(w) }
+func cancellationConfirmed(j *cluster.Job, w config.Workers) bool {
+	return j.CancelDurable && confirmsCancellationAtOnce(w)
+}
 
-// jobAnswer tells a live job's state as it was read at readAt or later.
-func jobAnswer(status int, j *cluster.Job, w config.Workers, readAt units.Micros) answer {
+// liveJobAnswer tells a live job's state as it was read at readAt or later.
+func liveJobAnswer(status int, j *cluster.Job, w config.Workers, readAt units.Micros) answer {
 	s := protocol.JobState{
 		ID:      j.Spec.ID,
 		Stage:   protocol.StagePending,
 		Done:    j.DoneCount(),
 		Running: j.Running(),
 	}
-	if cancelled(j, w) {
+	if cancellationConfirmed(j, w) {
 		s.Stage = protocol.StageCancelled
 		return answer{
 			Response: stateAnswer(status, s),
-			proof:    proof{kind: final, version: j.CancelVersion()},
+			evidence: evidence{kind: terminal, version: j.CancelVersion()},
 		}
 	}
 	if s.Running > 0 || s.Done > 0 {
@@ -55,48 +57,48 @@
 	return provisionalAnswer(stateAnswer(status, s), readAt)
 }
 
-// leads tells, under the lock, whether this node may speak for the service.
-func (t *Term) leads() bool { return t.ready && t.Lease.Valid(t.number) }
+// mayAnswer tells, under the lock, whether this node may speak for the service.
+func (t *Leader) mayAnswer() bool { return t.ready && t.Elector.Valid(t.token) }
 
-// stateOf tells the state of a job that is stored, under the lock, or why none may be
+// liveJobAnswer tells the state of a job that is stored, under the lock, or why none may be
 // told; false: nothing is known of such a job here.
-func (t *Term) stateOf(id string, status int) (answer, bool) {
+func (t *Leader) jobAnswer(id string, status int) (answer, bool) {
 	readAt := t.Clock.Steady()
-	if !t.leads() {
+	if !t.mayAnswer() {
 		return unavailable("no leader"), true
 	}
-	if f, over := t.finals.get(id); over {
-		return finalAnswer(id, f), true
+	if f, over := t.terminalJobs.get(id); over {
+		return terminalAnswer(id, f), true
 	}
-	j := t.ledger.Jobs[id]
+	j := t.state.Jobs[id]
 	switch {
 	case j == nil || !j.Accepted():
 		return answer{}, false
 	case j.EndInFlight():
 		return unavailable("the job's end is being stored"), true // others may tell of it
 	}
-	return jobAnswer(status, j, t.Settings.Fleet.Workers, readAt), true
+	return liveJobAnswer(status, j, t.Settings.Fleet.Workers, readAt), true
 }
 
 // Submit accepts a job, durably, before it answers.
-func (t *Term) Submit(ctx context.Context, spec *protocol.JobSpec) answer {
+func (t *Leader) Submit(ctx context.Context, spec *protocol.JobSpec) answer {
 	began := t.Clock.Steady()
 	t.mu.Lock()
-	if a, known := t.stateOf(spec.ID, http.StatusOK); known {
+	if a, known := t.jobAnswer(spec.ID, http.StatusOK); known {
 		t.mu.Unlock()
 		return a
 	}
-	j := t.ledger.Jobs[spec.ID]
+	j := t.state.Jobs[spec.ID]
 	if j == nil {
 		if status, why := t.checkAdmissible(spec); status != 0 {
 			t.mu.Unlock()
-			return t.refuseUnknown(ctx, spec, status, why)
+			return t.rejectSubmission(ctx, spec, status, why)
 		}
 		if d := t.admit(spec); d.Verdict != admission.Admit {
 			t.mu.Unlock()
-			return t.refuseForNow(ctx, spec.ID, d)
+			return t.deferSubmission(ctx, spec.ID, d)
 		}
-		j = t.enter(spec)
+		j = t.addJob(spec)
 	}
 	saved := j.Durable()
 	noted := t.Clock.Steady()
@@ -109,25 +111,25 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if a, known := t.stateOf(spec.ID, http.StatusCreated); known {
+	if a, known := t.jobAnswer(spec.ID, http.StatusCreated); known {
 		return a
 	}
 	return unavailable("the job is being accepted")
 }
 
-// enter adds a new job to the ledger, under the lock, and has it saved.
-func (t *Term) enter(spec *protocol.JobSpec) *cluster.Job {
-	j := t.ledger.NewJob(*spec, t.Clock.Wall(), t.Clock.Steady())
+// addJob adds a new job to the ledger, under the lock, and has it saved.
+func (t *Leader) addJob(spec *protocol.JobSpec) *cluster.Job {
+	j := t.state.NewJob(*spec, t.Clock.Wall(), t.Clock.Steady())
 	t.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"priority", spec.Priority, "tasks", spec.Tasks, "cpus", spec.Request.CPU.Float(),
 		"estimate_ms", spec.Estimate/units.Millisecond, "deadline_ms", spec.Deadline/units.Millisecond)
-	signal(t.saveSignal)
+	raise(t.writeSignal)
 	return j
 }
 
-// refuseUnknown refuses a submission for good, or for now, unless its id is known: then
+// rejectSubmission refuses a submission for good, or for now, unless its id is known: then
 // the job is known, whatever else the request now says.
-func (t *Term) refuseUnknown(ctx context.Context, spec *protocol.JobSpec, status int, why string) answer {
+func (t *Leader) rejectSubmission(ctx context.Context, spec *protocol.JobSpec, status int, why string) answer {
 	if status == http.StatusServiceUnavailable {
 		return unavailable(why)
 	}
@@ -137,11 +139,11 @@
 	}
 	t.Log.Warn("submission refused", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"status", status, "why", why)
-	return answer{Response: Refuse(status, why), proof: known.proof}
+	return answer{Response: ErrorResponse(status, why), evidence: known.evidence}
 }
 
 func waitFor(ctx context.Context, saved <-chan struct{}) bool {
-	timer := time.NewTimer(acceptWait.Duration())
+	timer := time.NewTimer(writeWaitTimeout.Duration())
 	defer timer.Stop()
 	select {
 	case <-saved:
@@ -153,24 +155,24 @@
 }
 
 // Poll tells a job's state.
-func (t *Term) Poll(ctx context.Context, id string) answer {
+func (t *Leader) Poll(ctx context.Context, id string) answer {
 	began := t.Clock.Steady()
 	if r, ok := t.pollLive(id); ok {
 		return r
 	}
-	f, ok, err := t.final(ctx, id)
+	f, ok, err := t.terminalJob(ctx, id)
 	if err != nil {
 		return unavailable("state service is out of reach")
 	}
 	if ok {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if !t.leads() {
+		if !t.mayAnswer() {
 			return unavailable("no leader")
 		}
-		return finalAnswer(id, f)
+		return terminalAnswer(id, f)
 	}
-	if err := t.askInbox(ctx, id); err != nil {
+	if err := t.ingestOne(ctx, id); err != nil {
 		return unavailable("state service is out of reach")
 	}
 	// It may have been submitted while the state service was asked, or just
@@ -178,34 +180,34 @@
 	if r, ok := t.pollLive(id); ok {
 		return r
 	}
-	return provisionalAnswer(Refuse(http.StatusNotFound, "no such job"), began)
+	return provisionalAnswer(ErrorResponse(http.StatusNotFound, "no such job"), began)
 }
 
 // pollLive tells a job's state from memory, if the job is known there.
-func (t *Term) pollLive(id string) (answer, bool) {
+func (t *Leader) pollLive(id string) (answer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if a, known := t.stateOf(id, http.StatusOK); known {
+	if a, known := t.jobAnswer(id, http.StatusOK); known {
 		return a, true
 	}
-	if t.ledger.Jobs[id] != nil {
+	if t.state.Jobs[id] != nil {
 		return unavailable("the job is being accepted"), true
 	}
 	return answer{}, false
 }
 
 // Cancel cancels a job, durably, before it answers.
-func (t *Term) Cancel(ctx context.Context, id string) answer {
+func (t *Leader) Cancel(ctx context.Context, id string) answer {
 	t.mu.Lock()
-	if !t.leads() {
+	if !t.mayAnswer() {
 		t.mu.Unlock()
 		return unavailable("no leader")
 	}
-	j := t.ledger.Jobs[id]
+	j := t.state.Jobs[id]
 	if j == nil {
 		t.mu.Unlock()
 		r := t.Poll(ctx, id) // over, never accepted, or in the inbox until now
-		if t.knows(id) {
+		if t.isLive(id) {
 			return unavailable("the job is being accepted")
 		}
 		return r
@@ -214,7 +216,7 @@
 		t.mu.Unlock()
 		return unavailable("the job is being accepted")
 	}
-	if cancelled(j, t.Settings.Fleet.Workers) {
+	if cancellationConfirmed(j, t.Settings.Fleet.Workers) {
 		t.mu.Unlock()
 		return t.Poll(ctx, id)
 	}
@@ -225,8 +227,8 @@
 		return unavailable("state service is slow")
 	}
 	t.mu.Lock()
-	over := cancelled(j, t.Settings.Fleet.Workers)
-	if _, final := t.finals.get(id); final {
+	over := cancellationConfirmed(j, t.Settings.Fleet.Workers)
+	if _, final := t.terminalJobs.get(id); final {
 		over = true
 	}
 	t.mu.Unlock()
@@ -238,7 +240,7 @@
 
 // cancelJob notes that a user wants a job cancelled, unless all its tasks are
 // done: then it is done, though its user may not have been told.
-func (t *Term) cancelJob(j *cluster.Job) {
+func (t *Leader) cancelJob(j *cluster.Job) {
 	if j.Complete() || j.Cancelled {
 		return
 	}
@@ -247,9 +249,9 @@
 	now := t.Clock.Steady()
 	for _, a := range j.LiveAttempts {
 		if a.Stage == cluster.Sent || a.Stage == cluster.Fetching {
-			t.requestDirect(a.Machine, nil, now) // or it would begin yet
+			t.requestPush(a.Machine, nil, now) // or it would begin yet
 		}
 	}
 	j.MarkChanged(now, true)
-	signal(t.saveSignal)
+	raise(t.writeSignal)
 }
--- a/internal/coordination/restore.go
+++ b/internal/coordination/restore.go
@@ -15,26 +15,26 @@
 
 // restore claims the buckets and reads their jobs. It tells whether it could; if not, it
 // is to be tried again.
-func (t *Term) restore(ctx context.Context) bool {
+func (t *Leader) restore(ctx context.Context) bool {
 	if err := t.claimBuckets(ctx); err != nil {
 		t.Log.Info("buckets not claimed yet", "error", err)
 		return false
 	}
-	if err := t.Format.Read(ctx); err != nil {
+	if err := t.Format.Refresh(ctx); err != nil {
 		t.Log.Info("the fleet's format is not read yet", "error", err)
 		return false
 	}
-	if t.Format.Newer() {
-		t.Lease.StandBack(standBack)
+	if t.Format.TooNew() {
+		t.Elector.Abstain(unreadableAbstention)
 		return false
 	}
 	jobs, orphans, err := t.readJobs(ctx)
-	if errors.Is(err, errUnreadable) {
-		// Leading without such a job would forget it. Another node may be of a
+	if errors.Is(err, errUnreadableRecord) {
+		// Leader without such a job would forget it. Another node may be of a
 		// version that reads it; if none is, nobody leads until an operator has
 		// looked.
 		t.Log.Error("records are not readable; nothing is placed, and this node stands back", "error", err)
-		t.Lease.StandBack(standBack)
+		t.Elector.Abstain(unreadableAbstention)
 		return false
 	}
 	if err != nil {
@@ -50,32 +50,32 @@
 	defer t.mu.Unlock()
 	t.provisioning.catalogStored = stored
 	for _, id := range sortedKeys(orphans) {
-		t.ledger.AddStaleRecords(id, orphans[id])
+		t.state.AddStaleRecords(id, orphans[id])
 	}
-	t.install(jobs, catalog)
+	t.installRecords(jobs, catalog)
 	return true
 }
 
-// errUnreadable says that a record cannot be read by this version.
-var errUnreadable = errors.New("unreadable")
+// errUnreadableRecord says that a record cannot be read by this version.
+var errUnreadableRecord = errors.New("unreadable")
 
 // readJobs reads all live jobs, and what is left over of jobs that are over, by job.
-func (t *Term) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
-	rows, _, err := listAll(ctx, t.Store, storage.PrefixJobs)
+func (t *Leader) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
+	rows, _, err := listAll(ctx, t.KV, storage.PrefixJobs)
 	if err != nil {
 		return nil, nil, err
 	}
 	jobs, orphans, err = cluster.ParseJobs(rows)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: %w", errUnreadable, err)
+		return nil, nil, fmt.Errorf("%w: %w", errUnreadableRecord, err)
 	}
 	for _, id := range sortedKeys(orphans) {
-		_, over, err := t.readFinal(ctx, id)
+		_, over, err := t.readTerminal(ctx, id)
 		if err != nil {
 			return nil, nil, err
 		}
 		if !over {
-			return nil, nil, fmt.Errorf("%w: record %s: belongs to no job", errUnreadable, orphans[id][0])
+			return nil, nil, fmt.Errorf("%w: record %s: belongs to no job", errUnreadableRecord, orphans[id][0])
 		}
 	}
 	return jobs, orphans, nil
@@ -83,8 +83,8 @@
 
 // readStoredCatalog reads the catalog that a former leader stored, and the versions of its
 // records. One that cannot be read is logged, and stands for none.
-func (t *Term) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
-	list, _, err := listAll(ctx, t.Store, storage.KeyCatalog)
+func (t *Leader) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
+	list, _, err := listAll(ctx, t.KV, storage.KeyCatalog)
 	if err != nil {
 		return protocol.Catalog{}, nil, err
 	}
@@ -95,30 +95,30 @@
 	return catalog, stored, nil
 }
 
-// standBack is for how long a node that could not read the records leaves the
+// unreadableAbstention is for how long a node that could not read the records leaves the
 // lease to others.
-const standBack = 30 * units.Second
+const unreadableAbstention = 30 * units.Second
 
-// install takes over what the records say.
-func (t *Term) install(jobs []*cluster.Job, catalog protocol.Catalog) {
+// installRecords takes over what the records say.
+func (t *Leader) installRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
 	now := t.Clock.Steady()
-	t.ledger.SetInstanceTypes(catalog.Types)
-	t.ledger.UpgradeFormat(t.Format.Level(), now)
+	t.state.SetInstanceTypes(catalog.Types)
+	t.state.UpgradeFormat(t.Format.Current(), now)
 	for _, j := range jobs {
 		j.LearnedAt = now
-		t.ledger.AddJob(j)
+		t.state.AddJob(j)
 	}
 	t.ready = true
 	close(t.restored)
-	t.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", t.ledger.UnreconciledCount(), "took_ms", (now-t.claimedAt)/units.Millisecond)
-	signal(t.roundSignal)
+	t.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", t.state.UnreconciledCount(), "took_ms", (now-t.electedAt)/units.Millisecond)
+	raise(t.cycleSignal)
 }
 
 // claimBuckets raises every bucket's incarnation, a transaction's worth at a
 // time: from then on, saves of a former leader that are still on their way
 // fail.
-func (t *Term) claimBuckets(ctx context.Context) error {
-	items, _, err := listAll(ctx, t.Store, storage.PrefixBucketHeads)
+func (t *Leader) claimBuckets(ctx context.Context) error {
+	items, _, err := listAll(ctx, t.KV, storage.PrefixBucketHeads)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	for _, i := range items {
 		byKey[i.Key] = i
 	}
-	save := t.saveID()
+	save := t.nextWriteID()
 	var txn protocol.Txn
 	var claiming []int
 	for b := range storage.Buckets {
@@ -150,10 +150,10 @@
 	step := t.Settings.Fleet.State.Both().TxnOps
 	for from := 0; from < len(claiming); from += step {
 		to := min(from+step, len(claiming))
-		version, err := t.Store.CompareAndSwap(ctx, protocol.Txn{
+		version, err := t.KV.CompareAndSwap(ctx, protocol.Txn{
 			If:   txn.If[from:to],
 			Then: txn.Then[from:to],
-		}, kv.Urgent, stateCall)
+		}, kv.Urgent, kvTimeout)
 		if err != nil {
 			return err // tried again, with the versions then read
 		}
@@ -164,20 +164,20 @@
 	return nil
 }
 
-// isOwn tells whether a bucket's head was claimed in this very term.
-func (t *Term) isOwn(head storage.LeaseRecord) bool {
-	return head.Holder == t.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", t.number))
+// isOwnWrite tells whether a bucket's head was claimed in this very term.
+func (t *Leader) isOwn(head storage.LeaseRecord) bool {
+	return head.Holder == t.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", t.token))
 }
 
-// listCall bounds the read of one page of a list.
-const listCall = 3 * units.Second
+// listTimeout bounds the read of one page of a list.
+const listTimeout = 3 * units.Second
 
 // listAll reads all records whose keys have a prefix, and gives the revision from which on
 // changes are not in it.
 func listAll(ctx context.Context, store *kv.Client, prefix string) (all []protocol.Item, revision uint64, err error) {
 	from := ""
 	for {
-		page, err := store.List(ctx, prefix, from, listCall)
+		page, err := store.List(ctx, prefix, from, listTimeout)
 		if err != nil {
 			return nil, 0, err
 		}
--- a/internal/coordination/round.go
+++ b/internal/coordination/round.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	roundPause   = 25 * units.Millisecond // the least time between rounds
-	summaryEvery = 10 * units.Second
-	roundTick    = 250 * units.Millisecond
-	roundsShare  = 8  // a round's cost, this many times over, until the next
-	batchBase    = 48 // starts in a round while little waits
-	batchMost    = 512
+	minCycleInterval   = 25 * units.Millisecond // the least time between rounds
+	summaryInterval    = 10 * units.Second
+	cycleInterval      = 250 * units.Millisecond
+	cycleCostFactor    = 8  // a round's cost, this many times over, until the next
+	minCyclePlacements = 48 // startOf in a round while little waits
+	maxCyclePlacements = 512
 )
 
-// roundLoop makes rounds of decisions when something has changed.
-func (t *Term) roundLoop(ctx context.Context) {
-	for pause(ctx, roundPause) {
+// cycleLoop makes rounds of decisions when something has changed.
+func (t *Leader) cycleLoop(ctx context.Context) {
+	for sleep(ctx, minCycleInterval) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.roundSignal:
-		case <-time.After(roundTick.Duration()):
+		case <-t.cycleSignal:
+		case <-time.After(cycleInterval.Duration()):
 		}
 		t.mu.Lock()
-		if now := t.Clock.Steady(); t.Lease.Valid(t.number) {
+		if now := t.Clock.Steady(); t.Elector.Valid(t.token) {
 			t.checkTimeouts(now)
-			if t.roundDue(now) {
-				t.round(now, nil)
+			if t.cycleDue(now) {
+				t.runCycle(now, nil)
 			} else {
-				signal(t.roundSignal)
+				raise(t.cycleSignal)
 			}
 		}
 		t.mu.Unlock()
@@ -45,129 +45,129 @@
 // checkTimeouts looks for what has passed its time, and logs the summary. Rounds may
 // come forty times a second; all these times are seconds long, and each look goes over
 // the whole fleet.
-func (t *Term) checkTimeouts(now units.Micros) {
-	if now-t.lastTimeoutCheck < roundTick {
+func (t *Leader) checkTimeouts(now units.Micros) {
+	if now-t.lastTimeoutCheck < cycleInterval {
 		return
 	}
 	t.lastTimeoutCheck = now
-	t.expire(now)
-	t.checkContact(now)
-	if now-t.lastSummary >= summaryEvery {
+	t.expireLeases(now)
+	t.checkHeartbeatLoss(now)
+	if now-t.lastSummary >= summaryInterval {
 		t.lastSummary = now
-		t.summary(now)
+		t.logSummary(now)
 	}
 }
 
-// roundDue spaces rounds by what they cost, so that under load they come less
+// cycleDue spaces rounds by what they cost, so that under load they come less
 // often and decide more each.
-func (t *Term) roundDue(now units.Micros) bool {
-	return now-t.lastRound >= max(roundPause, min(t.roundCost*roundsShare, units.Second))
+func (t *Leader) cycleDue(now units.Micros) bool {
+	return now-t.lastCycle >= max(minCycleInterval, min(t.cycleCost*cycleCostFactor, units.Second))
 }
 
-// round plans on a snapshot and takes the outcome over into the ledger.
-func (t *Term) round(now units.Micros, answering *cluster.Machine) {
+// runCycle plans on a snapshot and takes the outcome over into the ledger.
+func (t *Leader) runCycle(now units.Micros, answering *cluster.Machine) {
 	began := t.Clock.Steady()
 	s, refs := t.snapshot(now, answering)
 	wanted := Plan(&s)
-	t.allOffered = !wanted.Cut
-	clear(t.reservedFor)
-	for _, h := range wanted.Holds {
-		t.reservedFor[refs.machines[h.Machine]] = refs.jobs[h.For]
+	t.allMachinesConsidered = !wanted.Truncated
+	clear(t.reservations)
+	for _, h := range wanted.Reservations {
+		t.reservations[refs.machines[h.Machine]] = refs.jobs[h.Job]
 	}
-	t.carryOut(wanted, refs, now)
-	t.lastRound = t.Clock.Steady()
-	t.roundCost = (7*t.roundCost + (t.lastRound - began)) / 8
+	t.apply(wanted, refs, now)
+	t.lastCycle = t.Clock.Steady()
+	t.cycleCost = (7*t.cycleCost + (t.lastCycle - began)) / 8
 }
 
-// fill plans for one machine between two rounds, in the order of the last one.
+// placeOnMachine plans for one machine between two rounds, in the order of the last one.
 // Every other machine with room was offered then, or when it reported itself,
 // so that this one is the companion whatever image it holds. It costs little
 // next to a round: a machine that reports the end of a task has the next one
 // in the answer, however large the fleet is.
-func (t *Term) fill(m *cluster.Machine, now units.Micros) {
-	if !t.allOffered || len(t.queue) == 0 || m.Free().CPU <= 0 || !t.accepts(m, now) {
+func (t *Leader) placeOnMachine(m *cluster.Machine, now units.Micros) {
+	if !t.allMachinesConsidered || len(t.queue) == 0 || m.Free().CPU <= 0 || !t.machineSchedulable(m, now) {
 		return
 	}
-	s := Snapshot{Batch: batchMost, Partial: true}
-	teams := t.teamViews(&s)
+	s := Snapshot{MaxPlacements: maxCyclePlacements, Partial: true}
+	teams := t.snapshotTeams(&s)
 	s.Machines = []MachineView{t.machineView(m, now, true)}
 	s.Machines[0].Headroom = t.headroom[m]
 	// A few jobs at a time: the first ones mostly take all the room.
 	queue := t.queue
-	if held := t.reservedFor[m]; held != nil && t.placeable(held, now) {
+	if held := t.reservations[m]; held != nil && t.schedulable(held, now) {
 		// The room is kept together for this job: none that comes later gets any.
-		if i := slices.IndexFunc(queue, func(q queued) bool { return q.job == held }); i >= 0 {
+		if i := slices.IndexFunc(queue, func(q queuedJob) bool { return q.job == held }); i >= 0 {
 			queue = queue[:i+1]
 		}
 	}
 	for len(queue) > 0 && s.Machines[0].Free.CPU > 0 {
-		n := min(len(queue), fillJobs)
-		t.fillFrom(queue[:n], m, &s, teams, now)
+		n := min(len(queue), jobsPerPlacement)
+		t.placeJobsOnMachine(queue[:n], m, &s, teams, now)
 		queue = queue[n:]
 	}
 }
 
-const fillJobs = 12
+const jobsPerPlacement = 12
 
-func (t *Term) fillFrom(queue []queued, m *cluster.Machine, s *Snapshot, teams map[string]int, now units.Micros) {
+func (t *Leader) placeJobsOnMachine(queue []queuedJob, m *cluster.Machine, s *Snapshot, teams map[string]int, now units.Micros) {
 	s.Jobs = s.Jobs[:0]
-	refs := &snapshotRefs{machines: []*cluster.Machine{m}}
+	refs := &snapshotIndex{machines: []*cluster.Machine{m}}
 	for _, q := range queue {
 		j := q.job
-		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !t.placeable(j, now) {
+		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !t.schedulable(j, now) {
 			continue
 		}
 		view := q.view
-		if view.Overdue && len(j.LiveAttempts) > 0 {
+		if view.Starved && len(j.LiveAttempts) > 0 {
 			continue // it has begun; its turn for the rest is found by the next round
 		}
-		view.Pending, view.Live, view.Team = j.Pending(), len(j.LiveAttempts), teams[j.Spec.Team]
-		t.spread(&view, j)
-		if view.LiveOn != nil {
+		view.Pending, view.LiveTasks, view.Team = j.Pending(), len(j.LiveAttempts), teams[j.Spec.Team]
+		t.fillTopology(&view, j)
+		if view.LiveByMachine != nil {
 			continue // replicas are placed with all machines in view
 		}
 		s.Jobs = append(s.Jobs, view)
 		refs.jobs = append(refs.jobs, j)
 	}
 	if len(s.Jobs) > 0 {
-		t.carryOut(Plan(s), refs, now)
+		t.apply(Plan(s), refs, now)
 	}
 }
 
-// saveMargin is what a task that is stopped gets to save beyond what its owner states.
-const saveMargin = 2 * units.Second
+// checkpointMargin is what a task that is stopped gets to save beyond what its owner states.
+const checkpointMargin = 2 * units.Second
 
-// carryOut takes a plan over into the ledger.
-func (t *Term) carryOut(wanted Wanted, refs *snapshotRefs, now units.Micros) {
+// apply takes a plan over into the ledger.
+func (t *Leader) apply(wanted Decisions, refs *snapshotIndex, now units.Micros) {
 	gangs := map[int]bool{}
-	for _, w := range wanted.Starts {
+	for _, w := range wanted.Placements {
 		j, m := refs.jobs[w.Job], refs.machines[w.Machine]
 		for range w.Count {
 			// A gang's tasks find each other by the attempt they share.
 			if j.Spec.Kind != protocol.Gang || !gangs[w.Job] {
-				t.attempts++
+				t.attemptsStarted++
 				gangs[w.Job] = true
 			}
-			a := t.ledger.Assign(j, m, t.number<<32|t.attempts, now)
+			a := t.state.Assign(j, m, t.token<<32|t.attemptsStarted, now)
 			if a == nil {
 				break
 			}
-			t.trace("task placed", a)
+			t.traceAttempt("task placed", a)
 			t.Metrics.placed(now - j.LearnedAt)
 		}
 		if !j.MachineIsDurable(m.ID) {
-			signal(t.saveSignal)
+			raise(t.writeSignal)
 		}
 		if j.IsService() {
-			t.requestDirect(m, j, now)
+			t.requestPush(m, j, now)
 		}
 	}
-	for _, p := range wanted.Stops {
+	for _, p := range wanted.Preemptions {
 		a := refs.victims[p.Victim]
-		t.ledger.StopAttempt(a, a.Job.Spec.CheckpointDuration+saveMargin)
-		t.requestDirect(a.Machine, nil, now)
+		t.state.StopAttempt(a, a.Job.Spec.CheckpointDuration+checkpointMargin)
+		t.requestPush(a.Machine, nil, now)
 		t.Log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
-			"class", a.Job.Spec.Class, "for", refs.jobs[p.For].Spec.ID, "for_class", refs.jobs[p.For].Spec.Class)
+			"class", a.Job.Spec.Class, "for", refs.jobs[p.Job].Spec.ID, "for_class", refs.jobs[p.Job].Spec.Class)
 	}
 }
 
--- a/internal/coordination/runnable.go
+++ b/internal/coordination/runnable.go
@@ -10,21 +10,21 @@
 	"dunestand/internal/storage"
 )
 
-// jobMemory bounds what the live jobs may take, by the reckoning of the ledger: a
+// jobMemoryLimit bounds what the live jobs may take, by the reckoning of the ledger: a
 // controller refuses new jobs rather than be ended for memory with all that it holds.
-func jobMemory(s *config.Settings) int64 { return int64(s.Fleet.Resources.RAMMB * (1 << 20)) }
+func jobMemoryLimit(s *config.Settings) int64 { return int64(s.Fleet.Resources.RAMMB * (1 << 20)) }
 
 // checkAdmissible tells why a new job cannot be taken; status 0 if it can.
-func (t *Term) checkAdmissible(spec *protocol.JobSpec) (int, string) {
-	status, why := checkRunnable(spec, t.Settings, t.ledger.InstanceTypes, t.Format.Level())
-	if status == 0 && t.ledger.Memory()+cluster.JobMemory(spec) > jobMemory(t.Settings) {
+func (t *Leader) checkAdmissible(spec *protocol.JobSpec) (int, string) {
+	status, why := checkFeasible(spec, t.Settings, t.state.InstanceTypes, t.Format.Current())
+	if status == 0 && t.state.Memory()+cluster.JobMemory(spec) > jobMemoryLimit(t.Settings) {
 		return http.StatusTooManyRequests, "too many unfinished jobs"
 	}
 	return status, why
 }
 
-// checkRunnable tells why a job could never run, or why that is not known yet.
-func checkRunnable(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format int) (int, string) {
+// checkFeasible tells why a job could never run, or why that is not known yet.
+func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format int) (int, string) {
 	i := slices.IndexFunc(s.Fleet.Teams, func(t config.Team) bool { return t.Name == spec.Team })
 	if i < 0 {
 		return http.StatusUnprocessableEntity, "crew: unknown team"
@@ -41,7 +41,7 @@
 	fits := false
 	for name, typ := range types {
 		for _, zone := range typ.Zones {
-			fits = fits || allowed(spec, name, zone, false) && cluster.CapacityOf(typ).Fits(spec.Request) > 0
+			fits = fits || PlacementAllowed(spec, name, zone, false) && cluster.CapacityOf(typ).Fits(spec.Request) > 0
 		}
 	}
 	switch {
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -10,21 +10,21 @@
 	"dunestand/internal/units"
 )
 
-// serviceTerm is a leader of a service of some replicas, and machines in two
+// serviceLeader is a leader of a service of some replicas, and machines in two
 // zones that have reported.
-func serviceTerm(t *testing.T, replicas int, spread bool) (*Term, *manualClock, *serviceFleet) {
+func serviceLeader(t *testing.T, replicas int, spread bool) (*Leader, *manualClock, *serviceFleet) {
 	t.Helper()
 	clock := &manualClock{now: 100 * units.Second}
-	term := testTerm(7, clock)
-	term.Format.level.Store(storage.FormatNew)
-	term.install(nil, modelCatalog)
+	term := testLeader(7, clock)
+	term.Format.current.Store(storage.FormatNew)
+	term.installRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Kind, spec.Tasks, spec.ZoneSpread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
-	term.ledger.NewJob(spec, clock.now, clock.now)
+	term.state.NewJob(spec, clock.now, clock.now)
 	term.save()
 	f := &serviceFleet{t: t, term: term, clock: clock, machines: map[string]*protocol.Heartbeat{}}
 	for i, zone := range []string{"a", "a", "b", "b"} {
-		r := testReport(fmt.Sprintf("i-%06d", i), 1, 0, 7)
+		r := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 0, 7)
 		r.Zone = zone
 		f.machines[r.Machine] = r
 	}
@@ -34,13 +34,13 @@
 // serviceFleet is machines as the leader hears of them.
 type serviceFleet struct {
 	t        *testing.T
-	term     *Term
+	term     *Leader
 	clock    *manualClock
 	machines map[string]*protocol.Heartbeat
 	started  int
 }
 
-// report has every machine report once and carry out its answer.
+// heartbeat has every machine heartbeat once and carry out its answer.
 func (f *serviceFleet) report() {
 	f.t.Helper()
 	f.clock.now += units.Second
@@ -100,7 +100,7 @@
 
 func (f *serviceFleet) running() int {
 	n := 0
-	for i := range f.term.ledger.Jobs["j-000001"].Spec.Tasks {
+	for i := range f.term.state.Jobs["j-000001"].Spec.Tasks {
 		if on, _ := f.where("j-000001", i); on != "" {
 			n++
 		}
@@ -130,7 +130,7 @@
 // done, not even by what an older version or a late copy of a report says. Its
 // zones are kept apart at every start.
 func TestReplicasRunAgain(t *testing.T) {
-	term, _, f := serviceTerm(t, 4, true)
+	term, _, f := serviceLeader(t, 4, true)
 	f.report()
 	if f.running() != 4 || f.zones()["a"] != 2 {
 		t.Fatalf("%d run, in %v", f.running(), f.zones())
@@ -145,13 +145,13 @@
 		f.end(i, cause)
 	}
 	f.report()
-	term.observe(&late, f.clock.now)
+	term.reconcile(&late, f.clock.now)
 	f.report()
 	f.report()
 	if f.running() != 4 || f.zones()["a"] != 2 || f.started != 8 {
 		t.Errorf("%d run in %v, %d were started", f.running(), f.zones(), f.started)
 	}
-	j := term.ledger.Jobs["j-000001"]
+	j := term.state.Jobs["j-000001"]
 	if j.Complete() || j.DoneCount() != 0 || j.IsDone(0) {
 		t.Error("the service counts as done")
 	}
@@ -163,7 +163,7 @@
 // A replica that keeps ending is started ever more slowly; one that ran for a
 // while comes back at once.
 func TestReplicasThatKeepEndingBackOff(t *testing.T) {
-	term, _, f := serviceTerm(t, 1, false)
+	term, _, f := serviceLeader(t, 1, false)
 	for range 120 {
 		f.report()
 		if on, _ := f.where("j-000001", 0); on != "" {
@@ -180,7 +180,7 @@
 	f.end(0, protocol.CauseError)
 	f.report()
 	if on, _ := f.where("j-000001", 0); on == "" || f.started != before+1 {
-		t.Errorf("it is not started at once after a long run: retry in %d ms", (term.ledger.Jobs["j-000001"].RetryAt-f.clock.now)/units.Millisecond)
+		t.Errorf("it is not started at once after a long run: retry in %d ms", (term.state.Jobs["j-000001"].RetryAt-f.clock.now)/units.Millisecond)
 	}
 }
 
@@ -189,7 +189,7 @@
 // does once that is certain. While its zone is gone, no more than half are in the
 // other one.
 func TestReplicasLeaveMachines(t *testing.T) {
-	term, clock, f := serviceTerm(t, 2, true)
+	term, clock, f := serviceLeader(t, 2, true)
 	f.report()
 	on, _ := f.where("j-000001", 0)
 	f.machines[on].TerminationNoticed, f.machines[on].TerminationIn = true, 12*units.Second
@@ -211,7 +211,7 @@
 	}
 	for range 25 {
 		f.report()
-		term.expire(clock.now)
+		term.expireLeases(clock.now)
 		if f.running() > 1 {
 			t.Fatalf("%d replicas run in one zone: %v", f.running(), f.zones())
 		}
@@ -230,11 +230,11 @@
 // A service is over when its user cancels it, also in the midst of a replica's
 // restart and over a change of leader: nothing of it starts after that.
 func TestCancelledServicesEnd(t *testing.T) {
-	term, _, f := serviceTerm(t, 3, false)
+	term, _, f := serviceLeader(t, 3, false)
 	f.report()
 	f.end(1, protocol.CauseError)
 	f.report() // the start of replica 1 may be on its way
-	j := term.ledger.Jobs["j-000001"]
+	j := term.state.Jobs["j-000001"]
 	term.cancelJob(j)
 	started := f.started
 	for range 5 {
@@ -244,7 +244,7 @@
 	if f.started > started || f.zones()["a"]+f.zones()["b"] != 0 {
 		t.Errorf("%d starts after the cancellation, replicas in %v", f.started-started, f.zones())
 	}
-	if !j.CancelDurable || term.ledger.Jobs["j-000001"] != nil {
+	if !j.CancelDurable || term.state.Jobs["j-000001"] != nil {
 		t.Error("it is not over")
 	}
 }
@@ -254,12 +254,12 @@
 func TestServicesAreRestoredAsServices(t *testing.T) {
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 3
-	writer := testTerm(7, &manualClock{now: units.Second})
-	writer.ledger.NewJob(spec, 0, 0)
-	s := writer.ledger.BuildWriteBatch("1-1", writer.bucketVersions, cluster.BatchLimits{}, 0)
-	writer.ledger.BatchCommitted(s, 1)
-	writer.ledger.TaskDone(writer.ledger.Jobs[spec.ID], 1, 0)
-	s = writer.ledger.BuildWriteBatch("1-2", writer.bucketVersions, cluster.BatchLimits{Background: true}, 10*units.Second)
+	writer := testLeader(7, &manualClock{now: units.Second})
+	writer.state.NewJob(spec, 0, 0)
+	s := writer.state.BuildWriteBatch("1-1", writer.bucketVersions, cluster.BatchLimits{}, 0)
+	writer.state.BatchCommitted(s, 1)
+	writer.state.TaskDone(writer.state.Jobs[spec.ID], 1, 0)
+	s = writer.state.BuildWriteBatch("1-2", writer.bucketVersions, cluster.BatchLimits{Background: true}, 10*units.Second)
 	var fields map[string]any
 	if err := protocol.Decode(s.Txn.Then[0].Value, &fields); err != nil {
 		t.Fatal(err)
@@ -282,20 +282,20 @@
 // straight to the worker. A start never does: the machine is woken by one that no
 // worker carries out, whenever it comes, since the job has no such task.
 func TestDirectCommandsStartNothing(t *testing.T) {
-	term, clock, f := serviceTerm(t, 2, false)
+	term, clock, f := serviceLeader(t, 2, false)
 	term.Settings.Fleet.Workers.ReportS = 5
 	for _, r := range f.machines {
 		r.Endpoint = "127.0.0.1:1"
 		r.Sequence++
-		term.observe(r, clock.now)
+		term.reconcile(r, clock.now)
 	}
-	term.lastRound = -units.Second
-	term.round(clock.now, nil)
-	if len(term.directRequests) == 0 {
+	term.lastCycle = -units.Second
+	term.runCycle(clock.now, nil)
+	if len(term.pushRequests) == 0 {
 		t.Fatal("no machine is woken")
 	}
-	for id, h := range term.directRequests {
-		_, body := term.direct(id, h.starts)
+	for id, h := range term.pushRequests {
+		_, body := term.pushCommands(id, h.startOf)
 		var d protocol.DirectCommands
 		if err := protocol.Decode(body, &d); err != nil {
 			t.Fatal(err)
@@ -304,17 +304,17 @@
 			t.Errorf("%s is told %+v", id, d)
 		}
 	}
-	a := term.ledger.Jobs["j-000001"].LiveAttempts[0]
+	a := term.state.Jobs["j-000001"].LiveAttempts[0]
 	a.Stage = cluster.Running
-	term.ledger.StopAttempt(a, units.Second)
-	if _, body := term.direct(a.Machine.ID, nil); body == nil {
+	term.state.StopAttempt(a, units.Second)
+	if _, body := term.pushCommands(a.Machine.ID, nil); body == nil {
 		t.Error("the stop waits")
 	}
 	// One more task than a job may have is no task: a report that named it would
 	// be refused for ever.
-	huge := *term.ledger.Jobs["j-000001"]
+	huge := *term.state.Jobs["j-000001"]
 	huge.Spec.Tasks = protocol.MaxTasks
-	if _, body := term.direct("i-000003", &huge); body != nil {
+	if _, body := term.pushCommands("i-000003", &huge); body != nil {
 		t.Error("a machine is woken with a task beyond the last number")
 	}
 }
@@ -322,20 +322,20 @@
 // Room for replicas is kept in each zone that may be used, little next to the
 // fleet, on the machines that were chosen before where it still has to come, and
 // nothing but replicas is planned there.
-func TestRoomIsKeptForReplicas(t *testing.T) {
+func TestHeadroomIsKeptForReplicas(t *testing.T) {
 	like := modelSpec("j-000001")
 	like.AllowSpot, like.Request = false, cpus(2)
 	var machines []MachineView
 	for i := range 40 {
 		m := MachineView{
-			ID:      fmt.Sprintf("i-%06d", i),
-			Type:    "m",
-			Zone:    []string{"a", "b"}[i%2],
-			Spot:    i >= 20,
-			Accepts: true,
-			Size:    cpus(8),
-			Free:    cpus(1),
-			Images:  func(string) bool { return i == 7 },
+			ID:           fmt.Sprintf("i-%06d", i),
+			InstanceType: "m",
+			Zone:         []string{"a", "b"}[i%2],
+			Spot:         i >= 20,
+			Schedulable:  true,
+			Capacity:     cpus(8),
+			Free:         cpus(1),
+			HasImage:     func(string) bool { return i == 7 },
 		}
 		if i == 4 || i == 9 {
 			m.Free = cpus(2)
@@ -356,7 +356,7 @@
 	whole := modelSpec("j-000003")
 	whole.Request = cpus(8)
 	for _, k := range []int{1, 3, 5} {
-		machines[k].Type, machines[k].Size = "large", cpus(16)
+		machines[k].InstanceType, machines[k].Capacity = "large", cpus(16)
 	}
 	if got := reserveHeadroom(machines, []JobView{{Spec: whole}}, like, func(int) bool { return false }); fmt.Sprint(got) != "[4 0 1 3]" {
 		t.Errorf("kept on %v, where a task needs a whole machine", got)
@@ -370,19 +370,19 @@
 		want    int
 	}{{array, false, 0}, {array, true, 1}, {&service, false, 1}} {
 		s := Snapshot{
-			Teams:    []TeamView{{Limit: cpus(100)}},
-			Machines: []MachineView{machines[4]},
-			Batch:    10,
+			Teams:         []TeamView{{QuotaLimit: cpus(100)}},
+			Machines:      []MachineView{machines[4]},
+			MaxPlacements: 10,
 			Jobs: []JobView{{
-				Spec:    c.spec,
-				Overdue: c.overdue,
-				Pending: 1,
-				LiveIn:  map[string]int{},
-				LiveOn:  map[int]int{},
-				Avoid:   func(string) bool { return false },
+				Spec:          c.spec,
+				Starved:       c.overdue,
+				Pending:       1,
+				LiveByZone:    map[string]int{},
+				LiveByMachine: map[int]int{},
+				Avoid:         func(string) bool { return false },
 			}},
 		}
-		if got := len(Plan(&s).Starts); got != c.want {
+		if got := len(Plan(&s).Placements); got != c.want {
 			t.Errorf("%d starts of a job of shape %d", got, c.spec.Kind)
 		}
 	}
@@ -392,27 +392,27 @@
 // nothing else is left, the fleet shrinks to what they need and room for those
 // that may be lost.
 func TestServicesDoNotKeepTheReserve(t *testing.T) {
-	term, clock, f := serviceTerm(t, 2, false)
+	term, clock, f := serviceLeader(t, 2, false)
 	for i := range 30 {
-		r := testReport(fmt.Sprintf("i-%06d", 100+i), 1, 0, 7)
+		r := testHeartbeat(fmt.Sprintf("i-%06d", 100+i), 1, 0, 7)
 		f.machines[r.Machine] = r
 	}
-	term.ledger.Teams["team"].GuaranteedQuota, term.ledger.Teams["team"].QuotaLimit = cpus(100), cpus(200)
+	term.state.Teams["team"].GuaranteedQuota, term.state.Teams["team"].QuotaLimit = cpus(100), cpus(200)
 	array := *modelSpec("j-000002")
-	term.ledger.NewJob(array, clock.now, clock.now)
+	term.state.NewJob(array, clock.now, clock.now)
 	for range 60 {
 		f.report()
 	}
-	if got := len(term.idle(clock.now)); got != 0 || term.fleetInput().QuietS != 0 {
+	if got := len(term.idleMachines(clock.now)); got != 0 || term.policyInput().QuietS != 0 {
 		t.Errorf("%d machines are returned while there is work", got)
 	}
-	term.ledger.TaskDone(term.ledger.Jobs["j-000002"], 0, clock.now)
-	term.ledger.TaskDone(term.ledger.Jobs["j-000002"], 1, clock.now)
+	term.state.TaskDone(term.state.Jobs["j-000002"], 0, clock.now)
+	term.state.TaskDone(term.state.Jobs["j-000002"], 1, clock.now)
 	for range 60 {
 		f.report()
 	}
 	// 34 machines of 4 processors; two replicas, and two spare ones in the zone.
-	if got := len(term.idle(clock.now)); got < 28 || got > 32 {
+	if got := len(term.idleMachines(clock.now)); got < 28 || got > 32 {
 		t.Errorf("%d machines are returned", got)
 	}
 }
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -12,15 +12,15 @@
 // which is much larger, reports. It must not be released: its machines work on
 // and are back after the cut. A single machine of another zone is released.
 func TestCutZoneIsKept(t *testing.T) {
-	term, clock := guardTerm(t, 1)
+	term, clock := leaderWithJob(t, 1)
 	report := func(seq uint64, skip func(i int) bool) {
 		for i := range 40 {
-			r := testReport(fmt.Sprintf("i-%06d", i), 1, seq, 7)
+			r := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, seq, 7)
 			if i < 8 {
 				r.Zone = "cut"
 			}
 			if !skip(i) {
-				term.observe(r, clock.now)
+				term.reconcile(r, clock.now)
 			}
 		}
 	}
@@ -29,7 +29,7 @@
 		clock.now += units.Second
 		report(seq, func(i int) bool { return i < 8 || i == 20 })
 	}
-	silent := term.silentMachines(clock.now)
+	silent := term.lostMachines(clock.now)
 	if len(silent) != 1 || !silent["i-000020"] {
 		t.Fatalf("to be released: %v", silent)
 	}
@@ -38,18 +38,18 @@
 // A leader that begins while a zone is cut off knows the zone's machines from
 // the cloud's list alone. They run: on a day of our own 147 of them were given
 // away, as if they had never come up.
-func TestZoneThatNeverReportedIsKept(t *testing.T) {
-	term, clock := guardTerm(t, 1)
+func TestZoneWithoutHeartbeatsIsKept(t *testing.T) {
+	term, clock := leaderWithJob(t, 1)
 	for i, stage := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineBooting} {
-		m := term.ledger.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.now-500*units.Second)
+		m := term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.now-500*units.Second)
 		m.Stage = stage
 	}
 	clock.now += 90 * units.Second
-	if names := term.unwanted(clock.now); len(names) != 1 || names[0] != "i-000002" {
+	if names := term.machinesToRelease(clock.now); len(names) != 1 || names[0] != "i-000002" {
 		t.Errorf("to be released: %v", names)
 	}
 	clock.now += 200 * units.Second
-	if names := term.unwanted(clock.now); len(names) != 3 {
+	if names := term.machinesToRelease(clock.now); len(names) != 3 {
 		t.Errorf("to be released at last: %v", names)
 	}
 }
@@ -58,23 +58,23 @@
 // that it misses, and one whose report merely got no answer is not given away:
 // it waits 4 s, and comes back a second later. On a day of the fleet's, tasks of
 // 75 dead machines waited for 15 s before they started elsewhere.
-func TestSilenceWhereReportsComeSeldom(t *testing.T) {
+func TestSuspicionWithLongHeartbeatIntervals(t *testing.T) {
 	for _, seconds := range []float64{3, 5, 10, 30} {
-		term, clock := guardTerm(t, 1)
+		term, clock := leaderWithJob(t, 1)
 		term.Settings.Fleet.Workers.ReportS = seconds
 		gap := units.Seconds(seconds).Share(5, 4)
 		for i := range 5 {
-			term.observe(testReport(fmt.Sprintf("i-%06d", i), 1, 1, 7), clock.now)
+			term.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 7), clock.now)
 		}
 		clock.now += gap + 5*units.Second
 		for i := range 4 {
-			term.observe(testReport(fmt.Sprintf("i-%06d", i), 1, 2, 7), clock.now)
+			term.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 2, 7), clock.now)
 		}
-		if len(term.silentMachines(clock.now)) != 0 {
+		if len(term.lostMachines(clock.now)) != 0 {
 			t.Errorf("reports every %v s: one that got no answer counts as silence", seconds)
 		}
 		clock.now += 1100 * units.Millisecond
-		if silent := term.silentMachines(clock.now); !silent["i-000004"] || len(silent) != 1 {
+		if silent := term.lostMachines(clock.now); !silent["i-000004"] || len(silent) != 1 {
 			t.Errorf("reports every %v s: silent are %v", seconds, silent)
 		}
 	}
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -10,36 +10,36 @@
 	"dunestand/internal/units"
 )
 
-type snapshotRefs struct {
+type snapshotIndex struct {
 	jobs     []*cluster.Job
 	machines []*cluster.Machine
 	victims  []*cluster.Attempt // grows as machines are asked for theirs
 }
 
-// queued is a waiting job as the last round saw it.
-type queued struct {
+// queuedJob is a waiting job as the last round saw it.
+type queuedJob struct {
 	job  *cluster.Job
 	view JobView
 }
 
-// teamViews adds the teams to a snapshot and gives their places in it. Tasks
+// snapshotTeams adds the teams to a snapshot and gives their places in it. Tasks
 // that unsettled machines may hold count as used.
-func (t *Term) teamViews(s *Snapshot) map[string]int {
-	teams := make(map[string]int, len(t.ledger.Teams))
-	for _, name := range sortedKeys(t.ledger.Teams) {
-		team := t.ledger.Teams[name]
+func (t *Leader) snapshotTeams(s *Snapshot) map[string]int {
+	teams := make(map[string]int, len(t.state.Teams))
+	for _, name := range sortedKeys(t.state.Teams) {
+		team := t.state.Teams[name]
 		teams[name] = len(s.Teams)
 		s.Teams = append(s.Teams, TeamView{
-			Guarantee: team.GuaranteedQuota,
-			Limit:     team.QuotaLimit,
-			Used:      team.Used,
-			Freeing:   team.Freeing,
+			GuaranteedQuota: team.GuaranteedQuota,
+			QuotaLimit:      team.QuotaLimit,
+			Used:            team.Used,
+			Freeing:         team.Freeing,
 		})
 	}
-	if t.allConfirmed {
+	if t.allReconciled {
 		return teams
 	}
-	for j := range t.ledger.UnreconciledJobs() {
+	for j := range t.state.UnreconciledJobs() {
 		if i, ok := teams[j.Spec.Team]; ok {
 			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Request, j.UnreconciledTasks())
 		}
@@ -47,32 +47,32 @@
 	return teams
 }
 
-// accepts tells whether a machine may be given work.
-func (t *Term) accepts(m *cluster.Machine, now units.Micros) bool {
-	return m.Registered && m.FencingToken == t.number && m.UndeliveredCommands < maxUndelivered && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
-		now >= m.BlockedUntil && now-m.LastHeartbeat < t.silentAfter()
+// machineSchedulable tells whether a machine may be given work.
+func (t *Leader) machineSchedulable(m *cluster.Machine, now units.Micros) bool {
+	return m.Registered && m.FencingToken == t.token && m.UndeliveredCommands < maxUndeliveredCommands && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
+		now >= m.BlockedUntil && now-m.LastHeartbeat < t.suspectAfter()
 }
 
-// startPatience is how long a job may wait for its first task until that goes
+// starvationAge is how long a job may wait for its first task until that goes
 // before everything else: half of the four minutes in which every job is to
 // begin.
-const startPatience = 120 * units.Second
+const starvationAge = 120 * units.Second
 
-// overdue tells whether a job has waited too long and has nothing done yet.
-func (t *Term) overdue(j *cluster.Job) bool {
-	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && t.Clock.Wall()-j.Submitted > startPatience && j.Spec.Kind != protocol.Gang
+// starved tells whether a job has waited too long and has nothing done yet.
+func (t *Leader) starved(j *cluster.Job) bool {
+	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && t.Clock.Wall()-j.Submitted > starvationAge && j.Spec.Kind != protocol.Gang
 }
 
-// preemptionPause is how long a job waits for room where no aim says how soon it is to
+// defaultPatience is how long a job waits for room where no aim says how soon it is to
 // start.
-const preemptionPause = 2 * units.Second
+const defaultPatience = 2 * units.Second
 
-// patient tells whether a job waits before tasks of others are stopped for it.
+// awaitsCompletions tells whether a job waits before tasks of others are stopped for it.
 // What is stopped has to be done again, and in a large fleet tasks end all the
 // time: where they leave room enough for the job in a part of what the users'
 // aims allow, it waits that long.
-func (t *Term) patient(j *cluster.Job, now units.Micros) bool {
-	patience := preemptionPause
+func (t *Leader) awaitsCompletions(j *cluster.Job, now units.Micros) bool {
+	patience := defaultPatience
 	if j.Spec.Priority < protocol.High {
 		if due := t.Settings.Fleet.GuaranteeDue(); due > 0 {
 			patience = due / 4
@@ -83,41 +83,41 @@
 	return now-j.LearnedAt < patience && t.completions.within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
 }
 
-// placeable tells whether tasks of a job may be placed now.
-func (t *Term) placeable(j *cluster.Job, now units.Micros) bool {
+// schedulable tells whether tasks of a job may be placed now.
+func (t *Leader) schedulable(j *cluster.Job, now units.Micros) bool {
 	return j.HasTasksToPlace() && now >= j.RetryAt && len(j.UnreconciledMachines) == 0
 }
 
-func (t *Term) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
+func (t *Leader) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
 	next := max(0, m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now)
 	return MachineView{
-		ID:        m.ID,
-		Type:      m.InstanceType,
-		Zone:      m.Zone,
-		Spot:      m.Spot,
-		Slow:      m.Slow,
-		Accepts:   t.accepts(m, now),
-		FetchRate: units.AmountOf(t.ledger.InstanceTypes[m.InstanceType].FetchRate),
-		Size:      m.Capacity,
-		Free:      m.Free(),
-		Freeing:   m.Freeing,
-		Images:    m.HasImage,
-		Answering: answering,
-		Reports:   int(next / (units.Second / 2)),
+		ID:                     m.ID,
+		InstanceType:           m.InstanceType,
+		Zone:                   m.Zone,
+		Spot:                   m.Spot,
+		Slow:                   m.Slow,
+		Schedulable:            t.machineSchedulable(m, now),
+		FetchRate:              units.AmountOf(t.state.InstanceTypes[m.InstanceType].FetchRate),
+		Capacity:               m.Capacity,
+		Free:                   m.Free(),
+		Freeing:                m.Freeing,
+		HasImage:               m.HasImage,
+		HeartbeatPending:       answering,
+		HalfSecondsToHeartbeat: int(next / (units.Second / 2)),
 	}
 }
 
-// spread fills in where a job's tasks are, for jobs that care.
-func (t *Term) spread(view *JobView, j *cluster.Job) {
-	view.LiveIn, view.LiveOn = nil, nil
+// fillTopology fills in where a job's tasks are, for jobs that care.
+func (t *Leader) fillTopology(view *JobView, j *cluster.Job) {
+	view.LiveByZone, view.LiveByMachine = nil, nil
 	if j.Spec.ZoneAffinity || j.Spec.ZoneSpread || j.Spec.Kind == protocol.Service {
-		view.LiveIn = map[string]int{}
+		view.LiveByZone = map[string]int{}
 		for _, a := range j.LiveAttempts {
-			view.LiveIn[a.Machine.Zone]++
+			view.LiveByZone[a.Machine.Zone]++
 		}
 	}
 	if j.Spec.Kind == protocol.Service {
-		view.LiveOn = map[int]int{} // filled by the machines' numbers
+		view.LiveByMachine = map[int]int{} // filled by the machines' numbers
 	}
 }
 
@@ -126,11 +126,11 @@
 
 // snapshot takes down what a round decides on. answering is the machine whose report is
 // being answered, nil if none is.
-func (t *Term) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotRefs) {
+func (t *Leader) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
 	var s Snapshot
-	refs := new(snapshotRefs)
-	t.completions.pass(now)
-	teams := t.teamViews(&s)
+	refs := new(snapshotIndex)
+	t.completions.advance(now)
+	teams := t.snapshotTeams(&s)
 	views := t.snapshotJobs(&s, refs, teams, now)
 	t.snapshotMachines(&s, refs, teams, views, now, answering)
 	t.updateHeadroom(&s, refs.machines)
@@ -138,13 +138,13 @@
 	for k := range s.Jobs {
 		waiting += s.Jobs[k].Pending
 	}
-	s.Batch = min(batchBase+waiting/8, batchMost)
+	s.MaxPlacements = min(minCyclePlacements+waiting/8, maxCyclePlacements)
 	return s, refs
 }
 
 // snapshotJobs adds the jobs that wait and may be placed, and notes the queue of all that
 // wait.
-func (t *Term) snapshotJobs(s *Snapshot, refs *snapshotRefs, teams map[string]int, now units.Micros) jobViews {
+func (t *Leader) snapshotJobs(s *Snapshot, refs *snapshotIndex, teams map[string]int, now units.Micros) jobViews {
 	jobs := t.jobsInOrder()
 	s.Jobs = make([]JobView, 0, len(jobs))
 	refs.jobs = make([]*cluster.Job, 0, len(jobs))
@@ -157,38 +157,38 @@
 			continue
 		}
 		committed[team] = committed[team].Plus(j.Spec.Request, j.Spec.Tasks)
-		guarantee := s.Teams[team].Guarantee
+		guarantee := s.Teams[team].GuaranteedQuota
 		guaranteed := committed[team].CPU <= guarantee.CPU && committed[team].GPU <= guarantee.GPU
 		view := t.jobView(j, team, guaranteed, now)
 		views[j] = view
 		if j.Cancelled || !j.Accepted() {
 			continue
 		}
-		t.queue = append(t.queue, queued{j, *view})
-		if !t.placeable(j, now) {
+		t.queue = append(t.queue, queuedJob{j, *view})
+		if !t.schedulable(j, now) {
 			continue
 		}
-		t.spread(view, j)
+		t.fillTopology(view, j)
 		s.Jobs = append(s.Jobs, *view)
 		refs.jobs = append(refs.jobs, j)
 	}
-	slices.SortFunc(t.queue, func(a, b queued) int { return compareJobs(&a.view, &b.view) })
+	slices.SortFunc(t.queue, func(a, b queuedJob) int { return compareJobs(&a.view, &b.view) })
 	return views
 }
 
-func (t *Term) jobView(j *cluster.Job, team int, guaranteed bool, now units.Micros) *JobView {
+func (t *Leader) jobView(j *cluster.Job, team int, guaranteed bool, now units.Micros) *JobView {
 	in := t.rankInput(j)
 	return &JobView{
-		Spec:       &j.Spec,
-		Team:       team,
-		Order:      int64(j.Submitted),
-		Pending:    j.Pending(),
-		Live:       len(j.LiveAttempts),
-		Guaranteed: guaranteed,
-		Patient:    t.patient(j, now),
-		Late:       in.Late,
-		Rank:       t.Policy.Rank(in),
-		Overdue:    t.overdue(j) && len(j.LiveAttempts) == 0,
+		Spec:              &j.Spec,
+		Team:              team,
+		SubmittedAt:       int64(j.Submitted),
+		Pending:           j.Pending(),
+		LiveTasks:         len(j.LiveAttempts),
+		WithinGuarantee:   guaranteed,
+		AwaitsCompletions: t.awaitsCompletions(j, now),
+		MissesDeadline:    in.Late,
+		Rank:              t.Policy.Rank(in),
+		Starved:           t.starved(j) && len(j.LiveAttempts) == 0,
 		Avoid: func(machine string) bool {
 			return j.FailedMachines[machine] && len(j.FailedMachines) < 3 || !j.CanRecordMachine(machine)
 		},
@@ -196,58 +196,58 @@
 }
 
 // snapshotMachines adds the machines that have reported, and what of services is on each.
-func (t *Term) snapshotMachines(s *Snapshot, refs *snapshotRefs, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
-	machines := t.ledger.SortedMachines()
+func (t *Leader) snapshotMachines(s *Snapshot, refs *snapshotIndex, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
+	machines := t.state.SortedMachines()
 	s.Machines = make([]MachineView, 0, len(machines))
 	refs.machines = make([]*cluster.Machine, 0, len(machines))
-	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveOn != nil })
+	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveByMachine != nil })
 	for _, m := range machines {
 		if !m.Registered {
 			continue
 		}
-		t.drain(m, now)
+		t.evictBeforeTermination(m, now)
 		view := t.machineView(m, now, m == answering)
 		if services {
 			for _, a := range m.Attempts {
-				if v := views[a.Job]; v != nil && v.LiveOn != nil {
-					v.LiveOn[len(refs.machines)]++
+				if v := views[a.Job]; v != nil && v.LiveByMachine != nil {
+					v.LiveByMachine[len(refs.machines)]++
 				}
 			}
 		}
-		if view.Accepts {
-			view.Victims = func() []Victim { return t.victims(m, teams, views, refs, now) }
+		if view.Schedulable {
+			view.Victims = func() []Victim { return t.preemptionVictims(m, teams, views, refs, now) }
 		}
 		s.Machines = append(s.Machines, view)
 		refs.machines = append(refs.machines, m)
 	}
 }
 
-// victims lists the tasks on a machine that could be stopped.
-func (t *Term) victims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotRefs, now units.Micros) []Victim {
+// preemptionVictims lists the tasks on a machine that could be stopped.
+func (t *Leader) preemptionVictims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotIndex, now units.Micros) []Victim {
 	out := make([]Victim, 0, len(m.Attempts))
 	for _, a := range m.SortedAttempts() {
 		team, ok := teams[a.Job.Spec.Team]
 		if !ok || views[a.Job] == nil || a.Stopping || a.Stage != cluster.Running && a.Stage != cluster.Fetching {
 			continue
 		}
-		if t.overdue(a.Job) && len(a.Job.LiveAttempts) == 1 {
+		if t.starved(a.Job) && len(a.Job.LiveAttempts) == 1 {
 			continue // all that its job has, after a long wait
 		}
 		v := Victim{
 			Ref:      len(refs.victims),
 			Team:     team,
 			Priority: a.Job.Spec.Priority,
-			Need:     a.Job.Spec.Request,
+			Request:  a.Job.Spec.Request,
 			Job:      views[a.Job],
 		}
 		if a.Stage == cluster.Running {
-			v.Loses = now - a.RunningSince
+			v.LostWork = now - a.RunningSince
 		}
 		if a.Job.Spec.CheckpointInterval > 0 {
-			v.Loses = a.Job.Spec.CheckpointDuration
+			v.LostWork = a.Job.Spec.CheckpointDuration
 		}
 		if a.Job.IsService() {
-			v.Loses += serviceLoss
+			v.LostWork += replicaLostWork
 		}
 		refs.victims = append(refs.victims, a)
 		out = append(out, v)
@@ -255,13 +255,13 @@
 	return out
 }
 
-// serviceLoss puts replicas of services last among the tasks of their priority
+// replicaLostWork puts replicas of services last among the tasks of their priority
 // that could be stopped: what they lose is not work that can be done again.
-const serviceLoss = 1_000_000 * units.Second
+const replicaLostWork = 1_000_000 * units.Second
 
-func (t *Term) rankInput(j *cluster.Job) config.RankInput {
+func (t *Leader) rankInput(j *cluster.Job) config.RankInput {
 	waited := max(0, t.Clock.Wall()-j.Submitted)
-	estimate := t.ledger.EstimateRuntime(j)
+	estimate := t.state.EstimateRuntime(j)
 	in := config.RankInput{
 		Class: j.Spec.Class, Team: j.Spec.Team, Priority: int(j.Spec.Priority),
 		Tasks: j.Spec.Tasks, Unfinished: j.Unfinished(), Pending: j.Pending(),
@@ -270,7 +270,7 @@
 		DueS:  config.NoDeadline, StartDueS: config.NoDeadline,
 	}
 	in.FinishS = in.RunS
-	if team := t.ledger.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
+	if team := t.state.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
 		in.FinishS = max(in.RunS, in.WorkS/team.QuotaLimit.CPU.Float())
 	}
 	for _, due := range t.Settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
@@ -292,9 +292,9 @@
 const estimateTrust = 2.0 / 3
 
 // jobsInOrder lists the jobs in the order of their submission.
-func (t *Term) jobsInOrder() []*cluster.Job {
-	jobs := make([]*cluster.Job, 0, len(t.ledger.Jobs))
-	for _, j := range t.ledger.Jobs {
+func (t *Leader) jobsInOrder() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(t.state.Jobs))
+	for _, j := range t.state.Jobs {
 		jobs = append(jobs, j)
 	}
 	sort.Slice(jobs, func(i, k int) bool {
--- a/internal/coordination/term.go
+++ b/internal/coordination/term.go
@@ -20,103 +20,103 @@
 type Deps struct {
 	Settings *config.Settings
 	Policy   *config.Policy
-	Store    *kv.Client
+	KV       *kv.Client
 	Cloud    *cloud.Client
-	Lease    *FleetLease
+	Elector  *Elector
 	Clock    units.Clock
 	Log      *slog.Logger
 	Dial     transport.DialFunc // nil: the machine's own network
 	Metrics  *Metrics
-	Format   *FleetFormat
+	Format   *FormatNegotiator
 	Admitter *admitter // nil: all jobs are admitted
-	// Unreached counts the other controllers that cannot be reached.
-	Unreached func() int
-	// PeerInReach tells whether any other controller answers.
-	PeerInReach func() bool
+	// UnreachablePeers counts the other controllers that cannot be reached.
+	UnreachablePeers func() int
+	// PeerReachable tells whether any other controller answers.
+	PeerReachable func() bool
 }
 
-// Term is one node's time as leader. What it knows is gone with it.
-type Term struct {
+// Leader is one node's time as leader. What it knows is gone with it.
+type Leader struct {
 	Deps
-	number    uint64
-	claimedAt units.Micros
-	traces    bool // steps of attempts are logged
+	token         uint64
+	electedAt     units.Micros
+	traceAttempts bool // steps of attempts are logged
 
-	mu                sync.Mutex
-	allConfirmed      bool
-	ready             bool
-	ledger            *cluster.State
-	bucketVersions    []uint64
-	finals            *finalCache
-	attempts          uint64
-	saves             uint64
-	rentRequests      uint64
-	completions       completionRate
-	lastRound         units.Micros
-	lastWork          units.Micros                      // when there was an unfinished job that ends by itself
-	roundCost         units.Micros                      // moving mean
-	queue             []queued                          // waiting jobs as the last round saw them
-	reservedFor       map[*cluster.Machine]*cluster.Job // whose room the last round keeps together for whom
-	allOffered        bool                              // the last round left no machine unasked for what waits
-	lastSummary       units.Micros
-	lastTimeoutCheck  units.Micros
-	unreached         int          // the most controllers out of reach at a time in this term
-	silenceCountsFrom units.Micros // this node was late itself: until then no machine's silence is judged
-	released          releasedMachines
-	headroom          map[*cluster.Machine]units.Resources // room that the last round kept for replicas
-	directRequests    map[string]*directRequest            // machines that are told something before their next report
-	saving            int
-	inboxUncleared    atomic.Bool // the inbox may hold what is to be taken out and was not
-	admission         termAdmission
-	provisioning      provisioningState
+	mu                    sync.Mutex
+	allReconciled         bool
+	ready                 bool
+	state                 *cluster.State
+	bucketVersions        []uint64
+	terminalJobs          *terminalCache
+	attemptsStarted       uint64
+	writes                uint64
+	scaleOutRequests      uint64
+	completions           completionRate
+	lastCycle             units.Micros
+	lastFiniteJobAt       units.Micros                      // when there was an unfinished job that ends by itself
+	cycleCost             units.Micros                      // moving mean
+	queue                 []queuedJob                       // waiting jobs as the last round saw them
+	reservations          map[*cluster.Machine]*cluster.Job // whose room the last round keeps together for whom
+	allMachinesConsidered bool                              // the last round left no machine unasked for what waits
+	lastSummary           units.Micros
+	lastTimeoutCheck      units.Micros
+	maxUnreachablePeers   int          // the most controllers out of reach at a time in this term
+	judgeSilenceFrom      units.Micros // this node was late itself: until then no machine's silence is judged
+	released              releasedMachines
+	headroom              map[*cluster.Machine]units.Resources // room that the last round kept for replicas
+	pushRequests          map[string]*pushRequest              // machines that are told something before their next report
+	writesInFlight        int
+	pendingUncleared      atomic.Bool // the inbox may hold what is to be taken out and was not
+	admission             leaderAdmission
+	provisioning          provisioningState
 
-	restored     chan struct{} // closed once the records are restored
-	saveSignal   chan struct{}
-	roundSignal  chan struct{}
-	directSignal chan struct{}
+	restored    chan struct{} // closed once the records are restored
+	writeSignal chan struct{}
+	cycleSignal chan struct{}
+	pushSignal  chan struct{}
 }
 
-// NewTerm starts a term that was just claimed. Everything waits for Run to
+// NewLeader starts a term that was just claimed. Everything waits for Run to
 // restore the records.
-func NewTerm(number uint64, deps Deps) *Term {
+func NewLeader(number uint64, deps Deps) *Leader {
 	deps.Log = deps.Log.With("term", number)
-	t := &Term{
-		Deps:           deps,
-		number:         number,
-		traces:         deps.Log.Enabled(context.Background(), slog.LevelDebug),
-		claimedAt:      deps.Clock.Steady(),
-		lastWork:       deps.Clock.Steady(),
-		ledger:         cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
-		bucketVersions: make([]uint64, storage.Buckets),
-		restored:       make(chan struct{}),
-		finals:         newFinalCache(4096),
-		released:       releasedMachines{},
-		directRequests: map[string]*directRequest{},
-		headroom:       map[*cluster.Machine]units.Resources{},
-		provisioning:   newProvisioningState(),
-		reservedFor:    map[*cluster.Machine]*cluster.Job{},
-		saveSignal:     make(chan struct{}, 1),
-		roundSignal:    make(chan struct{}, 1),
-		directSignal:   make(chan struct{}, 1),
+	t := &Leader{
+		Deps:            deps,
+		token:           number,
+		traceAttempts:   deps.Log.Enabled(context.Background(), slog.LevelDebug),
+		electedAt:       deps.Clock.Steady(),
+		lastFiniteJobAt: deps.Clock.Steady(),
+		state:           cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
+		bucketVersions:  make([]uint64, storage.Buckets),
+		restored:        make(chan struct{}),
+		terminalJobs:    newTerminalCache(4096),
+		released:        releasedMachines{},
+		pushRequests:    map[string]*pushRequest{},
+		headroom:        map[*cluster.Machine]units.Resources{},
+		provisioning:    newProvisioningState(),
+		reservations:    map[*cluster.Machine]*cluster.Job{},
+		writeSignal:     make(chan struct{}, 1),
+		cycleSignal:     make(chan struct{}, 1),
+		pushSignal:      make(chan struct{}, 1),
 	}
-	t.admission = t.newAdmission()
+	t.admission = t.newLeaderAdmission()
 	if deps.Admitter != nil {
-		t.ledger.OnRunObserved = func(j *cluster.Job, run units.Micros) {
+		t.state.OnRunObserved = func(j *cluster.Job, run units.Micros) {
 			t.admission.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
 		}
 	}
 	return t
 }
 
-func signal(c chan struct{}) {
+func raise(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// pause waits, and tells whether to go on.
-func pause(ctx context.Context, d units.Micros) bool {
+// sleep waits, and tells whether to go on.
+func sleep(ctx context.Context, d units.Micros) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -126,15 +126,15 @@
 }
 
 // Run restores the records and then leads until ctx ends.
-func (t *Term) Run(ctx context.Context) {
+func (t *Leader) Run(ctx context.Context) {
 	t.Log.Info("term begins")
 	for !t.restore(ctx) {
-		if !pause(ctx, readRetry) {
+		if !sleep(ctx, readRetryDelay) {
 			return
 		}
 	}
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){t.saveLoop, t.roundLoop, t.cloudLoop, t.delayLoop, t.announceLoop, t.inboxLoop, t.directLoop, t.admission.publisher.loop} {
+	for _, loop := range []func(context.Context){t.writeLoop, t.cycleLoop, t.autoscaleLoop, t.monitorDelay, t.broadcastLoop, t.ingestLoop, t.pushLoop, t.admission.publisher.loop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -145,4 +145,4 @@
 	t.Log.Info("term ends")
 }
 
-const stateCall = 1500 * units.Millisecond
+const kvTimeout = 1500 * units.Millisecond
--- a/internal/coordination/term_test.go
+++ b/internal/coordination/term_test.go
@@ -18,20 +18,20 @@
 	"dunestand/internal/units"
 )
 
-func storedTerm(t *testing.T, number uint64, state *standin.State) *Term {
+func storedLeader(t *testing.T, number uint64, state *standin.State) *Leader {
 	server := httptest.NewServer(state)
 	t.Cleanup(server.Close)
-	term := testTerm(number, &manualClock{now: units.Second})
-	term.Store = kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	term := testLeader(number, &manualClock{now: units.Second})
+	term.KV = kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e4,
 		WriteRPS: 1e4,
 	}, 0, term.Clock)
-	term.Format.store = term.Store
+	term.Format.kvClient = term.KV
 	return term
 }
 
-func (t *Term) records() recordReader {
-	return recordReader{store: t.Store, clock: t.Clock, workers: t.Settings.Fleet.Workers}
+func (t *Leader) records() recordReader {
+	return recordReader{store: t.KV, clock: t.Clock, workers: t.Settings.Fleet.Workers}
 }
 
 func modelSpec(id string) *protocol.JobSpec {
@@ -56,11 +56,11 @@
 }
 
 // Submission, cancellation and their repeats, with commits that are carried
-// out and not answered: the save's id tells its author that it was.
+// decisions and not answered: the save's id tells its author that it was.
 func TestSubmitAndCancelWithLostAnswers(t *testing.T) {
 	s := standin.NewState()
 	s.Silent = func(n int) bool { return n%2 == 0 }
-	term := storedTerm(t, 1, s)
+	term := storedLeader(t, 1, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	for try := 0; !term.restore(ctx); try++ {
@@ -68,8 +68,8 @@
 			t.Fatal("not restored")
 		}
 	}
-	term.ledger.SetInstanceTypes(modelCatalog.Types)
-	go term.saveLoop(ctx)
+	term.state.SetInstanceTypes(modelCatalog.Types)
+	go term.writeLoop(ctx)
 	if r := term.Poll(ctx, "j-000001"); r.Status != http.StatusNotFound {
 		t.Fatalf("unknown job: %d", r.Status)
 	}
@@ -106,21 +106,21 @@
 		Tasks: 2,
 		Done:  2,
 	}))
-	term := storedTerm(t, 3, s)
+	term := storedLeader(t, 3, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetInstanceTypes(modelCatalog.Types)
-	go term.saveLoop(ctx)
+	term.state.SetInstanceTypes(modelCatalog.Types)
+	go term.writeLoop(ctx)
 	bad := modelSpec("j-000007")
 	bad.Team = "nobody"
 	for _, spec := range []*protocol.JobSpec{modelSpec("j-000007"), bad} {
 		if r := term.Submit(ctx, spec); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageDone {
 			t.Fatalf("repeat: %d %s", r.Status, r.Body)
 		}
-		term.finals = newFinalCache(10)
+		term.terminalJobs = newTerminalCache(10)
 	}
 	if r := term.Poll(ctx, "j-000007"); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageDone {
 		t.Fatalf("poll: %d %s", r.Status, r.Body)
@@ -138,7 +138,7 @@
 	s := standin.NewState()
 	raw := protocol.Encode(map[string]any{"v": 99, "id": "j-000001"})
 	s.Put(storage.KeyJob("j-000001"), raw)
-	term := storedTerm(t, 2, s)
+	term := storedLeader(t, 2, s)
 	if term.restore(t.Context()) || term.Ready() {
 		t.Fatal("led in spite of it")
 	}
@@ -151,12 +151,12 @@
 }
 
 // Without a valid lease nothing is answered 200.
-func TestNothingIsSaidWithoutTheLease(t *testing.T) {
-	term := storedTerm(t, 2, standin.NewState())
+func TestNothingIsAnsweredWithoutTheLease(t *testing.T) {
+	term := storedLeader(t, 2, standin.NewState())
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	term.Lease.validUntil = 0
+	term.Elector.validUntil = 0
 	for name, r := range map[string]answer{
 		"submit": term.Submit(t.Context(), modelSpec("j-000001")),
 		"poll":   term.Poll(t.Context(), "j-000001"),
@@ -166,7 +166,7 @@
 			t.Errorf("%s: %d", name, r.Status)
 		}
 	}
-	if _, ok := term.Report(t.Context(), &protocol.Heartbeat{
+	if _, ok := term.Heartbeat(t.Context(), &protocol.Heartbeat{
 		Machine:      "i-1",
 		InstanceType: "m",
 		Zone:         "a",
@@ -178,23 +178,23 @@
 }
 
 // Old and repeated reports have no effect.
-func TestOldReportsHaveNoEffect(t *testing.T) {
-	term := testTerm(5, &manualClock{now: units.Second})
-	term.install(nil, modelCatalog)
+func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
+	term := testLeader(5, &manualClock{now: units.Second})
+	term.installRecords(nil, modelCatalog)
 	fresh := &protocol.Heartbeat{Machine: "i-1", InstanceType: "m", Zone: "a", Incarnation: 2, Sequence: 7}
-	if _, ok := term.Report(t.Context(), fresh, nil); !ok {
+	if _, ok := term.Heartbeat(t.Context(), fresh, nil); !ok {
 		t.Fatal("fresh report refused")
 	}
 	for _, old := range []protocol.Heartbeat{{Incarnation: 2, Sequence: 7}, {Incarnation: 2, Sequence: 6}, {Incarnation: 1, Sequence: 99}} {
 		old.Machine, old.InstanceType, old.Zone = "i-1", "m", "a"
-		if _, ok := term.Report(t.Context(), &old, nil); ok {
+		if _, ok := term.Heartbeat(t.Context(), &old, nil); ok {
 			t.Errorf("old report %d/%d accepted", old.Incarnation, old.Sequence)
 		}
 	}
-	if m := term.ledger.Machines["i-1"]; m.Incarnation != 2 || m.Sequence != 7 {
+	if m := term.state.Machines["i-1"]; m.Incarnation != 2 || m.Sequence != 7 {
 		t.Errorf("machine at %d/%d", m.Incarnation, m.Sequence)
 	}
-	if _, ok := term.Report(t.Context(), &protocol.Heartbeat{
+	if _, ok := term.Heartbeat(t.Context(), &protocol.Heartbeat{
 		Machine:      "i-2",
 		InstanceType: "m",
 		Zone:         "a",
@@ -210,16 +210,16 @@
 // everywhere is retried ever later, and no machine is blamed for it.
 func TestBlameForErrors(t *testing.T) {
 	clock := &manualClock{now: units.Second}
-	term := testTerm(1, clock)
-	term.install(nil, modelCatalog)
-	l := term.ledger
+	term := testLeader(1, clock)
+	term.installRecords(nil, modelCatalog)
+	l := term.state
 	fail := func(job, machine string) *cluster.Job {
 		j := l.Jobs[job]
 		if j == nil {
 			j = l.NewJob(*modelSpec(job), clock.now, clock.now)
 		}
 		m := l.EnsureMachine(machine, "m", "a", true, clock.now)
-		a := l.Assign(j, m, term.number<<32|uint64(len(job)), clock.now)
+		a := l.Assign(j, m, term.token<<32|uint64(len(job)), clock.now)
 		l.AttemptFailed(a, clock.now)
 		l.AttemptGone(a, clock.now)
 		return j
@@ -246,10 +246,10 @@
 // One machine that falls silent is released; when half of them do, it is the
 // network: on a recorded day five of twelve machines that were cut off for 14 s
 // were given away, since they reached the limit a little before the others.
-func TestManySilentMachinesAreKept(t *testing.T) {
+func TestManyLostMachinesAreKept(t *testing.T) {
 	clock := &manualClock{now: 100 * units.Second}
-	term := testTerm(1, clock)
-	term.install(nil, modelCatalog)
+	term := testLeader(1, clock)
+	term.installRecords(nil, modelCatalog)
 	report := func(machines int, seq uint64) {
 		for i := range machines {
 			r := &protocol.Heartbeat{
@@ -260,7 +260,7 @@
 				Sequence:     seq,
 				FencingToken: 1,
 			}
-			if _, ok := term.Report(t.Context(), r, nil); !ok {
+			if _, ok := term.Heartbeat(t.Context(), r, nil); !ok {
 				t.Fatal("report refused")
 			}
 		}
@@ -269,12 +269,12 @@
 	clock.now += 4500 * units.Millisecond
 	report(9, 2) // one of ten has been silent for 4.5 s
 	clock.now += 600 * units.Millisecond
-	if silent := term.silentMachines(clock.now); len(silent) != 1 {
+	if silent := term.lostMachines(clock.now); len(silent) != 1 {
 		t.Fatalf("%d to be released", len(silent))
 	}
 	clock.now += 2 * units.Second
 	report(4, 3) // five more are late by now
-	if silent := term.silentMachines(clock.now); len(silent) != 0 {
+	if silent := term.lostMachines(clock.now); len(silent) != 0 {
 		t.Fatalf("%d to be released", len(silent))
 	}
 }
@@ -284,9 +284,9 @@
 // trip over the job that has left the ledger.
 func TestAttemptOutlivesItsJob(t *testing.T) {
 	clock := &manualClock{now: units.Second}
-	term := testTerm(2, clock)
-	term.install(nil, modelCatalog)
-	l := term.ledger
+	term := testLeader(2, clock)
+	term.installRecords(nil, modelCatalog)
+	l := term.state
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
 	j := l.NewJob(spec, clock.now, clock.now)
@@ -299,7 +299,7 @@
 	m := l.EnsureMachine("i-000001", "m", "a", true, clock.now)
 	a := l.Assign(j, m, 7, clock.now)
 	a.Stage = cluster.Running
-	l.TaskDone(j, 0, clock.now) // told by another machine
+	l.TaskDone(j, 0, clock.now) // sentHeartbeat by another machine
 	save()
 	if l.Jobs["j-000001"] != nil {
 		t.Fatal("the job is still there")
@@ -318,7 +318,7 @@
 			FencingToken: 2,
 			Tasks:        []protocol.TaskStatus{task},
 		}
-		if _, ok := term.Report(t.Context(), r, nil); !ok {
+		if _, ok := term.Heartbeat(t.Context(), r, nil); !ok {
 			t.Fatal("report refused")
 		}
 	}
@@ -331,9 +331,9 @@
 // be able to learn of it, or the task would run once more.
 func TestCompletionsAreForgottenOnlyOnceDurable(t *testing.T) {
 	clock := &manualClock{now: units.Second}
-	term := testTerm(2, clock)
-	term.install(nil, modelCatalog)
-	l := term.ledger
+	term := testLeader(2, clock)
+	term.installRecords(nil, modelCatalog)
+	l := term.state
 	j := l.NewJob(*modelSpec("j-000001"), clock.now, clock.now)
 	save := func() {
 		l.BatchCommitted(l.BuildWriteBatch("2-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now), 1)
@@ -362,7 +362,7 @@
 					Cause:   protocol.CauseDone,
 				}},
 		}
-		answer, ok := term.Report(t.Context(), r, nil)
+		answer, ok := term.Heartbeat(t.Context(), r, nil)
 		if !ok {
 			t.Fatal("report refused")
 		}
--- a/internal/coordination/transferstore.go
+++ b/internal/coordination/transferstore.go
@@ -22,9 +22,9 @@
 }
 
 // newTransferStore makes the store of a term.
-func newTransferStore(t *Term) *transferStore {
+func newTransferStore(t *Leader) *transferStore {
 	return &transferStore{
-		store: t.Store,
+		store: t.KV,
 		head: func(key string) (string, uint64) {
 			bucket := storage.BucketOf(key)
 			return storage.KeyBucketHead(bucket), t.bucketVersion(bucket)
@@ -32,8 +32,8 @@
 	}
 }
 
-// transferBackoff is until a save whose outcome is open is looked at again.
-const transferBackoff = 200 * units.Millisecond
+// transferRetryDelay is until a save whose outcome is open is looked at again.
+const transferRetryDelay = 200 * units.Millisecond
 
 // List implements federation.Store.
 func (s *transferStore) List(ctx context.Context, prefix string) ([]protocol.Item, error) {
@@ -48,7 +48,7 @@
 	txn := s.transaction(key, value, version)
 	uncertain := false
 	for {
-		revision, err := s.store.CompareAndSwap(ctx, txn, kv.Paced, stateCall)
+		revision, err := s.store.CompareAndSwap(ctx, txn, kv.Paced, kvTimeout)
 		var conflict *kv.VersionConflictError
 		switch {
 		case err == nil:
@@ -63,7 +63,7 @@
 		case !uncertain:
 			return 0, err // certainly not carried out
 		}
-		if !pause(ctx, transferBackoff) {
+		if !sleep(ctx, transferRetryDelay) {
 			// Nobody knows. Whoever goes on from here must read the record first.
 			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
 		}
@@ -88,14 +88,14 @@
 // try was carried out: the record is then as it was to be.
 func (s *transferStore) outcome(ctx context.Context, key string, value []byte) (uint64, error) {
 	for {
-		item, found, err := s.store.Get(ctx, key, stateCall)
+		item, found, err := s.store.Get(ctx, key, kvTimeout)
 		if err == nil {
 			if asWritten(item, found, value) {
 				return item.Version, nil
 			}
 			return 0, fmt.Errorf("%w: %s", federation.ErrConflict, key)
 		}
-		if !pause(ctx, transferBackoff) {
+		if !sleep(ctx, transferRetryDelay) {
 			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
 		}
 	}
@@ -106,16 +106,16 @@
 	if value == nil || !found {
 		return value == nil && !found
 	}
-	theirs, err := saveOf(item.Value)
+	theirs, err := writeIDOf(item.Value)
 	if err != nil {
 		return false
 	}
-	ours, err := saveOf(value)
+	ours, err := writeIDOf(value)
 	return err == nil && ours == theirs
 }
 
-// saveOf gives the id of the save that a record was written by.
-func saveOf(value []byte) (string, error) {
+// writeIDOf gives the id of the save that a record was written by.
+func writeIDOf(value []byte) (string, error) {
 	var record struct {
 		Save string `cbor:"save"`
 	}
--- a/internal/coordination/transferstore_test.go
+++ b/internal/coordination/transferstore_test.go
@@ -22,7 +22,7 @@
 // of that, and a save without an answer is found out about.
 func TestTransferRecordsAreFenced(t *testing.T) {
 	s := standin.NewState()
-	former := storedTerm(t, 1, s)
+	former := storedLeader(t, 1, s)
 	if !former.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	term := storedTerm(t, 2, s)
+	term := storedLeader(t, 2, s)
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
@@ -63,9 +63,9 @@
 
 // Where the outcome of a save cannot be found out, it is not taken for one that was not
 // carried out.
-func TestTransferSaveOfUnknownOutcome(t *testing.T) {
+func TestTransferWriteOfUnknownOutcome(t *testing.T) {
 	s := standin.NewState()
-	term := storedTerm(t, 1, s)
+	term := storedLeader(t, 1, s)
 	if !term.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
@@ -82,7 +82,7 @@
 }
 
 // A record is as a save left it if it has that save's id, or is gone as it was to be.
-func TestRecordAsWritten(t *testing.T) {
+func TestTransferRecordAsWritten(t *testing.T) {
 	written := transferRecord(federation.Intended).Encode("1-1")
 	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyLeaderLease, Value: value} }
 	for n, c := range []struct {
--- a/internal/coordination/unconfirmed_test.go
+++ b/internal/coordination/unconfirmed_test.go
@@ -10,16 +10,16 @@
 // While machines are unconfirmed, a leader's regular look at the fleet costs no
 // more for all that the records name: it once gathered every name of every job
 // each time, 40 times a second, when a term begins and there is most to do.
-func TestUnconfirmedMachinesCostNothing(t *testing.T) {
+func TestUnreconciledMachinesCostNothing(t *testing.T) {
 	allocs := func(jobs, machines int) float64 {
-		term, clock := guardTerm(t, 1)
+		term, clock := leaderWithJob(t, 1)
 		for i := range jobs {
-			j := term.ledger.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.now, clock.now)
+			j := term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.now, clock.now)
 			for k := range machines {
-				term.ledger.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
+				term.state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
 		}
-		return testing.AllocsPerRun(20, func() { term.expire(clock.now) })
+		return testing.AllocsPerRun(20, func() { term.expireLeases(clock.now) })
 	}
 	if few, many := allocs(2, 10), allocs(100, 1000); many > few+1 {
 		t.Errorf("%v allocations for 100 jobs on 1,000 machines, %v for 2 on 10", many, few)
@@ -28,10 +28,10 @@
 
 // Each machine that is confirmed is struck off the jobs that name it and no others;
 // the last one leaves nothing unconfirmed, whatever became of the jobs meanwhile.
-func TestUnconfirmedEndsWithMachinesAndJobs(t *testing.T) {
+func TestUnreconciledEndsWithMachinesAndJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		term, clock := guardTerm(t, 1)
-		l := term.ledger
+		term, clock := leaderWithJob(t, 1)
+		l := term.state
 		named := map[string]map[string]bool{}
 		for i := range rapid.IntRange(1, 8).Draw(rt, "jobs") {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -63,7 +63,7 @@
 	return 0, false
 }
 
-// Kind is how a job's tasks belong together.
+// JobKind is how a job's tasks belong together.
 type JobKind uint8
 
 // The shapes. Array tasks are independent. A gang's tasks start only when all
