--- a/internal/coordination/completionrate.go
+++ b/internal/cluster/completionrate.go
@@ -1,25 +1,28 @@
-package coordination
+package cluster
 
 import (
 	"dunestand/internal/units"
 )
 
-// completionRate is what tasks that end by themselves leave, as observed.
-type completionRate struct {
+// CompletionRate is what tasks that end by themselves leave, as observed.
+type CompletionRate struct {
 	freedCPU  units.Amount // unchangedSince then
 	since     units.Micros
 	perSecond units.Amount // processors, moving mean
 }
 
-// advance brings the mean up to date.
-func (o *completionRate) advance(now units.Micros) {
+// Advance brings the mean up to date.
+func (o *CompletionRate) Advance(now units.Micros) {
 	if passed := now - o.since; passed >= units.Second {
 		rate := o.freedCPU * units.Amount(units.Second/units.Millisecond) / units.Amount(passed/units.Millisecond)
 		o.perSecond, o.freedCPU, o.since = (3*o.perSecond+rate)/4, 0, now
 	}
 }
 
-// within is what tasks are expected to leave in a time.
-func (o *completionRate) within(d units.Micros) units.Amount {
+// Within is what tasks are expected to leave in a time.
+func (o *CompletionRate) Within(d units.Micros) units.Amount {
 	return o.perSecond * units.Amount(d/units.Millisecond) / units.Amount(units.Second/units.Millisecond)
 }
+
+// Freed notes that a task which ended by itself left some processors.
+func (o *CompletionRate) Freed(cpu units.Amount) { o.freedCPU += cpu }
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -7,6 +7,7 @@
 	"cmp"
 	"slices"
 	"sort"
+	"sync"
 
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
@@ -31,9 +32,22 @@
 	maxReplicaBackoff = 30 * units.Second
 )
 
-// State is the leader's view of jobs, machines and teams. It is not safe for
-// concurrent use.
+// State is the leader's view of jobs, machines and teams. Lock it before any use: its mutex
+// guards the state and also what the leader's components (scheduler, detector, reconciler,
+// autoscaler, persister) remember between two uses of it, so that a decision and what it
+// rests on cannot come apart.
 type State struct {
+	sync.Mutex
+
+	// Restored is set once the records have been read; before it nothing is answered.
+	Restored bool
+	// Released remembers the machines that were released under this leader.
+	Released ReleasedMachines
+	// Completions is the rate at which tasks that end by themselves free processors.
+	Completions CompletionRate
+	// AttemptsStarted numbers the attempts of this leader.
+	AttemptsStarted uint64
+
 	Jobs              map[string]*Job
 	Machines          map[string]*Machine
 	Teams             map[string]*Team
@@ -63,6 +77,7 @@
 // of the state service.
 func NewState(teams []config.Team, state config.State) *State {
 	l := &State{
+		Released:         ReleasedMachines{},
 		limits:           state,
 		nameSpace:        newNameSpace(state.ValueBytes(), state.Both().ValueBytes()),
 		format:           storage.FormatOld,
@@ -352,3 +367,26 @@
 
 // SortedAttempts lists the machine's attempts in a fixed order.
 func (m *Machine) SortedAttempts() []*Attempt { return sortedAttempts(m) }
+
+// JobsBySubmission lists the jobs in the order of their submission, of those submitted at
+// the same time by their id.
+func (l *State) JobsBySubmission() []*Job {
+	jobs := make([]*Job, 0, len(l.Jobs))
+	for _, j := range l.Jobs {
+		jobs = append(jobs, j)
+	}
+	sort.Slice(jobs, func(i, k int) bool {
+		if a, b := jobs[i].Submitted, jobs[k].Submitted; a != b {
+			return a < b
+		}
+		return jobs[i].Spec.ID < jobs[k].Spec.ID
+	})
+	return jobs
+}
+
+// NextAttempt returns a number for an attempt that no leader has used before: the fencing
+// token is in it, and no two leaders have the same one.
+func (l *State) NextAttempt(token uint64) uint64 {
+	l.AttemptsStarted++
+	return token<<32 | l.AttemptsStarted
+}
--- a/internal/coordination/released_test.go
+++ b/internal/cluster/released_test.go
@@ -1,4 +1,4 @@
-package coordination
+package cluster
 
 import (
 	"fmt"
@@ -9,20 +9,20 @@
 
 // The machines that were released last are remembered; their number is bounded.
 func TestReleasedMachinesAreBounded(t *testing.T) {
-	released := releasedMachines{}
+	released := ReleasedMachines{}
 	const more = 100
 	for i := range maxReleasedMachines + more {
-		released.add(fmt.Sprintf("i-%06d", i), units.Micros(i))
+		released.Add(fmt.Sprintf("i-%06d", i), units.Micros(i))
 	}
 	if len(released) != maxReleasedMachines {
 		t.Fatalf("%d are remembered", len(released))
 	}
 	for i := range maxReleasedMachines + more {
-		if remembered := released.has(fmt.Sprintf("i-%06d", i)); remembered != (i >= more) {
+		if remembered := released.Has(fmt.Sprintf("i-%06d", i)); remembered != (i >= more) {
 			t.Fatalf("machine %d is remembered: %v", i, remembered)
 		}
 	}
-	released.add(fmt.Sprintf("i-%06d", more), units.Micros(maxReleasedMachines+more))
+	released.Add(fmt.Sprintf("i-%06d", more), units.Micros(maxReleasedMachines+more))
 	if len(released) != maxReleasedMachines {
 		t.Error("one that is known already takes the place of another")
 	}
--- a/internal/coordination/admitter_test.go
+++ b/internal/coordination/admitter_test.go
@@ -25,15 +25,12 @@
 // loops: tests take each step.
 func admittingLeader(t *testing.T, number uint64, s *standin.State) *Leader {
 	t.Helper()
-	term := storedLeader(t, number, s)
-	term.Format.current.Store(storage.FormatAdmission)
-	settings := *term.Settings
-	settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
-	term.Settings = &settings
-	term.Admitter = newAdmitter(&settings, admission.Options{Horizon: floodHorizon}, term.KV, term.Format, term.Clock, term.Log, term.Metrics)
-	term.state = cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
-	term.admission = term.newLeaderAdmission()
-	if !term.restore(t.Context()) {
+	term := storedLeader(t, number, s, func(d *Deps) {
+		d.Format.current.Store(storage.FormatAdmission)
+		d.Settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
+		d.Admitter = newAdmitter(d.Settings, admission.Options{Horizon: floodHorizon}, d.KV, d.Format, d.Clock, d.Log, d.Metrics)
+	})
+	if !term.persister.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
@@ -41,9 +38,9 @@
 }
 
 // renewPlan has the leader write a plan now.
-func (t *Leader) renewPlan(ctx context.Context) error {
-	t.Clock.(*manualClock).now += units.Second
-	return t.admission.publisher.step(ctx, true)
+func (l *Leader) renewPlan(ctx context.Context) error {
+	l.Clock.(*manualClock).now += units.Second
+	return l.admission.publisher.step(ctx, true)
 }
 
 func admittedSpec(id, team string, tasks int) *protocol.JobSpec {
@@ -64,7 +61,7 @@
 		term.state.NewJob(*admittedSpec(fmt.Sprintf("j-%06d", 1000+i), "team", 1), term.Clock.Wall(), term.Clock.Steady())
 	}
 	for s := term.nextSave(); s != nil; s = term.nextSave() {
-		term.commitBatch(t.Context(), s)
+		term.persister.commitBatch(t.Context(), s)
 	}
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -72,7 +69,7 @@
 	if r := term.Submit(t.Context(), admittedSpec("j-000901", "team", 1)); r.Status == http.StatusCreated {
 		t.Fatal("admitted though its team has all there is")
 	}
-	if term.waitingCount() != 1 {
+	if term.admission.waitingCount() != 1 {
 		t.Fatal("the job was entered though its team has all there is")
 	}
 	if err := term.renewPlan(t.Context()); err != nil {
@@ -81,27 +78,27 @@
 }
 
 // expectWait submits a job that has to wait.
-func (t *Leader) expectWait(test *testing.T, spec *protocol.JobSpec) {
+func (l *Leader) expectWait(test *testing.T, spec *protocol.JobSpec) {
 	test.Helper()
 	var p protocol.ErrorResponse
-	r := t.Submit(test.Context(), spec)
+	r := l.Submit(test.Context(), spec)
 	if err := protocol.Decode(r.Body, &p); err != nil || r.Status != http.StatusTooManyRequests || p.PlanVersion == 0 || r.RetryAfter < 1 {
 		test.Fatalf("%s is not told to wait: %d by plan %d, Retry-After %d", spec.ID, r.Status, p.PlanVersion, r.RetryAfter)
 	}
 }
 
 // saveOnce carries the next save through.
-func (t *Leader) saveOnce(test *testing.T) {
+func (l *Leader) saveOnce(test *testing.T) {
 	test.Helper()
-	if s := t.nextSave(); s != nil {
-		t.commitBatch(test.Context(), s)
+	if s := l.nextSave(); s != nil {
+		l.persister.commitBatch(test.Context(), s)
 	}
 }
 
-func (t *Leader) nextSave() *cluster.WriteBatch {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.state.BuildWriteBatch(t.nextWriteID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
+func (l *Leader) nextSave() *cluster.WriteBatch {
+	l.state.Lock()
+	defer l.state.Unlock()
+	return l.state.BuildWriteBatch(l.persister.nextWriteID(), l.persister.bucketVersions, cluster.BatchLimits{Background: true}, l.Clock.Steady())
 }
 
 // A job whose plan has been replaced before its acceptance was stored is decided by the
@@ -136,7 +133,7 @@
 	conflicted := make(chan struct{})
 	go func() {
 		defer close(conflicted)
-		term.commitBatch(t.Context(), save)
+		term.persister.commitBatch(t.Context(), save)
 	}()
 	for range 50 {
 		time.Sleep(time.Millisecond)
@@ -220,9 +217,9 @@
 	const most = 100
 	for i := range most {
 		spec := admittedSpec(fmt.Sprintf("j-%06d", i), "team", 1)
-		term.mu.Lock()
-		d := term.admit(spec)
-		term.mu.Unlock()
+		term.state.Lock()
+		d := term.admission.admit(spec)
+		term.state.Unlock()
 		if d.Verdict == admission.Admit {
 			continue
 		}
--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -2,14 +2,43 @@
 
 import (
 	"context"
+	"log/slog"
 	"math"
 	"sync"
 
+	"dunestand/internal/cluster"
+	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
+// TokenBroadcaster makes a new leader's fencing token known to machines that the records
+// name and that have not sent a heartbeat yet.
+type TokenBroadcaster struct {
+	state      *cluster.State
+	leadership Leadership
+	reconciler *Reconciler
+	settings   *config.Settings
+	clock      units.Clock
+	log        *slog.Logger
+	dial       transport.DialFunc
+	token      uint64
+}
+
+func newTokenBroadcaster(l *Leader) *TokenBroadcaster {
+	return &TokenBroadcaster{
+		state:      l.state,
+		leadership: l.leadership,
+		reconciler: l.reconciler,
+		settings:   l.Settings,
+		clock:      l.Clock,
+		log:        l.Log,
+		dial:       l.Dial,
+		token:      l.token,
+	}
+}
+
 const (
 	broadcastDelay      = units.Second // workers that report often have come by then
 	broadcastRetryDelay = 4 * units.Second
@@ -58,22 +87,22 @@
 // effect at any later time but to show the worker our term. The answer is a
 // heartbeat that tells what the machine holds, and the worker looks for the new
 // leaderName at once instead of when its next report is due.
-func (t *Leader) broadcastLoop(ctx context.Context) {
-	caller := transport.NewCaller(t.Dial, protocol.MaxBody)
+func (b *TokenBroadcaster) broadcastLoop(ctx context.Context) {
+	caller := transport.NewCaller(b.dial, protocol.MaxBody)
 	at := map[string]units.Micros{}
 	tries := map[string]int{}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for wait := broadcastDelay; sleep(ctx, wait); wait = autoscaleInterval {
-		if !t.Elector.Valid(t.token) {
+		if !b.leadership.Valid() {
 			continue
 		}
-		open, endpoints := t.broadcastTargets()
+		open, endpoints := b.broadcastTargets()
 		if !open {
 			return
 		}
-		now := t.Clock.Steady()
-		slots := make(chan struct{}, broadcastSlots(len(endpoints), t.Settings.Fleet.Resources.MaxConnections))
+		now := b.clock.Steady()
+		slots := make(chan struct{}, broadcastSlots(len(endpoints), b.settings.Fleet.Resources.MaxConnections))
 		for _, id := range sortedKeys(endpoints) {
 			if tries[id] >= len(broadcastTimeouts) || tries[id] > 0 && now-at[id] < broadcastRetryDelay {
 				continue
@@ -89,7 +118,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				t.broadcastTo(ctx, caller, id, endpoints[id], limit)
+				b.broadcastTo(ctx, caller, id, endpoints[id], limit)
 				<-slots
 			}()
 		}
@@ -98,29 +127,29 @@
 
 // broadcastTargets gives the endpoints of machines that are unconfirmed and have not
 // reported in this term, and whether any machine is unconfirmed at all.
-func (t *Leader) broadcastTargets() (open bool, endpoints map[string]string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (b *TokenBroadcaster) broadcastTargets() (open bool, endpoints map[string]string) {
+	b.state.Lock()
+	defer b.state.Unlock()
 	endpoints = map[string]string{}
-	for _, id := range t.state.UnreconciledMachines() {
-		if m := t.state.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
+	for _, id := range b.state.UnreconciledMachines() {
+		if m := b.state.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
 			endpoints[id] = m.Endpoint
 		}
 	}
-	return t.state.UnreconciledCount() > 0, endpoints
+	return b.state.UnreconciledCount() > 0, endpoints
 }
 
-func (t *Leader) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
+func (b *TokenBroadcaster) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
 	session := uint64(1) // of most machines; else the answer tells
 	for range 2 {
 		body := protocol.Encode(protocol.DirectCommands{
-			FencingToken: t.token,
+			FencingToken: b.token,
 			Incarnation:  session,
 			Commands:     []protocol.Command{},
 		})
 		status, raw, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, limit)
 		if err != nil {
-			t.Log.Debug("machine not told of the term", "machine", id, "error", err)
+			b.log.Debug("machine not told of the term", "machine", id, "error", err)
 			return
 		}
 		r, err := protocol.ParseHeartbeat(raw)
@@ -128,7 +157,7 @@
 			return
 		}
 		if status == 200 {
-			t.broadcastAnswered(r)
+			b.broadcastAnswered(r)
 			return
 		}
 		session = r.Incarnation
@@ -138,10 +167,10 @@
 // broadcastAnswered takes in the report that a machine sent for direct commands. Only
 // the first word of a machine may come this way: once it has reported by
 // itself, an answer may be on its way to it that this report does not show.
-func (t *Leader) broadcastAnswered(r *protocol.Heartbeat) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if m := t.state.Machines[r.Machine]; m != nil && !m.Registered && t.Elector.Valid(t.token) {
-		t.reconcile(r, t.Clock.Steady())
+func (b *TokenBroadcaster) broadcastAnswered(r *protocol.Heartbeat) {
+	b.state.Lock()
+	defer b.state.Unlock()
+	if m := b.state.Machines[r.Machine]; m != nil && !m.Registered && b.leadership.Valid() {
+		b.reconciler.reconcile(r, b.clock.Steady())
 	}
 }
--- a/internal/coordination/announce_test.go
+++ b/internal/coordination/announce_test.go
@@ -38,15 +38,15 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		term.broadcastLoop(ctx)
+		term.broadcaster.broadcastLoop(ctx)
 	}()
 	defer func() {
 		cancel()
 		<-done
 	}()
 	confirmed := func() bool {
-		term.mu.Lock()
-		defer term.mu.Unlock()
+		term.state.Lock()
+		defer term.state.Unlock()
 		return !term.state.IsUnreconciled(last)
 	}
 	for deadline := time.Now().Add(10 * time.Second); !confirmed(); time.Sleep(10 * time.Millisecond) {
--- a/internal/coordination/answer_test.go
+++ b/internal/coordination/answer_test.go
@@ -121,12 +121,12 @@
 		if got := status(); got != http.StatusOK {
 			t.Errorf("a cancellation that nobody can have read: %d", got)
 		}
-		save := term.state.BuildWriteBatch(term.nextWriteID(), term.bucketVersions, cluster.BatchLimits{}, clock.now)
+		save := term.state.BuildWriteBatch(term.persister.nextWriteID(), term.persister.bucketVersions, cluster.BatchLimits{}, clock.now)
 		if got := status(); got != http.StatusServiceUnavailable {
 			t.Errorf("its save is on its way: %d", got)
 		}
 		if stored {
-			term.batchCommitted(save, 5)
+			term.persister.batchCommitted(save, 5)
 		} else {
 			term.state.BatchRefused(save, clock.now)
 		}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -29,7 +29,7 @@
 		BootS:     5,
 		Zones:     []string{"a"},
 	}}
-	term.installRecords(nil, protocol.Catalog{Types: types})
+	term.persister.installRecords(nil, protocol.Catalog{Types: types})
 	term.state.Teams["team"].QuotaLimit = cpus(32 * machines * 2)
 	const jobs = 300
 	for i := range jobs {
@@ -38,7 +38,7 @@
 		term.state.NewJob(spec, clock.now, clock.now)
 	}
 	for {
-		s := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now)
+		s := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, clock.now)
 		if s == nil {
 			break
 		}
@@ -55,7 +55,7 @@
 				Sequence:     seq,
 				FencingToken: 1,
 			}
-			m := term.reconcile(r, clock.now)
+			m := term.reconciler.reconcile(r, clock.now)
 			for _, a := range m.SortedAttempts() {
 				a.Stage = cluster.Running
 				r.Tasks = append(r.Tasks, protocol.TaskStatus{
@@ -67,9 +67,9 @@
 			}
 			reports[i] = r
 		}
-		for started := -1; started != int(term.attemptsStarted); {
-			started = int(term.attemptsStarted)
-			term.runCycle(clock.now, nil)
+		for started := -1; started != int(term.state.AttemptsStarted); {
+			started = int(term.state.AttemptsStarted)
+			term.scheduler.runCycle(clock.now, nil)
 		}
 	}
 	return term, reports
@@ -92,8 +92,8 @@
 		for i := 0; b.Loop(); i++ {
 			r := reports[i%len(reports)]
 			r.Sequence += 10
-			m := term.reconcile(r, units.Second)
-			_ = term.commands(m, r, units.Second)
+			m := term.reconciler.reconcile(r, units.Second)
+			_ = term.reconciler.commands(m, r, units.Second)
 		}
 	})
 }
@@ -108,7 +108,6 @@
 		Random: rand.New(rand.NewPCG(1, 1)),
 		Log:    term.Log,
 	})
-	c.deps.Elector = term.Elector
 	c.leader.Store(term)
 	return c
 }
@@ -176,7 +175,7 @@
 		for i := 0; b.Loop(); i++ {
 			m := term.state.Machines[reports[i%len(reports)].Machine]
 			term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-			term.placeOnMachine(m, units.Second)
+			term.scheduler.placeOnMachine(m, units.Second)
 		}
 	})
 }
@@ -184,7 +183,7 @@
 func BenchmarkCycle(b *testing.B) {
 	perFleet(b, func(b *testing.B, term *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
-			term.runCycle(units.Second, nil)
+			term.scheduler.runCycle(units.Second, nil)
 		}
 	})
 }
@@ -196,7 +195,7 @@
 		j.MarkChanged(units.Second, true)
 	}
 	for {
-		s := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, units.Second)
+		s := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, units.Second)
 		if s == nil {
 			return rows
 		}
@@ -225,9 +224,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			later.installRecords(jobs, protocol.Catalog{})
+			later.persister.installRecords(jobs, protocol.Catalog{})
 			for _, r := range reports {
-				later.reconcile(r, units.Second)
+				later.reconciler.reconcile(r, units.Second)
 			}
 		}
 	})
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -10,37 +10,37 @@
 	"dunestand/internal/storage"
 )
 
-func (t *Leader) refreshCatalog(ctx context.Context) {
-	c, err := t.Cloud.Catalog(ctx)
+func (as *Autoscaler) refreshCatalog(ctx context.Context) {
+	c, err := as.cloud.Catalog(ctx)
 	if err != nil || len(c.Types) == 0 {
-		t.Log.Info("catalog not read", "error", err)
+		as.log.Info("catalog not read", "error", err)
 		return
 	}
-	t.mu.Lock()
-	t.state.SetInstanceTypes(c.Types)
-	changed := !sameTypes(c, t.provisioning.catalog)
-	t.provisioning.catalog, t.provisioning.catalogReadAt = c, t.Clock.Steady()
-	t.mu.Unlock()
-	raise(t.cycleSignal)
-	if format := t.Format.Current(); changed || format != t.provisioning.catalogFormat {
-		t.storeCatalog(ctx, c, format)
+	as.state.Lock()
+	as.state.SetInstanceTypes(c.Types)
+	changed := !sameTypes(c, as.provisioning.catalog)
+	as.provisioning.catalog, as.provisioning.catalogReadAt = c, as.clock.Steady()
+	as.state.Unlock()
+	raise(as.cycleSignal)
+	if format := as.format.Current(); changed || format != as.provisioning.catalogFormat {
+		as.storeCatalog(ctx, c, format)
 	}
 }
 
 // storeCatalog keeps the catalog for a leader that begins during an outage of
 // the cloud. Whether it succeeds matters to nobody now.
-func (t *Leader) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
-	state := t.Settings.Fleet.State.Both()
-	versions := t.provisioning.catalogStored
+func (as *Autoscaler) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
+	state := as.settings.Fleet.State.Both()
+	versions := as.provisioning.catalogStored
 	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
 		txn := protocol.Txn{Then: changes}
 		for _, ch := range changes {
 			key := ch.Set + ch.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
-		version, err := t.KV.CompareAndSwap(ctx, txn, kv.Paced, kvTimeout)
+		version, err := as.kv.CompareAndSwap(ctx, txn, kv.Paced, kvTimeout)
 		if err != nil {
-			t.Log.Info("catalog not stored", "error", err)
+			as.log.Info("catalog not stored", "error", err)
 			return
 		}
 		for _, ch := range changes {
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	t.provisioning.catalogFormat = format
+	as.provisioning.catalogFormat = format
 }
 
 // sameTypes compares catalogs but for the spot prices, which move all the time.
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -17,8 +17,8 @@
 
 // unwrittenStart gives a channel to wait on when some start for the machine lacks
 // the save that must come first.
-func (t *Leader) unwrittenStart(m *cluster.Machine) <-chan struct{} {
-	if m.FencingToken != t.token {
+func (rc *Reconciler) unwrittenStart(m *cluster.Machine) <-chan struct{} {
+	if m.FencingToken != rc.token {
 		return nil
 	}
 	for _, a := range m.Attempts {
@@ -31,12 +31,12 @@
 
 // commands works out what the machine is to do: what is wanted of it minus
 // what its report shows.
-func (t *Leader) commands(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) []protocol.Command {
+func (rc *Reconciler) commands(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) []protocol.Command {
 	out := []protocol.Command{}
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
 		key := cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
-		if c, ok := t.command(m.Attempts[key], task); ok {
+		if c, ok := rc.command(m.Attempts[key], task); ok {
 			c.Task, c.Attempt = protocol.TaskName(task.Job, task.Index), task.Attempt
 			out = append(out, c)
 			recordSentCommand(m, out, key)
@@ -52,28 +52,28 @@
 	for _, a := range starts {
 		switch {
 		case a.Stopping || a.Job.Cancelled || a.Job.IsDone(a.Index):
-			t.state.AttemptGone(a, now) // it was never sent
+			rc.state.AttemptGone(a, now) // it was never sent
 			if a.Job.Cancelled {
 				a.Job.MarkChanged(now, true)
-				raise(t.writeSignal)
+				raise(rc.writeSignal)
 			}
-		case m.FencingToken == t.token && a.Job.MachineIsDurable(m.ID) && len(out) < protocol.MaxCommands:
+		case m.FencingToken == rc.token && a.Job.MachineIsDurable(m.ID) && len(out) < protocol.MaxCommands:
 			a.Stage, a.SentSequence = cluster.Sent, r.Sequence
 			out = append(out, protocol.Command{Verb: protocol.VerbStart, Task: a.TaskName(), Attempt: a.Number})
 			recordSentCommand(m, out, cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number})
-			t.traceAttempt("start sent", a)
+			rc.tracer.Trace("start sent", a)
 		}
 	}
 	return out
 }
 
 // command works out what a machine is to do about a task that it reports, if anything.
-func (t *Leader) command(a *cluster.Attempt, task *protocol.TaskStatus) (protocol.Command, bool) {
+func (rc *Reconciler) command(a *cluster.Attempt, task *protocol.TaskStatus) (protocol.Command, bool) {
 	switch {
 	case task.Stage == protocol.TaskExited:
 		// A completion that is not durable stays with the worker: a later
 		// leaderName must be able to learn of it.
-		j := t.state.Jobs[task.Job]
+		j := rc.state.Jobs[task.Job]
 		forget := j == nil || j.Cancelled || j.IsService() || task.Cause != protocol.CauseDone || j.DoneIsDurable(task.Index)
 		return protocol.Command{Verb: protocol.VerbForget}, forget
 	case a == nil, a.Job.Cancelled:
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -16,6 +16,7 @@
 // controllers, and leads while it holds the fleet lease.
 type Controller struct {
 	deps             Deps
+	elector          *Elector
 	peers            *Peers
 	server           *transport.Server
 	leader           atomic.Pointer[Leader]
@@ -43,7 +44,7 @@
 		func() { c.peers.Run(ctx) },
 		func() { c.logRuntime(ctx) },
 		func() { c.deps.Format.Run(ctx, func() bool { return c.activeLeader() != nil }) },
-		func() { c.deps.Elector.Run(ctx, c.runLeader) },
+		func() { c.elector.Run(ctx, c.runLeader) },
 		func() { c.deps.Admitter.follow(ctx) },
 	} {
 		wg.Add(1)
@@ -58,13 +59,14 @@
 	return err
 }
 
-func (c *Controller) runLeader(ctx context.Context, number uint64) {
+// runLeader leads until ctx ends. token is the fencing token of the election that was won.
+func (c *Controller) runLeader(ctx context.Context, token uint64) {
 	c.deps.KV.SetLeader(true)
 	defer c.deps.KV.SetLeader(false)
-	t := NewLeader(number, c.deps)
-	c.leader.Store(t)
-	t.Run(ctx)
-	c.leader.CompareAndSwap(t, nil)
+	leader := NewLeader(c.elector.Leadership(token), c.deps)
+	c.leader.Store(leader)
+	leader.Run(ctx)
+	c.leader.CompareAndSwap(leader, nil)
 }
 
 // leaseRecordTTL is for how long the fleet record, once read, tells who leads.
@@ -74,17 +76,17 @@
 // record names, or, when this node has lost the state service and would not
 // adopt of a change from there, the one that says so itself.
 func (c *Controller) leaderName() string {
-	if c.deps.Elector.UnansweredFor() > leaseRecordTTL {
+	if c.elector.UnansweredFor() > leaseRecordTTL {
 		if node := c.peers.Leader(); node != "" {
 			return node
 		}
 	}
-	return c.deps.Elector.Leader()
+	return c.elector.Leader()
 }
 
 // activeLeader gives the term if this node leads it now.
 func (c *Controller) activeLeader() *Leader {
-	if t := c.leader.Load(); t != nil && c.deps.Elector.Valid(t.token) {
+	if t := c.leader.Load(); t != nil && t.leadership.Valid() {
 		return t
 	}
 	return nil
@@ -131,7 +133,7 @@
 // while another node leads that it cannot pass requests on to, or while it is
 // itself cut off from the state service and all other controllers.
 func (c *Controller) health() transport.Response {
-	now, lease, leader := c.deps.Clock.Steady(), c.deps.Elector, c.leaderName()
+	now, lease, leader := c.deps.Clock.Steady(), c.elector, c.leaderName()
 	if t := c.activeLeader(); t != nil && t.Ready() || c.peers.Reachable(leader) {
 		c.lastUseful.Store(int64(now))
 	}
@@ -152,10 +154,10 @@
 }
 
 // Ready tells whether the records are restored.
-func (t *Leader) Ready() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.ready
+func (l *Leader) Ready() bool {
+	l.state.Lock()
+	defer l.state.Unlock()
+	return l.state.Restored
 }
 
 // gate is what every answer about a job passes on its way out.
@@ -202,7 +204,7 @@
 	}
 	r := c.forward(ctx, forward, protocol.FramePoll, id, nil)
 	if forward && r.Status == http.StatusServiceUnavailable && !c.peers.Reachable(c.leaderName()) &&
-		c.deps.Elector.UnansweredFor() < c.deps.Elector.timing.Duration {
+		c.elector.UnansweredFor() < c.elector.timing.Duration {
 		return c.records().poll(ctx, id)
 	}
 	return r
@@ -262,7 +264,7 @@
 // same; the record tells while it is renewed.
 func (c *Controller) redirectTarget() string {
 	leader := c.leaderName()
-	if leader == c.deps.Settings.Node || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.deps.Elector.SeesRenewals()) {
+	if leader == c.deps.Settings.Node || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.elector.SeesRenewals()) {
 		return ""
 	}
 	return leader
@@ -292,7 +294,7 @@
 		}
 	}
 	answer, ok := t.Heartbeat(ctx, report, slot)
-	if !ok || !c.deps.Elector.Valid(t.token) {
+	if !ok || !t.leadership.Valid() {
 		return unavailable("no right to command, or an old report").Response
 	}
 	return transport.Response{Status: http.StatusOK, Body: protocol.Encode(answer)}
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -67,7 +67,7 @@
 
 // sawRenewal is a read of the record that shows a new version.
 func (c *Controller) sawRenewal(version uint64, now units.Micros) {
-	l := c.deps.Elector
+	l := c.elector
 	l.answeredAt = now
 	l.monitor.observe(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version, now)
 }
@@ -92,8 +92,8 @@
 	if r := c.health(); r.Status != http.StatusServiceUnavailable {
 		t.Error("a node that can pass nothing on counts as healthy")
 	}
-	clock.now += c.deps.Elector.timing.Duration
-	c.deps.Elector.answeredAt = clock.now // the record is read, and unchanged
+	clock.now += c.elector.timing.Duration
+	c.elector.answeredAt = clock.now // the record is read, and unchanged
 	if got := c.redirectTarget(); got != "" {
 		t.Errorf("workers are sent to %q, which does not renew", got)
 	}
@@ -106,7 +106,7 @@
 // answers at once instead of asking the state service.
 func TestNodeCutOffFromStateAndPeers(t *testing.T) {
 	c, clock := refusedController(t, nil)
-	clock.now += c.deps.Elector.timing.Duration + units.Millisecond
+	clock.now += c.elector.timing.Duration + units.Millisecond
 	if r := c.health(); r.Status != http.StatusServiceUnavailable {
 		t.Error("it counts as healthy")
 	}
@@ -180,7 +180,7 @@
 	}
 
 	term := storedLeader(t, 1, s)
-	if !term.restore(ctx) {
+	if !term.persister.restore(ctx) {
 		t.Fatal("not restored")
 	}
 	if r := term.Poll(ctx, id); r.Status != http.StatusOK && r.Status != http.StatusServiceUnavailable {
@@ -194,8 +194,8 @@
 	if r := term.Submit(ctx, unknown); r.Status == http.StatusUnprocessableEntity {
 		t.Error("the repeat of an accepted job is refused")
 	}
-	go term.writeLoop(ctx)
-	go term.ingestLoop(ctx)
+	go term.persister.writeLoop(ctx)
+	go term.ingester.ingestLoop(ctx)
 	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
@@ -248,11 +248,11 @@
 	term := storedLeader(t, 1, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.restore(ctx) {
+	if !term.persister.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	go term.writeLoop(ctx)
-	go term.ingestLoop(ctx)
+	go term.persister.writeLoop(ctx)
+	go term.ingester.ingestLoop(ctx)
 	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
@@ -295,7 +295,7 @@
 		Random: rand.New(rand.NewPCG(1, 1)),
 		Log:    log,
 	})
-	l := c.deps.Elector
+	l := c.elector
 	l.answeredAt = clock.now
 	l.monitor.observe(storage.LeaseRecord{Holder: s.Node, Incarnation: 3}, 1, clock.now)
 	clock.now += leaseRecordTTL + units.Millisecond
--- a/internal/coordination/cost_test.go
+++ b/internal/coordination/cost_test.go
@@ -77,19 +77,19 @@
 		return map[string]float64{
 			"report": testing.AllocsPerRun(100, func() {
 				r := next()
-				term.commands(term.reconcile(r, units.Second), r, units.Second)
+				term.reconciler.commands(term.reconciler.reconcile(r, units.Second), r, units.Second)
 			}),
 			"end of a task": testing.AllocsPerRun(100, func() {
 				m := term.state.Machines[next().Machine]
 				term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-				term.placeOnMachine(m, units.Second)
+				term.scheduler.placeOnMachine(m, units.Second)
 			}),
 			"save": testing.AllocsPerRun(100, func() {
 				done++
 				j := term.state.Jobs["j-000299"]
 				term.state.TaskDone(j, done, units.Second)
 				j.MarkChanged(units.Second, true)
-				s := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{}, units.Second)
+				s := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{}, units.Second)
 				term.state.BatchCommitted(s, 1)
 			}),
 		}
@@ -113,8 +113,8 @@
 	}
 	allocs := testing.AllocsPerRun(100, func() {
 		r.Sequence++
-		m := term.reconcile(r, units.Second)
-		if out := term.commands(m, r, units.Second); len(out) > 0 {
+		m := term.reconciler.reconcile(r, units.Second)
+		if out := term.reconciler.commands(m, r, units.Second); len(out) > 0 {
 			t.Errorf("commands for nothing new: %v", out)
 		}
 	})
--- a/internal/coordination/delay.go
+++ b/internal/coordination/delay.go
@@ -36,17 +36,17 @@
 
 // monitorDelay hands the lease over when this node has fallen behind and another one
 // is there to take it.
-func (t *Leader) monitorDelay(ctx context.Context) {
+func (d *Detector) monitorDelay(ctx context.Context) {
 	var w delayMonitor
-	for last := t.Clock.Steady(); sleep(ctx, delayTick); {
-		now := t.Clock.Steady()
+	for last := d.clock.Steady(); sleep(ctx, delayTick); {
+		now := d.clock.Steady()
 		behind := w.observe(now-last-delayTick, now)
 		if w.mean >= maxDelay {
-			t.noteDelay(now)
+			d.noteDelay(now)
 		}
 		last = now
-		if behind && now-t.electedAt > minLeadership && t.PeerReachable() && t.Elector.HandOver(t.Clock.Wall()) {
-			t.Log.Info("this node has fallen behind; the lease is handed over", "late_ms", w.mean/units.Millisecond)
+		if behind && now-d.electedAt > minLeadership && d.peerReachable() && d.leadership.HandOver(d.clock.Wall()) {
+			d.log.Info("this node has fallen behind; the lease is handed over", "late_ms", w.mean/units.Millisecond)
 			w = delayMonitor{}
 		}
 	}
@@ -55,8 +55,8 @@
 // noteDelay notes that this node has been late: reports may have waited for it, or
 // have been given up by their workers. Each machine then has the time for another
 // one before its silence is judged.
-func (t *Leader) noteDelay(now units.Micros) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.judgeSilenceFrom = now + t.suspectAfter()
+func (d *Detector) noteDelay(now units.Micros) {
+	d.state.Lock()
+	defer d.state.Unlock()
+	d.judgeSilenceFrom = now + d.suspectAfter()
 }
--- a/internal/coordination/delay_test.go
+++ b/internal/coordination/delay_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -38,15 +41,23 @@
 	})
 }
 
+// holdingElector is an elector that holds the lease.
+func holdingElector(token uint64, clock units.Clock) *Elector {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	e := NewElector("n", nil, clock, TimingFor(modelLease), rand.New(rand.NewPCG(1, token)), log)
+	e.leading, e.token, e.validUntil = true, token, 1<<60
+	return e
+}
+
 // The lease is handed over once in a while at most, whoever holds it: the time
 // of the last hand-over goes with the record.
 func TestLeaseIsNotHandedOverRepeatedly(t *testing.T) {
 	clock := &manualClock{now: 1000 * units.Second}
-	lease := testLeader(1, clock).Elector
+	lease := holdingElector(1, clock)
 	if !lease.HandOver(clock.now) || lease.Valid(1) {
 		t.Fatal("not handed over")
 	}
-	next := testLeader(2, clock).Elector
+	next := holdingElector(2, clock)
 	next.handedOverAt = lease.handedOverAt // as read from the record
 	clock.now += handOverInterval - units.Second
 	if next.HandOver(clock.now) || !next.Valid(2) {
@@ -65,19 +76,19 @@
 	term, clock := leaderWithJob(t, 1)
 	report := func(from, to int, seq uint64) {
 		for i := from; i < to; i++ {
-			term.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, seq, 7), clock.now)
+			term.reconciler.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, seq, 7), clock.now)
 		}
 	}
 	report(0, 30, 1)
 	clock.now += 20 * units.Second
-	term.noteDelay(clock.now)
+	term.detector.noteDelay(clock.now)
 	report(0, 25, 2)
-	if silent := term.lostMachines(clock.now); len(silent) != 0 {
+	if silent := term.detector.lostMachines(clock.now); len(silent) != 0 {
 		t.Errorf("to be released: %v", silent)
 	}
-	clock.now += term.suspectAfter() + units.Second
+	clock.now += term.detector.suspectAfter() + units.Second
 	report(0, 29, 3)
-	if silent := term.lostMachines(clock.now); len(silent) != 1 || !silent["i-000029"] {
+	if silent := term.detector.lostMachines(clock.now); len(silent) != 1 || !silent["i-000029"] {
 		t.Errorf("to be released after a while: %v", silent)
 	}
 }
--- a/internal/coordination/direct.go
+++ b/internal/coordination/direct.go
@@ -2,14 +2,43 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
+// CommandPusher sends commands straight to machines whose next heartbeat is too far away.
+type CommandPusher struct {
+	state      *cluster.State
+	leadership Leadership
+	settings   *config.Settings
+	log        *slog.Logger
+	dial       transport.DialFunc
+	token      uint64
+
+	// pushRequests holds, by machine, what is to be pushed; guarded by the lock of state.
+	pushRequests map[string]*pushRequest
+	pushSignal   chan struct{}
+}
+
+func newCommandPusher(l *Leader) *CommandPusher {
+	return &CommandPusher{
+		state:        l.state,
+		leadership:   l.leadership,
+		settings:     l.Settings,
+		log:          l.Log,
+		dial:         l.Dial,
+		token:        l.token,
+		pushRequests: map[string]*pushRequest{},
+		pushSignal:   make(chan struct{}, 1),
+	}
+}
+
 // Placements travel only in answers to reports, since a command that is sent straight
 // to a worker may be carried out minutes later. But a report may be seconds away,
 // and what is urgent need not wait for it:
@@ -28,35 +57,35 @@
 // requestPush notes that a machine is to be told something before its next report:
 // which tasks to stop, and, if a task of a job waits to be started there, to
 // report.
-func (t *Leader) requestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
-	if m.Endpoint == "" || m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now <= minPushLead {
+func (p *CommandPusher) requestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
+	if m.Endpoint == "" || m.LastHeartbeat+p.settings.Fleet.Workers.Report()-now <= minPushLead {
 		return
 	}
-	if t.pushRequests[m.ID] == nil || starts != nil {
-		t.pushRequests[m.ID] = &pushRequest{starts}
+	if p.pushRequests[m.ID] == nil || starts != nil {
+		p.pushRequests[m.ID] = &pushRequest{starts}
 	}
-	raise(t.pushSignal)
+	raise(p.pushSignal)
 }
 
 // pushRequest is why a machine is told something before its next report.
 type pushRequest struct{ startOf *cluster.Job }
 
 // pushLoop tells machines what cannot wait.
-func (t *Leader) pushLoop(ctx context.Context) {
-	caller := transport.NewCaller(t.Dial, protocol.MaxBody)
-	slots := make(chan struct{}, pushSlots(t.Settings.Fleet.Resources.MaxConnections))
+func (p *CommandPusher) pushLoop(ctx context.Context) {
+	caller := transport.NewCaller(p.dial, protocol.MaxBody)
+	slots := make(chan struct{}, pushSlots(p.settings.Fleet.Resources.MaxConnections))
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.pushSignal:
+		case <-p.pushSignal:
 		}
-		t.mu.Lock()
-		machines := t.pushRequests
-		t.pushRequests = map[string]*pushRequest{}
-		t.mu.Unlock()
+		p.state.Lock()
+		machines := p.pushRequests
+		p.pushRequests = map[string]*pushRequest{}
+		p.state.Unlock()
 		for _, id := range sortedKeys(machines) {
 			select {
 			case slots <- struct{}{}:
@@ -67,12 +96,12 @@
 			go func() {
 				defer wg.Done()
 				defer func() { <-slots }()
-				endpoint, body := t.pushCommands(id, machines[id].startOf)
+				endpoint, body := p.pushCommands(id, machines[id].startOf)
 				if body == nil {
 					return
 				}
 				if status, _, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, pushTimeout); err != nil || status != 200 {
-					t.Log.Debug("direct commands not taken", "machine", id, "status", status, "error", err)
+					p.log.Debug("direct commands not taken", "machine", id, "status", status, "error", err)
 				}
 			}()
 		}
@@ -81,11 +110,11 @@
 
 // pushCommands gives the commands for a machine that cannot wait, and where to send
 // them.
-func (t *Leader) pushCommands(id string, starts *cluster.Job) (endpoint string, body []byte) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	m := t.state.Machines[id]
-	if m == nil || m.FencingToken != t.token || !t.Elector.Valid(t.token) {
+func (p *CommandPusher) pushCommands(id string, starts *cluster.Job) (endpoint string, body []byte) {
+	p.state.Lock()
+	defer p.state.Unlock()
+	m := p.state.Machines[id]
+	if m == nil || m.FencingToken != p.token || !p.leadership.Valid() {
 		return "", nil
 	}
 	var out []protocol.Command
@@ -101,18 +130,17 @@
 		}
 	}
 	if starts != nil && starts.Spec.Tasks < protocol.MaxTasks {
-		t.attemptsStarted++
 		out = append(out, protocol.Command{
 			Verb:    protocol.VerbStart,
 			Task:    protocol.TaskName(starts.Spec.ID, starts.Spec.Tasks),
-			Attempt: t.token<<32 | t.attemptsStarted,
+			Attempt: p.state.NextAttempt(p.token),
 		})
 	}
 	if len(out) == 0 {
 		return "", nil
 	}
 	return m.Endpoint, protocol.Encode(protocol.DirectCommands{
-		FencingToken: t.token,
+		FencingToken: p.token,
 		Incarnation:  m.Incarnation,
 		Commands:     out,
 	})
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -7,17 +7,17 @@
 
 // evictBeforeTermination stops what would be lost when a machine is taken away, in time for it
 // to be saved or begun anew elsewhere.
-func (t *Leader) evictBeforeTermination(m *cluster.Machine, now units.Micros) {
+func (sc *Scheduler) evictBeforeTermination(m *cluster.Machine, now units.Micros) {
 	if m.TerminatesAt == 0 && !m.Quarantined {
 		return
 	}
 	left := m.TerminatesAt - now
-	report := t.Settings.Fleet.Workers.Report()
+	report := sc.settings.Fleet.Workers.Report()
 	for _, a := range m.Attempts {
 		if a.Stopping {
 			continue
 		}
-		run := t.state.EstimateRuntime(a.Job)
+		run := sc.state.EstimateRuntime(a.Job)
 		if a.RunningSince > 0 {
 			run -= now - a.RunningSince
 		}
@@ -29,7 +29,7 @@
 		case a.Job.Spec.CheckpointInterval > 0 && left > a.Job.Spec.CheckpointDuration+3*report: // writesInFlight can wait
 			continue
 		}
-		t.state.StopAttempt(a, a.Job.Spec.CheckpointDuration+units.Second)
-		t.Log.Info("task drained", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID)
+		sc.state.StopAttempt(a, a.Job.Spec.CheckpointDuration+units.Second)
+		sc.log.Info("task drained", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID)
 	}
 }
--- a/internal/coordination/finals.go
+++ b/internal/coordination/finals.go
@@ -4,14 +4,31 @@
 	"context"
 	"fmt"
 
+	"dunestand/internal/cluster"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-func (t *Leader) readTerminal(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
-	return ReadTerminal(ctx, t.KV, id)
+// terminalCacheSize bounds the terminal states that are remembered.
+const terminalCacheSize = 4096
+
+// TerminalJobs finds the terminal states of jobs: those asked about last in memory, the
+// others in the key-value store.
+type TerminalJobs struct {
+	state *cluster.State
+	kv    *kv.Client
+
+	terminalJobs *terminalCache // guarded by the lock of state
+}
+
+func newTerminalJobs(state *cluster.State, client *kv.Client) *TerminalJobs {
+	return &TerminalJobs{state: state, kv: client, terminalJobs: newTerminalCache(terminalCacheSize)}
+}
+
+func (tj *TerminalJobs) readTerminal(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
+	return ReadTerminal(ctx, tj.kv, id)
 }
 
 // terminalReadTimeout bounds the read of a final record. A user waits for it, for 2 s in all.
@@ -61,21 +78,21 @@
 }
 
 // terminalJob finds the terminalJob state of a job that is not live.
-func (t *Leader) terminalJob(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
-	t.mu.Lock()
-	f, ok := t.terminalJobs.get(id)
-	t.mu.Unlock()
+func (tj *TerminalJobs) terminalJob(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
+	tj.state.Lock()
+	f, ok := tj.terminalJobs.get(id)
+	tj.state.Unlock()
 	if ok {
 		return f, true, nil
 	}
-	if !t.KV.HasRequestBudget() {
+	if !tj.kv.HasRequestBudget() {
 		return f, false, kv.ErrRefused // questions about unknown jobs must not crowd out the rest
 	}
-	f, ok, err := t.readTerminal(ctx, id)
+	f, ok, err := tj.readTerminal(ctx, id)
 	if ok {
-		t.mu.Lock()
-		t.terminalJobs.put(id, f)
-		t.mu.Unlock()
+		tj.state.Lock()
+		tj.terminalJobs.put(id, f)
+		tj.state.Unlock()
 	}
 	return f, ok, err
 }
--- a/internal/coordination/fleetsize_test.go
+++ b/internal/coordination/fleetsize_test.go
@@ -19,7 +19,7 @@
 	const perMachine, jobs = 4, 40
 	clock := &manualClock{now: units.Second}
 	term := testLeader(1, clock)
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	term.state.UpgradeFormat(storage.FormatNew, clock.now)
 	term.state.Teams["team"].QuotaLimit = cpus(perMachine * machines)
 	var all []*cluster.Job
@@ -32,7 +32,7 @@
 	reports := make([]*protocol.Heartbeat, machines)
 	for i := range reports {
 		reports[i] = testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 1)
-		machine := term.reconcile(reports[i], clock.now)
+		machine := term.reconciler.reconcile(reports[i], clock.now)
 		for k := range perMachine {
 			number := uint64(i*perMachine + k + 1)
 			a := term.state.Assign(all[int(number-1)%jobs], machine, number, clock.now)
@@ -61,13 +61,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	later.installRecords(jobs, modelCatalog)
+	later.persister.installRecords(jobs, modelCatalog)
 	if n := later.state.UnreconciledCount(); n != largestFleet {
 		t.Fatalf("%d machines are unconfirmed after the restore", n)
 	}
 	for _, r := range reports {
 		r.Sequence, r.FencingToken = r.Sequence+1, 2
-		later.reconcile(r, units.Second)
+		later.reconciler.reconcile(r, units.Second)
 	}
 	live := 0
 	for _, j := range later.state.Jobs {
--- a/internal/coordination/format_test.go
+++ b/internal/coordination/format_test.go
@@ -11,7 +11,6 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
@@ -90,10 +89,10 @@
 		s := standin.NewState()
 		put(s)
 		term := storedLeader(t, 1, s)
-		if term.restore(t.Context()) || term.Ready() {
+		if term.persister.restore(t.Context()) || term.Ready() {
 			t.Errorf("%s: the node leads", what)
 		}
-		if term.Elector.Valid(1) || term.Elector.abstainFor != unreadableAbstention {
+		if term.leadership.Valid() || term.lease().abstained != unreadableAbstention {
 			t.Errorf("%s: the node keeps the lease", what)
 		}
 		if newer := term.Format.TooNew(); newer != (what == "the fleet's format") {
@@ -132,22 +131,22 @@
 func TestLimitsThatFall(t *testing.T) {
 	s := standin.NewState()
 	s.Limit(16<<10, 12, 1000)
-	term := storedLeader(t, 1, s)
-	term.Settings.Fleet.State = config.State{
-		RPS:      1e4,
-		WriteRPS: 1e4,
-		ValueKB:  16,
-		TxnOps:   12,
-		Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
-	}
-	term.state = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term := storedLeader(t, 1, s, func(d *Deps) {
+		d.Settings.Fleet.State = config.State{
+			RPS:      1e4,
+			WriteRPS: 1e4,
+			ValueKB:  16,
+			TxnOps:   12,
+			Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
+		}
+	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.restore(ctx) {
+	if !term.persister.restore(ctx) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.writeLoop(ctx)
+	go term.persister.writeLoop(ctx)
 	submit := func(id string, tasks int) {
 		t.Helper()
 		spec := *modelSpec(id)
@@ -164,9 +163,9 @@
 	eventually := func(done func() bool) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			term.mu.Lock()
+			term.state.Lock()
 			ok := done()
-			term.mu.Unlock()
+			term.state.Unlock()
 			if ok {
 				return
 			}
@@ -178,8 +177,8 @@
 	const large = "j-000001"
 	submit(large, protocol.MaxTasks)
 	name := func(from, to int) {
-		term.mu.Lock()
-		defer term.mu.Unlock()
+		term.state.Lock()
+		defer term.state.Unlock()
 		for i := from; i < to; i++ {
 			term.state.Assign(term.state.Jobs[large], term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
 		}
@@ -203,11 +202,11 @@
 	eventually(named(310))
 	name(310, 900)
 	eventually(named(900))
-	term.mu.Lock()
+	term.state.Lock()
 	for i := range protocol.MaxTasks {
 		term.state.TaskDone(term.state.Jobs[large], i, 0)
 	}
-	term.mu.Unlock()
+	term.state.Unlock()
 	raise(term.writeSignal)
 	eventually(func() bool { return term.state.Jobs[large] == nil })
 	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
--- a/internal/coordination/harness_test.go
+++ b/internal/coordination/harness_test.go
@@ -3,7 +3,6 @@
 import (
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"testing"
 
 	"dunestand/internal/cluster"
@@ -18,7 +17,7 @@
 	t.Helper()
 	clock := &manualClock{now: 100 * units.Second}
 	term := testLeader(7, clock)
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Tasks = tasks
 	term.state.NewJob(spec, clock.now, clock.now)
@@ -27,28 +26,28 @@
 }
 
 // save carries out all saves that are due.
-func (t *Leader) save() {
+func (l *Leader) save() {
 	for {
-		s := t.state.BuildWriteBatch(t.nextWriteID(), t.bucketVersions, cluster.BatchLimits{Background: true}, t.Clock.Steady())
+		s := l.state.BuildWriteBatch(l.persister.nextWriteID(), l.persister.bucketVersions, cluster.BatchLimits{Background: true}, l.Clock.Steady())
 		if s == nil {
 			return
 		}
-		t.state.BatchCommitted(s, 1)
+		l.state.BatchCommitted(s, 1)
 	}
 }
 
 // exchange is one report and its answer; saves that the answer needs are
 // carried out first.
-func (t *Leader) exchange(r *protocol.Heartbeat) []protocol.Command {
-	now := t.Clock.Steady()
-	m := t.reconcile(r, now)
+func (l *Leader) exchange(r *protocol.Heartbeat) []protocol.Command {
+	now := l.Clock.Steady()
+	m := l.reconciler.reconcile(r, now)
 	if m == nil {
 		return nil
 	}
-	t.lastCycle = -units.Second
-	t.runCycle(now, m)
-	t.save()
-	return t.commands(m, r, now)
+	l.scheduler.lastCycle = -units.Second
+	l.scheduler.runCycle(now, m)
+	l.save()
+	return l.reconciler.commands(m, r, now)
 }
 
 func testHeartbeat(machine string, session, seq, term uint64) *protocol.Heartbeat {
@@ -110,21 +109,42 @@
 		Zones:     []string{"a"},
 	}}}
 
-// testLeader makes a term whose lease holds until it is taken from it.
-func testLeader(number uint64, clock units.Clock) *Leader {
-	settings := modelSettings()
+// testLeadership is a lease that holds until it is taken from the leader.
+type testLeadership struct {
+	token     uint64
+	lost      bool
+	abstained units.Micros
+}
+
+func (l *testLeadership) Token() uint64 { return l.token }
+
+func (l *testLeadership) Valid() bool { return !l.lost }
+
+func (l *testLeadership) StepDown() { l.lost = true }
+
+func (l *testLeadership) Abstain(d units.Micros) { l.lost, l.abstained = true, d }
+
+func (l *testLeadership) HandOver(units.Micros) bool { return false }
+
+// lease is the leader's leadership, for tests that take it away or look at it.
+func (l *Leader) lease() *testLeadership { return l.leadership.(*testLeadership) }
+
+// testLeader returns a leader whose lease holds until it is taken from it. The changes are
+// made to what it works with before it is made.
+func testLeader(token uint64, clock units.Clock, changes ...func(*Deps)) *Leader {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	lease := NewElector("n", nil, clock, TimingFor(modelLease), rand.New(rand.NewPCG(1, number)), log)
-	lease.leading, lease.token, lease.validUntil = true, number, 1<<60
-	return NewLeader(number, Deps{
-		Settings:         settings,
+	deps := Deps{
+		Settings:         modelSettings(),
 		Policy:           config.DefaultPolicy(),
-		Elector:          lease,
 		Clock:            clock,
 		Log:              log,
 		Metrics:          NewMetrics(),
 		Format:           NewFormatNegotiator("n", nil, storage.FormatNew, nil, log),
 		UnreachablePeers: func() int { return 0 },
 		PeerReachable:    func() bool { return false },
-	})
+	}
+	for _, change := range changes {
+		change(&deps)
+	}
+	return NewLeader(&testLeadership{token: token}, deps)
 }
--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -101,9 +101,9 @@
 
 // headroomReplica gives the urgent service whose replicas take most, nil if there is
 // none.
-func (t *Leader) headroomReplica() *protocol.JobSpec {
+func (sc *Scheduler) headroomReplica() *protocol.JobSpec {
 	var like *protocol.JobSpec
-	for _, j := range t.state.Jobs {
+	for _, j := range sc.state.Jobs {
 		s := &j.Spec
 		if j.IsService() && !j.Cancelled && s.Priority >= protocol.High && (like == nil ||
 			cmp.Or(cmp.Compare(s.Request.CPU, like.Request.CPU), cmp.Compare(s.Request.Memory, like.Request.Memory), -cmp.Compare(s.ID, like.ID)) > 0) {
@@ -116,14 +116,14 @@
 // headroomReplicaCount is how many replicas more than there are the fleet is to have room
 // for: enough in each zone for a new service, and for the loss of some machines
 // together, since renting others takes a boot.
-func (t *Leader) headroomReplicaCount(like *protocol.JobSpec) int {
+func (sc *Scheduler) headroomReplicaCount(like *protocol.JobSpec) int {
 	var used units.Amount
-	for _, j := range t.state.Jobs {
+	for _, j := range sc.state.Jobs {
 		if j.IsService() && !j.Cancelled {
 			used += j.Spec.Request.CPU * units.Amount(j.Spec.Tasks)
 		}
 	}
-	n := headroomPerZone * len(t.Settings.Fleet.Zones)
+	n := headroomPerZone * len(sc.settings.Fleet.Zones)
 	if like.Request.CPU > 0 {
 		n = max(n, int(used/like.Request.CPU/headroomServiceShare))
 	}
@@ -131,12 +131,12 @@
 }
 
 // updateHeadroom notes on the machines of a snapshot what room is kept on them.
-func (t *Leader) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
-	like := t.headroomReplica()
-	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return t.headroom[machines[k]] != units.Resources{} })
-	clear(t.headroom)
+func (sc *Scheduler) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
+	like := sc.headroomReplica()
+	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return sc.headroom[machines[k]] != units.Resources{} })
+	clear(sc.headroom)
 	for _, k := range kept {
 		s.Machines[k].Headroom = like.Request
-		t.headroom[machines[k]] = like.Request
+		sc.headroom[machines[k]] = like.Request
 	}
 }
--- a/internal/coordination/inbox.go
+++ b/internal/coordination/inbox.go
@@ -68,7 +68,7 @@
 // acceptWithoutLeader puts a job into the inbox, if it is certain that the job can be
 // taken; otherwise the refusal stands, and a leader decides when there is one.
 func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, refused answer) answer {
-	store, lease := c.deps.KV, c.deps.Elector
+	store, lease := c.deps.KV, c.elector
 	if lease.UnansweredFor() >= lease.timing.Duration || !store.HasRequestBudget() || !store.HasWriteBudget() {
 		return refused
 	}
@@ -123,72 +123,3 @@
 	}
 	return refused
 }
-
-// ingestLoop takes in what other controllers accepted.
-func (t *Leader) ingestLoop(ctx context.Context) {
-	var watch pendingWatcher
-	for wait := units.Micros(0); sleep(ctx, wait); wait = ingestInterval {
-		if !t.Elector.Valid(t.token) || !t.KV.HasRequestBudget() {
-			continue
-		}
-		items, err := watch.next(ctx, t)
-		if err != nil {
-			t.Log.Debug("inbox not read", "error", err)
-			continue
-		}
-		t.ingest(ctx, items)
-	}
-}
-
-// ingestOne takes a single job in, if it is in the inbox.
-func (t *Leader) ingestOne(ctx context.Context, id string) error {
-	item, ok, err := t.KV.Get(ctx, storage.KeyPending(id), pendingTimeout)
-	if err == nil && ok {
-		return t.ingest(ctx, []protocol.Item{item})
-	}
-	return err
-}
-
-// ingest adds jobs from the inbox to the ledger. One that is over has no more
-// use there: its user sent it again, and the leader was in reach then.
-func (t *Leader) ingest(ctx context.Context, items []protocol.Item) (unreadable error) {
-	var over protocol.Txn
-	t.mu.Lock()
-	for _, item := range items {
-		a, err := cluster.ParsePendingSubmission(item)
-		if err != nil {
-			t.Log.Error("a job in the inbox is not readable; it is left there", "error", err)
-			unreadable = err
-			continue
-		}
-		if _, final := t.terminalJobs.get(a.Spec.ID); !final {
-			if t.state.Jobs[a.Spec.ID] == nil {
-				t.Log.Info("job taken in", "job", a.Spec.ID, "class", a.Spec.Class, "team", a.Spec.Team, "tasks", a.Spec.Tasks)
-			}
-			t.state.AddPending(a, t.Clock.Steady())
-		} else if len(over.Then) < t.Settings.Fleet.State.Both().TxnOps {
-			over.If = append(over.If, protocol.Condition{Key: item.Key, Version: item.Version})
-			over.Then = append(over.Then, protocol.Change{Delete: item.Key})
-		} else {
-			t.pendingUncleared.Store(true)
-		}
-	}
-	t.mu.Unlock()
-	if len(items) > 0 {
-		raise(t.writeSignal)
-	}
-	if len(over.Then) > 0 {
-		if _, err := t.KV.CompareAndSwap(ctx, over, kv.Paced, kvTimeout); err != nil {
-			t.Log.Debug("inbox not cleared", "error", err)
-			t.pendingUncleared.Store(true)
-		}
-	}
-	return unreadable
-}
-
-// isLive tells whether a job is live here.
-func (t *Leader) isLive(id string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.state.Jobs[id] != nil
-}
--- a/internal/coordination/inboxwatch.go
+++ b/internal/coordination/inboxwatch.go
@@ -22,14 +22,14 @@
 }
 
 // next gives what is new in the inbox.
-func (w *pendingWatcher) next(ctx context.Context, t *Leader) ([]protocol.Item, error) {
-	now := t.Clock.Steady()
-	if w.revision == 0 || now-w.readAt >= pendingResyncInterval || t.pendingUncleared.Swap(false) {
-		return w.read(ctx, t, now)
+func (w *pendingWatcher) next(ctx context.Context, in *Ingester) ([]protocol.Item, error) {
+	now := in.clock.Steady()
+	if w.revision == 0 || now-w.readAt >= pendingResyncInterval || in.pendingUncleared.Swap(false) {
+		return w.read(ctx, in, now)
 	}
-	list, err := t.KV.Watch(ctx, storage.PrefixPending, w.revision, 0)
+	list, err := in.kv.Watch(ctx, storage.PrefixPending, w.revision, 0)
 	if errors.Is(err, kv.ErrCompacted) {
-		return w.read(ctx, t, now)
+		return w.read(ctx, in, now)
 	}
 	if err != nil {
 		return nil, err
@@ -39,9 +39,9 @@
 }
 
 // readRecords reads the whole inbox.
-func (w *pendingWatcher) read(ctx context.Context, t *Leader, now units.Micros) ([]protocol.Item, error) {
+func (w *pendingWatcher) read(ctx context.Context, in *Ingester, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
-	items, revision, err := listAll(ctx, t.KV, storage.PrefixPending)
+	items, revision, err := listAll(ctx, in.kv, storage.PrefixPending)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/inboxwatch_test.go
+++ b/internal/coordination/inboxwatch_test.go
@@ -29,7 +29,7 @@
 	var watch pendingWatcher
 	expect := func(what string, want ...string) {
 		t.Helper()
-		items, err := watch.next(t.Context(), term)
+		items, err := watch.next(t.Context(), term.ingester)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -51,7 +51,7 @@
 	expect("one came and went, one came", third)
 	s.Put("other/key", protocol.Encode("x"))
 	expect("a change elsewhere")
-	term.pendingUncleared.Store(true)
+	term.ingester.pendingUncleared.Store(true)
 	expect("something was not cleared", first, third)
 	expect("and then no more")
 	clock.now += pendingResyncInterval
@@ -59,7 +59,7 @@
 	ended, end := context.WithCancel(t.Context())
 	end()
 	arrives(t, s, "j-000004")
-	if items, err := watch.next(ended, term); err == nil {
+	if items, err := watch.next(ended, term.ingester); err == nil {
 		t.Fatalf("without an answer: %v", items)
 	}
 	expect("after an outage", storage.KeyPending("j-000004"))
@@ -70,7 +70,7 @@
 func TestPendingQueueOfFinishedJobsIsCleared(t *testing.T) {
 	s := standin.NewState()
 	term := storedLeader(t, 1, s)
-	if !term.restore(t.Context()) {
+	if !term.persister.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	over := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
@@ -78,13 +78,13 @@
 	s.Put(storage.KeyTerminal("j-000001"), protocol.Encode(over))
 	var watch pendingWatcher
 	for range 2 {
-		items, err := watch.next(t.Context(), term)
+		items, err := watch.next(t.Context(), term.ingester)
 		if err != nil {
 			t.Fatal(err)
 		}
-		term.ingest(t.Context(), items)
-		if save := term.nextBatch(); save != nil {
-			term.commitBatch(t.Context(), save)
+		term.ingester.ingest(t.Context(), items)
+		if save := term.persister.nextBatch(); save != nil {
+			term.persister.commitBatch(t.Context(), save)
 		}
 		term.Clock.(*manualClock).now += units.Second
 	}
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -88,15 +88,15 @@
 }
 
 // writeQueueMetrics writes what waits and runs, by class and priority.
-func (t *Leader) writeQueueMetrics(b *bytes.Buffer) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *Leader) writeQueueMetrics(b *bytes.Buffer) {
+	l.state.Lock()
+	defer l.state.Unlock()
 	type key struct {
 		class    string
 		priority protocol.Priority
 	}
 	pending, running := map[key]int{}, map[key]int{}
-	for _, j := range t.state.Jobs {
+	for _, j := range l.state.Jobs {
 		k := key{j.Spec.Class, j.Spec.Priority}
 		pending[k] += j.Pending()
 		running[k] += len(j.LiveAttempts)
@@ -106,11 +106,11 @@
 		fmt.Fprintf(b, "dunestand_tasks_placed{class=%q,priority=%q} %d\n", k.class, k.priority.String(), running[k])
 	}
 	reporting := 0
-	now := t.Clock.Steady()
-	for _, m := range t.state.Machines {
-		if m.Registered && now-m.LastHeartbeat < t.suspectAfter() {
+	now := l.Clock.Steady()
+	for _, m := range l.state.Machines {
+		if m.Registered && now-m.LastHeartbeat < l.detector.suspectAfter() {
 			reporting++
 		}
 	}
-	fmt.Fprintf(b, "dunestand_machines %d\ndunestand_machines_reporting %d\ndunestand_term %d\n", len(t.state.Machines), reporting, t.token)
+	fmt.Fprintf(b, "dunestand_machines %d\ndunestand_machines_reporting %d\ndunestand_term %d\n", len(l.state.Machines), reporting, l.token)
 }
--- a/internal/coordination/model_store_test.go
+++ b/internal/coordination/model_store_test.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			m.t.Fatal(err)
 		}
-		if _, over := m.leader.terminalJobs.get(a.Spec.ID); over {
+		if _, over := m.leader.terminals.terminalJobs.get(a.Spec.ID); over {
 			delete(m.store.items, item.Key)
 			continue
 		}
@@ -116,7 +116,7 @@
 	if m.save == nil {
 		m.saveNew = m.leader.Format.Current() >= storage.FormatNew
 		l.UpgradeFormat(m.leader.Format.Current(), m.clock.now)
-		m.save = l.BuildWriteBatch(m.leader.nextWriteID(), m.leader.bucketVersions, cluster.BatchLimits{
+		m.save = l.BuildWriteBatch(m.leader.persister.nextWriteID(), m.leader.persister.bucketVersions, cluster.BatchLimits{
 			CoalesceFor: units.Second,
 			Background:  true,
 		}, m.clock.now)
@@ -140,7 +140,7 @@
 			if !final || m.finals[id] == "" {
 				m.t.Fatalf("a leader's own save met a conflict: %v", failed)
 			}
-			m.leader.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
+			m.leader.terminals.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
 			l.DropUnaccepted(id) // it was in the inbox still
 		}
 		m.save = nil
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -51,7 +51,7 @@
 		m.store.revision++
 		key := storage.KeyBucketHead(b)
 		m.store.items[key] = protocol.Item{Key: key, Version: m.store.revision}
-		m.leader.bucketVersions[b] = m.store.revision
+		m.leader.persister.bucketVersions[b] = m.store.revision
 	}
 	var rows []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
@@ -78,7 +78,7 @@
 		// It reads the fleet's format before the records.
 		m.leader.Format.current.Store(int64(max(m.formats()[storage.KeyFleetFormat].format, storage.FormatOld)))
 	}
-	m.leader.installRecords(jobs, modelCatalog)
+	m.leader.persister.installRecords(jobs, modelCatalog)
 }
 
 func (m *model) submit() {
@@ -117,7 +117,7 @@
 	for _, w := range m.workers {
 		m.leaseOf(w)
 	}
-	m.leader.expireLeases(m.clock.now)
+	m.leader.detector.expireLeases(m.clock.now)
 }
 
 // crash ends the leader. What it had sent may be carried out before the next
@@ -216,7 +216,7 @@
 		for range 4 {
 			m.write()
 		}
-		m.leader.expireLeases(m.clock.now)
+		m.leader.detector.expireLeases(m.clock.now)
 		for i := range m.workers {
 			w := m.workers[i]
 			m.leaseOf(w)
--- a/internal/coordination/model_worker_test.go
+++ b/internal/coordination/model_worker_test.go
@@ -93,13 +93,13 @@
 
 func (m *model) serve(r *protocol.Heartbeat) *protocol.HeartbeatResponse {
 	t, now := m.leader, m.clock.now
-	machine := t.reconcile(r, now)
+	machine := t.reconciler.reconcile(r, now)
 	if machine == nil {
 		return nil
 	}
-	t.expireLeases(now)
-	t.runCycle(now, machine)
-	return &protocol.HeartbeatResponse{FencingToken: t.token, Commands: t.commands(machine, r, now)}
+	t.detector.expireLeases(now)
+	t.scheduler.runCycle(now, machine)
+	return &protocol.HeartbeatResponse{FencingToken: t.token, Commands: t.reconciler.commands(machine, r, now)}
 }
 
 // suspected brings the leader a report that was held back. Nobody waits for the
@@ -211,7 +211,7 @@
 	w := m.workers[i]
 	w.alive = false
 	t, now := m.leader, m.clock.now
-	t.released.add(w.id, now)
+	t.state.Released.Add(w.id, now)
 	if machine := t.state.Machines[w.id]; machine != nil {
 		t.state.RemoveMachine(machine, now)
 	} else {
@@ -250,7 +250,7 @@
 func (m *model) hearTold() {
 	for _, a := range m.told {
 		if a.to == m.leader {
-			a.to.broadcastAnswered(a.heartbeat)
+			a.to.broadcaster.broadcastAnswered(a.heartbeat)
 		}
 	}
 	m.told = nil
@@ -352,7 +352,7 @@
 		m.clock.now += step
 		m.write()
 		m.write()
-		m.leader.expireLeases(m.clock.now)
+		m.leader.detector.expireLeases(m.clock.now)
 		for _, w := range m.workers {
 			m.leaseOf(w)
 			if w == absent || !w.alive || w.heartbeatsLost || m.hung(w) {
--- a/internal/coordination/newcontroller.go
+++ b/internal/coordination/newcontroller.go
@@ -40,8 +40,10 @@
 
 // NewController makes a node from its settings.
 func NewController(s *config.Settings, env Environment) *Controller {
+	deps := newDeps(s, env)
 	c := &Controller{
-		deps:             newDeps(s, env),
+		deps:             deps,
+		elector:          newElector(s, env, deps.KV),
 		heartbeatReader:  protocol.NewHeartbeatReader(),
 		heartbeatLimiter: newHeartbeatLimiter(),
 		peers:            NewPeers(env.Dial, s.Others, env.Clock, env.Random, env.Log),
@@ -53,13 +55,19 @@
 	// A node begins as if it had just been of use: when all were restarted, the
 	// load balancer is to know them again by the time one of them leads.
 	c.lastUseful.Store(int64(env.Clock.Steady()))
-	c.deps.Elector.Connected = c.connected
-	c.deps.Elector.Eligible = func() bool { return !c.deps.Format.TooNew() }
-	c.deps.addMetrics()
+	c.elector.Connected = c.connected
+	c.elector.Eligible = func() bool { return !c.deps.Format.TooNew() }
+	c.addMetrics()
 	c.routes()
 	return c
 }
 
+// newElector returns the elector of a controller, over connections of its own.
+func newElector(s *config.Settings, env Environment, client *kv.Client) *Elector {
+	timing := TimingFor(s.Fleet.Workers.Lease())
+	return NewElector(s.Node, client.WithOwnConnections(), env.Clock, timing, env.Random, env.Log)
+}
+
 // newDeps makes what a node's terms work with.
 func newDeps(s *config.Settings, env Environment) Deps {
 	others := make([]string, len(s.Others))
@@ -80,7 +88,6 @@
 		KV:       store,
 		Dial:     env.Dial,
 		Cloud:    cloud.NewClient(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
-		Elector:  NewElector(s.Node, store.WithOwnConnections(), env.Clock, TimingFor(s.Fleet.Workers.Lease()), env.Random, env.Log),
 		Clock:    env.Clock,
 		Log:      env.Log,
 		Metrics:  metrics,
@@ -96,14 +103,14 @@
 }
 
 // addMetrics shows the node's own state and its use of the state service.
-func (d *Deps) addMetrics() {
-	stats, limits := d.KV.Stats, d.Settings.Fleet.State
+func (c *Controller) addMetrics() {
+	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.State
 	gauges := []struct {
 		name  string
 		value func() float64
 	}{
-		{"dunestand_fleet_format", func() float64 { return float64(d.Format.Current()) }},
-		{"dunestand_lease_remaining_seconds", func() float64 { return d.Elector.Remaining().Seconds() }},
+		{"dunestand_fleet_format", func() float64 { return float64(c.deps.Format.Current()) }},
+		{"dunestand_lease_remaining_seconds", func() float64 { return c.elector.Remaining().Seconds() }},
 		{"dunestand_state_requests_total", func() float64 { return float64(stats.Requests.Load()) }},
 		{"dunestand_state_writes_total", func() float64 { return float64(stats.Writes.Load()) }},
 		{"dunestand_state_refused_total", func() float64 { return float64(stats.Refused.Load()) }},
@@ -112,7 +119,7 @@
 		{"dunestand_state_request_limit", func() float64 { return limits.RPS }},
 	}
 	for _, g := range gauges {
-		d.Metrics.Gauge(g.name, g.value)
+		c.deps.Metrics.Gauge(g.name, g.value)
 	}
-	d.Metrics.addRuntime()
+	c.deps.Metrics.addRuntime()
 }
--- a/internal/coordination/nolimit_test.go
+++ b/internal/coordination/nolimit_test.go
@@ -21,16 +21,16 @@
 // and with a job of that team.
 func guestLeader(t *testing.T) *Leader {
 	t.Helper()
-	term := storedLeader(t, 1, standin.NewState())
-	term.Settings.Fleet.Teams = append(term.Settings.Fleet.Teams, config.Team{Name: "guest"})
-	term.state = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term := storedLeader(t, 1, standin.NewState(), func(d *Deps) {
+		d.Settings.Fleet.Teams = append(d.Settings.Fleet.Teams, config.Team{Name: "guest"})
+	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	if !term.restore(ctx) {
+	if !term.persister.restore(ctx) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.writeLoop(ctx)
+	go term.persister.writeLoop(ctx)
 	spec := modelSpec("j-000001")
 	spec.Team = "guest"
 	spec.Tasks = guestTasks
@@ -46,9 +46,9 @@
 // are placed wherever there is room.
 func TestTeamWithoutALimitIsServed(t *testing.T) {
 	term := guestLeader(t)
-	term.mu.Lock()
-	defer term.mu.Unlock()
-	needs := term.demand()
+	term.state.Lock()
+	defer term.state.Unlock()
+	needs := term.autoscaler.demand()
 	if len(needs) != 1 || needs[0].Count != guestTasks {
 		t.Errorf("machines are rented for %v, want one need of %d tasks", needs, guestTasks)
 	}
@@ -57,7 +57,7 @@
 		machine = term.state.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
 		machine.Registered, machine.FencingToken = true, term.token
 	}
-	s, _ := term.snapshot(term.Clock.Steady(), machine)
+	s, _ := term.scheduler.snapshot(term.Clock.Steady(), machine)
 	s.MaxPlacements = guestTasks
 	placed := 0
 	for _, start := range Plan(&s).Placements {
@@ -72,8 +72,8 @@
 // nine tenths of "no limit" would be reckoned.
 func TestTeamWithoutALimitIsNeverNearIt(t *testing.T) {
 	term := guestLeader(t)
-	term.mu.Lock()
-	defer term.mu.Unlock()
+	term.state.Lock()
+	defer term.state.Unlock()
 	var log bytes.Buffer
 	term.Log = slog.New(slog.NewTextHandler(&log, nil))
 	term.state.Teams["guest"].Used = cpus(1_000_000)
--- a/internal/coordination/order_test.go
+++ b/internal/coordination/order_test.go
@@ -20,7 +20,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &manualClock{now: 100 * units.Second}
 		term := testLeader(7, clock)
-		term.installRecords(nil, modelCatalog)
+		term.persister.installRecords(nil, modelCatalog)
 		due := map[string]units.Micros{}
 		ends := map[cluster.AttemptKey]units.Micros{}
 		lasts := rapid.SliceOfN(rapid.IntRange(2, 8), 20, 20).Draw(t, "run times")
@@ -57,14 +57,14 @@
 						r.Tasks = append(r.Tasks, task)
 					}
 				}
-				m := term.reconcile(r, clock.now)
+				m := term.reconciler.reconcile(r, clock.now)
 				if step%3 == 0 {
-					term.runCycle(clock.now, m)
+					term.scheduler.runCycle(clock.now, m)
 				} else {
-					term.placeOnMachine(m, clock.now)
+					term.scheduler.placeOnMachine(m, clock.now)
 				}
 				term.save()
-				term.commands(m, r, clock.now)
+				term.reconciler.commands(m, r, clock.now)
 				for _, a := range m.SortedAttempts() {
 					key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
 					if a.Stage != cluster.Assigned && ends[key] == 0 {
@@ -92,7 +92,7 @@
 	j.Spec.Estimate = 97 * units.Second
 	for waited, late := range map[units.Micros]bool{10: false, 40: false, 70: true} {
 		j.Submitted = clock.now - waited*units.Second
-		if in := term.rankInput(j); in.Late != late {
+		if in := term.scheduler.rankInput(j); in.Late != late {
 			t.Errorf("after %d s: late %v", waited, in.Late)
 		}
 	}
@@ -105,19 +105,19 @@
 	j := term.state.Jobs["j-000001"]
 	j.Spec.Priority = protocol.High
 	for range 20 {
-		term.completions.advance(clock.now)
+		term.state.Completions.Advance(clock.now)
 		clock.now += units.Second
-		term.completions.freedCPU = cpus(4).CPU // a second, 8 in the patience of 2 s
+		term.state.Completions.Freed(cpus(4).CPU) // a second, 8 in the patience of 2 s
 	}
 	j.LearnedAt = clock.now
-	if term.awaitsCompletions(j, clock.now) {
+	if term.scheduler.awaitsCompletions(j, clock.now) {
 		t.Error("a job of ten processors waits for eight")
 	}
 	j.Spec.Tasks = 7
-	if !term.awaitsCompletions(j, clock.now) {
+	if !term.scheduler.awaitsCompletions(j, clock.now) {
 		t.Error("a job of seven processors does not wait for eight")
 	}
-	if term.awaitsCompletions(j, clock.now+2*units.Second) {
+	if term.scheduler.awaitsCompletions(j, clock.now+2*units.Second) {
 		t.Error("it waits for ever")
 	}
 }
@@ -136,7 +136,7 @@
 	clock.now += units.Second
 	term.state.NewJob(*modelSpec("j-000100"), clock.now, clock.now)
 	term.cancelJob(term.state.Jobs["j-000030"])
-	s := term.state.BuildWriteBatch("x", term.bucketVersions, cluster.BatchLimits{}, clock.now)
+	s := term.state.BuildWriteBatch("x", term.persister.bucketVersions, cluster.BatchLimits{}, clock.now)
 	if first := s.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
 		t.Errorf("saved first: %v", first)
 	}
--- a/internal/coordination/persistence.go
+++ b/internal/coordination/persistence.go
@@ -4,19 +4,72 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"sync"
 	"time"
 
 	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
+	"dunestand/internal/config"
 	"dunestand/internal/kv"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-func (t *Leader) nextWriteID() string {
-	t.writes++
-	return fmt.Sprintf("%d-%d", t.token, t.writes)
+// Persister writes changed records to the key-value store and reads them back after a
+// failover. Only the leader's persister writes the records of jobs: every batch is
+// conditional on the heads of the jobs' buckets, which this leader has claimed.
+type Persister struct {
+	state       *cluster.State
+	leadership  Leadership
+	autoscaler  *Autoscaler
+	ingester    *Ingester
+	terminals   *TerminalJobs
+	admission   *LeaderAdmission
+	settings    *config.Settings
+	kv          *kv.Client
+	format      *FormatNegotiator
+	clock       units.Clock
+	log         *slog.Logger
+	tracer      cluster.AttemptTracer
+	token       uint64
+	electedAt   units.Micros
+	writeSignal chan struct{}
+	cycleSignal chan struct{}
+
+	restored chan struct{} // closed once the records are restored
+
+	// What follows is guarded by the lock of state.
+	writes         uint64 // numbers the batches
+	writesInFlight int
+	bucketVersions []uint64 // of the buckets' heads, as this leader claimed them
+}
+
+func newPersister(l *Leader, tracer cluster.AttemptTracer) *Persister {
+	return &Persister{
+		state:          l.state,
+		leadership:     l.leadership,
+		autoscaler:     l.autoscaler,
+		ingester:       l.ingester,
+		terminals:      l.terminals,
+		settings:       l.Settings,
+		kv:             l.KV,
+		format:         l.Format,
+		clock:          l.Clock,
+		log:            l.Log,
+		tracer:         tracer,
+		token:          l.token,
+		electedAt:      l.electedAt,
+		writeSignal:    l.writeSignal,
+		cycleSignal:    l.cycleSignal,
+		restored:       make(chan struct{}),
+		bucketVersions: make([]uint64, storage.Buckets),
+	}
+}
+
+func (p *Persister) nextWriteID() string {
+	p.writes++
+	return fmt.Sprintf("%d-%d", p.token, p.writes)
 }
 
 const (
@@ -33,7 +86,7 @@
 )
 
 // writeLoop writes changed records.
-func (t *Leader) writeLoop(ctx context.Context) {
+func (p *Persister) writeLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	tick := backgroundWriteInterval
@@ -41,7 +94,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.writeSignal:
+		case <-p.writeSignal:
 			if !sleep(ctx, coalesceUrgent) {
 				return
 			}
@@ -49,22 +102,22 @@
 		}
 		tick = backgroundWriteInterval
 		for {
-			if t.KV.WritesAvailable() < t.minBatchChanges() {
+			if p.kv.WritesAvailable() < p.minBatchChanges() {
 				tick = writeBudgetRetry
 				break
 			}
-			s := t.nextBatch()
+			s := p.nextBatch()
 			if s == nil {
 				break
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				t.commitBatch(ctx, s)
-				t.mu.Lock()
-				t.writesInFlight--
-				t.mu.Unlock()
-				raise(t.writeSignal)
+				p.commitBatch(ctx, s)
+				p.state.Lock()
+				p.writesInFlight--
+				p.state.Unlock()
+				raise(p.writeSignal)
 			}()
 		}
 	}
@@ -72,31 +125,31 @@
 
 // minBatchChanges is for how many changes the rate of writes must have room before a save is
 // built.
-func (t *Leader) minBatchChanges() int {
-	return min(maxBatchWait, t.Settings.Fleet.State.Both().TxnOps)
+func (p *Persister) minBatchChanges() int {
+	return min(maxBatchWait, p.settings.Fleet.State.Both().TxnOps)
 }
 
 // nextBatch builds the next save if one may be sent now, and counts its writes. It is built
 // only once the rate of writes has room for it: what waits for the rate can still be
 // overtaken by what a user waits for, what is built can not.
-func (t *Leader) nextBatch() *cluster.WriteBatch {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.writesInFlight >= maxWritesInFlight {
+func (p *Persister) nextBatch() *cluster.WriteBatch {
+	p.state.Lock()
+	defer p.state.Unlock()
+	if p.writesInFlight >= maxWritesInFlight {
 		return nil
 	}
-	now := t.Clock.Steady()
-	t.state.UpgradeFormat(t.Format.Current(), now)
-	s := t.state.BuildWriteBatch(t.nextWriteID(), t.bucketVersions, cluster.BatchLimits{
+	now := p.clock.Steady()
+	p.state.UpgradeFormat(p.format.Current(), now)
+	s := p.state.BuildWriteBatch(p.nextWriteID(), p.bucketVersions, cluster.BatchLimits{
 		CoalesceFor: coalesceBackground,
-		Background:  t.KV.HasWriteBudget(),
-		MaxChanges:  max(t.minBatchChanges(), t.KV.WritesAvailable()),
+		Background:  p.kv.HasWriteBudget(),
+		MaxChanges:  max(p.minBatchChanges(), p.kv.WritesAvailable()),
 	}, now)
 	if s == nil {
 		return nil
 	}
-	t.writesInFlight++
-	t.KV.ReserveWrites(len(s.Txn.Then))
+	p.writesInFlight++
+	p.kv.ReserveWrites(len(s.Txn.Then))
 	return s
 }
 
@@ -110,43 +163,43 @@
 // commitBatch carries a save through. A save without an answer may be carried out
 // at any later time, so the very same one is sent until its outcome is known:
 // its conditions see to it that it happens once.
-func (t *Leader) commitBatch(ctx context.Context, s *cluster.WriteBatch) {
+func (p *Persister) commitBatch(ctx context.Context, s *cluster.WriteBatch) {
 	uncertain := false
-	began := t.Clock.Steady()
+	began := p.clock.Steady()
 	pacing := kv.Prepaid
 	for wait := commitBackoff; ; wait = min(2*wait, maxCommitBackoff) {
-		version, err := t.KV.CompareAndSwap(ctx, s.Txn, pacing, kvTimeout)
+		version, err := p.kv.CompareAndSwap(ctx, s.Txn, pacing, kvTimeout)
 		pacing = kv.Paced
 		if err == nil {
-			if t.traceAttempts {
-				t.Log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
-					"took_us", int64(t.Clock.Steady()-began))
+			if p.tracer.Enabled() {
+				p.log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
+					"took_us", int64(p.clock.Steady()-began))
 			}
-			t.batchCommitted(s, version)
+			p.batchCommitted(s, version)
 			return
 		}
 		var conflict *kv.VersionConflictError
 		switch {
 		case errors.As(err, &conflict):
 			if uncertain && s.ProbeKey() != "" {
-				version, ours, err := t.probeOutcome(ctx, s)
+				version, ours, err := p.probeOutcome(ctx, s)
 				if err != nil {
 					break
 				}
 				if ours {
-					t.batchCommitted(s, version)
+					p.batchCommitted(s, version)
 					return
 				}
 			}
-			t.batchConflicted(ctx, s, conflict)
+			p.batchConflicted(ctx, s, conflict)
 			return
 		case errors.Is(err, kv.ErrOutcomeUnknown):
 			uncertain = true
 		case errors.Is(err, kv.ErrInvalidRequest):
-			t.batchRejected(ctx, s, uncertain)
+			p.batchRejected(ctx, s, uncertain)
 			return
 		case !errors.Is(err, kv.ErrRefused):
-			t.Log.Error("save not understood", "jobs", s.JobIDs(), "error", err)
+			p.log.Error("save not understood", "jobs", s.JobIDs(), "error", err)
 			uncertain = true
 		}
 		if !sleep(ctx, wait) {
@@ -161,38 +214,38 @@
 // batchRejected handles a save that the state service will not take as it is: it has
 // lower limits now. The save is built anew. But one that was sent before and got
 // no answer may have been carried out, or may be still.
-func (t *Leader) batchRejected(ctx context.Context, s *cluster.WriteBatch, uncertain bool) {
+func (p *Persister) batchRejected(ctx context.Context, s *cluster.WriteBatch, uncertain bool) {
 	for uncertain {
-		version, ours, err := t.probeOutcome(ctx, s)
+		version, ours, err := p.probeOutcome(ctx, s)
 		if err == nil && ours {
-			t.batchCommitted(s, version)
+			p.batchCommitted(s, version)
 			return
 		}
 		if err == nil {
 			// Only a new term's claim makes certain that it never is.
-			t.Log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.JobIDs())
-			t.Elector.StepDown()
+			p.log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.JobIDs())
+			p.leadership.StepDown()
 			return
 		}
 		if !sleep(ctx, rejectedRetryDelay) {
 			return
 		}
 	}
-	t.mu.Lock()
-	first := t.state.ApplyNextLimits()
-	t.mu.Unlock()
-	t.KV.ApplyNextLimits()
-	t.Log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
+	p.state.Lock()
+	first := p.state.ApplyNextLimits()
+	p.state.Unlock()
+	p.kv.ApplyNextLimits()
+	p.log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
 	if !first && !sleep(ctx, rejectedRetryDelay) {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.state.BatchRejected(s, t.Clock.Steady())
+	p.state.Lock()
+	defer p.state.Unlock()
+	p.state.BatchRejected(s, p.clock.Steady())
 }
 
-func (t *Leader) probeOutcome(ctx context.Context, s *cluster.WriteBatch) (uint64, bool, error) {
-	item, ok, err := t.KV.Get(ctx, s.ProbeKey(), kvTimeout)
+func (p *Persister) probeOutcome(ctx context.Context, s *cluster.WriteBatch) (uint64, bool, error) {
+	item, ok, err := p.kv.Get(ctx, s.ProbeKey(), kvTimeout)
 	if err != nil || !ok {
 		return 0, false, err
 	}
@@ -203,20 +256,20 @@
 	return item.Version, save == s.ID, nil
 }
 
-func (t *Leader) batchCommitted(s *cluster.WriteBatch, version uint64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for id, f := range t.state.BatchCommitted(s, version) {
-		t.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
-		t.Log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
+func (p *Persister) batchCommitted(s *cluster.WriteBatch, version uint64) {
+	p.state.Lock()
+	defer p.state.Unlock()
+	for id, f := range p.state.BatchCommitted(s, version) {
+		p.terminals.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
+		p.log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
 	}
-	raise(t.cycleSignal)
+	raise(p.cycleSignal)
 }
 
 // batchConflicted handles a save that was certainly not carried out: it submits the id of a
 // job that is over, or it accepts a job by an admission plan that has been replaced, or
 // somebody else has claimed our buckets and this term is at its end.
-func (t *Leader) batchConflicted(ctx context.Context, s *cluster.WriteBatch, c *kv.VersionConflictError) {
+func (p *Persister) batchConflicted(ctx context.Context, s *cluster.WriteBatch, c *kv.VersionConflictError) {
 	over := map[string]storage.StoredTerminalRecord{}
 	planMet := false
 	for _, key := range c.Keys {
@@ -226,14 +279,14 @@
 		}
 		id, isFinal := storage.JobOfTerminalKey(key)
 		if !isFinal {
-			if t.Elector.Valid(t.token) {
-				t.Log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.JobIDs())
+			if p.leadership.Valid() {
+				p.log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.JobIDs())
 			}
-			t.Elector.StepDown()
+			p.leadership.StepDown()
 			return
 		}
 		for {
-			f, ok, err := t.readTerminal(ctx, id)
+			f, ok, err := p.terminals.readTerminal(ctx, id)
 			if err == nil {
 				if ok {
 					over[id] = f
@@ -245,20 +298,27 @@
 			}
 		}
 	}
-	t.mu.Lock()
-	t.state.BatchRefused(s, t.Clock.Steady())
+	p.state.Lock()
+	p.state.BatchRefused(s, p.clock.Steady())
 	if planMet {
-		t.reconsiderAdmissions()
+		p.admission.reconsiderAdmissions()
 	}
-	t.mu.Unlock()
+	p.state.Unlock()
 	if planMet {
-		t.admission.publisher.rereadRecord(ctx)
+		p.admission.publisher.rereadRecord(ctx)
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	p.state.Lock()
+	defer p.state.Unlock()
 	for id, f := range over {
-		t.terminalJobs.put(id, f)
-		t.state.DropUnaccepted(id)
-		t.pendingUncleared.Store(true) // it may have come from there
+		p.terminals.terminalJobs.put(id, f)
+		p.state.DropUnaccepted(id)
+		p.ingester.pendingUncleared.Store(true) // it may have come from there
 	}
 }
+
+// bucketVersion is the version of a bucket's head.
+func (p *Persister) bucketVersion(bucket int) uint64 {
+	p.state.Lock()
+	defer p.state.Unlock()
+	return p.bucketVersions[bucket]
+}
--- a/internal/coordination/persistence_test.go
+++ b/internal/coordination/persistence_test.go
@@ -8,29 +8,26 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
 // pacedLeader is a restored term whose share of the writes is small and used up.
 func pacedLeader(t *testing.T) *Leader {
 	t.Helper()
-	term := storedLeader(t, 1, standin.NewState())
-	if !term.restore(t.Context()) {
+	limits := config.State{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
+	clock := &manualClock{now: units.Second}
+	term := testLeader(1, clock, func(d *Deps) {
+		d.Settings.Fleet.State = limits
+		d.KV = kv.NewClient(nil, "127.0.0.1:1", limits, 0, clock)
+	})
+	term.persister.installRecords(nil, modelCatalog)
+	if !term.Ready() {
 		t.Fatal("not restored")
 	}
-	term.state.SetInstanceTypes(modelCatalog.Types)
-	limits := config.State{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
-	term.Settings.Fleet.State = limits
-	term.KV = pacedStore(term, limits)
 	term.KV.ReserveWrites(term.KV.WritesAvailable())
 	return term
 }
 
-func pacedStore(term *Leader, limits config.State) *kv.Client {
-	return kv.NewClient(nil, "127.0.0.1:1", limits, 0, term.Clock)
-}
-
 // Saves that had been built waited for the rate of writes, three in a row, and users whose
 // jobs came meanwhile waited behind them: for 1.3 s, and the controller that had passed the
 // job on accepted it a second time. What waits for the rate is not built yet.
@@ -40,13 +37,13 @@
 	for i := range 30 {
 		spec := modelSpec("j-0000" + string(rune('0'+i/10)) + string(rune('0'+i%10)))
 		job := term.state.NewJob(*spec, 0, 0)
-		save := term.state.BuildWriteBatch("accept", term.bucketVersions, cluster.BatchLimits{}, 0)
+		save := term.state.BuildWriteBatch("accept", term.persister.bucketVersions, cluster.BatchLimits{}, 0)
 		term.state.BatchCommitted(save, uint64(i+1))
 		term.state.Assign(job, machine, uint64(i+1), units.Second)
 	}
 	awaitWrites(t, term, maxBatchWait)
 	term.addJob(modelSpec("j-900001"))
-	save := term.nextBatch()
+	save := term.persister.nextBatch()
 	if save == nil {
 		t.Fatal("nothing is saved though there is room")
 	}
--- a/internal/coordination/planpublisher.go
+++ b/internal/coordination/planpublisher.go
@@ -11,6 +11,7 @@
 	"golang.org/x/time/rate"
 
 	"dunestand/internal/admission"
+	"dunestand/internal/config"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
@@ -19,8 +20,15 @@
 
 // planPublisher makes and writes the admission plan while its node leads.
 type planPublisher struct {
-	admitter *admitter
-	leader   *Leader
+	admitter   *admitter
+	admission  *LeaderAdmission
+	leadership Leadership
+	persister  *Persister
+	ingester   *Ingester
+	settings   *config.Settings
+	kv         *kv.Client
+	clock      units.Clock
+	token      uint64
 
 	// recordLock holds a token while the record is read or written. What follows is for its
 	// holder alone.
@@ -38,8 +46,20 @@
 	standings atomic.Pointer[[]admission.Standing] // of the teams, by the last proposal
 }
 
-func newPlanPublisher(admitter *admitter, term *Leader) *planPublisher {
-	return &planPublisher{admitter: admitter, leader: term, recordLock: make(chan struct{}, 1), limiter: rate.NewLimiter(plansPerSecond, planBurst)}
+func newPlanPublisher(l *Leader, la *LeaderAdmission) *planPublisher {
+	return &planPublisher{
+		admitter:   l.Admitter,
+		admission:  la,
+		leadership: l.leadership,
+		persister:  l.persister,
+		ingester:   l.ingester,
+		settings:   l.Settings,
+		kv:         l.KV,
+		clock:      l.Clock,
+		token:      l.token,
+		recordLock: make(chan struct{}, 1),
+		limiter:    rate.NewLimiter(plansPerSecond, planBurst),
+	}
 }
 
 // The pace of plans. Exhausted quotas are renewed sooner, what is a matter of course is
@@ -95,7 +115,7 @@
 	tick := time.NewTicker(planInterval.Duration())
 	defer tick.Stop()
 	for asked := true; ; {
-		if p.admitter.active() && p.leader.Elector.Valid(p.leader.token) {
+		if p.admitter.active() && p.leadership.Valid() {
 			if err := p.step(ctx, asked); err != nil {
 				p.admitter.log.Debug("the admission plan is not written", "error", err)
 			}
@@ -126,16 +146,16 @@
 		p.recordKnown = false // an operator may repair or delete the record
 		return errPlanUnreadable
 	}
-	now := p.leader.Clock.Steady()
+	now := p.clock.Steady()
 	if p.sentAt != 0 && now-p.sentAt < planPause(asked) {
 		return nil
 	}
-	proposal := p.planner.Next(p.version+1, p.leader.token, p.leader.measure(now))
+	proposal := p.planner.Next(p.version+1, p.token, p.admission.measure(now))
 	p.standings.Store(&proposal.Standings)
 	if !p.due(proposal.Plan, now, asked) {
 		return nil
 	}
-	raw, held, err := admission.Encode(proposal.Plan, p.leader.Settings.Fleet.State.Both().ValueBytes())
+	raw, held, err := admission.Encode(proposal.Plan, p.settings.Fleet.State.Both().ValueBytes())
 	if err != nil {
 		if !p.tooLarge {
 			p.admitter.log.Error("the admission plan is not written; jobs are admitted by the built-in floor", "error", err)
@@ -171,13 +191,13 @@
 	if !asked && !p.failed && plan.Like(p.written) {
 		return false
 	}
-	return p.leader.KV.HasWriteBudget() && p.limiter.Allow()
+	return p.kv.HasWriteBudget() && p.limiter.Allow()
 }
 
 // readRecords finds out what the record holds now.
 func (p *planPublisher) read(ctx context.Context) error {
-	asked := p.leader.Clock.Steady()
-	item, revision, err := p.leader.KV.ReadAtRevision(ctx, admission.KeyPlan, kvTimeout)
+	asked := p.clock.Steady()
+	item, revision, err := p.kv.ReadAtRevision(ctx, admission.KeyPlan, kvTimeout)
 	if err != nil {
 		return err
 	}
@@ -189,7 +209,7 @@
 		if p.sentAt != 0 && item.Version > p.revision {
 			after = p.sentAt // it is the one whose answer was lost
 		}
-		p.admitter.adopt(item, after, p.leader.Clock.Steady())
+		p.admitter.adopt(item, after, p.clock.Steady())
 	}
 	if p.admitter.unreadable.Load() == 0 {
 		if err := p.continueFrom(item); err != nil {
@@ -201,7 +221,7 @@
 	}
 	p.recordKnown = true
 	p.revision = item.Version
-	p.leader.planChanged(p.revision)
+	p.admission.planChanged(p.revision)
 	return nil
 }
 
@@ -217,7 +237,7 @@
 		p.version = plan.Version
 	}
 	if p.planner == nil {
-		p.planner = admission.NewPlanner(p.admitter.options, p.admitter.teams, former, p.leader.Clock.Steady())
+		p.planner = admission.NewPlanner(p.admitter.options, p.admitter.teams, former, p.clock.Steady())
 	}
 	return nil
 }
@@ -226,35 +246,35 @@
 // nothing more can be accepted under that. So whoever is not known after it and has to
 // delay by the new plan stays unknown while it is in force.
 func (p *planPublisher) ingestPending(ctx context.Context) error {
-	items, _, err := listAll(ctx, p.leader.KV, storage.PrefixPending)
+	items, _, err := listAll(ctx, p.kv, storage.PrefixPending)
 	if err != nil {
 		return err
 	}
-	return p.leader.ingest(ctx, items)
+	return p.ingester.ingest(ctx, items)
 }
 
 // compareAndSwap makes a plan durable, on condition that the record is as this leader knows it and
 // that no later leader has claimed the buckets. From before the plan is sent until it is
 // recordKnown what became of it, nobody is told to wait by the plan before.
 func (p *planPublisher) write(ctx context.Context, raw []byte, plan *admission.Plan) error {
-	p.leader.planUncertain()
+	p.admission.planUncertain()
 	head := storage.KeyBucketHead(planFenceBucket)
-	sent := p.leader.Clock.Steady()
+	sent := p.clock.Steady()
 	pacing := kv.Paced
 	if p.sentAt == 0 {
 		pacing = kv.Urgent
 	}
 	p.sentAt = sent
-	revision, err := p.leader.KV.CompareAndSwap(ctx, protocol.Txn{
+	revision, err := p.kv.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{
 			{Key: admission.KeyPlan, Version: p.revision},
-			{Key: head, Version: p.leader.bucketVersion(planFenceBucket)},
+			{Key: head, Version: p.persister.bucketVersion(planFenceBucket)},
 		},
 		Then: []protocol.Change{{Set: admission.KeyPlan, Value: raw}},
 	}, pacing, kvTimeout)
 	switch {
 	case errors.Is(err, kv.ErrRefused):
-		p.leader.planChanged(p.revision)
+		p.admission.planChanged(p.revision)
 		return err
 	case err != nil:
 		p.recordKnown = false
@@ -262,7 +282,7 @@
 	}
 	if !plan.Like(p.written) {
 		p.admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.Gates(),
-			"turns", plan.Turns(), "waiting", p.leader.waitingCount())
+			"turns", plan.Turns(), "waiting", p.admission.waitingCount())
 	}
 	p.written, p.version = plan, plan.Version
 	if err := p.ingestPending(ctx); err != nil {
@@ -271,12 +291,12 @@
 		return err
 	}
 	if err := p.admitter.keeper.Adopt(admission.Held{
-		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.leader.Clock.Steady(),
+		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.clock.Steady(),
 	}); err != nil {
 		return err
 	}
 	p.revision = revision
-	p.leader.planChanged(revision)
+	p.admission.planChanged(revision)
 	return nil
 }
 
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -4,14 +4,62 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"sync"
 
 	"dunestand/internal/cloud"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
+// Autoscaler keeps the rented machines as the demand and the policy want them: it scales
+// out, scales in, and keeps the catalog of instance types.
+type Autoscaler struct {
+	state       *cluster.State
+	leadership  Leadership
+	detector    *Detector
+	scheduler   *Scheduler
+	settings    *config.Settings
+	policy      *config.Policy
+	cloud       *cloud.Client
+	kv          *kv.Client
+	format      *FormatNegotiator
+	clock       units.Clock
+	log         *slog.Logger
+	token       uint64
+	electedAt   units.Micros
+	cycleSignal chan struct{}
+
+	// What follows is guarded by the lock of state, but for what provisioningState says.
+	provisioning     provisioningState
+	scaleOutRequests uint64
+	lastFiniteJobAt  units.Micros // when there last was an unfinished job that ends by itself
+}
+
+func newAutoscaler(l *Leader) *Autoscaler {
+	return &Autoscaler{
+		state:           l.state,
+		leadership:      l.leadership,
+		detector:        l.detector,
+		scheduler:       l.scheduler,
+		settings:        l.Settings,
+		policy:          l.Policy,
+		cloud:           l.Cloud,
+		kv:              l.KV,
+		format:          l.Format,
+		clock:           l.Clock,
+		log:             l.Log,
+		token:           l.token,
+		electedAt:       l.electedAt,
+		cycleSignal:     l.cycleSignal,
+		provisioning:    newProvisioningState(),
+		lastFiniteJobAt: l.electedAt,
+	}
+}
+
 // provisioningState is what the cloud loop remembers.
 type provisioningState struct {
 	catalog        protocol.Catalog
@@ -49,20 +97,20 @@
 )
 
 // autoscaleLoop keeps the rented machines as wanted.
-func (t *Leader) autoscaleLoop(ctx context.Context) {
+func (as *Autoscaler) autoscaleLoop(ctx context.Context) {
 	for wait := units.Micros(0); sleep(ctx, wait); wait = autoscaleInterval {
-		if !t.Elector.Valid(t.token) {
+		if !as.leadership.Valid() {
 			continue
 		}
-		now := t.Clock.Steady()
-		if t.provisioning.catalogReadAt == 0 || now-t.provisioning.catalogReadAt >= catalogInterval {
-			t.refreshCatalog(ctx)
+		now := as.clock.Steady()
+		if as.provisioning.catalogReadAt == 0 || now-as.provisioning.catalogReadAt >= catalogInterval {
+			as.refreshCatalog(ctx)
 		}
-		if t.provisioning.listReadAt == 0 || now-t.provisioning.listReadAt >= listInterval(t.Settings.Fleet.Cloud, t.provisioning.listedMachines) {
-			t.refreshMachineList(ctx)
+		if as.provisioning.listReadAt == 0 || now-as.provisioning.listReadAt >= listInterval(as.settings.Fleet.Cloud, as.provisioning.listedMachines) {
+			as.refreshMachineList(ctx)
 		}
-		t.scaleIn(ctx)
-		t.scaleOut(ctx)
+		as.scaleIn(ctx)
+		as.scaleOut(ctx)
 	}
 }
 
@@ -81,27 +129,27 @@
 }
 
 // refreshMachineList takes in which machines the cloud lists.
-func (t *Leader) refreshMachineList(ctx context.Context) {
-	listed, err := t.Cloud.ListMachines(ctx)
+func (as *Autoscaler) refreshMachineList(ctx context.Context) {
+	listed, err := as.cloud.ListMachines(ctx)
 	if err != nil {
-		t.Log.Debug("machines not listed", "error", err)
+		as.log.Debug("machines not listed", "error", err)
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.Clock.Steady()
-	t.provisioning.listReadAt, t.provisioning.listedMachines = now, len(listed)
+	as.state.Lock()
+	defer as.state.Unlock()
+	now := as.clock.Steady()
+	as.provisioning.listReadAt, as.provisioning.listedMachines = now, len(listed)
 	present := make(map[string]bool, len(listed))
 	for _, l := range listed {
 		present[l.ID] = true
-		if t.released.has(l.ID) {
+		if as.state.Released.Has(l.ID) {
 			continue
 		}
-		_, known := t.state.Machines[l.ID]
-		m := t.state.EnsureMachine(l.ID, l.InstanceType, l.Zone, l.Spot, now)
+		_, known := as.state.Machines[l.ID]
+		m := as.state.EnsureMachine(l.ID, l.InstanceType, l.Zone, l.Spot, now)
 		if !known {
 			m.RentedAt = now - units.Seconds(l.AgeSeconds)
-			t.Log.Debug("machine listed", "machine", l.ID, "type", l.InstanceType, "zone", l.Zone, "stage", l.Stage)
+			as.log.Debug("machine listed", "machine", l.ID, "type", l.InstanceType, "zone", l.Zone, "stage", l.Stage)
 		}
 		if !m.Registered {
 			m.Stage, m.Endpoint = l.Stage, l.Endpoint
@@ -109,19 +157,19 @@
 		if l.Stage == protocol.MachineFailed && !m.Releasing {
 			// It has stopped on its own: nothing runs there any more. The
 			// check only takes it off the list.
-			t.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
-			t.state.MachineEmptied(m, now)
-			t.state.MarkReconciled(m.ID)
+			as.log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
+			as.state.MachineEmptied(m, now)
+			as.state.MarkReconciled(m.ID)
 			m.Releasing = true
-			raise(t.cycleSignal)
+			raise(as.cycleSignal)
 		}
 	}
-	lag := units.Seconds(t.Settings.Fleet.Cloud.ListLagS)
-	for _, m := range t.state.Machines {
+	lag := units.Seconds(as.settings.Fleet.Cloud.ListLagS)
+	for _, m := range as.state.Machines {
 		// Taken or deleted before it was up. That a machine is not listed proves
 		// nothing about one that may hold tasks: its lease decides.
-		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !t.state.IsUnreconciled(m.ID) {
-			t.removeMachine(m, now)
+		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !as.state.IsUnreconciled(m.ID) {
+			as.removeMachine(m, now)
 		}
 	}
 }
@@ -131,23 +179,23 @@
 	zoneCutGrace       = 120 * units.Second // beyond the workers' lease, until they are given back
 )
 
-func (t *Leader) policyInput() config.FleetInput {
-	in := config.FleetInput{Hour: int(t.Clock.Wall() / units.Second / 3600 % 24)}
-	for _, j := range t.state.Jobs {
+func (as *Autoscaler) policyInput() config.FleetInput {
+	in := config.FleetInput{Hour: int(as.clock.Wall() / units.Second / 3600 % 24)}
+	for _, j := range as.state.Jobs {
 		if !j.IsService() {
-			t.lastFiniteJobAt = t.Clock.Steady()
+			as.lastFiniteJobAt = as.clock.Steady()
 			break
 		}
 	}
-	in.QuietS = (t.Clock.Steady() - t.lastFiniteJobAt).Seconds()
-	for _, team := range t.state.Teams {
+	in.QuietS = (as.clock.Steady() - as.lastFiniteJobAt).Seconds()
+	for _, team := range as.state.Teams {
 		in.GuaranteedCPUs += team.GuaranteedQuota.CPU.Float()
 		in.LimitCPUs += team.QuotaLimit.CPU.Float()
 	}
-	for _, n := range t.demand() {
+	for _, n := range as.demand() {
 		in.DemandCPUs += n.Spec.Request.CPU.Float() * float64(n.Count)
 	}
-	for _, m := range t.state.Machines {
+	for _, m := range as.state.Machines {
 		if !m.Releasing {
 			in.FleetCPUs += m.Capacity.CPU.Float()
 		}
@@ -157,13 +205,13 @@
 
 // demand lists the tasks that are not done, as far as their teams' limits let
 // them run, and the replicas that room is kept for.
-func (t *Leader) demand() []TaskDemand {
+func (as *Autoscaler) demand() []TaskDemand {
 	left := map[string]units.Resources{}
-	for name, team := range t.state.Teams {
+	for name, team := range as.state.Teams {
 		left[name] = team.QuotaLimit
 	}
 	var out []TaskDemand
-	for _, j := range t.jobsInOrder() {
+	for _, j := range as.state.JobsBySubmission() {
 		if j.Cancelled || !j.Accepted() {
 			continue
 		}
@@ -173,22 +221,22 @@
 			out = append(out, TaskDemand{&j.Spec, n})
 		}
 	}
-	if like := t.headroomReplica(); like != nil {
-		out = append(out, TaskDemand{like, t.headroomReplicaCount(like)})
+	if like := as.scheduler.headroomReplica(); like != nil {
+		out = append(out, TaskDemand{like, as.scheduler.headroomReplicaCount(like)})
 	}
 	return out
 }
 
 // scaleOut rents what is wanted. What one kind refuses is asked of the next
 // at once: a boot takes long enough.
-func (t *Leader) scaleOut(ctx context.Context) {
+func (as *Autoscaler) scaleOut(ctx context.Context) {
 	for range scaleOutPasses {
-		t.mu.Lock()
-		if len(t.provisioning.unanswered) == 0 {
-			t.provisioning.unanswered = t.scaleOutOrders(t.Clock.Steady())
+		as.state.Lock()
+		if len(as.provisioning.unanswered) == 0 {
+			as.provisioning.unanswered = as.scaleOutOrders(as.clock.Steady())
 		}
-		orders := t.provisioning.unanswered
-		t.mu.Unlock()
+		orders := as.provisioning.unanswered
+		as.state.Unlock()
 		if len(orders) == 0 {
 			return
 		}
@@ -200,7 +248,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				unanswered[i] = !t.requestMachines(ctx, r)
+				unanswered[i] = !as.requestMachines(ctx, r)
 				<-slots
 			}()
 		}
@@ -211,9 +259,9 @@
 				open = append(open, r)
 			}
 		}
-		t.mu.Lock()
-		t.provisioning.unanswered = open
-		t.mu.Unlock()
+		as.state.Lock()
+		as.provisioning.unanswered = open
+		as.state.Unlock()
 		if len(open) > 0 {
 			return
 		}
@@ -221,42 +269,42 @@
 }
 
 // requestMachines sends one request and tells whether it was answered.
-func (t *Leader) requestMachines(ctx context.Context, r protocol.ScaleOutRequest) bool {
-	names, err := t.Cloud.ScaleOut(ctx, r)
+func (as *Autoscaler) requestMachines(ctx context.Context, r protocol.ScaleOutRequest) bool {
+	names, err := as.cloud.ScaleOut(ctx, r)
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
-		t.Log.Debug("rent not answered", "request", r.RequestID, "error", err)
+		as.log.Debug("rent not answered", "request", r.RequestID, "error", err)
 		return false
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.Clock.Steady()
+	as.state.Lock()
+	defer as.state.Unlock()
+	now := as.clock.Steady()
 	kind := Offering{r.InstanceType, r.Zone, r.Spot}
 	if len(names) < r.Count {
-		was := t.provisioning.unavailable[kind]
+		was := as.provisioning.unavailable[kind]
 		wait := min(max(2*was.delay, minCapacityBackoff), maxCapacityBackoff)
-		t.provisioning.unavailable[kind] = capacityBackoff{now + wait, wait}
+		as.provisioning.unavailable[kind] = capacityBackoff{now + wait, wait}
 	} else {
-		delete(t.provisioning.unavailable, kind)
+		delete(as.provisioning.unavailable, kind)
 	}
 	for _, id := range names {
-		if !t.released.has(id) {
-			m := t.state.EnsureMachine(id, r.InstanceType, r.Zone, r.Spot, now)
+		if !as.state.Released.Has(id) {
+			m := as.state.EnsureMachine(id, r.InstanceType, r.Zone, r.Spot, now)
 			if m.Stage == "" {
 				m.Stage = protocol.MachineBooting
 			}
 		}
 	}
-	t.Log.Info("machines rented", "request", r.RequestID, "type", r.InstanceType, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", names)
+	as.log.Info("machines rented", "request", r.RequestID, "type", r.InstanceType, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", names)
 	return true
 }
 
 // capacityView is what the renting decision looks at.
-func (t *Leader) capacityView(in config.FleetInput) CapacityView {
-	v := CapacityView{InstanceTypes: t.state.InstanceTypes, Machines: map[Offering]int{}, Demand: t.demand(),
-		ReserveCPUs: t.Policy.ReserveCPUs(in), SpotPreference: t.Policy.SpotPreference(in)}
-	now := t.Clock.Steady()
-	for _, m := range t.state.Machines {
-		boot := units.Seconds(t.state.InstanceTypes[m.InstanceType].BootS)
+func (as *Autoscaler) capacityView(in config.FleetInput) CapacityView {
+	v := CapacityView{InstanceTypes: as.state.InstanceTypes, Machines: map[Offering]int{}, Demand: as.demand(),
+		ReserveCPUs: as.policy.ReserveCPUs(in), SpotPreference: as.policy.SpotPreference(in)}
+	now := as.clock.Steady()
+	for _, m := range as.state.Machines {
+		boot := units.Seconds(as.state.InstanceTypes[m.InstanceType].BootS)
 		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.RentedAt > bootGraceFactor*boot+10*units.Second {
 			continue
 		}
@@ -267,16 +315,16 @@
 
 // scaleOutOrders turns what is wanted into requests with names never used before: the
 // token is in them, and no two terms are alike.
-func (t *Leader) scaleOutOrders(now units.Micros) []protocol.ScaleOutRequest {
-	if len(t.state.InstanceTypes) == 0 || t.provisioning.listReadAt == 0 {
+func (as *Autoscaler) scaleOutOrders(now units.Micros) []protocol.ScaleOutRequest {
+	if len(as.state.InstanceTypes) == 0 || as.provisioning.listReadAt == 0 {
 		return nil // what there is, is not known yet
 	}
-	v := t.capacityView(t.policyInput())
-	v.Unavailable = func(k Offering) bool { return now < t.provisioning.unavailable[k].until }
+	v := as.capacityView(as.policyInput())
+	v.Unavailable = func(k Offering) bool { return now < as.provisioning.unavailable[k].until }
 	var out []protocol.ScaleOutRequest
 	for _, o := range PlanScaleOut(&v) {
-		t.scaleOutRequests++
-		out = append(out, protocol.ScaleOutRequest{RequestID: fmt.Sprintf("r-%d-%d", t.token, t.scaleOutRequests),
+		as.scaleOutRequests++
+		out = append(out, protocol.ScaleOutRequest{RequestID: fmt.Sprintf("r-%d-%d", as.token, as.scaleOutRequests),
 			InstanceType: o.Offering.InstanceType, Zone: o.Offering.Zone, Spot: o.Offering.Spot, Count: o.Count})
 	}
 	return out
--- a/internal/coordination/release.go
+++ b/internal/coordination/release.go
@@ -12,36 +12,36 @@
 // removeMachine drops a machine that is gone. The cloud may have room for another of
 // its kind now, whatever it said before: after a wave of losses, waiting for the
 // capacityBackoff to pass once left a quarter of the fleet away for half a minute.
-func (t *Leader) removeMachine(m *cluster.Machine, now units.Micros) {
-	t.state.RemoveMachine(m, now)
-	delete(t.provisioning.unavailable, Offering{m.InstanceType, m.Zone, m.Spot})
+func (as *Autoscaler) removeMachine(m *cluster.Machine, now units.Micros) {
+	as.state.RemoveMachine(m, now)
+	delete(as.provisioning.unavailable, Offering{m.InstanceType, m.Zone, m.Spot})
 }
 
 // scaleIn returns machines that are faulty, lost, never came up, or
 // are idle beyond what is to be kept.
-func (t *Leader) scaleIn(ctx context.Context) {
-	t.mu.Lock()
-	names := t.machinesToRelease(t.Clock.Steady())
-	t.mu.Unlock()
+func (as *Autoscaler) scaleIn(ctx context.Context) {
+	as.state.Lock()
+	names := as.machinesToRelease(as.clock.Steady())
+	as.state.Unlock()
 	for len(names) > 0 {
 		n := min(len(names), protocol.MaxScaleIn)
-		if err := t.Cloud.ScaleIn(ctx, names[:n]); err != nil {
-			t.Log.Debug("machines not released", "machines", names[:n], "error", err)
+		if err := as.cloud.ScaleIn(ctx, names[:n]); err != nil {
+			as.log.Debug("machines not released", "machines", names[:n], "error", err)
 			return
 		}
-		t.mu.Lock()
-		now := t.Clock.Steady()
+		as.state.Lock()
+		now := as.clock.Steady()
 		for _, id := range names[:n] {
-			t.released.add(id, now)
-			if m := t.state.Machines[id]; m != nil {
-				t.removeMachine(m, now)
+			as.state.Released.Add(id, now)
+			if m := as.state.Machines[id]; m != nil {
+				as.removeMachine(m, now)
 			} else {
-				t.state.MarkReconciled(id)
+				as.state.MarkReconciled(id)
 			}
 		}
-		t.Log.Info("machines released", "machines", names[:n])
-		t.mu.Unlock()
-		raise(t.cycleSignal)
+		as.log.Info("machines released", "machines", names[:n])
+		as.state.Unlock()
+		raise(as.cycleSignal)
 		names = names[n:]
 	}
 }
@@ -49,24 +49,24 @@
 // machinesToRelease chooses the machines to be released. A machine once chosen gets no
 // work and stays chosen, since a release that got no answer may be carried
 // decisions at any time.
-func (t *Leader) machinesToRelease(now units.Micros) []string {
+func (as *Autoscaler) machinesToRelease(now units.Micros) []string {
 	chosen := map[string]bool{}
 	mark := func(m *cluster.Machine, why string) {
 		if !m.Releasing {
-			t.Log.Info("machine is to be released", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
+			as.log.Info("machine is to be released", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
 			m.Releasing = true
 		}
 	}
-	silent := t.lostMachines(now)
-	for _, id := range sortedKeys(t.state.Machines) {
-		m := t.state.Machines[id]
-		boot := units.Seconds(t.state.InstanceTypes[m.InstanceType].BootS)
+	silent := as.detector.lostMachines(now)
+	for _, id := range sortedKeys(as.state.Machines) {
+		m := as.state.Machines[id]
+		boot := units.Seconds(as.state.InstanceTypes[m.InstanceType].BootS)
 		switch {
 		case m.Registered && m.Quarantined && len(m.Attempts) == 0:
 			mark(m, "faulty")
-		case !m.Registered && m.Stage != protocol.MachineRunning && now-m.RentedAt > bootTimeoutFactor*boot+30*units.Second && now-t.electedAt > 30*units.Second:
+		case !m.Registered && m.Stage != protocol.MachineRunning && now-m.RentedAt > bootTimeoutFactor*boot+30*units.Second && now-as.electedAt > 30*units.Second:
 			mark(m, "never came up")
-		case !m.Registered && now-max(t.electedAt, m.RentedAt) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutGrace):
+		case !m.Registered && now-max(as.electedAt, m.RentedAt) > withDrift(as.settings.Fleet.Workers.Lease(), zoneCutGrace):
 			// It runs, the cloud says, but has not been heard in this term: its
 			// zone may be cut off, for a while.
 			mark(m, "silent")
@@ -80,11 +80,11 @@
 		}
 	}
 	for id := range silent {
-		if t.state.Machines[id] == nil {
+		if as.state.Machines[id] == nil {
 			chosen[id] = true
 		}
 	}
-	for _, m := range t.idleMachines(now) {
+	for _, m := range as.idleMachines(now) {
 		mark(m, "idle")
 		chosen[m.ID] = true
 	}
@@ -93,27 +93,27 @@
 
 // idleMachines chooses machines that nothing has needed for a while, the dearest
 // first, as long as what is left covers the need and the reserve.
-func (t *Leader) idleMachines(now units.Micros) []*cluster.Machine {
-	in := t.policyInput()
-	wait := t.Policy.IdleReturn(in)
-	keep := max(units.AmountOf(in.DemandCPUs), t.Policy.ReserveCPUs(in))
+func (as *Autoscaler) idleMachines(now units.Micros) []*cluster.Machine {
+	in := as.policyInput()
+	wait := as.policy.IdleReturn(in)
+	keep := max(units.AmountOf(in.DemandCPUs), as.policy.ReserveCPUs(in))
 	have := units.AmountOf(in.FleetCPUs)
 	var out []*cluster.Machine
-	for _, m := range t.state.Machines {
-		if m.Registered && !m.Releasing && m.FencingToken == t.token && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-t.electedAt > wait {
+	for _, m := range as.state.Machines {
+		if m.Registered && !m.Releasing && m.FencingToken == as.token && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-as.electedAt > wait {
 			out = append(out, m)
 		}
 	}
 	sort.Slice(out, func(i, k int) bool {
 		a, b := out[i], out[k]
-		if pa, pb := t.machinePrice(a), t.machinePrice(b); pa != pb {
+		if pa, pb := as.machinePrice(a), as.machinePrice(b); pa != pb {
 			return pa > pb
 		}
 		return a.ID < b.ID
 	})
 	// What is left must be of the right kinds: services may not be allowed on
 	// those that are cheapest.
-	view := t.capacityView(in)
+	view := as.capacityView(in)
 	view.ReserveCPUs, view.Unavailable = 0, func(Offering) bool { return false }
 	lacking := func() int {
 		count := 0
@@ -142,8 +142,8 @@
 // maxIdleCandidates bounds the machines that are looked at in one go.
 const maxIdleCandidates = 50
 
-func (t *Leader) machinePrice(m *cluster.Machine) float64 {
-	typ := t.state.InstanceTypes[m.InstanceType]
+func (as *Autoscaler) machinePrice(m *cluster.Machine) float64 {
+	typ := as.state.InstanceTypes[m.InstanceType]
 	if m.Spot {
 		return typ.SpotPrice
 	}
--- a/internal/coordination/rent_test.go
+++ b/internal/coordination/rent_test.go
@@ -85,19 +85,19 @@
 // is gone, there may be room for another at once.
 func TestLostMachineIsReplacedAtOnce(t *testing.T) {
 	term, clock := leaderWithJob(t, 40)
-	term.provisioning.listReadAt = clock.now
+	term.autoscaler.provisioning.listReadAt = clock.now
 	m := term.state.EnsureMachine("i-000001", "m", "a", true, clock.now)
 	for _, spot := range []bool{false, true} {
-		term.provisioning.unavailable[Offering{"m", "a", spot}] = capacityBackoff{
+		term.autoscaler.provisioning.unavailable[Offering{"m", "a", spot}] = capacityBackoff{
 			until: clock.now + maxCapacityBackoff,
 			delay: maxCapacityBackoff,
 		}
 	}
-	if orders := term.scaleOutOrders(clock.now); len(orders) != 0 {
+	if orders := term.autoscaler.scaleOutOrders(clock.now); len(orders) != 0 {
 		t.Fatalf("asked for what was refused: %v", orders)
 	}
-	term.removeMachine(m, clock.now)
-	if orders := term.scaleOutOrders(clock.now); len(orders) != 1 || !orders[0].Spot {
+	term.autoscaler.removeMachine(m, clock.now)
+	if orders := term.autoscaler.scaleOutOrders(clock.now); len(orders) != 1 || !orders[0].Spot {
 		t.Errorf("orders after a loss: %v", orders)
 	}
 }
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"time"
 
 	"dunestand/internal/cluster"
@@ -9,6 +10,31 @@
 	"dunestand/internal/units"
 )
 
+// Reconciler compares what machines say in their heartbeats with the state, corrects the
+// state, and works out the commands that a machine still needs. Its methods need the lock
+// of state held.
+type Reconciler struct {
+	state       *cluster.State
+	detector    *Detector
+	log         *slog.Logger
+	tracer      cluster.AttemptTracer
+	token       uint64
+	writeSignal chan struct{}
+	cycleSignal chan struct{}
+}
+
+func newReconciler(l *Leader, tracer cluster.AttemptTracer) *Reconciler {
+	return &Reconciler{
+		state:       l.state,
+		detector:    l.detector,
+		log:         l.Log,
+		tracer:      tracer,
+		token:       l.token,
+		writeSignal: l.writeSignal,
+		cycleSignal: l.cycleSignal,
+	}
+}
+
 const (
 	minStartDurableWait = 150 * units.Millisecond
 	maxStartDurableWait = 500 * units.Millisecond
@@ -19,8 +45,8 @@
 // durableWait is how long an answer to a report waits for the save that must
 // come before the starts it is to carry: else they go with the next report, so
 // where reports come seldom it waits longer.
-func (t *Leader) durableWait() units.Micros {
-	return min(max(t.Settings.Fleet.Workers.Report()/10, minStartDurableWait), maxStartDurableWait)
+func (l *Leader) durableWait() units.Micros {
+	return min(max(l.Settings.Fleet.Workers.Report()/10, minStartDurableWait), maxStartDurableWait)
 }
 
 // restoreWait is how long a report waits for the restore of the records: mostly
@@ -28,9 +54,9 @@
 const restoreWait = 2 * units.Second
 
 // waitRestored waits until the records are restored, and tells whether they are.
-func (t *Leader) waitRestored(ctx context.Context, slot *heartbeatSlot) bool {
+func (l *Leader) waitRestored(ctx context.Context, slot *heartbeatSlot) bool {
 	select {
-	case <-t.restored:
+	case <-l.persister.restored:
 		return true
 	default:
 	}
@@ -38,7 +64,7 @@
 	timer := time.NewTimer(restoreWait.Duration())
 	defer timer.Stop()
 	select {
-	case <-t.restored:
+	case <-l.persister.restored:
 		return true
 	case <-ctx.Done():
 	case <-timer.C:
@@ -53,52 +79,44 @@
 // An answer prolongs the worker's lease, and with it whatever runs there. So none
 // is given before the records are restored: this node might not know yet of a
 // cancellation that a former leader's user was told of.
-func (t *Leader) Heartbeat(ctx context.Context, r *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, bool) {
-	answer := protocol.HeartbeatResponse{FencingToken: t.token, Commands: []protocol.Command{}}
-	if !t.waitRestored(ctx, slot) {
+func (l *Leader) Heartbeat(ctx context.Context, r *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, bool) {
+	answer := protocol.HeartbeatResponse{FencingToken: l.token, Commands: []protocol.Command{}}
+	if !l.waitRestored(ctx, slot) {
 		return answer, false
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.Clock.Steady()
-	if !t.Elector.Valid(t.token) || r.FencingToken > t.token {
+	l.state.Lock()
+	defer l.state.Unlock()
+	now := l.Clock.Steady()
+	if !l.leadership.Valid() || r.FencingToken > l.token {
 		return answer, false
 	}
-	m := t.reconcile(r, now)
+	m := l.reconciler.reconcile(r, now)
 	if m == nil {
 		return answer, false
 	}
-	if t.cycleDue(now) {
-		t.runCycle(now, m)
+	if l.scheduler.cycleDue(now) {
+		l.scheduler.runCycle(now, m)
 	} else {
-		t.placeOnMachine(m, now)
+		l.scheduler.placeOnMachine(m, now)
 	}
-	if wait := t.unwrittenStart(m); wait != nil {
-		raise(t.writeSignal)
-		t.mu.Unlock()
+	if wait := l.reconciler.unwrittenStart(m); wait != nil {
+		raise(l.writeSignal)
+		l.state.Unlock()
 		slot.release()
 		select {
 		case <-wait:
 		case <-ctx.Done():
-		case <-time.After(t.durableWait().Duration()):
+		case <-time.After(l.durableWait().Duration()):
 		}
-		t.mu.Lock()
-		if m.Incarnation != r.Incarnation || m.Sequence != r.Sequence || !t.Elector.Valid(t.token) {
+		l.state.Lock()
+		if m.Incarnation != r.Incarnation || m.Sequence != r.Sequence || !l.leadership.Valid() {
 			return answer, false
 		}
 	}
-	answer.Commands = t.commands(m, r, now)
+	answer.Commands = l.reconciler.commands(m, r, now)
 	return answer, true
 }
 
-// traceAttempt logs a step of an attempt. There are hundreds a second in a large fleet, so
-// nothing is made up for a line that is dropped.
-func (t *Leader) traceAttempt(what string, a *cluster.Attempt) {
-	if t.traceAttempts {
-		t.Log.Debug(what, "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID)
-	}
-}
-
 func isNewer(r *protocol.Heartbeat, session, seq uint64) bool {
 	return r.Incarnation > session || r.Incarnation == session && r.Sequence > seq
 }
@@ -106,45 +124,45 @@
 // reconcile works out the difference between what a machine reports and what
 // the ledger says of it. Old reports, and those of machines that were
 // released, have no effect and give nil.
-func (t *Leader) reconcile(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
-	if t.released.has(r.Machine) {
+func (rc *Reconciler) reconcile(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
+	if rc.state.Released.Has(r.Machine) {
 		return nil
 	}
-	m := t.state.EnsureMachine(r.Machine, r.InstanceType, r.Zone, r.Spot, now)
+	m := rc.state.EnsureMachine(r.Machine, r.InstanceType, r.Zone, r.Spot, now)
 	if m.Registered && !isNewer(r, m.Incarnation, m.Sequence) {
 		return nil
 	}
-	t.checkDelivery(m, r, now)
-	t.reconcileMachine(m, r, now)
+	rc.checkDelivery(m, r, now)
+	rc.reconcileMachine(m, r, now)
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
 		key := cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
 		if task.Stage == protocol.TaskExited {
-			t.taskExited(m, key, task, now)
+			rc.taskExited(m, key, task, now)
 		} else {
-			t.taskAlive(m, key, task, now)
+			rc.taskAlive(m, key, task, now)
 		}
 	}
-	t.dropMissingAttempts(m, r, now)
+	rc.dropMissingAttempts(m, r, now)
 	// Only a report that shows our term was sent after an answer of ours was
 	// received. Any other may be a copy that comes late, of a machine that is
 	// gone by now, and an answer of a former leader may still be on its way.
-	if m.FencingToken != r.FencingToken && r.FencingToken == t.token {
-		t.state.MarkReconciled(m.ID)
-		raise(t.cycleSignal)
+	if m.FencingToken != r.FencingToken && r.FencingToken == rc.token {
+		rc.state.MarkReconciled(m.ID)
+		raise(rc.cycleSignal)
 	}
 	m.FencingToken, m.MayHoldCancelled = r.FencingToken, false
 	return m
 }
 
 // reconcileMachine takes over what a report tells of the machine itself.
-func (t *Leader) reconcileMachine(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+func (rc *Reconciler) reconcileMachine(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
 	if m.Registered && r.Incarnation > m.Incarnation {
-		t.Log.Info("machine began a new session", "machine", m.ID, "session", r.Incarnation, "lost", len(m.Attempts))
-		t.state.MachineEmptied(m, now)
+		rc.log.Info("machine began a new session", "machine", m.ID, "session", r.Incarnation, "lost", len(m.Attempts))
+		rc.state.MachineEmptied(m, now)
 	}
 	if !m.Registered {
-		t.Log.Info("machine reports", "machine", m.ID, "type", m.InstanceType, "zone", m.Zone, "spot", m.Spot, "tasks", len(r.Tasks))
+		rc.log.Info("machine reports", "machine", m.ID, "type", m.InstanceType, "zone", m.Zone, "spot", m.Spot, "tasks", len(r.Tasks))
 	}
 	m.Registered = true
 	m.Incarnation, m.Sequence = r.Incarnation, r.Sequence
@@ -155,7 +173,7 @@
 	}
 	if r.TerminationNoticed {
 		if m.TerminatesAt == 0 {
-			t.Log.Info("machine is to be taken", "machine", m.ID, "in_ms", r.TerminationIn/units.Millisecond)
+			rc.log.Info("machine is to be taken", "machine", m.ID, "in_ms", r.TerminationIn/units.Millisecond)
 		}
 		m.TerminatesAt = now + r.TerminationIn
 	}
@@ -164,14 +182,14 @@
 // dropMissingAttempts drops the attempts that a report, whose tasks were taken over, proves not to
 // be on the machine: they were sent with an earlier answer that never arrived, or the
 // worker has forgotten them.
-func (t *Leader) dropMissingAttempts(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+func (rc *Reconciler) dropMissingAttempts(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
 	for _, a := range m.Attempts {
 		switch {
 		case a.SeenSequence == r.Sequence, a.Stage == cluster.Assigned:
 		case a.Stage == cluster.Sent && r.Sequence <= a.SentSequence:
 		default:
-			t.traceAttempt("attempt is not there", a)
-			t.state.AttemptGone(a, now)
+			rc.tracer.Trace("attempt is not there", a)
+			rc.state.AttemptGone(a, now)
 		}
 	}
 }
@@ -180,9 +198,9 @@
 // something reached the machine: all of an answer's commands are carried out,
 // or none. A machine that was told nothing shows it by its session: without an
 // answer within its lease it would have begun another one.
-func (t *Leader) checkDelivery(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
-	if m.UndeliveredCommands > 0 && r.Incarnation == m.Incarnation && now-m.UndeliveredAt > t.workerLease() {
-		t.Log.Info("machine hears again", "machine", m.ID)
+func (rc *Reconciler) checkDelivery(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
+	if m.UndeliveredCommands > 0 && r.Incarnation == m.Incarnation && now-m.UndeliveredAt > rc.detector.workerLease() {
+		rc.log.Info("machine hears again", "machine", m.ID)
 		m.UndeliveredCommands = 0
 	}
 	if r.Incarnation != m.Incarnation {
@@ -211,7 +229,7 @@
 	}
 	m.UndeliveredAt = now
 	if m.UndeliveredCommands++; m.UndeliveredCommands == maxUndeliveredCommands {
-		t.Log.Info("machine carries nothing out", "machine", m.ID, "task", protocol.TaskName(m.LastCommand.Key.Job, m.LastCommand.Key.Index),
+		rc.log.Info("machine carries nothing out", "machine", m.ID, "task", protocol.TaskName(m.LastCommand.Key.Job, m.LastCommand.Key.Index),
 			"attempt", m.LastCommand.Key.Number, "verb", m.LastCommand.Verb)
 	}
 }
@@ -221,13 +239,13 @@
 // work and is returned as one that is silent would be.
 const maxUndeliveredCommands = 2
 
-func (t *Leader) taskExited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
-	j, a := t.state.Jobs[key.Job], m.Attempts[key]
+func (rc *Reconciler) taskExited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
+	j, a := rc.state.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
 		if j != nil && task.Cause == protocol.CauseDone && key.Index < j.Spec.Tasks && !j.IsDone(key.Index) {
-			t.state.TaskDone(j, key.Index, now)
+			rc.state.TaskDone(j, key.Index, now)
 			if other := j.LiveAttempts[key.Index]; other != nil {
-				t.state.StopAttempt(other, 0)
+				rc.state.StopAttempt(other, 0)
 			}
 		}
 		return
@@ -235,50 +253,50 @@
 	// The job may have ended and left the ledger while an attempt of a task
 	// that was done elsewhere was still on its way out.
 	j = a.Job
-	if t.traceAttempts {
-		t.Log.Debug("task ended", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID, "cause", task.Cause, "saved", task.Checkpointed)
+	if rc.tracer.Enabled() {
+		rc.log.Debug("task ended", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID, "cause", task.Cause, "saved", task.Checkpointed)
 	}
 	switch task.Cause {
 	case protocol.CauseDone:
 		if j.IsService() {
-			t.state.ReplicaEnded(a, false, now)
+			rc.state.ReplicaEnded(a, false, now)
 			break
 		}
-		t.completions.freedCPU += j.Spec.Request.CPU
-		t.state.AttemptCompleted(a, now)
-		t.state.TaskDone(j, key.Index, now)
+		rc.state.Completions.Freed(j.Spec.Request.CPU)
+		rc.state.AttemptCompleted(a, now)
+		rc.state.TaskDone(j, key.Index, now)
 		if j.Complete() {
-			raise(t.writeSignal)
+			raise(rc.writeSignal)
 		}
 	case protocol.CauseError:
 		if j.IsService() {
-			t.state.ReplicaEnded(a, true, now)
+			rc.state.ReplicaEnded(a, true, now)
 		} else {
-			t.state.AttemptFailed(a, now)
+			rc.state.AttemptFailed(a, now)
 		}
 		if m.Quarantined {
-			t.Log.Info("machine set aside as faulty", "machine", m.ID, "task", a.TaskName())
+			rc.log.Info("machine set aside as faulty", "machine", m.ID, "task", a.TaskName())
 		}
 	case protocol.CauseNoCapacity:
 		m.BlockedUntil = now + noCapacityPause
 	case protocol.CauseNoSuchTask, protocol.CauseInUse:
 		j.RetryAt = now + units.Second
 	}
-	t.state.AttemptGone(a, now)
+	rc.state.AttemptGone(a, now)
 	if j.Cancelled && len(j.LiveAttempts) == 0 {
 		j.MarkChanged(now, true)
-		raise(t.writeSignal)
+		raise(rc.writeSignal)
 	}
 }
 
-func (t *Leader) taskAlive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
-	j, a := t.state.Jobs[key.Job], m.Attempts[key]
+func (rc *Reconciler) taskAlive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
+	j, a := rc.state.Jobs[key.Job], m.Attempts[key]
 	if a == nil {
 		if j == nil || key.Index >= j.Spec.Tasks || j.IsDone(key.Index) || j.LiveAttempts[key.Index] != nil {
 			return // commands will stop it
 		}
-		a = t.state.Adopt(j, key.Index, key.Number, m, now)
-		t.traceAttempt("attempt adopted", a)
+		a = rc.state.Adopt(j, key.Index, key.Number, m, now)
+		rc.tracer.Trace("attempt adopted", a)
 	}
 	j = a.Job
 	a.SeenSequence = m.Sequence
@@ -289,11 +307,11 @@
 		if a.Stage != cluster.Running {
 			a.Stage, a.RunningSince = cluster.Running, now
 			j.Started = true
-			t.traceAttempt("task runs", a)
-			t.state.RecordImage(m, j)
+			rc.tracer.Trace("task runs", a)
+			rc.state.RecordImage(m, j)
 		}
 		if j.IsService() {
-			t.state.ReplicaSteady(a, now)
+			rc.state.ReplicaSteady(a, now)
 		}
 	case protocol.TaskCheckpointing:
 		a.Stage = cluster.Checkpointing
--- a/internal/coordination/reportlimiter_test.go
+++ b/internal/coordination/reportlimiter_test.go
@@ -73,7 +73,7 @@
 		t.Fatal("a report that waits for the restore holds up the others")
 	}
 	other.release()
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	for _, status := range beforeRestore {
 		expectStatus(t, status, 200)
 	}
@@ -82,7 +82,7 @@
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
 	job := term.state.NewJob(spec, term.Clock.Wall(), term.Clock.Steady())
-	accepted := term.state.BuildWriteBatch("1-1", term.bucketVersions, cluster.BatchLimits{Background: true}, term.Clock.Steady())
+	accepted := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, term.Clock.Steady())
 	term.state.BatchCommitted(accepted, 1)
 	term.state.Assign(job, term.state.Machines["i-1"], 1, term.Clock.Steady())
 	waiting := send("i-1", 2)
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -58,86 +58,86 @@
 }
 
 // mayAnswer tells, under the lock, whether this node may speak for the service.
-func (t *Leader) mayAnswer() bool { return t.ready && t.Elector.Valid(t.token) }
+func (l *Leader) mayAnswer() bool { return l.state.Restored && l.leadership.Valid() }
 
 // liveJobAnswer tells the state of a job that is stored, under the lock, or why none may be
 // told; false: nothing is known of such a job here.
-func (t *Leader) jobAnswer(id string, status int) (answer, bool) {
-	readAt := t.Clock.Steady()
-	if !t.mayAnswer() {
+func (l *Leader) jobAnswer(id string, status int) (answer, bool) {
+	readAt := l.Clock.Steady()
+	if !l.mayAnswer() {
 		return unavailable("no leader"), true
 	}
-	if f, over := t.terminalJobs.get(id); over {
+	if f, over := l.terminals.terminalJobs.get(id); over {
 		return terminalAnswer(id, f), true
 	}
-	j := t.state.Jobs[id]
+	j := l.state.Jobs[id]
 	switch {
 	case j == nil || !j.Accepted():
 		return answer{}, false
 	case j.EndInFlight():
 		return unavailable("the job's end is being stored"), true // others may tell of it
 	}
-	return liveJobAnswer(status, j, t.Settings.Fleet.Workers, readAt), true
+	return liveJobAnswer(status, j, l.Settings.Fleet.Workers, readAt), true
 }
 
 // Submit accepts a job, durably, before it answers.
-func (t *Leader) Submit(ctx context.Context, spec *protocol.JobSpec) answer {
-	began := t.Clock.Steady()
-	t.mu.Lock()
-	if a, known := t.jobAnswer(spec.ID, http.StatusOK); known {
-		t.mu.Unlock()
+func (l *Leader) Submit(ctx context.Context, spec *protocol.JobSpec) answer {
+	began := l.Clock.Steady()
+	l.state.Lock()
+	if a, known := l.jobAnswer(spec.ID, http.StatusOK); known {
+		l.state.Unlock()
 		return a
 	}
-	j := t.state.Jobs[spec.ID]
+	j := l.state.Jobs[spec.ID]
 	if j == nil {
-		if status, why := t.checkAdmissible(spec); status != 0 {
-			t.mu.Unlock()
-			return t.rejectSubmission(ctx, spec, status, why)
+		if status, why := l.checkAdmissible(spec); status != 0 {
+			l.state.Unlock()
+			return l.rejectSubmission(ctx, spec, status, why)
 		}
-		if d := t.admit(spec); d.Verdict != admission.Admit {
-			t.mu.Unlock()
-			return t.deferSubmission(ctx, spec.ID, d)
+		if d := l.admission.admit(spec); d.Verdict != admission.Admit {
+			l.state.Unlock()
+			return l.deferSubmission(ctx, spec.ID, d)
 		}
-		j = t.addJob(spec)
+		j = l.addJob(spec)
 	}
 	saved := j.Durable()
-	noted := t.Clock.Steady()
-	t.mu.Unlock()
+	noted := l.Clock.Steady()
+	l.state.Unlock()
 	stored := waitFor(ctx, saved)
-	t.Log.Debug("submission waited", "job", spec.ID, "stored", stored,
-		"lock_us", int64(noted-began), "save_us", int64(t.Clock.Steady()-noted))
+	l.Log.Debug("submission waited", "job", spec.ID, "stored", stored,
+		"lock_us", int64(noted-began), "save_us", int64(l.Clock.Steady()-noted))
 	if !stored {
 		return unavailable("state service is slow")
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if a, known := t.jobAnswer(spec.ID, http.StatusCreated); known {
+	l.state.Lock()
+	defer l.state.Unlock()
+	if a, known := l.jobAnswer(spec.ID, http.StatusCreated); known {
 		return a
 	}
 	return unavailable("the job is being accepted")
 }
 
 // addJob adds a new job to the ledger, under the lock, and has it saved.
-func (t *Leader) addJob(spec *protocol.JobSpec) *cluster.Job {
-	j := t.state.NewJob(*spec, t.Clock.Wall(), t.Clock.Steady())
-	t.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
+func (l *Leader) addJob(spec *protocol.JobSpec) *cluster.Job {
+	j := l.state.NewJob(*spec, l.Clock.Wall(), l.Clock.Steady())
+	l.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"priority", spec.Priority, "tasks", spec.Tasks, "cpus", spec.Request.CPU.Float(),
 		"estimate_ms", spec.Estimate/units.Millisecond, "deadline_ms", spec.Deadline/units.Millisecond)
-	raise(t.writeSignal)
+	raise(l.writeSignal)
 	return j
 }
 
 // rejectSubmission refuses a submission for good, or for now, unless its id is known: then
 // the job is known, whatever else the request now says.
-func (t *Leader) rejectSubmission(ctx context.Context, spec *protocol.JobSpec, status int, why string) answer {
+func (l *Leader) rejectSubmission(ctx context.Context, spec *protocol.JobSpec, status int, why string) answer {
 	if status == http.StatusServiceUnavailable {
 		return unavailable(why)
 	}
-	known := t.Poll(ctx, spec.ID)
+	known := l.Poll(ctx, spec.ID)
 	if known.Status != http.StatusNotFound {
 		return known
 	}
-	t.Log.Warn("submission refused", "job", spec.ID, "class", spec.Class, "team", spec.Team,
+	l.Log.Warn("submission refused", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"status", status, "why", why)
 	return answer{Response: ErrorResponse(status, why), evidence: known.evidence}
 }
@@ -155,103 +155,103 @@
 }
 
 // Poll tells a job's state.
-func (t *Leader) Poll(ctx context.Context, id string) answer {
-	began := t.Clock.Steady()
-	if r, ok := t.pollLive(id); ok {
+func (l *Leader) Poll(ctx context.Context, id string) answer {
+	began := l.Clock.Steady()
+	if r, ok := l.pollLive(id); ok {
 		return r
 	}
-	f, ok, err := t.terminalJob(ctx, id)
+	f, ok, err := l.terminals.terminalJob(ctx, id)
 	if err != nil {
 		return unavailable("state service is out of reach")
 	}
 	if ok {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		if !t.mayAnswer() {
+		l.state.Lock()
+		defer l.state.Unlock()
+		if !l.mayAnswer() {
 			return unavailable("no leader")
 		}
 		return terminalAnswer(id, f)
 	}
-	if err := t.ingestOne(ctx, id); err != nil {
+	if err := l.ingester.ingestOne(ctx, id); err != nil {
 		return unavailable("state service is out of reach")
 	}
 	// It may have been submitted while the state service was asked, or just
 	// have been taken in.
-	if r, ok := t.pollLive(id); ok {
+	if r, ok := l.pollLive(id); ok {
 		return r
 	}
 	return provisionalAnswer(ErrorResponse(http.StatusNotFound, "no such job"), began)
 }
 
 // pollLive tells a job's state from memory, if the job is known there.
-func (t *Leader) pollLive(id string) (answer, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if a, known := t.jobAnswer(id, http.StatusOK); known {
+func (l *Leader) pollLive(id string) (answer, bool) {
+	l.state.Lock()
+	defer l.state.Unlock()
+	if a, known := l.jobAnswer(id, http.StatusOK); known {
 		return a, true
 	}
-	if t.state.Jobs[id] != nil {
+	if l.state.Jobs[id] != nil {
 		return unavailable("the job is being accepted"), true
 	}
 	return answer{}, false
 }
 
 // Cancel cancels a job, durably, before it answers.
-func (t *Leader) Cancel(ctx context.Context, id string) answer {
-	t.mu.Lock()
-	if !t.mayAnswer() {
-		t.mu.Unlock()
+func (l *Leader) Cancel(ctx context.Context, id string) answer {
+	l.state.Lock()
+	if !l.mayAnswer() {
+		l.state.Unlock()
 		return unavailable("no leader")
 	}
-	j := t.state.Jobs[id]
+	j := l.state.Jobs[id]
 	if j == nil {
-		t.mu.Unlock()
-		r := t.Poll(ctx, id) // over, never accepted, or in the inbox until now
-		if t.isLive(id) {
+		l.state.Unlock()
+		r := l.Poll(ctx, id) // over, never accepted, or in the inbox until now
+		if l.isLive(id) {
 			return unavailable("the job is being accepted")
 		}
 		return r
 	}
 	if !j.Accepted() {
-		t.mu.Unlock()
+		l.state.Unlock()
 		return unavailable("the job is being accepted")
 	}
-	if cancellationConfirmed(j, t.Settings.Fleet.Workers) {
-		t.mu.Unlock()
-		return t.Poll(ctx, id)
+	if cancellationConfirmed(j, l.Settings.Fleet.Workers) {
+		l.state.Unlock()
+		return l.Poll(ctx, id)
 	}
-	t.cancelJob(j)
+	l.cancelJob(j)
 	saved := j.Durable()
-	t.mu.Unlock()
+	l.state.Unlock()
 	if !waitFor(ctx, saved) {
 		return unavailable("state service is slow")
 	}
-	t.mu.Lock()
-	over := cancellationConfirmed(j, t.Settings.Fleet.Workers)
-	if _, final := t.terminalJobs.get(id); final {
+	l.state.Lock()
+	over := cancellationConfirmed(j, l.Settings.Fleet.Workers)
+	if _, final := l.terminals.terminalJobs.get(id); final {
 		over = true
 	}
-	t.mu.Unlock()
+	l.state.Unlock()
 	if !over {
 		return unavailable("the cancellation is not stored yet, or tasks are still being stopped")
 	}
-	return t.Poll(ctx, id)
+	return l.Poll(ctx, id)
 }
 
 // cancelJob notes that a user wants a job cancelled, unless all its tasks are
 // done: then it is done, though its user may not have been told.
-func (t *Leader) cancelJob(j *cluster.Job) {
+func (l *Leader) cancelJob(j *cluster.Job) {
 	if j.Complete() || j.Cancelled {
 		return
 	}
 	j.Cancelled = true
-	t.Log.Info("job cancelled", "job", j.Spec.ID, "live", len(j.LiveAttempts))
-	now := t.Clock.Steady()
+	l.Log.Info("job cancelled", "job", j.Spec.ID, "live", len(j.LiveAttempts))
+	now := l.Clock.Steady()
 	for _, a := range j.LiveAttempts {
 		if a.Stage == cluster.Sent || a.Stage == cluster.Fetching {
-			t.requestPush(a.Machine, nil, now) // or it would begin yet
+			l.pusher.requestPush(a.Machine, nil, now) // or it would begin yet
 		}
 	}
 	j.MarkChanged(now, true)
-	raise(t.writeSignal)
+	raise(l.writeSignal)
 }
--- a/internal/coordination/restore.go
+++ b/internal/coordination/restore.go
@@ -15,44 +15,44 @@
 
 // restore claims the buckets and reads their jobs. It tells whether it could; if not, it
 // is to be tried again.
-func (t *Leader) restore(ctx context.Context) bool {
-	if err := t.claimBuckets(ctx); err != nil {
-		t.Log.Info("buckets not claimed yet", "error", err)
+func (p *Persister) restore(ctx context.Context) bool {
+	if err := p.claimBuckets(ctx); err != nil {
+		p.log.Info("buckets not claimed yet", "error", err)
 		return false
 	}
-	if err := t.Format.Refresh(ctx); err != nil {
-		t.Log.Info("the fleet's format is not read yet", "error", err)
+	if err := p.format.Refresh(ctx); err != nil {
+		p.log.Info("the fleet's format is not read yet", "error", err)
 		return false
 	}
-	if t.Format.TooNew() {
-		t.Elector.Abstain(unreadableAbstention)
+	if p.format.TooNew() {
+		p.leadership.Abstain(unreadableAbstention)
 		return false
 	}
-	jobs, orphans, err := t.readJobs(ctx)
+	jobs, orphans, err := p.readJobs(ctx)
 	if errors.Is(err, errUnreadableRecord) {
 		// Leader without such a job would forget it. Another node may be of a
 		// version that reads it; if none is, nobody leads until an operator has
 		// looked.
-		t.Log.Error("records are not readable; nothing is placed, and this node stands back", "error", err)
-		t.Elector.Abstain(unreadableAbstention)
+		p.log.Error("records are not readable; nothing is placed, and this node stands back", "error", err)
+		p.leadership.Abstain(unreadableAbstention)
 		return false
 	}
 	if err != nil {
-		t.Log.Info("records not read yet", "error", err)
+		p.log.Info("records not read yet", "error", err)
 		return false
 	}
-	catalog, stored, err := t.readStoredCatalog(ctx)
+	catalog, stored, err := p.readStoredCatalog(ctx)
 	if err != nil {
-		t.Log.Info("records not read yet", "error", err)
+		p.log.Info("records not read yet", "error", err)
 		return false
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.provisioning.catalogStored = stored
+	p.state.Lock()
+	defer p.state.Unlock()
+	p.autoscaler.provisioning.catalogStored = stored
 	for _, id := range sortedKeys(orphans) {
-		t.state.AddStaleRecords(id, orphans[id])
+		p.state.AddStaleRecords(id, orphans[id])
 	}
-	t.installRecords(jobs, catalog)
+	p.installRecords(jobs, catalog)
 	return true
 }
 
@@ -60,8 +60,8 @@
 var errUnreadableRecord = errors.New("unreadable")
 
 // readJobs reads all live jobs, and what is left over of jobs that are over, by job.
-func (t *Leader) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
-	rows, _, err := listAll(ctx, t.KV, storage.PrefixJobs)
+func (p *Persister) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
+	rows, _, err := listAll(ctx, p.kv, storage.PrefixJobs)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -70,7 +70,7 @@
 		return nil, nil, fmt.Errorf("%w: %w", errUnreadableRecord, err)
 	}
 	for _, id := range sortedKeys(orphans) {
-		_, over, err := t.readTerminal(ctx, id)
+		_, over, err := p.terminals.readTerminal(ctx, id)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -83,14 +83,14 @@
 
 // readStoredCatalog reads the catalog that a former leader stored, and the versions of its
 // records. One that cannot be read is logged, and stands for none.
-func (t *Leader) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
-	list, _, err := listAll(ctx, t.KV, storage.KeyCatalog)
+func (p *Persister) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
+	list, _, err := listAll(ctx, p.kv, storage.KeyCatalog)
 	if err != nil {
 		return protocol.Catalog{}, nil, err
 	}
 	catalog, stored, err := storage.ParseCatalog(list)
 	if err != nil {
-		t.Log.Error("stored catalog is not readable", "error", err)
+		p.log.Error("stored catalog is not readable", "error", err)
 	}
 	return catalog, stored, nil
 }
@@ -100,25 +100,25 @@
 const unreadableAbstention = 30 * units.Second
 
 // installRecords takes over what the records say.
-func (t *Leader) installRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
-	now := t.Clock.Steady()
-	t.state.SetInstanceTypes(catalog.Types)
-	t.state.UpgradeFormat(t.Format.Current(), now)
+func (p *Persister) installRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
+	now := p.clock.Steady()
+	p.state.SetInstanceTypes(catalog.Types)
+	p.state.UpgradeFormat(p.format.Current(), now)
 	for _, j := range jobs {
 		j.LearnedAt = now
-		t.state.AddJob(j)
+		p.state.AddJob(j)
 	}
-	t.ready = true
-	close(t.restored)
-	t.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", t.state.UnreconciledCount(), "took_ms", (now-t.electedAt)/units.Millisecond)
-	raise(t.cycleSignal)
+	p.state.Restored = true
+	close(p.restored)
+	p.log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", p.state.UnreconciledCount(), "took_ms", (now-p.electedAt)/units.Millisecond)
+	raise(p.cycleSignal)
 }
 
 // claimBuckets raises every bucket's incarnation, a transaction's worth at a
 // time: from then on, saves of a former leader that are still on their way
 // fail.
-func (t *Leader) claimBuckets(ctx context.Context) error {
-	items, _, err := listAll(ctx, t.KV, storage.PrefixBucketHeads)
+func (p *Persister) claimBuckets(ctx context.Context) error {
+	items, _, err := listAll(ctx, p.kv, storage.PrefixBucketHeads)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	for _, i := range items {
 		byKey[i.Key] = i
 	}
-	save := t.nextWriteID()
+	save := p.nextWriteID()
 	var txn protocol.Txn
 	var claiming []int
 	for b := range storage.Buckets {
@@ -138,19 +138,19 @@
 				return fmt.Errorf("record %s: %w", key, err)
 			}
 		}
-		if ok && t.isOwn(head) {
-			t.bucketVersions[b] = item.Version // by an earlier try that got no answer
+		if ok && p.isOwn(head) {
+			p.bucketVersions[b] = item.Version // by an earlier try that got no answer
 			continue
 		}
-		head = storage.LeaseRecord{Holder: t.Settings.Node, Incarnation: head.Incarnation + 1, WriteID: save}
+		head = storage.LeaseRecord{Holder: p.settings.Node, Incarnation: head.Incarnation + 1, WriteID: save}
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: item.Version})
 		txn.Then = append(txn.Then, protocol.Change{Set: key, Value: protocol.Encode(head)})
 		claiming = append(claiming, b)
 	}
-	step := t.Settings.Fleet.State.Both().TxnOps
+	step := p.settings.Fleet.State.Both().TxnOps
 	for from := 0; from < len(claiming); from += step {
 		to := min(from+step, len(claiming))
-		version, err := t.KV.CompareAndSwap(ctx, protocol.Txn{
+		version, err := p.kv.CompareAndSwap(ctx, protocol.Txn{
 			If:   txn.If[from:to],
 			Then: txn.Then[from:to],
 		}, kv.Urgent, kvTimeout)
@@ -158,15 +158,15 @@
 			return err // tried again, with the versions then read
 		}
 		for _, b := range claiming[from:to] {
-			t.bucketVersions[b] = version
+			p.bucketVersions[b] = version
 		}
 	}
 	return nil
 }
 
 // isOwnWrite tells whether a bucket's head was claimed in this very term.
-func (t *Leader) isOwn(head storage.LeaseRecord) bool {
-	return head.Holder == t.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", t.token))
+func (p *Persister) isOwn(head storage.LeaseRecord) bool {
+	return head.Holder == p.settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.token))
 }
 
 // listTimeout bounds the read of one page of a list.
--- a/internal/coordination/round.go
+++ b/internal/coordination/round.go
@@ -2,15 +2,62 @@
 
 import (
 	"context"
+	"log/slog"
 	"slices"
 	"sort"
 	"time"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
+// Scheduler decides which tasks start on which machine. It plans on a snapshot of the state
+// and applies the outcome to the state. Its fields are guarded by the lock of state, and
+// its methods need that lock held.
+type Scheduler struct {
+	state       *cluster.State
+	detector    *Detector
+	pusher      *CommandPusher
+	settings    *config.Settings
+	policy      *config.Policy
+	clock       units.Clock
+	log         *slog.Logger
+	metrics     *Metrics
+	tracer      cluster.AttemptTracer
+	token       uint64
+	writeSignal chan struct{}
+
+	lastCycle units.Micros
+	cycleCost units.Micros // moving mean
+	queue     []queuedJob  // waiting jobs as the last cycle saw them
+	// reservations holds the machines whose free room the last cycle keeps together, and
+	// for which job.
+	reservations map[*cluster.Machine]*cluster.Job
+	// allMachinesConsidered: the last cycle left no machine out for what waits.
+	allMachinesConsidered bool
+	headroom              map[*cluster.Machine]units.Resources // free room that the last cycle kept for replicas
+}
+
+func newScheduler(l *Leader, tracer cluster.AttemptTracer) *Scheduler {
+	return &Scheduler{
+		state:        l.state,
+		detector:     l.detector,
+		pusher:       l.pusher,
+		settings:     l.Settings,
+		policy:       l.Policy,
+		clock:        l.Clock,
+		log:          l.Log,
+		metrics:      l.Metrics,
+		tracer:       tracer,
+		token:        l.token,
+		writeSignal:  l.writeSignal,
+		reservations: map[*cluster.Machine]*cluster.Job{},
+		headroom:     map[*cluster.Machine]units.Resources{},
+	}
+}
+
 const (
 	minCycleInterval   = 25 * units.Millisecond // the least time between rounds
 	summaryInterval    = 10 * units.Second
@@ -21,62 +68,62 @@
 )
 
 // cycleLoop makes rounds of decisions when something has changed.
-func (t *Leader) cycleLoop(ctx context.Context) {
+func (l *Leader) cycleLoop(ctx context.Context) {
 	for sleep(ctx, minCycleInterval) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.cycleSignal:
+		case <-l.cycleSignal:
 		case <-time.After(cycleInterval.Duration()):
 		}
-		t.mu.Lock()
-		if now := t.Clock.Steady(); t.Elector.Valid(t.token) {
-			t.checkTimeouts(now)
-			if t.cycleDue(now) {
-				t.runCycle(now, nil)
+		l.state.Lock()
+		if now := l.Clock.Steady(); l.leadership.Valid() {
+			l.checkTimeouts(now)
+			if l.scheduler.cycleDue(now) {
+				l.scheduler.runCycle(now, nil)
 			} else {
-				raise(t.cycleSignal)
+				raise(l.cycleSignal)
 			}
 		}
-		t.mu.Unlock()
+		l.state.Unlock()
 	}
 }
 
 // checkTimeouts looks for what has passed its time, and logs the summary. Rounds may
 // come forty times a second; all these times are seconds long, and each look goes over
 // the whole fleet.
-func (t *Leader) checkTimeouts(now units.Micros) {
-	if now-t.lastTimeoutCheck < cycleInterval {
+func (l *Leader) checkTimeouts(now units.Micros) {
+	if now-l.lastTimeoutCheck < cycleInterval {
 		return
 	}
-	t.lastTimeoutCheck = now
-	t.expireLeases(now)
-	t.checkHeartbeatLoss(now)
-	if now-t.lastSummary >= summaryInterval {
-		t.lastSummary = now
-		t.logSummary(now)
+	l.lastTimeoutCheck = now
+	l.detector.expireLeases(now)
+	l.detector.checkHeartbeatLoss(now)
+	if now-l.lastSummary >= summaryInterval {
+		l.lastSummary = now
+		l.logSummary(now)
 	}
 }
 
 // cycleDue spaces rounds by what they cost, so that under load they come less
 // often and decide more each.
-func (t *Leader) cycleDue(now units.Micros) bool {
-	return now-t.lastCycle >= max(minCycleInterval, min(t.cycleCost*cycleCostFactor, units.Second))
+func (sc *Scheduler) cycleDue(now units.Micros) bool {
+	return now-sc.lastCycle >= max(minCycleInterval, min(sc.cycleCost*cycleCostFactor, units.Second))
 }
 
 // runCycle plans on a snapshot and takes the outcome over into the ledger.
-func (t *Leader) runCycle(now units.Micros, answering *cluster.Machine) {
-	began := t.Clock.Steady()
-	s, refs := t.snapshot(now, answering)
+func (sc *Scheduler) runCycle(now units.Micros, answering *cluster.Machine) {
+	began := sc.clock.Steady()
+	s, refs := sc.snapshot(now, answering)
 	wanted := Plan(&s)
-	t.allMachinesConsidered = !wanted.Truncated
-	clear(t.reservations)
+	sc.allMachinesConsidered = !wanted.Truncated
+	clear(sc.reservations)
 	for _, h := range wanted.Reservations {
-		t.reservations[refs.machines[h.Machine]] = refs.jobs[h.Job]
+		sc.reservations[refs.machines[h.Machine]] = refs.jobs[h.Job]
 	}
-	t.apply(wanted, refs, now)
-	t.lastCycle = t.Clock.Steady()
-	t.cycleCost = (7*t.cycleCost + (t.lastCycle - began)) / 8
+	sc.apply(wanted, refs, now)
+	sc.lastCycle = sc.clock.Steady()
+	sc.cycleCost = (7*sc.cycleCost + (sc.lastCycle - began)) / 8
 }
 
 // placeOnMachine plans for one machine between two rounds, in the order of the last one.
@@ -84,17 +131,17 @@
 // so that this one is the companion whatever image it holds. It costs little
 // next to a round: a machine that reports the end of a task has the next one
 // in the answer, however large the fleet is.
-func (t *Leader) placeOnMachine(m *cluster.Machine, now units.Micros) {
-	if !t.allMachinesConsidered || len(t.queue) == 0 || m.Free().CPU <= 0 || !t.machineSchedulable(m, now) {
+func (sc *Scheduler) placeOnMachine(m *cluster.Machine, now units.Micros) {
+	if !sc.allMachinesConsidered || len(sc.queue) == 0 || m.Free().CPU <= 0 || !sc.machineSchedulable(m, now) {
 		return
 	}
 	s := Snapshot{MaxPlacements: maxCyclePlacements, Partial: true}
-	teams := t.snapshotTeams(&s)
-	s.Machines = []MachineView{t.machineView(m, now, true)}
-	s.Machines[0].Headroom = t.headroom[m]
+	teams := sc.snapshotTeams(&s)
+	s.Machines = []MachineView{sc.machineView(m, now, true)}
+	s.Machines[0].Headroom = sc.headroom[m]
 	// A few jobs at a time: the first ones mostly take all the room.
-	queue := t.queue
-	if held := t.reservations[m]; held != nil && t.schedulable(held, now) {
+	queue := sc.queue
+	if held := sc.reservations[m]; held != nil && sc.schedulable(held, now) {
 		// The room is kept together for this job: none that comes later gets any.
 		if i := slices.IndexFunc(queue, func(q queuedJob) bool { return q.job == held }); i >= 0 {
 			queue = queue[:i+1]
@@ -102,19 +149,19 @@
 	}
 	for len(queue) > 0 && s.Machines[0].Free.CPU > 0 {
 		n := min(len(queue), jobsPerPlacement)
-		t.placeJobsOnMachine(queue[:n], m, &s, teams, now)
+		sc.placeJobsOnMachine(queue[:n], m, &s, teams, now)
 		queue = queue[n:]
 	}
 }
 
 const jobsPerPlacement = 12
 
-func (t *Leader) placeJobsOnMachine(queue []queuedJob, m *cluster.Machine, s *Snapshot, teams map[string]int, now units.Micros) {
+func (sc *Scheduler) placeJobsOnMachine(queue []queuedJob, m *cluster.Machine, s *Snapshot, teams map[string]int, now units.Micros) {
 	s.Jobs = s.Jobs[:0]
 	refs := &snapshotIndex{machines: []*cluster.Machine{m}}
 	for _, q := range queue {
 		j := q.job
-		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !t.schedulable(j, now) {
+		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !sc.schedulable(j, now) {
 			continue
 		}
 		view := q.view
@@ -122,7 +169,7 @@
 			continue // it has begun; its turn for the rest is found by the next round
 		}
 		view.Pending, view.LiveTasks, view.Team = j.Pending(), len(j.LiveAttempts), teams[j.Spec.Team]
-		t.fillTopology(&view, j)
+		sc.fillTopology(&view, j)
 		if view.LiveByMachine != nil {
 			continue // replicas are placed with all machines in view
 		}
@@ -130,7 +177,7 @@
 		refs.jobs = append(refs.jobs, j)
 	}
 	if len(s.Jobs) > 0 {
-		t.apply(Plan(s), refs, now)
+		sc.apply(Plan(s), refs, now)
 	}
 }
 
@@ -138,35 +185,36 @@
 const checkpointMargin = 2 * units.Second
 
 // apply takes a plan over into the ledger.
-func (t *Leader) apply(wanted Decisions, refs *snapshotIndex, now units.Micros) {
+func (sc *Scheduler) apply(wanted Decisions, refs *snapshotIndex, now units.Micros) {
 	gangs := map[int]bool{}
+	var number uint64
 	for _, w := range wanted.Placements {
 		j, m := refs.jobs[w.Job], refs.machines[w.Machine]
 		for range w.Count {
 			// A gang's tasks find each other by the attempt they share.
 			if j.Spec.Kind != protocol.Gang || !gangs[w.Job] {
-				t.attemptsStarted++
+				number = sc.state.NextAttempt(sc.token)
 				gangs[w.Job] = true
 			}
-			a := t.state.Assign(j, m, t.token<<32|t.attemptsStarted, now)
+			a := sc.state.Assign(j, m, number, now)
 			if a == nil {
 				break
 			}
-			t.traceAttempt("task placed", a)
-			t.Metrics.placed(now - j.LearnedAt)
+			sc.tracer.Trace("task placed", a)
+			sc.metrics.placed(now - j.LearnedAt)
 		}
 		if !j.MachineIsDurable(m.ID) {
-			raise(t.writeSignal)
+			raise(sc.writeSignal)
 		}
 		if j.IsService() {
-			t.requestPush(m, j, now)
+			sc.pusher.requestPush(m, j, now)
 		}
 	}
 	for _, p := range wanted.Preemptions {
 		a := refs.victims[p.Victim]
-		t.state.StopAttempt(a, a.Job.Spec.CheckpointDuration+checkpointMargin)
-		t.requestPush(a.Machine, nil, now)
-		t.Log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
+		sc.state.StopAttempt(a, a.Job.Spec.CheckpointDuration+checkpointMargin)
+		sc.pusher.requestPush(a.Machine, nil, now)
+		sc.log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
 			"class", a.Job.Spec.Class, "for", refs.jobs[p.Job].Spec.ID, "for_class", refs.jobs[p.Job].Spec.Class)
 	}
 }
--- a/internal/coordination/runnable.go
+++ b/internal/coordination/runnable.go
@@ -15,9 +15,9 @@
 func jobMemoryLimit(s *config.Settings) int64 { return int64(s.Fleet.Resources.RAMMB * (1 << 20)) }
 
 // checkAdmissible tells why a new job cannot be taken; status 0 if it can.
-func (t *Leader) checkAdmissible(spec *protocol.JobSpec) (int, string) {
-	status, why := checkFeasible(spec, t.Settings, t.state.InstanceTypes, t.Format.Current())
-	if status == 0 && t.state.Memory()+cluster.JobMemory(spec) > jobMemoryLimit(t.Settings) {
+func (l *Leader) checkAdmissible(spec *protocol.JobSpec) (int, string) {
+	status, why := checkFeasible(spec, l.Settings, l.state.InstanceTypes, l.Format.Current())
+	if status == 0 && l.state.Memory()+cluster.JobMemory(spec) > jobMemoryLimit(l.Settings) {
 		return http.StatusTooManyRequests, "too many unfinished jobs"
 	}
 	return status, why
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -17,7 +17,7 @@
 	clock := &manualClock{now: 100 * units.Second}
 	term := testLeader(7, clock)
 	term.Format.current.Store(storage.FormatNew)
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Kind, spec.Tasks, spec.ZoneSpread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
 	term.state.NewJob(spec, clock.now, clock.now)
@@ -145,7 +145,7 @@
 		f.end(i, cause)
 	}
 	f.report()
-	term.reconcile(&late, f.clock.now)
+	term.reconciler.reconcile(&late, f.clock.now)
 	f.report()
 	f.report()
 	if f.running() != 4 || f.zones()["a"] != 2 || f.started != 8 {
@@ -211,7 +211,7 @@
 	}
 	for range 25 {
 		f.report()
-		term.expireLeases(clock.now)
+		term.detector.expireLeases(clock.now)
 		if f.running() > 1 {
 			t.Fatalf("%d replicas run in one zone: %v", f.running(), f.zones())
 		}
@@ -256,10 +256,10 @@
 	spec.Tasks = 3
 	writer := testLeader(7, &manualClock{now: units.Second})
 	writer.state.NewJob(spec, 0, 0)
-	s := writer.state.BuildWriteBatch("1-1", writer.bucketVersions, cluster.BatchLimits{}, 0)
+	s := writer.state.BuildWriteBatch("1-1", writer.persister.bucketVersions, cluster.BatchLimits{}, 0)
 	writer.state.BatchCommitted(s, 1)
 	writer.state.TaskDone(writer.state.Jobs[spec.ID], 1, 0)
-	s = writer.state.BuildWriteBatch("1-2", writer.bucketVersions, cluster.BatchLimits{Background: true}, 10*units.Second)
+	s = writer.state.BuildWriteBatch("1-2", writer.persister.bucketVersions, cluster.BatchLimits{Background: true}, 10*units.Second)
 	var fields map[string]any
 	if err := protocol.Decode(s.Txn.Then[0].Value, &fields); err != nil {
 		t.Fatal(err)
@@ -287,15 +287,15 @@
 	for _, r := range f.machines {
 		r.Endpoint = "127.0.0.1:1"
 		r.Sequence++
-		term.reconcile(r, clock.now)
+		term.reconciler.reconcile(r, clock.now)
 	}
-	term.lastCycle = -units.Second
-	term.runCycle(clock.now, nil)
-	if len(term.pushRequests) == 0 {
+	term.scheduler.lastCycle = -units.Second
+	term.scheduler.runCycle(clock.now, nil)
+	if len(term.pusher.pushRequests) == 0 {
 		t.Fatal("no machine is woken")
 	}
-	for id, h := range term.pushRequests {
-		_, body := term.pushCommands(id, h.startOf)
+	for id, h := range term.pusher.pushRequests {
+		_, body := term.pusher.pushCommands(id, h.startOf)
 		var d protocol.DirectCommands
 		if err := protocol.Decode(body, &d); err != nil {
 			t.Fatal(err)
@@ -307,14 +307,14 @@
 	a := term.state.Jobs["j-000001"].LiveAttempts[0]
 	a.Stage = cluster.Running
 	term.state.StopAttempt(a, units.Second)
-	if _, body := term.pushCommands(a.Machine.ID, nil); body == nil {
+	if _, body := term.pusher.pushCommands(a.Machine.ID, nil); body == nil {
 		t.Error("the stop waits")
 	}
 	// One more task than a job may have is no task: a report that named it would
 	// be refused for ever.
 	huge := *term.state.Jobs["j-000001"]
 	huge.Spec.Tasks = protocol.MaxTasks
-	if _, body := term.pushCommands("i-000003", &huge); body != nil {
+	if _, body := term.pusher.pushCommands("i-000003", &huge); body != nil {
 		t.Error("a machine is woken with a task beyond the last number")
 	}
 }
@@ -403,7 +403,7 @@
 	for range 60 {
 		f.report()
 	}
-	if got := len(term.idleMachines(clock.now)); got != 0 || term.policyInput().QuietS != 0 {
+	if got := len(term.autoscaler.idleMachines(clock.now)); got != 0 || term.autoscaler.policyInput().QuietS != 0 {
 		t.Errorf("%d machines are returned while there is work", got)
 	}
 	term.state.TaskDone(term.state.Jobs["j-000002"], 0, clock.now)
@@ -412,7 +412,7 @@
 		f.report()
 	}
 	// 34 machines of 4 processors; two replicas, and two spare ones in the zone.
-	if got := len(term.idleMachines(clock.now)); got < 28 || got > 32 {
+	if got := len(term.autoscaler.idleMachines(clock.now)); got < 28 || got > 32 {
 		t.Errorf("%d machines are returned", got)
 	}
 }
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -2,9 +2,44 @@
 
 import (
 	"dunestand/internal/cluster"
+	"dunestand/internal/config"
 	"dunestand/internal/units"
+	"log/slog"
 )
 
+// Detector judges by their heartbeats which machines are lost, and by the heartbeats of all
+// of them whether this controller itself is cut off or too slow to lead. Its fields are
+// guarded by the lock of state, and its methods need that lock held.
+type Detector struct {
+	state            *cluster.State
+	leadership       Leadership
+	settings         *config.Settings
+	clock            units.Clock
+	log              *slog.Logger
+	electedAt        units.Micros
+	unreachablePeers func() int
+	peerReachable    func() bool
+	writeSignal      chan struct{}
+
+	maxUnreachablePeers int          // the most controllers that were unreachable at a time
+	judgeSilenceFrom    units.Micros // this controller was late itself: until then no machine is judged
+	allReconciled       bool         // it is known what every machine holds
+}
+
+func newDetector(l *Leader) *Detector {
+	return &Detector{
+		state:            l.state,
+		leadership:       l.leadership,
+		settings:         l.Settings,
+		clock:            l.Clock,
+		log:              l.Log,
+		electedAt:        l.electedAt,
+		unreachablePeers: l.UnreachablePeers,
+		peerReachable:    l.PeerReachable,
+		writeSignal:      l.writeSignal,
+	}
+}
+
 // heartbeatHealth counts the machines of a zone, or of the fleet, by how they report.
 type heartbeatHealth struct{ healthy, suspected, lost int }
 
@@ -19,16 +54,16 @@
 // carry nothing out, those of which only a record tells among them, as far as
 // they are to be released: only while most others report, in the fleet and in
 // their zone. A zone that is cut off from everything must not be given away.
-func (t *Leader) lostMachines(now units.Micros) map[string]bool {
+func (d *Detector) lostMachines(now units.Micros) map[string]bool {
 	silent := map[string]bool{}
-	if now < t.judgeSilenceFrom {
+	if now < d.judgeSilenceFrom {
 		return silent
 	}
 	var fleet heartbeatHealth
 	zones := map[string]*heartbeatHealth{}
-	report := t.Settings.Fleet.Workers.Report()
-	limit := t.suspectAfter() + units.Second
-	for _, m := range t.state.SortedMachines() {
+	report := d.settings.Fleet.Workers.Report()
+	limit := d.suspectAfter() + units.Second
+	for _, m := range d.state.SortedMachines() {
 		zone := zones[m.Zone]
 		if zone == nil {
 			zone = new(heartbeatHealth)
@@ -47,10 +82,10 @@
 			zone.healthy++
 		}
 	}
-	t.maxUnreachablePeers = max(t.maxUnreachablePeers, t.UnreachablePeers())
-	if now-t.electedAt > leaderSearchStart+report.Share(5, 4)+leaderSearchPerNode*units.Micros(t.maxUnreachablePeers) {
-		for _, id := range t.state.UnreconciledMachines() {
-			m := t.state.Machines[id]
+	d.maxUnreachablePeers = max(d.maxUnreachablePeers, d.unreachablePeers())
+	if now-d.electedAt > leaderSearchStart+report.Share(5, 4)+leaderSearchPerNode*units.Micros(d.maxUnreachablePeers) {
+		for _, id := range d.state.UnreconciledMachines() {
+			m := d.state.Machines[id]
 			if m != nil && m.Registered {
 				continue
 			}
@@ -62,13 +97,13 @@
 		}
 	}
 	for id := range silent {
-		m := t.state.Machines[id]
-		if t.state.HoldsCancelled(id) && (m == nil || zones[m.Zone] == nil || zones[m.Zone].healthy > 0) {
+		m := d.state.Machines[id]
+		if d.state.HoldsCancelled(id) && (m == nil || zones[m.Zone] == nil || zones[m.Zone].healthy > 0) {
 			// A machine that hangs does not end its tasks with its lease, so these
 			// would be there beyond cancel_s. A cut does not hit a part of a zone.
 			continue
 		}
-		if !fleet.healthyPerMissing(2) || m != nil && !t.mayReleaseInZone(m, zones[m.Zone], now) {
+		if !fleet.healthyPerMissing(2) || m != nil && !d.mayReleaseInZone(m, zones[m.Zone], now) {
 			delete(silent, id)
 		}
 	}
@@ -78,69 +113,69 @@
 // mayReleaseInZone tells whether a silent machine of a zone may be released. Where
 // maxEntries of a zone is silent, a machine is kept until its tasks are given up
 // anyway and some time more, as long as there are several.
-func (t *Leader) mayReleaseInZone(m *cluster.Machine, zone *heartbeatHealth, now units.Micros) bool {
+func (d *Detector) mayReleaseInZone(m *cluster.Machine, zone *heartbeatHealth, now units.Micros) bool {
 	return zone == nil || zone.healthyPerMissing(1) || zone.lost+zone.suspected < minZoneCutMachines ||
-		now-max(m.LastHeartbeat, t.electedAt) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutGrace)
+		now-max(m.LastHeartbeat, d.electedAt) > withDrift(d.settings.Fleet.Workers.Lease(), zoneCutGrace)
 }
 
 // checkHeartbeatLoss gives the lease up when none of several machines has been
 // lastAnswerAt for so long that it must be this node that is cut off. Another node
 // may still reach them before their leases run out. This must not wait for
 // anything that the same cut may hold up, such as a call to the cloud.
-func (t *Leader) checkHeartbeatLoss(now units.Micros) {
-	quiet := t.Settings.Fleet.Workers.Report().Share(3, 2) + heartbeatLossMargin
+func (d *Detector) checkHeartbeatLoss(now units.Micros) {
+	quiet := d.settings.Fleet.Workers.Report().Share(3, 2) + heartbeatLossMargin
 	// Before the first report the workers have to find this node. Whom to
 	// expect, the records say.
-	last, known := t.electedAt+workerReturnTime, 0
-	for _, m := range t.state.Machines {
+	last, known := d.electedAt+workerReturnTime, 0
+	for _, m := range d.state.Machines {
 		if m.Registered && !m.Releasing {
 			known++
 			last = max(last, m.LastHeartbeat)
 		}
 	}
 	if known == 0 {
-		known = t.state.UnreconciledCount()
+		known = d.state.UnreconciledCount()
 	}
-	if t.ready && known >= 2 && now-last > quiet && now-last < 3*quiet {
-		t.Log.Info("no machine reports; the lease is given up", "machines", known, "silent_ms", (now-last)/units.Millisecond)
-		t.Elector.StepDown()
+	if d.state.Restored && known >= 2 && now-last > quiet && now-last < 3*quiet {
+		d.log.Info("no machine reports; the lease is given up", "machines", known, "silent_ms", (now-last)/units.Millisecond)
+		d.leadership.StepDown()
 	}
 }
 
 // expireLeases gives up what silent machines held once their leases have run out.
-func (t *Leader) expireLeases(now units.Micros) {
-	lease := t.workerLease()
-	for _, m := range t.state.Machines {
-		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, t.electedAt) >= lease {
-			t.Log.Info("machine's lease ran out", "machine", m.ID, "lost", len(m.Attempts))
-			m.MayHoldCancelled = m.MayHoldCancelled || t.state.HoldsCancelled(m.ID)
-			t.state.MachineEmptied(m, now)
+func (d *Detector) expireLeases(now units.Micros) {
+	lease := d.workerLease()
+	for _, m := range d.state.Machines {
+		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, d.electedAt) >= lease {
+			d.log.Info("machine's lease ran out", "machine", m.ID, "lost", len(m.Attempts))
+			m.MayHoldCancelled = m.MayHoldCancelled || d.state.HoldsCancelled(m.ID)
+			d.state.MachineEmptied(m, now)
 		}
 	}
-	if !t.allReconciled && t.ready && now-t.electedAt >= lease {
+	if !d.allReconciled && d.state.Restored && now-d.electedAt >= lease {
 		// What a former leader started is over everywhere, but on machines that
 		// accepted an answer of this one since: and these have told what they hold,
 		// as an answer is accepted only to the newest report. A machine that hears
 		// no answer would otherwise stay unconfirmed for as long as it reports.
-		for _, id := range t.state.UnreconciledMachines() {
-			t.state.MarkReconciled(id)
+		for _, id := range d.state.UnreconciledMachines() {
+			d.state.MarkReconciled(id)
 		}
 	}
-	if !t.allReconciled && t.ready && t.state.UnreconciledCount() == 0 {
-		t.allReconciled = true
-		t.Log.Info("all machines confirmed", "after_ms", (now-t.electedAt)/units.Millisecond)
+	if !d.allReconciled && d.state.Restored && d.state.UnreconciledCount() == 0 {
+		d.allReconciled = true
+		d.log.Info("all machines confirmed", "after_ms", (now-d.electedAt)/units.Millisecond)
 	}
-	for _, j := range t.state.Jobs {
+	for _, j := range d.state.Jobs {
 		if j.Cancelled && len(j.LiveAttempts) == 0 && len(j.UnreconciledMachines) == 0 && j.CancelDurable && !j.WritePending() {
 			j.MarkChanged(now, true)
-			raise(t.writeSignal)
+			raise(d.writeSignal)
 		}
 	}
 }
 
 // workerLease is how long a machine may go on after its last answered report came
 // in, by this node's clock.
-func (t *Leader) workerLease() units.Micros { return workerLeaseBound(t.Settings.Fleet.Workers) }
+func (d *Detector) workerLease() units.Micros { return workerLeaseBound(d.settings.Fleet.Workers) }
 
 // What the silence of machines is measured by. Reports come a quarter of their interval
 // early or late.
@@ -155,7 +190,7 @@
 // in trouble: two reports and what a lost connection costs, or, where reports
 // come seldom, one report and what one costs that gets no answer (the worker
 // waits 4 s and turns to the next node a second later).
-func (t *Leader) suspectAfter() units.Micros {
-	report := t.Settings.Fleet.Workers.Report()
+func (d *Detector) suspectAfter() units.Micros {
+	report := d.settings.Fleet.Workers.Report()
 	return min(report.Share(5, 2)+reconnectTime, report.Share(5, 4)+unansweredHeartbeatTime)
 }
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -20,7 +20,7 @@
 				r.Zone = "cut"
 			}
 			if !skip(i) {
-				term.reconcile(r, clock.now)
+				term.reconciler.reconcile(r, clock.now)
 			}
 		}
 	}
@@ -29,7 +29,7 @@
 		clock.now += units.Second
 		report(seq, func(i int) bool { return i < 8 || i == 20 })
 	}
-	silent := term.lostMachines(clock.now)
+	silent := term.detector.lostMachines(clock.now)
 	if len(silent) != 1 || !silent["i-000020"] {
 		t.Fatalf("to be released: %v", silent)
 	}
@@ -45,11 +45,11 @@
 		m.Stage = stage
 	}
 	clock.now += 90 * units.Second
-	if names := term.machinesToRelease(clock.now); len(names) != 1 || names[0] != "i-000002" {
+	if names := term.autoscaler.machinesToRelease(clock.now); len(names) != 1 || names[0] != "i-000002" {
 		t.Errorf("to be released: %v", names)
 	}
 	clock.now += 200 * units.Second
-	if names := term.machinesToRelease(clock.now); len(names) != 3 {
+	if names := term.autoscaler.machinesToRelease(clock.now); len(names) != 3 {
 		t.Errorf("to be released at last: %v", names)
 	}
 }
@@ -64,17 +64,17 @@
 		term.Settings.Fleet.Workers.ReportS = seconds
 		gap := units.Seconds(seconds).Share(5, 4)
 		for i := range 5 {
-			term.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 7), clock.now)
+			term.reconciler.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 7), clock.now)
 		}
 		clock.now += gap + 5*units.Second
 		for i := range 4 {
-			term.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 2, 7), clock.now)
+			term.reconciler.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 2, 7), clock.now)
 		}
-		if len(term.lostMachines(clock.now)) != 0 {
+		if len(term.detector.lostMachines(clock.now)) != 0 {
 			t.Errorf("reports every %v s: one that got no answer counts as silence", seconds)
 		}
 		clock.now += 1100 * units.Millisecond
-		if silent := term.lostMachines(clock.now); !silent["i-000004"] || len(silent) != 1 {
+		if silent := term.detector.lostMachines(clock.now); !silent["i-000004"] || len(silent) != 1 {
 			t.Errorf("reports every %v s: silent are %v", seconds, silent)
 		}
 	}
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"sort"
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
@@ -24,10 +23,10 @@
 
 // snapshotTeams adds the teams to a snapshot and gives their places in it. Tasks
 // that unsettled machines may hold count as used.
-func (t *Leader) snapshotTeams(s *Snapshot) map[string]int {
-	teams := make(map[string]int, len(t.state.Teams))
-	for _, name := range sortedKeys(t.state.Teams) {
-		team := t.state.Teams[name]
+func (sc *Scheduler) snapshotTeams(s *Snapshot) map[string]int {
+	teams := make(map[string]int, len(sc.state.Teams))
+	for _, name := range sortedKeys(sc.state.Teams) {
+		team := sc.state.Teams[name]
 		teams[name] = len(s.Teams)
 		s.Teams = append(s.Teams, TeamView{
 			GuaranteedQuota: team.GuaranteedQuota,
@@ -36,10 +35,10 @@
 			Freeing:         team.Freeing,
 		})
 	}
-	if t.allReconciled {
+	if sc.detector.allReconciled {
 		return teams
 	}
-	for j := range t.state.UnreconciledJobs() {
+	for j := range sc.state.UnreconciledJobs() {
 		if i, ok := teams[j.Spec.Team]; ok {
 			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Request, j.UnreconciledTasks())
 		}
@@ -48,9 +47,9 @@
 }
 
 // machineSchedulable tells whether a machine may be given work.
-func (t *Leader) machineSchedulable(m *cluster.Machine, now units.Micros) bool {
-	return m.Registered && m.FencingToken == t.token && m.UndeliveredCommands < maxUndeliveredCommands && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
-		now >= m.BlockedUntil && now-m.LastHeartbeat < t.suspectAfter()
+func (sc *Scheduler) machineSchedulable(m *cluster.Machine, now units.Micros) bool {
+	return m.Registered && m.FencingToken == sc.token && m.UndeliveredCommands < maxUndeliveredCommands && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
+		now >= m.BlockedUntil && now-m.LastHeartbeat < sc.detector.suspectAfter()
 }
 
 // starvationAge is how long a job may wait for its first task until that goes
@@ -59,8 +58,8 @@
 const starvationAge = 120 * units.Second
 
 // starved tells whether a job has waited too long and has nothing done yet.
-func (t *Leader) starved(j *cluster.Job) bool {
-	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && t.Clock.Wall()-j.Submitted > starvationAge && j.Spec.Kind != protocol.Gang
+func (sc *Scheduler) starved(j *cluster.Job) bool {
+	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && sc.clock.Wall()-j.Submitted > starvationAge && j.Spec.Kind != protocol.Gang
 }
 
 // defaultPatience is how long a job waits for room where no aim says how soon it is to
@@ -71,33 +70,33 @@
 // What is stopped has to be done again, and in a large fleet tasks end all the
 // time: where they leave room enough for the job in a part of what the users'
 // aims allow, it waits that long.
-func (t *Leader) awaitsCompletions(j *cluster.Job, now units.Micros) bool {
+func (sc *Scheduler) awaitsCompletions(j *cluster.Job, now units.Micros) bool {
 	patience := defaultPatience
 	if j.Spec.Priority < protocol.High {
-		if due := t.Settings.Fleet.GuaranteeDue(); due > 0 {
+		if due := sc.settings.Fleet.GuaranteeDue(); due > 0 {
 			patience = due / 4
 		}
-	} else if due := t.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
+	} else if due := sc.settings.Fleet.StartDue(j.Spec.Class); due > 0 {
 		patience = due / 8
 	}
-	return now-j.LearnedAt < patience && t.completions.within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
+	return now-j.LearnedAt < patience && sc.state.Completions.Within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
 }
 
 // schedulable tells whether tasks of a job may be placed now.
-func (t *Leader) schedulable(j *cluster.Job, now units.Micros) bool {
+func (sc *Scheduler) schedulable(j *cluster.Job, now units.Micros) bool {
 	return j.HasTasksToPlace() && now >= j.RetryAt && len(j.UnreconciledMachines) == 0
 }
 
-func (t *Leader) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
-	next := max(0, m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now)
+func (sc *Scheduler) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
+	next := max(0, m.LastHeartbeat+sc.settings.Fleet.Workers.Report()-now)
 	return MachineView{
 		ID:                     m.ID,
 		InstanceType:           m.InstanceType,
 		Zone:                   m.Zone,
 		Spot:                   m.Spot,
 		Slow:                   m.Slow,
-		Schedulable:            t.machineSchedulable(m, now),
-		FetchRate:              units.AmountOf(t.state.InstanceTypes[m.InstanceType].FetchRate),
+		Schedulable:            sc.machineSchedulable(m, now),
+		FetchRate:              units.AmountOf(sc.state.InstanceTypes[m.InstanceType].FetchRate),
 		Capacity:               m.Capacity,
 		Free:                   m.Free(),
 		Freeing:                m.Freeing,
@@ -108,7 +107,7 @@
 }
 
 // fillTopology fills in where a job's tasks are, for jobs that care.
-func (t *Leader) fillTopology(view *JobView, j *cluster.Job) {
+func (sc *Scheduler) fillTopology(view *JobView, j *cluster.Job) {
 	view.LiveByZone, view.LiveByMachine = nil, nil
 	if j.Spec.ZoneAffinity || j.Spec.ZoneSpread || j.Spec.Kind == protocol.Service {
 		view.LiveByZone = map[string]int{}
@@ -126,14 +125,14 @@
 
 // snapshot takes down what a round decides on. answering is the machine whose report is
 // being answered, nil if none is.
-func (t *Leader) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
+func (sc *Scheduler) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
 	var s Snapshot
 	refs := new(snapshotIndex)
-	t.completions.advance(now)
-	teams := t.snapshotTeams(&s)
-	views := t.snapshotJobs(&s, refs, teams, now)
-	t.snapshotMachines(&s, refs, teams, views, now, answering)
-	t.updateHeadroom(&s, refs.machines)
+	sc.state.Completions.Advance(now)
+	teams := sc.snapshotTeams(&s)
+	views := sc.snapshotJobs(&s, refs, teams, now)
+	sc.snapshotMachines(&s, refs, teams, views, now, answering)
+	sc.updateHeadroom(&s, refs.machines)
 	waiting := 0
 	for k := range s.Jobs {
 		waiting += s.Jobs[k].Pending
@@ -144,13 +143,13 @@
 
 // snapshotJobs adds the jobs that wait and may be placed, and notes the queue of all that
 // wait.
-func (t *Leader) snapshotJobs(s *Snapshot, refs *snapshotIndex, teams map[string]int, now units.Micros) jobViews {
-	jobs := t.jobsInOrder()
+func (sc *Scheduler) snapshotJobs(s *Snapshot, refs *snapshotIndex, teams map[string]int, now units.Micros) jobViews {
+	jobs := sc.state.JobsBySubmission()
 	s.Jobs = make([]JobView, 0, len(jobs))
 	refs.jobs = make([]*cluster.Job, 0, len(jobs))
 	views := make(jobViews, len(jobs))
 	committed := make([]units.Resources, len(s.Teams))
-	t.queue = t.queue[:0]
+	sc.queue = sc.queue[:0]
 	for _, j := range jobs {
 		team, ok := teams[j.Spec.Team]
 		if !ok {
@@ -159,25 +158,25 @@
 		committed[team] = committed[team].Plus(j.Spec.Request, j.Spec.Tasks)
 		guarantee := s.Teams[team].GuaranteedQuota
 		guaranteed := committed[team].CPU <= guarantee.CPU && committed[team].GPU <= guarantee.GPU
-		view := t.jobView(j, team, guaranteed, now)
+		view := sc.jobView(j, team, guaranteed, now)
 		views[j] = view
 		if j.Cancelled || !j.Accepted() {
 			continue
 		}
-		t.queue = append(t.queue, queuedJob{j, *view})
-		if !t.schedulable(j, now) {
+		sc.queue = append(sc.queue, queuedJob{j, *view})
+		if !sc.schedulable(j, now) {
 			continue
 		}
-		t.fillTopology(view, j)
+		sc.fillTopology(view, j)
 		s.Jobs = append(s.Jobs, *view)
 		refs.jobs = append(refs.jobs, j)
 	}
-	slices.SortFunc(t.queue, func(a, b queuedJob) int { return compareJobs(&a.view, &b.view) })
+	slices.SortFunc(sc.queue, func(a, b queuedJob) int { return compareJobs(&a.view, &b.view) })
 	return views
 }
 
-func (t *Leader) jobView(j *cluster.Job, team int, guaranteed bool, now units.Micros) *JobView {
-	in := t.rankInput(j)
+func (sc *Scheduler) jobView(j *cluster.Job, team int, guaranteed bool, now units.Micros) *JobView {
+	in := sc.rankInput(j)
 	return &JobView{
 		Spec:              &j.Spec,
 		Team:              team,
@@ -185,10 +184,10 @@
 		Pending:           j.Pending(),
 		LiveTasks:         len(j.LiveAttempts),
 		WithinGuarantee:   guaranteed,
-		AwaitsCompletions: t.awaitsCompletions(j, now),
+		AwaitsCompletions: sc.awaitsCompletions(j, now),
 		MissesDeadline:    in.Late,
-		Rank:              t.Policy.Rank(in),
-		Starved:           t.starved(j) && len(j.LiveAttempts) == 0,
+		Rank:              sc.policy.Rank(in),
+		Starved:           sc.starved(j) && len(j.LiveAttempts) == 0,
 		Avoid: func(machine string) bool {
 			return j.FailedMachines[machine] && len(j.FailedMachines) < 3 || !j.CanRecordMachine(machine)
 		},
@@ -196,8 +195,8 @@
 }
 
 // snapshotMachines adds the machines that have reported, and what of services is on each.
-func (t *Leader) snapshotMachines(s *Snapshot, refs *snapshotIndex, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
-	machines := t.state.SortedMachines()
+func (sc *Scheduler) snapshotMachines(s *Snapshot, refs *snapshotIndex, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
+	machines := sc.state.SortedMachines()
 	s.Machines = make([]MachineView, 0, len(machines))
 	refs.machines = make([]*cluster.Machine, 0, len(machines))
 	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveByMachine != nil })
@@ -205,8 +204,8 @@
 		if !m.Registered {
 			continue
 		}
-		t.evictBeforeTermination(m, now)
-		view := t.machineView(m, now, m == answering)
+		sc.evictBeforeTermination(m, now)
+		view := sc.machineView(m, now, m == answering)
 		if services {
 			for _, a := range m.Attempts {
 				if v := views[a.Job]; v != nil && v.LiveByMachine != nil {
@@ -215,7 +214,7 @@
 			}
 		}
 		if view.Schedulable {
-			view.Victims = func() []Victim { return t.preemptionVictims(m, teams, views, refs, now) }
+			view.Victims = func() []Victim { return sc.preemptionVictims(m, teams, views, refs, now) }
 		}
 		s.Machines = append(s.Machines, view)
 		refs.machines = append(refs.machines, m)
@@ -223,14 +222,14 @@
 }
 
 // preemptionVictims lists the tasks on a machine that could be stopped.
-func (t *Leader) preemptionVictims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotIndex, now units.Micros) []Victim {
+func (sc *Scheduler) preemptionVictims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotIndex, now units.Micros) []Victim {
 	out := make([]Victim, 0, len(m.Attempts))
 	for _, a := range m.SortedAttempts() {
 		team, ok := teams[a.Job.Spec.Team]
 		if !ok || views[a.Job] == nil || a.Stopping || a.Stage != cluster.Running && a.Stage != cluster.Fetching {
 			continue
 		}
-		if t.starved(a.Job) && len(a.Job.LiveAttempts) == 1 {
+		if sc.starved(a.Job) && len(a.Job.LiveAttempts) == 1 {
 			continue // all that its job has, after a long wait
 		}
 		v := Victim{
@@ -259,9 +258,9 @@
 // that could be stopped: what they lose is not work that can be done again.
 const replicaLostWork = 1_000_000 * units.Second
 
-func (t *Leader) rankInput(j *cluster.Job) config.RankInput {
-	waited := max(0, t.Clock.Wall()-j.Submitted)
-	estimate := t.state.EstimateRuntime(j)
+func (sc *Scheduler) rankInput(j *cluster.Job) config.RankInput {
+	waited := max(0, sc.clock.Wall()-j.Submitted)
+	estimate := sc.state.EstimateRuntime(j)
 	in := config.RankInput{
 		Class: j.Spec.Class, Team: j.Spec.Team, Priority: int(j.Spec.Priority),
 		Tasks: j.Spec.Tasks, Unfinished: j.Unfinished(), Pending: j.Pending(),
@@ -270,17 +269,17 @@
 		DueS:  config.NoDeadline, StartDueS: config.NoDeadline,
 	}
 	in.FinishS = in.RunS
-	if team := t.state.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
+	if team := sc.state.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
 		in.FinishS = max(in.RunS, in.WorkS/team.QuotaLimit.CPU.Float())
 	}
-	for _, due := range t.Settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
+	for _, due := range sc.settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
 		in.DueS = (due - waited).Seconds()
 		in.Late = in.DueS < in.FinishS*estimateTrust
 		if !in.Late {
 			break
 		}
 	}
-	if due := t.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
+	if due := sc.settings.Fleet.StartDue(j.Spec.Class); due > 0 {
 		in.StartDueS = (due - waited).Seconds()
 	}
 	return in
@@ -290,18 +289,3 @@
 // estimates are often wrong by half, and what is called late waits behind all
 // the rest, though it might have been in time.
 const estimateTrust = 2.0 / 3
-
-// jobsInOrder lists the jobs in the order of their submission.
-func (t *Leader) jobsInOrder() []*cluster.Job {
-	jobs := make([]*cluster.Job, 0, len(t.state.Jobs))
-	for _, j := range t.state.Jobs {
-		jobs = append(jobs, j)
-	}
-	sort.Slice(jobs, func(i, k int) bool {
-		if a, b := jobs[i].Submitted, jobs[k].Submitted; a != b {
-			return a < b
-		}
-		return jobs[i].Spec.ID < jobs[k].Spec.ID
-	})
-	return jobs
-}
--- a/internal/coordination/term.go
+++ b/internal/coordination/term.go
@@ -4,25 +4,22 @@
 	"context"
 	"log/slog"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"dunestand/internal/cloud"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
-	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
-// Deps is what a term works with.
+// Deps is what a leader works with.
 type Deps struct {
 	Settings *config.Settings
 	Policy   *config.Policy
 	KV       *kv.Client
 	Cloud    *cloud.Client
-	Elector  *Elector
 	Clock    units.Clock
 	Log      *slog.Logger
 	Dial     transport.DialFunc // nil: the machine's own network
@@ -31,81 +28,71 @@
 	Admitter *admitter // nil: all jobs are admitted
 	// UnreachablePeers counts the other controllers that cannot be reached.
 	UnreachablePeers func() int
-	// PeerReachable tells whether any other controller answers.
+	// PeerReachable reports whether any other controller answers.
 	PeerReachable func() bool
 }
 
-// Leader is one node's time as leader. What it knows is gone with it.
+// Leader is one controller's time as leader, from an election to the loss of the lease. It
+// composes the components that do the work; what they know is gone with it.
+//
+// The lock of state guards all that the components decide on. Methods that end in "locked"
+// comments and all methods of the components that take a time need it held.
 type Leader struct {
 	Deps
-	token         uint64
-	electedAt     units.Micros
-	traceAttempts bool // steps of attempts are logged
+	leadership Leadership
+	token      uint64
+	electedAt  units.Micros
 
-	mu                    sync.Mutex
-	allReconciled         bool
-	ready                 bool
-	state                 *cluster.State
-	bucketVersions        []uint64
-	terminalJobs          *terminalCache
-	attemptsStarted       uint64
-	writes                uint64
-	scaleOutRequests      uint64
-	completions           completionRate
-	lastCycle             units.Micros
-	lastFiniteJobAt       units.Micros                      // when there was an unfinished job that ends by itself
-	cycleCost             units.Micros                      // moving mean
-	queue                 []queuedJob                       // waiting jobs as the last round saw them
-	reservations          map[*cluster.Machine]*cluster.Job // whose room the last round keeps together for whom
-	allMachinesConsidered bool                              // the last round left no machine unasked for what waits
-	lastSummary           units.Micros
-	lastTimeoutCheck      units.Micros
-	maxUnreachablePeers   int          // the most controllers out of reach at a time in this term
-	judgeSilenceFrom      units.Micros // this node was late itself: until then no machine's silence is judged
-	released              releasedMachines
-	headroom              map[*cluster.Machine]units.Resources // room that the last round kept for replicas
-	pushRequests          map[string]*pushRequest              // machines that are told something before their next report
-	writesInFlight        int
-	pendingUncleared      atomic.Bool // the inbox may hold what is to be taken out and was not
-	admission             leaderAdmission
-	provisioning          provisioningState
+	state       *cluster.State
+	scheduler   *Scheduler
+	detector    *Detector
+	reconciler  *Reconciler
+	pusher      *CommandPusher
+	broadcaster *TokenBroadcaster
+	autoscaler  *Autoscaler
+	persister   *Persister
+	ingester    *Ingester
+	terminals   *TerminalJobs
+	admission   *LeaderAdmission
+
+	lastSummary      units.Micros // guarded by the lock of state
+	lastTimeoutCheck units.Micros // likewise
 
-	restored    chan struct{} // closed once the records are restored
 	writeSignal chan struct{}
 	cycleSignal chan struct{}
-	pushSignal  chan struct{}
 }
 
-// NewLeader starts a term that was just claimed. Everything waits for Run to
+// NewLeader returns the leader of an election that was just won. Everything waits for Run to
 // restore the records.
-func NewLeader(number uint64, deps Deps) *Leader {
-	deps.Log = deps.Log.With("term", number)
-	t := &Leader{
-		Deps:            deps,
-		token:           number,
-		traceAttempts:   deps.Log.Enabled(context.Background(), slog.LevelDebug),
-		electedAt:       deps.Clock.Steady(),
-		lastFiniteJobAt: deps.Clock.Steady(),
-		state:           cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
-		bucketVersions:  make([]uint64, storage.Buckets),
-		restored:        make(chan struct{}),
-		terminalJobs:    newTerminalCache(4096),
-		released:        releasedMachines{},
-		pushRequests:    map[string]*pushRequest{},
-		headroom:        map[*cluster.Machine]units.Resources{},
-		provisioning:    newProvisioningState(),
-		reservations:    map[*cluster.Machine]*cluster.Job{},
-		writeSignal:     make(chan struct{}, 1),
-		cycleSignal:     make(chan struct{}, 1),
-		pushSignal:      make(chan struct{}, 1),
+func NewLeader(leadership Leadership, deps Deps) *Leader {
+	deps.Log = deps.Log.With("term", leadership.Token())
+	l := &Leader{
+		Deps:        deps,
+		leadership:  leadership,
+		token:       leadership.Token(),
+		electedAt:   deps.Clock.Steady(),
+		state:       cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
+		writeSignal: make(chan struct{}, 1),
+		cycleSignal: make(chan struct{}, 1),
 	}
-	t.admission = t.newLeaderAdmission()
+	tracer := cluster.NewAttemptTracer(deps.Log)
+	l.terminals = newTerminalJobs(l.state, deps.KV)
+	l.detector = newDetector(l)
+	l.pusher = newCommandPusher(l)
+	l.scheduler = newScheduler(l, tracer)
+	l.reconciler = newReconciler(l, tracer)
+	l.broadcaster = newTokenBroadcaster(l)
+	l.autoscaler = newAutoscaler(l)
+	l.ingester = newIngester(l)
+	l.persister = newPersister(l, tracer)
+	l.admission = newLeaderAdmission(l)
+	l.persister.admission = l.admission
 	if deps.Admitter != nil {
-		t.state.OnRunObserved = func(j *cluster.Job, run units.Micros) {
-			t.admission.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
+		l.state.OnRunObserved = func(j *cluster.Job, run units.Micros) {
+			l.admission.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
 		}
 	}
-	return t
+	return l
 }
 
 func raise(c chan struct{}) {
@@ -126,15 +113,15 @@
 }
 
 // Run restores the records and then leads until ctx ends.
-func (t *Leader) Run(ctx context.Context) {
-	t.Log.Info("term begins")
-	for !t.restore(ctx) {
+func (l *Leader) Run(ctx context.Context) {
+	l.Log.Info("term begins")
+	for !l.persister.restore(ctx) {
 		if !sleep(ctx, readRetryDelay) {
 			return
 		}
 	}
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){t.writeLoop, t.cycleLoop, t.autoscaleLoop, t.monitorDelay, t.broadcastLoop, t.ingestLoop, t.pushLoop, t.admission.publisher.loop} {
+	for _, loop := range []func(context.Context){l.persister.writeLoop, l.cycleLoop, l.autoscaler.autoscaleLoop, l.detector.monitorDelay, l.broadcaster.broadcastLoop, l.ingester.ingestLoop, l.pusher.pushLoop, l.admission.publisher.loop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -142,7 +129,7 @@
 		}()
 	}
 	wg.Wait()
-	t.Log.Info("term ends")
+	l.Log.Info("term ends")
 }
 
 const kvTimeout = 1500 * units.Millisecond
