--- a/internal/coordination/term_test.go
+++ b/internal/coordination/term_test.go
@@ -18,20 +18,23 @@
 	"dunestand/internal/units"
 )
 
-func storedLeader(t *testing.T, number uint64, state *standin.State) *Leader {
+func storedLeader(t *testing.T, number uint64, state *standin.State, changes ...func(*Deps)) *Leader {
+	t.Helper()
 	server := httptest.NewServer(state)
 	t.Cleanup(server.Close)
-	term := testLeader(number, &manualClock{now: units.Second})
-	term.KV = kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	clock := &manualClock{now: units.Second}
+	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e4,
 		WriteRPS: 1e4,
-	}, 0, term.Clock)
-	term.Format.kvClient = term.KV
-	return term
+	}, 0, clock)
+	return testLeader(number, clock, append([]func(*Deps){func(d *Deps) {
+		d.KV = client
+		d.Format = NewFormatNegotiator("n", nil, storage.FormatNew, client, d.Log)
+	}}, changes...)...)
 }
 
-func (t *Leader) records() recordReader {
-	return recordReader{store: t.KV, clock: t.Clock, workers: t.Settings.Fleet.Workers}
+func (l *Leader) records() recordReader {
+	return recordReader{store: l.KV, clock: l.Clock, workers: l.Settings.Fleet.Workers}
 }
 
 func modelSpec(id string) *protocol.JobSpec {
@@ -63,13 +66,13 @@
 	term := storedLeader(t, 1, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	for try := 0; !term.restore(ctx); try++ {
+	for try := 0; !term.persister.restore(ctx); try++ {
 		if try == 3 {
 			t.Fatal("not restored")
 		}
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.writeLoop(ctx)
+	go term.persister.writeLoop(ctx)
 	if r := term.Poll(ctx, "j-000001"); r.Status != http.StatusNotFound {
 		t.Fatalf("unknown job: %d", r.Status)
 	}
@@ -109,18 +112,18 @@
 	term := storedLeader(t, 3, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.restore(ctx) {
+	if !term.persister.restore(ctx) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.writeLoop(ctx)
+	go term.persister.writeLoop(ctx)
 	bad := modelSpec("j-000007")
 	bad.Team = "nobody"
 	for _, spec := range []*protocol.JobSpec{modelSpec("j-000007"), bad} {
 		if r := term.Submit(ctx, spec); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageDone {
 			t.Fatalf("repeat: %d %s", r.Status, r.Body)
 		}
-		term.terminalJobs = newTerminalCache(10)
+		term.terminals.terminalJobs = newTerminalCache(10)
 	}
 	if r := term.Poll(ctx, "j-000007"); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageDone {
 		t.Fatalf("poll: %d %s", r.Status, r.Body)
@@ -139,7 +142,7 @@
 	raw := protocol.Encode(map[string]any{"v": 99, "id": "j-000001"})
 	s.Put(storage.KeyJob("j-000001"), raw)
 	term := storedLeader(t, 2, s)
-	if term.restore(t.Context()) || term.Ready() {
+	if term.persister.restore(t.Context()) || term.Ready() {
 		t.Fatal("led in spite of it")
 	}
 	if r := term.Poll(t.Context(), "j-000001"); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
@@ -153,10 +156,10 @@
 // Without a valid lease nothing is answered 200.
 func TestNothingIsAnsweredWithoutTheLease(t *testing.T) {
 	term := storedLeader(t, 2, standin.NewState())
-	if !term.restore(t.Context()) {
+	if !term.persister.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	term.Elector.validUntil = 0
+	term.lease().lost = true
 	for name, r := range map[string]answer{
 		"submit": term.Submit(t.Context(), modelSpec("j-000001")),
 		"poll":   term.Poll(t.Context(), "j-000001"),
@@ -180,7 +183,7 @@
 // Old and repeated reports have no effect.
 func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
 	term := testLeader(5, &manualClock{now: units.Second})
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	fresh := &protocol.Heartbeat{Machine: "i-1", InstanceType: "m", Zone: "a", Incarnation: 2, Sequence: 7}
 	if _, ok := term.Heartbeat(t.Context(), fresh, nil); !ok {
 		t.Fatal("fresh report refused")
@@ -211,7 +214,7 @@
 func TestBlameForErrors(t *testing.T) {
 	clock := &manualClock{now: units.Second}
 	term := testLeader(1, clock)
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	l := term.state
 	fail := func(job, machine string) *cluster.Job {
 		j := l.Jobs[job]
@@ -249,7 +252,7 @@
 func TestManyLostMachinesAreKept(t *testing.T) {
 	clock := &manualClock{now: 100 * units.Second}
 	term := testLeader(1, clock)
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	report := func(machines int, seq uint64) {
 		for i := range machines {
 			r := &protocol.Heartbeat{
@@ -269,12 +272,12 @@
 	clock.now += 4500 * units.Millisecond
 	report(9, 2) // one of ten has been silent for 4.5 s
 	clock.now += 600 * units.Millisecond
-	if silent := term.lostMachines(clock.now); len(silent) != 1 {
+	if silent := term.detector.lostMachines(clock.now); len(silent) != 1 {
 		t.Fatalf("%d to be released", len(silent))
 	}
 	clock.now += 2 * units.Second
 	report(4, 3) // five more are late by now
-	if silent := term.lostMachines(clock.now); len(silent) != 0 {
+	if silent := term.detector.lostMachines(clock.now); len(silent) != 0 {
 		t.Fatalf("%d to be released", len(silent))
 	}
 }
@@ -285,13 +288,13 @@
 func TestAttemptOutlivesItsJob(t *testing.T) {
 	clock := &manualClock{now: units.Second}
 	term := testLeader(2, clock)
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	l := term.state
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
 	j := l.NewJob(spec, clock.now, clock.now)
 	save := func() {
-		if s := l.BuildWriteBatch("2-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now); s != nil {
+		if s := l.BuildWriteBatch("2-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, clock.now); s != nil {
 			l.BatchCommitted(s, 1)
 		}
 	}
@@ -332,11 +335,11 @@
 func TestCompletionsAreForgottenOnlyOnceDurable(t *testing.T) {
 	clock := &manualClock{now: units.Second}
 	term := testLeader(2, clock)
-	term.installRecords(nil, modelCatalog)
+	term.persister.installRecords(nil, modelCatalog)
 	l := term.state
 	j := l.NewJob(*modelSpec("j-000001"), clock.now, clock.now)
 	save := func() {
-		l.BatchCommitted(l.BuildWriteBatch("2-1", term.bucketVersions, cluster.BatchLimits{Background: true}, clock.now), 1)
+		l.BatchCommitted(l.BuildWriteBatch("2-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, clock.now), 1)
 	}
 	save()
 	m := l.EnsureMachine("i-000001", "m", "a", true, clock.now)
--- a/internal/coordination/termadmission.go
+++ b/internal/coordination/termadmission.go
@@ -2,15 +2,25 @@
 
 import (
 	"context"
+	"log/slog"
 	"net/http"
 
 	"dunestand/internal/admission"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// leaderAdmission is what a term knows of the admission of jobs, under the term's lock.
-type leaderAdmission struct {
+// LeaderAdmission decides, by the fleet's admission plan, which new jobs the leader accepts.
+// Its fields are guarded by the lock of state.
+type LeaderAdmission struct {
+	state       *cluster.State
+	admitter    *admitter
+	clock       units.Clock
+	log         *slog.Logger
+	metrics     *Metrics
+	writeSignal chan struct{}
+
 	publisher   *planPublisher
 	waiting     *admission.WaitingList
 	corrections *admission.Corrections
@@ -19,37 +29,45 @@
 	planKnown, planEverKnown bool
 }
 
-func (t *Leader) newLeaderAdmission() leaderAdmission {
-	a := leaderAdmission{waiting: admission.NewWaitingList(), corrections: admission.NewCorrections()}
-	a.publisher = newPlanPublisher(t.Admitter, t)
-	return a
+func newLeaderAdmission(l *Leader) *LeaderAdmission {
+	la := &LeaderAdmission{
+		state:       l.state,
+		admitter:    l.Admitter,
+		clock:       l.Clock,
+		log:         l.Log,
+		metrics:     l.Metrics,
+		writeSignal: l.writeSignal,
+		waiting:     admission.NewWaitingList(),
+		corrections: admission.NewCorrections(),
+	}
+	la.publisher = newPlanPublisher(l, la)
+	return la
 }
 
 // admit decides, under the lock, whether a new job may be entered.
-func (t *Leader) admit(spec *protocol.JobSpec) admission.Decision {
-	if !t.Admitter.active() {
+func (la *LeaderAdmission) admit(spec *protocol.JobSpec) admission.Decision {
+	if !la.admitter.active() {
 		return admission.Decision{Verdict: admission.Admit}
 	}
-	a := &t.admission
-	now := t.Clock.Steady()
-	if !a.planEverKnown {
+	now := la.clock.Steady()
+	if !la.planEverKnown {
 		return undecided()
 	}
-	d, _ := t.Admitter.decide(spec, admission.Leading)
+	d, _ := la.admitter.decide(spec, admission.Leading)
 	if d.Verdict == admission.Admit {
-		if since, waited := a.waiting.Remove(spec.ID); waited {
-			t.Metrics.admissionWaited(now - since)
+		if since, waited := la.waiting.Remove(spec.ID); waited {
+			la.metrics.admissionWaited(now - since)
 		} else {
-			t.Metrics.admissionWaited(0)
+			la.metrics.admissionWaited(0)
 		}
 		return d
 	}
-	a.waiting.Add(spec.ID, d, now)
+	la.waiting.Add(spec.ID, d, now)
 	if d.Verdict == admission.Undecided {
-		raise(t.Admitter.replanSignal)
+		raise(la.admitter.replanSignal)
 		return d
 	}
-	if !a.planKnown {
+	if !la.planKnown {
 		return undecided()
 	}
 	return d
@@ -62,20 +80,20 @@
 
 // deferSubmission answers for a job that is not admitted, unless the job is known after all:
 // as one that is over, or from the inbox.
-func (t *Leader) deferSubmission(ctx context.Context, id string, d admission.Decision) answer {
+func (l *Leader) deferSubmission(ctx context.Context, id string, d admission.Decision) answer {
 	if d.Verdict == admission.Undecided {
 		// Not 503: another controller that passed the request on would take that for a
 		// leaderName that cannot decide, and admit the job beyond the quota.
 		return plainAnswer(ErrorResponse(http.StatusTooManyRequests, d.Reason.String()))
 	}
-	if !t.isSurelyUnknown(id) {
-		known := t.Poll(ctx, id)
+	if !l.admission.isSurelyUnknown(id) {
+		known := l.Poll(ctx, id)
 		if known.Status != http.StatusNotFound {
 			return known
 		}
-		t.mu.Lock()
-		t.admission.waiting.SetUnknown(id)
-		t.mu.Unlock()
+		l.state.Lock()
+		l.admission.waiting.SetUnknown(id)
+		l.state.Unlock()
 	}
 	return waitingAnswer(d)
 }
@@ -83,61 +101,60 @@
 // isSurelyUnknown tells whether no record can tell of a job that waits: none did when this
 // leaderName looked, and since then nobody could accept it. Another controller may, once the
 // plan has lapsed; long before that the records are read each time.
-func (t *Leader) isSurelyUnknown(id string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	state := t.Admitter.keeper.Now(t.Clock.Steady())
-	return t.admission.waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
+func (la *LeaderAdmission) isSurelyUnknown(id string) bool {
+	la.state.Lock()
+	defer la.state.Unlock()
+	state := la.admitter.keeper.Now(la.clock.Steady())
+	return la.waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
 }
 
 // planUncertain notes that the plan's record may change at any moment.
-func (t *Leader) planUncertain() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.admission.planKnown = false
+func (la *LeaderAdmission) planUncertain() {
+	la.state.Lock()
+	defer la.state.Unlock()
+	la.planKnown = false
 }
 
 // planChanged takes over the revision of the plan's record. New jobs are accepted on that
 // condition, and those whose acceptance is not on its way are decided anew.
-func (t *Leader) planChanged(revision uint64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.admission.planKnown, t.admission.planEverKnown = true, true
-	t.state.AcceptCondition = &protocol.Condition{Key: admission.KeyPlan, Version: revision}
-	t.reconsiderAdmissions()
-	raise(t.writeSignal)
+func (la *LeaderAdmission) planChanged(revision uint64) {
+	la.state.Lock()
+	defer la.state.Unlock()
+	la.planKnown, la.planEverKnown = true, true
+	la.state.AcceptCondition = &protocol.Condition{Key: admission.KeyPlan, Version: revision}
+	la.reconsiderAdmissions()
+	raise(la.writeSignal)
 }
 
 // reconsiderAdmissions decides, under the lock, about the jobs that were entered and whose
 // acceptance is not on its way: it has to be by the plan that it is conditional on. Those
 // that were on their way when the plan changed come back here when their save fails.
-func (t *Leader) reconsiderAdmissions() {
-	now := t.Clock.Steady()
-	for _, j := range t.state.UnacceptedJobs() {
-		d, _ := t.Admitter.decide(&j.Spec, admission.Leading)
+func (la *LeaderAdmission) reconsiderAdmissions() {
+	now := la.clock.Steady()
+	for _, j := range la.state.UnacceptedJobs() {
+		d, _ := la.admitter.decide(&j.Spec, admission.Leading)
 		if d.Verdict == admission.Wait || d.Reason == admission.PlanUnclear {
-			t.admission.waiting.Add(j.Spec.ID, d, now)
-			t.state.DropUnaccepted(j.Spec.ID)
-			t.Log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
+			la.waiting.Add(j.Spec.ID, d, now)
+			la.state.DropUnaccepted(j.Spec.ID)
+			la.log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
 		}
 	}
 }
 
 // measure takes down what the next plan is made from.
-func (t *Leader) measure(now units.Micros) admission.Measurement {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	a := &t.admission
-	a.waiting.Expire(now)
-	m := admission.Measurement{Now: now, Waiting: a.waiting.Demand(), Corrections: a.corrections.Snapshot()}
-	reckoning := t.Admitter.keeper.Reckoning()
-	for _, j := range t.state.Jobs {
+func (la *LeaderAdmission) measure(now units.Micros) admission.Measurement {
+	la.state.Lock()
+	defer la.state.Unlock()
+	la.waiting.Expire(now)
+	m := admission.Measurement{Now: now, Waiting: la.waiting.Demand(), Corrections: la.corrections.Snapshot()}
+	reckoning := la.admitter.keeper.Reckoning()
+	for _, j := range la.state.Jobs {
 		if !j.Cancelled {
 			cell, work := reckoning.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
 			m.Loads = append(m.Loads, admission.Load{Cell: cell, Work: work})
 		}
 	}
-	for _, machine := range t.state.Machines {
+	for _, machine := range la.state.Machines {
 		if machine.Registered && !machine.Releasing {
 			for pool, amount := range admission.AmountsOf(machine.Capacity) {
 				m.Fleet[pool] += amount
@@ -148,15 +165,8 @@
 }
 
 // waitingCount is the number of jobs that were told to come back.
-func (t *Leader) waitingCount() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.admission.waiting.Len()
-}
-
-// bucketVersion is the version of a bucket's head.
-func (t *Leader) bucketVersion(bucket int) uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.bucketVersions[bucket]
+func (la *LeaderAdmission) waitingCount() int {
+	la.state.Lock()
+	defer la.state.Unlock()
+	return la.waiting.Len()
 }
--- a/internal/coordination/transferstore.go
+++ b/internal/coordination/transferstore.go
@@ -27,7 +27,7 @@
 		store: t.KV,
 		head: func(key string) (string, uint64) {
 			bucket := storage.BucketOf(key)
-			return storage.KeyBucketHead(bucket), t.bucketVersion(bucket)
+			return storage.KeyBucketHead(bucket), t.persister.bucketVersion(bucket)
 		},
 	}
 }
--- a/internal/coordination/transferstore_test.go
+++ b/internal/coordination/transferstore_test.go
@@ -23,7 +23,7 @@
 func TestTransferRecordsAreFenced(t *testing.T) {
 	s := standin.NewState()
 	former := storedLeader(t, 1, s)
-	if !former.restore(t.Context()) {
+	if !former.persister.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	old := newTransferStore(former)
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	term := storedLeader(t, 2, s)
-	if !term.restore(t.Context()) {
+	if !term.persister.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	if _, err := old.Save(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrConflict) {
@@ -66,7 +66,7 @@
 func TestTransferWriteOfUnknownOutcome(t *testing.T) {
 	s := standin.NewState()
 	term := storedLeader(t, 1, s)
-	if !term.restore(t.Context()) {
+	if !term.persister.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	s.Silent = func(int) bool { return true }
--- a/internal/coordination/unconfirmed_test.go
+++ b/internal/coordination/unconfirmed_test.go
@@ -19,7 +19,7 @@
 				term.state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
 		}
-		return testing.AllocsPerRun(20, func() { term.expireLeases(clock.now) })
+		return testing.AllocsPerRun(20, func() { term.detector.expireLeases(clock.now) })
 	}
 	if few, many := allocs(2, 10), allocs(100, 1000); many > few+1 {
 		t.Errorf("%v allocations for 100 jobs on 1,000 machines, %v for 2 on 10", many, few)
