--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -91,3 +91,11 @@
 		m.images = m.images[1:]
 	}
 }
+
+// MaxUndeliveredCommands is how many answers in a row may have no effect on a machine until
+// it counts as one that commands do not reach.
+const MaxUndeliveredCommands = 2
+
+// IgnoresCommands reports whether the machine sends heartbeats and carries no command out.
+// It then gets no work and is released as one that is lost.
+func (m *Machine) IgnoresCommands() bool { return m.UndeliveredCommands >= MaxUndeliveredCommands }
--- a/internal/coordination/admitter.go
+++ b/internal/coordination/admitter.go
@@ -12,6 +12,7 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
@@ -29,7 +30,7 @@
 	log     *slog.Logger
 	metrics *Metrics
 	// replanSignal asks the leader's loop for a new plan at once.
-	replanSignal chan struct{}
+	replanSignal loop.Signal
 	// unreadable is the revision of a record that could not be read, 0: none.
 	unreadable atomic.Uint64
 }
@@ -78,7 +79,7 @@
 		clock:        clock,
 		log:          log,
 		metrics:      metrics,
-		replanSignal: make(chan struct{}, 1),
+		replanSignal: loop.NewSignal(),
 	}
 	a.addMetrics()
 	return a
@@ -177,7 +178,7 @@
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil {
 			a.log.Debug("the admission plan is not followed", "error", err)
-			if !sleep(ctx, planRetryDelay) {
+			if !loop.Sleep(ctx, planRetryDelay) {
 				return
 			}
 		}
@@ -190,7 +191,7 @@
 		a.log.Info("admission is held back until every controller has it turned on")
 	}
 	for !a.active() {
-		if !sleep(ctx, activationPollInterval) {
+		if !loop.Sleep(ctx, activationPollInterval) {
 			return false
 		}
 	}
@@ -211,7 +212,7 @@
 	a := f.admitter
 	sent := a.clock.Steady()
 	if f.revision == 0 {
-		item, revision, err := a.store.ReadAtRevision(ctx, admission.KeyPlan, kvTimeout)
+		item, revision, err := a.store.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
 		if err != nil {
 			return err
 		}
--- a/internal/coordination/announce.go
+++ b/internal/coordination/announce.go
@@ -8,39 +8,40 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
+// TokenBroadcasterDeps is what a TokenBroadcaster works with.
+type TokenBroadcasterDeps struct {
+	State      *cluster.State
+	Leadership Leadership
+	Reconciler *Reconciler
+	Settings   *config.Settings
+	Clock      units.Clock
+	Log        *slog.Logger
+	Dial       transport.DialFunc
+	Token      uint64
+}
+
 // TokenBroadcaster makes a new leader's fencing token known to machines that the records
 // name and that have not sent a heartbeat yet.
 type TokenBroadcaster struct {
-	state      *cluster.State
-	leadership Leadership
-	reconciler *Reconciler
-	settings   *config.Settings
-	clock      units.Clock
-	log        *slog.Logger
-	dial       transport.DialFunc
-	token      uint64
+	TokenBroadcasterDeps
 }
 
-func newTokenBroadcaster(l *Leader) *TokenBroadcaster {
+func newTokenBroadcaster(deps TokenBroadcasterDeps) *TokenBroadcaster {
 	return &TokenBroadcaster{
-		state:      l.state,
-		leadership: l.leadership,
-		reconciler: l.reconciler,
-		settings:   l.Settings,
-		clock:      l.Clock,
-		log:        l.Log,
-		dial:       l.Dial,
-		token:      l.token,
+		TokenBroadcasterDeps: deps,
 	}
 }
 
 const (
-	broadcastDelay      = units.Second // workers that report often have come by then
+	broadcastInterval   = 500 * units.Millisecond // between looks for machines that are still to be told
+	broadcastDelay      = units.Second            // workers that report often have come by then
 	broadcastRetryDelay = 4 * units.Second
 	minBroadcastCalls   = 4  // at once, in a small fleet
 	broadcastShare      = 32 // of the unconfirmed machines are told at once
@@ -88,22 +89,22 @@
 // heartbeat that tells what the machine holds, and the worker looks for the new
 // leaderName at once instead of when its next report is due.
 func (b *TokenBroadcaster) broadcastLoop(ctx context.Context) {
-	caller := transport.NewCaller(b.dial, protocol.MaxBody)
+	caller := transport.NewCaller(b.Dial, protocol.MaxBody)
 	at := map[string]units.Micros{}
 	tries := map[string]int{}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for wait := broadcastDelay; sleep(ctx, wait); wait = autoscaleInterval {
-		if !b.leadership.Valid() {
+	for wait := broadcastDelay; loop.Sleep(ctx, wait); wait = broadcastInterval {
+		if !b.Leadership.Valid() {
 			continue
 		}
 		open, endpoints := b.broadcastTargets()
 		if !open {
 			return
 		}
-		now := b.clock.Steady()
-		slots := make(chan struct{}, broadcastSlots(len(endpoints), b.settings.Fleet.Resources.MaxConnections))
-		for _, id := range sortedKeys(endpoints) {
+		now := b.Clock.Steady()
+		slots := make(chan struct{}, broadcastSlots(len(endpoints), b.Settings.Fleet.Resources.MaxConnections))
+		for _, id := range sorted.Keys(endpoints) {
 			if tries[id] >= len(broadcastTimeouts) || tries[id] > 0 && now-at[id] < broadcastRetryDelay {
 				continue
 			}
@@ -128,28 +129,28 @@
 // broadcastTargets gives the endpoints of machines that are unconfirmed and have not
 // reported in this term, and whether any machine is unconfirmed at all.
 func (b *TokenBroadcaster) broadcastTargets() (open bool, endpoints map[string]string) {
-	b.state.Lock()
-	defer b.state.Unlock()
+	b.State.Lock()
+	defer b.State.Unlock()
 	endpoints = map[string]string{}
-	for _, id := range b.state.UnreconciledMachines() {
-		if m := b.state.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
+	for _, id := range b.State.UnreconciledMachines() {
+		if m := b.State.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
 			endpoints[id] = m.Endpoint
 		}
 	}
-	return b.state.UnreconciledCount() > 0, endpoints
+	return b.State.UnreconciledCount() > 0, endpoints
 }
 
 func (b *TokenBroadcaster) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
 	session := uint64(1) // of most machines; else the answer tells
 	for range 2 {
 		body := protocol.Encode(protocol.DirectCommands{
-			FencingToken: b.token,
+			FencingToken: b.Token,
 			Incarnation:  session,
 			Commands:     []protocol.Command{},
 		})
 		status, raw, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, limit)
 		if err != nil {
-			b.log.Debug("machine not told of the term", "machine", id, "error", err)
+			b.Log.Debug("machine not told of the term", "machine", id, "error", err)
 			return
 		}
 		r, err := protocol.ParseHeartbeat(raw)
@@ -168,9 +169,9 @@
 // the first word of a machine may come this way: once it has reported by
 // itself, an answer may be on its way to it that this report does not show.
 func (b *TokenBroadcaster) broadcastAnswered(r *protocol.Heartbeat) {
-	b.state.Lock()
-	defer b.state.Unlock()
-	if m := b.state.Machines[r.Machine]; m != nil && !m.Registered && b.leadership.Valid() {
-		b.reconciler.reconcile(r, b.clock.Steady())
+	b.State.Lock()
+	defer b.State.Unlock()
+	if m := b.State.Machines[r.Machine]; m != nil && !m.Registered && b.Leadership.Valid() {
+		b.Reconciler.reconcile(r, b.Clock.Steady())
 	}
 }
--- a/internal/coordination/answer.go
+++ b/internal/coordination/answer.go
@@ -4,7 +4,10 @@
 	"context"
 	"net/http"
 
+	"dunestand/internal/cluster"
+	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/transport"
@@ -124,6 +127,46 @@
 // await waits until a final answer may be given, if that is before the time given.
 func (g monotonicReadGate) await(ctx context.Context, a answer, until units.Micros) {
 	if wait := g.untilStable(a); wait > 0 && g.clock.Steady()+wait <= until {
-		sleep(ctx, wait)
+		loop.Sleep(ctx, wait)
 	}
 }
+
+// ErrorResponse gives the answer that refuses a request in one line.
+func ErrorResponse(status int, why string) transport.Response {
+	r := transport.Response{Status: status, Body: protocol.Encode(protocol.ErrorResponse{Message: why})}
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
+		r.RetryAfter = 1
+	}
+	return r
+}
+
+func stateAnswer(status int, s protocol.JobState) transport.Response {
+	return transport.Response{Status: status, Body: protocol.Encode(s)}
+}
+
+// cancellationConfirmed tells whether the user of a job may be told that it is cancellationConfirmed, though
+// it is not over.
+func cancellationConfirmed(j *cluster.Job, w config.Workers) bool {
+	return j.CancelDurable && confirmsCancellationAtOnce(w)
+}
+
+// liveJobAnswer tells a live job's state as it was read at readAt or later.
+func liveJobAnswer(status int, j *cluster.Job, w config.Workers, readAt units.Micros) answer {
+	s := protocol.JobState{
+		ID:      j.Spec.ID,
+		Stage:   protocol.StagePending,
+		Done:    j.DoneCount(),
+		Running: j.Running(),
+	}
+	if cancellationConfirmed(j, w) {
+		s.Stage = protocol.StageCancelled
+		return answer{
+			Response: stateAnswer(status, s),
+			evidence: evidence{kind: terminal, version: j.CancelVersion()},
+		}
+	}
+	if s.Running > 0 || s.Done > 0 {
+		s.Stage = protocol.StageRunning
+	}
+	return provisionalAnswer(stateAnswer(status, s), readAt)
+}
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -11,18 +11,18 @@
 )
 
 func (as *Autoscaler) refreshCatalog(ctx context.Context) {
-	c, err := as.cloud.Catalog(ctx)
+	c, err := as.Cloud.Catalog(ctx)
 	if err != nil || len(c.Types) == 0 {
-		as.log.Info("catalog not read", "error", err)
+		as.Log.Info("catalog not read", "error", err)
 		return
 	}
-	as.state.Lock()
-	as.state.SetInstanceTypes(c.Types)
+	as.State.Lock()
+	as.State.SetInstanceTypes(c.Types)
 	changed := !sameTypes(c, as.provisioning.catalog)
-	as.provisioning.catalog, as.provisioning.catalogReadAt = c, as.clock.Steady()
-	as.state.Unlock()
-	raise(as.cycleSignal)
-	if format := as.format.Current(); changed || format != as.provisioning.catalogFormat {
+	as.provisioning.catalog, as.provisioning.catalogReadAt = c, as.Clock.Steady()
+	as.State.Unlock()
+	as.CycleSignal.Raise()
+	if format := as.Format.Current(); changed || format != as.provisioning.catalogFormat {
 		as.storeCatalog(ctx, c, format)
 	}
 }
@@ -30,7 +30,7 @@
 // storeCatalog keeps the catalog for a leader that begins during an outage of
 // the cloud. Whether it succeeds matters to nobody now.
 func (as *Autoscaler) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
-	state := as.settings.Fleet.State.Both()
+	state := as.Settings.Fleet.State.Both()
 	versions := as.provisioning.catalogStored
 	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
 		txn := protocol.Txn{Then: changes}
@@ -38,9 +38,9 @@
 			key := ch.Set + ch.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
-		version, err := as.kv.CompareAndSwap(ctx, txn, kv.Paced, kvTimeout)
+		version, err := as.KV.CompareAndSwap(ctx, txn, kv.Paced, kv.CallTimeout)
 		if err != nil {
-			as.log.Info("catalog not stored", "error", err)
+			as.Log.Info("catalog not stored", "error", err)
 			return
 		}
 		for _, ch := range changes {
@@ -63,3 +63,9 @@
 		return zones && fmt.Sprint(x) == fmt.Sprint(y)
 	})
 }
+
+// CatalogRestored tells which records hold the stored catalog, by key, with their versions. It
+// needs the lock of state held.
+func (as *Autoscaler) CatalogRestored(versions map[string]uint64) {
+	as.provisioning.catalogStored = versions
+}
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -18,7 +18,7 @@
 // unwrittenStart gives a channel to wait on when some start for the machine lacks
 // the save that must come first.
 func (rc *Reconciler) unwrittenStart(m *cluster.Machine) <-chan struct{} {
-	if m.FencingToken != rc.token {
+	if m.FencingToken != rc.Token {
 		return nil
 	}
 	for _, a := range m.Attempts {
@@ -52,16 +52,16 @@
 	for _, a := range starts {
 		switch {
 		case a.Stopping || a.Job.Cancelled || a.Job.IsDone(a.Index):
-			rc.state.AttemptGone(a, now) // it was never sent
+			rc.State.AttemptGone(a, now) // it was never sent
 			if a.Job.Cancelled {
 				a.Job.MarkChanged(now, true)
-				raise(rc.writeSignal)
+				rc.WriteSignal.Raise()
 			}
-		case m.FencingToken == rc.token && a.Job.MachineIsDurable(m.ID) && len(out) < protocol.MaxCommands:
+		case m.FencingToken == rc.Token && a.Job.MachineIsDurable(m.ID) && len(out) < protocol.MaxCommands:
 			a.Stage, a.SentSequence = cluster.Sent, r.Sequence
 			out = append(out, protocol.Command{Verb: protocol.VerbStart, Task: a.TaskName(), Attempt: a.Number})
 			recordSentCommand(m, out, cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number})
-			rc.tracer.Trace("start sent", a)
+			rc.Tracer.Trace("start sent", a)
 		}
 	}
 	return out
@@ -73,18 +73,13 @@
 	case task.Stage == protocol.TaskExited:
 		// A completion that is not durable stays with the worker: a later
 		// leaderName must be able to learn of it.
-		j := rc.state.Jobs[task.Job]
+		j := rc.State.Jobs[task.Job]
 		forget := j == nil || j.Cancelled || j.IsService() || task.Cause != protocol.CauseDone || j.DoneIsDurable(task.Index)
 		return protocol.Command{Verb: protocol.VerbForget}, forget
 	case a == nil, a.Job.Cancelled:
-		return stopCommand("", 0, 0), true
+		return protocol.StopCommand("", 0, 0), true
 	case a.Stopping && task.Stage != protocol.TaskCheckpointing:
-		return stopCommand("", 0, a.GracePeriod), true
+		return protocol.StopCommand("", 0, a.GracePeriod), true
 	}
 	return protocol.Command{}, false
 }
-
-func stopCommand(task string, attempt uint64, grace units.Micros) protocol.Command {
-	g := grace.Seconds()
-	return protocol.Command{Verb: protocol.VerbStop, Task: task, Attempt: attempt, Grace: &g}
-}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -114,11 +114,19 @@
 		return transport.Response{
 			Status:      http.StatusOK,
 			ContentType: "text/plain; version=0.0.4",
-			Body:        c.deps.Metrics.Text(c.activeLeader()),
+			Body:        c.metricsText(),
 		}
 	})
 }
 
+// metricsText returns this node's metrics, those of the leader included while it leads.
+func (c *Controller) metricsText() []byte {
+	if l := c.activeLeader(); l != nil {
+		return c.deps.Metrics.Text(l.WriteMetrics)
+	}
+	return c.deps.Metrics.Text()
+}
+
 // restartTime is what a controller that was ended takes to be back.
 const restartTime = 4 * units.Second
 
--- a/internal/coordination/delay.go
+++ b/internal/coordination/delay.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"dunestand/internal/loop"
 	"dunestand/internal/units"
 )
 
@@ -14,11 +15,10 @@
 }
 
 const (
-	delayTick        = 250 * units.Millisecond
-	maxDelay         = 400 * units.Millisecond // mean lateness that is too much
-	delayPatience    = 3 * units.Second        // for so long
-	minLeadership    = 20 * units.Second       // a term begins with more work than usual
-	handOverInterval = 120 * units.Second      // between hand-overs, or the lease would go round in circles
+	delayTick     = 250 * units.Millisecond
+	maxDelay      = 400 * units.Millisecond // mean lateness that is too much
+	delayPatience = 3 * units.Second        // for so long
+	minLeadership = 20 * units.Second       // a term begins with more work than usual
 )
 
 // suspected takes in how suspected the timer fired and tells whether it has been too suspected
@@ -38,15 +38,15 @@
 // is there to take it.
 func (d *Detector) monitorDelay(ctx context.Context) {
 	var w delayMonitor
-	for last := d.clock.Steady(); sleep(ctx, delayTick); {
-		now := d.clock.Steady()
+	for last := d.Clock.Steady(); loop.Sleep(ctx, delayTick); {
+		now := d.Clock.Steady()
 		behind := w.observe(now-last-delayTick, now)
 		if w.mean >= maxDelay {
 			d.noteDelay(now)
 		}
 		last = now
-		if behind && now-d.electedAt > minLeadership && d.peerReachable() && d.leadership.HandOver(d.clock.Wall()) {
-			d.log.Info("this node has fallen behind; the lease is handed over", "late_ms", w.mean/units.Millisecond)
+		if behind && now-d.ElectedAt > minLeadership && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
+			d.Log.Info("this node has fallen behind; the lease is handed over", "late_ms", w.mean/units.Millisecond)
 			w = delayMonitor{}
 		}
 	}
@@ -56,7 +56,7 @@
 // have been given up by their workers. Each machine then has the time for another
 // one before its silence is judged.
 func (d *Detector) noteDelay(now units.Micros) {
-	d.state.Lock()
-	defer d.state.Unlock()
+	d.State.Lock()
+	defer d.State.Unlock()
 	d.judgeSilenceFrom = now + d.suspectAfter()
 }
--- a/internal/coordination/delivery_test.go
+++ b/internal/coordination/delivery_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	if starts == 0 || starts > maxUndeliveredCommands*modelMachine {
+	if starts == 0 || starts > cluster.MaxUndeliveredCommands*modelMachine {
 		t.Errorf("%d starts were sent to a machine that never carried one out", starts)
 	}
 	if m := term.state.Machines[lost]; term.scheduler.machineSchedulable(m, clock.now) || len(m.Attempts) > 0 {
@@ -56,14 +56,14 @@
 		report(1)
 	}
 	m := report(1)
-	if m.UndeliveredCommands < maxUndeliveredCommands {
+	if !m.IgnoresCommands() {
 		t.Fatal("the machine is not thought to get no answers")
 	}
 	// No answers still: a new session each lease.
 	for session := uint64(2); session < 5; session++ {
 		for range 8 {
 			clock.now += modelLease / 8
-			if report(session); m.UndeliveredCommands < maxUndeliveredCommands {
+			if report(session); !m.IgnoresCommands() {
 				t.Fatal("a machine that begins a new session with each lease is thought to hear")
 			}
 		}
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	if m := term.state.Machines["i-000001"]; m.UndeliveredCommands >= maxUndeliveredCommands || !term.scheduler.machineSchedulable(m, clock.now) {
+	if m := term.state.Machines["i-000001"]; m.IgnoresCommands() || !term.scheduler.machineSchedulable(m, clock.now) {
 		t.Errorf("%d answers count as unheard", m.UndeliveredCommands)
 	}
 }
--- a/internal/coordination/direct.go
+++ b/internal/coordination/direct.go
@@ -7,35 +7,37 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
+// CommandPusherDeps is what a CommandPusher works with.
+type CommandPusherDeps struct {
+	State      *cluster.State
+	Leadership Leadership
+	Settings   *config.Settings
+	Log        *slog.Logger
+	Dial       transport.DialFunc
+	Token      uint64
+}
+
 // CommandPusher sends commands straight to machines whose next heartbeat is too far away.
 type CommandPusher struct {
-	state      *cluster.State
-	leadership Leadership
-	settings   *config.Settings
-	log        *slog.Logger
-	dial       transport.DialFunc
-	token      uint64
+	CommandPusherDeps
 
 	// pushRequests holds, by machine, what is to be pushed; guarded by the lock of state.
 	pushRequests map[string]*pushRequest
-	pushSignal   chan struct{}
+	pushSignal   loop.Signal
 }
 
-func newCommandPusher(l *Leader) *CommandPusher {
+func newCommandPusher(deps CommandPusherDeps) *CommandPusher {
 	return &CommandPusher{
-		state:        l.state,
-		leadership:   l.leadership,
-		settings:     l.Settings,
-		log:          l.Log,
-		dial:         l.Dial,
-		token:        l.token,
-		pushRequests: map[string]*pushRequest{},
-		pushSignal:   make(chan struct{}, 1),
+		CommandPusherDeps: deps,
+		pushRequests:      map[string]*pushRequest{},
+		pushSignal:        loop.NewSignal(),
 	}
 }
 
@@ -58,13 +60,13 @@
 // which tasks to stop, and, if a task of a job waits to be started there, to
 // report.
 func (p *CommandPusher) requestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
-	if m.Endpoint == "" || m.LastHeartbeat+p.settings.Fleet.Workers.Report()-now <= minPushLead {
+	if m.Endpoint == "" || m.LastHeartbeat+p.Settings.Fleet.Workers.Report()-now <= minPushLead {
 		return
 	}
 	if p.pushRequests[m.ID] == nil || starts != nil {
 		p.pushRequests[m.ID] = &pushRequest{starts}
 	}
-	raise(p.pushSignal)
+	p.pushSignal.Raise()
 }
 
 // pushRequest is why a machine is told something before its next report.
@@ -72,8 +74,8 @@
 
 // pushLoop tells machines what cannot wait.
 func (p *CommandPusher) pushLoop(ctx context.Context) {
-	caller := transport.NewCaller(p.dial, protocol.MaxBody)
-	slots := make(chan struct{}, pushSlots(p.settings.Fleet.Resources.MaxConnections))
+	caller := transport.NewCaller(p.Dial, protocol.MaxBody)
+	slots := make(chan struct{}, pushSlots(p.Settings.Fleet.Resources.MaxConnections))
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
@@ -82,11 +84,11 @@
 			return
 		case <-p.pushSignal:
 		}
-		p.state.Lock()
+		p.State.Lock()
 		machines := p.pushRequests
 		p.pushRequests = map[string]*pushRequest{}
-		p.state.Unlock()
-		for _, id := range sortedKeys(machines) {
+		p.State.Unlock()
+		for _, id := range sorted.Keys(machines) {
 			select {
 			case slots <- struct{}{}:
 			case <-ctx.Done():
@@ -101,7 +103,7 @@
 					return
 				}
 				if status, _, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, pushTimeout); err != nil || status != 200 {
-					p.log.Debug("direct commands not taken", "machine", id, "status", status, "error", err)
+					p.Log.Debug("direct commands not taken", "machine", id, "status", status, "error", err)
 				}
 			}()
 		}
@@ -111,10 +113,10 @@
 // pushCommands gives the commands for a machine that cannot wait, and where to send
 // them.
 func (p *CommandPusher) pushCommands(id string, starts *cluster.Job) (endpoint string, body []byte) {
-	p.state.Lock()
-	defer p.state.Unlock()
-	m := p.state.Machines[id]
-	if m == nil || m.FencingToken != p.token || !p.leadership.Valid() {
+	p.State.Lock()
+	defer p.State.Unlock()
+	m := p.State.Machines[id]
+	if m == nil || m.FencingToken != p.Token || !p.Leadership.Valid() {
 		return "", nil
 	}
 	var out []protocol.Command
@@ -124,23 +126,23 @@
 		}
 		switch {
 		case a.Job.Cancelled && a.Stage != cluster.Assigned:
-			out = append(out, stopCommand(a.TaskName(), a.Number, 0))
+			out = append(out, protocol.StopCommand(a.TaskName(), a.Number, 0))
 		case a.Stopping && (a.Stage == cluster.Running || a.Stage == cluster.Fetching):
-			out = append(out, stopCommand(a.TaskName(), a.Number, a.GracePeriod))
+			out = append(out, protocol.StopCommand(a.TaskName(), a.Number, a.GracePeriod))
 		}
 	}
 	if starts != nil && starts.Spec.Tasks < protocol.MaxTasks {
 		out = append(out, protocol.Command{
 			Verb:    protocol.VerbStart,
 			Task:    protocol.TaskName(starts.Spec.ID, starts.Spec.Tasks),
-			Attempt: p.state.NextAttempt(p.token),
+			Attempt: p.State.NextAttempt(p.Token),
 		})
 	}
 	if len(out) == 0 {
 		return "", nil
 	}
 	return m.Endpoint, protocol.Encode(protocol.DirectCommands{
-		FencingToken: p.token,
+		FencingToken: p.Token,
 		Incarnation:  m.Incarnation,
 		Commands:     out,
 	})
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -12,12 +12,12 @@
 		return
 	}
 	left := m.TerminatesAt - now
-	report := sc.settings.Fleet.Workers.Report()
+	report := sc.Settings.Fleet.Workers.Report()
 	for _, a := range m.Attempts {
 		if a.Stopping {
 			continue
 		}
-		run := sc.state.EstimateRuntime(a.Job)
+		run := sc.State.EstimateRuntime(a.Job)
 		if a.RunningSince > 0 {
 			run -= now - a.RunningSince
 		}
@@ -29,7 +29,7 @@
 		case a.Job.Spec.CheckpointInterval > 0 && left > a.Job.Spec.CheckpointDuration+3*report: // writesInFlight can wait
 			continue
 		}
-		sc.state.StopAttempt(a, a.Job.Spec.CheckpointDuration+units.Second)
-		sc.log.Info("task drained", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID)
+		sc.State.StopAttempt(a, a.Job.Spec.CheckpointDuration+units.Second)
+		sc.Log.Info("task drained", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID)
 	}
 }
--- a/internal/coordination/format.go
+++ b/internal/coordination/format.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
@@ -52,7 +53,7 @@
 // Run tells the others which format this node reads, and raises the fleet's
 // while it leads.
 func (f *FormatNegotiator) Run(ctx context.Context, leads func() bool) {
-	for wait := units.Micros(0); sleep(ctx, wait); wait = formatInterval {
+	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = formatInterval {
 		err := f.step(ctx, leads())
 		if err != nil {
 			f.log.Debug("the fleet's format is not known for certain", "error", err)
@@ -70,7 +71,7 @@
 }
 
 func (f *FormatNegotiator) readRecords(ctx context.Context) (map[string]storedFormat, error) {
-	list, err := f.kvClient.List(ctx, storage.PrefixFormats, "", kvTimeout)
+	list, err := f.kvClient.List(ctx, storage.PrefixFormats, "", kv.CallTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +143,7 @@
 			Set:   key,
 			Value: protocol.Encode(storage.FormatRecord{Format: format, WrittenBy: f.node}),
 		}},
-	}, kv.Urgent, kvTimeout)
+	}, kv.Urgent, kv.CallTimeout)
 	var conflict *kv.VersionConflictError
 	if errors.As(err, &conflict) {
 		return errors.New("another write came first") // the next look tells
--- a/internal/coordination/format_test.go
+++ b/internal/coordination/format_test.go
@@ -182,7 +182,7 @@
 		for i := from; i < to; i++ {
 			term.state.Assign(term.state.Jobs[large], term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
 		}
-		raise(term.writeSignal)
+		term.writeSignal.Raise()
 	}
 	named := func(to int) func() bool {
 		return func() bool { return term.state.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
@@ -207,7 +207,7 @@
 		term.state.TaskDone(term.state.Jobs[large], i, 0)
 	}
 	term.state.Unlock()
-	raise(term.writeSignal)
+	term.writeSignal.Raise()
 	eventually(func() bool { return term.state.Jobs[large] == nil })
 	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/coordination/headroom.go
+++ b/internal/coordination/headroom.go
@@ -6,6 +6,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
 
@@ -38,7 +39,7 @@
 		each = int(min(units.Amount(each), fleet/all))
 	}
 	var out []int
-	for _, zone := range sortedKeys(byZone) {
+	for _, zone := range sorted.Keys(byZone) {
 		list := byZone[zone]
 		slices.SortStableFunc(list, func(a, b int) int {
 			x, y := &machines[a], &machines[b]
@@ -103,7 +104,7 @@
 // none.
 func (sc *Scheduler) headroomReplica() *protocol.JobSpec {
 	var like *protocol.JobSpec
-	for _, j := range sc.state.Jobs {
+	for _, j := range sc.State.Jobs {
 		s := &j.Spec
 		if j.IsService() && !j.Cancelled && s.Priority >= protocol.High && (like == nil ||
 			cmp.Or(cmp.Compare(s.Request.CPU, like.Request.CPU), cmp.Compare(s.Request.Memory, like.Request.Memory), -cmp.Compare(s.ID, like.ID)) > 0) {
@@ -118,12 +119,12 @@
 // together, since renting others takes a boot.
 func (sc *Scheduler) headroomReplicaCount(like *protocol.JobSpec) int {
 	var used units.Amount
-	for _, j := range sc.state.Jobs {
+	for _, j := range sc.State.Jobs {
 		if j.IsService() && !j.Cancelled {
 			used += j.Spec.Request.CPU * units.Amount(j.Spec.Tasks)
 		}
 	}
-	n := headroomPerZone * len(sc.settings.Fleet.Zones)
+	n := headroomPerZone * len(sc.Settings.Fleet.Zones)
 	if like.Request.CPU > 0 {
 		n = max(n, int(used/like.Request.CPU/headroomServiceShare))
 	}
--- a/internal/coordination/inbox.go
+++ b/internal/coordination/inbox.go
@@ -21,8 +21,6 @@
 // seconds, and users would be refused for all of that time.
 
 const (
-	ingestInterval   = units.Second
-	pendingTimeout   = 1200 * units.Millisecond
 	instanceTypesTTL = 60 * units.Second
 )
 
@@ -47,7 +45,7 @@
 	if types != nil {
 		return types
 	}
-	list, err := c.deps.KV.List(ctx, storage.KeyCatalog, "", pendingTimeout)
+	list, err := c.deps.KV.List(ctx, storage.KeyCatalog, "", PendingTimeout)
 	if err != nil {
 		return nil
 	}
@@ -91,7 +89,7 @@
 		return plainAnswer(ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
 	readAt := c.deps.Clock.Steady()
-	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, pendingTimeout)
+	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, PendingTimeout)
 	var conflict *kv.VersionConflictError
 	switch {
 	case errors.As(err, &conflict):
--- a/internal/coordination/inboxwatch.go
+++ b/internal/coordination/inboxwatch.go
@@ -23,11 +23,11 @@
 
 // next gives what is new in the inbox.
 func (w *pendingWatcher) next(ctx context.Context, in *Ingester) ([]protocol.Item, error) {
-	now := in.clock.Steady()
+	now := in.Clock.Steady()
 	if w.revision == 0 || now-w.readAt >= pendingResyncInterval || in.pendingUncleared.Swap(false) {
 		return w.read(ctx, in, now)
 	}
-	list, err := in.kv.Watch(ctx, storage.PrefixPending, w.revision, 0)
+	list, err := in.KV.Watch(ctx, storage.PrefixPending, w.revision, 0)
 	if errors.Is(err, kv.ErrCompacted) {
 		return w.read(ctx, in, now)
 	}
@@ -41,7 +41,7 @@
 // readRecords reads the whole inbox.
 func (w *pendingWatcher) read(ctx context.Context, in *Ingester, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
-	items, revision, err := listAll(ctx, in.kv, storage.PrefixPending)
+	items, revision, err := in.KV.ListAll(ctx, storage.PrefixPending)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -361,3 +361,6 @@
 	f.log.Info("fleet lease claimed", "term", f.token, "from", old.Holder)
 	return f.timing.RenewEvery
 }
+
+// handOverInterval is the least time between two hand-overs, or the lease would be handed around in circles.
+const handOverInterval = 120 * units.Second
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -2,13 +2,10 @@
 
 import (
 	"bytes"
-	"context"
-	"fmt"
 	"io"
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"dunestand/internal/protocol"
 	"dunestand/internal/runtimestats"
 	"dunestand/internal/units"
 )
@@ -62,55 +59,15 @@
 	}
 }
 
-// runtimeLogEvery is the pace of the log line with the runtime's figures. Every node
-// writes it, leader or not.
-const runtimeLogEvery = 10 * units.Second
-
-// logRuntime logs the runtime's figures until ctx ends.
-func (c *Controller) logRuntime(ctx context.Context) {
-	for sleep(ctx, runtimeLogEvery) {
-		c.deps.Log.Info("process", "leading", c.activeLeader() != nil, "runtime", runtimestats.Read())
-	}
-}
-
-// Text writes the metrics; term may be nil.
-func (m *Metrics) Text(term *Leader) []byte {
+// Text returns the metrics in the text format of Prometheus, with what further writers add.
+func (m *Metrics) Text(further ...func(io.Writer)) []byte {
 	var b bytes.Buffer
 	m.set.WritePrometheus(&b)
 	for _, write := range m.writers {
 		write(&b)
 	}
-	if term != nil {
-		term.writeQueueMetrics(&b)
-		term.admission.publisher.writeStandings(&b)
+	for _, write := range further {
+		write(&b)
 	}
 	return b.Bytes()
 }
-
-// writeQueueMetrics writes what waits and runs, by class and priority.
-func (l *Leader) writeQueueMetrics(b *bytes.Buffer) {
-	l.state.Lock()
-	defer l.state.Unlock()
-	type key struct {
-		class    string
-		priority protocol.Priority
-	}
-	pending, running := map[key]int{}, map[key]int{}
-	for _, j := range l.state.Jobs {
-		k := key{j.Spec.Class, j.Spec.Priority}
-		pending[k] += j.Pending()
-		running[k] += len(j.LiveAttempts)
-	}
-	for k, n := range pending {
-		fmt.Fprintf(b, "dunestand_tasks_pending{class=%q,priority=%q} %d\n", k.class, k.priority.String(), n)
-		fmt.Fprintf(b, "dunestand_tasks_placed{class=%q,priority=%q} %d\n", k.class, k.priority.String(), running[k])
-	}
-	reporting := 0
-	now := l.Clock.Steady()
-	for _, m := range l.state.Machines {
-		if m.Registered && now-m.LastHeartbeat < l.detector.suspectAfter() {
-			reporting++
-		}
-	}
-	fmt.Fprintf(b, "dunestand_machines %d\ndunestand_machines_reporting %d\ndunestand_term %d\n", len(l.state.Machines), reporting, l.token)
-}
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -220,7 +220,7 @@
 		for i := range m.workers {
 			w := m.workers[i]
 			m.leaseOf(w)
-			if machine := m.leader.state.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= maxUndeliveredCommands) {
+			if machine := m.leader.state.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= cluster.MaxUndeliveredCommands) {
 				m.releaseWorker(i)
 				continue
 			}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -10,7 +10,9 @@
 	"sync/atomic"
 
 	"dunestand/internal/config"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -63,7 +65,7 @@
 		}()
 		go func() {
 			defer wg.Done()
-			for wait := firstPingInterval; sleep(ctx, wait); {
+			for wait := firstPingInterval; loop.Sleep(ctx, wait); {
 				_ = l.link.Send(protocol.EncodeFrame(protocol.Frame{Kind: protocol.FramePing}))
 				if wait = pingInterval; !p.fresh(l) {
 					wait = firstPingInterval
@@ -116,7 +118,7 @@
 
 // Leader names the peer that says it leads, "" if none does.
 func (p *Peers) Leader() string {
-	for _, node := range sortedKeys(p.links) {
+	for _, node := range sorted.Keys(p.links) {
 		if l := p.links[node]; p.fresh(l) && l.leading.Load() {
 			return node
 		}
--- a/internal/coordination/persistence.go
+++ b/internal/coordination/persistence.go
@@ -12,30 +12,47 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
+// PlanConflicts is told when a batch met another version of the admission plan than the one
+// that its new jobs were accepted by.
+type PlanConflicts interface {
+	// Reconsider decides again about the jobs that are not accepted yet. It needs the lock
+	// of the state held.
+	Reconsider()
+	// RereadPlan finds out which plan is in force.
+	RereadPlan(ctx context.Context)
+}
+
+// PersisterDeps is what a Persister works with.
+type PersisterDeps struct {
+	State       *cluster.State
+	Leadership  Leadership
+	Ingester    *Ingester
+	Terminals   *TerminalJobs
+	Admission   PlanConflicts
+	OnCatalog   func(versions map[string]uint64)
+	Settings    *config.Settings
+	KV          *kv.Client
+	Format      *FormatNegotiator
+	Clock       units.Clock
+	Log         *slog.Logger
+	Tracer      cluster.AttemptTracer
+	Token       uint64
+	ElectedAt   units.Micros
+	WriteSignal loop.Signal
+	CycleSignal loop.Signal
+}
+
 // Persister writes changed records to the key-value store and reads them back after a
 // failover. Only the leader's persister writes the records of jobs: every batch is
 // conditional on the heads of the jobs' buckets, which this leader has claimed.
 type Persister struct {
-	state       *cluster.State
-	leadership  Leadership
-	autoscaler  *Autoscaler
-	ingester    *Ingester
-	terminals   *TerminalJobs
-	admission   *LeaderAdmission
-	settings    *config.Settings
-	kv          *kv.Client
-	format      *FormatNegotiator
-	clock       units.Clock
-	log         *slog.Logger
-	tracer      cluster.AttemptTracer
-	token       uint64
-	electedAt   units.Micros
-	writeSignal chan struct{}
-	cycleSignal chan struct{}
+	PersisterDeps
+	// onCatalog is told which records hold the stored catalog, under the lock of state.
 
 	restored chan struct{} // closed once the records are restored
 
@@ -45,23 +62,9 @@
 	bucketVersions []uint64 // of the buckets' heads, as this leader claimed them
 }
 
-func newPersister(l *Leader, tracer cluster.AttemptTracer) *Persister {
+func newPersister(deps PersisterDeps) *Persister {
 	return &Persister{
-		state:          l.state,
-		leadership:     l.leadership,
-		autoscaler:     l.autoscaler,
-		ingester:       l.ingester,
-		terminals:      l.terminals,
-		settings:       l.Settings,
-		kv:             l.KV,
-		format:         l.Format,
-		clock:          l.Clock,
-		log:            l.Log,
-		tracer:         tracer,
-		token:          l.token,
-		electedAt:      l.electedAt,
-		writeSignal:    l.writeSignal,
-		cycleSignal:    l.cycleSignal,
+		PersisterDeps:  deps,
 		restored:       make(chan struct{}),
 		bucketVersions: make([]uint64, storage.Buckets),
 	}
@@ -69,7 +72,7 @@
 
 func (p *Persister) nextWriteID() string {
 	p.writes++
-	return fmt.Sprintf("%d-%d", p.token, p.writes)
+	return fmt.Sprintf("%d-%d", p.Token, p.writes)
 }
 
 const (
@@ -94,15 +97,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.writeSignal:
-			if !sleep(ctx, coalesceUrgent) {
+		case <-p.WriteSignal:
+			if !loop.Sleep(ctx, coalesceUrgent) {
 				return
 			}
 		case <-time.After(tick.Duration()):
 		}
 		tick = backgroundWriteInterval
 		for {
-			if p.kv.WritesAvailable() < p.minBatchChanges() {
+			if p.KV.WritesAvailable() < p.minBatchChanges() {
 				tick = writeBudgetRetry
 				break
 			}
@@ -114,10 +117,10 @@
 			go func() {
 				defer wg.Done()
 				p.commitBatch(ctx, s)
-				p.state.Lock()
+				p.State.Lock()
 				p.writesInFlight--
-				p.state.Unlock()
-				raise(p.writeSignal)
+				p.State.Unlock()
+				p.WriteSignal.Raise()
 			}()
 		}
 	}
@@ -126,30 +129,30 @@
 // minBatchChanges is for how many changes the rate of writes must have room before a save is
 // built.
 func (p *Persister) minBatchChanges() int {
-	return min(maxBatchWait, p.settings.Fleet.State.Both().TxnOps)
+	return min(maxBatchWait, p.Settings.Fleet.State.Both().TxnOps)
 }
 
 // nextBatch builds the next save if one may be sent now, and counts its writes. It is built
 // only once the rate of writes has room for it: what waits for the rate can still be
 // overtaken by what a user waits for, what is built can not.
 func (p *Persister) nextBatch() *cluster.WriteBatch {
-	p.state.Lock()
-	defer p.state.Unlock()
+	p.State.Lock()
+	defer p.State.Unlock()
 	if p.writesInFlight >= maxWritesInFlight {
 		return nil
 	}
-	now := p.clock.Steady()
-	p.state.UpgradeFormat(p.format.Current(), now)
-	s := p.state.BuildWriteBatch(p.nextWriteID(), p.bucketVersions, cluster.BatchLimits{
+	now := p.Clock.Steady()
+	p.State.UpgradeFormat(p.Format.Current(), now)
+	s := p.State.BuildWriteBatch(p.nextWriteID(), p.bucketVersions, cluster.BatchLimits{
 		CoalesceFor: coalesceBackground,
-		Background:  p.kv.HasWriteBudget(),
-		MaxChanges:  max(p.minBatchChanges(), p.kv.WritesAvailable()),
+		Background:  p.KV.HasWriteBudget(),
+		MaxChanges:  max(p.minBatchChanges(), p.KV.WritesAvailable()),
 	}, now)
 	if s == nil {
 		return nil
 	}
 	p.writesInFlight++
-	p.kv.ReserveWrites(len(s.Txn.Then))
+	p.KV.ReserveWrites(len(s.Txn.Then))
 	return s
 }
 
@@ -165,15 +168,15 @@
 // its conditions see to it that it happens once.
 func (p *Persister) commitBatch(ctx context.Context, s *cluster.WriteBatch) {
 	uncertain := false
-	began := p.clock.Steady()
+	began := p.Clock.Steady()
 	pacing := kv.Prepaid
 	for wait := commitBackoff; ; wait = min(2*wait, maxCommitBackoff) {
-		version, err := p.kv.CompareAndSwap(ctx, s.Txn, pacing, kvTimeout)
+		version, err := p.KV.CompareAndSwap(ctx, s.Txn, pacing, kv.CallTimeout)
 		pacing = kv.Paced
 		if err == nil {
-			if p.tracer.Enabled() {
-				p.log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
-					"took_us", int64(p.clock.Steady()-began))
+			if p.Tracer.Enabled() {
+				p.Log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
+					"took_us", int64(p.Clock.Steady()-began))
 			}
 			p.batchCommitted(s, version)
 			return
@@ -199,10 +202,10 @@
 			p.batchRejected(ctx, s, uncertain)
 			return
 		case !errors.Is(err, kv.ErrRefused):
-			p.log.Error("save not understood", "jobs", s.JobIDs(), "error", err)
+			p.Log.Error("save not understood", "jobs", s.JobIDs(), "error", err)
 			uncertain = true
 		}
-		if !sleep(ctx, wait) {
+		if !loop.Sleep(ctx, wait) {
 			return
 		}
 	}
@@ -223,29 +226,29 @@
 		}
 		if err == nil {
 			// Only a new term's claim makes certain that it never is.
-			p.log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.JobIDs())
-			p.leadership.StepDown()
+			p.Log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.JobIDs())
+			p.Leadership.StepDown()
 			return
 		}
-		if !sleep(ctx, rejectedRetryDelay) {
+		if !loop.Sleep(ctx, rejectedRetryDelay) {
 			return
 		}
 	}
-	p.state.Lock()
-	first := p.state.ApplyNextLimits()
-	p.state.Unlock()
-	p.kv.ApplyNextLimits()
-	p.log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
-	if !first && !sleep(ctx, rejectedRetryDelay) {
+	p.State.Lock()
+	first := p.State.ApplyNextLimits()
+	p.State.Unlock()
+	p.KV.ApplyNextLimits()
+	p.Log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
+	if !first && !loop.Sleep(ctx, rejectedRetryDelay) {
 		return
 	}
-	p.state.Lock()
-	defer p.state.Unlock()
-	p.state.BatchRejected(s, p.clock.Steady())
+	p.State.Lock()
+	defer p.State.Unlock()
+	p.State.BatchRejected(s, p.Clock.Steady())
 }
 
 func (p *Persister) probeOutcome(ctx context.Context, s *cluster.WriteBatch) (uint64, bool, error) {
-	item, ok, err := p.kv.Get(ctx, s.ProbeKey(), kvTimeout)
+	item, ok, err := p.KV.Get(ctx, s.ProbeKey(), kv.CallTimeout)
 	if err != nil || !ok {
 		return 0, false, err
 	}
@@ -257,13 +260,13 @@
 }
 
 func (p *Persister) batchCommitted(s *cluster.WriteBatch, version uint64) {
-	p.state.Lock()
-	defer p.state.Unlock()
-	for id, f := range p.state.BatchCommitted(s, version) {
-		p.terminals.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
-		p.log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
+	p.State.Lock()
+	defer p.State.Unlock()
+	for id, f := range p.State.BatchCommitted(s, version) {
+		p.Terminals.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
+		p.Log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
 	}
-	raise(p.cycleSignal)
+	p.CycleSignal.Raise()
 }
 
 // batchConflicted handles a save that was certainly not carried out: it submits the id of a
@@ -279,46 +282,49 @@
 		}
 		id, isFinal := storage.JobOfTerminalKey(key)
 		if !isFinal {
-			if p.leadership.Valid() {
-				p.log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.JobIDs())
+			if p.Leadership.Valid() {
+				p.Log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.JobIDs())
 			}
-			p.leadership.StepDown()
+			p.Leadership.StepDown()
 			return
 		}
 		for {
-			f, ok, err := p.terminals.readTerminal(ctx, id)
+			f, ok, err := p.Terminals.readTerminal(ctx, id)
 			if err == nil {
 				if ok {
 					over[id] = f
 				}
 				break
 			}
-			if !sleep(ctx, readRetryDelay) {
+			if !loop.Sleep(ctx, readRetryDelay) {
 				return
 			}
 		}
 	}
-	p.state.Lock()
-	p.state.BatchRefused(s, p.clock.Steady())
+	p.State.Lock()
+	p.State.BatchRefused(s, p.Clock.Steady())
 	if planMet {
-		p.admission.reconsiderAdmissions()
+		p.Admission.Reconsider()
 	}
-	p.state.Unlock()
+	p.State.Unlock()
 	if planMet {
-		p.admission.publisher.rereadRecord(ctx)
+		p.Admission.RereadPlan(ctx)
 	}
-	p.state.Lock()
-	defer p.state.Unlock()
+	p.State.Lock()
+	defer p.State.Unlock()
 	for id, f := range over {
-		p.terminals.terminalJobs.put(id, f)
-		p.state.DropUnaccepted(id)
-		p.ingester.pendingUncleared.Store(true) // it may have come from there
+		p.Terminals.terminalJobs.put(id, f)
+		p.State.DropUnaccepted(id)
+		p.Ingester.pendingUncleared.Store(true) // it may have come from there
 	}
 }
 
 // bucketVersion is the version of a bucket's head.
 func (p *Persister) bucketVersion(bucket int) uint64 {
-	p.state.Lock()
-	defer p.state.Unlock()
+	p.State.Lock()
+	defer p.State.Unlock()
 	return p.bucketVersions[bucket]
 }
+
+// Restored returns a channel that is closed once the records are restored.
+func (p *Persister) Restored() <-chan struct{} { return p.restored }
--- a/internal/coordination/planpublisher.go
+++ b/internal/coordination/planpublisher.go
@@ -11,8 +11,8 @@
 	"golang.org/x/time/rate"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
@@ -20,15 +20,8 @@
 
 // planPublisher makes and writes the admission plan while its node leads.
 type planPublisher struct {
-	admitter   *admitter
-	admission  *LeaderAdmission
-	leadership Leadership
-	persister  *Persister
-	ingester   *Ingester
-	settings   *config.Settings
-	kv         *kv.Client
-	clock      units.Clock
-	token      uint64
+	LeaderAdmissionDeps
+	admission *LeaderAdmission
 
 	// recordLock holds a token while the record is read or written. What follows is for its
 	// holder alone.
@@ -46,25 +39,19 @@
 	standings atomic.Pointer[[]admission.Standing] // of the teams, by the last proposal
 }
 
-func newPlanPublisher(l *Leader, la *LeaderAdmission) *planPublisher {
+func newPlanPublisher(deps LeaderAdmissionDeps, la *LeaderAdmission) *planPublisher {
 	return &planPublisher{
-		admitter:   l.Admitter,
-		admission:  la,
-		leadership: l.leadership,
-		persister:  l.persister,
-		ingester:   l.ingester,
-		settings:   l.Settings,
-		kv:         l.KV,
-		clock:      l.Clock,
-		token:      l.token,
-		recordLock: make(chan struct{}, 1),
-		limiter:    rate.NewLimiter(plansPerSecond, planBurst),
+		LeaderAdmissionDeps: deps,
+		admission:           la,
+		recordLock:          make(chan struct{}, 1),
+		limiter:             rate.NewLimiter(plansPerSecond, planBurst),
 	}
 }
 
 // The pace of plans. Exhausted quotas are renewed sooner, what is a matter of course is
 // not written again before it is about to lapse.
 const (
+	recordRetryDelay      = 200 * units.Millisecond // until the plan's record is read again
 	planInterval          = 250 * units.Millisecond
 	minPlanInterval       = 500 * units.Millisecond // between two plans
 	minUrgentPlanInterval = 120 * units.Millisecond // likewise, when a quota is used up
@@ -109,15 +96,15 @@
 
 // loop publishes plans until ctx ends.
 func (p *planPublisher) loop(ctx context.Context) {
-	if p.admitter == nil {
+	if p.Admitter == nil {
 		return
 	}
 	tick := time.NewTicker(planInterval.Duration())
 	defer tick.Stop()
 	for asked := true; ; {
-		if p.admitter.active() && p.leadership.Valid() {
+		if p.Admitter.active() && p.Leadership.Valid() {
 			if err := p.step(ctx, asked); err != nil {
-				p.admitter.log.Debug("the admission plan is not written", "error", err)
+				p.Admitter.log.Debug("the admission plan is not written", "error", err)
 			}
 		}
 		select {
@@ -125,7 +112,7 @@
 			return
 		case <-tick.C:
 			asked = false
-		case <-p.admitter.replanSignal:
+		case <-p.Admitter.replanSignal:
 			asked = true
 		}
 	}
@@ -142,23 +129,23 @@
 			return err
 		}
 	}
-	if p.admitter.unreadable.Load() != 0 {
+	if p.Admitter.unreadable.Load() != 0 {
 		p.recordKnown = false // an operator may repair or delete the record
 		return errPlanUnreadable
 	}
-	now := p.clock.Steady()
+	now := p.Clock.Steady()
 	if p.sentAt != 0 && now-p.sentAt < planPause(asked) {
 		return nil
 	}
-	proposal := p.planner.Next(p.version+1, p.token, p.admission.measure(now))
+	proposal := p.planner.Next(p.version+1, p.Leadership.Token(), p.admission.measure(now))
 	p.standings.Store(&proposal.Standings)
 	if !p.due(proposal.Plan, now, asked) {
 		return nil
 	}
-	raw, held, err := admission.Encode(proposal.Plan, p.settings.Fleet.State.Both().ValueBytes())
+	raw, held, err := admission.Encode(proposal.Plan, p.Settings.Fleet.State.Both().ValueBytes())
 	if err != nil {
 		if !p.tooLarge {
-			p.admitter.log.Error("the admission plan is not written; jobs are admitted by the built-in floor", "error", err)
+			p.Admitter.log.Error("the admission plan is not written; jobs are admitted by the built-in floor", "error", err)
 		}
 		p.tooLarge = true
 		return err
@@ -191,27 +178,27 @@
 	if !asked && !p.failed && plan.Like(p.written) {
 		return false
 	}
-	return p.kv.HasWriteBudget() && p.limiter.Allow()
+	return p.KV.HasWriteBudget() && p.limiter.Allow()
 }
 
 // readRecords finds out what the record holds now.
 func (p *planPublisher) read(ctx context.Context) error {
-	asked := p.clock.Steady()
-	item, revision, err := p.kv.ReadAtRevision(ctx, admission.KeyPlan, kvTimeout)
+	asked := p.Clock.Steady()
+	item, revision, err := p.KV.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
 	if err != nil {
 		return err
 	}
 	if item.Version == 0 {
-		p.admitter.keeper.Missing(revision)
-		p.admitter.unreadable.Store(0)
+		p.Admitter.keeper.Missing(revision)
+		p.Admitter.unreadable.Store(0)
 	} else {
 		after := asked - admission.Lifetime // it may be of any age
 		if p.sentAt != 0 && item.Version > p.revision {
 			after = p.sentAt // it is the one whose answer was lost
 		}
-		p.admitter.adopt(item, after, p.clock.Steady())
+		p.Admitter.adopt(item, after, p.Clock.Steady())
 	}
-	if p.admitter.unreadable.Load() == 0 {
+	if p.Admitter.unreadable.Load() == 0 {
 		if err := p.continueFrom(item); err != nil {
 			return err
 		}
@@ -237,7 +224,7 @@
 		p.version = plan.Version
 	}
 	if p.planner == nil {
-		p.planner = admission.NewPlanner(p.admitter.options, p.admitter.teams, former, p.clock.Steady())
+		p.planner = admission.NewPlanner(p.Admitter.options, p.Admitter.teams, former, p.Clock.Steady())
 	}
 	return nil
 }
@@ -246,11 +233,11 @@
 // nothing more can be accepted under that. So whoever is not known after it and has to
 // delay by the new plan stays unknown while it is in force.
 func (p *planPublisher) ingestPending(ctx context.Context) error {
-	items, _, err := listAll(ctx, p.kv, storage.PrefixPending)
+	items, _, err := p.KV.ListAll(ctx, storage.PrefixPending)
 	if err != nil {
 		return err
 	}
-	return p.ingester.ingest(ctx, items)
+	return p.Ingester.ingest(ctx, items)
 }
 
 // compareAndSwap makes a plan durable, on condition that the record is as this leader knows it and
@@ -259,19 +246,19 @@
 func (p *planPublisher) write(ctx context.Context, raw []byte, plan *admission.Plan) error {
 	p.admission.planUncertain()
 	head := storage.KeyBucketHead(planFenceBucket)
-	sent := p.clock.Steady()
+	sent := p.Clock.Steady()
 	pacing := kv.Paced
 	if p.sentAt == 0 {
 		pacing = kv.Urgent
 	}
 	p.sentAt = sent
-	revision, err := p.kv.CompareAndSwap(ctx, protocol.Txn{
+	revision, err := p.KV.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{
 			{Key: admission.KeyPlan, Version: p.revision},
-			{Key: head, Version: p.persister.bucketVersion(planFenceBucket)},
+			{Key: head, Version: p.Persister.bucketVersion(planFenceBucket)},
 		},
 		Then: []protocol.Change{{Set: admission.KeyPlan, Value: raw}},
-	}, pacing, kvTimeout)
+	}, pacing, kv.CallTimeout)
 	switch {
 	case errors.Is(err, kv.ErrRefused):
 		p.admission.planChanged(p.revision)
@@ -281,7 +268,7 @@
 		return err
 	}
 	if !plan.Like(p.written) {
-		p.admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.Gates(),
+		p.Admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.Gates(),
 			"turns", plan.Turns(), "waiting", p.admission.waitingCount())
 	}
 	p.written, p.version = plan, plan.Version
@@ -290,8 +277,8 @@
 		p.revision = revision
 		return err
 	}
-	if err := p.admitter.keeper.Adopt(admission.Held{
-		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.clock.Steady(),
+	if err := p.Admitter.keeper.Adopt(admission.Held{
+		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.Clock.Steady(),
 	}); err != nil {
 		return err
 	}
@@ -310,7 +297,7 @@
 	}
 	defer p.release()
 	p.recordKnown = false
-	for p.read(ctx) != nil && sleep(ctx, readRetryDelay) {
+	for p.read(ctx) != nil && loop.Sleep(ctx, recordRetryDelay) {
 		continue
 	}
 }
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -11,27 +11,33 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
+// AutoscalerDeps is what a Autoscaler works with.
+type AutoscalerDeps struct {
+	State       *cluster.State
+	Leadership  Leadership
+	Detector    *Detector
+	Scheduler   *Scheduler
+	Settings    *config.Settings
+	Policy      *config.Policy
+	Cloud       *cloud.Client
+	KV          *kv.Client
+	Format      *FormatNegotiator
+	Clock       units.Clock
+	Log         *slog.Logger
+	Token       uint64
+	ElectedAt   units.Micros
+	CycleSignal loop.Signal
+}
+
 // Autoscaler keeps the rented machines as the demand and the policy want them: it scales
 // out, scales in, and keeps the catalog of instance types.
 type Autoscaler struct {
-	state       *cluster.State
-	leadership  Leadership
-	detector    *Detector
-	scheduler   *Scheduler
-	settings    *config.Settings
-	policy      *config.Policy
-	cloud       *cloud.Client
-	kv          *kv.Client
-	format      *FormatNegotiator
-	clock       units.Clock
-	log         *slog.Logger
-	token       uint64
-	electedAt   units.Micros
-	cycleSignal chan struct{}
+	AutoscalerDeps
 
 	// What follows is guarded by the lock of state, but for what provisioningState says.
 	provisioning     provisioningState
@@ -39,24 +45,11 @@
 	lastFiniteJobAt  units.Micros // when there last was an unfinished job that ends by itself
 }
 
-func newAutoscaler(l *Leader) *Autoscaler {
+func newAutoscaler(deps AutoscalerDeps) *Autoscaler {
 	return &Autoscaler{
-		state:           l.state,
-		leadership:      l.leadership,
-		detector:        l.detector,
-		scheduler:       l.scheduler,
-		settings:        l.Settings,
-		policy:          l.Policy,
-		cloud:           l.Cloud,
-		kv:              l.KV,
-		format:          l.Format,
-		clock:           l.Clock,
-		log:             l.Log,
-		token:           l.token,
-		electedAt:       l.electedAt,
-		cycleSignal:     l.cycleSignal,
+		AutoscalerDeps:  deps,
 		provisioning:    newProvisioningState(),
-		lastFiniteJobAt: l.electedAt,
+		lastFiniteJobAt: deps.ElectedAt,
 	}
 }
 
@@ -90,23 +83,19 @@
 	maxCapacityBackoff = 40 * units.Second
 	bootGraceFactor    = 3 // boot times until a machine is not reckoned with
 	bootTimeoutFactor  = 6 // boot times until it is given up
-	// A worker that looks for a new leader tries the next node after 1 s, and
-	// waits 4 s on each that does not answer.
-	leaderSearchStart   = 2500 * units.Millisecond
-	leaderSearchPerNode = 5 * units.Second
 )
 
 // autoscaleLoop keeps the rented machines as wanted.
 func (as *Autoscaler) autoscaleLoop(ctx context.Context) {
-	for wait := units.Micros(0); sleep(ctx, wait); wait = autoscaleInterval {
-		if !as.leadership.Valid() {
+	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = autoscaleInterval {
+		if !as.Leadership.Valid() {
 			continue
 		}
-		now := as.clock.Steady()
+		now := as.Clock.Steady()
 		if as.provisioning.catalogReadAt == 0 || now-as.provisioning.catalogReadAt >= catalogInterval {
 			as.refreshCatalog(ctx)
 		}
-		if as.provisioning.listReadAt == 0 || now-as.provisioning.listReadAt >= listInterval(as.settings.Fleet.Cloud, as.provisioning.listedMachines) {
+		if as.provisioning.listReadAt == 0 || now-as.provisioning.listReadAt >= listInterval(as.Settings.Fleet.Cloud, as.provisioning.listedMachines) {
 			as.refreshMachineList(ctx)
 		}
 		as.scaleIn(ctx)
@@ -130,26 +119,26 @@
 
 // refreshMachineList takes in which machines the cloud lists.
 func (as *Autoscaler) refreshMachineList(ctx context.Context) {
-	listed, err := as.cloud.ListMachines(ctx)
+	listed, err := as.Cloud.ListMachines(ctx)
 	if err != nil {
-		as.log.Debug("machines not listed", "error", err)
+		as.Log.Debug("machines not listed", "error", err)
 		return
 	}
-	as.state.Lock()
-	defer as.state.Unlock()
-	now := as.clock.Steady()
+	as.State.Lock()
+	defer as.State.Unlock()
+	now := as.Clock.Steady()
 	as.provisioning.listReadAt, as.provisioning.listedMachines = now, len(listed)
 	present := make(map[string]bool, len(listed))
 	for _, l := range listed {
 		present[l.ID] = true
-		if as.state.Released.Has(l.ID) {
+		if as.State.Released.Has(l.ID) {
 			continue
 		}
-		_, known := as.state.Machines[l.ID]
-		m := as.state.EnsureMachine(l.ID, l.InstanceType, l.Zone, l.Spot, now)
+		_, known := as.State.Machines[l.ID]
+		m := as.State.EnsureMachine(l.ID, l.InstanceType, l.Zone, l.Spot, now)
 		if !known {
 			m.RentedAt = now - units.Seconds(l.AgeSeconds)
-			as.log.Debug("machine listed", "machine", l.ID, "type", l.InstanceType, "zone", l.Zone, "stage", l.Stage)
+			as.Log.Debug("machine listed", "machine", l.ID, "type", l.InstanceType, "zone", l.Zone, "stage", l.Stage)
 		}
 		if !m.Registered {
 			m.Stage, m.Endpoint = l.Stage, l.Endpoint
@@ -157,45 +146,40 @@
 		if l.Stage == protocol.MachineFailed && !m.Releasing {
 			// It has stopped on its own: nothing runs there any more. The
 			// check only takes it off the list.
-			as.log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
-			as.state.MachineEmptied(m, now)
-			as.state.MarkReconciled(m.ID)
+			as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
+			as.State.MachineEmptied(m, now)
+			as.State.MarkReconciled(m.ID)
 			m.Releasing = true
-			raise(as.cycleSignal)
+			as.CycleSignal.Raise()
 		}
 	}
-	lag := units.Seconds(as.settings.Fleet.Cloud.ListLagS)
-	for _, m := range as.state.Machines {
+	lag := units.Seconds(as.Settings.Fleet.Cloud.ListLagS)
+	for _, m := range as.State.Machines {
 		// Taken or deleted before it was up. That a machine is not listed proves
 		// nothing about one that may hold tasks: its lease decides.
-		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !as.state.IsUnreconciled(m.ID) {
+		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !as.State.IsUnreconciled(m.ID) {
 			as.removeMachine(m, now)
 		}
 	}
 }
 
-const (
-	minZoneCutMachines = 3                  // machines of a zone that fall silent together
-	zoneCutGrace       = 120 * units.Second // beyond the workers' lease, until they are given back
-)
-
 func (as *Autoscaler) policyInput() config.FleetInput {
-	in := config.FleetInput{Hour: int(as.clock.Wall() / units.Second / 3600 % 24)}
-	for _, j := range as.state.Jobs {
+	in := config.FleetInput{Hour: int(as.Clock.Wall() / units.Second / 3600 % 24)}
+	for _, j := range as.State.Jobs {
 		if !j.IsService() {
-			as.lastFiniteJobAt = as.clock.Steady()
+			as.lastFiniteJobAt = as.Clock.Steady()
 			break
 		}
 	}
-	in.QuietS = (as.clock.Steady() - as.lastFiniteJobAt).Seconds()
-	for _, team := range as.state.Teams {
+	in.QuietS = (as.Clock.Steady() - as.lastFiniteJobAt).Seconds()
+	for _, team := range as.State.Teams {
 		in.GuaranteedCPUs += team.GuaranteedQuota.CPU.Float()
 		in.LimitCPUs += team.QuotaLimit.CPU.Float()
 	}
 	for _, n := range as.demand() {
 		in.DemandCPUs += n.Spec.Request.CPU.Float() * float64(n.Count)
 	}
-	for _, m := range as.state.Machines {
+	for _, m := range as.State.Machines {
 		if !m.Releasing {
 			in.FleetCPUs += m.Capacity.CPU.Float()
 		}
@@ -207,11 +191,11 @@
 // them run, and the replicas that room is kept for.
 func (as *Autoscaler) demand() []TaskDemand {
 	left := map[string]units.Resources{}
-	for name, team := range as.state.Teams {
+	for name, team := range as.State.Teams {
 		left[name] = team.QuotaLimit
 	}
 	var out []TaskDemand
-	for _, j := range as.state.JobsBySubmission() {
+	for _, j := range as.State.JobsBySubmission() {
 		if j.Cancelled || !j.Accepted() {
 			continue
 		}
@@ -221,8 +205,8 @@
 			out = append(out, TaskDemand{&j.Spec, n})
 		}
 	}
-	if like := as.scheduler.headroomReplica(); like != nil {
-		out = append(out, TaskDemand{like, as.scheduler.headroomReplicaCount(like)})
+	if like := as.Scheduler.headroomReplica(); like != nil {
+		out = append(out, TaskDemand{like, as.Scheduler.headroomReplicaCount(like)})
 	}
 	return out
 }
@@ -231,12 +215,12 @@
 // at once: a boot takes long enough.
 func (as *Autoscaler) scaleOut(ctx context.Context) {
 	for range scaleOutPasses {
-		as.state.Lock()
+		as.State.Lock()
 		if len(as.provisioning.unanswered) == 0 {
-			as.provisioning.unanswered = as.scaleOutOrders(as.clock.Steady())
+			as.provisioning.unanswered = as.scaleOutOrders(as.Clock.Steady())
 		}
 		orders := as.provisioning.unanswered
-		as.state.Unlock()
+		as.State.Unlock()
 		if len(orders) == 0 {
 			return
 		}
@@ -259,9 +243,9 @@
 				open = append(open, r)
 			}
 		}
-		as.state.Lock()
+		as.State.Lock()
 		as.provisioning.unanswered = open
-		as.state.Unlock()
+		as.State.Unlock()
 		if len(open) > 0 {
 			return
 		}
@@ -270,14 +254,14 @@
 
 // requestMachines sends one request and tells whether it was answered.
 func (as *Autoscaler) requestMachines(ctx context.Context, r protocol.ScaleOutRequest) bool {
-	names, err := as.cloud.ScaleOut(ctx, r)
+	names, err := as.Cloud.ScaleOut(ctx, r)
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
-		as.log.Debug("rent not answered", "request", r.RequestID, "error", err)
+		as.Log.Debug("rent not answered", "request", r.RequestID, "error", err)
 		return false
 	}
-	as.state.Lock()
-	defer as.state.Unlock()
-	now := as.clock.Steady()
+	as.State.Lock()
+	defer as.State.Unlock()
+	now := as.Clock.Steady()
 	kind := Offering{r.InstanceType, r.Zone, r.Spot}
 	if len(names) < r.Count {
 		was := as.provisioning.unavailable[kind]
@@ -287,24 +271,24 @@
 		delete(as.provisioning.unavailable, kind)
 	}
 	for _, id := range names {
-		if !as.state.Released.Has(id) {
-			m := as.state.EnsureMachine(id, r.InstanceType, r.Zone, r.Spot, now)
+		if !as.State.Released.Has(id) {
+			m := as.State.EnsureMachine(id, r.InstanceType, r.Zone, r.Spot, now)
 			if m.Stage == "" {
 				m.Stage = protocol.MachineBooting
 			}
 		}
 	}
-	as.log.Info("machines rented", "request", r.RequestID, "type", r.InstanceType, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", names)
+	as.Log.Info("machines rented", "request", r.RequestID, "type", r.InstanceType, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", names)
 	return true
 }
 
 // capacityView is what the renting decision looks at.
 func (as *Autoscaler) capacityView(in config.FleetInput) CapacityView {
-	v := CapacityView{InstanceTypes: as.state.InstanceTypes, Machines: map[Offering]int{}, Demand: as.demand(),
-		ReserveCPUs: as.policy.ReserveCPUs(in), SpotPreference: as.policy.SpotPreference(in)}
-	now := as.clock.Steady()
-	for _, m := range as.state.Machines {
-		boot := units.Seconds(as.state.InstanceTypes[m.InstanceType].BootS)
+	v := CapacityView{InstanceTypes: as.State.InstanceTypes, Machines: map[Offering]int{}, Demand: as.demand(),
+		ReserveCPUs: as.Policy.ReserveCPUs(in), SpotPreference: as.Policy.SpotPreference(in)}
+	now := as.Clock.Steady()
+	for _, m := range as.State.Machines {
+		boot := units.Seconds(as.State.InstanceTypes[m.InstanceType].BootS)
 		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.RentedAt > bootGraceFactor*boot+10*units.Second {
 			continue
 		}
@@ -316,7 +300,7 @@
 // scaleOutOrders turns what is wanted into requests with names never used before: the
 // token is in them, and no two terms are alike.
 func (as *Autoscaler) scaleOutOrders(now units.Micros) []protocol.ScaleOutRequest {
-	if len(as.state.InstanceTypes) == 0 || as.provisioning.listReadAt == 0 {
+	if len(as.State.InstanceTypes) == 0 || as.provisioning.listReadAt == 0 {
 		return nil // what there is, is not known yet
 	}
 	v := as.capacityView(as.policyInput())
@@ -324,7 +308,7 @@
 	var out []protocol.ScaleOutRequest
 	for _, o := range PlanScaleOut(&v) {
 		as.scaleOutRequests++
-		out = append(out, protocol.ScaleOutRequest{RequestID: fmt.Sprintf("r-%d-%d", as.token, as.scaleOutRequests),
+		out = append(out, protocol.ScaleOutRequest{RequestID: fmt.Sprintf("r-%d-%d", as.Token, as.scaleOutRequests),
 			InstanceType: o.Offering.InstanceType, Zone: o.Offering.Zone, Spot: o.Offering.Spot, Count: o.Count})
 	}
 	return out
--- a/internal/coordination/release.go
+++ b/internal/coordination/release.go
@@ -6,6 +6,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
 
@@ -13,35 +14,35 @@
 // its kind now, whatever it said before: after a wave of losses, waiting for the
 // capacityBackoff to pass once left a quarter of the fleet away for half a minute.
 func (as *Autoscaler) removeMachine(m *cluster.Machine, now units.Micros) {
-	as.state.RemoveMachine(m, now)
+	as.State.RemoveMachine(m, now)
 	delete(as.provisioning.unavailable, Offering{m.InstanceType, m.Zone, m.Spot})
 }
 
 // scaleIn returns machines that are faulty, lost, never came up, or
 // are idle beyond what is to be kept.
 func (as *Autoscaler) scaleIn(ctx context.Context) {
-	as.state.Lock()
-	names := as.machinesToRelease(as.clock.Steady())
-	as.state.Unlock()
+	as.State.Lock()
+	names := as.machinesToRelease(as.Clock.Steady())
+	as.State.Unlock()
 	for len(names) > 0 {
 		n := min(len(names), protocol.MaxScaleIn)
-		if err := as.cloud.ScaleIn(ctx, names[:n]); err != nil {
-			as.log.Debug("machines not released", "machines", names[:n], "error", err)
+		if err := as.Cloud.ScaleIn(ctx, names[:n]); err != nil {
+			as.Log.Debug("machines not released", "machines", names[:n], "error", err)
 			return
 		}
-		as.state.Lock()
-		now := as.clock.Steady()
+		as.State.Lock()
+		now := as.Clock.Steady()
 		for _, id := range names[:n] {
-			as.state.Released.Add(id, now)
-			if m := as.state.Machines[id]; m != nil {
+			as.State.Released.Add(id, now)
+			if m := as.State.Machines[id]; m != nil {
 				as.removeMachine(m, now)
 			} else {
-				as.state.MarkReconciled(id)
+				as.State.MarkReconciled(id)
 			}
 		}
-		as.log.Info("machines released", "machines", names[:n])
-		as.state.Unlock()
-		raise(as.cycleSignal)
+		as.Log.Info("machines released", "machines", names[:n])
+		as.State.Unlock()
+		as.CycleSignal.Raise()
 		names = names[n:]
 	}
 }
@@ -53,20 +54,20 @@
 	chosen := map[string]bool{}
 	mark := func(m *cluster.Machine, why string) {
 		if !m.Releasing {
-			as.log.Info("machine is to be released", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
+			as.Log.Info("machine is to be released", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
 			m.Releasing = true
 		}
 	}
-	silent := as.detector.lostMachines(now)
-	for _, id := range sortedKeys(as.state.Machines) {
-		m := as.state.Machines[id]
-		boot := units.Seconds(as.state.InstanceTypes[m.InstanceType].BootS)
+	silent := as.Detector.lostMachines(now)
+	for _, id := range sorted.Keys(as.State.Machines) {
+		m := as.State.Machines[id]
+		boot := units.Seconds(as.State.InstanceTypes[m.InstanceType].BootS)
 		switch {
 		case m.Registered && m.Quarantined && len(m.Attempts) == 0:
 			mark(m, "faulty")
-		case !m.Registered && m.Stage != protocol.MachineRunning && now-m.RentedAt > bootTimeoutFactor*boot+30*units.Second && now-as.electedAt > 30*units.Second:
+		case !m.Registered && m.Stage != protocol.MachineRunning && now-m.RentedAt > bootTimeoutFactor*boot+30*units.Second && now-as.ElectedAt > 30*units.Second:
 			mark(m, "never came up")
-		case !m.Registered && now-max(as.electedAt, m.RentedAt) > withDrift(as.settings.Fleet.Workers.Lease(), zoneCutGrace):
+		case !m.Registered && now-max(as.ElectedAt, m.RentedAt) > withDrift(as.Settings.Fleet.Workers.Lease(), zoneCutGrace):
 			// It runs, the cloud says, but has not been heard in this term: its
 			// zone may be cut off, for a while.
 			mark(m, "silent")
@@ -80,7 +81,7 @@
 		}
 	}
 	for id := range silent {
-		if as.state.Machines[id] == nil {
+		if as.State.Machines[id] == nil {
 			chosen[id] = true
 		}
 	}
@@ -88,19 +89,19 @@
 		mark(m, "idle")
 		chosen[m.ID] = true
 	}
-	return sortedKeys(chosen)
+	return sorted.Keys(chosen)
 }
 
 // idleMachines chooses machines that nothing has needed for a while, the dearest
 // first, as long as what is left covers the need and the reserve.
 func (as *Autoscaler) idleMachines(now units.Micros) []*cluster.Machine {
 	in := as.policyInput()
-	wait := as.policy.IdleReturn(in)
-	keep := max(units.AmountOf(in.DemandCPUs), as.policy.ReserveCPUs(in))
+	wait := as.Policy.IdleReturn(in)
+	keep := max(units.AmountOf(in.DemandCPUs), as.Policy.ReserveCPUs(in))
 	have := units.AmountOf(in.FleetCPUs)
 	var out []*cluster.Machine
-	for _, m := range as.state.Machines {
-		if m.Registered && !m.Releasing && m.FencingToken == as.token && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-as.electedAt > wait {
+	for _, m := range as.State.Machines {
+		if m.Registered && !m.Releasing && m.FencingToken == as.Token && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-as.ElectedAt > wait {
 			out = append(out, m)
 		}
 	}
@@ -143,7 +144,7 @@
 const maxIdleCandidates = 50
 
 func (as *Autoscaler) machinePrice(m *cluster.Machine) float64 {
-	typ := as.state.InstanceTypes[m.InstanceType]
+	typ := as.State.InstanceTypes[m.InstanceType]
 	if m.Spot {
 		return typ.SpotPrice
 	}
--- a/internal/coordination/rent.go
+++ b/internal/coordination/rent.go
@@ -6,6 +6,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
 
@@ -46,7 +47,7 @@
 
 func pricedOfferings(v *CapacityView) []pricedOffering {
 	var out []pricedOffering
-	for _, name := range sortedKeys(v.InstanceTypes) {
+	for _, name := range sorted.Keys(v.InstanceTypes) {
 		t := v.InstanceTypes[name]
 		for _, zone := range t.Zones {
 			out = append(out,
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -7,9 +7,7 @@
 
 	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
-	"dunestand/internal/config"
 	"dunestand/internal/protocol"
-	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
@@ -17,46 +15,6 @@
 // save that takes longer meets trouble, and the user is told to come back.
 const writeWaitTimeout = 1500 * units.Millisecond
 
-// ErrorResponse gives the answer that refuses a request in one line.
-func ErrorResponse(status int, why string) transport.Response {
-	r := transport.Response{Status: status, Body: protocol.Encode(protocol.ErrorResponse{Message: why})}
-	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		r.RetryAfter = 1
-	}
-	return r
-}
-
-func stateAnswer(status int, s protocol.JobState) transport.Response {
-	return transport.Response{Status: status, Body: protocol.Encode(s)}
-}
-
-// cancellationConfirmed tells whether the user of a job may be told that it is cancellationConfirmed, though
-// it is not over.
-func cancellationConfirmed(j *cluster.Job, w config.Workers) bool {
-	return j.CancelDurable && confirmsCancellationAtOnce(w)
-}
-
-// liveJobAnswer tells a live job's state as it was read at readAt or later.
-func liveJobAnswer(status int, j *cluster.Job, w config.Workers, readAt units.Micros) answer {
-	s := protocol.JobState{
-		ID:      j.Spec.ID,
-		Stage:   protocol.StagePending,
-		Done:    j.DoneCount(),
-		Running: j.Running(),
-	}
-	if cancellationConfirmed(j, w) {
-		s.Stage = protocol.StageCancelled
-		return answer{
-			Response: stateAnswer(status, s),
-			evidence: evidence{kind: terminal, version: j.CancelVersion()},
-		}
-	}
-	if s.Running > 0 || s.Done > 0 {
-		s.Stage = protocol.StageRunning
-	}
-	return provisionalAnswer(stateAnswer(status, s), readAt)
-}
-
 // mayAnswer tells, under the lock, whether this node may speak for the service.
 func (l *Leader) mayAnswer() bool { return l.state.Restored && l.leadership.Valid() }
 
@@ -123,7 +81,7 @@
 	l.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"priority", spec.Priority, "tasks", spec.Tasks, "cpus", spec.Request.CPU.Float(),
 		"estimate_ms", spec.Estimate/units.Millisecond, "deadline_ms", spec.Deadline/units.Millisecond)
-	raise(l.writeSignal)
+	l.writeSignal.Raise()
 	return j
 }
 
@@ -253,5 +211,5 @@
 		}
 	}
 	j.MarkChanged(now, true)
-	raise(l.writeSignal)
+	l.writeSignal.Raise()
 }
--- a/internal/coordination/restore.go
+++ b/internal/coordination/restore.go
@@ -9,6 +9,7 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -17,15 +18,15 @@
 // is to be tried again.
 func (p *Persister) restore(ctx context.Context) bool {
 	if err := p.claimBuckets(ctx); err != nil {
-		p.log.Info("buckets not claimed yet", "error", err)
+		p.Log.Info("buckets not claimed yet", "error", err)
 		return false
 	}
-	if err := p.format.Refresh(ctx); err != nil {
-		p.log.Info("the fleet's format is not read yet", "error", err)
+	if err := p.Format.Refresh(ctx); err != nil {
+		p.Log.Info("the fleet's format is not read yet", "error", err)
 		return false
 	}
-	if p.format.TooNew() {
-		p.leadership.Abstain(unreadableAbstention)
+	if p.Format.TooNew() {
+		p.Leadership.Abstain(unreadableAbstention)
 		return false
 	}
 	jobs, orphans, err := p.readJobs(ctx)
@@ -33,24 +34,24 @@
 		// Leader without such a job would forget it. Another node may be of a
 		// version that reads it; if none is, nobody leads until an operator has
 		// looked.
-		p.log.Error("records are not readable; nothing is placed, and this node stands back", "error", err)
-		p.leadership.Abstain(unreadableAbstention)
+		p.Log.Error("records are not readable; nothing is placed, and this node stands back", "error", err)
+		p.Leadership.Abstain(unreadableAbstention)
 		return false
 	}
 	if err != nil {
-		p.log.Info("records not read yet", "error", err)
+		p.Log.Info("records not read yet", "error", err)
 		return false
 	}
 	catalog, stored, err := p.readStoredCatalog(ctx)
 	if err != nil {
-		p.log.Info("records not read yet", "error", err)
+		p.Log.Info("records not read yet", "error", err)
 		return false
 	}
-	p.state.Lock()
-	defer p.state.Unlock()
-	p.autoscaler.provisioning.catalogStored = stored
-	for _, id := range sortedKeys(orphans) {
-		p.state.AddStaleRecords(id, orphans[id])
+	p.State.Lock()
+	defer p.State.Unlock()
+	p.OnCatalog(stored)
+	for _, id := range sorted.Keys(orphans) {
+		p.State.AddStaleRecords(id, orphans[id])
 	}
 	p.installRecords(jobs, catalog)
 	return true
@@ -61,7 +62,7 @@
 
 // readJobs reads all live jobs, and what is left over of jobs that are over, by job.
 func (p *Persister) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
-	rows, _, err := listAll(ctx, p.kv, storage.PrefixJobs)
+	rows, _, err := p.KV.ListAll(ctx, storage.PrefixJobs)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -69,8 +70,8 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", errUnreadableRecord, err)
 	}
-	for _, id := range sortedKeys(orphans) {
-		_, over, err := p.terminals.readTerminal(ctx, id)
+	for _, id := range sorted.Keys(orphans) {
+		_, over, err := p.Terminals.readTerminal(ctx, id)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -84,13 +85,13 @@
 // readStoredCatalog reads the catalog that a former leader stored, and the versions of its
 // records. One that cannot be read is logged, and stands for none.
 func (p *Persister) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
-	list, _, err := listAll(ctx, p.kv, storage.KeyCatalog)
+	list, _, err := p.KV.ListAll(ctx, storage.KeyCatalog)
 	if err != nil {
 		return protocol.Catalog{}, nil, err
 	}
 	catalog, stored, err := storage.ParseCatalog(list)
 	if err != nil {
-		p.log.Error("stored catalog is not readable", "error", err)
+		p.Log.Error("stored catalog is not readable", "error", err)
 	}
 	return catalog, stored, nil
 }
@@ -101,24 +102,24 @@
 
 // installRecords takes over what the records say.
 func (p *Persister) installRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
-	now := p.clock.Steady()
-	p.state.SetInstanceTypes(catalog.Types)
-	p.state.UpgradeFormat(p.format.Current(), now)
+	now := p.Clock.Steady()
+	p.State.SetInstanceTypes(catalog.Types)
+	p.State.UpgradeFormat(p.Format.Current(), now)
 	for _, j := range jobs {
 		j.LearnedAt = now
-		p.state.AddJob(j)
+		p.State.AddJob(j)
 	}
-	p.state.Restored = true
+	p.State.Restored = true
 	close(p.restored)
-	p.log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", p.state.UnreconciledCount(), "took_ms", (now-p.electedAt)/units.Millisecond)
-	raise(p.cycleSignal)
+	p.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", p.State.UnreconciledCount(), "took_ms", (now-p.ElectedAt)/units.Millisecond)
+	p.CycleSignal.Raise()
 }
 
 // claimBuckets raises every bucket's incarnation, a transaction's worth at a
 // time: from then on, saves of a former leader that are still on their way
 // fail.
 func (p *Persister) claimBuckets(ctx context.Context) error {
-	items, _, err := listAll(ctx, p.kv, storage.PrefixBucketHeads)
+	items, _, err := p.KV.ListAll(ctx, storage.PrefixBucketHeads)
 	if err != nil {
 		return err
 	}
@@ -142,18 +143,18 @@
 			p.bucketVersions[b] = item.Version // by an earlier try that got no answer
 			continue
 		}
-		head = storage.LeaseRecord{Holder: p.settings.Node, Incarnation: head.Incarnation + 1, WriteID: save}
+		head = storage.LeaseRecord{Holder: p.Settings.Node, Incarnation: head.Incarnation + 1, WriteID: save}
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: item.Version})
 		txn.Then = append(txn.Then, protocol.Change{Set: key, Value: protocol.Encode(head)})
 		claiming = append(claiming, b)
 	}
-	step := p.settings.Fleet.State.Both().TxnOps
+	step := p.Settings.Fleet.State.Both().TxnOps
 	for from := 0; from < len(claiming); from += step {
 		to := min(from+step, len(claiming))
-		version, err := p.kv.CompareAndSwap(ctx, protocol.Txn{
+		version, err := p.KV.CompareAndSwap(ctx, protocol.Txn{
 			If:   txn.If[from:to],
 			Then: txn.Then[from:to],
-		}, kv.Urgent, kvTimeout)
+		}, kv.Urgent, kv.CallTimeout)
 		if err != nil {
 			return err // tried again, with the versions then read
 		}
@@ -166,28 +167,5 @@
 
 // isOwnWrite tells whether a bucket's head was claimed in this very term.
 func (p *Persister) isOwn(head storage.LeaseRecord) bool {
-	return head.Holder == p.settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.token))
-}
-
-// listTimeout bounds the read of one page of a list.
-const listTimeout = 3 * units.Second
-
-// listAll reads all records whose keys have a prefix, and gives the revision from which on
-// changes are not in it.
-func listAll(ctx context.Context, store *kv.Client, prefix string) (all []protocol.Item, revision uint64, err error) {
-	from := ""
-	for {
-		page, err := store.List(ctx, prefix, from, listTimeout)
-		if err != nil {
-			return nil, 0, err
-		}
-		if from == "" {
-			revision = page.Revision
-		}
-		all = append(all, page.Items...)
-		if !page.More || len(page.Items) == 0 {
-			return all, revision, nil
-		}
-		from = page.Items[len(page.Items)-1].Key
-	}
+	return head.Holder == p.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
 }
--- a/internal/coordination/round.go
+++ b/internal/coordination/round.go
@@ -1,33 +1,36 @@
 package coordination
 
 import (
-	"context"
 	"log/slog"
 	"slices"
-	"sort"
-	"time"
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
+// SchedulerDeps is what a Scheduler works with.
+type SchedulerDeps struct {
+	State       *cluster.State
+	Detector    *Detector
+	Pusher      *CommandPusher
+	Settings    *config.Settings
+	Policy      *config.Policy
+	Clock       units.Clock
+	Log         *slog.Logger
+	Metrics     *Metrics
+	Tracer      cluster.AttemptTracer
+	Token       uint64
+	WriteSignal loop.Signal
+}
+
 // Scheduler decides which tasks start on which machine. It plans on a snapshot of the state
 // and applies the outcome to the state. Its fields are guarded by the lock of state, and
 // its methods need that lock held.
 type Scheduler struct {
-	state       *cluster.State
-	detector    *Detector
-	pusher      *CommandPusher
-	settings    *config.Settings
-	policy      *config.Policy
-	clock       units.Clock
-	log         *slog.Logger
-	metrics     *Metrics
-	tracer      cluster.AttemptTracer
-	token       uint64
-	writeSignal chan struct{}
+	SchedulerDeps
 
 	lastCycle units.Micros
 	cycleCost units.Micros // moving mean
@@ -40,71 +43,21 @@
 	headroom              map[*cluster.Machine]units.Resources // free room that the last cycle kept for replicas
 }
 
-func newScheduler(l *Leader, tracer cluster.AttemptTracer) *Scheduler {
+func newScheduler(deps SchedulerDeps) *Scheduler {
 	return &Scheduler{
-		state:        l.state,
-		detector:     l.detector,
-		pusher:       l.pusher,
-		settings:     l.Settings,
-		policy:       l.Policy,
-		clock:        l.Clock,
-		log:          l.Log,
-		metrics:      l.Metrics,
-		tracer:       tracer,
-		token:        l.token,
-		writeSignal:  l.writeSignal,
-		reservations: map[*cluster.Machine]*cluster.Job{},
-		headroom:     map[*cluster.Machine]units.Resources{},
+		SchedulerDeps: deps,
+		reservations:  map[*cluster.Machine]*cluster.Job{},
+		headroom:      map[*cluster.Machine]units.Resources{},
 	}
 }
 
 const (
 	minCycleInterval   = 25 * units.Millisecond // the least time between rounds
-	summaryInterval    = 10 * units.Second
-	cycleInterval      = 250 * units.Millisecond
-	cycleCostFactor    = 8  // a round's cost, this many times over, until the next
-	minCyclePlacements = 48 // startOf in a round while little waits
+	cycleCostFactor    = 8                      // a round's cost, this many times over, until the next
+	minCyclePlacements = 48                     // startOf in a round while little waits
 	maxCyclePlacements = 512
 )
 
-// cycleLoop makes rounds of decisions when something has changed.
-func (l *Leader) cycleLoop(ctx context.Context) {
-	for sleep(ctx, minCycleInterval) {
-		select {
-		case <-ctx.Done():
-			return
-		case <-l.cycleSignal:
-		case <-time.After(cycleInterval.Duration()):
-		}
-		l.state.Lock()
-		if now := l.Clock.Steady(); l.leadership.Valid() {
-			l.checkTimeouts(now)
-			if l.scheduler.cycleDue(now) {
-				l.scheduler.runCycle(now, nil)
-			} else {
-				raise(l.cycleSignal)
-			}
-		}
-		l.state.Unlock()
-	}
-}
-
-// checkTimeouts looks for what has passed its time, and logs the summary. Rounds may
-// come forty times a second; all these times are seconds long, and each look goes over
-// the whole fleet.
-func (l *Leader) checkTimeouts(now units.Micros) {
-	if now-l.lastTimeoutCheck < cycleInterval {
-		return
-	}
-	l.lastTimeoutCheck = now
-	l.detector.expireLeases(now)
-	l.detector.checkHeartbeatLoss(now)
-	if now-l.lastSummary >= summaryInterval {
-		l.lastSummary = now
-		l.logSummary(now)
-	}
-}
-
 // cycleDue spaces rounds by what they cost, so that under load they come less
 // often and decide more each.
 func (sc *Scheduler) cycleDue(now units.Micros) bool {
@@ -113,7 +66,7 @@
 
 // runCycle plans on a snapshot and takes the outcome over into the ledger.
 func (sc *Scheduler) runCycle(now units.Micros, answering *cluster.Machine) {
-	began := sc.clock.Steady()
+	began := sc.Clock.Steady()
 	s, refs := sc.snapshot(now, answering)
 	wanted := Plan(&s)
 	sc.allMachinesConsidered = !wanted.Truncated
@@ -122,7 +75,7 @@
 		sc.reservations[refs.machines[h.Machine]] = refs.jobs[h.Job]
 	}
 	sc.apply(wanted, refs, now)
-	sc.lastCycle = sc.clock.Steady()
+	sc.lastCycle = sc.Clock.Steady()
 	sc.cycleCost = (7*sc.cycleCost + (sc.lastCycle - began)) / 8
 }
 
@@ -193,37 +146,28 @@
 		for range w.Count {
 			// A gang's tasks find each other by the attempt they share.
 			if j.Spec.Kind != protocol.Gang || !gangs[w.Job] {
-				number = sc.state.NextAttempt(sc.token)
+				number = sc.State.NextAttempt(sc.Token)
 				gangs[w.Job] = true
 			}
-			a := sc.state.Assign(j, m, number, now)
+			a := sc.State.Assign(j, m, number, now)
 			if a == nil {
 				break
 			}
-			sc.tracer.Trace("task placed", a)
-			sc.metrics.placed(now - j.LearnedAt)
+			sc.Tracer.Trace("task placed", a)
+			sc.Metrics.placed(now - j.LearnedAt)
 		}
 		if !j.MachineIsDurable(m.ID) {
-			raise(sc.writeSignal)
+			sc.WriteSignal.Raise()
 		}
 		if j.IsService() {
-			sc.pusher.requestPush(m, j, now)
+			sc.Pusher.requestPush(m, j, now)
 		}
 	}
 	for _, p := range wanted.Preemptions {
 		a := refs.victims[p.Victim]
-		sc.state.StopAttempt(a, a.Job.Spec.CheckpointDuration+checkpointMargin)
-		sc.pusher.requestPush(a.Machine, nil, now)
-		sc.log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
+		sc.State.StopAttempt(a, a.Job.Spec.CheckpointDuration+checkpointMargin)
+		sc.Pusher.requestPush(a.Machine, nil, now)
+		sc.Log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
 			"class", a.Job.Spec.Class, "for", refs.jobs[p.Job].Spec.ID, "for_class", refs.jobs[p.Job].Spec.Class)
 	}
 }
-
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	return keys
-}
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -6,6 +6,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -44,7 +45,7 @@
 func (f *serviceFleet) report() {
 	f.t.Helper()
 	f.clock.now += units.Second
-	for _, id := range sortedKeys(f.machines) {
+	for _, id := range sorted.Keys(f.machines) {
 		r := f.machines[id]
 		r.Sequence++
 		for _, c := range f.term.exchange(r) {
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -3,40 +3,38 @@
 import (
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/loop"
 	"dunestand/internal/units"
 	"log/slog"
 )
 
+// DetectorDeps is what a Detector works with.
+type DetectorDeps struct {
+	State            *cluster.State
+	Leadership       Leadership
+	Settings         *config.Settings
+	Clock            units.Clock
+	Log              *slog.Logger
+	ElectedAt        units.Micros
+	UnreachablePeers func() int
+	PeerReachable    func() bool
+	WriteSignal      loop.Signal
+}
+
 // Detector judges by their heartbeats which machines are lost, and by the heartbeats of all
 // of them whether this controller itself is cut off or too slow to lead. Its fields are
 // guarded by the lock of state, and its methods need that lock held.
 type Detector struct {
-	state            *cluster.State
-	leadership       Leadership
-	settings         *config.Settings
-	clock            units.Clock
-	log              *slog.Logger
-	electedAt        units.Micros
-	unreachablePeers func() int
-	peerReachable    func() bool
-	writeSignal      chan struct{}
+	DetectorDeps
 
 	maxUnreachablePeers int          // the most controllers that were unreachable at a time
 	judgeSilenceFrom    units.Micros // this controller was late itself: until then no machine is judged
 	allReconciled       bool         // it is known what every machine holds
 }
 
-func newDetector(l *Leader) *Detector {
+func newDetector(deps DetectorDeps) *Detector {
 	return &Detector{
-		state:            l.state,
-		leadership:       l.leadership,
-		settings:         l.Settings,
-		clock:            l.Clock,
-		log:              l.Log,
-		electedAt:        l.electedAt,
-		unreachablePeers: l.UnreachablePeers,
-		peerReachable:    l.PeerReachable,
-		writeSignal:      l.writeSignal,
+		DetectorDeps: deps,
 	}
 }
 
@@ -61,16 +59,16 @@
 	}
 	var fleet heartbeatHealth
 	zones := map[string]*heartbeatHealth{}
-	report := d.settings.Fleet.Workers.Report()
+	report := d.Settings.Fleet.Workers.Report()
 	limit := d.suspectAfter() + units.Second
-	for _, m := range d.state.SortedMachines() {
+	for _, m := range d.State.SortedMachines() {
 		zone := zones[m.Zone]
 		if zone == nil {
 			zone = new(heartbeatHealth)
 			zones[m.Zone] = zone
 		}
 		switch {
-		case m.Registered && (now-m.LastHeartbeat > limit || m.UndeliveredCommands >= maxUndeliveredCommands):
+		case m.Registered && (now-m.LastHeartbeat > limit || m.IgnoresCommands()):
 			silent[m.ID] = true
 			fleet.lost++
 			zone.lost++
@@ -82,10 +80,10 @@
 			zone.healthy++
 		}
 	}
-	d.maxUnreachablePeers = max(d.maxUnreachablePeers, d.unreachablePeers())
-	if now-d.electedAt > leaderSearchStart+report.Share(5, 4)+leaderSearchPerNode*units.Micros(d.maxUnreachablePeers) {
-		for _, id := range d.state.UnreconciledMachines() {
-			m := d.state.Machines[id]
+	d.maxUnreachablePeers = max(d.maxUnreachablePeers, d.UnreachablePeers())
+	if now-d.ElectedAt > leaderSearchStart+report.Share(5, 4)+leaderSearchPerNode*units.Micros(d.maxUnreachablePeers) {
+		for _, id := range d.State.UnreconciledMachines() {
+			m := d.State.Machines[id]
 			if m != nil && m.Registered {
 				continue
 			}
@@ -97,8 +95,8 @@
 		}
 	}
 	for id := range silent {
-		m := d.state.Machines[id]
-		if d.state.HoldsCancelled(id) && (m == nil || zones[m.Zone] == nil || zones[m.Zone].healthy > 0) {
+		m := d.State.Machines[id]
+		if d.State.HoldsCancelled(id) && (m == nil || zones[m.Zone] == nil || zones[m.Zone].healthy > 0) {
 			// A machine that hangs does not end its tasks with its lease, so these
 			// would be there beyond cancel_s. A cut does not hit a part of a zone.
 			continue
@@ -115,7 +113,7 @@
 // anyway and some time more, as long as there are several.
 func (d *Detector) mayReleaseInZone(m *cluster.Machine, zone *heartbeatHealth, now units.Micros) bool {
 	return zone == nil || zone.healthyPerMissing(1) || zone.lost+zone.suspected < minZoneCutMachines ||
-		now-max(m.LastHeartbeat, d.electedAt) > withDrift(d.settings.Fleet.Workers.Lease(), zoneCutGrace)
+		now-max(m.LastHeartbeat, d.ElectedAt) > withDrift(d.Settings.Fleet.Workers.Lease(), zoneCutGrace)
 }
 
 // checkHeartbeatLoss gives the lease up when none of several machines has been
@@ -123,59 +121,59 @@
 // may still reach them before their leases run out. This must not wait for
 // anything that the same cut may hold up, such as a call to the cloud.
 func (d *Detector) checkHeartbeatLoss(now units.Micros) {
-	quiet := d.settings.Fleet.Workers.Report().Share(3, 2) + heartbeatLossMargin
+	quiet := d.Settings.Fleet.Workers.Report().Share(3, 2) + heartbeatLossMargin
 	// Before the first report the workers have to find this node. Whom to
 	// expect, the records say.
-	last, known := d.electedAt+workerReturnTime, 0
-	for _, m := range d.state.Machines {
+	last, known := d.ElectedAt+workerReturnTime, 0
+	for _, m := range d.State.Machines {
 		if m.Registered && !m.Releasing {
 			known++
 			last = max(last, m.LastHeartbeat)
 		}
 	}
 	if known == 0 {
-		known = d.state.UnreconciledCount()
+		known = d.State.UnreconciledCount()
 	}
-	if d.state.Restored && known >= 2 && now-last > quiet && now-last < 3*quiet {
-		d.log.Info("no machine reports; the lease is given up", "machines", known, "silent_ms", (now-last)/units.Millisecond)
-		d.leadership.StepDown()
+	if d.State.Restored && known >= 2 && now-last > quiet && now-last < 3*quiet {
+		d.Log.Info("no machine reports; the lease is given up", "machines", known, "silent_ms", (now-last)/units.Millisecond)
+		d.Leadership.StepDown()
 	}
 }
 
 // expireLeases gives up what silent machines held once their leases have run out.
 func (d *Detector) expireLeases(now units.Micros) {
 	lease := d.workerLease()
-	for _, m := range d.state.Machines {
-		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, d.electedAt) >= lease {
-			d.log.Info("machine's lease ran out", "machine", m.ID, "lost", len(m.Attempts))
-			m.MayHoldCancelled = m.MayHoldCancelled || d.state.HoldsCancelled(m.ID)
-			d.state.MachineEmptied(m, now)
+	for _, m := range d.State.Machines {
+		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, d.ElectedAt) >= lease {
+			d.Log.Info("machine's lease ran out", "machine", m.ID, "lost", len(m.Attempts))
+			m.MayHoldCancelled = m.MayHoldCancelled || d.State.HoldsCancelled(m.ID)
+			d.State.MachineEmptied(m, now)
 		}
 	}
-	if !d.allReconciled && d.state.Restored && now-d.electedAt >= lease {
+	if !d.allReconciled && d.State.Restored && now-d.ElectedAt >= lease {
 		// What a former leader started is over everywhere, but on machines that
 		// accepted an answer of this one since: and these have told what they hold,
 		// as an answer is accepted only to the newest report. A machine that hears
 		// no answer would otherwise stay unconfirmed for as long as it reports.
-		for _, id := range d.state.UnreconciledMachines() {
-			d.state.MarkReconciled(id)
+		for _, id := range d.State.UnreconciledMachines() {
+			d.State.MarkReconciled(id)
 		}
 	}
-	if !d.allReconciled && d.state.Restored && d.state.UnreconciledCount() == 0 {
+	if !d.allReconciled && d.State.Restored && d.State.UnreconciledCount() == 0 {
 		d.allReconciled = true
-		d.log.Info("all machines confirmed", "after_ms", (now-d.electedAt)/units.Millisecond)
+		d.Log.Info("all machines confirmed", "after_ms", (now-d.ElectedAt)/units.Millisecond)
 	}
-	for _, j := range d.state.Jobs {
+	for _, j := range d.State.Jobs {
 		if j.Cancelled && len(j.LiveAttempts) == 0 && len(j.UnreconciledMachines) == 0 && j.CancelDurable && !j.WritePending() {
 			j.MarkChanged(now, true)
-			raise(d.writeSignal)
+			d.WriteSignal.Raise()
 		}
 	}
 }
 
 // workerLease is how long a machine may go on after its last answered report came
 // in, by this node's clock.
-func (d *Detector) workerLease() units.Micros { return workerLeaseBound(d.settings.Fleet.Workers) }
+func (d *Detector) workerLease() units.Micros { return workerLeaseBound(d.Settings.Fleet.Workers) }
 
 // What the silence of machines is measured by. Reports come a quarter of their interval
 // early or late.
@@ -191,6 +189,21 @@
 // come seldom, one report and what one costs that gets no answer (the worker
 // waits 4 s and turns to the next node a second later).
 func (d *Detector) suspectAfter() units.Micros {
-	report := d.settings.Fleet.Workers.Report()
+	report := d.Settings.Fleet.Workers.Report()
 	return min(report.Share(5, 2)+reconnectTime, report.Share(5, 4)+unansweredHeartbeatTime)
 }
+
+const (
+	minZoneCutMachines = 3                  // machines of a zone that fall silent together
+	zoneCutGrace       = 120 * units.Second // beyond the workers' lease, until they are given back
+)
+
+const (
+	// A worker that looks for a new leader tries the next node after 1 s, and
+	// waits 4 s on each that does not answer.
+	leaderSearchStart   = 2500 * units.Millisecond
+	leaderSearchPerNode = 5 * units.Second
+)
+
+// AllReconciled reports whether it is known what every machine holds.
+func (d *Detector) AllReconciled() bool { return d.allReconciled }
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -6,6 +6,7 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
 
@@ -24,9 +25,9 @@
 // snapshotTeams adds the teams to a snapshot and gives their places in it. Tasks
 // that unsettled machines may hold count as used.
 func (sc *Scheduler) snapshotTeams(s *Snapshot) map[string]int {
-	teams := make(map[string]int, len(sc.state.Teams))
-	for _, name := range sortedKeys(sc.state.Teams) {
-		team := sc.state.Teams[name]
+	teams := make(map[string]int, len(sc.State.Teams))
+	for _, name := range sorted.Keys(sc.State.Teams) {
+		team := sc.State.Teams[name]
 		teams[name] = len(s.Teams)
 		s.Teams = append(s.Teams, TeamView{
 			GuaranteedQuota: team.GuaranteedQuota,
@@ -35,10 +36,10 @@
 			Freeing:         team.Freeing,
 		})
 	}
-	if sc.detector.allReconciled {
+	if sc.Detector.AllReconciled() {
 		return teams
 	}
-	for j := range sc.state.UnreconciledJobs() {
+	for j := range sc.State.UnreconciledJobs() {
 		if i, ok := teams[j.Spec.Team]; ok {
 			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Request, j.UnreconciledTasks())
 		}
@@ -48,8 +49,8 @@
 
 // machineSchedulable tells whether a machine may be given work.
 func (sc *Scheduler) machineSchedulable(m *cluster.Machine, now units.Micros) bool {
-	return m.Registered && m.FencingToken == sc.token && m.UndeliveredCommands < maxUndeliveredCommands && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
-		now >= m.BlockedUntil && now-m.LastHeartbeat < sc.detector.suspectAfter()
+	return m.Registered && m.FencingToken == sc.Token && !m.IgnoresCommands() && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
+		now >= m.BlockedUntil && now-m.LastHeartbeat < sc.Detector.suspectAfter()
 }
 
 // starvationAge is how long a job may wait for its first task until that goes
@@ -59,7 +60,7 @@
 
 // starved tells whether a job has waited too long and has nothing done yet.
 func (sc *Scheduler) starved(j *cluster.Job) bool {
-	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && sc.clock.Wall()-j.Submitted > starvationAge && j.Spec.Kind != protocol.Gang
+	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && sc.Clock.Wall()-j.Submitted > starvationAge && j.Spec.Kind != protocol.Gang
 }
 
 // defaultPatience is how long a job waits for room where no aim says how soon it is to
@@ -73,13 +74,13 @@
 func (sc *Scheduler) awaitsCompletions(j *cluster.Job, now units.Micros) bool {
 	patience := defaultPatience
 	if j.Spec.Priority < protocol.High {
-		if due := sc.settings.Fleet.GuaranteeDue(); due > 0 {
+		if due := sc.Settings.Fleet.GuaranteeDue(); due > 0 {
 			patience = due / 4
 		}
-	} else if due := sc.settings.Fleet.StartDue(j.Spec.Class); due > 0 {
+	} else if due := sc.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
 		patience = due / 8
 	}
-	return now-j.LearnedAt < patience && sc.state.Completions.Within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
+	return now-j.LearnedAt < patience && sc.State.Completions.Within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
 }
 
 // schedulable tells whether tasks of a job may be placed now.
@@ -88,7 +89,7 @@
 }
 
 func (sc *Scheduler) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
-	next := max(0, m.LastHeartbeat+sc.settings.Fleet.Workers.Report()-now)
+	next := max(0, m.LastHeartbeat+sc.Settings.Fleet.Workers.Report()-now)
 	return MachineView{
 		ID:                     m.ID,
 		InstanceType:           m.InstanceType,
@@ -96,7 +97,7 @@
 		Spot:                   m.Spot,
 		Slow:                   m.Slow,
 		Schedulable:            sc.machineSchedulable(m, now),
-		FetchRate:              units.AmountOf(sc.state.InstanceTypes[m.InstanceType].FetchRate),
+		FetchRate:              units.AmountOf(sc.State.InstanceTypes[m.InstanceType].FetchRate),
 		Capacity:               m.Capacity,
 		Free:                   m.Free(),
 		Freeing:                m.Freeing,
@@ -128,7 +129,7 @@
 func (sc *Scheduler) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
 	var s Snapshot
 	refs := new(snapshotIndex)
-	sc.state.Completions.Advance(now)
+	sc.State.Completions.Advance(now)
 	teams := sc.snapshotTeams(&s)
 	views := sc.snapshotJobs(&s, refs, teams, now)
 	sc.snapshotMachines(&s, refs, teams, views, now, answering)
@@ -144,7 +145,7 @@
 // snapshotJobs adds the jobs that wait and may be placed, and notes the queue of all that
 // wait.
 func (sc *Scheduler) snapshotJobs(s *Snapshot, refs *snapshotIndex, teams map[string]int, now units.Micros) jobViews {
-	jobs := sc.state.JobsBySubmission()
+	jobs := sc.State.JobsBySubmission()
 	s.Jobs = make([]JobView, 0, len(jobs))
 	refs.jobs = make([]*cluster.Job, 0, len(jobs))
 	views := make(jobViews, len(jobs))
@@ -186,7 +187,7 @@
 		WithinGuarantee:   guaranteed,
 		AwaitsCompletions: sc.awaitsCompletions(j, now),
 		MissesDeadline:    in.Late,
-		Rank:              sc.policy.Rank(in),
+		Rank:              sc.Policy.Rank(in),
 		Starved:           sc.starved(j) && len(j.LiveAttempts) == 0,
 		Avoid: func(machine string) bool {
 			return j.FailedMachines[machine] && len(j.FailedMachines) < 3 || !j.CanRecordMachine(machine)
@@ -196,7 +197,7 @@
 
 // snapshotMachines adds the machines that have reported, and what of services is on each.
 func (sc *Scheduler) snapshotMachines(s *Snapshot, refs *snapshotIndex, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
-	machines := sc.state.SortedMachines()
+	machines := sc.State.SortedMachines()
 	s.Machines = make([]MachineView, 0, len(machines))
 	refs.machines = make([]*cluster.Machine, 0, len(machines))
 	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveByMachine != nil })
@@ -259,8 +260,8 @@
 const replicaLostWork = 1_000_000 * units.Second
 
 func (sc *Scheduler) rankInput(j *cluster.Job) config.RankInput {
-	waited := max(0, sc.clock.Wall()-j.Submitted)
-	estimate := sc.state.EstimateRuntime(j)
+	waited := max(0, sc.Clock.Wall()-j.Submitted)
+	estimate := sc.State.EstimateRuntime(j)
 	in := config.RankInput{
 		Class: j.Spec.Class, Team: j.Spec.Team, Priority: int(j.Spec.Priority),
 		Tasks: j.Spec.Tasks, Unfinished: j.Unfinished(), Pending: j.Pending(),
@@ -269,17 +270,17 @@
 		DueS:  config.NoDeadline, StartDueS: config.NoDeadline,
 	}
 	in.FinishS = in.RunS
-	if team := sc.state.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
+	if team := sc.State.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
 		in.FinishS = max(in.RunS, in.WorkS/team.QuotaLimit.CPU.Float())
 	}
-	for _, due := range sc.settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
+	for _, due := range sc.Settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
 		in.DueS = (due - waited).Seconds()
 		in.Late = in.DueS < in.FinishS*estimateTrust
 		if !in.Late {
 			break
 		}
 	}
-	if due := sc.settings.Fleet.StartDue(j.Spec.Class); due > 0 {
+	if due := sc.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
 		in.StartDueS = (due - waited).Seconds()
 	}
 	return in
--- a/internal/coordination/term.go
+++ b/internal/coordination/term.go
@@ -4,12 +4,12 @@
 	"context"
 	"log/slog"
 	"sync"
-	"time"
 
 	"dunestand/internal/cloud"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -58,8 +58,8 @@
 	lastSummary      units.Micros // guarded by the lock of state
 	lastTimeoutCheck units.Micros // likewise
 
-	writeSignal chan struct{}
-	cycleSignal chan struct{}
+	writeSignal loop.Signal
+	cycleSignal loop.Signal
 }
 
 // NewLeader returns the leader of an election that was just won. Everything waits for Run to
@@ -72,64 +72,141 @@
 		token:       leadership.Token(),
 		electedAt:   deps.Clock.Steady(),
 		state:       cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
-		writeSignal: make(chan struct{}, 1),
-		cycleSignal: make(chan struct{}, 1),
+		writeSignal: loop.NewSignal(),
+		cycleSignal: loop.NewSignal(),
 	}
 	tracer := cluster.NewAttemptTracer(deps.Log)
 	l.terminals = newTerminalJobs(l.state, deps.KV)
-	l.detector = newDetector(l)
-	l.pusher = newCommandPusher(l)
-	l.scheduler = newScheduler(l, tracer)
-	l.reconciler = newReconciler(l, tracer)
-	l.broadcaster = newTokenBroadcaster(l)
-	l.autoscaler = newAutoscaler(l)
-	l.ingester = newIngester(l)
-	l.persister = newPersister(l, tracer)
-	l.admission = newLeaderAdmission(l)
-	l.persister.admission = l.admission
+	l.detector = newDetector(DetectorDeps{
+		State:            l.state,
+		Leadership:       l.leadership,
+		Settings:         l.Settings,
+		Clock:            l.Clock,
+		Log:              l.Log,
+		ElectedAt:        l.electedAt,
+		UnreachablePeers: l.UnreachablePeers,
+		PeerReachable:    l.PeerReachable,
+		WriteSignal:      l.writeSignal,
+	})
+	l.pusher = newCommandPusher(CommandPusherDeps{
+		State:      l.state,
+		Leadership: l.leadership,
+		Settings:   l.Settings,
+		Log:        l.Log,
+		Dial:       l.Dial,
+		Token:      l.token,
+	})
+	l.scheduler = newScheduler(SchedulerDeps{
+		State:       l.state,
+		Detector:    l.detector,
+		Pusher:      l.pusher,
+		Settings:    l.Settings,
+		Policy:      l.Policy,
+		Clock:       l.Clock,
+		Log:         l.Log,
+		Metrics:     l.Metrics,
+		Tracer:      tracer,
+		Token:       l.token,
+		WriteSignal: l.writeSignal,
+	})
+	l.reconciler = newReconciler(ReconcilerDeps{
+		State:       l.state,
+		Detector:    l.detector,
+		Log:         l.Log,
+		Tracer:      tracer,
+		Token:       l.token,
+		WriteSignal: l.writeSignal,
+		CycleSignal: l.cycleSignal,
+	})
+	l.broadcaster = newTokenBroadcaster(TokenBroadcasterDeps{
+		State:      l.state,
+		Leadership: l.leadership,
+		Reconciler: l.reconciler,
+		Settings:   l.Settings,
+		Clock:      l.Clock,
+		Log:        l.Log,
+		Dial:       l.Dial,
+		Token:      l.token,
+	})
+	l.autoscaler = newAutoscaler(AutoscalerDeps{
+		State:       l.state,
+		Leadership:  l.leadership,
+		Detector:    l.detector,
+		Scheduler:   l.scheduler,
+		Settings:    l.Settings,
+		Policy:      l.Policy,
+		Cloud:       l.Cloud,
+		KV:          l.KV,
+		Format:      l.Format,
+		Clock:       l.Clock,
+		Log:         l.Log,
+		Token:       l.token,
+		ElectedAt:   l.electedAt,
+		CycleSignal: l.cycleSignal,
+	})
+	l.ingester = newIngester(IngesterDeps{
+		State:       l.state,
+		Leadership:  l.leadership,
+		Terminals:   l.terminals,
+		Settings:    l.Settings,
+		KV:          l.KV,
+		Clock:       l.Clock,
+		Log:         l.Log,
+		WriteSignal: l.writeSignal,
+	})
+	l.persister = newPersister(PersisterDeps{
+		State:       l.state,
+		Leadership:  l.leadership,
+		OnCatalog:   l.autoscaler.CatalogRestored,
+		Ingester:    l.ingester,
+		Terminals:   l.terminals,
+		Settings:    l.Settings,
+		KV:          l.KV,
+		Format:      l.Format,
+		Clock:       l.Clock,
+		Log:         l.Log,
+		Tracer:      tracer,
+		Token:       l.token,
+		ElectedAt:   l.electedAt,
+		WriteSignal: l.writeSignal,
+		CycleSignal: l.cycleSignal,
+	})
+	l.admission = newLeaderAdmission(LeaderAdmissionDeps{
+		State:       l.state,
+		Admitter:    l.Admitter,
+		Leadership:  l.leadership,
+		Persister:   l.persister,
+		Ingester:    l.ingester,
+		Settings:    l.Settings,
+		KV:          l.KV,
+		Clock:       l.Clock,
+		Log:         l.Log,
+		Metrics:     l.Metrics,
+		WriteSignal: l.writeSignal,
+	})
+	l.persister.Admission = l.admission
 	if deps.Admitter != nil {
-		l.state.OnRunObserved = func(j *cluster.Job, run units.Micros) {
-			l.admission.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
-		}
+		l.state.OnRunObserved = l.admission.ObserveRun
 	}
 	return l
 }
 
-func raise(c chan struct{}) {
-	select {
-	case c <- struct{}{}:
-	default:
-	}
-}
-
-// sleep waits, and tells whether to go on.
-func sleep(ctx context.Context, d units.Micros) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(d.Duration()):
-		return true
-	}
-}
-
 // Run restores the records and then leads until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
 	l.Log.Info("term begins")
 	for !l.persister.restore(ctx) {
-		if !sleep(ctx, readRetryDelay) {
+		if !loop.Sleep(ctx, readRetryDelay) {
 			return
 		}
 	}
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){l.persister.writeLoop, l.cycleLoop, l.autoscaler.autoscaleLoop, l.detector.monitorDelay, l.broadcaster.broadcastLoop, l.ingester.ingestLoop, l.pusher.pushLoop, l.admission.publisher.loop} {
+	for _, run := range []func(context.Context){l.persister.writeLoop, l.cycleLoop, l.autoscaler.autoscaleLoop, l.detector.monitorDelay, l.broadcaster.broadcastLoop, l.ingester.ingestLoop, l.pusher.pushLoop, l.admission.Run} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			loop(ctx)
+			run(ctx)
 		}()
 	}
 	wg.Wait()
 	l.Log.Info("term ends")
 }
-
-const kvTimeout = 1500 * units.Millisecond
--- a/internal/coordination/termadmission.go
+++ b/internal/coordination/termadmission.go
@@ -2,24 +2,38 @@
 
 import (
 	"context"
+	"io"
 	"log/slog"
 	"net/http"
 
 	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
+	"dunestand/internal/config"
+	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
+// LeaderAdmissionDeps is what a LeaderAdmission works with.
+type LeaderAdmissionDeps struct {
+	State       *cluster.State
+	Admitter    *admitter // nil: all jobs are admitted
+	Leadership  Leadership
+	Persister   *Persister
+	Ingester    *Ingester
+	Settings    *config.Settings
+	KV          *kv.Client
+	Clock       units.Clock
+	Log         *slog.Logger
+	Metrics     *Metrics
+	WriteSignal loop.Signal
+}
+
 // LeaderAdmission decides, by the fleet's admission plan, which new jobs the leader accepts.
 // Its fields are guarded by the lock of state.
 type LeaderAdmission struct {
-	state       *cluster.State
-	admitter    *admitter
-	clock       units.Clock
-	log         *slog.Logger
-	metrics     *Metrics
-	writeSignal chan struct{}
+	LeaderAdmissionDeps
 
 	publisher   *planPublisher
 	waiting     *admission.WaitingList
@@ -29,42 +43,49 @@
 	planKnown, planEverKnown bool
 }
 
-func newLeaderAdmission(l *Leader) *LeaderAdmission {
+func newLeaderAdmission(deps LeaderAdmissionDeps) *LeaderAdmission {
 	la := &LeaderAdmission{
-		state:       l.state,
-		admitter:    l.Admitter,
-		clock:       l.Clock,
-		log:         l.Log,
-		metrics:     l.Metrics,
-		writeSignal: l.writeSignal,
-		waiting:     admission.NewWaitingList(),
-		corrections: admission.NewCorrections(),
+		LeaderAdmissionDeps: deps,
+		waiting:             admission.NewWaitingList(),
+		corrections:         admission.NewCorrections(),
 	}
-	la.publisher = newPlanPublisher(l, la)
+	la.publisher = newPlanPublisher(deps, la)
 	return la
 }
 
+// Run publishes plans until ctx ends.
+func (la *LeaderAdmission) Run(ctx context.Context) { la.publisher.loop(ctx) }
+
+// WriteMetrics writes the usage of the teams by the last proposal of a plan.
+func (la *LeaderAdmission) WriteMetrics(w io.Writer) { la.publisher.writeStandings(w) }
+
+// ObserveRun learns from a task that was seen to run from its start to its end. It needs the
+// lock of the state held.
+func (la *LeaderAdmission) ObserveRun(j *cluster.Job, run units.Micros) {
+	la.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
+}
+
 // admit decides, under the lock, whether a new job may be entered.
 func (la *LeaderAdmission) admit(spec *protocol.JobSpec) admission.Decision {
-	if !la.admitter.active() {
+	if !la.Admitter.active() {
 		return admission.Decision{Verdict: admission.Admit}
 	}
-	now := la.clock.Steady()
+	now := la.Clock.Steady()
 	if !la.planEverKnown {
 		return undecided()
 	}
-	d, _ := la.admitter.decide(spec, admission.Leading)
+	d, _ := la.Admitter.decide(spec, admission.Leading)
 	if d.Verdict == admission.Admit {
 		if since, waited := la.waiting.Remove(spec.ID); waited {
-			la.metrics.admissionWaited(now - since)
+			la.Metrics.admissionWaited(now - since)
 		} else {
-			la.metrics.admissionWaited(0)
+			la.Metrics.admissionWaited(0)
 		}
 		return d
 	}
 	la.waiting.Add(spec.ID, d, now)
 	if d.Verdict == admission.Undecided {
-		raise(la.admitter.replanSignal)
+		la.Admitter.replanSignal.Raise()
 		return d
 	}
 	if !la.planKnown {
@@ -102,59 +123,59 @@
 // leaderName looked, and since then nobody could accept it. Another controller may, once the
 // plan has lapsed; long before that the records are read each time.
 func (la *LeaderAdmission) isSurelyUnknown(id string) bool {
-	la.state.Lock()
-	defer la.state.Unlock()
-	state := la.admitter.keeper.Now(la.clock.Steady())
+	la.State.Lock()
+	defer la.State.Unlock()
+	state := la.Admitter.keeper.Now(la.Clock.Steady())
 	return la.waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
 }
 
 // planUncertain notes that the plan's record may change at any moment.
 func (la *LeaderAdmission) planUncertain() {
-	la.state.Lock()
-	defer la.state.Unlock()
+	la.State.Lock()
+	defer la.State.Unlock()
 	la.planKnown = false
 }
 
 // planChanged takes over the revision of the plan's record. New jobs are accepted on that
 // condition, and those whose acceptance is not on its way are decided anew.
 func (la *LeaderAdmission) planChanged(revision uint64) {
-	la.state.Lock()
-	defer la.state.Unlock()
+	la.State.Lock()
+	defer la.State.Unlock()
 	la.planKnown, la.planEverKnown = true, true
-	la.state.AcceptCondition = &protocol.Condition{Key: admission.KeyPlan, Version: revision}
-	la.reconsiderAdmissions()
-	raise(la.writeSignal)
+	la.State.AcceptCondition = &protocol.Condition{Key: admission.KeyPlan, Version: revision}
+	la.Reconsider()
+	la.WriteSignal.Raise()
 }
 
-// reconsiderAdmissions decides, under the lock, about the jobs that were entered and whose
+// Reconsider decides, under the lock, about the jobs that were entered and whose
 // acceptance is not on its way: it has to be by the plan that it is conditional on. Those
 // that were on their way when the plan changed come back here when their save fails.
-func (la *LeaderAdmission) reconsiderAdmissions() {
-	now := la.clock.Steady()
-	for _, j := range la.state.UnacceptedJobs() {
-		d, _ := la.admitter.decide(&j.Spec, admission.Leading)
+func (la *LeaderAdmission) Reconsider() {
+	now := la.Clock.Steady()
+	for _, j := range la.State.UnacceptedJobs() {
+		d, _ := la.Admitter.decide(&j.Spec, admission.Leading)
 		if d.Verdict == admission.Wait || d.Reason == admission.PlanUnclear {
 			la.waiting.Add(j.Spec.ID, d, now)
-			la.state.DropUnaccepted(j.Spec.ID)
-			la.log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
+			la.State.DropUnaccepted(j.Spec.ID)
+			la.Log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
 		}
 	}
 }
 
 // measure takes down what the next plan is made from.
 func (la *LeaderAdmission) measure(now units.Micros) admission.Measurement {
-	la.state.Lock()
-	defer la.state.Unlock()
+	la.State.Lock()
+	defer la.State.Unlock()
 	la.waiting.Expire(now)
 	m := admission.Measurement{Now: now, Waiting: la.waiting.Demand(), Corrections: la.corrections.Snapshot()}
-	reckoning := la.admitter.keeper.Reckoning()
-	for _, j := range la.state.Jobs {
+	reckoning := la.Admitter.keeper.Reckoning()
+	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
 			cell, work := reckoning.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
 			m.Loads = append(m.Loads, admission.Load{Cell: cell, Work: work})
 		}
 	}
-	for _, machine := range la.state.Machines {
+	for _, machine := range la.State.Machines {
 		if machine.Registered && !machine.Releasing {
 			for pool, amount := range admission.AmountsOf(machine.Capacity) {
 				m.Fleet[pool] += amount
@@ -166,7 +187,10 @@
 
 // waitingCount is the number of jobs that were told to come back.
 func (la *LeaderAdmission) waitingCount() int {
-	la.state.Lock()
-	defer la.state.Unlock()
+	la.State.Lock()
+	defer la.State.Unlock()
 	return la.waiting.Len()
 }
+
+// RereadPlan finds out which plan is in force, after a write met another version of it.
+func (la *LeaderAdmission) RereadPlan(ctx context.Context) { la.publisher.rereadRecord(ctx) }
--- a/internal/coordination/transferstore.go
+++ b/internal/coordination/transferstore.go
@@ -7,27 +7,29 @@
 
 	"dunestand/internal/federation"
 	"dunestand/internal/kv"
+	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// transferStore keeps the records of transfers in the state service. Every save is
+// TransferStore keeps the records of transfers in the state service. Every save is
 // conditional on the record's version and on a bucket's head, so that a former leader
 // stores nothing. It implements federation.Store.
-type transferStore struct {
+type TransferStore struct {
 	store *kv.Client
 	// head gives the bucket whose head fences a key, and that head's version.
 	head func(key string) (bucketKey string, version uint64)
 }
 
-// newTransferStore makes the store of a term.
-func newTransferStore(t *Leader) *transferStore {
-	return &transferStore{
-		store: t.KV,
+// NewTransferStore returns the store of a leader. bucketVersion tells the version of a
+// bucket's head as the leader claimed it.
+func NewTransferStore(client *kv.Client, bucketVersion func(bucket int) uint64) *TransferStore {
+	return &TransferStore{
+		store: client,
 		head: func(key string) (string, uint64) {
 			bucket := storage.BucketOf(key)
-			return storage.KeyBucketHead(bucket), t.persister.bucketVersion(bucket)
+			return storage.KeyBucketHead(bucket), bucketVersion(bucket)
 		},
 	}
 }
@@ -36,19 +38,19 @@
 const transferRetryDelay = 200 * units.Millisecond
 
 // List implements federation.Store.
-func (s *transferStore) List(ctx context.Context, prefix string) ([]protocol.Item, error) {
-	items, _, err := listAll(ctx, s.store, prefix)
+func (s *TransferStore) List(ctx context.Context, prefix string) ([]protocol.Item, error) {
+	items, _, err := s.store.ListAll(ctx, prefix)
 	return items, err
 }
 
 // Save implements federation.Store. A save without an answer may be carried out at any
 // later time, so the very same one is sent until its outcome is known: its conditions see
 // to it that it happens once.
-func (s *transferStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
+func (s *TransferStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
 	txn := s.transaction(key, value, version)
 	uncertain := false
 	for {
-		revision, err := s.store.CompareAndSwap(ctx, txn, kv.Paced, kvTimeout)
+		revision, err := s.store.CompareAndSwap(ctx, txn, kv.Paced, kv.CallTimeout)
 		var conflict *kv.VersionConflictError
 		switch {
 		case err == nil:
@@ -63,14 +65,14 @@
 		case !uncertain:
 			return 0, err // certainly not carried out
 		}
-		if !sleep(ctx, transferRetryDelay) {
+		if !loop.Sleep(ctx, transferRetryDelay) {
 			// Nobody knows. Whoever goes on from here must read the record first.
 			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
 		}
 	}
 }
 
-func (s *transferStore) transaction(key string, value []byte, version uint64) protocol.Txn {
+func (s *TransferStore) transaction(key string, value []byte, version uint64) protocol.Txn {
 	head, headVersion := s.head(key)
 	txn := protocol.Txn{If: []protocol.Condition{
 		{Key: key, Version: version},
@@ -86,16 +88,16 @@
 
 // outcome tells, of a save that met a conflict after a try without an answer, whether that
 // try was carried out: the record is then as it was to be.
-func (s *transferStore) outcome(ctx context.Context, key string, value []byte) (uint64, error) {
+func (s *TransferStore) outcome(ctx context.Context, key string, value []byte) (uint64, error) {
 	for {
-		item, found, err := s.store.Get(ctx, key, kvTimeout)
+		item, found, err := s.store.Get(ctx, key, kv.CallTimeout)
 		if err == nil {
 			if asWritten(item, found, value) {
 				return item.Version, nil
 			}
 			return 0, fmt.Errorf("%w: %s", federation.ErrConflict, key)
 		}
-		if !sleep(ctx, transferRetryDelay) {
+		if !loop.Sleep(ctx, transferRetryDelay) {
 			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
 		}
 	}
--- a/internal/coordination/transferstore_test.go
+++ b/internal/coordination/transferstore_test.go
@@ -26,7 +26,7 @@
 	if !former.persister.restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	old := newTransferStore(former)
+	old := NewTransferStore(former.KV, former.persister.bucketVersion)
 	intended, committed := transferRecord(federation.Intended), transferRecord(federation.Committed)
 	version, err := old.Save(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if _, err := old.Save(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrConflict) {
 		t.Fatalf("a former leader's save: %v", err)
 	}
-	store := newTransferStore(term)
+	store := NewTransferStore(term.KV, term.persister.bucketVersion)
 	items, err := store.List(t.Context(), federation.PrefixOut)
 	if err != nil || len(items) != 1 || items[0].Version != version {
 		t.Fatalf("listed: %v, %v", items, err)
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	record := transferRecord(federation.Intended)
-	if _, err := newTransferStore(term).Save(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrConflict) {
+	if _, err := NewTransferStore(term.KV, term.persister.bucketVersion).Save(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrConflict) {
 		t.Errorf("the save: %v", err)
 	}
 	if len(s.Keys(federation.PrefixOut)) != 1 {
--- a/internal/coordination/unconfirmed_test.go
+++ b/internal/coordination/unconfirmed_test.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"dunestand/internal/sorted"
 	"fmt"
 	"testing"
 
@@ -56,7 +57,7 @@
 			if got != want {
 				rt.Fatalf("%d jobs unconfirmed, %d name machines", got, want)
 			}
-			if jobs := sortedKeys(named); len(jobs) > 0 && rapid.Bool().Draw(rt, "a job ends first") {
+			if jobs := sorted.Keys(named); len(jobs) > 0 && rapid.Bool().Draw(rt, "a job ends first") {
 				l.DropUnaccepted(jobs[0])
 				delete(named, jobs[0])
 			}
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -173,6 +173,33 @@
 	return list, err
 }
 
+// CallTimeout is how long a controller waits for one answer of the store, unless more or
+// less is at stake.
+const CallTimeout = 1500 * units.Millisecond
+
+// listTimeout bounds the read of one page of a list.
+const listTimeout = 3 * units.Second
+
+// ListAll reads all keys with a prefix, page by page. revision is that of the first page:
+// changes from there on may be missing from the items.
+func (s *Client) ListAll(ctx context.Context, prefix string) (items []protocol.Item, revision uint64, err error) {
+	from := ""
+	for {
+		page, err := s.List(ctx, prefix, from, listTimeout)
+		if err != nil {
+			return nil, 0, err
+		}
+		if from == "" {
+			revision = page.Revision
+		}
+		items = append(items, page.Items...)
+		if !page.More || len(page.Items) == 0 {
+			return items, revision, nil
+		}
+		from = page.Items[len(page.Items)-1].Key
+	}
+}
+
 // Pacing is how a transaction is held against the node's share of the writes.
 type Pacing uint8
 
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -256,3 +256,10 @@
 type LeaderRedirect struct {
 	Leader string `cbor:"foreman,omitempty"`
 }
+
+// StopCommand returns the command that stops an attempt of a task, and grants it some time for
+// a checkpoint. The task and the attempt may be filled in later.
+func StopCommand(task string, attempt uint64, grace units.Micros) Command {
+	g := grace.Seconds()
+	return Command{Verb: VerbStop, Task: task, Attempt: attempt, Grace: &g}
+}
