--- a/internal/coordination/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -1,4 +1,7 @@
-package coordination
+// Package admissioncontrol applies the admission plan of package admission on a controller:
+// every controller follows the plan's record and decides by it, and the leader makes and
+// publishes the plans.
+package admissioncontrol
 
 import (
 	"context"
@@ -9,26 +12,29 @@
 	"sync/atomic"
 
 	"dunestand/internal/admission"
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
+	"dunestand/internal/recordformat"
 	"dunestand/internal/storage"
+	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
 )
 
-// admitter is what a controller needs to admit jobs by the fleet's plan. A nil one admits
+// Admitter is what a controller needs to admit jobs by the fleet's plan. A nil one admits
 // all.
-type admitter struct {
+type Admitter struct {
 	options admission.Options
 	teams   []admission.Team
 	keeper  *admission.Keeper
 	store   *kv.Client // on connections of its own: a watch keeps one
-	format  *FormatNegotiator
+	format  recordformat.Source
 	clock   units.Clock
 	log     *slog.Logger
-	metrics *Metrics
+	metrics *telemetry.Metrics
 	// replanSignal asks the leader's loop for a new plan at once.
 	replanSignal loop.Signal
 	// unreadable is the revision of a record that could not be read, 0: none.
@@ -48,8 +54,8 @@
 	return out
 }
 
-// admissionOptions gives a policy's choices as package admission knows them.
-func admissionOptions(p config.AdmissionPolicy) admission.Options {
+// AdmissionOptions gives a policy's choices as package admission knows them.
+func AdmissionOptions(p config.AdmissionPolicy) admission.Options {
 	weights := func(shares []config.Share) map[string]float64 {
 		out := map[string]float64{}
 		for _, s := range shares {
@@ -64,13 +70,13 @@
 	}
 }
 
-// newAdmitter makes a controller's admitter; nil where admission is off.
-func newAdmitter(s *config.Settings, options admission.Options, store *kv.Client, format *FormatNegotiator, clock units.Clock, log *slog.Logger, metrics *Metrics) *admitter {
+// NewAdmitter makes a controller's admitter; nil where admission is off.
+func NewAdmitter(s *config.Settings, options admission.Options, store *kv.Client, format recordformat.Source, clock units.Clock, log *slog.Logger, metrics *telemetry.Metrics) *Admitter {
 	if !options.On() {
 		return nil
 	}
 	teams := admissionTeams(s.Fleet.Teams)
-	a := &admitter{
+	a := &Admitter{
 		options:      options,
 		teams:        teams,
 		keeper:       admission.NewKeeper(options, teams, 1+len(s.Others)),
@@ -85,14 +91,14 @@
 	return a
 }
 
-func (a *admitter) addMetrics() {
+func (a *Admitter) addMetrics() {
 	truth := func(b bool) float64 {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	now := func() admission.State { return a.keeper.Now(a.clock.Steady()) }
+	now := a.State
 	a.metrics.Gauge("dunestand_admission_active", func() float64 { return truth(a.active()) })
 	a.metrics.Gauge("dunestand_admission_held_back", func() float64 { return truth(!a.active()) })
 	a.metrics.Gauge("dunestand_admission_plan_unreadable", func() float64 { return truth(a.unreadable.Load() != 0) })
@@ -109,11 +115,11 @@
 		}
 		return 0
 	})
-	a.metrics.addWriter(a.writeCounts)
+	a.metrics.AddWriter(a.writeCounts)
 }
 
 // writeCounts writes what this controller has decided, by team.
-func (a *admitter) writeCounts(w io.Writer) {
+func (a *Admitter) writeCounts(w io.Writer) {
 	for _, c := range a.keeper.CountsByTeam() {
 		fmt.Fprintf(w, "dunestand_admission_admitted_total{team=%q} %d\n", c.Team, c.Admitted)
 		fmt.Fprintf(w, "dunestand_admission_waits_total{team=%q} %d\n", c.Team, c.Waits)
@@ -123,20 +129,23 @@
 
 // active tells whether jobs are admitted by the plan: it is turned on, and every
 // controller that may lead knows of it.
-func (a *admitter) active() bool {
+func (a *Admitter) active() bool {
 	return a != nil && a.format.Current() >= storage.FormatAdmission
 }
 
+// State is what admits jobs now: the plan in force, or the built-in minimum.
+func (a *Admitter) State() admission.State { return a.keeper.Now(a.clock.Steady()) }
+
 // decide decides about a job that is not known. The revision tells on which version of
 // the plan's record its acceptance must be conditional.
-func (a *admitter) decide(spec *protocol.JobSpec, side admission.Side) (admission.Decision, uint64) {
+func (a *Admitter) decide(spec *protocol.JobSpec, side admission.Side) (admission.Decision, uint64) {
 	return a.keeper.Decide(spec, side, a.clock.Steady())
 }
 
-// decideAlone decides without the leader, and gives what an acceptance is conditional on.
+// DecideAlone decides without the leader, and gives what an acceptance is conditional on.
 // A controller that does not know yet that the fleet admits by a plan, as after its start,
-// machineSchedulable a job only if there is none.
-func (a *admitter) decideAlone(spec *protocol.JobSpec) (admission.Decision, protocol.Condition) {
+// accepts a job only if there is none.
+func (a *Admitter) DecideAlone(spec *protocol.JobSpec) (admission.Decision, protocol.Condition) {
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
 	}
@@ -145,8 +154,8 @@
 }
 
 // adopt takes over what the record held at an item's version. A record that cannot be
-// readRecords is neither obeyed nor taken for none.
-func (a *admitter) adopt(item protocol.Item, after, before units.Micros) {
+// read is neither obeyed nor taken for none.
+func (a *Admitter) adopt(item protocol.Item, after, before units.Micros) {
 	plan, err := admission.Decode(item.Value)
 	held := admission.Held{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
 	if err == nil {
@@ -169,14 +178,14 @@
 	activationPollInterval = units.Second
 )
 
-// watch keeps the controller's plan up to date until ctx ends.
-func (a *admitter) follow(ctx context.Context) {
+// Follow keeps the controller's plan up to date until ctx ends.
+func (a *Admitter) Follow(ctx context.Context) {
 	if a == nil || !a.waitActive(ctx) {
 		return
 	}
-	f := planFollower{admitter: a}
+	f := NewPlanFollower(a)
 	for ctx.Err() == nil {
-		if err := f.step(ctx); err != nil {
+		if err := f.Step(ctx); err != nil {
 			a.log.Debug("the admission plan is not followed", "error", err)
 			if !loop.Sleep(ctx, planRetryDelay) {
 				return
@@ -186,7 +195,7 @@
 }
 
 // waitActive waits until the fleet's format allows admission by a plan.
-func (a *admitter) waitActive(ctx context.Context) bool {
+func (a *Admitter) waitActive(ctx context.Context) bool {
 	if !a.active() {
 		a.log.Info("admission is held back until every controller has it turned on")
 	}
@@ -201,14 +210,16 @@
 
 // planFollower follows the plan's record by a watch.
 type planFollower struct {
-	admitter *admitter
+	admitter *Admitter
 	revision uint64       // up to which changes are known; 0: the record has to be read
 	asOf     units.Micros // nothing that is not known was written before
 	began    bool
 }
 
-// step reads the record, or waits for its next change.
-func (f *planFollower) step(ctx context.Context) error {
+func NewPlanFollower(a *Admitter) *planFollower { return &planFollower{admitter: a} }
+
+// Step reads the record, or waits for its next change.
+func (f *planFollower) Step(ctx context.Context) error {
 	a := f.admitter
 	sent := a.clock.Steady()
 	if f.revision == 0 {
@@ -252,10 +263,10 @@
 	a.adopt(item, after, a.clock.Steady())
 }
 
-// waitingAnswer tells a user that a job is not accepted now, and when to come back.
-func waitingAnswer(d admission.Decision) answer {
-	r := ErrorResponse(http.StatusTooManyRequests, d.Reason.String())
+// WaitingAnswer tells a user that a job is not accepted now, and when to come back.
+func WaitingAnswer(d admission.Decision) answer.Answer {
+	r := answer.ErrorResponse(http.StatusTooManyRequests, d.Reason.String())
 	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.Plan})
 	r.RetryAfter = int((d.RetryAfter + units.Second - 1) / units.Second)
-	return plainAnswer(r)
+	return answer.Plain(r)
 }
--- a/internal/coordination/termadmission.go
+++ b/internal/admissioncontrol/leader.go
@@ -1,32 +1,34 @@
-package coordination
+package admissioncontrol
 
 import (
 	"context"
 	"io"
 	"log/slog"
-	"net/http"
 
 	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
+	"dunestand/internal/persister"
 	"dunestand/internal/protocol"
+	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
 )
 
 // LeaderAdmissionDeps is what a LeaderAdmission works with.
 type LeaderAdmissionDeps struct {
 	State       *cluster.State
-	Admitter    *admitter // nil: all jobs are admitted
-	Leadership  Leadership
-	Persister   *Persister
-	Ingester    *Ingester
+	Admitter    *Admitter // nil: all jobs are admitted
+	Leadership  election.Leadership
+	Persister   *persister.Persister
+	Ingester    *persister.Ingester
 	Settings    *config.Settings
 	KV          *kv.Client
 	Clock       units.Clock
 	Log         *slog.Logger
-	Metrics     *Metrics
+	Metrics     *telemetry.Metrics
 	WriteSignal loop.Signal
 }
 
@@ -36,17 +38,17 @@
 	LeaderAdmissionDeps
 
 	publisher   *planPublisher
-	waiting     *admission.WaitingList
+	Waiting     *admission.WaitingList
 	corrections *admission.Corrections
 	// planKnown: the plan's record is known for certain. Until then nobody is told to
 	// wait, and nothing is accepted before it was once.
 	planKnown, planEverKnown bool
 }
 
-func newLeaderAdmission(deps LeaderAdmissionDeps) *LeaderAdmission {
+func NewLeaderAdmission(deps LeaderAdmissionDeps) *LeaderAdmission {
 	la := &LeaderAdmission{
 		LeaderAdmissionDeps: deps,
-		waiting:             admission.NewWaitingList(),
+		Waiting:             admission.NewWaitingList(),
 		corrections:         admission.NewCorrections(),
 	}
 	la.publisher = newPlanPublisher(deps, la)
@@ -56,6 +58,13 @@
 // Run publishes plans until ctx ends.
 func (la *LeaderAdmission) Run(ctx context.Context) { la.publisher.loop(ctx) }
 
+// Publish makes a plan now, and writes it if it is due.
+func (la *LeaderAdmission) Publish(ctx context.Context) error { return la.publisher.step(ctx, true) }
+
+// PlanVersion is the version of the plan that was written last. It must not be called while
+// plans are published.
+func (la *LeaderAdmission) PlanVersion() uint64 { return la.publisher.version }
+
 // WriteMetrics writes the usage of the teams by the last proposal of a plan.
 func (la *LeaderAdmission) WriteMetrics(w io.Writer) { la.publisher.writeStandings(w) }
 
@@ -65,8 +74,8 @@
 	la.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
 }
 
-// admit decides, under the lock, whether a new job may be entered.
-func (la *LeaderAdmission) admit(spec *protocol.JobSpec) admission.Decision {
+// Admit decides, under the lock, whether a new job may be entered.
+func (la *LeaderAdmission) Admit(spec *protocol.JobSpec) admission.Decision {
 	if !la.Admitter.active() {
 		return admission.Decision{Verdict: admission.Admit}
 	}
@@ -76,14 +85,14 @@
 	}
 	d, _ := la.Admitter.decide(spec, admission.Leading)
 	if d.Verdict == admission.Admit {
-		if since, waited := la.waiting.Remove(spec.ID); waited {
-			la.Metrics.admissionWaited(now - since)
+		if since, waited := la.Waiting.Remove(spec.ID); waited {
+			la.Metrics.AdmissionWaited(now - since)
 		} else {
-			la.Metrics.admissionWaited(0)
+			la.Metrics.AdmissionWaited(0)
 		}
 		return d
 	}
-	la.waiting.Add(spec.ID, d, now)
+	la.Waiting.Add(spec.ID, d, now)
 	if d.Verdict == admission.Undecided {
 		la.Admitter.replanSignal.Raise()
 		return d
@@ -99,34 +108,14 @@
 	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUnclear, RetryAfter: units.Second}
 }
 
-// deferSubmission answers for a job that is not admitted, unless the job is known after all:
-// as one that is over, or from the inbox.
-func (l *Leader) deferSubmission(ctx context.Context, id string, d admission.Decision) answer {
-	if d.Verdict == admission.Undecided {
-		// Not 503: another controller that passed the request on would take that for a
-		// leaderName that cannot decide, and admit the job beyond the quota.
-		return plainAnswer(ErrorResponse(http.StatusTooManyRequests, d.Reason.String()))
-	}
-	if !l.admission.isSurelyUnknown(id) {
-		known := l.Poll(ctx, id)
-		if known.Status != http.StatusNotFound {
-			return known
-		}
-		l.state.Lock()
-		l.admission.waiting.SetUnknown(id)
-		l.state.Unlock()
-	}
-	return waitingAnswer(d)
-}
-
-// isSurelyUnknown tells whether no record can tell of a job that waits: none did when this
-// leaderName looked, and since then nobody could accept it. Another controller may, once the
+// IsSurelyUnknown tells whether no record can tell of a job that waits: none did when this
+// leader looked, and since then nobody could accept it. Another controller may, once the
 // plan has lapsed; long before that the records are read each time.
-func (la *LeaderAdmission) isSurelyUnknown(id string) bool {
+func (la *LeaderAdmission) IsSurelyUnknown(id string) bool {
 	la.State.Lock()
 	defer la.State.Unlock()
-	state := la.Admitter.keeper.Now(la.Clock.Steady())
-	return la.waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
+	state := la.Admitter.State()
+	return la.Waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
 }
 
 // planUncertain notes that the plan's record may change at any moment.
@@ -155,7 +144,7 @@
 	for _, j := range la.State.UnacceptedJobs() {
 		d, _ := la.Admitter.decide(&j.Spec, admission.Leading)
 		if d.Verdict == admission.Wait || d.Reason == admission.PlanUnclear {
-			la.waiting.Add(j.Spec.ID, d, now)
+			la.Waiting.Add(j.Spec.ID, d, now)
 			la.State.DropUnaccepted(j.Spec.ID)
 			la.Log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
 		}
@@ -166,8 +155,8 @@
 func (la *LeaderAdmission) measure(now units.Micros) admission.Measurement {
 	la.State.Lock()
 	defer la.State.Unlock()
-	la.waiting.Expire(now)
-	m := admission.Measurement{Now: now, Waiting: la.waiting.Demand(), Corrections: la.corrections.Snapshot()}
+	la.Waiting.Expire(now)
+	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), Corrections: la.corrections.Snapshot()}
 	reckoning := la.Admitter.keeper.Reckoning()
 	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
@@ -185,11 +174,11 @@
 	return m
 }
 
-// waitingCount is the number of jobs that were told to come back.
-func (la *LeaderAdmission) waitingCount() int {
+// WaitingCount is the number of jobs that were told to come back.
+func (la *LeaderAdmission) WaitingCount() int {
 	la.State.Lock()
 	defer la.State.Unlock()
-	return la.waiting.Len()
+	return la.Waiting.Len()
 }
 
 // RereadPlan finds out which plan is in force, after a write met another version of it.
--- a/internal/coordination/planpublisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -1,4 +1,4 @@
-package coordination
+package admissioncontrol
 
 import (
 	"context"
@@ -118,7 +118,7 @@
 	}
 }
 
-// step makes a plan, and writes it if it is due.
+// Step makes a plan, and writes it if it is due.
 func (p *planPublisher) step(ctx context.Context, asked bool) error {
 	if err := p.acquire(ctx); err != nil {
 		return err
@@ -131,7 +131,7 @@
 	}
 	if p.Admitter.unreadable.Load() != 0 {
 		p.recordKnown = false // an operator may repair or delete the record
-		return errPlanUnreadable
+		return ErrPlanUnreadable
 	}
 	now := p.Clock.Steady()
 	if p.sentAt != 0 && now-p.sentAt < planPause(asked) {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-var errPlanUnreadable = errors.New("the plan's record is not readable")
+var ErrPlanUnreadable = errors.New("the plan's record is not readable")
 
 // planPause is the time between two plans.
 func planPause(asked bool) units.Micros {
@@ -181,7 +181,7 @@
 	return p.KV.HasWriteBudget() && p.limiter.Allow()
 }
 
-// readRecords finds out what the record holds now.
+// read finds out what the record holds now.
 func (p *planPublisher) read(ctx context.Context) error {
 	asked := p.Clock.Steady()
 	item, revision, err := p.KV.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
@@ -231,18 +231,18 @@
 
 // ingestPending takes in what was accepted under the plan before: once a new one is durable,
 // nothing more can be accepted under that. So whoever is not known after it and has to
-// delay by the new plan stays unknown while it is in force.
+// wait by the new plan stays unknown while it is in force.
 func (p *planPublisher) ingestPending(ctx context.Context) error {
 	items, _, err := p.KV.ListAll(ctx, storage.PrefixPending)
 	if err != nil {
 		return err
 	}
-	return p.Ingester.ingest(ctx, items)
+	return p.Ingester.Ingest(ctx, items)
 }
 
-// compareAndSwap makes a plan durable, on condition that the record is as this leader knows it and
+// write makes a plan durable, on condition that the record is as this leader knows it and
 // that no later leader has claimed the buckets. From before the plan is sent until it is
-// recordKnown what became of it, nobody is told to wait by the plan before.
+// known what became of it, nobody is told to wait by the plan before.
 func (p *planPublisher) write(ctx context.Context, raw []byte, plan *admission.Plan) error {
 	p.admission.planUncertain()
 	head := storage.KeyBucketHead(planFenceBucket)
@@ -255,7 +255,7 @@
 	revision, err := p.KV.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{
 			{Key: admission.KeyPlan, Version: p.revision},
-			{Key: head, Version: p.Persister.bucketVersion(planFenceBucket)},
+			{Key: head, Version: p.Persister.BucketVersion(planFenceBucket)},
 		},
 		Then: []protocol.Change{{Set: admission.KeyPlan, Value: raw}},
 	}, pacing, kv.CallTimeout)
@@ -269,7 +269,7 @@
 	}
 	if !plan.Like(p.written) {
 		p.Admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.Gates(),
-			"turns", plan.Turns(), "waiting", p.admission.waitingCount())
+			"turns", plan.Turns(), "waiting", p.admission.WaitingCount())
 	}
 	p.written, p.version = plan, plan.Version
 	if err := p.ingestPending(ctx); err != nil {
--- a/internal/coordination/provisioning.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,4 +1,7 @@
-package coordination
+// Package autoscaler keeps the rented machines as the demand and the policy want them: it
+// plans which offerings to scale out, chooses machines to scale in, and keeps the catalog of
+// instance types.
+package autoscaler
 
 import (
 	"context"
@@ -10,23 +13,27 @@
 	"dunestand/internal/cloud"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
+	"dunestand/internal/failuredetector"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
+	"dunestand/internal/recordformat"
+	"dunestand/internal/scheduler"
 	"dunestand/internal/units"
 )
 
-// AutoscalerDeps is what a Autoscaler works with.
-type AutoscalerDeps struct {
+// Deps is what a Autoscaler works with.
+type Deps struct {
 	State       *cluster.State
-	Leadership  Leadership
-	Detector    *Detector
-	Scheduler   *Scheduler
+	Leadership  election.Leadership
+	Detector    *failuredetector.Detector
+	Scheduler   *scheduler.Scheduler
 	Settings    *config.Settings
 	Policy      *config.Policy
 	Cloud       *cloud.Client
 	KV          *kv.Client
-	Format      *FormatNegotiator
+	Format      recordformat.Source
 	Clock       units.Clock
 	Log         *slog.Logger
 	Token       uint64
@@ -37,7 +44,7 @@
 // Autoscaler keeps the rented machines as the demand and the policy want them: it scales
 // out, scales in, and keeps the catalog of instance types.
 type Autoscaler struct {
-	AutoscalerDeps
+	Deps
 
 	// What follows is guarded by the lock of state, but for what provisioningState says.
 	provisioning     provisioningState
@@ -45,9 +52,9 @@
 	lastFiniteJobAt  units.Micros // when there last was an unfinished job that ends by itself
 }
 
-func newAutoscaler(deps AutoscalerDeps) *Autoscaler {
+func New(deps Deps) *Autoscaler {
 	return &Autoscaler{
-		AutoscalerDeps:  deps,
+		Deps:            deps,
 		provisioning:    newProvisioningState(),
 		lastFiniteJobAt: deps.ElectedAt,
 	}
@@ -85,8 +92,8 @@
 	bootTimeoutFactor  = 6 // boot times until it is given up
 )
 
-// autoscaleLoop keeps the rented machines as wanted.
-func (as *Autoscaler) autoscaleLoop(ctx context.Context) {
+// Run keeps the rented machines as wanted.
+func (as *Autoscaler) Run(ctx context.Context) {
 	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = autoscaleInterval {
 		if !as.Leadership.Valid() {
 			continue
@@ -145,7 +152,7 @@
 		}
 		if l.Stage == protocol.MachineFailed && !m.Releasing {
 			// It has stopped on its own: nothing runs there any more. The
-			// check only takes it off the list.
+			// release only takes it off the list.
 			as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
 			as.State.MachineEmptied(m, now)
 			as.State.MarkReconciled(m.ID)
@@ -163,7 +170,7 @@
 	}
 }
 
-func (as *Autoscaler) policyInput() config.FleetInput {
+func (as *Autoscaler) PolicyInput() config.FleetInput {
 	in := config.FleetInput{Hour: int(as.Clock.Wall() / units.Second / 3600 % 24)}
 	for _, j := range as.State.Jobs {
 		if !j.IsService() {
@@ -176,7 +183,7 @@
 		in.GuaranteedCPUs += team.GuaranteedQuota.CPU.Float()
 		in.LimitCPUs += team.QuotaLimit.CPU.Float()
 	}
-	for _, n := range as.demand() {
+	for _, n := range as.Demand() {
 		in.DemandCPUs += n.Spec.Request.CPU.Float() * float64(n.Count)
 	}
 	for _, m := range as.State.Machines {
@@ -187,9 +194,9 @@
 	return in
 }
 
-// demand lists the tasks that are not done, as far as their teams' limits let
+// Demand lists the tasks that are not done, as far as their teams' limits let
 // them run, and the replicas that room is kept for.
-func (as *Autoscaler) demand() []TaskDemand {
+func (as *Autoscaler) Demand() []TaskDemand {
 	left := map[string]units.Resources{}
 	for name, team := range as.State.Teams {
 		left[name] = team.QuotaLimit
@@ -205,8 +212,8 @@
 			out = append(out, TaskDemand{&j.Spec, n})
 		}
 	}
-	if like := as.Scheduler.headroomReplica(); like != nil {
-		out = append(out, TaskDemand{like, as.Scheduler.headroomReplicaCount(like)})
+	if like := as.Scheduler.HeadroomReplica(); like != nil {
+		out = append(out, TaskDemand{like, as.Scheduler.HeadroomReplicaCount(like)})
 	}
 	return out
 }
@@ -284,7 +291,7 @@
 
 // capacityView is what the renting decision looks at.
 func (as *Autoscaler) capacityView(in config.FleetInput) CapacityView {
-	v := CapacityView{InstanceTypes: as.State.InstanceTypes, Machines: map[Offering]int{}, Demand: as.demand(),
+	v := CapacityView{InstanceTypes: as.State.InstanceTypes, Machines: map[Offering]int{}, Demand: as.Demand(),
 		ReserveCPUs: as.Policy.ReserveCPUs(in), SpotPreference: as.Policy.SpotPreference(in)}
 	now := as.Clock.Steady()
 	for _, m := range as.State.Machines {
@@ -298,12 +305,12 @@
 }
 
 // scaleOutOrders turns what is wanted into requests with names never used before: the
-// token is in them, and no two terms are alike.
+// term is in them, and no two terms are alike.
 func (as *Autoscaler) scaleOutOrders(now units.Micros) []protocol.ScaleOutRequest {
 	if len(as.State.InstanceTypes) == 0 || as.provisioning.listReadAt == 0 {
 		return nil // what there is, is not known yet
 	}
-	v := as.capacityView(as.policyInput())
+	v := as.capacityView(as.PolicyInput())
 	v.Unavailable = func(k Offering) bool { return now < as.provisioning.unavailable[k].until }
 	var out []protocol.ScaleOutRequest
 	for _, o := range PlanScaleOut(&v) {
--- /dev/null
+++ b/internal/autoscaler/autoscaler_test.go
@@ -0,0 +1,95 @@
+package autoscaler
+
+import (
+	"dunestand/internal/cluster"
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/scheduler"
+	"dunestand/internal/standin"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
+	"io"
+	"log/slog"
+	"testing"
+)
+
+// newTestAutoscaler returns an autoscaler of a leader with one job that is stored and waits.
+func newTestAutoscaler(tasks int) (*Autoscaler, *standin.Clock) {
+	clock := &standin.Clock{Now: 100 * units.Second}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
+		Zones:   []string{"a"},
+		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: 9}},
+		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 11},
+		State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+	}}
+	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
+	state.SetInstanceTypes([]protocol.InstanceType{{
+		Name:      "m",
+		CPUs:      4,
+		MemoryGB:  64,
+		CacheGB:   10,
+		Price:     1,
+		SpotPrice: 1,
+		BootS:     5,
+		Zones:     []string{"a"},
+	}})
+	policy := config.DefaultPolicy()
+	leadership := &standin.Leadership{Number: 7}
+	scheduler := scheduler.New(scheduler.Deps{State: state, Settings: settings, Policy: policy, Clock: clock, Log: log, Token: 7})
+	as := New(Deps{
+		State:      state,
+		Leadership: leadership,
+		Scheduler:  scheduler,
+		Settings:   settings,
+		Policy:     policy,
+		Clock:      clock,
+		Log:        log,
+		Token:      7,
+		ElectedAt:  clock.Now,
+	})
+	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: tasks, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
+	state.NewJob(spec, clock.Now, clock.Now)
+	batch := state.BuildWriteBatch("7-1", make([]uint64, storage.Buckets), cluster.BatchLimits{}, clock.Now)
+	state.BatchCommitted(batch, 1)
+	return as, clock
+}
+
+// A kind that was refused rests, the longer the more often. Once a machine of it
+// is gone, there may be room for another at once.
+func TestLostMachineIsReplacedAtOnce(t *testing.T) {
+	as, clock := newTestAutoscaler(40)
+	as.provisioning.listReadAt = clock.Now
+	m := as.State.EnsureMachine("i-000001", "m", "a", true, clock.Now)
+	for _, spot := range []bool{false, true} {
+		as.provisioning.unavailable[Offering{"m", "a", spot}] = capacityBackoff{
+			until: clock.Now + maxCapacityBackoff,
+			delay: maxCapacityBackoff,
+		}
+	}
+	if orders := as.scaleOutOrders(clock.Now); len(orders) != 0 {
+		t.Fatalf("asked for what was refused: %v", orders)
+	}
+	as.removeMachine(m, clock.Now)
+	if orders := as.scaleOutOrders(clock.Now); len(orders) != 1 || !orders[0].Spot {
+		t.Errorf("orders after a loss: %v", orders)
+	}
+}
+
+// largestFleet is the most machines that the service is built for.
+const largestFleet = 4000
+
+// The machine list takes a third of the cloud's requests at most, however long it is.
+func TestMachineListLeavesRequestsToScaleOut(t *testing.T) {
+	cloud := config.Cloud{RPS: 6, ListLagS: 4}
+	for _, machines := range []int{0, 400, 1700, largestFleet, 3 * largestFleet} {
+		pages := float64(1 + machines/protocol.MaxListPage)
+		every := listInterval(cloud, machines)
+		if rate := pages / every.Seconds(); rate > cloud.RPS/3 {
+			t.Errorf("%d machines: the list takes %.2f requests a second of %.0f", machines, rate, cloud.RPS)
+		}
+		if machines <= 1499 && every != minListInterval {
+			t.Errorf("%d machines are listed every %v", machines, every.Duration())
+		}
+	}
+}
--- a/internal/coordination/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -1,4 +1,4 @@
-package coordination
+package autoscaler
 
 import (
 	"context"
--- a/internal/coordination/release.go
+++ b/internal/autoscaler/scalein.go
@@ -1,10 +1,12 @@
-package coordination
+package autoscaler
 
 import (
 	"context"
 	"sort"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/election"
+	"dunestand/internal/failuredetector"
 	"dunestand/internal/protocol"
 	"dunestand/internal/sorted"
 	"dunestand/internal/units"
@@ -12,7 +14,7 @@
 
 // removeMachine drops a machine that is gone. The cloud may have room for another of
 // its kind now, whatever it said before: after a wave of losses, waiting for the
-// capacityBackoff to pass once left a quarter of the fleet away for half a minute.
+// refusal to pass once left a quarter of the fleet away for half a minute.
 func (as *Autoscaler) removeMachine(m *cluster.Machine, now units.Micros) {
 	as.State.RemoveMachine(m, now)
 	delete(as.provisioning.unavailable, Offering{m.InstanceType, m.Zone, m.Spot})
@@ -22,7 +24,7 @@
 // are idle beyond what is to be kept.
 func (as *Autoscaler) scaleIn(ctx context.Context) {
 	as.State.Lock()
-	names := as.machinesToRelease(as.Clock.Steady())
+	names := as.MachinesToRelease(as.Clock.Steady())
 	as.State.Unlock()
 	for len(names) > 0 {
 		n := min(len(names), protocol.MaxScaleIn)
@@ -47,10 +49,10 @@
 	}
 }
 
-// machinesToRelease chooses the machines to be released. A machine once chosen gets no
+// MachinesToRelease chooses the machines to be released. A machine once chosen gets no
 // work and stays chosen, since a release that got no answer may be carried
-// decisions at any time.
-func (as *Autoscaler) machinesToRelease(now units.Micros) []string {
+// out at any time.
+func (as *Autoscaler) MachinesToRelease(now units.Micros) []string {
 	chosen := map[string]bool{}
 	mark := func(m *cluster.Machine, why string) {
 		if !m.Releasing {
@@ -58,7 +60,7 @@
 			m.Releasing = true
 		}
 	}
-	silent := as.Detector.lostMachines(now)
+	silent := as.Detector.LostMachines(now)
 	for _, id := range sorted.Keys(as.State.Machines) {
 		m := as.State.Machines[id]
 		boot := units.Seconds(as.State.InstanceTypes[m.InstanceType].BootS)
@@ -67,7 +69,7 @@
 			mark(m, "faulty")
 		case !m.Registered && m.Stage != protocol.MachineRunning && now-m.RentedAt > bootTimeoutFactor*boot+30*units.Second && now-as.ElectedAt > 30*units.Second:
 			mark(m, "never came up")
-		case !m.Registered && now-max(as.ElectedAt, m.RentedAt) > withDrift(as.Settings.Fleet.Workers.Lease(), zoneCutGrace):
+		case !m.Registered && now-max(as.ElectedAt, m.RentedAt) > election.WithDrift(as.Settings.Fleet.Workers.Lease(), failuredetector.ZoneCutGrace):
 			// It runs, the cloud says, but has not been heard in this term: its
 			// zone may be cut off, for a while.
 			mark(m, "silent")
@@ -85,17 +87,17 @@
 			chosen[id] = true
 		}
 	}
-	for _, m := range as.idleMachines(now) {
+	for _, m := range as.IdleMachines(now) {
 		mark(m, "idle")
 		chosen[m.ID] = true
 	}
 	return sorted.Keys(chosen)
 }
 
-// idleMachines chooses machines that nothing has needed for a while, the dearest
+// IdleMachines chooses machines that nothing has needed for a while, the dearest
 // first, as long as what is left covers the need and the reserve.
-func (as *Autoscaler) idleMachines(now units.Micros) []*cluster.Machine {
-	in := as.policyInput()
+func (as *Autoscaler) IdleMachines(now units.Micros) []*cluster.Machine {
+	in := as.PolicyInput()
 	wait := as.Policy.IdleReturn(in)
 	keep := max(units.AmountOf(in.DemandCPUs), as.Policy.ReserveCPUs(in))
 	have := units.AmountOf(in.FleetCPUs)
--- a/internal/coordination/rent.go
+++ b/internal/autoscaler/scaleout.go
@@ -1,4 +1,4 @@
-package coordination
+package autoscaler
 
 import (
 	"cmp"
@@ -6,6 +6,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/scheduler"
 	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
@@ -114,7 +115,7 @@
 
 // allows tells whether a need's tasks may be on machines of an offered kind.
 func (o *pricedOffering) allows(n TaskDemand) bool {
-	return PlacementAllowed(n.Spec, o.offering.InstanceType, o.offering.Zone, o.offering.Spot)
+	return scheduler.PlacementAllowed(n.Spec, o.offering.InstanceType, o.offering.Zone, o.offering.Spot)
 }
 
 // choices counts the kinds that a need's tasks may be on.
--- a/internal/coordination/rent_test.go
+++ b/internal/autoscaler/scaleout_test.go
@@ -1,6 +1,8 @@
-package coordination
+package autoscaler
 
 import (
+	"dunestand/internal/standin"
+	_ "dunestand/internal/standin/fixedseed"
 	"reflect"
 	"testing"
 
@@ -16,7 +18,7 @@
 }
 
 // What is ordered covers the need and the reserve, on kinds that were not
-// unavailable lately, and ordering comes to an end.
+// refused lately, and ordering comes to an end.
 func TestScaleOutCoversTheDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		refused := map[Offering]bool{}
@@ -28,7 +30,7 @@
 			Unavailable: func(k Offering) bool { return refused[k] }}
 		for range rapid.IntRange(0, 4).Draw(t, "needs") {
 			v.Demand = append(v.Demand, TaskDemand{&protocol.JobSpec{
-				Request:   cpus(rapid.IntRange(1, 4).Draw(t, "cpus")),
+				Request:   standin.CPUs(rapid.IntRange(1, 4).Draw(t, "cpus")),
 				AllowSpot: rapid.Bool().Draw(t, "spot"),
 				Zone:      rapid.SampledFrom([]string{"", "b"}).Draw(t, "zone"),
 			},
@@ -73,31 +75,10 @@
 		Machines:       map[Offering]int{},
 		SpotPreference: 1,
 		Unavailable:    func(Offering) bool { return false },
-		Demand:         []TaskDemand{{&protocol.JobSpec{Request: cpus(4), AllowSpot: true}, 8}},
+		Demand:         []TaskDemand{{&protocol.JobSpec{Request: standin.CPUs(4), AllowSpot: true}, 8}},
 	}
 	want := []Order{{Offering{"big", "a", true}, 1}}
 	if got := PlanScaleOut(&v); !reflect.DeepEqual(got, want) {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 }
-
-// A kind that was refused rests, the longer the more often. Once a machine of it
-// is gone, there may be room for another at once.
-func TestLostMachineIsReplacedAtOnce(t *testing.T) {
-	term, clock := leaderWithJob(t, 40)
-	term.autoscaler.provisioning.listReadAt = clock.now
-	m := term.state.EnsureMachine("i-000001", "m", "a", true, clock.now)
-	for _, spot := range []bool{false, true} {
-		term.autoscaler.provisioning.unavailable[Offering{"m", "a", spot}] = capacityBackoff{
-			until: clock.now + maxCapacityBackoff,
-			delay: maxCapacityBackoff,
-		}
-	}
-	if orders := term.autoscaler.scaleOutOrders(clock.now); len(orders) != 0 {
-		t.Fatalf("asked for what was refused: %v", orders)
-	}
-	term.autoscaler.removeMachine(m, clock.now)
-	if orders := term.autoscaler.scaleOutOrders(clock.now); len(orders) != 1 || !orders[0].Spot {
-		t.Errorf("orders after a loss: %v", orders)
-	}
-}
--- a/internal/cluster/bitset.go
+++ b/internal/cluster/bitset.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// donePageRecord is the part of the set that holds the p-th of as many numbers as size.
+// page is the part of the set that holds the p-th of as many numbers as size.
 func (b bitset) page(p, size int) []byte {
 	return b[min(p*size/8, len(b)):min((p+1)*size/8, len(b))]
 }
--- a/internal/cluster/completionrate.go
+++ b/internal/cluster/completionrate.go
@@ -6,7 +6,7 @@
 
 // CompletionRate is what tasks that end by themselves leave, as observed.
 type CompletionRate struct {
-	freedCPU  units.Amount // unchangedSince then
+	freedCPU  units.Amount // since then
 	since     units.Micros
 	perSecond units.Amount // processors, moving mean
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -34,7 +34,7 @@
 	AssignedAt   units.Micros
 	RunningSince units.Micros
 	Stopping     bool         // it is to be stopped
-	GracePeriod  units.Micros // withPrevious so much time to save
+	GracePeriod  units.Micros // with so much time to save
 }
 
 // TaskName gives the task's name.
--- a/internal/cluster/jobrecord.go
+++ b/internal/cluster/jobrecord.go
@@ -39,7 +39,7 @@
 	Pages              int          `cbor:"pages" json:"pages"`       // further pages, in the old form
 }
 
-// machineNamesRecord is a further part of the machineNamesRecord of machines.
+// machineNamesRecord is a further part of the names of machines.
 type machineNamesRecord struct {
 	Format   int      `cbor:"v" json:"v"`
 	WriteID  string   `cbor:"save" json:"save"`
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -21,7 +21,7 @@
 	GuaranteedQuota units.Resources
 	QuotaLimit      units.Resources
 	Used            units.Resources
-	Freeing         units.Resources // collectWrites of Used, held by attempts that were told to stop
+	Freeing         units.Resources // part of Used, held by attempts that were told to stop
 }
 
 // Exponential backoff of jobs whose tasks fail, and of replicas that keep ending.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -14,7 +14,7 @@
 	Capacity     units.Resources
 	ImageCache   units.Amount
 	Used         units.Resources
-	Freeing      units.Resources // collectWrites of Used, held by attempts that were told to stop
+	Freeing      units.Resources // part of Used, held by attempts that were told to stop
 	Attempts     map[AttemptKey]*Attempt
 	Ended        int // ended tasks in its last report
 
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -87,7 +87,7 @@
 
 // A record of the version before that is larger than a value may be by then is
 // divided before it has to be changed. Wherever that stops, all 600 machines are
-// machinesToRecord and all completions kept.
+// named and all completions kept.
 func TestLargeOldRecordsAreDivided(t *testing.T) {
 	limits := config.State{ValueKB: 16, TxnOps: 12, Next: &config.State{ValueKB: 2, TxnOps: 4}}
 	for crash := range 40 {
--- a/internal/cluster/savepart.go
+++ b/internal/cluster/savepart.go
@@ -8,7 +8,7 @@
 	"dunestand/internal/storage"
 )
 
-// terminal gives the final record of a job that is over: complete, or cancelled
+// end gives the final record of a job that is over: complete, or cancelled
 // and with nothing left on any machine.
 func (j *Job) terminalRecord(id string) *storage.TerminalRecord {
 	switch {
@@ -85,7 +85,7 @@
 	})
 }
 
-// removeJob deletes a record; with: only together with the write before.
+// remove deletes a record; with: only together with the write before.
 func (w *jobWrites) remove(key string, with bool) {
 	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, withPrevious: with})
 }
@@ -127,7 +127,7 @@
 	w.removePending()
 }
 
-// machineNamesRecord writes the further machineNamesRecord of machines that have changed.
+// names writes the further names of machines that have changed.
 func (w *jobWrites) names() {
 	j := w.job
 	for _, n := range slices.Sorted(maps.Keys(j.nameParts)) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// donePages writes the parts of the done set that have changed.
+// pages writes the parts of the done set that have changed.
 func (w *jobWrites) pages() {
 	j := w.job
 	pages, size, format, saveID := j.donePages, pageTasks, storage.FormatNew, w.writeID
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -22,7 +22,7 @@
 	nameSpace int             // and may take
 }
 
-// jobRecords are a live job's jobRecords.
+// jobRecords are a live job's records.
 type jobRecords struct {
 	format        int
 	migrating     bool           // into the new form: its own record is still in the old one
--- a/internal/coordination/admitter_test.go
+++ b/internal/controller/admission_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -9,12 +9,15 @@
 	"time"
 
 	"dunestand/internal/admission"
+	"dunestand/internal/admissioncontrol"
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 	"dunestand/internal/storage"
+	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
 )
 
@@ -26,11 +29,11 @@
 func admittingLeader(t *testing.T, number uint64, s *standin.State) *Leader {
 	t.Helper()
 	term := storedLeader(t, number, s, func(d *Deps) {
-		d.Format.current.Store(storage.FormatAdmission)
+		d.Format = standin.NewRecordFormat(storage.FormatAdmission)
 		d.Settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
-		d.Admitter = newAdmitter(d.Settings, admission.Options{Horizon: floodHorizon}, d.KV, d.Format, d.Clock, d.Log, d.Metrics)
+		d.Admitter = admissioncontrol.NewAdmitter(d.Settings, admission.Options{Horizon: floodHorizon}, d.KV, d.Format, d.Clock, d.Log, d.Metrics)
 	})
-	if !term.persister.restore(t.Context()) {
+	if !term.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
@@ -39,8 +42,8 @@
 
 // renewPlan has the leader write a plan now.
 func (l *Leader) renewPlan(ctx context.Context) error {
-	l.Clock.(*manualClock).now += units.Second
-	return l.admission.publisher.step(ctx, true)
+	l.Clock.(*standin.Clock).Now += units.Second
+	return l.admission.Publish(ctx)
 }
 
 func admittedSpec(id, team string, tasks int) *protocol.JobSpec {
@@ -61,7 +64,7 @@
 		term.state.NewJob(*admittedSpec(fmt.Sprintf("j-%06d", 1000+i), "team", 1), term.Clock.Wall(), term.Clock.Steady())
 	}
 	for s := term.nextSave(); s != nil; s = term.nextSave() {
-		term.persister.commitBatch(t.Context(), s)
+		term.persister.CommitBatch(t.Context(), s)
 	}
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -69,7 +72,7 @@
 	if r := term.Submit(t.Context(), admittedSpec("j-000901", "team", 1)); r.Status == http.StatusCreated {
 		t.Fatal("admitted though its team has all there is")
 	}
-	if term.admission.waitingCount() != 1 {
+	if term.admission.WaitingCount() != 1 {
 		t.Fatal("the job was entered though its team has all there is")
 	}
 	if err := term.renewPlan(t.Context()); err != nil {
@@ -91,25 +94,25 @@
 func (l *Leader) saveOnce(test *testing.T) {
 	test.Helper()
 	if s := l.nextSave(); s != nil {
-		l.persister.commitBatch(test.Context(), s)
+		l.persister.CommitBatch(test.Context(), s)
 	}
 }
 
 func (l *Leader) nextSave() *cluster.WriteBatch {
 	l.state.Lock()
 	defer l.state.Unlock()
-	return l.state.BuildWriteBatch(l.persister.nextWriteID(), l.persister.bucketVersions, cluster.BatchLimits{Background: true}, l.Clock.Steady())
+	return l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
 }
 
 // A job whose plan has been replaced before its acceptance was stored is decided by the
-// isNewer plan: the version that is current at the commit decides.
+// new plan: the version that is current at the commit decides.
 func TestAcceptanceIsConditionalOnThePlan(t *testing.T) {
 	s := standin.NewState()
 	term := admittingLeader(t, 1, s)
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	admitted := make(chan answer, 1)
+	admitted := make(chan answer.Answer, 1)
 	go func() { admitted <- term.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
 	var save *cluster.WriteBatch
 	for save == nil { // the job is entered, and its save built
@@ -133,7 +136,7 @@
 	conflicted := make(chan struct{})
 	go func() {
 		defer close(conflicted)
-		term.persister.commitBatch(t.Context(), save)
+		term.persister.CommitBatch(t.Context(), save)
 	}()
 	for range 50 {
 		time.Sleep(time.Millisecond)
@@ -153,7 +156,7 @@
 	term.expectWait(t, admittedSpec("j-000001", "team", 1))
 	var p protocol.ErrorResponse
 	r := term.Submit(t.Context(), admittedSpec("j-000001", "team", 1))
-	if err := protocol.Decode(r.Body, &p); err != nil || p.PlanVersion != term.admission.publisher.version {
+	if err := protocol.Decode(r.Body, &p); err != nil || p.PlanVersion != term.admission.PlanVersion() {
 		t.Errorf("the answer names plan %d, %v", p.PlanVersion, err)
 	}
 	if r := term.Submit(t.Context(), admittedSpec("j-000002", "other", 1)); r.Status == http.StatusTooManyRequests {
@@ -196,11 +199,11 @@
 		t.Errorf("while the plan is in doubt: %d by plan %d, %v", r.Status, p.PlanVersion, err)
 	}
 	s.Silent = nil
-	written := term.admission.publisher.version + 1
+	written := term.admission.PlanVersion() + 1
 	if err := term.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if got := term.admission.publisher.version; got <= written {
+	if got := term.admission.PlanVersion(); got <= written {
 		t.Errorf("plan %d follows one of version %d whose answer was lost", got, written)
 	}
 	term.expectWait(t, spec)
@@ -218,7 +221,7 @@
 	for i := range most {
 		spec := admittedSpec(fmt.Sprintf("j-%06d", i), "team", 1)
 		term.state.Lock()
-		d := term.admission.admit(spec)
+		d := term.admission.Admit(spec)
 		term.state.Unlock()
 		if d.Verdict == admission.Admit {
 			continue
@@ -259,7 +262,7 @@
 }
 
 // A record that no leader wrote is neither obeyed nor overwritten. The floor is in force
-// typesValidUntil an operator has deleted it.
+// until an operator has deleted it.
 func TestUnreadablePlanIsLeftAlone(t *testing.T) {
 	for what, record := range map[string]any{
 		"no plan":         map[string]any{"v": 1, "n": "seven"},
@@ -271,14 +274,14 @@
 		term := admittingLeader(t, 1, s)
 		before, _ := s.Get(admission.KeyPlan)
 		for range 3 {
-			if err := term.renewPlan(t.Context()); !errors.Is(err, errPlanUnreadable) {
+			if err := term.renewPlan(t.Context()); !errors.Is(err, admissioncontrol.ErrPlanUnreadable) {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
 		if after, _ := s.Get(admission.KeyPlan); after.Version != before.Version {
 			t.Errorf("%s: it was overwritten", what)
 		}
-		if state := term.Admitter.keeper.Now(term.Clock.Steady()); state.Force != admission.ByFloor {
+		if state := term.Admitter.State(); state.Force != admission.ByFloor {
 			t.Errorf("%s: in force is %v", what, state.Force)
 		}
 		go func() { _ = term.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
@@ -304,29 +307,30 @@
 	}
 	c, _ := refusedController(t, s)
 	c.deps.Settings, c.deps.KV = term.Settings, term.KV // whose limits are far away
-	c.deps.Format.current.Store(storage.FormatAdmission)
-	a := newAdmitter(term.Settings, admission.Options{Horizon: floodHorizon}, c.deps.KV, c.deps.Format, c.deps.Clock, c.deps.Log, NewMetrics())
+	format := standin.NewRecordFormat(storage.FormatAdmission)
+	c.deps.Format = format
+	a := admissioncontrol.NewAdmitter(term.Settings, admission.Options{Horizon: floodHorizon}, c.deps.KV, c.deps.Format, c.deps.Clock, c.deps.Log, telemetry.NewMetrics())
 	c.deps.Admitter = a
 	submit := func(id, team string) int {
 		spec := admittedSpec(id, team, 1)
 		return c.submit(t.Context(), submission(spec, team), true).Status
 	}
-	follower := planFollower{admitter: a}
+	follower := admissioncontrol.NewPlanFollower(a)
 	learn := func() {
 		t.Helper()
-		if err := follower.step(t.Context()); err != nil {
+		if err := follower.Step(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	// A controller that has just started does not know that the fleet admits by a plan.
-	c.deps.Format.current.Store(storage.FormatOld)
+	format.Level.Store(storage.FormatOld)
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
 	if _, stored := s.Get(storage.KeyPending("j-000001")); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
-	c.deps.Format.current.Store(storage.FormatAdmission)
+	format.Level.Store(storage.FormatAdmission)
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: %d", status)
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -10,6 +10,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -17,8 +18,8 @@
 // busyLeader is a leader under a burst: full machines with 16 tasks each, and
 // 300 jobs of up to 3,000 tasks that wait.
 func busyLeader(machines int) (*Leader, []*protocol.Heartbeat) {
-	clock := &manualClock{now: units.Second}
-	term := testLeader(1, clock)
+	clock := &standin.Clock{Now: units.Second}
+	term := newTestLeader(1, clock)
 	types := []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      32,
@@ -29,16 +30,16 @@
 		BootS:     5,
 		Zones:     []string{"a"},
 	}}
-	term.persister.installRecords(nil, protocol.Catalog{Types: types})
-	term.state.Teams["team"].QuotaLimit = cpus(32 * machines * 2)
+	term.persister.InstallRecords(nil, protocol.Catalog{Types: types})
+	term.state.Teams["team"].QuotaLimit = standin.CPUs(32 * machines * 2)
 	const jobs = 300
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
-		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, cpus(2), protocol.Priority(i%3)
-		term.state.NewJob(spec, clock.now, clock.now)
+		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, standin.CPUs(2), protocol.Priority(i%3)
+		term.state.NewJob(spec, clock.Now, clock.Now)
 	}
 	for {
-		s := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, clock.now)
+		s := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now)
 		if s == nil {
 			break
 		}
@@ -55,7 +56,7 @@
 				Sequence:     seq,
 				FencingToken: 1,
 			}
-			m := term.reconciler.reconcile(r, clock.now)
+			m := term.reconciler.Reconcile(r, clock.Now)
 			for _, a := range m.SortedAttempts() {
 				a.Stage = cluster.Running
 				r.Tasks = append(r.Tasks, protocol.TaskStatus{
@@ -69,7 +70,7 @@
 		}
 		for started := -1; started != int(term.state.AttemptsStarted); {
 			started = int(term.state.AttemptsStarted)
-			term.scheduler.runCycle(clock.now, nil)
+			term.scheduler.RunCycle(clock.Now, nil)
 		}
 	}
 	return term, reports
@@ -92,8 +93,8 @@
 		for i := 0; b.Loop(); i++ {
 			r := reports[i%len(reports)]
 			r.Sequence += 10
-			m := term.reconciler.reconcile(r, units.Second)
-			_ = term.reconciler.commands(m, r, units.Second)
+			m := term.reconciler.Reconcile(r, units.Second)
+			_ = term.reconciler.Commands(m, r, units.Second)
 		}
 	})
 }
@@ -175,7 +176,7 @@
 		for i := 0; b.Loop(); i++ {
 			m := term.state.Machines[reports[i%len(reports)].Machine]
 			term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-			term.scheduler.placeOnMachine(m, units.Second)
+			term.scheduler.PlaceOnMachine(m, units.Second)
 		}
 	})
 }
@@ -183,7 +184,7 @@
 func BenchmarkCycle(b *testing.B) {
 	perFleet(b, func(b *testing.B, term *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
-			term.scheduler.runCycle(units.Second, nil)
+			term.scheduler.RunCycle(units.Second, nil)
 		}
 	})
 }
@@ -195,7 +196,7 @@
 		j.MarkChanged(units.Second, true)
 	}
 	for {
-		s := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, units.Second)
+		s := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, units.Second)
 		if s == nil {
 			return rows
 		}
@@ -219,14 +220,14 @@
 	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
 		rows := saveAll(term)
 		for b.Loop() {
-			later := testLeader(2, &manualClock{now: units.Second})
+			later := newTestLeader(2, &standin.Clock{Now: units.Second})
 			jobs, _, err := cluster.ParseJobs(rows)
 			if err != nil {
 				b.Fatal(err)
 			}
-			later.persister.installRecords(jobs, protocol.Catalog{})
+			later.persister.InstallRecords(jobs, protocol.Catalog{})
 			for _, r := range reports {
-				later.reconciler.reconcile(r, units.Second)
+				later.reconciler.Reconcile(r, units.Second)
 			}
 		}
 	})
--- a/internal/coordination/announce_test.go
+++ b/internal/controller/broadcast_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 // waiting: with a third of a large fleet gone, each in the queue once cost 1.5 s
 // of one of four places.
 func TestBroadcastReachesMachinesThatAnswer(t *testing.T) {
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // machineSchedulable nothing: requests wait
+	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts nothing: requests wait
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	}))
 	defer worker.Close()
 	unconfirm := func(id, endpoint string) {
-		term.state.EnsureMachine(id, "m", "a", true, clock.now).Endpoint = endpoint
+		term.state.EnsureMachine(id, "m", "a", true, clock.Now).Endpoint = endpoint
 		term.state.MarkUnreconciled(j, id)
 	}
 	for i := range 32 {
@@ -38,7 +38,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		term.broadcaster.broadcastLoop(ctx)
+		term.broadcaster.Run(ctx)
 	}()
 	defer func() {
 		cancel()
--- a/internal/coordination/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,7 @@
-package coordination
+// Package controller is one controller node: it serves users, workers and the other
+// controllers, passes requests on to the leader, and composes the leader's components while
+// it leads itself.
+package controller
 
 import (
 	"context"
@@ -7,7 +10,11 @@
 	"sync"
 	"sync/atomic"
 
+	"dunestand/internal/answer"
+	"dunestand/internal/election"
+	"dunestand/internal/peers"
 	"dunestand/internal/protocol"
+	"dunestand/internal/recordformat"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -16,8 +23,9 @@
 // controllers, and leads while it holds the fleet lease.
 type Controller struct {
 	deps             Deps
-	elector          *Elector
-	peers            *Peers
+	elector          *election.Elector
+	format           *recordformat.Negotiator
+	peers            *peers.Peers
 	server           *transport.Server
 	leader           atomic.Pointer[Leader]
 	lastHeartbeat    atomic.Int64 // steady time of the last worker's report
@@ -29,7 +37,7 @@
 }
 
 // userPollGap is longer than users wait between two questions, and workers
-// heartbeat more often than that: a connection that is in use is not closed.
+// report more often than that: a connection that is in use is not closed.
 const userPollGap = 10 * units.Second
 
 // Run serves on the two listeners until ctx ends.
@@ -43,9 +51,9 @@
 		func() { errs <- transport.ServeMesh(ctx, mesh, c.deps.Log, c.answerPeer) },
 		func() { c.peers.Run(ctx) },
 		func() { c.logRuntime(ctx) },
-		func() { c.deps.Format.Run(ctx, func() bool { return c.activeLeader() != nil }) },
+		func() { c.format.Run(ctx, func() bool { return c.activeLeader() != nil }) },
 		func() { c.elector.Run(ctx, c.runLeader) },
-		func() { c.deps.Admitter.follow(ctx) },
+		func() { c.deps.Admitter.Follow(ctx) },
 	} {
 		wg.Add(1)
 		go func() {
@@ -74,7 +82,7 @@
 
 // leaderName names the node that leads as far as this one knows: the one that the
 // record names, or, when this node has lost the state service and would not
-// adopt of a change from there, the one that says so itself.
+// learn of a change from there, the one that says so itself.
 func (c *Controller) leaderName() string {
 	if c.elector.UnansweredFor() > leaseRecordTTL {
 		if node := c.peers.Leader(); node != "" {
@@ -96,15 +104,15 @@
 	s := c.server
 	s.Handle(http.MethodPost, protocol.PathSubmit, func(ctx context.Context, r transport.Request) transport.Response {
 		if r.TooLarge {
-			return ErrorResponse(http.StatusBadRequest, "body over 64 KiB")
+			return answer.ErrorResponse(http.StatusBadRequest, "body over 64 KiB")
 		}
-		return c.gate().check(c.submit(ctx, r.Body, true))
+		return c.gate().Check(c.submit(ctx, r.Body, true))
 	})
 	s.Handle(http.MethodGet, protocol.PathPoll, func(ctx context.Context, r transport.Request) transport.Response {
-		return c.gate().check(c.poll(ctx, r.ID, true))
+		return c.gate().Check(c.poll(ctx, r.ID, true))
 	})
 	s.Handle(http.MethodPost, protocol.PathCancel, func(ctx context.Context, r transport.Request) transport.Response {
-		return c.gate().check(c.cancel(ctx, r.ID, true))
+		return c.gate().Check(c.cancel(ctx, r.ID, true))
 	})
 	s.Handle(http.MethodGet, protocol.PathHealth, func(context.Context, transport.Request) transport.Response {
 		return c.health()
@@ -134,7 +142,7 @@
 // it renews its lease. A leader that was just restarted is redialled sooner.
 const bypassPatience = 3 * units.Second
 
-// heartbeatHealth: a node is of use while it leads or reaches the leader, and for a
+// health: a node is of use while it leads or reaches the leader, and for a
 // while after. A change of leader takes a few seconds; were every node to call
 // itself unhealthy meanwhile, the load balancer would keep them all out for
 // longer than that, and longer each time. It is of no use, and says so soon,
@@ -152,13 +160,13 @@
 	}
 	switch since := units.Micros(c.bypassedSince.Load()); {
 	case since != 0 && now-since >= bypassPatience:
-		return unavailable("the leader refuses this node's links").Response
-	case len(c.deps.Settings.Others) > 0 && !c.peers.AnyReachable() && lease.UnansweredFor() > lease.timing.Duration:
-		return unavailable("cut off from the state service and the other controllers").Response
-	case now-units.Micros(c.lastUseful.Load()) <= 2*lease.timing.Duration+restartTime:
+		return answer.Unavailable("the leader refuses this node's links").Response
+	case len(c.deps.Settings.Others) > 0 && !c.peers.AnyReachable() && lease.UnansweredFor() > lease.LeaseDuration():
+		return answer.Unavailable("cut off from the state service and the other controllers").Response
+	case now-units.Micros(c.lastUseful.Load()) <= 2*lease.LeaseDuration()+restartTime:
 		return transport.Response{Status: http.StatusOK}
 	}
-	return unavailable("no leader in reach").Response
+	return answer.Unavailable("no leader in reach").Response
 }
 
 // Ready tells whether the records are restored.
@@ -169,15 +177,15 @@
 }
 
 // gate is what every answer about a job passes on its way out.
-func (c *Controller) gate() monotonicReadGate {
-	return monotonicReadGate{clock: c.deps.Clock, revisions: c.deps.KV.Revisions}
+func (c *Controller) gate() answer.Gate {
+	return answer.Gate{Clock: c.deps.Clock, Revisions: c.deps.KV.Revisions}
 }
 
 func (c *Controller) records() recordReader {
 	return recordReader{store: c.deps.KV, clock: c.deps.Clock, workers: c.deps.Settings.Fleet.Workers}
 }
 
-func (c *Controller) submit(ctx context.Context, body []byte, forward bool) answer {
+func (c *Controller) submit(ctx context.Context, body []byte, forward bool) answer.Answer {
 	spec, err := protocol.ParseSubmission(body)
 	if err != nil {
 		// A job that is known stays known, whatever else a repeat says.
@@ -186,11 +194,11 @@
 			if known.Status != http.StatusNotFound {
 				return known
 			}
-			return answer{Response: ErrorResponse(http.StatusBadRequest, err.Error()), evidence: known.evidence}
+			return answer.Answer{Response: answer.ErrorResponse(http.StatusBadRequest, err.Error()), Evidence: known.Evidence}
 		}
-		return plainAnswer(ErrorResponse(http.StatusBadRequest, err.Error()))
+		return answer.Plain(answer.ErrorResponse(http.StatusBadRequest, err.Error()))
 	}
-	var r answer
+	var r answer.Answer
 	if t := c.activeLeader(); t == nil {
 		r = c.forward(ctx, forward, protocol.FrameSubmit, "", body)
 	} else if r = t.Submit(ctx, spec); t.Ready() {
@@ -203,29 +211,29 @@
 	return r
 }
 
-func (c *Controller) poll(ctx context.Context, id string, forward bool) answer {
+func (c *Controller) poll(ctx context.Context, id string, forward bool) answer.Answer {
 	if !protocol.ValidJobID(id) {
-		return plainAnswer(ErrorResponse(http.StatusNotFound, "no such job"))
+		return answer.Plain(answer.ErrorResponse(http.StatusNotFound, "no such job"))
 	}
 	if t := c.activeLeader(); t != nil {
 		return t.Poll(ctx, id)
 	}
 	r := c.forward(ctx, forward, protocol.FramePoll, id, nil)
 	if forward && r.Status == http.StatusServiceUnavailable && !c.peers.Reachable(c.leaderName()) &&
-		c.elector.UnansweredFor() < c.elector.timing.Duration {
+		c.elector.UnansweredFor() < c.elector.LeaseDuration() {
 		return c.records().poll(ctx, id)
 	}
 	return r
 }
 
-func (c *Controller) cancel(ctx context.Context, id string, forward bool) answer {
+func (c *Controller) cancel(ctx context.Context, id string, forward bool) answer.Answer {
 	if !protocol.ValidJobID(id) {
-		return plainAnswer(ErrorResponse(http.StatusNotFound, "no such job"))
+		return answer.Plain(answer.ErrorResponse(http.StatusNotFound, "no such job"))
 	}
 	if t := c.activeLeader(); t != nil {
 		until := c.deps.Clock.Steady() + writeWaitTimeout
 		a := t.Cancel(ctx, id)
-		c.gate().await(ctx, a, until)
+		c.gate().Await(ctx, a, until)
 		return a
 	}
 	return c.forward(ctx, forward, protocol.FrameCancel, id, nil)
@@ -234,18 +242,18 @@
 // forward passes a request on to the leader, once: a request that came from
 // another controller is not passed on again. A leader that has not answered for
 // a while is not waited for.
-func (c *Controller) forward(ctx context.Context, allowed bool, kind protocol.FrameKind, id string, body []byte) answer {
+func (c *Controller) forward(ctx context.Context, allowed bool, kind protocol.FrameKind, id string, body []byte) answer.Answer {
 	if leader := c.leaderName(); allowed && leader != c.deps.Settings.Node && c.peers.Reachable(leader) {
 		sent := c.deps.Clock.Steady()
 		r, err := c.peers.Forward(ctx, leader, kind, id, body)
 		if err == nil {
 			c.deps.Log.Debug("request passed on", "leader", leader, "kind", kind.String(), "status", r.Status,
 				"took_us", int64(c.deps.Clock.Steady()-sent))
-			return relayedAnswer(r, sent)
+			return answer.Relayed(r, sent)
 		}
 		c.deps.Log.Debug("request not passed on", "leader", leader, "job", id, "error", err)
 	}
-	return unavailable("no leader in reach")
+	return answer.Unavailable("no leader in reach")
 }
 
 func (c *Controller) answerPeer(ctx context.Context, data []byte) ([]byte, error) {
@@ -253,8 +261,8 @@
 	if c.activeLeader() != nil {
 		leading = c.deps.Settings.Node
 	}
-	return answerFrame(ctx, data, leading, func(ctx context.Context, f protocol.Frame) transport.Response {
-		var a answer
+	return peers.AnswerFrame(ctx, data, leading, func(ctx context.Context, f protocol.Frame) transport.Response {
+		var a answer.Answer
 		switch f.Kind {
 		case protocol.FrameSubmit:
 			a = c.submit(ctx, f.Body, false)
@@ -263,7 +271,7 @@
 		default:
 			a = c.cancel(ctx, f.Job, false)
 		}
-		return c.gate().check(a)
+		return c.gate().Check(a)
 	})
 }
 
@@ -282,16 +290,16 @@
 // leader, if it is known and is another node.
 func (c *Controller) heartbeat(ctx context.Context, r transport.Request) transport.Response {
 	if r.TooLarge {
-		return ErrorResponse(http.StatusBadRequest, "body over 64 KiB")
+		return answer.ErrorResponse(http.StatusBadRequest, "body over 64 KiB")
 	}
 	slot := c.heartbeatLimiter.acquire(ctx)
 	if slot == nil {
-		return unavailable("the node ends").Response
+		return answer.Unavailable("the node ends").Response
 	}
 	defer slot.release()
 	report, err := c.heartbeatReader.Parse(r.Body)
 	if err != nil {
-		return ErrorResponse(http.StatusBadRequest, err.Error())
+		return answer.ErrorResponse(http.StatusBadRequest, err.Error())
 	}
 	c.lastHeartbeat.Store(int64(c.deps.Clock.Steady()))
 	t := c.activeLeader()
@@ -301,9 +309,9 @@
 			Body:   protocol.Encode(protocol.LeaderRedirect{Leader: c.redirectTarget()}),
 		}
 	}
-	answer, ok := t.Heartbeat(ctx, report, slot)
+	response, ok := t.Heartbeat(ctx, report, slot)
 	if !ok || !t.leadership.Valid() {
-		return unavailable("no right to command, or an old report").Response
+		return answer.Unavailable("no right to command, or an old report").Response
 	}
-	return transport.Response{Status: http.StatusOK, Body: protocol.Encode(answer)}
+	return transport.Response{Status: http.StatusOK, Body: protocol.Encode(response)}
 }
--- a/internal/coordination/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -12,8 +12,10 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/peers"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 	"dunestand/internal/storage"
@@ -23,7 +25,7 @@
 
 // refusedController is a node whose only peer, which leads, refuses its links.
 // Its state service does not answer if none is given.
-func refusedController(t *testing.T, state *standin.State) (*Controller, *manualClock) {
+func refusedController(t *testing.T, state *standin.State) (*Controller, *standin.Clock) {
 	t.Helper()
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,12 +33,12 @@
 	}
 	addr := closed.Addr().String()
 	closed.Close()
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // machineSchedulable nothing: requests wait
+	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts nothing: requests wait
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { hanging.Close() })
-	clock := &manualClock{now: 100 * units.Second}
+	clock := &standin.Clock{Now: 100 * units.Second}
 	s := modelSettings()
 	s.Services.State = hanging.Addr().String()
 	if state != nil {
@@ -61,39 +63,38 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.lastUseful.Store(int64(clock.now))
+	c.lastUseful.Store(int64(clock.Now))
 	return c, clock
 }
 
 // sawRenewal is a read of the record that shows a new version.
-func (c *Controller) sawRenewal(version uint64, now units.Micros) {
+func (c *Controller) sawRenewal(version uint64) {
 	l := c.elector
-	l.answeredAt = now
-	l.monitor.observe(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version, now)
+	l.ObserveRecord(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version)
 }
 
 // While the leader refuses this node's links and renews its lease, workers are
-// sentHeartbeat its name and users are sent elsewhere. Once the record is stale nobody
-// mayAnswer: then no name is told, and the node stays in use for the election.
+// told its name and users are sent elsewhere. Once the record is stale nobody
+// leads: then no name is told, and the node stays in use for the election.
 func TestNodeThatTheLeaderRefuses(t *testing.T) {
 	c, clock := refusedController(t, nil)
 	for v := uint64(1); v <= 2; v++ {
-		c.sawRenewal(v, clock.now)
+		c.sawRenewal(v)
 		if got := c.redirectTarget(); got != "leader" {
 			t.Fatalf("workers are sent to %q", got)
 		}
 		if r := c.health(); r.Status != http.StatusOK {
 			t.Fatalf("unhealthy after %d s", v)
 		}
-		clock.now += units.Second
+		clock.Now += units.Second
 	}
-	clock.now += units.Second
-	c.sawRenewal(3, clock.now)
+	clock.Now += units.Second
+	c.sawRenewal(3)
 	if r := c.health(); r.Status != http.StatusServiceUnavailable {
 		t.Error("a node that can pass nothing on counts as healthy")
 	}
-	clock.now += c.elector.timing.Duration
-	c.elector.answeredAt = clock.now // the record is read, and unchanged
+	clock.Now += c.elector.LeaseDuration()
+	c.sawRenewal(3) // the record is read, and unchanged
 	if got := c.redirectTarget(); got != "" {
 		t.Errorf("workers are sent to %q, which does not renew", got)
 	}
@@ -106,7 +107,7 @@
 // answers at once instead of asking the state service.
 func TestNodeCutOffFromStateAndPeers(t *testing.T) {
 	c, clock := refusedController(t, nil)
-	clock.now += c.elector.timing.Duration + units.Millisecond
+	clock.Now += c.elector.LeaseDuration() + units.Millisecond
 	if r := c.health(); r.Status != http.StatusServiceUnavailable {
 		t.Error("it counts as healthy")
 	}
@@ -180,7 +181,7 @@
 	}
 
 	term := storedLeader(t, 1, s)
-	if !term.persister.restore(ctx) {
+	if !term.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
 	if r := term.Poll(ctx, id); r.Status != http.StatusOK && r.Status != http.StatusServiceUnavailable {
@@ -194,8 +195,8 @@
 	if r := term.Submit(ctx, unknown); r.Status == http.StatusUnprocessableEntity {
 		t.Error("the repeat of an accepted job is refused")
 	}
-	go term.persister.writeLoop(ctx)
-	go term.ingester.ingestLoop(ctx)
+	go term.persister.Run(ctx)
+	go term.ingester.Run(ctx)
 	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
@@ -211,7 +212,7 @@
 }
 
 // A job is accepted without a leader by a commit that takes long. By then it may have been
-// preempted in and cancelled, so its state is read again before the user is told of it.
+// taken in and cancelled, so its state is read again before the user is told of it.
 func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
 	s := standin.NewState()
 	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
@@ -219,12 +220,12 @@
 	const id = "j-000001"
 	s.Refuse = func(_, path string) bool {
 		if path == protocol.PathCommit {
-			clock.now += maxAnswerAge + units.Millisecond
+			clock.Now += answer.MaxAnswerAge + units.Millisecond
 		}
 		return false
 	}
 	a := c.submit(t.Context(), submission(modelSpec(id), "team"), true)
-	if got := c.gate().check(a); got.Status != http.StatusOK || state(t, a).Stage != protocol.StagePending {
+	if got := c.gate().Check(a); got.Status != http.StatusOK || state(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
 	if len(s.Keys(storage.PrefixPending)) != 1 {
@@ -248,11 +249,11 @@
 	term := storedLeader(t, 1, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.persister.restore(ctx) {
+	if !term.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
-	go term.persister.writeLoop(ctx)
-	go term.ingester.ingestLoop(ctx)
+	go term.persister.Run(ctx)
+	go term.ingester.Run(ctx)
 	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
@@ -277,15 +278,15 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	go func() {
 		_ = transport.ServeMesh(t.Context(), mesh, log, func(ctx context.Context, frame []byte) ([]byte, error) {
-			return answerFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
-				return stateAnswer(http.StatusOK, protocol.JobState{
+			return peers.AnswerFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
+				return answer.StateResponse(http.StatusOK, protocol.JobState{
 					ID:    "j-000001",
 					Stage: protocol.StagePending,
 				})
 			})
 		})
 	}()
-	clock := &manualClock{now: 100 * units.Second}
+	clock := &standin.Clock{Now: 100 * units.Second}
 	s := modelSettings()
 	s.Services.State = "127.0.0.1:1"
 	s.Others = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
@@ -296,9 +297,9 @@
 		Log:    log,
 	})
 	l := c.elector
-	l.answeredAt = clock.now
-	l.monitor.observe(storage.LeaseRecord{Holder: s.Node, Incarnation: 3}, 1, clock.now)
-	clock.now += leaseRecordTTL + units.Millisecond
+	record := storage.LeaseRecord{Holder: s.Node, Incarnation: 3}
+	l.ObserveRecord(record, 1)
+	clock.Now += leaseRecordTTL + units.Millisecond
 	go c.peers.Run(t.Context())
 	for deadline := time.Now().Add(10 * time.Second); c.redirectTarget() != "next"; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -311,7 +312,7 @@
 	if r := c.health(); r.Status != http.StatusOK {
 		t.Errorf("health: %s", r.Body)
 	}
-	l.answeredAt = clock.now
+	l.ObserveRecord(record, 1)
 	if got := c.leaderName(); got != s.Node {
 		t.Errorf("the record was just read, and %q counts as the leader", got)
 	}
--- a/internal/coordination/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,6 +7,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/scheduler"
 	"dunestand/internal/units"
 )
 
@@ -14,12 +15,12 @@
 // passed its time is not needed as often.
 func TestTimeoutsAreCheckedFourTimesASecond(t *testing.T) {
 	term, clock := leaderWithJob(t, 1)
-	term.lastSummary = clock.now + units.Second // this term has no state service to count requests of
+	term.lastSummary = clock.Now + units.Second // this term has no state service to count requests of
 	checks := 0
 	for range 40 {
-		clock.now += minCycleInterval
+		clock.Now += scheduler.MinCycleInterval
 		before := term.lastTimeoutCheck
-		term.checkTimeouts(clock.now)
+		term.checkTimeouts(clock.Now)
 		if term.lastTimeoutCheck != before {
 			checks++
 		}
@@ -39,9 +40,9 @@
 		for i := range c.jobs {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+100))
 			spec.Tasks = c.tasks
-			job := term.state.NewJob(spec, clock.now, clock.now)
+			job := term.state.NewJob(spec, clock.Now, clock.Now)
 			for index := range c.tasks / 2 {
-				term.state.TaskDone(job, 2*index, clock.now)
+				term.state.TaskDone(job, 2*index, clock.Now)
 			}
 		}
 		saveAll(term)
@@ -77,19 +78,19 @@
 		return map[string]float64{
 			"report": testing.AllocsPerRun(100, func() {
 				r := next()
-				term.reconciler.commands(term.reconciler.reconcile(r, units.Second), r, units.Second)
+				term.reconciler.Commands(term.reconciler.Reconcile(r, units.Second), r, units.Second)
 			}),
 			"end of a task": testing.AllocsPerRun(100, func() {
 				m := term.state.Machines[next().Machine]
 				term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-				term.scheduler.placeOnMachine(m, units.Second)
+				term.scheduler.PlaceOnMachine(m, units.Second)
 			}),
 			"save": testing.AllocsPerRun(100, func() {
 				done++
 				j := term.state.Jobs["j-000299"]
 				term.state.TaskDone(j, done, units.Second)
 				j.MarkChanged(units.Second, true)
-				s := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{}, units.Second)
+				s := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{}, units.Second)
 				term.state.BatchCommitted(s, 1)
 			}),
 		}
@@ -113,8 +114,8 @@
 	}
 	allocs := testing.AllocsPerRun(100, func() {
 		r.Sequence++
-		m := term.reconciler.reconcile(r, units.Second)
-		if out := term.reconciler.commands(m, r, units.Second); len(out) > 0 {
+		m := term.reconciler.Reconcile(r, units.Second)
+		if out := term.reconciler.Commands(m, r, units.Second); len(out) > 0 {
 			t.Errorf("commands for nothing new: %v", out)
 		}
 	})
--- a/internal/coordination/loop.go
+++ b/internal/controller/cycleloop.go
@@ -1,8 +1,9 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"dunestand/internal/loop"
+	"dunestand/internal/scheduler"
 	"dunestand/internal/units"
 	"time"
 )
@@ -14,7 +15,7 @@
 
 // cycleLoop makes rounds of decisions when something has changed.
 func (l *Leader) cycleLoop(ctx context.Context) {
-	for loop.Sleep(ctx, minCycleInterval) {
+	for loop.Sleep(ctx, scheduler.MinCycleInterval) {
 		select {
 		case <-ctx.Done():
 			return
@@ -24,8 +25,8 @@
 		l.state.Lock()
 		if now := l.Clock.Steady(); l.leadership.Valid() {
 			l.checkTimeouts(now)
-			if l.scheduler.cycleDue(now) {
-				l.scheduler.runCycle(now, nil)
+			if l.scheduler.CycleDue(now) {
+				l.scheduler.RunCycle(now, nil)
 			} else {
 				l.cycleSignal.Raise()
 			}
@@ -42,8 +43,8 @@
 		return
 	}
 	l.lastTimeoutCheck = now
-	l.detector.expireLeases(now)
-	l.detector.checkHeartbeatLoss(now)
+	l.detector.ExpireLeases(now)
+	l.detector.CheckHeartbeatLoss(now)
 	if now-l.lastSummary >= summaryInterval {
 		l.lastSummary = now
 		l.logSummary(now)
--- a/internal/coordination/delivery_test.go
+++ b/internal/controller/delivery_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	term, clock := leaderWithJob(t, 8)
 	for i := range 4 {
 		for seq := uint64(1); seq <= 2; seq++ {
-			term.reconciler.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i+1), 1, seq, 7), clock.now)
+			term.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i+1), 1, seq, 7), clock.Now)
 		}
 	}
 	lost := "i-000000"
@@ -31,10 +31,10 @@
 	if starts == 0 || starts > cluster.MaxUndeliveredCommands*modelMachine {
 		t.Errorf("%d starts were sent to a machine that never carried one out", starts)
 	}
-	if m := term.state.Machines[lost]; term.scheduler.machineSchedulable(m, clock.now) || len(m.Attempts) > 0 {
+	if m := term.state.Machines[lost]; term.scheduler.MachineSchedulable(m, clock.Now) || len(m.Attempts) > 0 {
 		t.Error("a machine that gets no answers is given work")
 	}
-	if silent := term.detector.lostMachines(clock.now); !silent[lost] || len(silent) != 1 {
+	if silent := term.detector.LostMachines(clock.Now); !silent[lost] || len(silent) != 1 {
 		t.Errorf("to be released: %v", silent)
 	}
 }
@@ -62,15 +62,15 @@
 	// No answers still: a new session each lease.
 	for session := uint64(2); session < 5; session++ {
 		for range 8 {
-			clock.now += modelLease / 8
+			clock.Now += modelLease / 8
 			if report(session); !m.IgnoresCommands() {
 				t.Fatal("a machine that begins a new session with each lease is thought to hear")
 			}
 		}
 	}
 	for range 12 {
-		clock.now += modelLease / 8
-		if report(4); m.UndeliveredCommands == 0 && term.scheduler.machineSchedulable(m, clock.now) {
+		clock.Now += modelLease / 8
+		if report(4); m.UndeliveredCommands == 0 && term.scheduler.MachineSchedulable(m, clock.Now) {
 			return
 		}
 	}
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	if m := term.state.Machines["i-000001"]; m.IgnoresCommands() || !term.scheduler.machineSchedulable(m, clock.now) {
+	if m := term.state.Machines["i-000001"]; m.IgnoresCommands() || !term.scheduler.MachineSchedulable(m, clock.Now) {
 		t.Errorf("%d answers count as unheard", m.UndeliveredCommands)
 	}
 }
@@ -120,30 +120,30 @@
 			t.Fatalf("a machine that has not shown this term is sent %v", out)
 		}
 	}
-	if term.scheduler.machineSchedulable(term.state.Machines["i-000001"], clock.now) {
+	if term.scheduler.MachineSchedulable(term.state.Machines["i-000001"], clock.Now) {
 		t.Error("it may be given work")
 	}
 	// Of one that was released in this term, however late.
-	term.reconciler.reconcile(testHeartbeat("i-000002", 1, 1, 7), clock.now)
-	term.state.RemoveMachine(term.state.Machines["i-000002"], clock.now)
-	term.state.Released.Add("i-000002", clock.now)
-	clock.now += 600 * units.Second
-	if m := term.reconciler.reconcile(testHeartbeat("i-000002", 1, 9, 7), clock.now); m != nil || term.state.Machines["i-000002"] != nil {
+	term.reconciler.Reconcile(testHeartbeat("i-000002", 1, 1, 7), clock.Now)
+	term.state.RemoveMachine(term.state.Machines["i-000002"], clock.Now)
+	term.state.Released.Add("i-000002", clock.Now)
+	clock.Now += 600 * units.Second
+	if m := term.reconciler.Reconcile(testHeartbeat("i-000002", 1, 9, 7), clock.Now); m != nil || term.state.Machines["i-000002"] != nil {
 		t.Error("a released machine is back")
 	}
 	// Of one that is known: the older report has no effect.
-	m := term.reconciler.reconcile(testHeartbeat("i-000003", 2, 4, 7), clock.now)
+	m := term.reconciler.Reconcile(testHeartbeat("i-000003", 2, 4, 7), clock.Now)
 	heard := m.LastHeartbeat
-	clock.now += 5 * units.Second
+	clock.Now += 5 * units.Second
 	for _, r := range []*protocol.Heartbeat{testHeartbeat("i-000003", 2, 4, 7), testHeartbeat("i-000003", 1, 99, 7)} {
-		if term.reconciler.reconcile(r, clock.now) != nil || m.LastHeartbeat != heard {
+		if term.reconciler.Reconcile(r, clock.Now) != nil || m.LastHeartbeat != heard {
 			t.Error("an old report renews the machine's lease")
 		}
 	}
 	// A machine stays unconfirmed whatever an earlier term's report says.
 	j := term.state.Jobs["j-000001"]
 	term.state.MarkUnreconciled(j, "i-000004")
-	term.reconciler.reconcile(testHeartbeat("i-000004", 1, 1, 6), clock.now)
+	term.reconciler.Reconcile(testHeartbeat("i-000004", 1, 1, 6), clock.Now)
 	if !j.UnreconciledMachines["i-000004"] {
 		t.Error("a report from before this term confirms a machine")
 	}
@@ -157,20 +157,20 @@
 	term, clock := leaderWithJob(t, 2)
 	j := term.state.Jobs["j-000001"]
 	term.state.MarkUnreconciled(j, "i-000001")
-	term.state.EnsureMachine("i-000001", "m", "a", true, clock.now)
-	term.broadcaster.broadcastAnswered(testHeartbeat("i-000001", 1, 5, 7))
+	term.state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
+	term.broadcaster.Answered(testHeartbeat("i-000001", 1, 5, 7))
 	if len(j.UnreconciledMachines) > 0 {
 		t.Error("a report that shows this term does not confirm the machine")
 	}
 	if out := term.exchange(testHeartbeat("i-000001", 1, 6, 7)); len(out) != 2 || out[0].Verb != protocol.VerbStart {
 		t.Fatalf("no starts: %v", out)
 	}
-	term.broadcaster.broadcastAnswered(testHeartbeat("i-000001", 1, 7, 7))
+	term.broadcaster.Answered(testHeartbeat("i-000001", 1, 7, 7))
 	if len(j.LiveAttempts) != 2 {
 		t.Error("starts that are on their way are taken for lost")
 	}
 	// A machine that the ledger does not know is not brought in this way.
-	if term.broadcaster.broadcastAnswered(testHeartbeat("i-000009", 1, 1, 7)); term.state.Machines["i-000009"] != nil {
+	if term.broadcaster.Answered(testHeartbeat("i-000009", 1, 1, 7)); term.state.Machines["i-000009"] != nil {
 		t.Error("an unknown machine is taken in")
 	}
 }
--- a/internal/coordination/silence_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -20,16 +20,16 @@
 				r.Zone = "cut"
 			}
 			if !skip(i) {
-				term.reconciler.reconcile(r, clock.now)
+				term.reconciler.Reconcile(r, clock.Now)
 			}
 		}
 	}
 	report(1, func(int) bool { return false })
 	for seq := uint64(2); seq < 8; seq++ {
-		clock.now += units.Second
+		clock.Now += units.Second
 		report(seq, func(i int) bool { return i < 8 || i == 20 })
 	}
-	silent := term.detector.lostMachines(clock.now)
+	silent := term.detector.LostMachines(clock.Now)
 	if len(silent) != 1 || !silent["i-000020"] {
 		t.Fatalf("to be released: %v", silent)
 	}
@@ -41,15 +41,15 @@
 func TestZoneWithoutHeartbeatsIsKept(t *testing.T) {
 	term, clock := leaderWithJob(t, 1)
 	for i, stage := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineBooting} {
-		m := term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.now-500*units.Second)
+		m := term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.Now-500*units.Second)
 		m.Stage = stage
 	}
-	clock.now += 90 * units.Second
-	if names := term.autoscaler.machinesToRelease(clock.now); len(names) != 1 || names[0] != "i-000002" {
+	clock.Now += 90 * units.Second
+	if names := term.autoscaler.MachinesToRelease(clock.Now); len(names) != 1 || names[0] != "i-000002" {
 		t.Errorf("to be released: %v", names)
 	}
-	clock.now += 200 * units.Second
-	if names := term.autoscaler.machinesToRelease(clock.now); len(names) != 3 {
+	clock.Now += 200 * units.Second
+	if names := term.autoscaler.MachinesToRelease(clock.Now); len(names) != 3 {
 		t.Errorf("to be released at last: %v", names)
 	}
 }
@@ -64,17 +64,17 @@
 		term.Settings.Fleet.Workers.ReportS = seconds
 		gap := units.Seconds(seconds).Share(5, 4)
 		for i := range 5 {
-			term.reconciler.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 7), clock.now)
+			term.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 7), clock.Now)
 		}
-		clock.now += gap + 5*units.Second
+		clock.Now += gap + 5*units.Second
 		for i := range 4 {
-			term.reconciler.reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 2, 7), clock.now)
+			term.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 2, 7), clock.Now)
 		}
-		if len(term.detector.lostMachines(clock.now)) != 0 {
+		if len(term.detector.LostMachines(clock.Now)) != 0 {
 			t.Errorf("reports every %v s: one that got no answer counts as silence", seconds)
 		}
-		clock.now += 1100 * units.Millisecond
-		if silent := term.detector.lostMachines(clock.now); !silent["i-000004"] || len(silent) != 1 {
+		clock.Now += 1100 * units.Millisecond
+		if silent := term.detector.LostMachines(clock.Now); !silent["i-000004"] || len(silent) != 1 {
 			t.Errorf("reports every %v s: silent are %v", seconds, silent)
 		}
 	}
--- a/internal/coordination/runnable.go
+++ b/internal/controller/feasibility.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"net/http"
@@ -7,6 +7,7 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/scheduler"
 	"dunestand/internal/storage"
 )
 
@@ -41,7 +42,7 @@
 	fits := false
 	for name, typ := range types {
 		for _, zone := range typ.Zones {
-			fits = fits || PlacementAllowed(spec, name, zone, false) && cluster.CapacityOf(typ).Fits(spec.Request) > 0
+			fits = fits || scheduler.PlacementAllowed(spec, name, zone, false) && cluster.CapacityOf(typ).Fits(spec.Request) > 0
 		}
 	}
 	switch {
--- a/internal/coordination/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -1,12 +1,13 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"testing"
 
 	"dunestand/internal/cluster"
-	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/push"
+	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -17,25 +18,25 @@
 // namedFleet is a leader with jobs on every machine of a fleet, and the reports of these.
 func namedFleet(machines int) (*Leader, []*protocol.Heartbeat) {
 	const perMachine, jobs = 4, 40
-	clock := &manualClock{now: units.Second}
-	term := testLeader(1, clock)
-	term.persister.installRecords(nil, modelCatalog)
-	term.state.UpgradeFormat(storage.FormatNew, clock.now)
-	term.state.Teams["team"].QuotaLimit = cpus(perMachine * machines)
+	clock := &standin.Clock{Now: units.Second}
+	term := newTestLeader(1, clock)
+	term.persister.InstallRecords(nil, modelCatalog)
+	term.state.UpgradeFormat(storage.FormatNew, clock.Now)
+	term.state.Teams["team"].QuotaLimit = standin.CPUs(perMachine * machines)
 	var all []*cluster.Job
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
 		spec.Tasks = machines * perMachine / jobs
-		all = append(all, term.state.NewJob(spec, clock.now, clock.now))
+		all = append(all, term.state.NewJob(spec, clock.Now, clock.Now))
 	}
 	term.save()
 	reports := make([]*protocol.Heartbeat, machines)
 	for i := range reports {
 		reports[i] = testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 1)
-		machine := term.reconciler.reconcile(reports[i], clock.now)
+		machine := term.reconciler.Reconcile(reports[i], clock.Now)
 		for k := range perMachine {
 			number := uint64(i*perMachine + k + 1)
-			a := term.state.Assign(all[int(number-1)%jobs], machine, number, clock.now)
+			a := term.state.Assign(all[int(number-1)%jobs], machine, number, clock.Now)
 			reports[i].Tasks = append(reports[i].Tasks, protocol.TaskStatus{
 				Job: a.Job.Spec.ID, Index: a.Index, Attempt: a.Number, Stage: protocol.TaskRunning,
 			})
@@ -55,19 +56,19 @@
 			t.Fatalf("record %s has %d bytes, %d are allowed", row.Key, len(row.Value), limit)
 		}
 	}
-	later := testLeader(2, &manualClock{now: units.Second})
+	later := newTestLeader(2, &standin.Clock{Now: units.Second})
 	later.state.Teams["team"].QuotaLimit = term.state.Teams["team"].QuotaLimit
 	jobs, _, err := cluster.ParseJobs(rows)
 	if err != nil {
 		t.Fatal(err)
 	}
-	later.persister.installRecords(jobs, modelCatalog)
+	later.persister.InstallRecords(jobs, modelCatalog)
 	if n := later.state.UnreconciledCount(); n != largestFleet {
 		t.Fatalf("%d machines are unconfirmed after the restore", n)
 	}
 	for _, r := range reports {
 		r.Sequence, r.FencingToken = r.Sequence+1, 2
-		later.reconciler.reconcile(r, units.Second)
+		later.reconciler.Reconcile(r, units.Second)
 	}
 	live := 0
 	for _, j := range later.state.Jobs {
@@ -84,33 +85,18 @@
 func TestLargestFleetIsBroadcastToAsSoon(t *testing.T) {
 	const before, socketsEach = 768, 2
 	turns := func(machines int) int {
-		slots := broadcastSlots(machines/2, socketsEach*machines)
+		slots := push.BroadcastSlots(machines/2, socketsEach*machines)
 		return (machines/2 + slots - 1) / slots
 	}
 	if small, large := turns(before), turns(largestFleet); large > small+2 {
 		t.Errorf("%d machines take %d turns, %d take %d", before, small, largestFleet, large)
 	}
 	for _, sockets := range []int{100, 1200, 2 * largestFleet, 100_000} {
-		if left := sockets - userSockets(sockets); sockets >= 400 && left < reservedSockets(sockets) || userSockets(sockets) < sockets/2 {
+		if left := sockets - userSockets(sockets); sockets >= 400 && left < push.ReservedSockets(sockets) || userSockets(sockets) < sockets/2 {
 			t.Errorf("of %d sockets %d are left beside users and workers", sockets, left)
 		}
 	}
-	if kept := reservedSockets(1200); kept != 64 {
+	if kept := push.ReservedSockets(1200); kept != 64 {
 		t.Errorf("%d sockets are kept on a deployment of 1,200", kept)
 	}
 }
-
-// The machine list takes a third of the cloud's requests at most, however long it is.
-func TestMachineListLeavesRequestsToScaleOut(t *testing.T) {
-	cloud := config.Cloud{RPS: 6, ListLagS: 4}
-	for _, machines := range []int{0, 400, 1700, largestFleet, 3 * largestFleet} {
-		pages := float64(1 + machines/protocol.MaxListPage)
-		every := listInterval(cloud, machines)
-		if rate := pages / every.Seconds(); rate > cloud.RPS/3 {
-			t.Errorf("%d machines: the list takes %.2f requests a second of %.0f", machines, rate, cloud.RPS)
-		}
-		if machines <= 1499 && every != minListInterval {
-			t.Errorf("%d machines are listed every %v", machines, every.Duration())
-		}
-	}
-}
--- a/internal/coordination/format_test.go
+++ b/internal/controller/format_test.go
@@ -1,72 +1,22 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"testing"
 	"time"
 
 	"dunestand/internal/config"
-	"dunestand/internal/kv"
+	"dunestand/internal/persister"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 	"dunestand/internal/storage"
-	"dunestand/internal/units"
 )
 
-// formatsOn makes what each of some controllers knows of the fleet's format.
-func formatsOn(t *testing.T, s *standin.State, nodes ...string) map[string]*FormatNegotiator {
-	server := httptest.NewServer(s)
-	t.Cleanup(server.Close)
-	out := map[string]*FormatNegotiator{}
-	for i, node := range nodes {
-		store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
-			RPS:      1e4,
-			WriteRPS: 1e4,
-		}, len(nodes)-1, units.NewSystemClock())
-		others := append(append([]string{}, nodes[:i]...), nodes[i+1:]...)
-		out[node] = NewFormatNegotiator(node, others, storage.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	}
-	return out
-}
-
-// The fleet's format is raised only once every configured controller has said
-// that it reads the new one, by a leader alone; whoever comes later reads the same,
-// and nothing lowers it.
-func TestFormatIsRaisedOnceAllAreUpgraded(t *testing.T) {
-	s := standin.NewState()
-	f := formatsOn(t, s, "a", "b", "c")
-	step := func(node string, leads bool, want int) {
-		t.Helper()
-		if err := f[node].step(t.Context(), leads); err != nil {
-			t.Fatal(err)
-		}
-		if got := f[node].Current(); got != want {
-			t.Errorf("%s goes by format %d, want %d", node, got, want)
-		}
-	}
-	step("a", true, storage.FormatOld)
-	step("b", false, storage.FormatOld)
-	step("a", true, storage.FormatOld) // c is not upgraded, or has never been heard of
-	step("c", false, storage.FormatOld)
-	step("b", false, storage.FormatOld) // only a leader raises it
-	step("a", true, storage.FormatNew)
-	step("b", false, storage.FormatNew)
-	s.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
-	later := formatsOn(t, s, "a", "b", "c")["b"]
-	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatNew {
-		t.Errorf("%d, %v", later.Current(), err)
-	}
-}
-
 // Records of a format that this version does not know are neither skipped nor
-// preempted for less than they are: the node gives the lease to others and does not
-// campaign it while the fleet has a later format.
+// taken for less than they are: the node gives the lease to others and does not
+// claim it while the fleet has a later format.
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
 	for what, put := range map[string]func(s *standin.State){
 		"the fleet's format": func(s *standin.State) {
@@ -89,10 +39,10 @@
 		s := standin.NewState()
 		put(s)
 		term := storedLeader(t, 1, s)
-		if term.persister.restore(t.Context()) || term.Ready() {
+		if term.persister.Restore(t.Context()) || term.Ready() {
 			t.Errorf("%s: the node leads", what)
 		}
-		if term.leadership.Valid() || term.lease().abstained != unreadableAbstention {
+		if term.leadership.Valid() || term.lease().Abstained != persister.UnreadableAbstention {
 			t.Errorf("%s: the node keeps the lease", what)
 		}
 		if newer := term.Format.TooNew(); newer != (what == "the fleet's format") {
@@ -105,7 +55,7 @@
 // version before would call it done when its replicas end. It is told to come
 // back; what can never run is refused for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
-	term := testLeader(1, &manualClock{})
+	term := newTestLeader(1, &standin.Clock{})
 	term.state.SetInstanceTypes(modelCatalog.Types)
 	service := *modelSpec("j-000001")
 	service.Kind, service.Tasks = protocol.Service, modelLimit
@@ -117,7 +67,7 @@
 		{storage.FormatNew, modelLimit, 0},
 		{storage.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
 	} {
-		term.Format.current.Store(int64(c.level))
+		term.setFormat(c.level)
 		service.Tasks = c.tasks
 		if got, why := term.checkAdmissible(&service); got != c.want {
 			t.Errorf("format %d, %d tasks: %d %s, want %d", c.level, c.tasks, got, why, c.want)
@@ -132,6 +82,7 @@
 	s := standin.NewState()
 	s.Limit(16<<10, 12, 1000)
 	term := storedLeader(t, 1, s, func(d *Deps) {
+		d.Format = standin.NewRecordFormat(storage.FormatOld)
 		d.Settings.Fleet.State = config.State{
 			RPS:      1e4,
 			WriteRPS: 1e4,
@@ -142,11 +93,11 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.persister.restore(ctx) {
+	if !term.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.persister.writeLoop(ctx)
+	go term.persister.Run(ctx)
 	submit := func(id string, tasks int) {
 		t.Helper()
 		spec := *modelSpec(id)
@@ -194,11 +145,11 @@
 	for i := range 10 {
 		submit(fmt.Sprintf("j-%06d", i+10), 3)
 	}
-	time.Sleep(2 * rejectedRetryDelay.Duration())
+	time.Sleep(2 * persister.RejectedRetryDelay.Duration())
 	if n := s.Rejected(); n == 0 || n > 3 {
 		t.Errorf("%d saves were rejected", n)
 	}
-	term.Format.current.Store(storage.FormatNew)
+	term.setFormat(storage.FormatNew)
 	eventually(named(310))
 	name(310, 900)
 	eventually(named(900))
@@ -214,7 +165,7 @@
 			t.Fatalf("left over: %v", s.Keys(storage.KeyJob(large)))
 		}
 	}
-	if f, ok, err := ReadTerminal(ctx, term.KV, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
+	if f, ok, err := persister.ReadTerminal(ctx, term.KV, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
 		t.Errorf("%+v %v %v", f, ok, err)
 	}
 }
--- a/internal/coordination/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"io"
@@ -8,19 +8,21 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
 	"dunestand/internal/storage"
+	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
 )
 
 // leaderWithJob is a leader of a job that is stored and waits.
-func leaderWithJob(t *testing.T, tasks int) (*Leader, *manualClock) {
+func leaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
 	t.Helper()
-	clock := &manualClock{now: 100 * units.Second}
-	term := testLeader(7, clock)
-	term.persister.installRecords(nil, modelCatalog)
+	clock := &standin.Clock{Now: 100 * units.Second}
+	term := newTestLeader(7, clock)
+	term.persister.InstallRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Tasks = tasks
-	term.state.NewJob(spec, clock.now, clock.now)
+	term.state.NewJob(spec, clock.Now, clock.Now)
 	term.save()
 	return term, clock
 }
@@ -28,7 +30,7 @@
 // save carries out all saves that are due.
 func (l *Leader) save() {
 	for {
-		s := l.state.BuildWriteBatch(l.persister.nextWriteID(), l.persister.bucketVersions, cluster.BatchLimits{Background: true}, l.Clock.Steady())
+		s := l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
 		if s == nil {
 			return
 		}
@@ -40,14 +42,13 @@
 // carried out first.
 func (l *Leader) exchange(r *protocol.Heartbeat) []protocol.Command {
 	now := l.Clock.Steady()
-	m := l.reconciler.reconcile(r, now)
+	m := l.reconciler.Reconcile(r, now)
 	if m == nil {
 		return nil
 	}
-	l.scheduler.lastCycle = -units.Second
-	l.scheduler.runCycle(now, m)
+	l.scheduler.RunCycle(now, m)
 	l.save()
-	return l.reconciler.commands(m, r, now)
+	return l.reconciler.Commands(m, r, now)
 }
 
 func testHeartbeat(machine string, session, seq, term uint64) *protocol.Heartbeat {
@@ -69,12 +70,6 @@
 // After every step it checks on the workers themselves, not on the leader's
 // books, what must never happen.
 
-type manualClock struct{ now units.Micros }
-
-func (c *manualClock) Steady() units.Micros { return c.now }
-
-func (c *manualClock) Wall() units.Micros { return c.now }
-
 const (
 	modelLease   = 10 * units.Second
 	modelCancel  = 11 * units.Second
@@ -109,42 +104,28 @@
 		Zones:     []string{"a"},
 	}}}
 
-// testLeadership is a lease that holds until it is taken from the leader.
-type testLeadership struct {
-	token     uint64
-	lost      bool
-	abstained units.Micros
-}
-
-func (l *testLeadership) Token() uint64 { return l.token }
-
-func (l *testLeadership) Valid() bool { return !l.lost }
-
-func (l *testLeadership) StepDown() { l.lost = true }
-
-func (l *testLeadership) Abstain(d units.Micros) { l.lost, l.abstained = true, d }
-
-func (l *testLeadership) HandOver(units.Micros) bool { return false }
+// setFormat sets the fleet's format as the leader knows it.
+func (l *Leader) setFormat(level int) { l.Format.(*standin.RecordFormat).Level.Store(int64(level)) }
 
 // lease is the leader's leadership, for tests that take it away or look at it.
-func (l *Leader) lease() *testLeadership { return l.leadership.(*testLeadership) }
+func (l *Leader) lease() *standin.Leadership { return l.leadership.(*standin.Leadership) }
 
-// testLeader returns a leader whose lease holds until it is taken from it. The changes are
+// newTestLeader returns a leader whose lease holds until it is taken from it. The changes are
 // made to what it works with before it is made.
-func testLeader(token uint64, clock units.Clock, changes ...func(*Deps)) *Leader {
+func newTestLeader(token uint64, clock units.Clock, changes ...func(*Deps)) *Leader {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	deps := Deps{
 		Settings:         modelSettings(),
 		Policy:           config.DefaultPolicy(),
 		Clock:            clock,
 		Log:              log,
-		Metrics:          NewMetrics(),
-		Format:           NewFormatNegotiator("n", nil, storage.FormatNew, nil, log),
+		Metrics:          telemetry.NewMetrics(),
+		Format:           standin.NewRecordFormat(storage.FormatOld),
 		UnreachablePeers: func() int { return 0 },
 		PeerReachable:    func() bool { return false },
 	}
 	for _, change := range changes {
 		change(&deps)
 	}
-	return NewLeader(&testLeadership{token: token}, deps)
+	return NewLeader(&standin.Leadership{Number: token}, deps)
 }
--- a/internal/coordination/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -60,16 +60,16 @@
 	if !l.leadership.Valid() || r.FencingToken > l.token {
 		return answer, false
 	}
-	m := l.reconciler.reconcile(r, now)
+	m := l.reconciler.Reconcile(r, now)
 	if m == nil {
 		return answer, false
 	}
-	if l.scheduler.cycleDue(now) {
-		l.scheduler.runCycle(now, m)
+	if l.scheduler.CycleDue(now) {
+		l.scheduler.RunCycle(now, m)
 	} else {
-		l.scheduler.placeOnMachine(m, now)
+		l.scheduler.PlaceOnMachine(m, now)
 	}
-	if wait := l.reconciler.unwrittenStart(m); wait != nil {
+	if wait := l.reconciler.UnwrittenStart(m); wait != nil {
 		l.writeSignal.Raise()
 		l.state.Unlock()
 		slot.release()
@@ -83,6 +83,6 @@
 			return answer, false
 		}
 	}
-	answer.Commands = l.reconciler.commands(m, r, now)
+	answer.Commands = l.reconciler.Commands(m, r, now)
 	return answer, true
 }
--- a/internal/coordination/reportlimiter.go
+++ b/internal/controller/heartbeatlimiter.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -32,7 +32,7 @@
 	released bool
 }
 
-// check lets the next report through, and everything else that can run before it.
+// release lets the next report through, and everything else that can run before it.
 // Whoever is about to wait for something releases first. A second call does nothing.
 func (s *heartbeatSlot) release() {
 	if s == nil || s.released {
--- a/internal/coordination/reportlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -47,7 +48,7 @@
 // HalfSecondsToHeartbeat are worked on one at a time, but one that waits for a save, or for the
 // restore, does not hold up the others.
 func TestWaitingHeartbeatLetsOthersThrough(t *testing.T) {
-	term := testLeader(1, &manualClock{now: units.Second})
+	term := newTestLeader(1, &standin.Clock{Now: units.Second})
 	controller := testController(term)
 	send := func(machine string, seq uint64) <-chan int {
 		status := make(chan int, 1)
@@ -73,7 +74,7 @@
 		t.Fatal("a report that waits for the restore holds up the others")
 	}
 	other.release()
-	term.persister.installRecords(nil, modelCatalog)
+	term.persister.InstallRecords(nil, modelCatalog)
 	for _, status := range beforeRestore {
 		expectStatus(t, status, 200)
 	}
@@ -82,7 +83,7 @@
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
 	job := term.state.NewJob(spec, term.Clock.Wall(), term.Clock.Steady())
-	accepted := term.state.BuildWriteBatch("1-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, term.Clock.Steady())
+	accepted := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, term.Clock.Steady())
 	term.state.BatchCommitted(accepted, 1)
 	term.state.Assign(job, term.state.Machines["i-1"], 1, term.Clock.Steady())
 	waiting := send("i-1", 2)
--- a/internal/coordination/term.go
+++ b/internal/controller/leader.go
@@ -1,15 +1,25 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"log/slog"
 	"sync"
 
+	"dunestand/internal/admissioncontrol"
+	"dunestand/internal/autoscaler"
 	"dunestand/internal/cloud"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
+	"dunestand/internal/failuredetector"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
+	"dunestand/internal/persister"
+	"dunestand/internal/push"
+	"dunestand/internal/reconciler"
+	"dunestand/internal/recordformat"
+	"dunestand/internal/scheduler"
+	"dunestand/internal/telemetry"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -23,9 +33,9 @@
 	Clock    units.Clock
 	Log      *slog.Logger
 	Dial     transport.DialFunc // nil: the machine's own network
-	Metrics  *Metrics
-	Format   *FormatNegotiator
-	Admitter *admitter // nil: all jobs are admitted
+	Metrics  *telemetry.Metrics
+	Format   recordformat.Source
+	Admitter *admissioncontrol.Admitter // nil: all jobs are admitted
 	// UnreachablePeers counts the other controllers that cannot be reached.
 	UnreachablePeers func() int
 	// PeerReachable reports whether any other controller answers.
@@ -39,21 +49,21 @@
 // comments and all methods of the components that take a time need it held.
 type Leader struct {
 	Deps
-	leadership Leadership
+	leadership election.Leadership
 	token      uint64
 	electedAt  units.Micros
 
 	state       *cluster.State
-	scheduler   *Scheduler
-	detector    *Detector
-	reconciler  *Reconciler
-	pusher      *CommandPusher
-	broadcaster *TokenBroadcaster
-	autoscaler  *Autoscaler
-	persister   *Persister
-	ingester    *Ingester
-	terminals   *TerminalJobs
-	admission   *LeaderAdmission
+	scheduler   *scheduler.Scheduler
+	detector    *failuredetector.Detector
+	reconciler  *reconciler.Reconciler
+	pusher      *push.CommandPusher
+	broadcaster *push.TokenBroadcaster
+	autoscaler  *autoscaler.Autoscaler
+	persister   *persister.Persister
+	ingester    *persister.Ingester
+	terminals   *persister.TerminalJobs
+	admission   *admissioncontrol.LeaderAdmission
 
 	lastSummary      units.Micros // guarded by the lock of state
 	lastTimeoutCheck units.Micros // likewise
@@ -64,7 +74,7 @@
 
 // NewLeader returns the leader of an election that was just won. Everything waits for Run to
 // restore the records.
-func NewLeader(leadership Leadership, deps Deps) *Leader {
+func NewLeader(leadership election.Leadership, deps Deps) *Leader {
 	deps.Log = deps.Log.With("term", leadership.Token())
 	l := &Leader{
 		Deps:        deps,
@@ -76,8 +86,8 @@
 		cycleSignal: loop.NewSignal(),
 	}
 	tracer := cluster.NewAttemptTracer(deps.Log)
-	l.terminals = newTerminalJobs(l.state, deps.KV)
-	l.detector = newDetector(DetectorDeps{
+	l.terminals = persister.NewTerminalJobs(l.state, deps.KV)
+	l.detector = failuredetector.New(failuredetector.Deps{
 		State:            l.state,
 		Leadership:       l.leadership,
 		Settings:         l.Settings,
@@ -88,7 +98,7 @@
 		PeerReachable:    l.PeerReachable,
 		WriteSignal:      l.writeSignal,
 	})
-	l.pusher = newCommandPusher(CommandPusherDeps{
+	l.pusher = push.NewCommandPusher(push.CommandPusherDeps{
 		State:      l.state,
 		Leadership: l.leadership,
 		Settings:   l.Settings,
@@ -96,7 +106,7 @@
 		Dial:       l.Dial,
 		Token:      l.token,
 	})
-	l.scheduler = newScheduler(SchedulerDeps{
+	l.scheduler = scheduler.New(scheduler.Deps{
 		State:       l.state,
 		Detector:    l.detector,
 		Pusher:      l.pusher,
@@ -109,7 +119,7 @@
 		Token:       l.token,
 		WriteSignal: l.writeSignal,
 	})
-	l.reconciler = newReconciler(ReconcilerDeps{
+	l.reconciler = reconciler.New(reconciler.Deps{
 		State:       l.state,
 		Detector:    l.detector,
 		Log:         l.Log,
@@ -118,7 +128,7 @@
 		WriteSignal: l.writeSignal,
 		CycleSignal: l.cycleSignal,
 	})
-	l.broadcaster = newTokenBroadcaster(TokenBroadcasterDeps{
+	l.broadcaster = push.NewTokenBroadcaster(push.TokenBroadcasterDeps{
 		State:      l.state,
 		Leadership: l.leadership,
 		Reconciler: l.reconciler,
@@ -128,7 +138,7 @@
 		Dial:       l.Dial,
 		Token:      l.token,
 	})
-	l.autoscaler = newAutoscaler(AutoscalerDeps{
+	l.autoscaler = autoscaler.New(autoscaler.Deps{
 		State:       l.state,
 		Leadership:  l.leadership,
 		Detector:    l.detector,
@@ -144,7 +154,7 @@
 		ElectedAt:   l.electedAt,
 		CycleSignal: l.cycleSignal,
 	})
-	l.ingester = newIngester(IngesterDeps{
+	l.ingester = persister.NewIngester(persister.IngesterDeps{
 		State:       l.state,
 		Leadership:  l.leadership,
 		Terminals:   l.terminals,
@@ -154,7 +164,7 @@
 		Log:         l.Log,
 		WriteSignal: l.writeSignal,
 	})
-	l.persister = newPersister(PersisterDeps{
+	l.persister = persister.New(persister.Deps{
 		State:       l.state,
 		Leadership:  l.leadership,
 		OnCatalog:   l.autoscaler.CatalogRestored,
@@ -171,7 +181,7 @@
 		WriteSignal: l.writeSignal,
 		CycleSignal: l.cycleSignal,
 	})
-	l.admission = newLeaderAdmission(LeaderAdmissionDeps{
+	l.admission = admissioncontrol.NewLeaderAdmission(admissioncontrol.LeaderAdmissionDeps{
 		State:       l.state,
 		Admitter:    l.Admitter,
 		Leadership:  l.leadership,
@@ -194,13 +204,13 @@
 // Run restores the records and then leads until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
 	l.Log.Info("term begins")
-	for !l.persister.restore(ctx) {
-		if !loop.Sleep(ctx, readRetryDelay) {
+	for !l.persister.Restore(ctx) {
+		if !loop.Sleep(ctx, persister.ReadRetryDelay) {
 			return
 		}
 	}
 	var wg sync.WaitGroup
-	for _, run := range []func(context.Context){l.persister.writeLoop, l.cycleLoop, l.autoscaler.autoscaleLoop, l.detector.monitorDelay, l.broadcaster.broadcastLoop, l.ingester.ingestLoop, l.pusher.pushLoop, l.admission.Run} {
+	for _, run := range []func(context.Context){l.persister.Run, l.cycleLoop, l.autoscaler.Run, l.detector.MonitorDelay, l.broadcaster.Run, l.ingester.Run, l.pusher.Run, l.admission.Run} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/internal/coordination/term_test.go
+++ b/internal/controller/leader_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -9,10 +9,13 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/persister"
 	"dunestand/internal/protocol"
+	"dunestand/internal/recordformat"
 	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
@@ -22,14 +25,14 @@
 	t.Helper()
 	server := httptest.NewServer(state)
 	t.Cleanup(server.Close)
-	clock := &manualClock{now: units.Second}
+	clock := &standin.Clock{Now: units.Second}
 	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e4,
 		WriteRPS: 1e4,
 	}, 0, clock)
-	return testLeader(number, clock, append([]func(*Deps){func(d *Deps) {
+	return newTestLeader(number, clock, append([]func(*Deps){func(d *Deps) {
 		d.KV = client
-		d.Format = NewFormatNegotiator("n", nil, storage.FormatNew, client, d.Log)
+		d.Format = recordformat.NewNegotiator("n", nil, storage.FormatNew, client, d.Log)
 	}}, changes...)...)
 }
 
@@ -43,13 +46,13 @@
 		Class:     "c",
 		Team:      "team",
 		Tasks:     2,
-		Request:   cpus(1),
+		Request:   standin.CPUs(1),
 		AllowSpot: true,
 		Image:     "i",
 	}
 }
 
-func state(t *testing.T, r answer) protocol.JobState {
+func state(t *testing.T, r answer.Answer) protocol.JobState {
 	t.Helper()
 	var s protocol.JobState
 	if err := protocol.Decode(r.Body, &s); err != nil {
@@ -59,20 +62,20 @@
 }
 
 // Submission, cancellation and their repeats, with commits that are carried
-// decisions and not answered: the save's id tells its author that it was.
+// out and not answered: the save's id tells its author that it was.
 func TestSubmitAndCancelWithLostAnswers(t *testing.T) {
 	s := standin.NewState()
 	s.Silent = func(n int) bool { return n%2 == 0 }
 	term := storedLeader(t, 1, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	for try := 0; !term.persister.restore(ctx); try++ {
+	for try := 0; !term.persister.Restore(ctx); try++ {
 		if try == 3 {
 			t.Fatal("not restored")
 		}
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.persister.writeLoop(ctx)
+	go term.persister.Run(ctx)
 	if r := term.Poll(ctx, "j-000001"); r.Status != http.StatusNotFound {
 		t.Fatalf("unknown job: %d", r.Status)
 	}
@@ -112,18 +115,18 @@
 	term := storedLeader(t, 3, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.persister.restore(ctx) {
+	if !term.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.persister.writeLoop(ctx)
+	go term.persister.Run(ctx)
 	bad := modelSpec("j-000007")
 	bad.Team = "nobody"
 	for _, spec := range []*protocol.JobSpec{modelSpec("j-000007"), bad} {
 		if r := term.Submit(ctx, spec); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageDone {
 			t.Fatalf("repeat: %d %s", r.Status, r.Body)
 		}
-		term.terminals.terminalJobs = newTerminalCache(10)
+		term.terminals = persister.NewTerminalJobs(term.state, term.KV)
 	}
 	if r := term.Poll(ctx, "j-000007"); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageDone {
 		t.Fatalf("poll: %d %s", r.Status, r.Body)
@@ -142,7 +145,7 @@
 	raw := protocol.Encode(map[string]any{"v": 99, "id": "j-000001"})
 	s.Put(storage.KeyJob("j-000001"), raw)
 	term := storedLeader(t, 2, s)
-	if term.persister.restore(t.Context()) || term.Ready() {
+	if term.persister.Restore(t.Context()) || term.Ready() {
 		t.Fatal("led in spite of it")
 	}
 	if r := term.Poll(t.Context(), "j-000001"); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
@@ -156,11 +159,11 @@
 // Without a valid lease nothing is answered 200.
 func TestNothingIsAnsweredWithoutTheLease(t *testing.T) {
 	term := storedLeader(t, 2, standin.NewState())
-	if !term.persister.restore(t.Context()) {
+	if !term.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	term.lease().lost = true
-	for name, r := range map[string]answer{
+	term.lease().Lost = true
+	for name, r := range map[string]answer.Answer{
 		"submit": term.Submit(t.Context(), modelSpec("j-000001")),
 		"poll":   term.Poll(t.Context(), "j-000001"),
 		"cancel": term.Cancel(t.Context(), "j-000001"),
@@ -182,8 +185,8 @@
 
 // Old and repeated reports have no effect.
 func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
-	term := testLeader(5, &manualClock{now: units.Second})
-	term.persister.installRecords(nil, modelCatalog)
+	term := newTestLeader(5, &standin.Clock{Now: units.Second})
+	term.persister.InstallRecords(nil, modelCatalog)
 	fresh := &protocol.Heartbeat{Machine: "i-1", InstanceType: "m", Zone: "a", Incarnation: 2, Sequence: 7}
 	if _, ok := term.Heartbeat(t.Context(), fresh, nil); !ok {
 		t.Fatal("fresh report refused")
@@ -212,19 +215,19 @@
 // A machine on which several jobs fail is set aside; a job that fails
 // everywhere is retried ever later, and no machine is blamed for it.
 func TestBlameForErrors(t *testing.T) {
-	clock := &manualClock{now: units.Second}
-	term := testLeader(1, clock)
-	term.persister.installRecords(nil, modelCatalog)
+	clock := &standin.Clock{Now: units.Second}
+	term := newTestLeader(1, clock)
+	term.persister.InstallRecords(nil, modelCatalog)
 	l := term.state
 	fail := func(job, machine string) *cluster.Job {
 		j := l.Jobs[job]
 		if j == nil {
-			j = l.NewJob(*modelSpec(job), clock.now, clock.now)
+			j = l.NewJob(*modelSpec(job), clock.Now, clock.Now)
 		}
-		m := l.EnsureMachine(machine, "m", "a", true, clock.now)
-		a := l.Assign(j, m, term.token<<32|uint64(len(job)), clock.now)
-		l.AttemptFailed(a, clock.now)
-		l.AttemptGone(a, clock.now)
+		m := l.EnsureMachine(machine, "m", "a", true, clock.Now)
+		a := l.Assign(j, m, term.token<<32|uint64(len(job)), clock.Now)
+		l.AttemptFailed(a, clock.Now)
+		l.AttemptGone(a, clock.Now)
 		return j
 	}
 	fail("j-000001", "i-1")
@@ -241,7 +244,7 @@
 			t.Errorf("%s is blamed for a job that fails everywhere", m)
 		}
 	}
-	if bad.RetryAt <= clock.now {
+	if bad.RetryAt <= clock.Now {
 		t.Error("a job that fails everywhere is retried at once")
 	}
 }
@@ -250,9 +253,9 @@
 // network: on a recorded day five of twelve machines that were cut off for 14 s
 // were given away, since they reached the limit a little before the others.
 func TestManyLostMachinesAreKept(t *testing.T) {
-	clock := &manualClock{now: 100 * units.Second}
-	term := testLeader(1, clock)
-	term.persister.installRecords(nil, modelCatalog)
+	clock := &standin.Clock{Now: 100 * units.Second}
+	term := newTestLeader(1, clock)
+	term.persister.InstallRecords(nil, modelCatalog)
 	report := func(machines int, seq uint64) {
 		for i := range machines {
 			r := &protocol.Heartbeat{
@@ -269,15 +272,15 @@
 		}
 	}
 	report(10, 1)
-	clock.now += 4500 * units.Millisecond
+	clock.Now += 4500 * units.Millisecond
 	report(9, 2) // one of ten has been silent for 4.5 s
-	clock.now += 600 * units.Millisecond
-	if silent := term.detector.lostMachines(clock.now); len(silent) != 1 {
+	clock.Now += 600 * units.Millisecond
+	if silent := term.detector.LostMachines(clock.Now); len(silent) != 1 {
 		t.Fatalf("%d to be released", len(silent))
 	}
-	clock.now += 2 * units.Second
+	clock.Now += 2 * units.Second
 	report(4, 3) // five more are late by now
-	if silent := term.detector.lostMachines(clock.now); len(silent) != 0 {
+	if silent := term.detector.LostMachines(clock.Now); len(silent) != 0 {
 		t.Fatalf("%d to be released", len(silent))
 	}
 }
@@ -286,23 +289,23 @@
 // ends its job when the first is done. What is then heard of the other must not
 // trip over the job that has left the ledger.
 func TestAttemptOutlivesItsJob(t *testing.T) {
-	clock := &manualClock{now: units.Second}
-	term := testLeader(2, clock)
-	term.persister.installRecords(nil, modelCatalog)
+	clock := &standin.Clock{Now: units.Second}
+	term := newTestLeader(2, clock)
+	term.persister.InstallRecords(nil, modelCatalog)
 	l := term.state
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
-	j := l.NewJob(spec, clock.now, clock.now)
+	j := l.NewJob(spec, clock.Now, clock.Now)
 	save := func() {
-		if s := l.BuildWriteBatch("2-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, clock.now); s != nil {
+		if s := l.BuildWriteBatch("2-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now); s != nil {
 			l.BatchCommitted(s, 1)
 		}
 	}
 	save()
-	m := l.EnsureMachine("i-000001", "m", "a", true, clock.now)
-	a := l.Assign(j, m, 7, clock.now)
+	m := l.EnsureMachine("i-000001", "m", "a", true, clock.Now)
+	a := l.Assign(j, m, 7, clock.Now)
 	a.Stage = cluster.Running
-	l.TaskDone(j, 0, clock.now) // sentHeartbeat by another machine
+	l.TaskDone(j, 0, clock.Now) // told by another machine
 	save()
 	if l.Jobs["j-000001"] != nil {
 		t.Fatal("the job is still there")
@@ -333,17 +336,17 @@
 // A completion stays with its worker until it is durable: a later leader must
 // be able to learn of it, or the task would run once more.
 func TestCompletionsAreForgottenOnlyOnceDurable(t *testing.T) {
-	clock := &manualClock{now: units.Second}
-	term := testLeader(2, clock)
-	term.persister.installRecords(nil, modelCatalog)
+	clock := &standin.Clock{Now: units.Second}
+	term := newTestLeader(2, clock)
+	term.persister.InstallRecords(nil, modelCatalog)
 	l := term.state
-	j := l.NewJob(*modelSpec("j-000001"), clock.now, clock.now)
+	j := l.NewJob(*modelSpec("j-000001"), clock.Now, clock.Now)
 	save := func() {
-		l.BatchCommitted(l.BuildWriteBatch("2-1", term.persister.bucketVersions, cluster.BatchLimits{Background: true}, clock.now), 1)
+		l.BatchCommitted(l.BuildWriteBatch("2-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now), 1)
 	}
 	save()
-	m := l.EnsureMachine("i-000001", "m", "a", true, clock.now)
-	a := l.Assign(j, m, 7, clock.now)
+	m := l.EnsureMachine("i-000001", "m", "a", true, clock.Now)
+	a := l.Assign(j, m, 7, clock.Now)
 	a.Stage = cluster.Running
 	j.RetryAt = 1 << 60 // nothing else starts
 	seq := uint64(0)
--- a/internal/coordination/inbox.go
+++ b/internal/controller/leaderless.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -8,8 +8,11 @@
 	"sync/atomic"
 
 	"dunestand/internal/admission"
+	"dunestand/internal/admissioncontrol"
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/kv"
+	"dunestand/internal/persister"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
@@ -24,7 +27,7 @@
 	instanceTypesTTL = 60 * units.Second
 )
 
-// leaderless is what a node needs to accept jobs without a leader.
+// arrivals is what a node needs to accept jobs without a leader.
 type leaderlessAdmission struct {
 	acceptedBytes   atomic.Int64 // memory of the jobs accepted so since it last reached a leader
 	mu              sync.Mutex
@@ -45,7 +48,7 @@
 	if types != nil {
 		return types
 	}
-	list, err := c.deps.KV.List(ctx, storage.KeyCatalog, "", PendingTimeout)
+	list, err := c.deps.KV.List(ctx, storage.KeyCatalog, "", persister.PendingTimeout)
 	if err != nil {
 		return nil
 	}
@@ -65,9 +68,9 @@
 
 // acceptWithoutLeader puts a job into the inbox, if it is certain that the job can be
 // taken; otherwise the refusal stands, and a leader decides when there is one.
-func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, refused answer) answer {
+func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, refused answer.Answer) answer.Answer {
 	store, lease := c.deps.KV, c.elector
-	if lease.UnansweredFor() >= lease.timing.Duration || !store.HasRequestBudget() || !store.HasWriteBudget() {
+	if lease.UnansweredFor() >= lease.LeaseDuration() || !store.HasRequestBudget() || !store.HasWriteBudget() {
 		return refused
 	}
 	if status, _ := checkFeasible(spec, c.deps.Settings, c.machineTypes(ctx), c.deps.Format.Current()); status != 0 {
@@ -78,7 +81,7 @@
 		Submitted: c.deps.Clock.Wall(),
 	})
 	if a := c.deps.Admitter; a != nil {
-		d, condition := a.decideAlone(spec)
+		d, condition := a.DecideAlone(spec)
 		if d.Verdict != admission.Admit {
 			return c.refuseWithoutLeader(ctx, spec.ID, d, refused)
 		}
@@ -86,10 +89,10 @@
 	}
 	share := jobMemoryLimit(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
 	if c.leaderless.acceptedBytes.Add(cluster.JobMemory(spec)) > share {
-		return plainAnswer(ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
+		return answer.Plain(answer.ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
 	readAt := c.deps.Clock.Steady()
-	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, PendingTimeout)
+	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, persister.PendingTimeout)
 	var conflict *kv.VersionConflictError
 	switch {
 	case errors.As(err, &conflict):
@@ -102,8 +105,8 @@
 		return refused
 	}
 	c.deps.Log.Info("job accepted without a leader", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-	accepted := provisionalAnswer(stateAnswer(http.StatusCreated, protocol.JobState{ID: spec.ID, Stage: protocol.StagePending}), readAt)
-	if c.gate().isStale(accepted) {
+	accepted := answer.Provisional(answer.StateResponse(http.StatusCreated, protocol.JobState{ID: spec.ID, Stage: protocol.StagePending}), readAt)
+	if c.gate().IsStale(accepted) {
 		return c.records().poll(ctx, spec.ID) // it may be over by now
 	}
 	return accepted
@@ -111,13 +114,13 @@
 
 // refuseWithoutLeader answers for a job that is not admitted without the leader, unless the
 // records tell of it.
-func (c *Controller) refuseWithoutLeader(ctx context.Context, id string, d admission.Decision, refused answer) answer {
+func (c *Controller) refuseWithoutLeader(ctx context.Context, id string, d admission.Decision, refused answer.Answer) answer.Answer {
 	known := c.records().poll(ctx, id)
 	switch {
 	case known.Status == http.StatusOK:
 		return known
 	case known.Status == http.StatusNotFound && d.Verdict == admission.Wait:
-		return waitingAnswer(d)
+		return admissioncontrol.WaitingAnswer(d)
 	}
 	return refused
 }
--- a/internal/coordination/leadermetrics.go
+++ b/internal/controller/metrics.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"dunestand/internal/protocol"
@@ -34,7 +34,7 @@
 	reporting := 0
 	now := l.Clock.Steady()
 	for _, m := range l.state.Machines {
-		if m.Registered && now-m.LastHeartbeat < l.detector.suspectAfter() {
+		if m.Registered && now-m.LastHeartbeat < l.detector.SuspectAfter() {
 			reporting++
 		}
 	}
--- a/internal/coordination/model_store_test.go
+++ b/internal/controller/model_store_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"maps"
@@ -30,7 +30,7 @@
 	return len(txn.Then) <= s.limits.TxnOps && len(txn.If) <= 4*s.limits.TxnOps
 }
 
-// commitBatch gives the keys that were not as expected, none if it was carried out.
+// commit gives the keys that were not as expected, none if it was carried out.
 func (s *modelStore) commit(t *rapid.T, txn protocol.Txn) (uint64, []string) {
 	var failed []string
 	for _, c := range txn.If {
@@ -69,7 +69,7 @@
 	}
 	m.arrivals = append(m.arrivals, cluster.PendingSubmissionTxn(cluster.PendingSubmission{
 		Spec:      spec,
-		Submitted: m.clock.now,
+		Submitted: m.clock.Now,
 	}))
 	if rapid.Bool().Draw(m.t, "accepted at once") {
 		m.land()
@@ -102,24 +102,24 @@
 		if err != nil {
 			m.t.Fatal(err)
 		}
-		if _, over := m.leader.terminals.terminalJobs.get(a.Spec.ID); over {
+		if _, over := m.leader.terminals.Cached(a.Spec.ID); over {
 			delete(m.store.items, item.Key)
 			continue
 		}
-		m.leader.state.AddPending(a, m.clock.now)
+		m.leader.state.AddPending(a, m.clock.Now)
 	}
 }
 
-// compareAndSwap sends the leader's next save, or completes the one on its way.
+// write sends the leader's next save, or completes the one on its way.
 func (m *model) write() {
 	l := m.leader.state
 	if m.save == nil {
 		m.saveNew = m.leader.Format.Current() >= storage.FormatNew
-		l.UpgradeFormat(m.leader.Format.Current(), m.clock.now)
-		m.save = l.BuildWriteBatch(m.leader.persister.nextWriteID(), m.leader.persister.bucketVersions, cluster.BatchLimits{
+		l.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
+		m.save = l.BuildWriteBatch(m.leader.persister.NextWriteID(), m.leader.persister.BucketVersions(), cluster.BatchLimits{
 			CoalesceFor: units.Second,
 			Background:  true,
-		}, m.clock.now)
+		}, m.clock.Now)
 		return
 	}
 	if !m.store.takes(m.save.Txn) {
@@ -128,19 +128,19 @@
 		if m.saveNew {
 			m.t.Fatalf("a save in the new form is over the limits: %d changes", len(m.save.Txn.Then))
 		}
-		l.BatchRejected(m.save, m.clock.now)
+		l.BatchRejected(m.save, m.clock.Now)
 		m.save = nil
 		return
 	}
 	rev, failed := m.store.commit(m.t, m.save.Txn)
 	if len(failed) > 0 {
-		l.BatchRefused(m.save, m.clock.now)
+		l.BatchRefused(m.save, m.clock.Now)
 		for _, key := range failed {
 			id, final := storage.JobOfTerminalKey(key)
 			if !final || m.finals[id] == "" {
 				m.t.Fatalf("a leader's own save met a conflict: %v", failed)
 			}
-			m.leader.terminals.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
+			m.leader.terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
 			l.DropUnaccepted(id) // it was in the inbox still
 		}
 		m.save = nil
--- a/internal/coordination/model_test.go
+++ b/internal/controller/model_test.go
@@ -1,6 +1,8 @@
-package coordination
+package controller
 
 import (
+	"dunestand/internal/answer"
+	_ "dunestand/internal/standin/fixedseed"
 	"fmt"
 	"maps"
 	"slices"
@@ -18,7 +20,7 @@
 
 type model struct {
 	t         *rapid.T
-	clock     *manualClock
+	clock     *standin.Clock
 	store     *modelStore
 	leader    *Leader
 	terms     uint64
@@ -44,14 +46,14 @@
 // begin makes any of the controllers the leader.
 func (m *model) begin() {
 	m.terms++
-	m.leader = testLeader(m.terms, m.clock)
+	m.leader = newTestLeader(m.terms, m.clock)
 	m.leadsNew = rapid.SampledFrom(m.nodes).Draw(m.t, "leader").upgraded
 	// The claim changes every bucket's head, so older saves fail from now on.
 	for b := range storage.Buckets {
 		m.store.revision++
 		key := storage.KeyBucketHead(b)
 		m.store.items[key] = protocol.Item{Key: key, Version: m.store.revision}
-		m.leader.persister.bucketVersions[b] = m.store.revision
+		m.leader.persister.BucketVersions()[b] = m.store.revision
 	}
 	var rows []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
@@ -76,16 +78,16 @@
 	}
 	if m.leadsNew {
 		// It reads the fleet's format before the records.
-		m.leader.Format.current.Store(int64(max(m.formats()[storage.KeyFleetFormat].format, storage.FormatOld)))
+		m.leader.setFormat(max(m.formats()[storage.KeyFleetFormat].Format, storage.FormatOld))
 	}
-	m.leader.persister.installRecords(jobs, modelCatalog)
+	m.leader.persister.InstallRecords(jobs, modelCatalog)
 }
 
 func (m *model) submit() {
 	if len(m.jobs) >= 6 {
 		return
 	}
-	m.leader.state.NewJob(m.draw(), m.clock.now, m.clock.now)
+	m.leader.state.NewJob(m.draw(), m.clock.Now, m.clock.Now)
 }
 
 // draw makes a new job.
@@ -96,7 +98,7 @@
 		Class:     "c",
 		Team:      "team",
 		Tasks:     rapid.IntRange(1, 6).Draw(m.t, "tasks"),
-		Request:   cpus(rapid.IntRange(1, 3).Draw(m.t, "cpus")),
+		Request:   standin.CPUs(rapid.IntRange(1, 3).Draw(m.t, "cpus")),
 		Priority:  protocol.Priority(rapid.IntRange(0, 3).Draw(m.t, "priority")),
 		AllowSpot: true,
 		Image:     "i",
@@ -104,7 +106,7 @@
 	}
 	// One service at most: with two, a larger task might find no machine left.
 	if len(m.services) == 0 && m.leader.Format.Current() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
-		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), cpus(1), protocol.Production, 0
+		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), standin.CPUs(1), protocol.Production, 0
 		m.services[id] = true
 	}
 	m.jobs[id] = spec.Tasks
@@ -113,15 +115,15 @@
 }
 
 func (m *model) pass() {
-	m.clock.now += units.Micros(rapid.IntRange(100, 6000).Draw(m.t, "ms")) * units.Millisecond
+	m.clock.Now += units.Micros(rapid.IntRange(100, 6000).Draw(m.t, "ms")) * units.Millisecond
 	for _, w := range m.workers {
 		m.leaseOf(w)
 	}
-	m.leader.detector.expireLeases(m.clock.now)
+	m.leader.detector.ExpireLeases(m.clock.Now)
 }
 
 // crash ends the leader. What it had sent may be carried out before the next
-// leaderName claims the buckets; later it must fail.
+// leader claims the buckets; later it must fail.
 func (m *model) crash() {
 	if m.save != nil {
 		if m.store.takes(m.save.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
@@ -163,8 +165,8 @@
 
 func (m *model) check() {
 	for id, j := range m.leader.state.Jobs {
-		if m.confirmed[id] == 0 && cancellationConfirmed(j, m.leader.Settings.Fleet.Workers) {
-			m.confirmed[id] = m.clock.now
+		if m.confirmed[id] == 0 && answer.CancellationConfirmed(j, m.leader.Settings.Fleet.Workers) {
+			m.confirmed[id] = m.clock.Now
 		}
 	}
 	used := 0
@@ -177,8 +179,8 @@
 			if task.stage == protocol.TaskExited {
 				continue
 			}
-			if at := m.confirmed[k.job]; at != 0 && m.clock.now-at > modelCancel && !m.hung(w) {
-				m.t.Fatalf("%s/%d is on %s %v after its user was told", k.job, k.index, w.id, (m.clock.now - at).Duration())
+			if at := m.confirmed[k.job]; at != 0 && m.clock.Now-at > modelCancel && !m.hung(w) {
+				m.t.Fatalf("%s/%d is on %s %v after its user was told", k.job, k.index, w.id, (m.clock.Now - at).Duration())
 			}
 			need := m.need(k.job)
 			used += need
@@ -194,7 +196,7 @@
 }
 
 // endTroubles ends all troubles and plays on until every accepted job that was not
-// cancellationConfirmed is done. Nothing may be forgotten, and nothing may wait for ever.
+// cancelled is done. Nothing may be forgotten, and nothing may wait for ever.
 func (m *model) endTroubles() {
 	m.calm = true
 	for _, w := range m.workers {
@@ -211,12 +213,12 @@
 		accepted[id] = (j.Accepted() || accepted[id]) && !j.Cancelled
 	}
 	for range 600 {
-		m.clock.now += 500 * units.Millisecond
+		m.clock.Now += 500 * units.Millisecond
 		m.collect()
 		for range 4 {
 			m.write()
 		}
-		m.leader.detector.expireLeases(m.clock.now)
+		m.leader.detector.ExpireLeases(m.clock.Now)
 		for i := range m.workers {
 			w := m.workers[i]
 			m.leaseOf(w)
@@ -224,7 +226,7 @@
 				m.releaseWorker(i)
 				continue
 			}
-			if w.awaited && m.clock.now-w.sentAt > workerWaits {
+			if w.awaited && m.clock.Now-w.sentAt > workerWaits {
 				w.awaited, w.answer = false, nil
 			}
 			if !w.awaited {
@@ -276,7 +278,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			t:        t,
-			clock:    &manualClock{now: units.Second},
+			clock:    &standin.Clock{Now: units.Second},
 			nodes:    make([]modelNode, 3),
 			services: map[string]bool{},
 			store: &modelStore{
--- a/internal/coordination/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 
 	"dunestand/internal/protocol"
+	"dunestand/internal/recordformat"
 	"dunestand/internal/storage"
 )
 
@@ -25,12 +26,12 @@
 }
 
 // formats gives what the controllers have said, and the fleet's format.
-func (m *model) formats() map[string]storedFormat {
-	known := map[string]storedFormat{}
+func (m *model) formats() map[string]recordformat.StoredFormat {
+	known := map[string]recordformat.StoredFormat{}
 	for key, item := range m.store.items {
 		var r storage.FormatRecord
 		if strings.HasPrefix(key, storage.PrefixFormats) && protocol.Decode(item.Value, &r) == nil {
-			known[key] = storedFormat{r.Format, item.Version}
+			known[key] = recordformat.StoredFormat{Format: r.Format, Version: item.Version}
 		}
 	}
 	return known
@@ -57,7 +58,7 @@
 // It may die, or hear of it only later.
 func (m *model) raise() {
 	known := m.formats()
-	level := known[storage.KeyFleetFormat].format
+	level := known[storage.KeyFleetFormat].Format
 	if !m.leadsNew {
 		return
 	}
@@ -65,7 +66,7 @@
 	for i := range m.nodes {
 		names = append(names, nodeName(i))
 	}
-	if all := supportedByAll(names, known); all > max(level, storage.FormatOld) {
+	if all := recordformat.SupportedByAll(names, known); all > max(level, storage.FormatOld) {
 		level = all
 		m.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
@@ -76,14 +77,14 @@
 
 func (m *model) learn(level int) {
 	if level > m.leader.Format.Current() {
-		m.leader.Format.current.Store(int64(level))
+		m.leader.setFormat(level)
 	}
-	m.leader.state.UpgradeFormat(m.leader.Format.Current(), m.clock.now)
+	m.leader.state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
 }
 
 // fall lowers the limits of the state service, some time after the upgrade.
 func (m *model) fall() {
-	if m.formats()[storage.KeyFleetFormat].format >= storage.FormatNew {
+	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatNew {
 		m.store.limits = m.store.limits.Both()
 	}
 }
--- a/internal/coordination/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -38,7 +38,7 @@
 	hungUntil             units.Micros
 }
 
-func (m *model) hung(w *modelWorker) bool { return m.clock.now < w.hungUntil }
+func (m *model) hung(w *modelWorker) bool { return m.clock.Now < w.hungUntil }
 
 // sentHeartbeat is a worker's answer to an announcement, on its way.
 type sentHeartbeat struct {
@@ -52,7 +52,7 @@
 	}
 }
 
-// heartbeat makes a worker's heartbeat of now.
+// heartbeat makes a worker's report of now.
 func (w *modelWorker) heartbeat() *protocol.Heartbeat {
 	w.sequence++
 	r := &protocol.Heartbeat{
@@ -80,7 +80,7 @@
 
 func (m *model) heartbeatOf(w *modelWorker) {
 	r := w.heartbeat()
-	w.awaited, w.sentAt, w.heartbeatIncarnation, w.answer = true, m.clock.now, w.incarnation, nil
+	w.awaited, w.sentAt, w.heartbeatIncarnation, w.answer = true, m.clock.Now, w.incarnation, nil
 	if !m.calm && rapid.IntRange(0, 5).Draw(m.t, "report copied") == 0 {
 		m.held = append(m.held, r) // the copy comes at any later time
 	}
@@ -92,17 +92,17 @@
 }
 
 func (m *model) serve(r *protocol.Heartbeat) *protocol.HeartbeatResponse {
-	t, now := m.leader, m.clock.now
-	machine := t.reconciler.reconcile(r, now)
+	t, now := m.leader, m.clock.Now
+	machine := t.reconciler.Reconcile(r, now)
 	if machine == nil {
 		return nil
 	}
-	t.detector.expireLeases(now)
-	t.scheduler.runCycle(now, machine)
-	return &protocol.HeartbeatResponse{FencingToken: t.token, Commands: t.reconciler.commands(machine, r, now)}
+	t.detector.ExpireLeases(now)
+	t.scheduler.RunCycle(now, machine)
+	return &protocol.HeartbeatResponse{FencingToken: t.token, Commands: t.reconciler.Commands(machine, r, now)}
 }
 
-// suspected brings the leader a report that was held back. Nobody waits for the
+// late brings the leader a report that was held back. Nobody waits for the
 // answer any more.
 func (m *model) late() {
 	if len(m.held) == 0 {
@@ -130,7 +130,7 @@
 	lost := w.answersLost || !m.calm && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
 	a := w.answer
 	w.awaited, w.answer = false, nil
-	if lost || a == nil || m.clock.now-w.sentAt > workerWaits || a.FencingToken < w.token || w.heartbeatIncarnation != w.incarnation {
+	if lost || a == nil || m.clock.Now-w.sentAt > workerWaits || a.FencingToken < w.token || w.heartbeatIncarnation != w.incarnation {
 		return
 	}
 	w.token, w.leaseFrom = a.FencingToken, w.sentAt
@@ -195,14 +195,14 @@
 
 // leaseOf lets a worker begin its next session when its lease has run out.
 func (m *model) leaseOf(w *modelWorker) {
-	if w.alive && !m.hung(w) && m.clock.now-w.leaseFrom > modelLease {
+	if w.alive && !m.hung(w) && m.clock.Now-w.leaseFrom > modelLease {
 		w.incarnation++
-		w.leaseFrom = m.clock.now
+		w.leaseFrom = m.clock.Now
 		clear(w.tasks)
 	}
 }
 
-// check returns a machine to the cloud; by its answer the machine is gone.
+// release returns a machine to the cloud; by its answer the machine is gone.
 func (m *model) release() {
 	m.releaseWorker(rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "released"))
 }
@@ -210,7 +210,7 @@
 func (m *model) releaseWorker(i int) {
 	w := m.workers[i]
 	w.alive = false
-	t, now := m.leader, m.clock.now
+	t, now := m.leader, m.clock.Now
 	t.state.Released.Add(w.id, now)
 	if machine := t.state.Machines[w.id]; machine != nil {
 		t.state.RemoveMachine(machine, now)
@@ -227,19 +227,19 @@
 		id:          id,
 		alive:       true,
 		incarnation: 1,
-		leaseFrom:   m.clock.now,
+		leaseFrom:   m.clock.Now,
 		tasks:       map[taskKey]modelTask{},
 	}
 }
 
-// broadcastTo tells a worker the term; its answer may come late.
+// announce tells a worker the term; its answer may come late.
 func (m *model) broadcast() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
 	if !w.alive || w.answersLost || m.hung(w) {
 		return
 	}
 	w.token = m.leader.token
-	m.leader.state.EnsureMachine(w.id, "m", "a", true, m.clock.now)
+	m.leader.state.EnsureMachine(w.id, "m", "a", true, m.clock.Now)
 	m.told = append(m.told, sentHeartbeat{m.leader, w.heartbeat()})
 	if rapid.Bool().Draw(m.t, "answered at once") {
 		m.hearTold()
@@ -250,7 +250,7 @@
 func (m *model) hearTold() {
 	for _, a := range m.told {
 		if a.to == m.leader {
-			a.to.broadcaster.broadcastAnswered(a.heartbeat)
+			a.to.broadcaster.Answered(a.heartbeat)
 		}
 	}
 	m.told = nil
@@ -271,7 +271,7 @@
 // hang stops a worker for a while, and cancels a job that runs there.
 func (m *model) hang() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	w.hungUntil = m.clock.now + units.Micros(rapid.IntRange(500, 15000).Draw(m.t, "hangs ms"))*units.Millisecond
+	w.hungUntil = m.clock.Now + units.Micros(rapid.IntRange(500, 15000).Draw(m.t, "hangs ms"))*units.Millisecond
 	m.cancelOn(w)
 }
 
@@ -341,18 +341,18 @@
 
 // ask has a worker report to the leader at once; the answer is on its way.
 func (m *model) ask(w *modelWorker) {
-	w.awaited, w.sentAt, w.heartbeatIncarnation = true, m.clock.now, w.incarnation
+	w.awaited, w.sentAt, w.heartbeatIncarnation = true, m.clock.Now, w.incarnation
 	w.answer = m.serve(w.heartbeat())
 }
 
 // goOnWithout lets a time pass in which all but one worker report and are answered.
 func (m *model) goOnWithout(absent *modelWorker, length units.Micros) {
 	const step = 500 * units.Millisecond
-	for ends := m.clock.now + length; m.clock.now < ends; {
-		m.clock.now += step
+	for ends := m.clock.Now + length; m.clock.Now < ends; {
+		m.clock.Now += step
 		m.write()
 		m.write()
-		m.leader.detector.expireLeases(m.clock.now)
+		m.leader.detector.ExpireLeases(m.clock.Now)
 		for _, w := range m.workers {
 			m.leaseOf(w)
 			if w == absent || !w.alive || w.heartbeatsLost || m.hung(w) {
--- a/internal/coordination/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -1,22 +1,28 @@
-package coordination
+package controller
 
 import (
 	"log/slog"
 	"math/rand/v2"
 
 	"dunestand/internal/admission"
+	"dunestand/internal/admissioncontrol"
 	"dunestand/internal/cloud"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
 	"dunestand/internal/kv"
+	"dunestand/internal/peers"
 	"dunestand/internal/protocol"
+	"dunestand/internal/push"
+	"dunestand/internal/recordformat"
 	"dunestand/internal/storage"
+	"dunestand/internal/telemetry"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
 // userSockets are for users and workers.
 func userSockets(maxConnections int) int {
-	return max(maxConnections-reservedSockets(maxConnections), maxConnections/2)
+	return max(maxConnections-push.ReservedSockets(maxConnections), maxConnections/2)
 }
 
 // Environment is what a node gets from the program around it.
@@ -30,23 +36,25 @@
 	Admission *admission.Options
 }
 
-// admissionOptions gives what holds of the environment's own choice and the policy's.
+// AdmissionOptions gives what holds of the environment's own choice and the policy's.
 func (e Environment) admissionOptions() admission.Options {
 	if e.Admission != nil {
 		return *e.Admission
 	}
-	return admissionOptions(e.Policy.Admission)
+	return admissioncontrol.AdmissionOptions(e.Policy.Admission)
 }
 
 // NewController makes a node from its settings.
 func NewController(s *config.Settings, env Environment) *Controller {
-	deps := newDeps(s, env)
+	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Others), env.Clock)
+	format := newNegotiator(s, env, client)
 	c := &Controller{
-		deps:             deps,
-		elector:          newElector(s, env, deps.KV),
+		deps:             newDeps(s, env, client, format),
+		format:           format,
+		elector:          newElector(s, env, client),
 		heartbeatReader:  protocol.NewHeartbeatReader(),
 		heartbeatLimiter: newHeartbeatLimiter(),
-		peers:            NewPeers(env.Dial, s.Others, env.Clock, env.Random, env.Log),
+		peers:            peers.New(env.Dial, s.Others, env.Clock, env.Random, env.Log),
 		server: transport.NewServer(userSockets(s.Fleet.Resources.MaxConnections),
 			3*s.Fleet.Workers.Report()+userPollGap, env.Log),
 	}
@@ -63,43 +71,45 @@
 }
 
 // newElector returns the elector of a controller, over connections of its own.
-func newElector(s *config.Settings, env Environment, client *kv.Client) *Elector {
-	timing := TimingFor(s.Fleet.Workers.Lease())
-	return NewElector(s.Node, client.WithOwnConnections(), env.Clock, timing, env.Random, env.Log)
+func newElector(s *config.Settings, env Environment, client *kv.Client) *election.Elector {
+	timing := election.TimingFor(s.Fleet.Workers.Lease())
+	return election.NewElector(s.Node, client.WithOwnConnections(), env.Clock, timing, env.Random, env.Log)
 }
 
-// newDeps makes what a node's terms work with.
-func newDeps(s *config.Settings, env Environment) Deps {
+// newNegotiator returns what finds out which format of records the controllers use.
+func newNegotiator(s *config.Settings, env Environment, client *kv.Client) *recordformat.Negotiator {
 	others := make([]string, len(s.Others))
 	for i, o := range s.Others {
 		others[i] = o.Node
 	}
-	options := env.admissionOptions()
-	reads := storage.FormatNew
-	if options.On() {
-		reads = storage.FormatAdmission
+	supported := storage.FormatNew
+	if options := env.admissionOptions(); options.On() {
+		supported = storage.FormatAdmission
 	}
-	store := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(others), env.Clock)
-	format := NewFormatNegotiator(s.Node, others, reads, store, env.Log)
-	metrics := NewMetrics()
+	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
+}
+
+// newDeps returns what the controller works with while it leads.
+func newDeps(s *config.Settings, env Environment, client *kv.Client, format *recordformat.Negotiator) Deps {
+	metrics := telemetry.NewMetrics()
 	return Deps{
 		Settings: s,
 		Policy:   env.Policy,
-		KV:       store,
+		KV:       client,
 		Dial:     env.Dial,
 		Cloud:    cloud.NewClient(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
 		Clock:    env.Clock,
 		Log:      env.Log,
 		Metrics:  metrics,
 		Format:   format,
-		Admitter: newAdmitter(s, options, store, format, env.Clock, env.Log, metrics),
+		Admitter: admissioncontrol.NewAdmitter(s, env.admissionOptions(), client, format, env.Clock, env.Log, metrics),
 	}
 }
 
 // connected tells whether this node hears workers or other controllers, or is alone.
 func (c *Controller) connected() bool {
 	sinceWorker := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeat.Load())
-	return len(c.deps.Settings.Others) == 0 || c.peers.AnyReachable() || sinceWorker < linkFreshness
+	return len(c.deps.Settings.Others) == 0 || c.peers.AnyReachable() || sinceWorker < peers.LinkFreshness
 }
 
 // addMetrics shows the node's own state and its use of the state service.
@@ -121,5 +131,5 @@
 	for _, g := range gauges {
 		c.deps.Metrics.Gauge(g.name, g.value)
 	}
-	c.deps.Metrics.addRuntime()
+	c.deps.Metrics.AddRuntime()
 }
--- a/internal/coordination/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"bytes"
@@ -10,6 +10,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/scheduler"
 	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
@@ -26,11 +27,11 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	if !term.persister.restore(ctx) {
+	if !term.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
 	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.persister.writeLoop(ctx)
+	go term.persister.Run(ctx)
 	spec := modelSpec("j-000001")
 	spec.Team = "guest"
 	spec.Tasks = guestTasks
@@ -48,7 +49,7 @@
 	term := guestLeader(t)
 	term.state.Lock()
 	defer term.state.Unlock()
-	needs := term.autoscaler.demand()
+	needs := term.autoscaler.Demand()
 	if len(needs) != 1 || needs[0].Count != guestTasks {
 		t.Errorf("machines are rented for %v, want one need of %d tasks", needs, guestTasks)
 	}
@@ -57,10 +58,10 @@
 		machine = term.state.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
 		machine.Registered, machine.FencingToken = true, term.token
 	}
-	s, _ := term.scheduler.snapshot(term.Clock.Steady(), machine)
+	s, _ := term.scheduler.TakeSnapshot(term.Clock.Steady(), machine)
 	s.MaxPlacements = guestTasks
 	placed := 0
-	for _, start := range Plan(&s).Placements {
+	for _, start := range scheduler.Plan(&s).Placements {
 		placed += start.Count
 	}
 	if want := 3 * modelMachine * 4; placed != want {
@@ -76,12 +77,12 @@
 	defer term.state.Unlock()
 	var log bytes.Buffer
 	term.Log = slog.New(slog.NewTextHandler(&log, nil))
-	term.state.Teams["guest"].Used = cpus(1_000_000)
+	term.state.Teams["guest"].Used = standin.CPUs(1_000_000)
 	term.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=0") {
 		t.Errorf("the summary: %s", log.String())
 	}
-	term.state.Teams["team"].Used = cpus(modelLimit)
+	term.state.Teams["team"].Used = standin.CPUs(modelLimit)
 	log.Reset()
 	term.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=1") {
--- a/internal/coordination/order_test.go
+++ b/internal/controller/order_test.go
@@ -1,6 +1,8 @@
-package coordination
+package controller
 
 import (
+	"dunestand/internal/standin"
+	_ "dunestand/internal/standin/fixedseed"
 	"fmt"
 	"slices"
 	"testing"
@@ -8,7 +10,6 @@
 	"pgregory.net/rapid"
 
 	"dunestand/internal/cluster"
-	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -18,23 +19,23 @@
 // By the order alone what is late waits behind all that comes after it.
 func TestEveryJobBeginsUnderOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		clock := &manualClock{now: 100 * units.Second}
-		term := testLeader(7, clock)
-		term.persister.installRecords(nil, modelCatalog)
+		clock := &standin.Clock{Now: 100 * units.Second}
+		term := newTestLeader(7, clock)
+		term.persister.InstallRecords(nil, modelCatalog)
 		due := map[string]units.Micros{}
 		ends := map[cluster.AttemptKey]units.Micros{}
 		lasts := rapid.SliceOfN(rapid.IntRange(2, 8), 20, 20).Draw(t, "run times")
 		every := rapid.IntRange(10, 20).Draw(t, "seconds between jobs")
 		for step := range 400 {
-			clock.now += units.Second
+			clock.Now += units.Second
 			if step%every == 0 {
 				spec := *modelSpec(fmt.Sprintf("j-%06d", step))
 				spec.Tasks = rapid.IntRange(40, 90).Draw(t, "tasks")
-				spec.Request = cpus(rapid.IntRange(1, 3).Draw(t, "cpus"))
+				spec.Request = standin.CPUs(rapid.IntRange(1, 3).Draw(t, "cpus"))
 				spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
 				spec.Estimate = 5 * units.Second
-				term.state.NewJob(spec, clock.now, clock.now)
-				due[spec.ID] = clock.now + 240*units.Second
+				term.state.NewJob(spec, clock.Now, clock.Now)
+				due[spec.ID] = clock.Now + 240*units.Second
 				term.save()
 			}
 			for i := range 2 {
@@ -51,30 +52,30 @@
 							Attempt: key.Number,
 							Stage:   protocol.TaskRunning,
 						}
-						if a.Stopping || clock.now >= ends[key] {
+						if a.Stopping || clock.Now >= ends[key] {
 							task.Stage, task.Cause = protocol.TaskExited, protocol.CauseDone
 						}
 						r.Tasks = append(r.Tasks, task)
 					}
 				}
-				m := term.reconciler.reconcile(r, clock.now)
+				m := term.reconciler.Reconcile(r, clock.Now)
 				if step%3 == 0 {
-					term.scheduler.runCycle(clock.now, m)
+					term.scheduler.RunCycle(clock.Now, m)
 				} else {
-					term.scheduler.placeOnMachine(m, clock.now)
+					term.scheduler.PlaceOnMachine(m, clock.Now)
 				}
 				term.save()
-				term.reconciler.commands(m, r, clock.now)
+				term.reconciler.Commands(m, r, clock.Now)
 				for _, a := range m.SortedAttempts() {
 					key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
 					if a.Stage != cluster.Assigned && ends[key] == 0 {
-						ends[key] = clock.now + units.Second*units.Micros(lasts[int(a.Number)%len(lasts)])
+						ends[key] = clock.Now + units.Second*units.Micros(lasts[int(a.Number)%len(lasts)])
 						delete(due, key.Job)
 					}
 				}
 			}
 			for id, at := range due {
-				if clock.now > at {
+				if clock.Now > at {
 					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, term.state.Jobs[id].Spec.Request.CPU/1_000_000)
 				}
 			}
@@ -82,61 +83,21 @@
 	})
 }
 
-// A job that is late only if its estimate is right is not called late: on a day
-// of the grown mills a job of 97 s by its estimate, due after 120 s, was put
-// behind everything once it had waited 23 s.
-func TestALittleLateByTheEstimateIsNotLate(t *testing.T) {
-	term, clock := leaderWithJob(t, 1)
-	term.Settings.Fleet.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 120}}
-	j := term.state.Jobs["j-000001"]
-	j.Spec.Estimate = 97 * units.Second
-	for waited, late := range map[units.Micros]bool{10: false, 40: false, 70: true} {
-		j.Submitted = clock.now - waited*units.Second
-		if in := term.scheduler.rankInput(j); in.Late != late {
-			t.Errorf("after %d s: late %v", waited, in.Late)
-		}
-	}
-}
-
-// A job waits for tasks to end by themselves only where enough of them do: in a
-// small fleet its tasks would start late for nothing.
-func TestAwaitingCompletionsNeedsCompletions(t *testing.T) {
-	term, clock := leaderWithJob(t, 10)
-	j := term.state.Jobs["j-000001"]
-	j.Spec.Priority = protocol.High
-	for range 20 {
-		term.state.Completions.Advance(clock.now)
-		clock.now += units.Second
-		term.state.Completions.Freed(cpus(4).CPU) // a second, 8 in the patience of 2 s
-	}
-	j.LearnedAt = clock.now
-	if term.scheduler.awaitsCompletions(j, clock.now) {
-		t.Error("a job of ten processors waits for eight")
-	}
-	j.Spec.Tasks = 7
-	if !term.scheduler.awaitsCompletions(j, clock.now) {
-		t.Error("a job of seven processors does not wait for eight")
-	}
-	if term.scheduler.awaitsCompletions(j, clock.now+2*units.Second) {
-		t.Error("it waits for ever")
-	}
-}
-
 // When more is to be written than may be, what a user waits for goes first.
 func TestUserRequestsAreWrittenFirst(t *testing.T) {
 	term, clock := leaderWithJob(t, 1)
 	for i := range 40 {
-		term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.now, clock.now)
+		term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 	}
 	term.save()
 	for _, j := range term.state.Jobs {
-		term.state.TaskDone(j, 0, clock.now)
-		j.MarkChanged(clock.now, true)
+		term.state.TaskDone(j, 0, clock.Now)
+		j.MarkChanged(clock.Now, true)
 	}
-	clock.now += units.Second
-	term.state.NewJob(*modelSpec("j-000100"), clock.now, clock.now)
+	clock.Now += units.Second
+	term.state.NewJob(*modelSpec("j-000100"), clock.Now, clock.Now)
 	term.cancelJob(term.state.Jobs["j-000030"])
-	s := term.state.BuildWriteBatch("x", term.persister.bucketVersions, cluster.BatchLimits{}, clock.now)
+	s := term.state.BuildWriteBatch("x", term.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
 	if first := s.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
 		t.Errorf("saved first: %v", first)
 	}
--- a/internal/coordination/records.go
+++ b/internal/controller/recordreader.go
@@ -1,13 +1,15 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"errors"
 	"net/http"
 
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
+	"dunestand/internal/persister"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
@@ -25,9 +27,9 @@
 const storedCall = 800 * units.Millisecond
 
 // poll tells a job's state.
-func (r recordReader) poll(ctx context.Context, id string) answer {
+func (r recordReader) poll(ctx context.Context, id string) answer.Answer {
 	if !r.store.HasRequestBudget() {
-		return unavailable("no leader")
+		return answer.Unavailable("no leader")
 	}
 	// From the inbox a job moves to the live records and from there to the final
 	// ones. It is looked for in the two latter first, since it is there nearly
@@ -40,40 +42,40 @@
 	readAt := r.clock.Steady()
 	item, ok, err := r.store.Get(ctx, storage.KeyPending(id), storedCall)
 	if err != nil {
-		return unavailable("state service is out of reach")
+		return answer.Unavailable("state service is out of reach")
 	}
 	if ok {
 		if _, err := cluster.ParsePendingSubmission(item); err != nil {
-			return unavailable("the job's record is not readable")
+			return answer.Unavailable("the job's record is not readable")
 		}
-		return provisionalAnswer(stateAnswer(http.StatusOK, protocol.JobState{ID: id, Stage: protocol.StagePending}), readAt)
+		return answer.Provisional(answer.StateResponse(http.StatusOK, protocol.JobState{ID: id, Stage: protocol.StagePending}), readAt)
 	}
 	if a, found := r.liveOrFinal(ctx, id); found {
 		return a
 	}
-	return provisionalAnswer(ErrorResponse(http.StatusNotFound, "no such job"), began)
+	return answer.Provisional(answer.ErrorResponse(http.StatusNotFound, "no such job"), began)
 }
 
 // liveOrFinal looks for a job in the live and then in the final records.
-func (r recordReader) liveOrFinal(ctx context.Context, id string) (answer, bool) {
+func (r recordReader) liveOrFinal(ctx context.Context, id string) (answer.Answer, bool) {
 	readAt := r.clock.Steady()
 	item, ok, err := r.store.Get(ctx, storage.KeyJob(id), storedCall)
 	if err != nil {
-		return unavailable("state service is out of reach"), true
+		return answer.Unavailable("state service is out of reach"), true
 	}
 	if ok {
 		jobs, _, err := cluster.ParseJobs([]protocol.Item{item})
 		if err != nil {
-			return unavailable("the job's record is not readable"), true
+			return answer.Unavailable("the job's record is not readable"), true
 		}
-		return liveJobAnswer(http.StatusOK, jobs[0], r.workers, readAt), true
+		return answer.LiveJob(http.StatusOK, jobs[0], r.workers, readAt), true
 	}
-	f, ok, err := ReadTerminal(ctx, r.store, id)
+	f, ok, err := persister.ReadTerminal(ctx, r.store, id)
 	switch {
 	case errors.Is(err, kv.ErrRefused), errors.Is(err, kv.ErrOutcomeUnknown):
-		return unavailable("state service is out of reach"), true
+		return answer.Unavailable("state service is out of reach"), true
 	case err != nil:
-		return unavailable("the job's record is not readable"), true
+		return answer.Unavailable("the job's record is not readable"), true
 	}
-	return terminalAnswer(id, f), ok
+	return answer.Terminal(id, f), ok
 }
--- a/internal/coordination/runtimelog.go
+++ b/internal/controller/runtimelog.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
--- a/internal/coordination/service_test.go
+++ b/internal/controller/service_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,21 +7,22 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/sorted"
+	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // serviceLeader is a leader of a service of some replicas, and machines in two
 // zones that have reported.
-func serviceLeader(t *testing.T, replicas int, spread bool) (*Leader, *manualClock, *serviceFleet) {
+func serviceLeader(t *testing.T, replicas int, spread bool) (*Leader, *standin.Clock, *serviceFleet) {
 	t.Helper()
-	clock := &manualClock{now: 100 * units.Second}
-	term := testLeader(7, clock)
-	term.Format.current.Store(storage.FormatNew)
-	term.persister.installRecords(nil, modelCatalog)
+	clock := &standin.Clock{Now: 100 * units.Second}
+	term := newTestLeader(7, clock)
+	term.setFormat(storage.FormatNew)
+	term.persister.InstallRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Kind, spec.Tasks, spec.ZoneSpread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
-	term.state.NewJob(spec, clock.now, clock.now)
+	term.state.NewJob(spec, clock.Now, clock.Now)
 	term.save()
 	f := &serviceFleet{t: t, term: term, clock: clock, machines: map[string]*protocol.Heartbeat{}}
 	for i, zone := range []string{"a", "a", "b", "b"} {
@@ -36,15 +37,15 @@
 type serviceFleet struct {
 	t        *testing.T
 	term     *Leader
-	clock    *manualClock
+	clock    *standin.Clock
 	machines map[string]*protocol.Heartbeat
 	started  int
 }
 
-// heartbeat has every machine heartbeat once and carry out its answer.
+// report has every machine report once and carry out its answer.
 func (f *serviceFleet) report() {
 	f.t.Helper()
-	f.clock.now += units.Second
+	f.clock.Now += units.Second
 	for _, id := range sorted.Keys(f.machines) {
 		r := f.machines[id]
 		r.Sequence++
@@ -146,7 +147,7 @@
 		f.end(i, cause)
 	}
 	f.report()
-	term.reconciler.reconcile(&late, f.clock.now)
+	term.reconciler.Reconcile(&late, f.clock.Now)
 	f.report()
 	f.report()
 	if f.running() != 4 || f.zones()["a"] != 2 || f.started != 8 {
@@ -181,7 +182,7 @@
 	f.end(0, protocol.CauseError)
 	f.report()
 	if on, _ := f.where("j-000001", 0); on == "" || f.started != before+1 {
-		t.Errorf("it is not started at once after a long run: retry in %d ms", (term.state.Jobs["j-000001"].RetryAt-f.clock.now)/units.Millisecond)
+		t.Errorf("it is not started at once after a long run: retry in %d ms", (term.state.Jobs["j-000001"].RetryAt-f.clock.Now)/units.Millisecond)
 	}
 }
 
@@ -212,7 +213,7 @@
 	}
 	for range 25 {
 		f.report()
-		term.detector.expireLeases(clock.now)
+		term.detector.ExpireLeases(clock.Now)
 		if f.running() > 1 {
 			t.Fatalf("%d replicas run in one zone: %v", f.running(), f.zones())
 		}
@@ -255,12 +256,12 @@
 func TestServicesAreRestoredAsServices(t *testing.T) {
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 3
-	writer := testLeader(7, &manualClock{now: units.Second})
+	writer := newTestLeader(7, &standin.Clock{Now: units.Second})
 	writer.state.NewJob(spec, 0, 0)
-	s := writer.state.BuildWriteBatch("1-1", writer.persister.bucketVersions, cluster.BatchLimits{}, 0)
+	s := writer.state.BuildWriteBatch("1-1", writer.persister.BucketVersions(), cluster.BatchLimits{}, 0)
 	writer.state.BatchCommitted(s, 1)
 	writer.state.TaskDone(writer.state.Jobs[spec.ID], 1, 0)
-	s = writer.state.BuildWriteBatch("1-2", writer.persister.bucketVersions, cluster.BatchLimits{Background: true}, 10*units.Second)
+	s = writer.state.BuildWriteBatch("1-2", writer.persister.BucketVersions(), cluster.BatchLimits{Background: true}, 10*units.Second)
 	var fields map[string]any
 	if err := protocol.Decode(s.Txn.Then[0].Value, &fields); err != nil {
 		t.Fatal(err)
@@ -288,15 +289,18 @@
 	for _, r := range f.machines {
 		r.Endpoint = "127.0.0.1:1"
 		r.Sequence++
-		term.reconciler.reconcile(r, clock.now)
+		term.reconciler.Reconcile(r, clock.Now)
 	}
-	term.scheduler.lastCycle = -units.Second
-	term.scheduler.runCycle(clock.now, nil)
-	if len(term.pusher.pushRequests) == 0 {
+	term.scheduler.RunCycle(clock.Now, nil)
+	requests := term.pusher.TakeRequests()
+	if len(requests) == 0 {
 		t.Fatal("no machine is woken")
 	}
-	for id, h := range term.pusher.pushRequests {
-		_, body := term.pusher.pushCommands(id, h.startOf)
+	if again := term.pusher.TakeRequests(); len(again) != 0 {
+		t.Errorf("%d machines would be woken twice", len(again))
+	}
+	for id, startOf := range requests {
+		_, body := term.pusher.Commands(id, startOf)
 		var d protocol.DirectCommands
 		if err := protocol.Decode(body, &d); err != nil {
 			t.Fatal(err)
@@ -308,87 +312,18 @@
 	a := term.state.Jobs["j-000001"].LiveAttempts[0]
 	a.Stage = cluster.Running
 	term.state.StopAttempt(a, units.Second)
-	if _, body := term.pusher.pushCommands(a.Machine.ID, nil); body == nil {
+	if _, body := term.pusher.Commands(a.Machine.ID, nil); body == nil {
 		t.Error("the stop waits")
 	}
 	// One more task than a job may have is no task: a report that named it would
 	// be refused for ever.
 	huge := *term.state.Jobs["j-000001"]
 	huge.Spec.Tasks = protocol.MaxTasks
-	if _, body := term.pusher.pushCommands("i-000003", &huge); body != nil {
+	if _, body := term.pusher.Commands("i-000003", &huge); body != nil {
 		t.Error("a machine is woken with a task beyond the last number")
 	}
 }
 
-// Room for replicas is kept in each zone that may be used, little next to the
-// fleet, on the machines that were chosen before where it still has to come, and
-// nothing but replicas is planned there.
-func TestHeadroomIsKeptForReplicas(t *testing.T) {
-	like := modelSpec("j-000001")
-	like.AllowSpot, like.Request = false, cpus(2)
-	var machines []MachineView
-	for i := range 40 {
-		m := MachineView{
-			ID:           fmt.Sprintf("i-%06d", i),
-			InstanceType: "m",
-			Zone:         []string{"a", "b"}[i%2],
-			Spot:         i >= 20,
-			Schedulable:  true,
-			Capacity:     cpus(8),
-			Free:         cpus(1),
-			HasImage:     func(string) bool { return i == 7 },
-		}
-		if i == 4 || i == 9 {
-			m.Free = cpus(2)
-		}
-		machines = append(machines, m)
-	}
-	got := reserveHeadroom(machines, nil, like, func(k int) bool { return k == 11 })
-	if fmt.Sprint(got) != "[4 0 9 11]" {
-		t.Errorf("kept on %v", got)
-	}
-	if got := reserveHeadroom(machines[:6], nil, like, func(int) bool { return false }); len(got) != 0 {
-		t.Errorf("kept on %v of a small fleet", got)
-	}
-	if got := reserveHeadroom(machines, nil, nil, func(int) bool { return true }); len(got) != 0 {
-		t.Errorf("kept on %v without a service", got)
-	}
-	// A task that needs a whole machine of some type finds one.
-	whole := modelSpec("j-000003")
-	whole.Request = cpus(8)
-	for _, k := range []int{1, 3, 5} {
-		machines[k].InstanceType, machines[k].Capacity = "large", cpus(16)
-	}
-	if got := reserveHeadroom(machines, []JobView{{Spec: whole}}, like, func(int) bool { return false }); fmt.Sprint(got) != "[4 0 1 3]" {
-		t.Errorf("kept on %v, where a task needs a whole machine", got)
-	}
-	machines[4].Headroom = like.Request
-	array, service := modelSpec("j-000002"), *like
-	array.Request, service.Kind = cpus(2), protocol.Service
-	for _, c := range []struct {
-		spec    *protocol.JobSpec
-		overdue bool
-		want    int
-	}{{array, false, 0}, {array, true, 1}, {&service, false, 1}} {
-		s := Snapshot{
-			Teams:         []TeamView{{QuotaLimit: cpus(100)}},
-			Machines:      []MachineView{machines[4]},
-			MaxPlacements: 10,
-			Jobs: []JobView{{
-				Spec:          c.spec,
-				Starved:       c.overdue,
-				Pending:       1,
-				LiveByZone:    map[string]int{},
-				LiveByMachine: map[int]int{},
-				Avoid:         func(string) bool { return false },
-			}},
-		}
-		if got := len(Plan(&s).Placements); got != c.want {
-			t.Errorf("%d starts of a job of shape %d", got, c.spec.Kind)
-		}
-	}
-}
-
 // Services never end, so they must not keep the reserve rented for ever: once
 // nothing else is left, the fleet shrinks to what they need and room for those
 // that may be lost.
@@ -398,22 +333,22 @@
 		r := testHeartbeat(fmt.Sprintf("i-%06d", 100+i), 1, 0, 7)
 		f.machines[r.Machine] = r
 	}
-	term.state.Teams["team"].GuaranteedQuota, term.state.Teams["team"].QuotaLimit = cpus(100), cpus(200)
+	term.state.Teams["team"].GuaranteedQuota, term.state.Teams["team"].QuotaLimit = standin.CPUs(100), standin.CPUs(200)
 	array := *modelSpec("j-000002")
-	term.state.NewJob(array, clock.now, clock.now)
+	term.state.NewJob(array, clock.Now, clock.Now)
 	for range 60 {
 		f.report()
 	}
-	if got := len(term.autoscaler.idleMachines(clock.now)); got != 0 || term.autoscaler.policyInput().QuietS != 0 {
+	if got := len(term.autoscaler.IdleMachines(clock.Now)); got != 0 || term.autoscaler.PolicyInput().QuietS != 0 {
 		t.Errorf("%d machines are returned while there is work", got)
 	}
-	term.state.TaskDone(term.state.Jobs["j-000002"], 0, clock.now)
-	term.state.TaskDone(term.state.Jobs["j-000002"], 1, clock.now)
+	term.state.TaskDone(term.state.Jobs["j-000002"], 0, clock.Now)
+	term.state.TaskDone(term.state.Jobs["j-000002"], 1, clock.Now)
 	for range 60 {
 		f.report()
 	}
 	// 34 machines of 4 processors; two replicas, and two spare ones in the zone.
-	if got := len(term.autoscaler.idleMachines(clock.now)); got < 28 || got > 32 {
+	if got := len(term.autoscaler.IdleMachines(clock.Now)); got < 28 || got > 32 {
 		t.Errorf("%d machines are returned", got)
 	}
 }
--- a/internal/coordination/summary.go
+++ b/internal/controller/summary.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"dunestand/internal/cluster"
@@ -11,7 +11,7 @@
 	var size, used units.Resources
 	reporting := 0
 	for _, m := range l.state.Machines {
-		if m.Registered && now-m.LastHeartbeat < l.detector.suspectAfter() {
+		if m.Registered && now-m.LastHeartbeat < l.detector.SuspectAfter() {
 			reporting++
 			size, used = size.Plus(m.Capacity, 1), used.Plus(m.Used, 1)
 		}
@@ -37,6 +37,6 @@
 	l.Log.Info("fleet", "machines", reporting, "cpus", size.CPU.Float(), "cpus_used", used.CPU.Float(), "cpus_running", running.CPU.Float(),
 		"pending_low", pending[protocol.Low], "pending_normal", pending[protocol.Normal],
 		"pending_high", pending[protocol.High], "pending_prod", pending[protocol.Production],
-		"jobs", len(l.state.Jobs), "teams_near_limit", full, "round_cost_us", int64(l.scheduler.cycleCost),
+		"jobs", len(l.state.Jobs), "teams_near_limit", full, "round_cost_us", int64(l.scheduler.CycleCost),
 		"state_requests", l.KV.Stats.Requests.Load(), "state_writes", l.KV.Stats.Writes.Load())
 }
--- a/internal/coordination/unconfirmed_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"dunestand/internal/sorted"
@@ -15,12 +15,12 @@
 	allocs := func(jobs, machines int) float64 {
 		term, clock := leaderWithJob(t, 1)
 		for i := range jobs {
-			j := term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.now, clock.now)
+			j := term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 			for k := range machines {
 				term.state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
 		}
-		return testing.AllocsPerRun(20, func() { term.detector.expireLeases(clock.now) })
+		return testing.AllocsPerRun(20, func() { term.detector.ExpireLeases(clock.Now) })
 	}
 	if few, many := allocs(2, 10), allocs(100, 1000); many > few+1 {
 		t.Errorf("%v allocations for 100 jobs on 1,000 machines, %v for 2 on 10", many, few)
@@ -36,7 +36,7 @@
 		named := map[string]map[string]bool{}
 		for i := range rapid.IntRange(1, 8).Draw(rt, "jobs") {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
-			j := l.NewJob(spec, clock.now, clock.now)
+			j := l.NewJob(spec, clock.Now, clock.Now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
 				l.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
--- a/internal/coordination/lease.go
+++ b/internal/election/elector.go
@@ -1,6 +1,7 @@
-// Package coordination decides: who leads, what runs where, which machines
-// are rented. What it knows is in package bookkeeping.
-package coordination
+// Package election decides who leads: it campaigns for the leader lease, a record in the
+// key-value store, by a compare-and-swap that raises its incarnation, and watches the lease
+// while another controller holds it. The incarnation is the fencing token of the leader.
+package election
 
 import (
 	"context"
@@ -69,6 +70,9 @@
 	return f.leading && !f.steppingDown && f.token == term && f.clock.Steady() < f.validUntil
 }
 
+// LeaseDuration is for how long a renewal of the lease holds.
+func (f *Elector) LeaseDuration() units.Micros { return f.timing.Duration }
+
 // Remaining is how long the lease still holds, 0 if it does not.
 func (f *Elector) Remaining() units.Micros {
 	f.mu.Lock()
@@ -137,7 +141,7 @@
 }
 
 // Run keeps the lease or waits for it, until ctx ends. While a term lasts,
-// runLeader runs with a context that ends when the term is lost for good. A lease
+// lead runs with a context that ends when the term is lost for good. A lease
 // that merely lapsed, with the record unchanged, is renewed in the same term.
 func (f *Elector) Run(ctx context.Context, lead func(ctx context.Context, term uint64)) {
 	end := func() {}
@@ -322,7 +326,7 @@
 	f.mu.Unlock()
 	if !due {
 		// PollEvery more closely near the end, spread so that nodes do not race.
-		left := withDrift(f.timing.Duration, f.timing.ClaimMargin) - (now - since)
+		left := WithDrift(f.timing.Duration, f.timing.ClaimMargin) - (now - since)
 		jitter := units.Micros(f.random.Int64N(int64(leasePollJitter)))
 		return max(minLeasePollInterval, min(f.timing.PollEvery, left)) + jitter
 	}
@@ -338,6 +342,14 @@
 	return f.campaign(ctx, rec, version)
 }
 
+// ObserveRecord notes what a read of the lease record showed just now.
+func (f *Elector) ObserveRecord(record storage.LeaseRecord, version uint64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.answeredAt = f.clock.Steady()
+	f.monitor.observe(record, version, f.answeredAt)
+}
+
 // campaign takes the record over by a conditional save that raises the
 // incarnation by one.
 func (f *Elector) campaign(ctx context.Context, old storage.LeaseRecord, version uint64) units.Micros {
--- a/internal/coordination/lease_test.go
+++ b/internal/election/elector_test.go
@@ -1,7 +1,8 @@
-package coordination
+package election
 
 import (
 	"context"
+	_ "dunestand/internal/standin/fixedseed"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -45,7 +46,7 @@
 	return NewElector(name, store, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(7, seed)), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// step does what Run does between two pauses.
+// Step does what Run does between two pauses.
 func (n *leaseNode) step(ctx context.Context) {
 	if n.lease.holdsLease() {
 		n.lease.renew(ctx)
@@ -57,8 +58,8 @@
 // At no moment do two nodes hold the lease, whatever the nodes' clocks, their
 // pauses, the state service's outages, and commits without an answer or that
 // come late; and terms only go up. A process that is back at once, between its
-// campaign and the outcome too, never goes on in a term of its former self: the
-// token must tell a worker's report to it from one to the other.
+// claim and the outcome too, never goes on in a term of its former self: the
+// term must tell a worker's report to it from one to the other.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
@@ -116,7 +117,7 @@
 
 func TestLeaseRules(t *testing.T) {
 	w := leaseMonitor{timing: TimingFor(10 * units.Second)}
-	due := withDrift(w.timing.Duration, w.timing.ClaimMargin)
+	due := WithDrift(w.timing.Duration, w.timing.ClaimMargin)
 	if w.claimable("me", 0) {
 		t.Fatal("claimable before anything was read")
 	}
--- /dev/null
+++ b/internal/election/handover_test.go
@@ -0,0 +1,39 @@
+package election
+
+import (
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+
+	"dunestand/internal/standin"
+	"dunestand/internal/units"
+)
+
+// holdingElector is an elector that holds the lease.
+func holdingElector(token uint64, clock units.Clock) *Elector {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	e := NewElector("n", nil, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(1, token)), log)
+	e.leading, e.token, e.validUntil = true, token, 1<<60
+	return e
+}
+
+// The lease is handed over once in a while at most, whoever holds it: the time
+// of the last hand-over goes with the record.
+func TestLeaseIsNotHandedOverRepeatedly(t *testing.T) {
+	clock := &standin.Clock{Now: 1000 * units.Second}
+	lease := holdingElector(1, clock)
+	if !lease.HandOver(clock.Now) || lease.Valid(1) {
+		t.Fatal("not handed over")
+	}
+	next := holdingElector(2, clock)
+	next.handedOverAt = lease.handedOverAt // as read from the record
+	clock.Now += handOverInterval - units.Second
+	if next.HandOver(clock.Now) || !next.Valid(2) {
+		t.Error("handed over again at once")
+	}
+	clock.Now += 2 * units.Second
+	if !next.HandOver(clock.Now) {
+		t.Error("not handed over long after")
+	}
+}
--- a/internal/coordination/leadership.go
+++ b/internal/election/leadership.go
@@ -1,4 +1,4 @@
-package coordination
+package election
 
 import "dunestand/internal/units"
 
--- a/internal/coordination/leasemonitor.go
+++ b/internal/election/monitor.go
@@ -1,4 +1,4 @@
-package coordination
+package election
 
 import (
 	"dunestand/internal/config"
@@ -18,26 +18,26 @@
 // off by up to 0.05%.
 const clockDriftPPM = 1000
 
-// withDrift is how long to wait by our clock so that a length has passed by
+// WithDrift is how long to wait by our clock so that a length has passed by
 // any other.
-func withDrift(length, margin units.Micros) units.Micros {
+func WithDrift(length, margin units.Micros) units.Micros {
 	return length + length*clockDriftPPM/1_000_000 + margin
 }
 
 // workerLeaseMargin covers what a report and its answer take on their way.
 const workerLeaseMargin = 500 * units.Millisecond
 
-// workerLeaseBound is how long a machine's tasks may go on after its last answered report
+// WorkerLeaseBound is how long a machine's tasks may go on after its last answered report
 // came in here, by any clock.
-func workerLeaseBound(w config.Workers) units.Micros { return withDrift(w.Lease(), workerLeaseMargin) }
+func WorkerLeaseBound(w config.Workers) units.Micros { return WithDrift(w.Lease(), workerLeaseMargin) }
 
-// confirmsCancellationAtOnce tells whether a user may be told of a cancellation as soon as it is
+// ConfirmsCancellationAtOnce tells whether a user may be told of a cancellation as soon as it is
 // durable. From then on every controller that prolongs a worker's lease knows of it:
 // the leader that stored it had noted it before, former ones have no lease any more,
 // and later ones answer no worker before they have read the records. So what no
 // command reaches ends with the worker's lease, and that must be within cancel_s.
 // Otherwise the user is told once nothing of the job is left on any machine.
-func confirmsCancellationAtOnce(w config.Workers) bool { return workerLeaseBound(w) <= w.Cancel() }
+func ConfirmsCancellationAtOnce(w config.Workers) bool { return WorkerLeaseBound(w) <= w.Cancel() }
 
 // The pace of the fleet lease: its length is a share of the workers' lease within bounds.
 const (
@@ -80,7 +80,7 @@
 	readFailed     bool         // the last read failed
 }
 
-// reconcile takes in a read that was answered at now.
+// observe takes in a read that was answered at now.
 func (w *leaseMonitor) observe(record storage.LeaseRecord, version uint64, now units.Micros) {
 	if w.readFailed {
 		w.readFailed, w.graceUntil = false, now+outageGrace
@@ -103,5 +103,5 @@
 	case w.version == 0 || w.record.Resigned || w.record.Holder == self:
 		return true
 	}
-	return now-w.unchangedSince >= withDrift(w.timing.Duration, w.timing.ClaimMargin)
+	return now-w.unchangedSince >= WithDrift(w.timing.Duration, w.timing.ClaimMargin)
 }
--- a/internal/coordination/delay.go
+++ b/internal/failuredetector/delay.go
@@ -1,4 +1,4 @@
-package coordination
+package failuredetector
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 )
 
 // delayMonitor notices that this process falls behind: its timers fire late. A
-// leaderName that computes too slowly makes everybody wait, and there are others.
+// leader that computes too slowly makes everybody wait, and there are others.
 type delayMonitor struct {
 	mean        units.Micros // moving mean of how late the timer fires
-	behindSince units.Micros // unchangedSince when it has been too late; 0: it is not
+	behindSince units.Micros // since when it has been too late; 0: it is not
 }
 
 const (
@@ -21,7 +21,7 @@
 	minLeadership = 20 * units.Second       // a term begins with more work than usual
 )
 
-// suspected takes in how suspected the timer fired and tells whether it has been too suspected
+// late takes in how late the timer fired and tells whether it has been too late
 // for too long.
 func (w *delayMonitor) observe(by, now units.Micros) bool {
 	w.mean = (7*w.mean + max(0, by)) / 8
@@ -34,15 +34,15 @@
 	return w.behindSince != 0 && now-w.behindSince >= delayPatience
 }
 
-// monitorDelay hands the lease over when this node has fallen behind and another one
+// MonitorDelay hands the lease over when this node has fallen behind and another one
 // is there to take it.
-func (d *Detector) monitorDelay(ctx context.Context) {
+func (d *Detector) MonitorDelay(ctx context.Context) {
 	var w delayMonitor
 	for last := d.Clock.Steady(); loop.Sleep(ctx, delayTick); {
 		now := d.Clock.Steady()
 		behind := w.observe(now-last-delayTick, now)
 		if w.mean >= maxDelay {
-			d.noteDelay(now)
+			d.NoteDelay(now)
 		}
 		last = now
 		if behind && now-d.ElectedAt > minLeadership && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
@@ -52,11 +52,11 @@
 	}
 }
 
-// noteDelay notes that this node has been late: reports may have waited for it, or
+// NoteDelay notes that this node has been late: reports may have waited for it, or
 // have been given up by their workers. Each machine then has the time for another
 // one before its silence is judged.
-func (d *Detector) noteDelay(now units.Micros) {
+func (d *Detector) NoteDelay(now units.Micros) {
 	d.State.Lock()
 	defer d.State.Unlock()
-	d.judgeSilenceFrom = now + d.suspectAfter()
+	d.judgeSilenceFrom = now + d.SuspectAfter()
 }
--- a/internal/coordination/silence.go
+++ b/internal/failuredetector/detector.go
@@ -1,17 +1,20 @@
-package coordination
+// Package failuredetector judges by missed heartbeats which machines are lost, and whether
+// this controller itself is cut off or falls behind.
+package failuredetector
 
 import (
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
 	"dunestand/internal/loop"
 	"dunestand/internal/units"
 	"log/slog"
 )
 
-// DetectorDeps is what a Detector works with.
-type DetectorDeps struct {
+// Deps is what a Detector works with.
+type Deps struct {
 	State            *cluster.State
-	Leadership       Leadership
+	Leadership       election.Leadership
 	Settings         *config.Settings
 	Clock            units.Clock
 	Log              *slog.Logger
@@ -25,16 +28,16 @@
 // of them whether this controller itself is cut off or too slow to lead. Its fields are
 // guarded by the lock of state, and its methods need that lock held.
 type Detector struct {
-	DetectorDeps
+	Deps
 
 	maxUnreachablePeers int          // the most controllers that were unreachable at a time
 	judgeSilenceFrom    units.Micros // this controller was late itself: until then no machine is judged
 	allReconciled       bool         // it is known what every machine holds
 }
 
-func newDetector(deps DetectorDeps) *Detector {
+func New(deps Deps) *Detector {
 	return &Detector{
-		DetectorDeps: deps,
+		Deps: deps,
 	}
 }
 
@@ -48,11 +51,11 @@
 // one moment.
 func (h heartbeatHealth) healthyPerMissing(n int) bool { return h.healthy >= n*(h.lost+h.suspected) }
 
-// lostMachines gives the machines that should report and do not, or that
+// LostMachines gives the machines that should report and do not, or that
 // carry nothing out, those of which only a record tells among them, as far as
 // they are to be released: only while most others report, in the fleet and in
 // their zone. A zone that is cut off from everything must not be given away.
-func (d *Detector) lostMachines(now units.Micros) map[string]bool {
+func (d *Detector) LostMachines(now units.Micros) map[string]bool {
 	silent := map[string]bool{}
 	if now < d.judgeSilenceFrom {
 		return silent
@@ -60,7 +63,7 @@
 	var fleet heartbeatHealth
 	zones := map[string]*heartbeatHealth{}
 	report := d.Settings.Fleet.Workers.Report()
-	limit := d.suspectAfter() + units.Second
+	limit := d.SuspectAfter() + units.Second
 	for _, m := range d.State.SortedMachines() {
 		zone := zones[m.Zone]
 		if zone == nil {
@@ -109,18 +112,18 @@
 }
 
 // mayReleaseInZone tells whether a silent machine of a zone may be released. Where
-// maxEntries of a zone is silent, a machine is kept until its tasks are given up
+// most of a zone is silent, a machine is kept until its tasks are given up
 // anyway and some time more, as long as there are several.
 func (d *Detector) mayReleaseInZone(m *cluster.Machine, zone *heartbeatHealth, now units.Micros) bool {
 	return zone == nil || zone.healthyPerMissing(1) || zone.lost+zone.suspected < minZoneCutMachines ||
-		now-max(m.LastHeartbeat, d.ElectedAt) > withDrift(d.Settings.Fleet.Workers.Lease(), zoneCutGrace)
+		now-max(m.LastHeartbeat, d.ElectedAt) > election.WithDrift(d.Settings.Fleet.Workers.Lease(), ZoneCutGrace)
 }
 
-// checkHeartbeatLoss gives the lease up when none of several machines has been
-// lastAnswerAt for so long that it must be this node that is cut off. Another node
+// CheckHeartbeatLoss gives the lease up when none of several machines has been
+// heard for so long that it must be this node that is cut off. Another node
 // may still reach them before their leases run out. This must not wait for
 // anything that the same cut may hold up, such as a call to the cloud.
-func (d *Detector) checkHeartbeatLoss(now units.Micros) {
+func (d *Detector) CheckHeartbeatLoss(now units.Micros) {
 	quiet := d.Settings.Fleet.Workers.Report().Share(3, 2) + heartbeatLossMargin
 	// Before the first report the workers have to find this node. Whom to
 	// expect, the records say.
@@ -140,9 +143,9 @@
 	}
 }
 
-// expireLeases gives up what silent machines held once their leases have run out.
-func (d *Detector) expireLeases(now units.Micros) {
-	lease := d.workerLease()
+// ExpireLeases gives up what silent machines held once their leases have run out.
+func (d *Detector) ExpireLeases(now units.Micros) {
+	lease := d.WorkerLease()
 	for _, m := range d.State.Machines {
 		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, d.ElectedAt) >= lease {
 			d.Log.Info("machine's lease ran out", "machine", m.ID, "lost", len(m.Attempts))
@@ -171,9 +174,11 @@
 	}
 }
 
-// workerLease is how long a machine may go on after its last answered report came
+// WorkerLease is how long a machine may go on after its last answered report came
 // in, by this node's clock.
-func (d *Detector) workerLease() units.Micros { return workerLeaseBound(d.Settings.Fleet.Workers) }
+func (d *Detector) WorkerLease() units.Micros {
+	return election.WorkerLeaseBound(d.Settings.Fleet.Workers)
+}
 
 // What the silence of machines is measured by. Reports come a quarter of their interval
 // early or late.
@@ -184,18 +189,18 @@
 	workerReturnTime        = 4 * units.Second         // for workers to find a new leader
 )
 
-// suspectAfter is how long a machine may be silent before it is thought to be
+// SuspectAfter is how long a machine may be silent before it is thought to be
 // in trouble: two reports and what a lost connection costs, or, where reports
 // come seldom, one report and what one costs that gets no answer (the worker
 // waits 4 s and turns to the next node a second later).
-func (d *Detector) suspectAfter() units.Micros {
+func (d *Detector) SuspectAfter() units.Micros {
 	report := d.Settings.Fleet.Workers.Report()
 	return min(report.Share(5, 2)+reconnectTime, report.Share(5, 4)+unansweredHeartbeatTime)
 }
 
 const (
 	minZoneCutMachines = 3                  // machines of a zone that fall silent together
-	zoneCutGrace       = 120 * units.Second // beyond the workers' lease, until they are given back
+	ZoneCutGrace       = 120 * units.Second // beyond the workers' lease, until they are given back
 )
 
 const (
--- a/internal/coordination/peers.go
+++ b/internal/peers/peers.go
@@ -1,4 +1,6 @@
-package coordination
+// Package peers keeps links to the other controllers: it forwards requests to the leader
+// among them and knows which of them answer.
+package peers
 
 import (
 	"context"
@@ -35,14 +37,14 @@
 
 const (
 	pingInterval         = units.Second
-	firstPingInterval    = 150 * units.Millisecond  // typesValidUntil a peer answers
+	firstPingInterval    = 150 * units.Millisecond  // until a peer answers
 	forwardTimeout       = 1700 * units.Millisecond // users wait 2 s for a poll
 	forwardSubmitTimeout = 200 * units.Millisecond  // then the node can still accept a job by itself
-	linkFreshness        = 3 * units.Second
+	LinkFreshness        = 3 * units.Second
 )
 
-// NewPeers makes the links to the other controllers.
-func NewPeers(dial transport.DialFunc, others []config.Peer, clock units.Clock, random *rand.Rand, log *slog.Logger) *Peers {
+// New makes the links to the other controllers.
+func New(dial transport.DialFunc, others []config.Peer, clock units.Clock, random *rand.Rand, log *slog.Logger) *Peers {
 	p := &Peers{clock: clock, links: map[string]*peerLink{}}
 	for _, o := range others {
 		l := &peerLink{pending: map[uint64]chan protocol.Frame{}}
@@ -113,7 +115,7 @@
 }
 
 func (p *Peers) fresh(l *peerLink) bool {
-	return l.link.Up() && p.clock.Steady()-units.Micros(l.lastAnswerAt.Load()) < linkFreshness
+	return l.link.Up() && p.clock.Steady()-units.Micros(l.lastAnswerAt.Load()) < LinkFreshness
 }
 
 // Leader names the peer that says it leads, "" if none does.
@@ -194,9 +196,9 @@
 	}
 }
 
-// answerFrame serves a peer's frame with the leader's own handlers. The answer to
+// AnswerFrame serves a peer's frame with the leader's own handlers. The answer to
 // a ping names this node if it leads.
-func answerFrame(ctx context.Context, data []byte, leading string, serve func(context.Context, protocol.Frame) transport.Response) ([]byte, error) {
+func AnswerFrame(ctx context.Context, data []byte, leading string, serve func(context.Context, protocol.Frame) transport.Response) ([]byte, error) {
 	f, err := protocol.DecodeFrame(data)
 	if err != nil {
 		return nil, err
--- /dev/null
+++ b/internal/persister/harness_test.go
@@ -0,0 +1,92 @@
+package persister
+
+import (
+	"io"
+	"log/slog"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"dunestand/internal/cluster"
+	"dunestand/internal/config"
+	"dunestand/internal/kv"
+	"dunestand/internal/loop"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
+)
+
+// persisterLimits are far away from what the tests write.
+var persisterLimits = config.State{RPS: 1e4, WriteRPS: 1e4, ValueKB: 8, TxnOps: 12}
+
+// newTestClient returns a client of a fake key-value store.
+func newTestClient(t *testing.T, server *standin.State, clock units.Clock) *kv.Client {
+	t.Helper()
+	listener := httptest.NewServer(server)
+	t.Cleanup(listener.Close)
+	return kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), persisterLimits, 0, clock)
+}
+
+// newTestPersister returns the persister of a leader that has restored nothing yet.
+func newTestPersister(client *kv.Client, clock units.Clock, token uint64, limits config.State) *Persister {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
+		Teams: []config.Team{{Name: "team", CPUs: 4, CPUsMax: 9}},
+		State: limits,
+	}}
+	state := cluster.NewState(settings.Fleet.Teams, limits)
+	leadership := &standin.Leadership{Number: token}
+	terminals := NewTerminalJobs(state, client)
+	writeSignal := loop.NewSignal()
+	return New(Deps{
+		State:      state,
+		Leadership: leadership,
+		Ingester: NewIngester(IngesterDeps{
+			State:       state,
+			Leadership:  leadership,
+			Terminals:   terminals,
+			Settings:    settings,
+			KV:          client,
+			Clock:       clock,
+			Log:         log,
+			WriteSignal: writeSignal,
+		}),
+		Terminals:   terminals,
+		OnCatalog:   func(map[string]uint64) {},
+		Settings:    settings,
+		KV:          client,
+		Format:      standin.NewRecordFormat(storage.FormatOld),
+		Clock:       clock,
+		Log:         log,
+		Tracer:      cluster.NewAttemptTracer(log),
+		Token:       token,
+		ElectedAt:   clock.Steady(),
+		WriteSignal: writeSignal,
+		CycleSignal: loop.NewSignal(),
+	})
+}
+
+// restoredPersister returns a persister that has restored what a fake store holds.
+func restoredPersister(t *testing.T, server *standin.State, token uint64) (*Persister, *standin.Clock) {
+	t.Helper()
+	clock := &standin.Clock{Now: units.Second}
+	p := newTestPersister(newTestClient(t, server, clock), clock, token, persisterLimits)
+	if !p.Restore(t.Context()) {
+		t.Fatal("not restored")
+	}
+	if !p.State.Restored {
+		t.Fatal("restored, and the state does not tell so")
+	}
+	select {
+	case <-p.Restored():
+	default:
+		t.Fatal("restored, and nobody who waits for it is woken")
+	}
+	return p, clock
+}
+
+// testSpec is a job of two tasks of a processor.
+func testSpec(id string) protocol.JobSpec {
+	return protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
+}
--- a/internal/coordination/ingest.go
+++ b/internal/persister/ingester.go
@@ -1,4 +1,4 @@
-package coordination
+package persister
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
@@ -24,7 +25,7 @@
 // IngesterDeps is what a Ingester works with.
 type IngesterDeps struct {
 	State       *cluster.State
-	Leadership  Leadership
+	Leadership  election.Leadership
 	Terminals   *TerminalJobs
 	Settings    *config.Settings
 	KV          *kv.Client
@@ -42,14 +43,14 @@
 	pendingUncleared atomic.Bool
 }
 
-func newIngester(deps IngesterDeps) *Ingester {
+func NewIngester(deps IngesterDeps) *Ingester {
 	return &Ingester{
 		IngesterDeps: deps,
 	}
 }
 
-// ingestLoop takes in what other controllers accepted.
-func (in *Ingester) ingestLoop(ctx context.Context) {
+// Run takes in what other controllers accepted.
+func (in *Ingester) Run(ctx context.Context) {
 	var watch pendingWatcher
 	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = ingestInterval {
 		if !in.Leadership.Valid() || !in.KV.HasRequestBudget() {
@@ -60,22 +61,22 @@
 			in.Log.Debug("inbox not read", "error", err)
 			continue
 		}
-		in.ingest(ctx, items)
+		in.Ingest(ctx, items)
 	}
 }
 
-// ingestOne takes a single job in, if it is in the inbox.
-func (in *Ingester) ingestOne(ctx context.Context, id string) error {
+// IngestOne takes a single job in, if it is in the inbox.
+func (in *Ingester) IngestOne(ctx context.Context, id string) error {
 	item, ok, err := in.KV.Get(ctx, storage.KeyPending(id), PendingTimeout)
 	if err == nil && ok {
-		return in.ingest(ctx, []protocol.Item{item})
+		return in.Ingest(ctx, []protocol.Item{item})
 	}
 	return err
 }
 
-// ingest adds jobs from the inbox to the ledger. One that is over has no more
+// Ingest adds jobs from the inbox to the ledger. One that is over has no more
 // use there: its user sent it again, and the leader was in reach then.
-func (in *Ingester) ingest(ctx context.Context, items []protocol.Item) (unreadable error) {
+func (in *Ingester) Ingest(ctx context.Context, items []protocol.Item) (unreadable error) {
 	var over protocol.Txn
 	in.State.Lock()
 	for _, item := range items {
@@ -85,7 +86,7 @@
 			unreadable = err
 			continue
 		}
-		if _, final := in.Terminals.terminalJobs.get(a.Spec.ID); !final {
+		if _, final := in.Terminals.Cached(a.Spec.ID); !final {
 			if in.State.Jobs[a.Spec.ID] == nil {
 				in.Log.Info("job taken in", "job", a.Spec.ID, "class", a.Spec.Class, "team", a.Spec.Team, "tasks", a.Spec.Tasks)
 			}
@@ -109,10 +110,3 @@
 	}
 	return unreadable
 }
-
-// isLive tells whether a job is live here.
-func (l *Leader) isLive(id string) bool {
-	l.state.Lock()
-	defer l.state.Unlock()
-	return l.state.Jobs[id] != nil
-}
--- a/internal/coordination/inboxwatch.go
+++ b/internal/persister/pendingwatcher.go
@@ -1,4 +1,4 @@
-package coordination
+package persister
 
 import (
 	"context"
@@ -38,7 +38,7 @@
 	return remainingItems(list.Changes), nil
 }
 
-// readRecords reads the whole inbox.
+// read reads the whole inbox.
 func (w *pendingWatcher) read(ctx context.Context, in *Ingester, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
 	items, revision, err := in.KV.ListAll(ctx, storage.PrefixPending)
--- a/internal/coordination/inboxwatch_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -1,4 +1,4 @@
-package coordination
+package persister
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 // arrives puts a job into the inbox, as another controller does.
 func arrives(t *testing.T, s *standin.State, id string) {
 	t.Helper()
-	if _, ok := s.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *modelSpec(id)})); !ok {
+	if _, ok := s.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: testSpec(id)})); !ok {
 		t.Fatalf("%s is not taken into the inbox", id)
 	}
 }
@@ -24,12 +24,11 @@
 // much of the leader's processor. Each job is read once, unless something went wrong.
 func TestPendingQueueIsReadByItsChanges(t *testing.T) {
 	s := standin.NewState()
-	term := storedLeader(t, 1, s)
-	clock := term.Clock.(*manualClock)
+	p, clock := restoredPersister(t, s, 1)
 	var watch pendingWatcher
 	expect := func(what string, want ...string) {
 		t.Helper()
-		items, err := watch.next(t.Context(), term.ingester)
+		items, err := watch.next(t.Context(), p.Ingester)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -51,15 +50,15 @@
 	expect("one came and went, one came", third)
 	s.Put("other/key", protocol.Encode("x"))
 	expect("a change elsewhere")
-	term.ingester.pendingUncleared.Store(true)
+	p.Ingester.pendingUncleared.Store(true)
 	expect("something was not cleared", first, third)
 	expect("and then no more")
-	clock.now += pendingResyncInterval
+	clock.Now += pendingResyncInterval
 	expect("once in a while", first, third)
 	ended, end := context.WithCancel(t.Context())
 	end()
 	arrives(t, s, "j-000004")
-	if items, err := watch.next(ended, term.ingester); err == nil {
+	if items, err := watch.next(ended, p.Ingester); err == nil {
 		t.Fatalf("without an answer: %v", items)
 	}
 	expect("after an outage", storage.KeyPending("j-000004"))
@@ -69,24 +68,21 @@
 // accepted it once more tells so.
 func TestPendingQueueOfFinishedJobsIsCleared(t *testing.T) {
 	s := standin.NewState()
-	term := storedLeader(t, 1, s)
-	if !term.persister.restore(t.Context()) {
-		t.Fatal("not restored")
-	}
+	p, clock := restoredPersister(t, s, 1)
 	over := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
 	arrives(t, s, "j-000001")
 	s.Put(storage.KeyTerminal("j-000001"), protocol.Encode(over))
 	var watch pendingWatcher
 	for range 2 {
-		items, err := watch.next(t.Context(), term.ingester)
+		items, err := watch.next(t.Context(), p.Ingester)
 		if err != nil {
 			t.Fatal(err)
 		}
-		term.ingester.ingest(t.Context(), items)
-		if save := term.persister.nextBatch(); save != nil {
-			term.persister.commitBatch(t.Context(), save)
+		p.Ingester.Ingest(t.Context(), items)
+		if save := p.nextBatch(); save != nil {
+			p.CommitBatch(t.Context(), save)
 		}
-		term.Clock.(*manualClock).now += units.Second
+		clock.Now += units.Second
 	}
 	if left := s.Keys(storage.PrefixPending); len(left) != 0 {
 		t.Errorf("left in the inbox: %v", left)
