--- a/internal/coordination/persistence.go
+++ b/internal/persister/persister.go
@@ -1,4 +1,6 @@
-package coordination
+// Package persister writes the leader's state to the key-value store in write batches, reads
+// it back after a failover, and ingests jobs that were accepted without a leader.
+package persister
 
 import (
 	"context"
@@ -11,8 +13,10 @@
 	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
+	"dunestand/internal/recordformat"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -27,17 +31,17 @@
 	RereadPlan(ctx context.Context)
 }
 
-// PersisterDeps is what a Persister works with.
-type PersisterDeps struct {
+// Deps is what a Persister works with.
+type Deps struct {
 	State       *cluster.State
-	Leadership  Leadership
+	Leadership  election.Leadership
 	Ingester    *Ingester
 	Terminals   *TerminalJobs
 	Admission   PlanConflicts
 	OnCatalog   func(versions map[string]uint64)
 	Settings    *config.Settings
 	KV          *kv.Client
-	Format      *FormatNegotiator
+	Format      recordformat.Source
 	Clock       units.Clock
 	Log         *slog.Logger
 	Tracer      cluster.AttemptTracer
@@ -51,7 +55,7 @@
 // failover. Only the leader's persister writes the records of jobs: every batch is
 // conditional on the heads of the jobs' buckets, which this leader has claimed.
 type Persister struct {
-	PersisterDeps
+	Deps
 	// onCatalog is told which records hold the stored catalog, under the lock of state.
 
 	restored chan struct{} // closed once the records are restored
@@ -62,21 +66,21 @@
 	bucketVersions []uint64 // of the buckets' heads, as this leader claimed them
 }
 
-func newPersister(deps PersisterDeps) *Persister {
+func New(deps Deps) *Persister {
 	return &Persister{
-		PersisterDeps:  deps,
+		Deps:           deps,
 		restored:       make(chan struct{}),
 		bucketVersions: make([]uint64, storage.Buckets),
 	}
 }
 
-func (p *Persister) nextWriteID() string {
+func (p *Persister) NextWriteID() string {
 	p.writes++
 	return fmt.Sprintf("%d-%d", p.Token, p.writes)
 }
 
 const (
-	maxWritesInFlight       = 3                       // writes on their way at a time
+	maxWritesInFlight       = 3                       // saves on their way at a time
 	coalesceBackground      = units.Second            // changes nobody waits for are gathered so long
 	coalesceUrgent          = 2 * units.Millisecond   // submissions that come together are saved together
 	backgroundWriteInterval = 200 * units.Millisecond // for the changes nobody waits for
@@ -88,8 +92,8 @@
 	writeBudgetRetry = 50 * units.Millisecond
 )
 
-// writeLoop writes changed records.
-func (p *Persister) writeLoop(ctx context.Context) {
+// Run writes changed records.
+func (p *Persister) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	tick := backgroundWriteInterval
@@ -116,7 +120,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				p.commitBatch(ctx, s)
+				p.CommitBatch(ctx, s)
 				p.State.Lock()
 				p.writesInFlight--
 				p.State.Unlock()
@@ -143,7 +147,7 @@
 	}
 	now := p.Clock.Steady()
 	p.State.UpgradeFormat(p.Format.Current(), now)
-	s := p.State.BuildWriteBatch(p.nextWriteID(), p.bucketVersions, cluster.BatchLimits{
+	s := p.State.BuildWriteBatch(p.NextWriteID(), p.bucketVersions, cluster.BatchLimits{
 		CoalesceFor: coalesceBackground,
 		Background:  p.KV.HasWriteBudget(),
 		MaxChanges:  max(p.minBatchChanges(), p.KV.WritesAvailable()),
@@ -160,13 +164,13 @@
 const (
 	commitBackoff    = 100 * units.Millisecond
 	maxCommitBackoff = 400 * units.Millisecond
-	readRetryDelay   = 200 * units.Millisecond
+	ReadRetryDelay   = 200 * units.Millisecond
 )
 
-// commitBatch carries a save through. A save without an answer may be carried out
+// CommitBatch carries a save through. A save without an answer may be carried out
 // at any later time, so the very same one is sent until its outcome is known:
 // its conditions see to it that it happens once.
-func (p *Persister) commitBatch(ctx context.Context, s *cluster.WriteBatch) {
+func (p *Persister) CommitBatch(ctx context.Context, s *cluster.WriteBatch) {
 	uncertain := false
 	began := p.Clock.Steady()
 	pacing := kv.Prepaid
@@ -178,7 +182,7 @@
 				p.Log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
 					"took_us", int64(p.Clock.Steady()-began))
 			}
-			p.batchCommitted(s, version)
+			p.BatchCommitted(s, version)
 			return
 		}
 		var conflict *kv.VersionConflictError
@@ -190,7 +194,7 @@
 					break
 				}
 				if ours {
-					p.batchCommitted(s, version)
+					p.BatchCommitted(s, version)
 					return
 				}
 			}
@@ -211,8 +215,8 @@
 	}
 }
 
-// rejectedRetryDelay spaces saves that the state service does not take.
-const rejectedRetryDelay = 400 * units.Millisecond
+// RejectedRetryDelay spaces saves that the state service does not take.
+const RejectedRetryDelay = 400 * units.Millisecond
 
 // batchRejected handles a save that the state service will not take as it is: it has
 // lower limits now. The save is built anew. But one that was sent before and got
@@ -221,7 +225,7 @@
 	for uncertain {
 		version, ours, err := p.probeOutcome(ctx, s)
 		if err == nil && ours {
-			p.batchCommitted(s, version)
+			p.BatchCommitted(s, version)
 			return
 		}
 		if err == nil {
@@ -230,7 +234,7 @@
 			p.Leadership.StepDown()
 			return
 		}
-		if !loop.Sleep(ctx, rejectedRetryDelay) {
+		if !loop.Sleep(ctx, RejectedRetryDelay) {
 			return
 		}
 	}
@@ -239,7 +243,7 @@
 	p.State.Unlock()
 	p.KV.ApplyNextLimits()
 	p.Log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
-	if !first && !loop.Sleep(ctx, rejectedRetryDelay) {
+	if !first && !loop.Sleep(ctx, RejectedRetryDelay) {
 		return
 	}
 	p.State.Lock()
@@ -259,11 +263,11 @@
 	return item.Version, save == s.ID, nil
 }
 
-func (p *Persister) batchCommitted(s *cluster.WriteBatch, version uint64) {
+func (p *Persister) BatchCommitted(s *cluster.WriteBatch, version uint64) {
 	p.State.Lock()
 	defer p.State.Unlock()
 	for id, f := range p.State.BatchCommitted(s, version) {
-		p.Terminals.terminalJobs.put(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
+		p.Terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
 		p.Log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
 	}
 	p.CycleSignal.Raise()
@@ -296,7 +300,7 @@
 				}
 				break
 			}
-			if !loop.Sleep(ctx, readRetryDelay) {
+			if !loop.Sleep(ctx, ReadRetryDelay) {
 				return
 			}
 		}
@@ -313,14 +317,14 @@
 	p.State.Lock()
 	defer p.State.Unlock()
 	for id, f := range over {
-		p.Terminals.terminalJobs.put(id, f)
+		p.Terminals.Remember(id, f)
 		p.State.DropUnaccepted(id)
 		p.Ingester.pendingUncleared.Store(true) // it may have come from there
 	}
 }
 
-// bucketVersion is the version of a bucket's head.
-func (p *Persister) bucketVersion(bucket int) uint64 {
+// BucketVersion is the version of a bucket's head.
+func (p *Persister) BucketVersion(bucket int) uint64 {
 	p.State.Lock()
 	defer p.State.Unlock()
 	return p.bucketVersions[bucket]
@@ -328,3 +332,7 @@
 
 // Restored returns a channel that is closed once the records are restored.
 func (p *Persister) Restored() <-chan struct{} { return p.restored }
+
+// BucketVersions returns the versions of all buckets' heads, as this leader claimed them. It
+// needs the lock of the state held; the slice is the persister's own.
+func (p *Persister) BucketVersions() []uint64 { return p.bucketVersions }
--- a/internal/coordination/restore.go
+++ b/internal/persister/restore.go
@@ -1,4 +1,4 @@
-package coordination
+package persister
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"dunestand/internal/units"
 )
 
-// restore claims the buckets and reads their jobs. It tells whether it could; if not, it
+// Restore claims the buckets and reads their jobs. It tells whether it could; if not, it
 // is to be tried again.
-func (p *Persister) restore(ctx context.Context) bool {
+func (p *Persister) Restore(ctx context.Context) bool {
 	if err := p.claimBuckets(ctx); err != nil {
 		p.Log.Info("buckets not claimed yet", "error", err)
 		return false
@@ -26,7 +26,7 @@
 		return false
 	}
 	if p.Format.TooNew() {
-		p.Leadership.Abstain(unreadableAbstention)
+		p.Leadership.Abstain(UnreadableAbstention)
 		return false
 	}
 	jobs, orphans, err := p.readJobs(ctx)
@@ -35,7 +35,7 @@
 		// version that reads it; if none is, nobody leads until an operator has
 		// looked.
 		p.Log.Error("records are not readable; nothing is placed, and this node stands back", "error", err)
-		p.Leadership.Abstain(unreadableAbstention)
+		p.Leadership.Abstain(UnreadableAbstention)
 		return false
 	}
 	if err != nil {
@@ -53,7 +53,7 @@
 	for _, id := range sorted.Keys(orphans) {
 		p.State.AddStaleRecords(id, orphans[id])
 	}
-	p.installRecords(jobs, catalog)
+	p.InstallRecords(jobs, catalog)
 	return true
 }
 
@@ -96,12 +96,12 @@
 	return catalog, stored, nil
 }
 
-// unreadableAbstention is for how long a node that could not read the records leaves the
+// UnreadableAbstention is for how long a node that could not read the records leaves the
 // lease to others.
-const unreadableAbstention = 30 * units.Second
+const UnreadableAbstention = 30 * units.Second
 
-// installRecords takes over what the records say.
-func (p *Persister) installRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
+// InstallRecords takes over what the records say.
+func (p *Persister) InstallRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
 	now := p.Clock.Steady()
 	p.State.SetInstanceTypes(catalog.Types)
 	p.State.UpgradeFormat(p.Format.Current(), now)
@@ -127,7 +127,7 @@
 	for _, i := range items {
 		byKey[i.Key] = i
 	}
-	save := p.nextWriteID()
+	save := p.NextWriteID()
 	var txn protocol.Txn
 	var claiming []int
 	for b := range storage.Buckets {
--- a/internal/coordination/finals.go
+++ b/internal/persister/terminal.go
@@ -1,4 +1,4 @@
-package coordination
+package persister
 
 import (
 	"context"
@@ -20,11 +20,11 @@
 	state *cluster.State
 	kv    *kv.Client
 
-	terminalJobs *terminalCache // guarded by the lock of state
+	cache *terminalCache // guarded by the lock of state
 }
 
-func newTerminalJobs(state *cluster.State, client *kv.Client) *TerminalJobs {
-	return &TerminalJobs{state: state, kv: client, terminalJobs: newTerminalCache(terminalCacheSize)}
+func NewTerminalJobs(state *cluster.State, client *kv.Client) *TerminalJobs {
+	return &TerminalJobs{state: state, kv: client, cache: newTerminalCache(terminalCacheSize)}
 }
 
 func (tj *TerminalJobs) readTerminal(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
@@ -77,10 +77,10 @@
 	return f, ok
 }
 
-// terminalJob finds the terminalJob state of a job that is not live.
-func (tj *TerminalJobs) terminalJob(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
+// TerminalJob finds the final state of a job that is not live.
+func (tj *TerminalJobs) TerminalJob(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
 	tj.state.Lock()
-	f, ok := tj.terminalJobs.get(id)
+	f, ok := tj.cache.get(id)
 	tj.state.Unlock()
 	if ok {
 		return f, true, nil
@@ -91,8 +91,19 @@
 	f, ok, err := tj.readTerminal(ctx, id)
 	if ok {
 		tj.state.Lock()
-		tj.terminalJobs.put(id, f)
+		tj.cache.put(id, f)
 		tj.state.Unlock()
 	}
 	return f, ok, err
 }
+
+// Cached returns the terminal state of a job if it is remembered. It needs the lock of the
+// state held.
+func (tj *TerminalJobs) Cached(id string) (storage.StoredTerminalRecord, bool) {
+	return tj.cache.get(id)
+}
+
+// Remember keeps the terminal state of a job. It needs the lock of the state held.
+func (tj *TerminalJobs) Remember(id string, record storage.StoredTerminalRecord) {
+	tj.cache.put(id, record)
+}
--- a/internal/coordination/transferstore.go
+++ b/internal/persister/transferstore.go
@@ -1,4 +1,4 @@
-package coordination
+package persister
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	head func(key string) (bucketKey string, version uint64)
 }
 
-// NewTransferStore returns the store of a leader. bucketVersion tells the version of a
+// NewTransferStore returns the store of a leader. BucketVersion tells the version of a
 // bucket's head as the leader claimed it.
 func NewTransferStore(client *kv.Client, bucketVersion func(bucket int) uint64) *TransferStore {
 	return &TransferStore{
--- a/internal/coordination/transferstore_test.go
+++ b/internal/persister/transferstore_test.go
@@ -1,4 +1,4 @@
-package coordination
+package persister
 
 import (
 	"context"
@@ -22,24 +22,18 @@
 // of that, and a save without an answer is found out about.
 func TestTransferRecordsAreFenced(t *testing.T) {
 	s := standin.NewState()
-	former := storedLeader(t, 1, s)
-	if !former.persister.restore(t.Context()) {
-		t.Fatal("not restored")
-	}
-	old := NewTransferStore(former.KV, former.persister.bucketVersion)
+	former, _ := restoredPersister(t, s, 1)
+	old := NewTransferStore(former.KV, former.BucketVersion)
 	intended, committed := transferRecord(federation.Intended), transferRecord(federation.Committed)
 	version, err := old.Save(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	term := storedLeader(t, 2, s)
-	if !term.persister.restore(t.Context()) {
-		t.Fatal("not restored")
-	}
+	leader, _ := restoredPersister(t, s, 2)
 	if _, err := old.Save(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrConflict) {
 		t.Fatalf("a former leader's save: %v", err)
 	}
-	store := NewTransferStore(term.KV, term.persister.bucketVersion)
+	store := NewTransferStore(leader.KV, leader.BucketVersion)
 	items, err := store.List(t.Context(), federation.PrefixOut)
 	if err != nil || len(items) != 1 || items[0].Version != version {
 		t.Fatalf("listed: %v, %v", items, err)
@@ -65,15 +59,12 @@
 // carried out.
 func TestTransferWriteOfUnknownOutcome(t *testing.T) {
 	s := standin.NewState()
-	term := storedLeader(t, 1, s)
-	if !term.persister.restore(t.Context()) {
-		t.Fatal("not restored")
-	}
+	leader, _ := restoredPersister(t, s, 1)
 	s.Silent = func(int) bool { return true }
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	record := transferRecord(federation.Intended)
-	if _, err := NewTransferStore(term.KV, term.persister.bucketVersion).Save(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrConflict) {
+	if _, err := NewTransferStore(leader.KV, leader.BucketVersion).Save(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrConflict) {
 		t.Errorf("the save: %v", err)
 	}
 	if len(s.Keys(federation.PrefixOut)) != 1 {
--- a/internal/coordination/announce.go
+++ b/internal/push/broadcaster.go
@@ -1,4 +1,4 @@
-package coordination
+package push
 
 import (
 	"context"
@@ -8,8 +8,10 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
+	"dunestand/internal/reconciler"
 	"dunestand/internal/sorted"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
@@ -18,8 +20,8 @@
 // TokenBroadcasterDeps is what a TokenBroadcaster works with.
 type TokenBroadcasterDeps struct {
 	State      *cluster.State
-	Leadership Leadership
-	Reconciler *Reconciler
+	Leadership election.Leadership
+	Reconciler *reconciler.Reconciler
 	Settings   *config.Settings
 	Clock      units.Clock
 	Log        *slog.Logger
@@ -33,7 +35,7 @@
 	TokenBroadcasterDeps
 }
 
-func newTokenBroadcaster(deps TokenBroadcasterDeps) *TokenBroadcaster {
+func NewTokenBroadcaster(deps TokenBroadcasterDeps) *TokenBroadcaster {
 	return &TokenBroadcaster{
 		TokenBroadcasterDeps: deps,
 	}
@@ -58,8 +60,8 @@
 	maxPushCallsLarge      = 64
 )
 
-// broadcastSlots is how many machines are told of the term at once.
-func broadcastSlots(unconfirmed, maxConnections int) int {
+// BroadcastSlots is how many machines are told of the term at once.
+func BroadcastSlots(unconfirmed, maxConnections int) int {
 	most := min(max(maxConnections/broadcastSocketShare, maxBroadcastCalls), maxBroadcastCallsLarge)
 	return min(max(unconfirmed/broadcastShare, minBroadcastCalls), most)
 }
@@ -72,10 +74,10 @@
 // otherSockets are for links, the state service and the cloud.
 const otherSockets = 24
 
-// reservedSockets are left for these and for direct commands of both sorts; the others are
+// ReservedSockets are left for these and for direct commands of both sorts; the others are
 // for users and workers.
-func reservedSockets(maxConnections int) int {
-	return otherSockets + broadcastSlots(math.MaxInt32, maxConnections) + pushSlots(maxConnections)
+func ReservedSockets(maxConnections int) int {
+	return otherSockets + BroadcastSlots(math.MaxInt32, maxConnections) + pushSlots(maxConnections)
 }
 
 // broadcastTimeouts is how long each try waits. In a large fleet hundreds may be
@@ -83,12 +85,12 @@
 // answer takes some milliseconds, so the first try is short.
 var broadcastTimeouts = []units.Micros{300 * units.Millisecond, 1500 * units.Millisecond}
 
-// broadcastLoop tells the machines that records name, and that have not reported
+// Run tells the machines that records name, and that have not reported
 // yet, which term it is: by an empty list of direct commands, which has no
 // effect at any later time but to show the worker our term. The answer is a
-// heartbeat that tells what the machine holds, and the worker looks for the new
-// leaderName at once instead of when its next report is due.
-func (b *TokenBroadcaster) broadcastLoop(ctx context.Context) {
+// report that tells what the machine holds, and the worker looks for the new
+// leader at once instead of when its next report is due.
+func (b *TokenBroadcaster) Run(ctx context.Context) {
 	caller := transport.NewCaller(b.Dial, protocol.MaxBody)
 	at := map[string]units.Micros{}
 	tries := map[string]int{}
@@ -103,7 +105,7 @@
 			return
 		}
 		now := b.Clock.Steady()
-		slots := make(chan struct{}, broadcastSlots(len(endpoints), b.Settings.Fleet.Resources.MaxConnections))
+		slots := make(chan struct{}, BroadcastSlots(len(endpoints), b.Settings.Fleet.Resources.MaxConnections))
 		for _, id := range sorted.Keys(endpoints) {
 			if tries[id] >= len(broadcastTimeouts) || tries[id] > 0 && now-at[id] < broadcastRetryDelay {
 				continue
@@ -158,20 +160,20 @@
 			return
 		}
 		if status == 200 {
-			b.broadcastAnswered(r)
+			b.Answered(r)
 			return
 		}
 		session = r.Incarnation
 	}
 }
 
-// broadcastAnswered takes in the report that a machine sent for direct commands. Only
+// Answered takes in the report that a machine sent for direct commands. Only
 // the first word of a machine may come this way: once it has reported by
 // itself, an answer may be on its way to it that this report does not show.
-func (b *TokenBroadcaster) broadcastAnswered(r *protocol.Heartbeat) {
+func (b *TokenBroadcaster) Answered(r *protocol.Heartbeat) {
 	b.State.Lock()
 	defer b.State.Unlock()
 	if m := b.State.Machines[r.Machine]; m != nil && !m.Registered && b.Leadership.Valid() {
-		b.Reconciler.reconcile(r, b.Clock.Steady())
+		b.Reconciler.Reconcile(r, b.Clock.Steady())
 	}
 }
--- a/internal/coordination/direct.go
+++ b/internal/push/pusher.go
@@ -1,4 +1,6 @@
-package coordination
+// Package push sends machines what cannot wait for their next heartbeat: commands, and a new
+// leader's fencing token.
+package push
 
 import (
 	"context"
@@ -7,6 +9,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/election"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/sorted"
@@ -17,7 +20,7 @@
 // CommandPusherDeps is what a CommandPusher works with.
 type CommandPusherDeps struct {
 	State      *cluster.State
-	Leadership Leadership
+	Leadership election.Leadership
 	Settings   *config.Settings
 	Log        *slog.Logger
 	Dial       transport.DialFunc
@@ -28,15 +31,17 @@
 type CommandPusher struct {
 	CommandPusherDeps
 
-	// pushRequests holds, by machine, what is to be pushed; guarded by the lock of state.
-	pushRequests map[string]*pushRequest
-	pushSignal   loop.Signal
+	// requests names the machines that are to be told something before their next
+	// heartbeat, each with a job of which a task waits to be started there, or nil. The
+	// lock of State guards it.
+	requests   map[string]*cluster.Job
+	pushSignal loop.Signal
 }
 
-func newCommandPusher(deps CommandPusherDeps) *CommandPusher {
+func NewCommandPusher(deps CommandPusherDeps) *CommandPusher {
 	return &CommandPusher{
 		CommandPusherDeps: deps,
-		pushRequests:      map[string]*pushRequest{},
+		requests:          map[string]*cluster.Job{},
 		pushSignal:        loop.NewSignal(),
 	}
 }
@@ -56,24 +61,31 @@
 	minPushLead = units.Second // a report that is due sooner is waited for
 )
 
-// requestPush notes that a machine is to be told something before its next report:
+// RequestPush notes that a machine is to be told something before its next report:
 // which tasks to stop, and, if a task of a job waits to be started there, to
 // report.
-func (p *CommandPusher) requestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
+func (p *CommandPusher) RequestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
 	if m.Endpoint == "" || m.LastHeartbeat+p.Settings.Fleet.Workers.Report()-now <= minPushLead {
 		return
 	}
-	if p.pushRequests[m.ID] == nil || starts != nil {
-		p.pushRequests[m.ID] = &pushRequest{starts}
+	if _, requested := p.requests[m.ID]; !requested || starts != nil {
+		p.requests[m.ID] = starts
 	}
 	p.pushSignal.Raise()
 }
 
-// pushRequest is why a machine is told something before its next report.
-type pushRequest struct{ startOf *cluster.Job }
+// TakeRequests returns the requests made since the last call, by machine: a job of which a
+// task waits to be started there, or nil.
+func (p *CommandPusher) TakeRequests() map[string]*cluster.Job {
+	p.State.Lock()
+	defer p.State.Unlock()
+	requests := p.requests
+	p.requests = map[string]*cluster.Job{}
+	return requests
+}
 
-// pushLoop tells machines what cannot wait.
-func (p *CommandPusher) pushLoop(ctx context.Context) {
+// Run tells machines what cannot wait.
+func (p *CommandPusher) Run(ctx context.Context) {
 	caller := transport.NewCaller(p.Dial, protocol.MaxBody)
 	slots := make(chan struct{}, pushSlots(p.Settings.Fleet.Resources.MaxConnections))
 	var wg sync.WaitGroup
@@ -84,10 +96,7 @@
 			return
 		case <-p.pushSignal:
 		}
-		p.State.Lock()
-		machines := p.pushRequests
-		p.pushRequests = map[string]*pushRequest{}
-		p.State.Unlock()
+		machines := p.TakeRequests()
 		for _, id := range sorted.Keys(machines) {
 			select {
 			case slots <- struct{}{}:
@@ -98,7 +107,7 @@
 			go func() {
 				defer wg.Done()
 				defer func() { <-slots }()
-				endpoint, body := p.pushCommands(id, machines[id].startOf)
+				endpoint, body := p.Commands(id, machines[id])
 				if body == nil {
 					return
 				}
@@ -110,9 +119,9 @@
 	}
 }
 
-// pushCommands gives the commands for a machine that cannot wait, and where to send
+// Commands gives the commands for a machine that cannot wait, and where to send
 // them.
-func (p *CommandPusher) pushCommands(id string, starts *cluster.Job) (endpoint string, body []byte) {
+func (p *CommandPusher) Commands(id string, starts *cluster.Job) (endpoint string, body []byte) {
 	p.State.Lock()
 	defer p.State.Unlock()
 	m := p.State.Machines[id]
--- a/internal/coordination/commands.go
+++ b/internal/reconciler/commands.go
@@ -1,4 +1,4 @@
-package coordination
+package reconciler
 
 import (
 	"sort"
@@ -15,9 +15,9 @@
 	}
 }
 
-// unwrittenStart gives a channel to wait on when some start for the machine lacks
+// UnwrittenStart gives a channel to wait on when some start for the machine lacks
 // the save that must come first.
-func (rc *Reconciler) unwrittenStart(m *cluster.Machine) <-chan struct{} {
+func (rc *Reconciler) UnwrittenStart(m *cluster.Machine) <-chan struct{} {
 	if m.FencingToken != rc.Token {
 		return nil
 	}
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// commands works out what the machine is to do: what is wanted of it minus
+// Commands works out what the machine is to do: what is wanted of it minus
 // what its report shows.
-func (rc *Reconciler) commands(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) []protocol.Command {
+func (rc *Reconciler) Commands(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) []protocol.Command {
 	out := []protocol.Command{}
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
@@ -72,7 +72,7 @@
 	switch {
 	case task.Stage == protocol.TaskExited:
 		// A completion that is not durable stays with the worker: a later
-		// leaderName must be able to learn of it.
+		// leader must be able to learn of it.
 		j := rc.State.Jobs[task.Job]
 		forget := j == nil || j.Cancelled || j.IsService() || task.Cause != protocol.CauseDone || j.DoneIsDurable(task.Index)
 		return protocol.Command{Verb: protocol.VerbForget}, forget
--- a/internal/coordination/report.go
+++ b/internal/reconciler/reconciler.go
@@ -1,18 +1,21 @@
-package coordination
+// Package reconciler compares machines' heartbeats with the leader's state and works out the
+// commands that each machine needs.
+package reconciler
 
 import (
 	"log/slog"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/failuredetector"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// ReconcilerDeps is what a Reconciler works with.
-type ReconcilerDeps struct {
+// Deps is what a Reconciler works with.
+type Deps struct {
 	State       *cluster.State
-	Detector    *Detector
+	Detector    *failuredetector.Detector
 	Log         *slog.Logger
 	Tracer      cluster.AttemptTracer
 	Token       uint64
@@ -24,12 +27,12 @@
 // state, and works out the commands that a machine still needs. Its methods need the lock
 // of state held.
 type Reconciler struct {
-	ReconcilerDeps
+	Deps
 }
 
-func newReconciler(deps ReconcilerDeps) *Reconciler {
+func New(deps Deps) *Reconciler {
 	return &Reconciler{
-		ReconcilerDeps: deps,
+		Deps: deps,
 	}
 }
 
@@ -40,10 +43,10 @@
 	return r.Incarnation > session || r.Incarnation == session && r.Sequence > seq
 }
 
-// reconcile works out the difference between what a machine reports and what
+// Reconcile works out the difference between what a machine reports and what
 // the ledger says of it. Old reports, and those of machines that were
 // released, have no effect and give nil.
-func (rc *Reconciler) reconcile(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
+func (rc *Reconciler) Reconcile(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
 	if rc.State.Released.Has(r.Machine) {
 		return nil
 	}
@@ -118,7 +121,7 @@
 // or none. A machine that was told nothing shows it by its session: without an
 // answer within its lease it would have begun another one.
 func (rc *Reconciler) checkDelivery(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
-	if m.UndeliveredCommands > 0 && r.Incarnation == m.Incarnation && now-m.UndeliveredAt > rc.Detector.workerLease() {
+	if m.UndeliveredCommands > 0 && r.Incarnation == m.Incarnation && now-m.UndeliveredAt > rc.Detector.WorkerLease() {
 		rc.Log.Info("machine hears again", "machine", m.ID)
 		m.UndeliveredCommands = 0
 	}
--- a/internal/coordination/round.go
+++ b/internal/scheduler/cycle.go
@@ -1,4 +1,7 @@
-package coordination
+// Package scheduler decides which tasks start on which machines. A scheduling cycle takes a
+// snapshot of the state, plans on it as a pure function (order of jobs, bin packing,
+// reservations, preemption), and applies the outcome to the state.
+package scheduler
 
 import (
 	"log/slog"
@@ -6,21 +9,24 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/failuredetector"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
+	"dunestand/internal/push"
+	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
 )
 
-// SchedulerDeps is what a Scheduler works with.
-type SchedulerDeps struct {
+// Deps is what a Scheduler works with.
+type Deps struct {
 	State       *cluster.State
-	Detector    *Detector
-	Pusher      *CommandPusher
+	Detector    *failuredetector.Detector
+	Pusher      *push.CommandPusher
 	Settings    *config.Settings
 	Policy      *config.Policy
 	Clock       units.Clock
 	Log         *slog.Logger
-	Metrics     *Metrics
+	Metrics     *telemetry.Metrics
 	Tracer      cluster.AttemptTracer
 	Token       uint64
 	WriteSignal loop.Signal
@@ -30,10 +36,10 @@
 // and applies the outcome to the state. Its fields are guarded by the lock of state, and
 // its methods need that lock held.
 type Scheduler struct {
-	SchedulerDeps
+	Deps
 
 	lastCycle units.Micros
-	cycleCost units.Micros // moving mean
+	CycleCost units.Micros // moving mean
 	queue     []queuedJob  // waiting jobs as the last cycle saw them
 	// reservations holds the machines whose free room the last cycle keeps together, and
 	// for which job.
@@ -43,31 +49,31 @@
 	headroom              map[*cluster.Machine]units.Resources // free room that the last cycle kept for replicas
 }
 
-func newScheduler(deps SchedulerDeps) *Scheduler {
+func New(deps Deps) *Scheduler {
 	return &Scheduler{
-		SchedulerDeps: deps,
-		reservations:  map[*cluster.Machine]*cluster.Job{},
-		headroom:      map[*cluster.Machine]units.Resources{},
+		Deps:         deps,
+		reservations: map[*cluster.Machine]*cluster.Job{},
+		headroom:     map[*cluster.Machine]units.Resources{},
 	}
 }
 
 const (
-	minCycleInterval   = 25 * units.Millisecond // the least time between rounds
+	MinCycleInterval   = 25 * units.Millisecond // the least time between rounds
 	cycleCostFactor    = 8                      // a round's cost, this many times over, until the next
-	minCyclePlacements = 48                     // startOf in a round while little waits
+	minCyclePlacements = 48                     // starts in a round while little waits
 	maxCyclePlacements = 512
 )
 
-// cycleDue spaces rounds by what they cost, so that under load they come less
+// CycleDue spaces rounds by what they cost, so that under load they come less
 // often and decide more each.
-func (sc *Scheduler) cycleDue(now units.Micros) bool {
-	return now-sc.lastCycle >= max(minCycleInterval, min(sc.cycleCost*cycleCostFactor, units.Second))
+func (sc *Scheduler) CycleDue(now units.Micros) bool {
+	return now-sc.lastCycle >= max(MinCycleInterval, min(sc.CycleCost*cycleCostFactor, units.Second))
 }
 
-// runCycle plans on a snapshot and takes the outcome over into the ledger.
-func (sc *Scheduler) runCycle(now units.Micros, answering *cluster.Machine) {
+// RunCycle plans on a snapshot and takes the outcome over into the ledger.
+func (sc *Scheduler) RunCycle(now units.Micros, answering *cluster.Machine) {
 	began := sc.Clock.Steady()
-	s, refs := sc.snapshot(now, answering)
+	s, refs := sc.TakeSnapshot(now, answering)
 	wanted := Plan(&s)
 	sc.allMachinesConsidered = !wanted.Truncated
 	clear(sc.reservations)
@@ -76,16 +82,16 @@
 	}
 	sc.apply(wanted, refs, now)
 	sc.lastCycle = sc.Clock.Steady()
-	sc.cycleCost = (7*sc.cycleCost + (sc.lastCycle - began)) / 8
+	sc.CycleCost = (7*sc.CycleCost + (sc.lastCycle - began)) / 8
 }
 
-// placeOnMachine plans for one machine between two rounds, in the order of the last one.
+// PlaceOnMachine plans for one machine between two rounds, in the order of the last one.
 // Every other machine with room was offered then, or when it reported itself,
 // so that this one is the companion whatever image it holds. It costs little
 // next to a round: a machine that reports the end of a task has the next one
 // in the answer, however large the fleet is.
-func (sc *Scheduler) placeOnMachine(m *cluster.Machine, now units.Micros) {
-	if !sc.allMachinesConsidered || len(sc.queue) == 0 || m.Free().CPU <= 0 || !sc.machineSchedulable(m, now) {
+func (sc *Scheduler) PlaceOnMachine(m *cluster.Machine, now units.Micros) {
+	if !sc.allMachinesConsidered || len(sc.queue) == 0 || m.Free().CPU <= 0 || !sc.MachineSchedulable(m, now) {
 		return
 	}
 	s := Snapshot{MaxPlacements: maxCyclePlacements, Partial: true}
@@ -154,19 +160,19 @@
 				break
 			}
 			sc.Tracer.Trace("task placed", a)
-			sc.Metrics.placed(now - j.LearnedAt)
+			sc.Metrics.Placed(now - j.LearnedAt)
 		}
 		if !j.MachineIsDurable(m.ID) {
 			sc.WriteSignal.Raise()
 		}
 		if j.IsService() {
-			sc.Pusher.requestPush(m, j, now)
+			sc.Pusher.RequestPush(m, j, now)
 		}
 	}
 	for _, p := range wanted.Preemptions {
 		a := refs.victims[p.Victim]
 		sc.State.StopAttempt(a, a.Job.Spec.CheckpointDuration+checkpointMargin)
-		sc.Pusher.requestPush(a.Machine, nil, now)
+		sc.Pusher.RequestPush(a.Machine, nil, now)
 		sc.Log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
 			"class", a.Job.Spec.Class, "for", refs.jobs[p.Job].Spec.ID, "for_class", refs.jobs[p.Job].Spec.Class)
 	}
--- a/internal/coordination/drain.go
+++ b/internal/scheduler/eviction.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"dunestand/internal/cluster"
@@ -26,7 +26,7 @@
 			// A replica begins elsewhere once this one is gone: the sooner the better.
 		case run < left && run > 0: // it will be done in time
 			continue
-		case a.Job.Spec.CheckpointInterval > 0 && left > a.Job.Spec.CheckpointDuration+3*report: // writesInFlight can wait
+		case a.Job.Spec.CheckpointInterval > 0 && left > a.Job.Spec.CheckpointDuration+3*report: // saving can wait
 			continue
 		}
 		sc.State.StopAttempt(a, a.Job.Spec.CheckpointDuration+units.Second)
--- a/internal/coordination/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"cmp"
@@ -100,9 +100,9 @@
 	return 1
 }
 
-// headroomReplica gives the urgent service whose replicas take most, nil if there is
+// HeadroomReplica gives the urgent service whose replicas take most, nil if there is
 // none.
-func (sc *Scheduler) headroomReplica() *protocol.JobSpec {
+func (sc *Scheduler) HeadroomReplica() *protocol.JobSpec {
 	var like *protocol.JobSpec
 	for _, j := range sc.State.Jobs {
 		s := &j.Spec
@@ -114,10 +114,10 @@
 	return like
 }
 
-// headroomReplicaCount is how many replicas more than there are the fleet is to have room
+// HeadroomReplicaCount is how many replicas more than there are the fleet is to have room
 // for: enough in each zone for a new service, and for the loss of some machines
 // together, since renting others takes a boot.
-func (sc *Scheduler) headroomReplicaCount(like *protocol.JobSpec) int {
+func (sc *Scheduler) HeadroomReplicaCount(like *protocol.JobSpec) int {
 	var used units.Amount
 	for _, j := range sc.State.Jobs {
 		if j.IsService() && !j.Cancelled {
@@ -133,7 +133,7 @@
 
 // updateHeadroom notes on the machines of a snapshot what room is kept on them.
 func (sc *Scheduler) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
-	like := sc.headroomReplica()
+	like := sc.HeadroomReplica()
 	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return sc.headroom[machines[k]] != units.Resources{} })
 	clear(sc.headroom)
 	for _, k := range kept {
--- a/internal/coordination/plan.go
+++ b/internal/scheduler/planner.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"cmp"
@@ -95,7 +95,7 @@
 	snapshot             *Snapshot
 	decisions            Decisions
 	placementsLeft       int
-	preempted            map[int]bool      // preemptionVictims chosen
+	preempted            map[int]bool      // victims chosen
 	usageAfterPreemption []units.Resources // what each team has left once its victims are gone
 
 	candidates       []candidate
--- a/internal/coordination/plan_test.go
+++ b/internal/scheduler/planner_test.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"fmt"
@@ -8,22 +8,19 @@
 	"pgregory.net/rapid"
 
 	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
 	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
 
-func cpus(n int) units.Resources {
-	return units.Resources{CPU: units.Amount(n) * 1_000_000, Memory: units.Amount(n) * 1_000_000}
-}
-
 func drawSnapshot(t *rapid.T) Snapshot {
 	s := Snapshot{MaxPlacements: rapid.IntRange(1, 60).Draw(t, "batch")}
 	teams := rapid.IntRange(1, 3).Draw(t, "teams")
 	for range teams {
 		g := rapid.IntRange(0, 20).Draw(t, "guarantee")
 		s.Teams = append(s.Teams, TeamView{
-			GuaranteedQuota: cpus(g),
-			QuotaLimit:      cpus(g + rapid.IntRange(0, 30).Draw(t, "beyond")),
+			GuaranteedQuota: standin.CPUs(g),
+			QuotaLimit:      standin.CPUs(g + rapid.IntRange(0, 30).Draw(t, "beyond")),
 		})
 	}
 	ref := 0
@@ -34,8 +31,8 @@
 			Spot:         rapid.Bool().Draw(t, "spot"),
 			Schedulable:  rapid.Bool().Draw(t, "accepts"),
 			Slow:         i == 3,
-			Free:         cpus(rapid.IntRange(0, 16).Draw(t, "free")),
-			Freeing:      cpus(rapid.IntRange(0, 4).Draw(t, "freeing")),
+			Free:         standin.CPUs(rapid.IntRange(0, 16).Draw(t, "free")),
+			Freeing:      standin.CPUs(rapid.IntRange(0, 4).Draw(t, "freeing")),
 		}
 		image := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image")
 		m.HasImage = func(name string) bool { return name == image }
@@ -43,7 +40,7 @@
 		for range rapid.IntRange(0, 4).Draw(t, "victims") {
 			v := Victim{Ref: ref, Team: rapid.IntRange(0, teams-1).Draw(t, "victim team"),
 				Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "victim priority")),
-				Request:  cpus(rapid.IntRange(1, 4).Draw(t, "victim need"))}
+				Request:  standin.CPUs(rapid.IntRange(1, 4).Draw(t, "victim need"))}
 			v.Job = &JobView{
 				Spec:            &protocol.JobSpec{ID: fmt.Sprintf("j-9%05d", ref), Priority: v.Priority},
 				Team:            v.Team,
@@ -63,7 +60,7 @@
 		spec := &protocol.JobSpec{
 			ID:            fmt.Sprintf("j-%06d", i),
 			Tasks:         n,
-			Request:       cpus(rapid.IntRange(1, 5).Draw(t, "need")),
+			Request:       standin.CPUs(rapid.IntRange(1, 5).Draw(t, "need")),
 			Priority:      protocol.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 			AllowSpot:     rapid.Bool().Draw(t, "may spot"),
 			Image:         "x",
@@ -135,7 +132,7 @@
 		}
 		for i, u := range used {
 			// What a team used before is not the plan's doing.
-			if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).Fits(cpus(0)) == 0 {
+			if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).Fits(standin.CPUs(0)) == 0 {
 				t.Fatalf("team %d uses %v of %v", i, u, before.Teams[i].QuotaLimit)
 			}
 		}
@@ -213,13 +210,13 @@
 	holds := func(yes bool) func(string) bool { return func(string) bool { return yes } }
 	s := Snapshot{
 		MaxPlacements: 10,
-		Teams:         []TeamView{{QuotaLimit: cpus(100)}},
+		Teams:         []TeamView{{QuotaLimit: standin.CPUs(100)}},
 		Machines: []MachineView{
-			{Schedulable: true, Free: cpus(16), HasImage: holds(false)},
-			{Schedulable: true, Free: cpus(2), HasImage: holds(true)},
+			{Schedulable: true, Free: standin.CPUs(16), HasImage: holds(false)},
+			{Schedulable: true, Free: standin.CPUs(2), HasImage: holds(true)},
 		},
 		Jobs: []JobView{{
-			Spec:       &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: cpus(1)},
+			Spec:       &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: standin.CPUs(1)},
 			Pending:    3,
 			LiveByZone: map[string]int{},
 			Avoid:      func(string) bool { return false },
@@ -235,18 +232,18 @@
 // A task that needs two processors never finds them where tasks of one end one
 // by one, unless the room is kept together for it.
 func TestMachinesAreReservedForStarvedJobs(t *testing.T) {
-	s := Snapshot{MaxPlacements: 10, Teams: []TeamView{{QuotaLimit: cpus(100)}}}
+	s := Snapshot{MaxPlacements: 10, Teams: []TeamView{{QuotaLimit: standin.CPUs(100)}}}
 	for range 2 {
 		s.Machines = append(s.Machines, MachineView{
 			Schedulable: true,
-			Capacity:    cpus(4),
-			Free:        cpus(1),
+			Capacity:    standin.CPUs(4),
+			Free:        standin.CPUs(1),
 			HasImage:    func(string) bool { return false },
 		})
 	}
 	job := func(id string, need int, overdue bool) JobView {
 		return JobView{
-			Spec:    &protocol.JobSpec{ID: id, Tasks: 5, Request: cpus(need)},
+			Spec:    &protocol.JobSpec{ID: id, Tasks: 5, Request: standin.CPUs(need)},
 			Pending: 5,
 			Starved: overdue,
 			Avoid:   func(string) bool { return false },
@@ -270,18 +267,18 @@
 			InstanceType:           "m",
 			Zone:                   "a",
 			Schedulable:            true,
-			Capacity:               cpus(32),
-			Free:                   cpus(free),
+			Capacity:               standin.CPUs(32),
+			Free:                   standin.CPUs(free),
 			HalfSecondsToHeartbeat: reports,
 			HasImage:               func(string) bool { return image },
 		}
 	}
 	s := Snapshot{
 		MaxPlacements: 10,
-		Teams:         []TeamView{{GuaranteedQuota: cpus(100), QuotaLimit: cpus(100)}},
+		Teams:         []TeamView{{GuaranteedQuota: standin.CPUs(100), QuotaLimit: standin.CPUs(100)}},
 		Machines:      []MachineView{machine("now", false, 32, 0), machine("late", true, 32, 9), machine("soon", true, 4, 1)},
 		Jobs: []JobView{{
-			Spec:    modelSpec("j-000001"),
+			Spec:    arraySpec("j-000001"),
 			Pending: 2,
 			Avoid:   func(string) bool { return false },
 		}},
--- a/internal/coordination/preempt.go
+++ b/internal/scheduler/preemption.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"cmp"
@@ -127,7 +127,7 @@
 }
 
 // preemptVictim chooses a victim. It counts against its team's limit and on its machine
-// typesValidUntil it is gone.
+// until it is gone.
 func (p *planner) preemptVictim(m *MachineView, v Victim, i int) {
 	p.preempted[v.Ref] = true
 	p.decisions.Preemptions = append(p.decisions.Preemptions, Preemption{Victim: v.Ref, Job: i})
--- a/internal/coordination/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"slices"
@@ -47,10 +47,10 @@
 	return teams
 }
 
-// machineSchedulable tells whether a machine may be given work.
-func (sc *Scheduler) machineSchedulable(m *cluster.Machine, now units.Micros) bool {
+// MachineSchedulable tells whether a machine may be given work.
+func (sc *Scheduler) MachineSchedulable(m *cluster.Machine, now units.Micros) bool {
 	return m.Registered && m.FencingToken == sc.Token && !m.IgnoresCommands() && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
-		now >= m.BlockedUntil && now-m.LastHeartbeat < sc.Detector.suspectAfter()
+		now >= m.BlockedUntil && now-m.LastHeartbeat < sc.Detector.SuspectAfter()
 }
 
 // starvationAge is how long a job may wait for its first task until that goes
@@ -96,7 +96,7 @@
 		Zone:                   m.Zone,
 		Spot:                   m.Spot,
 		Slow:                   m.Slow,
-		Schedulable:            sc.machineSchedulable(m, now),
+		Schedulable:            sc.MachineSchedulable(m, now),
 		FetchRate:              units.AmountOf(sc.State.InstanceTypes[m.InstanceType].FetchRate),
 		Capacity:               m.Capacity,
 		Free:                   m.Free(),
@@ -124,9 +124,9 @@
 // jobViews are all jobs of known teams as a round sees them, whether they wait or not.
 type jobViews map[*cluster.Job]*JobView
 
-// snapshot takes down what a round decides on. answering is the machine whose report is
+// TakeSnapshot takes down what a round decides on. answering is the machine whose report is
 // being answered, nil if none is.
-func (sc *Scheduler) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
+func (sc *Scheduler) TakeSnapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
 	var s Snapshot
 	refs := new(snapshotIndex)
 	sc.State.Completions.Advance(now)
--- a/internal/coordination/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,4 +1,5 @@
-package coordination
+// Package telemetry holds the metrics of one controller.
+package telemetry
 
 import (
 	"bytes"
@@ -18,8 +19,8 @@
 	writers   []func(io.Writer)
 }
 
-// addWriter adds lines whose labels are known only when they are asked for.
-func (m *Metrics) addWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
+// AddWriter adds lines whose labels are known only when they are asked for.
+func (m *Metrics) AddWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
 
 // NewMetrics makes the metrics of one node.
 func NewMetrics() *Metrics {
@@ -31,16 +32,16 @@
 	}
 }
 
-// admissionWaited notes how long a job waited until it was admitted.
-func (m *Metrics) admissionWaited(wait units.Micros) { m.admission.Update(wait.Seconds()) }
+// AdmissionWaited notes how long a job waited until it was admitted.
+func (m *Metrics) AdmissionWaited(wait units.Micros) { m.admission.Update(wait.Seconds()) }
 
-func (m *Metrics) placed(delay units.Micros) { m.placement.Update(delay.Seconds()) }
+func (m *Metrics) Placed(delay units.Micros) { m.placement.Update(delay.Seconds()) }
 
 // Gauge adds a value that is worked out when it is asked for.
 func (m *Metrics) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
-// addRuntime adds the runtime's own figures.
-func (m *Metrics) addRuntime() {
+// AddRuntime adds the runtime's own figures.
+func (m *Metrics) AddRuntime() {
 	gauges := []struct {
 		name  string
 		value func(runtimestats.Snapshot) float64
--- a/node/day_test.go
+++ b/node/day_test.go
@@ -38,7 +38,7 @@
 	began    time.Time
 
 	mu        sync.Mutex
-	nodes     []*controller
+	nodes     []*dayController
 	machines  []*standin.Machine
 	stateDown bool
 	stateSlow time.Duration
@@ -54,8 +54,8 @@
 	checker *admissioncheck.Checker       // nil: nobody checks how jobs are admitted
 }
 
-// controller is one node and what keeps it from the others.
-type controller struct {
+// dayController is one node and what keeps it from the others.
+type dayController struct {
 	name    string
 	stop    context.CancelFunc
 	ended   chan struct{}
@@ -198,7 +198,7 @@
 		cloud.ServeHTTP(w, r)
 	}))
 	for i := range p.nodes {
-		d.nodes = append(d.nodes, &controller{name: fmt.Sprintf("n-%d", i)})
+		d.nodes = append(d.nodes, &dayController{name: fmt.Sprintf("n-%d", i)})
 		d.serve(d.nodes[i].name+portState, d.stateFor(i))
 	}
 	return d
--- a/node/node.go
+++ b/node/node.go
@@ -13,7 +13,7 @@
 
 	"dunestand/internal/admission"
 	"dunestand/internal/config"
-	"dunestand/internal/coordination"
+	"dunestand/internal/controller"
 	"dunestand/internal/units"
 )
 
@@ -104,7 +104,7 @@
 	}
 	defer mesh.Close()
 	d.Log.Info("node starts", "node", s.Node, "zone", s.Zone, "clients", s.ClientListen, "mesh", s.MeshListen)
-	return coordination.NewController(s, coordination.Environment{
+	return controller.NewController(s, controller.Environment{
 		Policy: d.Policy,
 		Clock:  d.Clock,
 		Random: d.Random,
