--- a/internal/cluster/memory.go
+++ b/internal/cluster/memory.go
@@ -16,4 +16,4 @@
 }
 
 // Memory is what all live jobs are reckoned to take, in bytes.
-func (l *State) Memory() int64 { return l.memory }
+func (s *State) Memory() int64 { return s.memory }
--- a/internal/cluster/outcomes.go
+++ b/internal/cluster/outcomes.go
@@ -9,14 +9,14 @@
 // What the ends of attempts teach about jobs, classes and machines.
 
 // TaskDone notes that a task has completed.
-func (l *State) TaskDone(j *Job, i int, now units.Micros) {
+func (s *State) TaskDone(j *Job, i int, now units.Micros) {
 	if j.markDone(i) {
 		j.MarkChanged(now, j.Complete())
 	}
 }
 
 // AttemptCompleted learns from an attempt that has completed.
-func (l *State) AttemptCompleted(a *Attempt, now units.Micros) {
+func (s *State) AttemptCompleted(a *Attempt, now units.Micros) {
 	j, m := a.Job, a.Machine
 	clear(m.failedJobs)
 	j.ConsecutiveErrors, j.Succeeded = 0, true
@@ -24,8 +24,8 @@
 		return
 	}
 	run := now - a.RunningSince
-	if l.OnRunObserved != nil {
-		l.OnRunObserved(j, run)
+	if s.OnRunObserved != nil {
+		s.OnRunObserved(j, run)
 	}
 	if mean := j.MeanRuntime(); mean > 0 && j.observedRuns >= 3 && mean > 2*units.Second {
 		// Background of one job differ by much, so it takes several, on a scale on
@@ -41,20 +41,20 @@
 	}
 	if e := j.Spec.Estimate; e > 0 {
 		ratio := max(0.1, min(run.Seconds()/e.Seconds(), 10))
-		old, ok := l.runtimeRatios[j.Spec.Class]
+		old, ok := s.runtimeRatios[j.Spec.Class]
 		if !ok {
 			old = 1
 		}
-		l.runtimeRatios[j.Spec.Class] = 0.95*old + 0.05*ratio
+		s.runtimeRatios[j.Spec.Class] = 0.95*old + 0.05*ratio
 	}
 }
 
 // EstimateRuntime is how long a task of the job is thought to run.
-func (l *State) EstimateRuntime(j *Job) units.Micros {
+func (s *State) EstimateRuntime(j *Job) units.Micros {
 	if mean := j.MeanRuntime(); mean > 0 {
 		return mean
 	}
-	ratio, ok := l.runtimeRatios[j.Spec.Class]
+	ratio, ok := s.runtimeRatios[j.Spec.Class]
 	if !ok {
 		ratio = 1
 	}
@@ -75,7 +75,7 @@
 // AttemptFailed learns from an attempt that ended in an error. A job that never
 // succeeded anywhere and fails on several machines was submitted with a
 // mistake: it is retried ever more slowly and no machine is blamed for it.
-func (l *State) AttemptFailed(a *Attempt, now units.Micros) {
+func (s *State) AttemptFailed(a *Attempt, now units.Micros) {
 	j, m := a.Job, a.Machine
 	j.ConsecutiveErrors++
 	j.FailedMachines[m.ID] = true
@@ -83,7 +83,7 @@
 	if suspect {
 		shift := min(len(j.FailedMachines)+j.ConsecutiveErrors/4, 8)
 		j.RetryAt = now + min(errorBackoff<<shift, maxErrorBackoff)
-		for _, other := range l.Machines {
+		for _, other := range s.Machines {
 			delete(other.failedJobs, j.Spec.ID)
 		}
 		return
@@ -99,7 +99,7 @@
 const steadyRuntime = 20 * units.Second
 
 // ReplicaSteady learns from a replica that runs.
-func (l *State) ReplicaSteady(a *Attempt, now units.Micros) {
+func (s *State) ReplicaSteady(a *Attempt, now units.Micros) {
 	if a.RunningSince == 0 || now-a.RunningSince < steadyRuntime {
 		return
 	}
@@ -114,14 +114,14 @@
 
 // ReplicaEnded learns from a replica that ended by itself, with an error or without.
 // One that keeps ending is started again ever more slowly, and elsewhere.
-func (l *State) ReplicaEnded(a *Attempt, failed bool, now units.Micros) {
-	l.ReplicaSteady(a, now)
+func (s *State) ReplicaEnded(a *Attempt, failed bool, now units.Micros) {
+	s.ReplicaSteady(a, now)
 	j := a.Job
 	if a.RunningSince > 0 && now-a.RunningSince >= steadyRuntime {
 		return
 	}
 	if failed {
-		l.AttemptFailed(a, now)
+		s.AttemptFailed(a, now)
 	}
 	j.FailedMachines[a.Machine.ID] = true
 	if j.shortRuns == nil {
--- a/internal/cluster/inbox.go
+++ b/internal/cluster/pending.go
@@ -47,10 +47,10 @@
 
 // AddPending adds a job from the inbox, unless it is known already. The next save
 // of the job takes it out of there.
-func (l *State) AddPending(a PendingSubmission, now units.Micros) {
-	j := l.Jobs[a.Spec.ID]
+func (s *State) AddPending(a PendingSubmission, now units.Micros) {
+	j := s.Jobs[a.Spec.ID]
 	if j == nil {
-		j = l.NewJob(a.Spec, a.Submitted, now)
+		j = s.NewJob(a.Spec, a.Submitted, now)
 	}
 	if j.inPendingQueue {
 		return
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -139,7 +139,7 @@
 			ValueKB: 2,
 			TxnOps:  4,
 		}, {ValueKB: 1, TxnOps: 3}}).Draw(t, "limits to come")
-		l := NewState([]config.Team{{Name: "team"}}, now)
+		state := NewState([]config.Team{{Name: "team"}}, now)
 		s := &store{items: map[string]protocol.Item{}}
 		bucketVersions := make([]uint64, storage.Buckets)
 		limits, format := now, storage.FormatOld
@@ -161,14 +161,14 @@
 				}
 			}
 			for _, got := range jobs {
-				want, known := l.Jobs[got.Spec.ID]
+				want, known := state.Jobs[got.Spec.ID]
 				if !known {
 					t.Fatalf("%s is not known", got.Spec.ID)
 				}
 				if !reflect.DeepEqual(got.Spec, want.Spec) || got.Submitted != want.Submitted {
 					t.Fatalf("restored %+v, saved %+v", got.Spec, want.Spec)
 				}
-				for m := range l.Machines {
+				for m := range state.Machines {
 					if want.MachineIsDurable(m) && !got.UnreconciledMachines[m] {
 						t.Fatalf("%s may start on %s, which no record names", got.Spec.ID, m)
 					}
@@ -186,12 +186,12 @@
 		save := func(most int) {
 			for range most {
 				saves++
-				b := l.BuildWriteBatch(fmt.Sprintf("1-%d", saves), bucketVersions, BatchLimits{Background: true}, 1)
+				b := state.BuildWriteBatch(fmt.Sprintf("1-%d", saves), bucketVersions, BatchLimits{Background: true}, 1)
 				if b == nil {
 					return
 				}
 				if rapid.IntRange(0, 5).Draw(t, "refused") == 0 {
-					l.BatchRefused(b, 1)
+					state.BatchRefused(b, 1)
 					continue
 				}
 				revision := s.apply(t, b.Txn, limits)
@@ -203,39 +203,39 @@
 						t.Fatalf("%s has save %q of %q, %v", key, record.Save, b.ID, err)
 					}
 				}
-				l.BatchCommitted(b, revision)
+				state.BatchCommitted(b, revision)
 				check()
 			}
 		}
 		submit := func() {
 			for range rapid.IntRange(1, 4).Draw(t, "jobs") {
 				spec := drawSpec(t)
-				if l.Jobs[spec.ID] == nil && s.items[storage.KeyTerminal(spec.ID)].Version == 0 && FitsRecords(&spec, format, now) && FitsRecords(&spec, storage.NewestFormat, now) {
-					l.NewJob(spec, units.Micros(rapid.Int64Range(0, 1e15).Draw(t, "submitted")), 0)
+				if state.Jobs[spec.ID] == nil && s.items[storage.KeyTerminal(spec.ID)].Version == 0 && FitsRecords(&spec, format, now) && FitsRecords(&spec, storage.NewestFormat, now) {
+					state.NewJob(spec, units.Micros(rapid.Int64Range(0, 1e15).Draw(t, "submitted")), 0)
 				}
 			}
 		}
 		number := uint64(0)
 		play := func() {
-			for _, id := range slices.Sorted(maps.Keys(l.Jobs)) {
-				j := l.Jobs[id]
+			for _, id := range slices.Sorted(maps.Keys(state.Jobs)) {
+				j := state.Jobs[id]
 				for _, i := range rapid.SliceOfN(rapid.IntRange(0, j.Spec.Tasks-1), 0, 20).Draw(t, "done") {
-					l.TaskDone(j, i, 0)
+					state.TaskDone(j, i, 0)
 				}
 				if rapid.IntRange(0, 9).Draw(t, "all done") == 0 {
 					for i := range j.Spec.Tasks {
-						l.TaskDone(j, i, 0)
+						state.TaskDone(j, i, 0)
 					}
 				}
 				for range rapid.SampledFrom([]int{0, 1, 5, 400}).Draw(t, "starts") {
-					m := l.EnsureMachine(fmt.Sprintf("i-%06d", rapid.IntRange(1, 900).Draw(t, "machine")), "m", "a", true, 0)
+					m := state.EnsureMachine(fmt.Sprintf("i-%06d", rapid.IntRange(1, 900).Draw(t, "machine")), "m", "a", true, 0)
 					if number++; j.Accepted() && j.CanRecordMachine(m.ID) {
-						l.Assign(j, m, number, 0)
+						state.Assign(j, m, number, 0)
 					}
 				}
 				for _, a := range j.LiveAttempts {
 					if a.Number%3 == 0 {
-						l.AttemptGone(a, 0)
+						state.AttemptGone(a, 0)
 					}
 				}
 			}
@@ -243,7 +243,7 @@
 		steps := rapid.IntRange(1, 3).Draw(t, "steps")
 		for step := range 2 * steps {
 			if step == steps {
-				l.UpgradeFormat(storage.FormatNew, 1)
+				state.UpgradeFormat(storage.FormatNew, 1)
 				format, limits = storage.FormatNew, now.Both()
 				limits.ValueKB, limits.TxnOps = now.Both().ValueKB, now.Both().TxnOps
 			}
@@ -254,8 +254,8 @@
 		}
 		save(10_000)
 		jobs, _, _ := ParseJobs(s.rows())
-		if len(jobs) != len(l.Jobs) {
-			t.Fatalf("%d jobs restored of %d", len(jobs), len(l.Jobs))
+		if len(jobs) != len(state.Jobs) {
+			t.Fatalf("%d jobs restored of %d", len(jobs), len(state.Jobs))
 		}
 		for _, j := range jobs {
 			if j.format != storage.FormatNew {
@@ -323,13 +323,13 @@
 // A machine stays named as long as it may hold a task, and a start may follow
 // only once the name is durable.
 func TestMachinesAreRecordedBeforeStarts(t *testing.T) {
-	l := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
-	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2}, 0, 0)
-	build := func() *WriteBatch { return l.BuildWriteBatch("1-1", bucketVersions, BatchLimits{Background: true}, 0) }
-	l.BatchCommitted(build(), 1)
-	m := l.EnsureMachine("i-000001", "m", "a", true, 0)
-	a := l.Assign(j, m, 1, 0)
+	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2}, 0, 0)
+	build := func() *WriteBatch { return state.BuildWriteBatch("1-1", bucketVersions, BatchLimits{Background: true}, 0) }
+	state.BatchCommitted(build(), 1)
+	m := state.EnsureMachine("i-000001", "m", "a", true, 0)
+	a := state.Assign(j, m, 1, 0)
 	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start before the save")
 	}
@@ -338,7 +338,7 @@
 	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start while the save is on its way")
 	}
-	l.BatchCommitted(s, 2)
+	state.BatchCommitted(s, 2)
 	select {
 	case <-saved:
 	default:
@@ -347,13 +347,13 @@
 	if !j.MachineIsDurable(m.ID) {
 		t.Fatal("may not start after the save")
 	}
-	l.AttemptGone(a, 0)
-	l.TaskDone(j, 0, 0)
+	state.AttemptGone(a, 0)
+	state.TaskDone(j, 0, 0)
 	s = build() // leaves the name out
 	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start though the name is being taken out")
 	}
-	l.BatchRefused(s, 0)
+	state.BatchRefused(s, 0)
 	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start after a refused save that took the name out")
 	}
@@ -363,12 +363,12 @@
 // goes with it: a save that was carried out and not answered must be known again,
 // or its leader takes it for another's.
 func TestOldPagesAreWrittenWithTheirJob(t *testing.T) {
-	l := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
-	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40_000}, 0, 0)
-	l.BatchCommitted(l.BuildWriteBatch("1-1", bucketVersions, BatchLimits{}, 0), 1)
-	l.TaskDone(j, 20_000, 0)
-	s := l.BuildWriteBatch("1-2", bucketVersions, BatchLimits{Background: true}, 10)
+	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40_000}, 0, 0)
+	state.BatchCommitted(state.BuildWriteBatch("1-1", bucketVersions, BatchLimits{}, 0), 1)
+	state.TaskDone(j, 20_000, 0)
+	s := state.BuildWriteBatch("1-2", bucketVersions, BatchLimits{Background: true}, 10)
 	if s.ProbeKey() != storage.KeyJob("j-000001") || len(s.Txn.Then) != 2 {
 		t.Errorf("known by %s, %d changes", s.ProbeKey(), len(s.Txn.Then))
 	}
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/state.go
@@ -76,7 +76,7 @@
 // NewState makes an empty ledger for records in the old form, within the limits
 // of the state service.
 func NewState(teams []config.Team, state config.State) *State {
-	l := &State{
+	s := &State{
 		Released:         ReleasedMachines{},
 		limits:           state,
 		nameSpace:        newNameSpace(state.ValueBytes(), state.Both().ValueBytes()),
@@ -90,7 +90,7 @@
 		unreconciledJobs: map[*Job]bool{},
 	}
 	for _, t := range teams {
-		l.Teams[t.Name] = &Team{
+		s.Teams[t.Name] = &Team{
 			Name:       t.Name,
 			QuotaLimit: QuotaLimitOf(t),
 			GuaranteedQuota: units.Resources{
@@ -100,18 +100,18 @@
 			},
 		}
 	}
-	return l
+	return s
 }
 
 // UpgradeFormat takes over that every leader, now and later, reads a format. Records in
 // the old form are turned as they are written, and all of them in time.
-func (l *State) UpgradeFormat(format int, now units.Micros) {
+func (s *State) UpgradeFormat(format int, now units.Micros) {
 	format = min(format, storage.FormatNew) // jobs' records are the same in later ones
-	if format <= l.format {
+	if format <= s.format {
 		return
 	}
-	l.format = format
-	for _, j := range l.Jobs {
+	s.format = format
+	for _, j := range s.Jobs {
 		if j.format < format {
 			j.main.dirty = true
 			j.MarkChanged(now, false)
@@ -120,22 +120,22 @@
 }
 
 // oldLeadersPossible tells whether a leader may come that reads the old form alone.
-func (l *State) oldLeadersPossible() bool { return l.format < storage.FormatNew }
+func (s *State) oldLeadersPossible() bool { return s.format < storage.FormatNew }
 
 // ApplyNextLimits takes over that the limits to come hold already, and tells whether
 // that was new.
-func (l *State) ApplyNextLimits() bool {
-	was := l.nextLimitsApplied
-	l.nextLimitsApplied = true
-	return !was && l.oldLeadersPossible()
+func (s *State) ApplyNextLimits() bool {
+	was := s.nextLimitsApplied
+	s.nextLimitsApplied = true
+	return !was && s.oldLeadersPossible()
 }
 
 // maxChanges is the most changes in a transaction.
-func (l *State) maxChanges() int {
-	if l.nextLimitsApplied || !l.oldLeadersPossible() {
-		return l.limits.Both().TxnOps
+func (s *State) maxChanges() int {
+	if s.nextLimitsApplied || !s.oldLeadersPossible() {
+		return s.limits.Both().TxnOps
 	}
-	return l.limits.TxnOps
+	return s.limits.TxnOps
 }
 
 // unlimited stands for what a team may use where it has no limit. It is far from the
@@ -160,12 +160,12 @@
 }
 
 // SetInstanceTypes takes over the cloud's catalog.
-func (l *State) SetInstanceTypes(types []protocol.InstanceType) {
+func (s *State) SetInstanceTypes(types []protocol.InstanceType) {
 	for _, t := range types {
-		l.InstanceTypes[t.Name] = t
+		s.InstanceTypes[t.Name] = t
 	}
-	for _, m := range l.Machines {
-		l.setCapacity(m)
+	for _, m := range s.Machines {
+		s.setCapacity(m)
 	}
 }
 
@@ -178,75 +178,75 @@
 	}
 }
 
-func (l *State) setCapacity(m *Machine) {
-	if t, ok := l.InstanceTypes[m.InstanceType]; ok {
+func (s *State) setCapacity(m *Machine) {
+	if t, ok := s.InstanceTypes[m.InstanceType]; ok {
 		m.Capacity, m.ImageCache = CapacityOf(t), units.AmountOf(t.CacheGB)
 	}
 }
 
 // EnsureMachine gives the machine of that name, made if need be.
-func (l *State) EnsureMachine(id, typ, zone string, spot bool, now units.Micros) *Machine {
-	m := l.Machines[id]
+func (s *State) EnsureMachine(id, typ, zone string, spot bool, now units.Micros) *Machine {
+	m := s.Machines[id]
 	if m == nil {
 		m = &Machine{ID: id, InstanceType: typ, Zone: zone, Spot: spot, RentedAt: now, IdleSince: now,
 			Attempts: map[AttemptKey]*Attempt{}, failedJobs: map[string]bool{}}
-		l.Machines[id] = m
-		i, _ := l.findMachine(id)
-		l.sortedMachines = slices.Insert(l.sortedMachines, i, m)
-		l.setCapacity(m)
+		s.Machines[id] = m
+		i, _ := s.findMachine(id)
+		s.sortedMachines = slices.Insert(s.sortedMachines, i, m)
+		s.setCapacity(m)
 	}
 	return m
 }
 
-func (l *State) findMachine(id string) (int, bool) {
-	return slices.BinarySearchFunc(l.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
+func (s *State) findMachine(id string) (int, bool) {
+	return slices.BinarySearchFunc(s.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
 }
 
 // SortedMachines lists the machines in the order of their names. It is the ledger's
 // own list.
-func (l *State) SortedMachines() []*Machine { return l.sortedMachines }
+func (s *State) SortedMachines() []*Machine { return s.sortedMachines }
 
 // AddJob takes in a job read from its record.
-func (l *State) AddJob(j *Job) {
-	if !l.oldLeadersPossible() && j.format == storage.FormatOld {
+func (s *State) AddJob(j *Job) {
+	if !s.oldLeadersPossible() && j.format == storage.FormatOld {
 		j.main.dirty, j.changed = true, true // to be migrated to the new form
 	}
 	j.changed = j.changed || len(j.obsolete) > 0 // a leader died before they were deleted
-	j.setNameSpace(l.nameSpace)
-	if l.Jobs[j.Spec.ID] == nil {
-		l.memory += JobMemory(&j.Spec)
+	j.setNameSpace(s.nameSpace)
+	if s.Jobs[j.Spec.ID] == nil {
+		s.memory += JobMemory(&j.Spec)
 	}
-	l.Jobs[j.Spec.ID] = j
+	s.Jobs[j.Spec.ID] = j
 	for m := range j.UnreconciledMachines {
-		l.addUnreconciled(j, m)
+		s.addUnreconciled(j, m)
 	}
 }
 
 // removeJob drops a job that is over, or was never accepted.
-func (l *State) removeJob(j *Job) {
-	if l.Jobs[j.Spec.ID] != nil {
-		l.memory -= JobMemory(&j.Spec)
-		delete(l.Jobs, j.Spec.ID)
+func (s *State) removeJob(j *Job) {
+	if s.Jobs[j.Spec.ID] != nil {
+		s.memory -= JobMemory(&j.Spec)
+		delete(s.Jobs, j.Spec.ID)
 	}
-	delete(l.unreconciledJobs, j)
+	delete(s.unreconciledJobs, j)
 	for m := range j.UnreconciledMachines {
-		if l.unreconciled[m] = slices.DeleteFunc(l.unreconciled[m], func(o *Job) bool { return o == j }); len(l.unreconciled[m]) == 0 {
-			delete(l.unreconciled, m)
+		if s.unreconciled[m] = slices.DeleteFunc(s.unreconciled[m], func(o *Job) bool { return o == j }); len(s.unreconciled[m]) == 0 {
+			delete(s.unreconciled, m)
 		}
 	}
 }
 
 // NewJob adds a submitted job, which is not accepted until it is saved.
-func (l *State) NewJob(spec protocol.JobSpec, wall, now units.Micros) *Job {
-	j := newJob(spec, wall, l.format)
+func (s *State) NewJob(spec protocol.JobSpec, wall, now units.Micros) *Job {
+	j := newJob(spec, wall, s.format)
 	j.LearnedAt = now
-	l.AddJob(j)
+	s.AddJob(j)
 	j.MarkChanged(now, true)
 	return j
 }
 
 // Assign gives the next pending task of a job to a machine.
-func (l *State) Assign(j *Job, m *Machine, number uint64, now units.Micros) *Attempt {
+func (s *State) Assign(j *Job, m *Machine, number uint64, now units.Micros) *Attempt {
 	i, ok := j.takePendingTask()
 	if !ok {
 		return nil
@@ -255,55 +255,55 @@
 		j.recordMachine(m.ID)
 		j.MarkChanged(now, true)
 	}
-	return l.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Assigned, AssignedAt: now})
+	return s.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Assigned, AssignedAt: now})
 }
 
 // Adopt takes in an attempt that a machine reported and that this leader did
 // not start.
-func (l *State) Adopt(j *Job, i int, number uint64, m *Machine, now units.Micros) *Attempt {
+func (s *State) Adopt(j *Job, i int, number uint64, m *Machine, now units.Micros) *Attempt {
 	if j.recordMachine(m.ID) {
 		j.MarkChanged(now, false)
 	}
-	return l.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Fetching, AssignedAt: now})
+	return s.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Fetching, AssignedAt: now})
 }
 
-func (l *State) attach(a *Attempt) *Attempt {
+func (s *State) attach(a *Attempt) *Attempt {
 	a.Job.LiveAttempts[a.Index] = a
 	a.Job.attemptsByMachine[a.Machine.ID]++
 	a.Machine.Attempts[AttemptKey{a.Job.Spec.ID, a.Index, a.Number}] = a
-	l.addUsage(a, 1)
+	s.addUsage(a, 1)
 	return a
 }
 
-func (l *State) addUsage(a *Attempt, n int) {
+func (s *State) addUsage(a *Attempt, n int) {
 	a.Machine.Used = a.Machine.Used.Plus(a.Job.Spec.Request, n)
-	if t := l.Teams[a.Job.Spec.Team]; t != nil {
+	if t := s.Teams[a.Job.Spec.Team]; t != nil {
 		t.Used = t.Used.Plus(a.Job.Spec.Request, n)
 	}
 	if a.Stopping {
-		l.addFreeing(a, n)
+		s.addFreeing(a, n)
 	}
 }
 
-func (l *State) addFreeing(a *Attempt, n int) {
+func (s *State) addFreeing(a *Attempt, n int) {
 	a.Machine.Freeing = a.Machine.Freeing.Plus(a.Job.Spec.Request, n)
-	if t := l.Teams[a.Job.Spec.Team]; t != nil {
+	if t := s.Teams[a.Job.Spec.Team]; t != nil {
 		t.Freeing = t.Freeing.Plus(a.Job.Spec.Request, n)
 	}
 }
 
 // StopAttempt notes that an attempt is to be stopped, with some time to save.
-func (l *State) StopAttempt(a *Attempt, grace units.Micros) {
+func (s *State) StopAttempt(a *Attempt, grace units.Micros) {
 	if !a.Stopping {
 		a.Stopping = true
-		l.addFreeing(a, 1)
+		s.addFreeing(a, 1)
 	}
 	a.GracePeriod = grace
 }
 
 // AttemptGone notes that an attempt is certainly not on its machine any more. Unless
 // its task is done, the task is pending again.
-func (l *State) AttemptGone(a *Attempt, now units.Micros) {
+func (s *State) AttemptGone(a *Attempt, now units.Micros) {
 	key := AttemptKey{a.Job.Spec.ID, a.Index, a.Number}
 	if a.Machine.Attempts[key] != a {
 		return
@@ -318,26 +318,26 @@
 			a.Job.retryTasks = append(a.Job.retryTasks, a.Index)
 		}
 	}
-	l.addUsage(a, -1)
+	s.addUsage(a, -1)
 	if len(a.Machine.Attempts) == 0 {
 		a.Machine.IdleSince = now
 	}
 }
 
 // RemoveMachine drops a machine that is certainly gone, and all that was on it.
-func (l *State) RemoveMachine(m *Machine, now units.Micros) {
-	l.MachineEmptied(m, now)
-	l.MarkReconciled(m.ID)
-	delete(l.Machines, m.ID)
-	if i, ok := l.findMachine(m.ID); ok {
-		l.sortedMachines = slices.Delete(l.sortedMachines, i, i+1)
+func (s *State) RemoveMachine(m *Machine, now units.Micros) {
+	s.MachineEmptied(m, now)
+	s.MarkReconciled(m.ID)
+	delete(s.Machines, m.ID)
+	if i, ok := s.findMachine(m.ID); ok {
+		s.sortedMachines = slices.Delete(s.sortedMachines, i, i+1)
 	}
 }
 
 // MachineEmptied notes that nothing that was on the machine is there any more.
-func (l *State) MachineEmptied(m *Machine, now units.Micros) {
+func (s *State) MachineEmptied(m *Machine, now units.Micros) {
 	for _, a := range sortedAttempts(m) {
-		l.AttemptGone(a, now)
+		s.AttemptGone(a, now)
 	}
 }
 
@@ -356,7 +356,7 @@
 }
 
 // RecordImage notes that a machine has a job's image.
-func (l *State) RecordImage(m *Machine, j *Job) {
+func (s *State) RecordImage(m *Machine, j *Job) {
 	if j.Spec.ImageSize > 0 {
 		m.touchImage(j.Spec.Image, j.Spec.ImageSize)
 	}
@@ -370,9 +370,9 @@
 
 // JobsBySubmission lists the jobs in the order of their submission, of those submitted at
 // the same time by their id.
-func (l *State) JobsBySubmission() []*Job {
-	jobs := make([]*Job, 0, len(l.Jobs))
-	for _, j := range l.Jobs {
+func (s *State) JobsBySubmission() []*Job {
+	jobs := make([]*Job, 0, len(s.Jobs))
+	for _, j := range s.Jobs {
 		jobs = append(jobs, j)
 	}
 	sort.Slice(jobs, func(i, k int) bool {
@@ -386,7 +386,7 @@
 
 // NextAttempt returns a number for an attempt that no leader has used before: the fencing
 // token is in it, and no two leaders have the same one.
-func (l *State) NextAttempt(token uint64) uint64 {
-	l.AttemptsStarted++
-	return token<<32 | l.AttemptsStarted
+func (s *State) NextAttempt(token uint64) uint64 {
+	s.AttemptsStarted++
+	return token<<32 | s.AttemptsStarted
 }
--- a/internal/cluster/ledger_test.go
+++ b/internal/cluster/state_test.go
@@ -14,12 +14,12 @@
 // machines or both pending and placed, through any order of events.
 func TestUsageIsTheSumOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewState([]config.Team{{Name: "team", CPUsMax: 100}}, config.State{ValueKB: 8, TxnOps: 12})
-		l.SetInstanceTypes([]protocol.InstanceType{{Name: "m", CPUs: 64, MemoryGB: 64, CacheGB: 2}})
+		state := NewState([]config.Team{{Name: "team", CPUsMax: 100}}, config.State{ValueKB: 8, TxnOps: 12})
+		state.SetInstanceTypes([]protocol.InstanceType{{Name: "m", CPUs: 64, MemoryGB: 64, CacheGB: 2}})
 		var attempts []*Attempt
 		jobs := []*Job{}
 		for i, n := range []int{1, 4, 9} {
-			jobs = append(jobs, l.NewJob(protocol.JobSpec{
+			jobs = append(jobs, state.NewJob(protocol.JobSpec{
 				ID:      "j-00000" + string(rune('0'+i)),
 				Team:    "team",
 				Tasks:   n,
@@ -32,29 +32,29 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				number++
-				m := l.EnsureMachine(rapid.SampledFrom([]string{"i-1", "i-2"}).Draw(t, "machine"), "m", "a", true, 0)
-				if a := l.Assign(j, m, number, 0); a != nil {
+				m := state.EnsureMachine(rapid.SampledFrom([]string{"i-1", "i-2"}).Draw(t, "machine"), "m", "a", true, 0)
+				if a := state.Assign(j, m, number, 0); a != nil {
 					attempts = append(attempts, a)
 				}
 			case 1:
 				if len(attempts) > 0 {
 					a := rapid.SampledFrom(attempts).Draw(t, "attempt")
 					if a.Job.LiveAttempts[a.Index] == a {
-						l.TaskDone(a.Job, a.Index, 0)
-						l.AttemptGone(a, 0)
+						state.TaskDone(a.Job, a.Index, 0)
+						state.AttemptGone(a, 0)
 					}
 				}
 			case 2:
 				if len(attempts) > 0 {
-					l.AttemptGone(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
+					state.AttemptGone(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
 				}
 			case 3:
-				if m := l.Machines["i-1"]; m != nil && rapid.IntRange(0, 3).Draw(t, "removed") == 0 {
-					l.RemoveMachine(m, 0)
+				if m := state.Machines["i-1"]; m != nil && rapid.IntRange(0, 3).Draw(t, "removed") == 0 {
+					state.RemoveMachine(m, 0)
 				}
 			}
 			var team units.Resources
-			for _, m := range l.Machines {
+			for _, m := range state.Machines {
 				var used units.Resources
 				for _, a := range m.Attempts {
 					used = used.Plus(a.Job.Spec.Request, 1)
@@ -67,8 +67,8 @@
 				}
 				team = team.Plus(used, 1)
 			}
-			if team != l.Teams["team"].Used {
-				t.Fatalf("team uses %v, counted %v", team, l.Teams["team"].Used)
+			if team != state.Teams["team"].Used {
+				t.Fatalf("team uses %v, counted %v", team, state.Teams["team"].Used)
 			}
 			for _, j := range jobs {
 				if j.Pending() < 0 || j.Pending()+len(j.LiveAttempts)+j.DoneCount() != j.Spec.Tasks {
@@ -93,14 +93,14 @@
 // A machine that runs its tasks slower than their siblings elsewhere is found
 // out, and does not spoil what is known of the job.
 func TestSlowMachineIsDetected(t *testing.T) {
-	l := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
-	j := l.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
+	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
 	run := func(machine string, length units.Micros) {
-		a := l.Assign(j, l.EnsureMachine(machine, "m", "a", true, 0), 1, 0)
+		a := state.Assign(j, state.EnsureMachine(machine, "m", "a", true, 0), 1, 0)
 		a.Stage, a.RunningSince = Running, units.Second
-		l.AttemptCompleted(a, units.Second+length)
-		l.TaskDone(j, a.Index, 0)
-		l.AttemptGone(a, 0)
+		state.AttemptCompleted(a, units.Second+length)
+		state.TaskDone(j, a.Index, 0)
+		state.AttemptGone(a, 0)
 	}
 	for range 8 {
 		run("i-1", 10*units.Second)
@@ -108,13 +108,13 @@
 	for range 4 {
 		run("i-2", 30*units.Second)
 	}
-	if l.Machines["i-2"].Slow {
+	if state.Machines["i-2"].Slow {
 		t.Fatal("called slow after four tasks: tasks of one job differ by as much")
 	}
 	for range 8 {
 		run("i-2", 30*units.Second)
 	}
-	if l.Machines["i-1"].Slow || !l.Machines["i-2"].Slow {
-		t.Fatalf("slow: %v %v", l.Machines["i-1"].Slow, l.Machines["i-2"].Slow)
+	if state.Machines["i-1"].Slow || !state.Machines["i-2"].Slow {
+		t.Fatalf("slow: %v %v", state.Machines["i-1"].Slow, state.Machines["i-2"].Slow)
 	}
 }
--- a/internal/cluster/unconfirmed.go
+++ b/internal/cluster/unreconciled.go
@@ -6,37 +6,37 @@
 	"slices"
 )
 
-func (l *State) addUnreconciled(j *Job, machine string) {
-	l.unreconciled[machine] = append(l.unreconciled[machine], j)
-	l.unreconciledJobs[j] = true
+func (s *State) addUnreconciled(j *Job, machine string) {
+	s.unreconciled[machine] = append(s.unreconciled[machine], j)
+	s.unreconciledJobs[j] = true
 }
 
 // MarkReconciled notes that what a machine holds is known.
-func (l *State) MarkReconciled(id string) {
-	for _, j := range l.unreconciled[id] {
+func (s *State) MarkReconciled(id string) {
+	for _, j := range s.unreconciled[id] {
 		delete(j.UnreconciledMachines, id)
 		if len(j.UnreconciledMachines) == 0 {
-			delete(l.unreconciledJobs, j)
+			delete(s.unreconciledJobs, j)
 		}
 	}
-	delete(l.unreconciled, id)
+	delete(s.unreconciled, id)
 }
 
 // MarkUnreconciled notes that a machine may hold tasks of a job that nobody has told us of.
-func (l *State) MarkUnreconciled(j *Job, machine string) {
+func (s *State) MarkUnreconciled(j *Job, machine string) {
 	if !j.UnreconciledMachines[machine] {
 		j.UnreconciledMachines[machine] = true
-		l.addUnreconciled(j, machine)
+		s.addUnreconciled(j, machine)
 	}
 }
 
 // IsUnreconciled tells whether a job may have tasks on the machine that nobody has
 // told us of.
-func (l *State) IsUnreconciled(id string) bool { return len(l.unreconciled[id]) > 0 }
+func (s *State) IsUnreconciled(id string) bool { return len(s.unreconciled[id]) > 0 }
 
 // HoldsCancelled tells whether a machine may hold tasks of a cancelled job.
-func (l *State) HoldsCancelled(id string) bool {
-	if m := l.Machines[id]; m != nil {
+func (s *State) HoldsCancelled(id string) bool {
+	if m := s.Machines[id]; m != nil {
 		if m.MayHoldCancelled {
 			return true
 		}
@@ -46,17 +46,17 @@
 			}
 		}
 	}
-	return slices.ContainsFunc(l.unreconciled[id], func(j *Job) bool { return j.Cancelled })
+	return slices.ContainsFunc(s.unreconciled[id], func(j *Job) bool { return j.Cancelled })
 }
 
 // UnreconciledCount counts the machines that may hold tasks nobody has told us of.
-func (l *State) UnreconciledCount() int { return len(l.unreconciled) }
+func (s *State) UnreconciledCount() int { return len(s.unreconciled) }
 
 // UnreconciledMachines names them, in order.
-func (l *State) UnreconciledMachines() []string { return slices.Sorted(maps.Keys(l.unreconciled)) }
+func (s *State) UnreconciledMachines() []string { return slices.Sorted(maps.Keys(s.unreconciled)) }
 
 // UnreconciledJobs gives the jobs that may have tasks on such machines, in no order.
-func (l *State) UnreconciledJobs() iter.Seq[*Job] { return maps.Keys(l.unreconciledJobs) }
+func (s *State) UnreconciledJobs() iter.Seq[*Job] { return maps.Keys(s.unreconciledJobs) }
 
 // UnreconciledTasks is what the job may be using on machines nobody has told us of, at
 // worst.
--- a/internal/cluster/save.go
+++ b/internal/cluster/writebatch.go
@@ -57,18 +57,18 @@
 // BuildWriteBatch gathers what is to be written now, what somebody waits for first.
 // bucketVersions are the versions of the buckets' heads, on which every save is
 // conditional. It gives nil if there is nothing to write.
-func (l *State) BuildWriteBatch(id string, bucketVersions []uint64, limits BatchLimits, now units.Micros) *WriteBatch {
+func (s *State) BuildWriteBatch(id string, bucketVersions []uint64, limits BatchLimits, now units.Micros) *WriteBatch {
 	b := &batchBuilder{
-		state:          l,
+		state:          s,
 		batch:          &WriteBatch{ID: id},
 		bucketVersions: bucketVersions,
 		heads:          map[int]bool{},
-		maxChanges:     l.maxChanges(),
+		maxChanges:     s.maxChanges(),
 	}
 	if limits.MaxChanges > 0 {
 		b.maxChanges = min(b.maxChanges, limits.MaxChanges)
 	}
-	for _, j := range l.dueJobs(limits, now) {
+	for _, j := range s.dueJobs(limits, now) {
 		if !b.addJob(j) {
 			break
 		}
@@ -83,9 +83,9 @@
 }
 
 // dueJobs lists the jobs with changes to be written now, in the order in which they go.
-func (l *State) dueJobs(limits BatchLimits, now units.Micros) []*Job {
+func (s *State) dueJobs(limits BatchLimits, now units.Micros) []*Job {
 	var due []*Job
-	for _, j := range l.Jobs {
+	for _, j := range s.Jobs {
 		if j.changed && !j.writeInFlight && (j.urgent || limits.Background && now-j.changedSince >= limits.CoalesceFor) {
 			due = append(due, j)
 		}
@@ -205,20 +205,20 @@
 
 // addStaleRecords deletes what is left of jobs that are over, as far as there is room.
 func (b *batchBuilder) addStaleRecords() {
-	l, s := b.state, b.batch
-	for len(s.Txn.Then) < b.maxChanges && len(l.staleRecords) > 0 {
-		left := l.staleRecords[0]
-		l.staleRecords = l.staleRecords[1:]
+	s, batch := b.state, b.batch
+	for len(batch.Txn.Then) < b.maxChanges && len(s.staleRecords) > 0 {
+		left := s.staleRecords[0]
+		s.staleRecords = s.staleRecords[1:]
 		b.addHead(left.bucket)
-		s.Txn.Then = append(s.Txn.Then, protocol.Change{Delete: left.key})
-		s.stale = append(s.stale, left)
+		batch.Txn.Then = append(batch.Txn.Then, protocol.Change{Delete: left.key})
+		batch.stale = append(batch.stale, left)
 	}
 }
 
 // tooLarge tells whether a job has a record in the old form that the state
 // service does not take any more, while it must not be divided yet.
-func (l *State) tooLarge(j *Job, all []write) bool {
-	if !l.nextLimitsApplied || !l.oldLeadersPossible() {
+func (s *State) tooLarge(j *Job, all []write) bool {
+	if !s.nextLimitsApplied || !s.oldLeadersPossible() {
 		return false
 	}
 	return slices.ContainsFunc(all, func(w write) bool {
@@ -226,7 +226,7 @@
 		if w.shard == j.main {
 			size = storage.JSONSize(j.record(longestWriteID, w.machines))
 		}
-		return size > l.limits.Both().ValueBytes()
+		return size > s.limits.Both().ValueBytes()
 	})
 }
 
@@ -252,8 +252,8 @@
 
 // ProbeKey is a key whose record tells, by the save's id, whether the save was
 // carried out; "" if it only deletes, which may as well be done again.
-func (s *WriteBatch) ProbeKey() string {
-	for _, c := range s.Txn.Then {
+func (b *WriteBatch) ProbeKey() string {
+	for _, c := range b.Txn.Then {
 		if c.Set != "" {
 			return c.Set
 		}
@@ -262,9 +262,9 @@
 }
 
 // JobIDs lists the ids of the jobs in the save.
-func (s *WriteBatch) JobIDs() []string {
-	ids := make([]string, len(s.parts))
-	for i, p := range s.parts {
+func (b *WriteBatch) JobIDs() []string {
+	ids := make([]string, len(b.parts))
+	for i, p := range b.parts {
 		ids[i] = p.job.Spec.ID
 	}
 	return ids
--- a/internal/cluster/savepart.go
+++ b/internal/cluster/writebatchjob.go
@@ -27,18 +27,18 @@
 
 // collectWrites gives all that is to be written of a job, in an order in which it is safe
 // to stop anywhere.
-func (l *State) collectWrites(j *Job, id string) (batchPart, []write) {
+func (s *State) collectWrites(j *Job, id string) (batchPart, []write) {
 	part := batchPart{job: j, cancelled: j.Cancelled, terminal: j.terminalRecord(id)}
 	w := &jobWrites{job: j, writeID: id}
 	if part.terminal != nil {
 		w.terminal(part.terminal)
-		if l.oldLeadersPossible() && j.format == storage.FormatOld {
+		if s.oldLeadersPossible() && j.format == storage.FormatOld {
 			w.removeOldPages()
 		}
 		return part, w.writes
 	}
-	if !l.oldLeadersPossible() && j.format == storage.FormatOld {
-		j.migrate(l.nameSpace)
+	if !s.oldLeadersPossible() && j.format == storage.FormatOld {
+		j.migrate(s.nameSpace)
 	}
 	j.markMainDirty()
 	if !j.migrating {
--- a/internal/cluster/saveoutcome.go
+++ b/internal/cluster/writebatchoutcome.go
@@ -10,9 +10,9 @@
 
 // BatchCommitted takes over that the save was carried out at a revision. It gives
 // the jobs that are finished by it; they leave the ledger.
-func (l *State) BatchCommitted(s *WriteBatch, revision uint64) map[string]storage.TerminalRecord {
+func (s *State) BatchCommitted(batch *WriteBatch, revision uint64) map[string]storage.TerminalRecord {
 	finished := map[string]storage.TerminalRecord{}
-	for _, p := range s.parts {
+	for _, p := range batch.parts {
 		j := p.job
 		j.writeInFlight, j.writeAlone, j.endInFlight = false, false, false
 		clear(j.doneInFlight)
@@ -24,8 +24,8 @@
 		}
 		if p.terminal != nil {
 			finished[j.Spec.ID] = *p.terminal
-			l.addStaleRecordsOf(j)
-			l.removeJob(j)
+			s.addStaleRecordsOf(j)
+			s.removeJob(j)
 		}
 		for _, w := range p.waiters {
 			close(w)
@@ -59,7 +59,7 @@
 }
 
 // addStaleRecordsOf notes what is left of a job that is over.
-func (l *State) addStaleRecordsOf(j *Job) {
+func (s *State) addStaleRecordsOf(j *Job) {
 	keys := j.obsolete
 	for _, shards := range []map[int]*shard{j.nameParts, j.donePages, j.oldDonePages} {
 		for _, n := range slices.Sorted(maps.Keys(shards)) {
@@ -68,21 +68,21 @@
 			}
 		}
 	}
-	l.AddStaleRecords(j.Spec.ID, keys)
+	s.AddStaleRecords(j.Spec.ID, keys)
 }
 
 // AddStaleRecords notes records that are left over of a job that is over.
-func (l *State) AddStaleRecords(job string, keys []string) {
+func (s *State) AddStaleRecords(job string, keys []string) {
 	for _, key := range keys {
-		l.staleRecords = append(l.staleRecords, staleRecord{storage.BucketOf(job), key})
+		s.staleRecords = append(s.staleRecords, staleRecord{storage.BucketOf(job), key})
 	}
 }
 
 // BatchRefused takes over that the save was certainly not carried out and never
 // will be: its changes are due again.
-func (l *State) BatchRefused(s *WriteBatch, now units.Micros) {
-	l.staleRecords = append(l.staleRecords, s.stale...)
-	for _, p := range s.parts {
+func (s *State) BatchRefused(batch *WriteBatch, now units.Micros) {
+	s.staleRecords = append(s.staleRecords, batch.stale...)
+	for _, p := range batch.parts {
 		j := p.job
 		j.writeInFlight, j.endInFlight = false, false
 		j.doneUnwritten.addAll(j.doneInFlight)
@@ -99,18 +99,18 @@
 
 // BatchRejected is Refused for a save that the state service will not take as it is.
 // It is built anew, each job by itself: one must not hold up the rest.
-func (l *State) BatchRejected(s *WriteBatch, now units.Micros) {
-	l.BatchRefused(s, now)
-	for _, p := range s.parts {
+func (s *State) BatchRejected(batch *WriteBatch, now units.Micros) {
+	s.BatchRefused(batch, now)
+	for _, p := range batch.parts {
 		p.job.writeAlone = true
 	}
 }
 
 // UnacceptedJobs lists the jobs whose acceptance is not on its way: what admits them may be
 // asked again.
-func (l *State) UnacceptedJobs() []*Job {
+func (s *State) UnacceptedJobs() []*Job {
 	var out []*Job
-	for _, j := range l.Jobs {
+	for _, j := range s.Jobs {
 		if j.isNew() && !j.writeInFlight {
 			out = append(out, j)
 		}
@@ -120,9 +120,9 @@
 
 // DropUnaccepted removes a job that was never accepted: its id turned out to be that of a finished
 // job, or it is not admitted after all.
-func (l *State) DropUnaccepted(id string) {
-	if j := l.Jobs[id]; j != nil && !j.stored {
-		l.removeJob(j)
+func (s *State) DropUnaccepted(id string) {
+	if j := s.Jobs[id]; j != nil && !j.stored {
+		s.removeJob(j)
 		for _, w := range append(j.refusedWaiters, j.durable) {
 			close(w)
 		}
