--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -155,7 +155,7 @@
 			// release only takes it off the list.
 			as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
 			as.State.MachineEmptied(m, now)
-			as.State.MarkReconciled(m.ID)
+			as.State.Unreconciled.Resolve(m.ID)
 			m.Releasing = true
 			as.CycleSignal.Raise()
 		}
@@ -164,7 +164,7 @@
 	for _, m := range as.State.Machines {
 		// Taken or deleted before it was up. That a machine is not listed proves
 		// nothing about one that may hold tasks: its lease decides.
-		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !as.State.IsUnreconciled(m.ID) {
+		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !as.State.Unreconciled.Contains(m.ID) {
 			as.removeMachine(m, now)
 		}
 	}
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -39,7 +39,7 @@
 			if m := as.State.Machines[id]; m != nil {
 				as.removeMachine(m, now)
 			} else {
-				as.State.MarkReconciled(id)
+				as.State.Unreconciled.Resolve(id)
 			}
 		}
 		as.Log.Info("machines released", "machines", names[:n])
--- a/internal/cluster/bitset.go
+++ b/internal/cluster/bitset.go
@@ -3,7 +3,7 @@
 import "iter"
 
 // bitset is a set of task numbers. A job may have 100,000 tasks, and a leader
-// thousands of jobs: a bit is all that a task that is not on a machine takes.
+// thousands of jobs: a task that is not on a machine takes no more than a bit.
 type bitset []byte
 
 func newBitset(n int) bitset    { return make(bitset, (n+7)/8) }
@@ -18,7 +18,7 @@
 	}
 }
 
-// page is the part of the set that holds the p-th of as many numbers as size.
+// page returns the part of the set that holds the numbers of page p, each of so many.
 func (b bitset) page(p, size int) []byte {
 	return b[min(p*size/8, len(b)):min((p+1)*size/8, len(b))]
 }
@@ -32,7 +32,7 @@
 	return true
 }
 
-// all gives the numbers in the set. Those that have been given may be removed meanwhile.
+// all yields the numbers in the set. Those that have been yielded may be removed meanwhile.
 func (b bitset) all() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for k, x := range b {
--- a/internal/cluster/completionrate.go
+++ b/internal/cluster/completionrate.go
@@ -1,28 +1,27 @@
 package cluster
 
-import (
-	"dunestand/internal/units"
-)
+import "dunestand/internal/units"
 
-// CompletionRate is what tasks that end by themselves leave, as observed.
+// CompletionRate is the rate at which tasks that end by themselves free processors, as
+// observed. The lock of the State that owns it guards it; its zero value is ready for use.
 type CompletionRate struct {
-	freedCPU  units.Amount // since then
-	since     units.Micros
+	freedCPU  units.Amount // since the last update
+	since     units.Micros // the last update
 	perSecond units.Amount // processors, moving mean
 }
 
 // Advance brings the mean up to date.
-func (o *CompletionRate) Advance(now units.Micros) {
-	if passed := now - o.since; passed >= units.Second {
-		rate := o.freedCPU * units.Amount(units.Second/units.Millisecond) / units.Amount(passed/units.Millisecond)
-		o.perSecond, o.freedCPU, o.since = (3*o.perSecond+rate)/4, 0, now
+func (r *CompletionRate) Advance(now units.Micros) {
+	if passed := now - r.since; passed >= units.Second {
+		rate := r.freedCPU * units.Amount(units.Second/units.Millisecond) / units.Amount(passed/units.Millisecond)
+		r.perSecond, r.freedCPU, r.since = (3*r.perSecond+rate)/4, 0, now
 	}
 }
 
-// Within is what tasks are expected to leave in a time.
-func (o *CompletionRate) Within(d units.Micros) units.Amount {
-	return o.perSecond * units.Amount(d/units.Millisecond) / units.Amount(units.Second/units.Millisecond)
+// Within returns the processors that tasks are expected to free in a time.
+func (r *CompletionRate) Within(d units.Micros) units.Amount {
+	return r.perSecond * units.Amount(d/units.Millisecond) / units.Amount(units.Second/units.Millisecond)
 }
 
-// Freed notes that a task which ended by itself left some processors.
-func (o *CompletionRate) Freed(cpu units.Amount) { o.freedCPU += cpu }
+// Freed notes that a task which ended by itself freed some processors.
+func (r *CompletionRate) Freed(cpu units.Amount) { r.freedCPU += cpu }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -1,141 +1,110 @@
 package cluster
 
 import (
-	"math/bits"
-
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// AttemptStage is where an attempt is, as far as the leader knows.
-type AttemptStage uint8
-
-// The stages of an attempt. An attempt that is Sent may or may not have
-// reached its machine; only a later report tells.
-const (
-	Assigned AttemptStage = iota
-	Sent
-	Fetching
-	Running
-	Checkpointing
-)
-
-// Attempt is one try of a task on a machine. It occupies the machine and the
-// team's limit from its assignment until it is known to be gone.
-type Attempt struct {
-	Job     *Job
-	Index   int
-	Number  uint64
-	Machine *Machine
-	Stage   AttemptStage
-
-	SentSequence uint64 // the report in whose answer the start was sent
-	SeenSequence uint64 // the last report that showed it
-	AssignedAt   units.Micros
-	RunningSince units.Micros
-	Stopping     bool         // it is to be stopped
-	GracePeriod  units.Micros // with so much time to save
-}
-
-// TaskName gives the task's name.
-func (a *Attempt) TaskName() string { return protocol.TaskName(a.Job.Spec.ID, a.Index) }
-
-// Job is a live job.
+// Job is a live job: one that is not in a terminal state. The lock of the State that it
+// belongs to guards it.
 type Job struct {
 	Spec      protocol.JobSpec
 	Submitted units.Micros // time of day
 	Cancelled bool
 	// CancelDurable: the cancellation is durable, so its user may be told.
-	CancelDurable        bool
-	LiveAttempts         map[int]*Attempt
-	UnreconciledMachines map[string]bool // machines that may hold tasks nobody has told us of
-	LearnedAt            units.Micros    // steady time when this leader learnt of it
+	CancelDurable bool
+	LiveAttempts  map[int]*Attempt // by task
+	// UnreconciledMachines may hold tasks of the job that no heartbeat has shown.
+	UnreconciledMachines map[string]bool
+	LearnedAt            units.Micros // steady time when this leader learnt of it
+	JobOutcomes
+
+	done    doneTasks
+	pending pendingTasks
+	records jobRecords
+	write   writeState
+
+	stored bool // a record exists in the key-value store
+	// inPendingQueue: the store's queue of pending submissions holds it, to be deleted there.
+	inPendingQueue bool
+	// cancelVersion is a version of its record that contains the cancellation.
+	cancelVersion uint64
+}
 
-	// What its attempts taught.
-	ConsecutiveErrors int             // in a row, without a success between
+// JobOutcomes is what the outcomes of a job's attempts taught about it, see Outcomes.
+type JobOutcomes struct {
+	ConsecutiveErrors int             // without a success between
 	FailedMachines    map[string]bool // machines on which it failed
-	Succeeded         bool
-	RetryAt           units.Micros
-	Started           bool // one of its tasks was seen running
-	totalRuntime      units.Micros
-	observedRuns      int
-	done              bitset
-	doneCount         int
-	retryTasks        []int
-	nextTask          int
-	jobRecords
-	attemptsByMachine map[string]int // attempts by machine
-	stored            bool           // a record exists in the state service
-	endInFlight       bool           // its end or cancellation is in the save on its way
-	// cancelVersion is a version of its record that told of the cancellation.
-	cancelVersion   uint64
-	inPendingQueue  bool // it is in the inbox there, and to be taken out
-	writeInFlight   bool
-	writeAlone      bool        // not to be saved together with others
-	doneUnwritten   bitset      // done, but not yet durably
-	doneInFlight    bitset      // done, and in the save on its way
-	shortRuns       map[int]int // of a service's replicas: runs in a row that ended soon
-	changed         bool        // something wants saving
-	urgent          bool        // and at once
-	changedSince    units.Micros
-	durable         chan struct{}   // closed when the save that is due ends well
-	durableInFlight chan struct{}   // closed when the save on its way ends well
-	refusedWaiters  []chan struct{} // likewise, from saves that were refused
+	Succeeded         bool            // an attempt has succeeded, or a replica has run long
+	RetryAt           units.Micros    // steady time before which no task is placed
+	Started           bool            // one of its tasks was seen running
+
+	totalRuntime units.Micros
+	observedRuns int
+	shortRuns    map[int]int // by replica of a service: runs in a row that ended soon
 }
 
 func newJob(spec protocol.JobSpec, submitted units.Micros, format int) *Job {
-	return &Job{
-		Spec: spec, Submitted: submitted, LiveAttempts: map[int]*Attempt{}, UnreconciledMachines: map[string]bool{},
-		FailedMachines: map[string]bool{}, done: newBitset(spec.Tasks), jobRecords: newRecords(spec.ID, format),
-		doneUnwritten: newBitset(spec.Tasks), doneInFlight: newBitset(spec.Tasks), attemptsByMachine: map[string]int{},
-		durable: make(chan struct{}),
+	j := &Job{
+		Spec:                 spec,
+		Submitted:            submitted,
+		LiveAttempts:         map[int]*Attempt{},
+		UnreconciledMachines: map[string]bool{},
+		JobOutcomes:          JobOutcomes{FailedMachines: map[string]bool{}},
+		done:                 newDoneTasks(spec.Tasks),
+		write:                newWriteState(),
 	}
+	j.records = newJobRecords(&j.Spec, j.UnreconciledMachines, format)
+	return j
 }
 
-// IsService tells whether the job's tasks run until it is cancelled.
+// IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Spec.Kind == protocol.Service }
 
-func (j *Job) recount() {
-	j.doneCount = 0
-	for _, b := range j.done {
-		j.doneCount += bits.OnesCount8(b)
-	}
-}
-
-// Accepted tells whether the job is durable.
+// Accepted reports whether the job is durable.
 func (j *Job) Accepted() bool { return j.stored }
 
-// CancelVersion is a version of the job's record that tells of its cancellation, once
-// that is stored.
-func (j *Job) CancelVersion() uint64 { return j.cancelVersion }
+// isNew reports whether the job's next write accepts it. One from the pending-submission
+// queue was accepted there.
+func (j *Job) isNew() bool { return !j.stored && !j.inPendingQueue }
 
-// EndInFlight tells whether the job's end or cancellation is in a save whose outcome
-// is not known: other controllers may read it already.
-func (j *Job) EndInFlight() bool { return j.endInFlight }
+// CancelVersion returns a version of the job's record that contains its cancellation, 0
+// until that is stored.
+func (j *Job) CancelVersion() uint64 { return j.cancelVersion }
 
-// DoneCount is the number of completed tasks.
-func (j *Job) DoneCount() int { return j.doneCount }
+// DoneCount returns the number of completed tasks.
+func (j *Job) DoneCount() int { return j.done.count }
 
-// Complete tells whether every task is done. Those of a service never are.
-func (j *Job) Complete() bool { return !j.IsService() && j.doneCount == j.Spec.Tasks }
+// Complete reports whether every task is done. Those of a service never are.
+func (j *Job) Complete() bool { return !j.IsService() && j.done.count == j.Spec.Tasks }
 
-// Pending is the number of tasks that are neither done nor on a machine. A
+// Pending returns the number of tasks that are neither done nor on a machine. A
 // task can be both for a moment, when a former leader's attempt turns out to
 // have completed.
-func (j *Job) Pending() int { return max(0, j.Spec.Tasks-j.doneCount-len(j.LiveAttempts)) }
+func (j *Job) Pending() int { return max(0, j.Spec.Tasks-j.done.count-len(j.LiveAttempts)) }
 
-// Unfinished is the number of tasks that are not done.
-func (j *Job) Unfinished() int { return j.Spec.Tasks - j.doneCount }
+// HasTasksToPlace reports whether tasks of the job are to be placed.
+func (j *Job) HasTasksToPlace() bool { return j.stored && !j.Cancelled && j.Pending() > 0 }
 
-// IsDone tells whether a task is done.
+// UnreconciledTasks returns the number of tasks that unreconciled machines hold at worst.
+func (j *Job) UnreconciledTasks() int {
+	if len(j.UnreconciledMachines) == 0 {
+		return 0
+	}
+	return j.Pending()
+}
+
+// Unfinished returns the number of tasks that are not done.
+func (j *Job) Unfinished() int { return j.Spec.Tasks - j.done.count }
+
+// IsDone reports whether a task is done.
 func (j *Job) IsDone(i int) bool { return i < j.Spec.Tasks && j.done.has(i) }
 
-// DoneIsDurable tells whether a task's completion is stored.
-func (j *Job) DoneIsDurable(i int) bool {
-	return j.IsDone(i) && !j.doneUnwritten.has(i) && !j.doneInFlight.has(i)
-}
+// DoneIsDurable reports whether a task's completion is stored.
+func (j *Job) DoneIsDurable(i int) bool { return j.IsDone(i) && j.done.isDurable(i) }
 
-// Running counts the tasks that run.
+// Running returns the number of tasks that run.
 func (j *Job) Running() int {
 	n := 0
 	for _, a := range j.LiveAttempts {
@@ -146,7 +115,7 @@
 	return n
 }
 
-// MeanRuntime is the mean run time of the tasks seen, 0 if none was.
+// MeanRuntime returns the mean run time of the tasks seen, 0 if none was.
 func (j *Job) MeanRuntime() units.Micros {
 	if j.observedRuns == 0 {
 		return 0
@@ -154,48 +123,82 @@
 	return j.totalRuntime / units.Micros(j.observedRuns)
 }
 
-// takePendingTask takes a pending task. Retries go first.
-func (j *Job) takePendingTask() (int, bool) {
-	for len(j.retryTasks) > 0 {
-		i := j.retryTasks[len(j.retryTasks)-1]
-		j.retryTasks = j.retryTasks[:len(j.retryTasks)-1]
-		if !j.done.has(i) && j.LiveAttempts[i] == nil {
+// pendingTasks yields the tasks of a job that are to be placed, those to be tried again
+// first and the others in their order.
+type pendingTasks struct {
+	retries []int // the last one goes first
+	next    int   // no task from here on was ever placed by this leader
+}
+
+// nextPendingTask removes the next pending task from the queue.
+func (j *Job) nextPendingTask() (task int, ok bool) {
+	p := &j.pending
+	for len(p.retries) > 0 {
+		i := p.retries[len(p.retries)-1]
+		p.retries = p.retries[:len(p.retries)-1]
+		if j.isPending(i) {
 			return i, true
 		}
 	}
-	for ; j.nextTask < j.Spec.Tasks; j.nextTask++ {
-		if !j.done.has(j.nextTask) && j.LiveAttempts[j.nextTask] == nil {
-			j.nextTask++
-			return j.nextTask - 1, true
+	for p.next < j.Spec.Tasks {
+		i := p.next
+		p.next++
+		if j.isPending(i) {
+			return i, true
 		}
 	}
 	return 0, false
 }
 
+// isPending reports whether a task is neither done nor on a machine.
+func (j *Job) isPending(i int) bool { return !j.done.has(i) && j.LiveAttempts[i] == nil }
+
+// markDone notes that a task is done, and reports whether that is new.
 func (j *Job) markDone(i int) bool {
 	if i >= j.Spec.Tasks || j.IsService() || j.done.has(i) {
 		return false
 	}
 	j.done.add(i)
-	j.doneCount++
-	j.doneUnwritten.add(i)
-	j.pageOf(i).dirty = true
+	j.records.pageOf(i).dirty = true
 	return true
 }
 
-// MarkChanged notes that the record is to be written; at once if urgent.
-func (j *Job) MarkChanged(now units.Micros, urgent bool) {
-	if !j.changed {
-		j.changed, j.changedSince = true, now
-	}
-	j.urgent = j.urgent || urgent
+// MarkChanged notes that the job's records are to be written; at once if urgent.
+func (j *Job) MarkChanged(now units.Micros, urgent bool) { j.write.mark(now, urgent) }
+
+// Durable returns a channel that is closed once all changes made until now are durable, or
+// the job is dropped.
+func (j *Job) Durable() <-chan struct{} { return j.write.durableSignal() }
+
+// EndInFlight reports whether the job's terminal state or cancellation is in a write batch
+// whose outcome is not known: other controllers may read it already.
+func (j *Job) EndInFlight() bool { return j.write.endInFlight }
+
+// WritePending reports whether a write of the job's records is due or in flight.
+func (j *Job) WritePending() bool { return j.write.inFlight || j.write.due }
+
+// CanRecordMachine reports whether the job's records have space to name the machine.
+func (j *Job) CanRecordMachine(machine string) bool { return j.records.hasSpaceFor(machine) }
+
+// MachineIsDurable reports whether a record durably names the machine, so that a later
+// leader would know to look for the job's tasks there.
+func (j *Job) MachineIsDurable(machine string) bool {
+	return j.stored && j.records.isDurable(machine)
 }
 
-// Durable gives a channel that is closed once all that was changed until now
-// is durable.
-func (j *Job) Durable() <-chan struct{} {
-	if j.writeInFlight && !j.changed {
-		return j.durableInFlight // the save on its way has it all
+// terminalRecord returns the record of a job in a terminal state: complete, or cancelled
+// and with nothing left on any machine. It is nil for any other job.
+func (j *Job) terminalRecord(writeID string) *storage.TerminalRecord {
+	var stage protocol.JobStage
+	switch {
+	case !j.stored:
+		return nil
+	case j.Cancelled && len(j.LiveAttempts) == 0 && len(j.UnreconciledMachines) == 0:
+		stage = protocol.StageCancelled
+	case !j.Cancelled && j.Complete():
+		stage = protocol.StageDone
+	default:
+		return nil
 	}
-	return j.durable
+	return &storage.TerminalRecord{Stage: stage, Tasks: j.Spec.Tasks, Done: j.done.count, WriteID: writeID}
 }
--- a/internal/cluster/jobrecord.go
+++ b/internal/cluster/jobrecord.go
@@ -4,11 +4,11 @@
 	"encoding/base64"
 	"errors"
 
-	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// jobRecord is a live job as it is stored. Durations are in microseconds.
+// jobRecord is a live job as it is stored. Durations are in microseconds. The sizes as JSON
+// decide how a job is divided into records, so the json names stay as the cbor names do.
 type jobRecord struct {
 	Format             int          `cbor:"v" json:"v"`
 	WriteID            string       `cbor:"save" json:"save"`
@@ -35,8 +35,8 @@
 	Submitted          units.Micros `cbor:"submitted" json:"submitted"` // time of day
 	Cancelled          bool         `cbor:"cancelled" json:"cancelled"`
 	Machines           []string     `cbor:"machines" json:"machines"` // may hold tasks of the job
-	Done               string       `cbor:"done" json:"done"`         // the done set, or the first page of it in the old form
-	Pages              int          `cbor:"pages" json:"pages"`       // further pages, in the old form
+	Done               string       `cbor:"done" json:"done"`         // the done set, or the first page of it in the old format
+	Pages              int          `cbor:"pages" json:"pages"`       // further pages, in the old format
 }
 
 // machineNamesRecord is a further part of the names of machines.
@@ -48,21 +48,22 @@
 
 // donePageRecord is a part of a large array's done set.
 type donePageRecord struct {
-	Format  int    `cbor:"v,omitempty" json:"v"` // not in the old form
+	Format  int    `cbor:"v,omitempty" json:"v"` // not in the old format
 	WriteID string `cbor:"save,omitempty" json:"save"`
 	Done    string `cbor:"done" json:"done"`
 }
 
 const (
-	// oldPageTasks is how many tasks a page covers in the old form: 2 KiB of bits,
-	// 2.7 KiB as the text that the state service can hold.
+	// oldPageTasks is how many tasks a page covers in the old format: 2 KiB of bits,
+	// 2.7 KiB as the text that the key-value store can hold.
 	oldPageTasks = 16 << 10
-	// pageTasks is the same in the new form: 0.7 KiB as text.
+	// pageTasks is the same in the new format: 0.7 KiB as text.
 	pageTasks = 4 << 10
 	// inlineTasks is the largest array whose done set is in its own record.
 	inlineTasks = 1 << 10
 )
 
+// encodePage returns a page of the done set as text, without the zeros at its end.
 func encodePage(b []byte) string {
 	end := len(b)
 	for end > 0 && b[end-1] == 0 {
@@ -71,6 +72,7 @@
 	return base64.RawStdEncoding.EncodeToString(b[:end])
 }
 
+// decodePage adds the tasks of an encoded page to a part of the done set.
 func decodePage(text string, into []byte) error {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
@@ -80,15 +82,16 @@
 		return errors.New("done set is longer than the job")
 	}
 	for i, x := range raw {
-		into[i] |= x // the same tasks may be told of in both forms
+		into[i] |= x // the same tasks may be in pages of both formats
 	}
 	return nil
 }
 
+// record returns the job's own record, which names the given machines.
 func (j *Job) record(writeID string, machines []string) jobRecord {
 	spec := &j.Spec
 	return jobRecord{
-		Format:             j.format,
+		Format:             j.records.format,
 		WriteID:            writeID,
 		ID:                 spec.ID,
 		Class:              spec.Class,
@@ -113,27 +116,7 @@
 		Submitted:          j.Submitted,
 		Cancelled:          j.Cancelled,
 		Machines:           machines,
-		Done:               encodePage(j.inlineDone()),
-		Pages:              j.oldPageCount(),
+		Done:               encodePage(j.records.inlineDone(j.done.set)),
+		Pages:              j.records.oldPageCount(),
 	}
 }
-
-// inlineDone is the part of the done set that is in the job's own record.
-func (j *Job) inlineDone() []byte {
-	switch {
-	case j.format == storage.FormatOld:
-		return j.done.page(0, oldPageTasks)
-	case j.Spec.Tasks <= inlineTasks:
-		return j.done
-	}
-	return nil
-}
-
-// oldPageCount is the number of further pages that a reader of the old form
-// expects.
-func (j *Job) oldPageCount() int {
-	if j.format == storage.FormatOld {
-		return (j.Spec.Tasks - 1) / oldPageTasks
-	}
-	return 0
-}
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -1,10 +1,15 @@
 package cluster
 
 import (
+	"cmp"
+	"slices"
+
+	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// Machine is a machine that reported, is listed, or was rented.
+// Machine is a machine that sent a heartbeat, is listed by the cloud, or was requested from it.
+// Times are steady times. The lock of the State that it belongs to guards it.
 type Machine struct {
 	ID           string
 	InstanceType string
@@ -12,26 +17,28 @@
 	Spot         bool
 	Endpoint     string // as the cloud lists it
 	Capacity     units.Resources
-	ImageCache   units.Amount
+	ImageCache   units.Amount // bytes
 	Used         units.Resources
-	Freeing      units.Resources // part of Used, held by attempts that were told to stop
+	Freeing      units.Resources // part of Used, held by attempts that are to be stopped
 	Attempts     map[AttemptKey]*Attempt
-	Ended        int // ended tasks in its last report
-
-	Registered            bool   // it reported to this leader
-	FencingToken          uint64 // the highest term it had seen by its last report
-	Incarnation, Sequence uint64
-	LastHeartbeat         units.Micros // when its last answered report came in
-	LastCommand           SentCommand  // by the last answer
-	UndeliveredCommands   int          // answers in a row that had no effect
-	UndeliveredAt         units.Micros // when the last of these showed, or its session began
-	// MayHoldCancelled: it held tasks of a cancelled job when its lease ran out, and has
-	// not reported since. If it hangs they are on it still.
+	Ended        int // ended tasks in its last heartbeat
+
+	Registered   bool   // it sent a heartbeat to this leader
+	FencingToken uint64 // the highest that it had seen by its last heartbeat
+	Incarnation  uint64 // of its agent
+	Sequence     uint64 // of its last heartbeat in that incarnation
+	// LastHeartbeat is when its last heartbeat that was answered arrived.
+	LastHeartbeat       units.Micros
+	LastCommand         SentCommand  // in the last response
+	UndeliveredCommands int          // responses in a row that had no effect
+	UndeliveredAt       units.Micros // when the last of these showed, or its incarnation began
+	// MayHoldCancelled: it held tasks of a cancelled job when its lease expired, and has
+	// sent no heartbeat since. If it hangs they are on it still.
 	MayHoldCancelled bool
 	TerminatesAt     units.Micros // when the cloud takes it away; 0: no notice
-	Quarantined      bool         // faulty: gets no work and is returned
-	Slow             bool
-	BlockedUntil     units.Micros // refused for want of room: our count is off
+	Quarantined      bool         // faulty: gets no work and is released
+	Slow             bool         // it runs tasks slower than their siblings elsewhere
+	BlockedUntil     units.Micros // it had no capacity for a start: our count is off
 
 	Stage        string // as the cloud lists it
 	RentedAt     units.Micros
@@ -44,6 +51,27 @@
 	imageBytes   units.Amount
 }
 
+// CapacityOf returns the capacity of a machine of a type.
+func CapacityOf(t protocol.InstanceType) units.Resources {
+	return units.Resources{
+		CPU:    units.AmountOf(t.CPUs),
+		GPU:    units.AmountOf(t.GPUs),
+		Memory: units.AmountOf(t.MemoryGB),
+	}
+}
+
+// SortedAttempts returns the machine's attempts in the order of their jobs' IDs and of tasks.
+func (m *Machine) SortedAttempts() []*Attempt {
+	attempts := make([]*Attempt, 0, len(m.Attempts))
+	for _, a := range m.Attempts {
+		attempts = append(attempts, a)
+	}
+	slices.SortFunc(attempts, func(a, b *Attempt) int {
+		return cmp.Or(cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID), cmp.Compare(a.Index, b.Index))
+	})
+	return attempts
+}
+
 // AttemptKey names an attempt on its machine.
 type AttemptKey struct {
 	Job    string
@@ -51,10 +79,10 @@
 	Number uint64
 }
 
-// SentCommand is the first command of an answer that was sent to a machine.
+// SentCommand is the first command of a response that was sent to a machine.
 type SentCommand struct {
-	Pending bool
-	Verb    string
+	Pending bool // no later heartbeat has shown yet whether it arrived
+	Verb    protocol.Verb
 	Key     AttemptKey
 }
 
@@ -63,20 +91,23 @@
 	size units.Amount
 }
 
-// Free is the room that is left.
+// Free returns the free capacity.
 func (m *Machine) Free() units.Resources { return m.Capacity.Plus(m.Used, -1) }
 
-// HasImage tells whether the machine is thought to hold an image.
+// HasImage reports whether the machine is thought to hold an image.
 func (m *Machine) HasImage(name string) bool {
-	for _, i := range m.images {
-		if i.name == name {
-			return true
-		}
+	return slices.ContainsFunc(m.images, func(i image) bool { return i.name == name })
+}
+
+// RecordImage notes that a machine has a job's image.
+func (m *Machine) RecordImage(j *Job) {
+	if j.Spec.ImageSize > 0 {
+		m.touchImage(j.Spec.Image, j.Spec.ImageSize)
 	}
-	return false
 }
 
-// touchImage notes that an image is used, as the machine's cache would.
+// touchImage notes that an image is used, as the machine's cache does: the images used least
+// recently are evicted.
 func (m *Machine) touchImage(name string, size units.Amount) {
 	for k, i := range m.images {
 		if i.name == name {
@@ -92,10 +123,10 @@
 	}
 }
 
-// MaxUndeliveredCommands is how many answers in a row may have no effect on a machine until
-// it counts as one that commands do not reach.
+// MaxUndeliveredCommands is how many responses in a row may have no effect on a machine until
+// it counts as unresponsive to commands.
 const MaxUndeliveredCommands = 2
 
 // IgnoresCommands reports whether the machine sends heartbeats and carries no command out.
-// It then gets no work and is released as one that is lost.
+// It then gets no work and is released as a lost machine is.
 func (m *Machine) IgnoresCommands() bool { return m.UndeliveredCommands >= MaxUndeliveredCommands }
--- a/internal/cluster/namespace.go
+++ b/internal/cluster/namespace.go
@@ -6,55 +6,68 @@
 	"dunestand/internal/storage"
 )
 
-// maxRecordBytes bounds a record whatever the state service would take: with
+// maxRecordBytes bounds a record whatever the key-value store would accept: with
 // the pages of the largest array it must fit into a transaction. maxPartBytes
-// keeps it cheap to name one more machine.
+// keeps it cheap to name one more machine. Both are bytes of JSON.
 const (
 	maxRecordBytes = 24 << 10
 	maxPartBytes   = 8 << 10
 )
 
-// minNameBytes is the room for names, in bytes of JSON, without which a job is
-// not accepted in the old form.
+// minNameBytes is the space for names, in bytes of JSON, without which a job is
+// not accepted in the old format.
 const minNameBytes = 1000
 
-// longestWriteID is as long as the id of any save.
+// recordMargin is left free in a job's own record, in bytes.
+const recordMargin = 64
+
+// longestWriteID is as long as the ID of any write batch.
 const longestWriteID = "00000000000000000000-00000000000000000000"
 
-// nameSpaceFunc gives the bytes of JSON that are left for the names of machines in a
-// job's record, however far the job gets, and in a further part.
-type nameSpaceFunc func(spec *protocol.JobSpec, format int) (main, part int)
+// nameSpace is the space left for the names of machines, in bytes of JSON: in a job's own
+// record, however far the job gets, and in a further part. It is negative where the record
+// does not fit even without names.
+type nameSpace struct{ main, part int }
+
+// nameSpaceFunc returns the space for names in the records of a job in a format.
+type nameSpaceFunc func(spec *protocol.JobSpec, format int) nameSpace
 
-func newNameSpace(now, both int) nameSpaceFunc {
-	return func(spec *protocol.JobSpec, format int) (main, part int) {
-		j := &Job{Spec: *spec, jobRecords: jobRecords{format: format}}
-		value, done := now, min(spec.Tasks, oldPageTasks)
+// newNameSpace returns the function for a store that takes values of so many bytes now, and
+// of so many both now and under the announced next limits. Records in the old format, which
+// are not divided, may fill what the store takes now.
+func newNameSpace(valueNow, valueBoth int) nameSpaceFunc {
+	return func(spec *protocol.JobSpec, format int) nameSpace {
+		j := &Job{Spec: *spec, records: jobRecords{spec: spec, format: format}}
+		value, inlineDone := valueNow, min(spec.Tasks, oldPageTasks)
 		if format != storage.FormatOld {
-			if value, done = both, spec.Tasks; done > inlineTasks {
-				done = 0
+			if value, inlineDone = valueBoth, spec.Tasks; inlineDone > inlineTasks {
+				inlineDone = 0
 			}
 		}
-		main = min(value, maxRecordBytes) - storage.JSONSize(j.record(longestWriteID, nil)) - (done/8+1)*4/3 - 64
-		part = min(value, maxPartBytes) - storage.JSONSize(machineNamesRecord{
+		main := storage.JSONSize(j.record(longestWriteID, nil))
+		part := storage.JSONSize(machineNamesRecord{
 			Format:   storage.FormatNew,
 			WriteID:  longestWriteID,
 			Machines: []string{},
 		})
-		return main, part
+		return nameSpace{
+			main: min(value, maxRecordBytes) - main - (inlineDone/8+1)*4/3 - recordMargin,
+			part: min(value, maxPartBytes) - part,
+		}
 	}
 }
 
-// FitsRecords tells whether a job can be kept in records of a format, however far the
+// FitsRecords reports whether a job can be kept in records of a format, however far the
 // job gets.
-func FitsRecords(spec *protocol.JobSpec, format int, state config.State) bool {
-	both := state.Both()
-	main, _ := newNameSpace(state.ValueBytes(), both.ValueBytes())(spec, format)
+func FitsRecords(spec *protocol.JobSpec, format int, limits config.State) bool {
+	both := limits.Both()
+	space := newNameSpace(limits.ValueBytes(), both.ValueBytes())(spec, format)
 	if format != storage.FormatOld {
-		return main >= 0
+		return space.main >= 0
 	}
-	// The end of a job takes all its pages away in one transaction.
-	return main >= minNameBytes && 3+(spec.Tasks-1)/oldPageTasks <= state.TxnOps
+	// The end of a job deletes all its pages in one transaction.
+	return space.main >= minNameBytes && 3+(spec.Tasks-1)/oldPageTasks <= limits.TxnOps
 }
 
-// nameSize is what a name takes, with its quotes and comma.
+// nameSize is what a name takes in JSON, with its quotes and comma.
 func nameSize(machine string) int { return len(machine) + 3 }
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -258,7 +258,7 @@
 			t.Fatalf("%d jobs restored of %d", len(jobs), len(state.Jobs))
 		}
 		for _, j := range jobs {
-			if j.format != storage.FormatNew {
+			if j.records.format != storage.FormatNew {
 				t.Fatalf("%s is still in the old form", j.Spec.ID)
 			}
 		}
@@ -326,7 +326,9 @@
 	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2}, 0, 0)
-	build := func() *WriteBatch { return state.BuildWriteBatch("1-1", bucketVersions, BatchLimits{Background: true}, 0) }
+	build := func() *WriteBatch {
+		return state.BuildWriteBatch("1-1", bucketVersions, BatchLimits{Background: true}, 0)
+	}
 	state.BatchCommitted(build(), 1)
 	m := state.EnsureMachine("i-000001", "m", "a", true, 0)
 	a := state.Assign(j, m, 1, 0)
--- /dev/null
+++ b/internal/cluster/recordrules.go
@@ -0,0 +1,34 @@
+package cluster
+
+import (
+	"dunestand/internal/config"
+	"dunestand/internal/storage"
+)
+
+// recordRules are the format and the limits that write batches keep to. State's lock guards
+// them.
+type recordRules struct {
+	limits            config.State // of the key-value store
+	nameSpace         nameSpaceFunc
+	format            int  // of the fleet: the newest that every leader reads
+	nextLimitsApplied bool // the announced limits are known to be in force
+}
+
+func newRecordRules(limits config.State) recordRules {
+	return recordRules{
+		limits:    limits,
+		nameSpace: newNameSpace(limits.ValueBytes(), limits.Both().ValueBytes()),
+		format:    storage.FormatOld,
+	}
+}
+
+// oldLeadersPossible reports whether a later leader may read the old format alone.
+func (r *recordRules) oldLeadersPossible() bool { return r.format < storage.FormatNew }
+
+// maxChanges returns the most changes in a transaction.
+func (r *recordRules) maxChanges() int {
+	if r.nextLimitsApplied || !r.oldLeadersPossible() {
+		return r.limits.Both().TxnOps
+	}
+	return r.limits.TxnOps
+}
--- /dev/null
+++ b/internal/cluster/restore.go
@@ -0,0 +1,200 @@
+package cluster
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
+)
+
+var errOutOfRange = errors.New("out of range")
+
+// ParseJobs decodes the records under the jobs' prefix. Any record that cannot be
+// decoded fails the whole with a *storage.RecordError: skipping it would forget a job. While a
+// job is migrated to the new format, what its records in either format say counts.
+func ParseJobs(items []protocol.Item) (jobs []*Job, orphans map[string][]string, err error) {
+	byKey := map[string]*Job{}
+	var parts []protocol.Item
+	for _, item := range items {
+		if isPart(item.Key) {
+			parts = append(parts, item)
+			continue
+		}
+		j, err := restoreJob(item)
+		if err != nil {
+			return nil, nil, err
+		}
+		byKey[item.Key] = j
+		jobs = append(jobs, j)
+	}
+	orphans = map[string][]string{}
+	for _, item := range parts {
+		if err := restorePart(item, byKey, orphans); err != nil {
+			return nil, nil, err
+		}
+	}
+	for _, j := range jobs {
+		j.finishRestore()
+	}
+	return jobs, orphans, nil
+}
+
+// isPart reports whether a key under the jobs' prefix is that of a further record: it has one
+// part more than job/BUCKET/ID.
+func isPart(key string) bool { return strings.Count(key, "/") == 3 }
+
+// restoreJob decodes a job's own record as stored.
+func restoreJob(item protocol.Item) (*Job, error) {
+	j, record, err := parseRecord(item.Key, item.Value)
+	if err != nil {
+		return nil, err
+	}
+	j.records.main.version, j.cancelVersion, j.stored = item.Version, item.Version, true
+	j.write.due = j.Cancelled // its terminal state may be due
+	j.records.restoreNames(j.records.main, record.Machines)
+	return j, nil
+}
+
+// restorePart adds a further record to its job, or to the orphans.
+func restorePart(item protocol.Item, jobs map[string]*Job, orphans map[string][]string) error {
+	part, err := storage.ParseJobPart(item.Key)
+	if err != nil {
+		return err
+	}
+	if j := jobs[part.JobKey]; j != nil {
+		if err := j.parsePart(item, part); err != nil {
+			return &storage.RecordError{Key: item.Key, Err: err}
+		}
+		return nil
+	}
+	id := part.JobKey[strings.LastIndexByte(part.JobKey, '/')+1:]
+	if !protocol.ValidJobID(id) || storage.KeyJob(id) != part.JobKey {
+		return &storage.RecordError{Key: item.Key, Err: errors.New("belongs to no job")}
+	}
+	orphans[id] = append(orphans[id], item.Key)
+	return nil
+}
+
+// parseRecord decodes a job's record. A record that cannot be decoded is an error,
+// never an empty job.
+func parseRecord(key string, raw protocol.Raw) (*Job, jobRecord, error) {
+	var r jobRecord
+	if err := protocol.Decode(raw, &r); err != nil {
+		return nil, r, &storage.RecordError{Key: key, Err: err}
+	}
+	if err := r.check(key); err != nil {
+		return nil, r, &storage.RecordError{Key: key, Err: err}
+	}
+	j := newJob(r.spec(), r.Submitted, r.Format)
+	if r.Pages != j.records.oldPageCount() {
+		return nil, r, &storage.RecordError{Key: key, Err: errOutOfRange}
+	}
+	j.Cancelled, j.CancelDurable = r.Cancelled, r.Cancelled
+	if err := decodePage(r.Done, j.records.inlineDone(j.done.set)); err != nil {
+		return nil, r, &storage.RecordError{Key: key, Err: err}
+	}
+	return j, r, nil
+}
+
+// check reports why a record is not one of a job under its key, or nil.
+func (r *jobRecord) check(key string) error {
+	switch {
+	case r.Format != storage.FormatOld && r.Format != storage.FormatNew:
+		return storage.UnknownFormatError(r.Format)
+	case !protocol.ValidJobID(r.ID) || storage.KeyJob(r.ID) != key:
+		return fmt.Errorf("names job %q", r.ID)
+	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.Priorities || int(r.Kind) >= protocol.JobKinds:
+		return errOutOfRange
+	}
+	return nil
+}
+
+func (r *jobRecord) spec() protocol.JobSpec {
+	return protocol.JobSpec{
+		ID:                 r.ID,
+		Class:              r.Class,
+		Team:               r.Team,
+		Kind:               protocol.JobKind(r.Kind),
+		Priority:           protocol.Priority(r.Priority),
+		Tasks:              r.Tasks,
+		Request:            units.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory},
+		InstanceTypes:      r.InstanceTypes,
+		Zone:               r.Zone,
+		ZoneAffinity:       r.ZoneAffinity,
+		ZoneSpread:         r.ZoneSpread,
+		AllowSpot:          r.AllowSpot,
+		Image:              r.Image,
+		ImageSize:          r.ImageSize,
+		Estimate:           r.Estimate,
+		CheckpointInterval: r.CheckpointInterval,
+		CheckpointDuration: r.CheckpointDuration,
+		Deadline:           r.Deadline,
+	}
+}
+
+// parsePart decodes one of the job's further records.
+func (j *Job) parsePart(item protocol.Item, part storage.JobPart) error {
+	c := &shard{key: item.Key, version: item.Version}
+	if part.Kind == storage.PartMachineNames {
+		return j.parseNames(item, part.Number, c)
+	}
+	return j.parsePage(item, part, c)
+}
+
+func (j *Job) parseNames(item protocol.Item, n int, c *shard) error {
+	var r machineNamesRecord
+	if err := protocol.Decode(item.Value, &r); err != nil {
+		return err
+	}
+	if r.Format != storage.FormatNew {
+		return storage.UnknownFormatError(r.Format)
+	}
+	if j.records.nameParts[n] != nil || n > maxParts {
+		return errOutOfRange
+	}
+	j.records.nameParts[n] = c
+	j.records.restoreNames(c, r.Machines)
+	return nil
+}
+
+func (j *Job) parsePage(item protocol.Item, part storage.JobPart, c *shard) error {
+	var r donePageRecord
+	if err := protocol.Decode(item.Value, &r); err != nil {
+		return err
+	}
+	n, last := part.Number, j.Spec.Tasks-1
+	if part.Kind == storage.PartOldDonePage {
+		if n < 1 || n > last/oldPageTasks {
+			return errOutOfRange
+		}
+		j.records.oldDonePages[n] = c
+		return decodePage(r.Done, j.done.set.page(n, oldPageTasks))
+	}
+	if r.Format != storage.FormatNew {
+		return storage.UnknownFormatError(r.Format)
+	}
+	if n > last/pageTasks {
+		return errOutOfRange
+	}
+	j.records.donePages[n] = c
+	return decodePage(r.Done, j.done.set.page(n, pageTasks))
+}
+
+// finishRestore completes a job whose records have all been decoded.
+func (j *Job) finishRestore() {
+	r := &j.records
+	r.main.dirty = false
+	for _, c := range r.nameParts {
+		c.dirty = false
+	}
+	if j.IsService() {
+		clear(j.done.set) // an older version may have treated it as an array
+	}
+	if r.format == storage.FormatNew { // migrated, but for this
+		r.forgetOldPages()
+	}
+	j.done.recount()
+}
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"maps"
 	"slices"
 
 	"dunestand/internal/protocol"
@@ -18,19 +19,24 @@
 	version   uint64          // 0: it is not stored
 	dirty     bool            // it is to be written
 	machines  map[string]bool // those that it names; true: durably
-	nameBytes int             // bytes that these take
+	nameBytes int             // bytes of JSON that these take
 	nameSpace int             // and may take
 }
 
-// jobRecords are a live job's records.
+// jobRecords are a live job's records. spec and unreconciled are the job's own.
 type jobRecords struct {
-	format        int
-	migrating     bool           // into the new form: its own record is still in the old one
-	main          *shard         // the job's own
-	nameParts     map[int]*shard // further names
-	donePages     map[int]*shard // of the done set
-	oldDonePages  map[int]*shard
-	obsolete      []string          // keys in the old form that are to be deleted
+	spec         *protocol.JobSpec
+	unreconciled map[string]bool // machines that may hold tasks no heartbeat has shown
+	attempts     map[string]int  // number of attempts by machine
+
+	format       int
+	migrating    bool           // into the new format: its own record is still in the old one
+	main         *shard         // the job's own
+	nameParts    map[int]*shard // further names
+	donePages    map[int]*shard // of the done set
+	oldDonePages map[int]*shard
+	obsolete     []string // keys in the old format that are to be deleted
+
 	shardOf       map[string]*shard // where a machine is named
 	openShard     *shard            // where the last new name went
 	partNameSpace int               // for names, in a part
@@ -40,178 +46,116 @@
 // as many machines at most.
 const maxParts = protocol.MaxTasks
 
-func newRecords(job string, format int) jobRecords {
-	main := &shard{key: storage.KeyJob(job), dirty: true, machines: map[string]bool{}}
-	return jobRecords{format: format, main: main, openShard: main, shardOf: map[string]*shard{},
-		nameParts: map[int]*shard{}, donePages: map[int]*shard{}, oldDonePages: map[int]*shard{}}
-}
-
-// restoreNames takes in the names that a record holds.
-func (j *Job) restoreNames(c *shard, machines []string) {
-	if c.machines == nil {
-		c.machines = map[string]bool{}
-	}
-	for _, m := range machines {
-		j.UnreconciledMachines[m] = true
-		if j.shardOf[m] == nil {
-			j.addName(c, m, true)
-		}
-	}
-}
-
-// finishRestore completes a job that was read.
-func (j *Job) finishRestore() {
-	j.main.dirty = false
-	for _, c := range j.nameParts {
-		c.dirty = false
-	}
-	if j.IsService() {
-		clear(j.done) // an older version may have taken it for an array
-	}
-	if j.format == storage.FormatNew { // turned, but for this
-		j.forgetOldPages()
-	}
-	j.recount()
-}
-
-func (j *Job) forgetOldPages() {
-	for n, c := range j.oldDonePages {
+func newJobRecords(spec *protocol.JobSpec, unreconciled map[string]bool, format int) jobRecords {
+	main := &shard{key: storage.KeyJob(spec.ID), dirty: true, machines: map[string]bool{}}
+	return jobRecords{
+		spec:         spec,
+		unreconciled: unreconciled,
+		attempts:     map[string]int{},
+		format:       format,
+		main:         main,
+		openShard:    main,
+		shardOf:      map[string]*shard{},
+		nameParts:    map[int]*shard{},
+		donePages:    map[int]*shard{},
+		oldDonePages: map[int]*shard{},
+	}
+}
+
+// forgetOldPages leaves the stored pages in the old format to be deleted.
+func (r *jobRecords) forgetOldPages() {
+	for n, c := range r.oldDonePages {
 		if c.version != 0 {
-			j.obsolete = append(j.obsolete, c.key)
+			r.obsolete = append(r.obsolete, c.key)
 		}
-		delete(j.oldDonePages, n)
+		delete(r.oldDonePages, n)
 	}
-	slices.Sort(j.obsolete)
+	slices.Sort(r.obsolete)
 }
 
-// pageOf gives the record that a task's completion is kept in.
-func (j *Job) pageOf(task int) *shard {
-	pages, kind, n := j.donePages, byte(storage.PartDonePage), task/pageTasks
+// pageOf returns the record in which a task's completion is kept.
+func (r *jobRecords) pageOf(task int) *shard {
+	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/pageTasks
 	switch {
-	case j.format == storage.FormatOld:
-		pages, kind, n = j.oldDonePages, storage.PartOldDonePage, task/oldPageTasks
+	case r.format == storage.FormatOld:
+		pages, kind, n = r.oldDonePages, storage.PartOldDonePage, task/oldPageTasks
 		if n == 0 {
-			return j.main
+			return r.main
 		}
-	case j.Spec.Tasks <= inlineTasks:
-		return j.main
+	case r.spec.Tasks <= inlineTasks:
+		return r.main
 	}
 	if pages[n] == nil {
-		pages[n] = &shard{key: storage.KeyJobPart(j.Spec.ID, kind, n)}
+		pages[n] = &shard{key: storage.KeyJobPart(r.spec.ID, kind, n)}
 	}
 	return pages[n]
 }
 
-// migrate begins to migrate a job into the new form. Its own record is written only
-// after all else: until then it is the old one that names all machines.
-func (j *Job) migrate(room nameSpaceFunc) {
-	j.format, j.migrating = storage.FormatNew, j.stored
-	j.main.dirty = true
-	for p := 0; p*pageTasks < j.Spec.Tasks && j.Spec.Tasks > inlineTasks; p++ {
-		if !bitset(j.done.page(p, pageTasks)).empty() {
-			j.pageOf(p * pageTasks).dirty = true
-		}
-	}
-	j.forgetOldPages()
-	j.setNameSpace(room)
-	var over []string
-	kept := 0
-	for _, m := range sortedNames(j.main.machines) {
-		if !j.inUse(m) {
-			j.dropName(m)
-		} else if kept += nameSize(m); kept > j.main.nameSpace {
-			over = append(over, m)
-		}
-	}
-	for _, m := range over {
-		durable := j.main.machines[m]
-		j.dropName(m)
-		j.addName(j.shardFor(m), m, durable)
+// inlineDone returns the part of the done set that is in the job's own record.
+func (r *jobRecords) inlineDone(done bitset) []byte {
+	switch {
+	case r.format == storage.FormatOld:
+		return done.page(0, oldPageTasks)
+	case r.spec.Tasks <= inlineTasks:
+		return done
 	}
+	return nil
 }
 
-// setNameSpace gives each record its room for names.
-func (j *Job) setNameSpace(room nameSpaceFunc) {
-	j.main.nameSpace, j.partNameSpace = room(&j.Spec, j.format)
-	for _, c := range j.nameParts {
-		c.nameSpace = j.partNameSpace
+// oldPageCount returns the number of further pages that a reader of the old format
+// expects.
+func (r *jobRecords) oldPageCount() int {
+	if r.format == storage.FormatOld {
+		return (r.spec.Tasks - 1) / oldPageTasks
 	}
+	return 0
 }
 
-func (j *Job) inUse(machine string) bool {
-	return j.attemptsByMachine[machine] > 0 || j.UnreconciledMachines[machine]
-}
-
-func (j *Job) addName(c *shard, machine string, durable bool) {
-	c.machines[machine] = durable
-	c.nameBytes += nameSize(machine)
-	c.dirty = true
-	j.shardOf[machine] = c
+// migrate begins to migrate a job into the new format. Its own record is written only
+// after all else: until then it is the old one that names all machines.
+func (r *jobRecords) migrate(done bitset, stored bool, space nameSpaceFunc) {
+	r.format, r.migrating = storage.FormatNew, stored
+	r.main.dirty = true
+	for p := 0; p*pageTasks < r.spec.Tasks && r.spec.Tasks > inlineTasks; p++ {
+		if !bitset(done.page(p, pageTasks)).empty() {
+			r.pageOf(p * pageTasks).dirty = true
+		}
+	}
+	r.forgetOldPages()
+	r.setNameSpace(space)
+	r.moveExcessNames()
 }
 
-// dropName takes a name out. The record that holds it need not be written for that.
-func (j *Job) dropName(machine string) {
-	c := j.shardOf[machine]
-	delete(c.machines, machine)
-	c.nameBytes -= nameSize(machine)
-	delete(j.shardOf, machine)
+// markMainDirty marks the job's own record where it must go along with other changes: a page
+// in the old format does not tell which write it belongs to.
+func (r *jobRecords) markMainDirty() {
+	if r.format != storage.FormatOld {
+		return
+	}
+	for _, c := range r.oldDonePages {
+		r.main.dirty = r.main.dirty || c.dirty
+	}
 }
 
-// recordMachine adds a machine to the records in the making, and tells whether it was
-// missing there.
-func (j *Job) recordMachine(machine string) bool {
-	if j.shardOf[machine] != nil {
-		return false
+// deleted notes that the record of a key was deleted.
+func (r *jobRecords) deleted(key string) {
+	r.obsolete = slices.DeleteFunc(r.obsolete, func(o string) bool { return o == key })
+	for n, c := range r.oldDonePages {
+		if c.key == key {
+			delete(r.oldDonePages, n)
+		}
 	}
-	j.addName(j.shardFor(machine), machine, false)
-	return true
 }
 
-// shardFor chooses a record for a new name: the one that got the last, else one
-// in which names that are not needed any more leave room, else a new part.
-func (j *Job) shardFor(machine string) *shard {
-	size := nameSize(machine)
-	if j.format == storage.FormatOld || j.openShard.nameBytes+size <= j.openShard.nameSpace {
-		return j.openShard
-	}
-	best := j.main
-	for n := 0; n <= len(j.nameParts); n++ {
-		c := j.main
-		if n > 0 {
-			c = j.nameParts[n]
-		}
-		if c == nil {
-			continue
-		}
-		for _, m := range sortedNames(c.machines) {
-			if !j.inUse(m) {
-				j.dropName(m)
+// furtherKeys returns the keys of the stored records beside the job's own.
+func (r *jobRecords) furtherKeys() []string {
+	keys := r.obsolete
+	for _, shards := range []map[int]*shard{r.nameParts, r.donePages, r.oldDonePages} {
+		for _, n := range slices.Sorted(maps.Keys(shards)) {
+			if c := shards[n]; c.version != 0 {
+				keys = append(keys, c.key)
 			}
 		}
-		if c.nameSpace-c.nameBytes > best.nameSpace-best.nameBytes {
-			best = c
-		}
-	}
-	if free := best.nameSpace - best.nameBytes; free < size || free < best.nameSpace/4 {
-		n := 1
-		for j.nameParts[n] != nil {
-			n++
-		}
-		best = &shard{key: storage.KeyJobPart(j.Spec.ID, storage.PartMachineNames, n), machines: map[string]bool{}, nameSpace: j.partNameSpace}
-		j.nameParts[n] = best
 	}
-	j.openShard = best
-	return best
-}
-
-// CanRecordMachine tells whether the job's records have room to name the machine.
-func (j *Job) CanRecordMachine(machine string) bool {
-	return j.format != storage.FormatOld || j.main.nameBytes+nameSize(machine) <= j.main.nameSpace || j.shardOf[machine] != nil
-}
-
-// MachineIsDurable tells whether a record durably names the machine, so that a later
-// leader would know to look for the job's tasks there.
-func (j *Job) MachineIsDurable(machine string) bool {
-	c := j.shardOf[machine]
-	return j.stored && c != nil && c.machines[machine]
+	return keys
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,12 +1,14 @@
 // Package cluster is the state of the fleet in the leader's memory: jobs, their attempts,
-// machines and teams' usage. It knows which records of that state have to be written,
+// machines and the usage of teams. It knows which records of that state have to be written,
 // builds the write batches for them, and reads the records back after a failover.
+//
+// State owns all of it and has the one mutex that guards it. No method here locks, waits or
+// does I/O: callers hold the mutex and pass in the time.
 package cluster
 
 import (
 	"cmp"
 	"slices"
-	"sort"
 	"sync"
 
 	"dunestand/internal/config"
@@ -15,23 +17,6 @@
 	"dunestand/internal/units"
 )
 
-// Team is a team and what may be running for it.
-type Team struct {
-	Name            string
-	GuaranteedQuota units.Resources
-	QuotaLimit      units.Resources
-	Used            units.Resources
-	Freeing         units.Resources // part of Used, held by attempts that were told to stop
-}
-
-// Exponential backoff of jobs whose tasks fail, and of replicas that keep ending.
-const (
-	errorBackoff      = units.Second / 4
-	maxErrorBackoff   = 60 * units.Second
-	replicaBackoff    = units.Second / 2
-	maxReplicaBackoff = 30 * units.Second
-)
-
 // State is the leader's view of jobs, machines and teams. Lock it before any use: its mutex
 // guards the state and also what the leader's components (scheduler, detector, reconciler,
 // autoscaler, persister) remember between two uses of it, so that a decision and what it
@@ -39,7 +24,7 @@
 type State struct {
 	sync.Mutex
 
-	// Restored is set once the records have been read; before it nothing is answered.
+	// Restored is set once the records have been read; before it no request is answered.
 	Restored bool
 	// Released remembers the machines that were released under this leader.
 	Released ReleasedMachines
@@ -48,345 +33,139 @@
 	// AttemptsStarted numbers the attempts of this leader.
 	AttemptsStarted uint64
 
-	Jobs              map[string]*Job
-	Machines          map[string]*Machine
-	Teams             map[string]*Team
-	InstanceTypes     map[string]protocol.InstanceType
-	runtimeRatios     map[string]float64 // run time against the owners' estimates
-	sortedMachines    []*Machine         // by their names
-	limits            config.State       // the limits of the state service
-	nameSpace         nameSpaceFunc
-	format            int           // of the fleet: the newest that every leader reads
-	nextLimitsApplied bool          // the limits to come are known to hold
-	staleRecords      []staleRecord // to be deleted
-	memory            int64         // that the jobs are reckoned to take
-	// unreconciled holds, by machine, the jobs whose records name it while nobody has
-	// told us what it holds; inDoubt holds these jobs. Both shrink as machines
-	// are confirmed, so that each costs what it has to do with and not the whole fleet.
-	unreconciled     map[string][]*Job
-	unreconciledJobs map[*Job]bool
-
+	Jobs          map[string]*Job     // by ID
+	Machines      map[string]*Machine // by ID
+	Teams         map[string]*Team    // by name
+	InstanceTypes map[string]protocol.InstanceType
+	// Unreconciled is the index of machines not reconciled since the failover.
+	Unreconciled UnreconciledIndex
+	// Outcomes learns from the ends of attempts.
+	Outcomes Outcomes
 	// AcceptCondition is what the acceptance of a new job is conditional on, beside the job's
 	// own records: the version of the plan that admits jobs. nil: on nothing.
 	AcceptCondition *protocol.Condition
-	// OnRunObserved is told of each task that was seen to run from its start to its end.
-	OnRunObserved func(j *Job, run units.Micros)
+
+	sortedMachines []*Machine // by ID
+	rules          recordRules
+	staleRecords   []staleRecord // to be deleted
+	memory         int64         // estimate for all jobs, in bytes
 }
 
-// NewState makes an empty ledger for records in the old form, within the limits
-// of the state service.
-func NewState(teams []config.Team, state config.State) *State {
+// NewState returns an empty state for records in the old format, within the limits of the
+// key-value store.
+func NewState(teams []config.Team, limits config.State) *State {
 	s := &State{
-		Released:         ReleasedMachines{},
-		limits:           state,
-		nameSpace:        newNameSpace(state.ValueBytes(), state.Both().ValueBytes()),
-		format:           storage.FormatOld,
-		Jobs:             map[string]*Job{},
-		Machines:         map[string]*Machine{},
-		Teams:            map[string]*Team{},
-		InstanceTypes:    map[string]protocol.InstanceType{},
-		runtimeRatios:    map[string]float64{},
-		unreconciled:     map[string][]*Job{},
-		unreconciledJobs: map[*Job]bool{},
-	}
+		Released:      ReleasedMachines{},
+		Jobs:          map[string]*Job{},
+		Machines:      map[string]*Machine{},
+		Teams:         map[string]*Team{},
+		InstanceTypes: map[string]protocol.InstanceType{},
+		Unreconciled:  newUnreconciledIndex(),
+		rules:         newRecordRules(limits),
+	}
+	s.Outcomes = newOutcomes(s.Machines)
 	for _, t := range teams {
-		s.Teams[t.Name] = &Team{
-			Name:       t.Name,
-			QuotaLimit: QuotaLimitOf(t),
-			GuaranteedQuota: units.Resources{
-				CPU:    units.AmountOf(t.CPUs),
-				GPU:    units.AmountOf(t.GPUs),
-				Memory: unlimited,
-			},
-		}
+		s.Teams[t.Name] = newTeam(t)
 	}
 	return s
 }
 
-// UpgradeFormat takes over that every leader, now and later, reads a format. Records in
-// the old form are turned as they are written, and all of them in time.
+// UpgradeFormat raises the format of records to one that every leader, now and later, reads.
+// Records in the old format are migrated as they are written, and all of them in time. A
+// lower format than the present one has no effect.
 func (s *State) UpgradeFormat(format int, now units.Micros) {
 	format = min(format, storage.FormatNew) // jobs' records are the same in later ones
-	if format <= s.format {
+	if format <= s.rules.format {
 		return
 	}
-	s.format = format
+	s.rules.format = format
 	for _, j := range s.Jobs {
-		if j.format < format {
-			j.main.dirty = true
+		if j.records.format < format {
+			j.records.main.dirty = true
 			j.MarkChanged(now, false)
 		}
 	}
 }
 
-// oldLeadersPossible tells whether a leader may come that reads the old form alone.
-func (s *State) oldLeadersPossible() bool { return s.format < storage.FormatNew }
-
-// ApplyNextLimits takes over that the limits to come hold already, and tells whether
-// that was new.
+// ApplyNextLimits keeps write batches within the announced next limits of the key-value
+// store from now on, and reports whether that changes anything.
 func (s *State) ApplyNextLimits() bool {
-	was := s.nextLimitsApplied
-	s.nextLimitsApplied = true
-	return !was && s.oldLeadersPossible()
-}
-
-// maxChanges is the most changes in a transaction.
-func (s *State) maxChanges() int {
-	if s.nextLimitsApplied || !s.oldLeadersPossible() {
-		return s.limits.Both().TxnOps
-	}
-	return s.limits.TxnOps
-}
-
-// unlimited stands for what a team may use where it has no limit. It is far from the
-// bounds of Amount, so that sums and shares of it do not overflow.
-const unlimited = units.Amount(1) << 56
-
-// QuotaLimitOf is what a team's tasks may use at any time. A limit of 0 in the settings is
-// none: guests, for instance, have neither guarantee nor limit.
-func QuotaLimitOf(t config.Team) units.Resources {
-	return units.Resources{
-		CPU:    quotaAmount(t.CPUsMax),
-		GPU:    quotaAmount(t.GPUsMax),
-		Memory: unlimited,
-	}
+	was := s.rules.nextLimitsApplied
+	s.rules.nextLimitsApplied = true
+	return !was && s.rules.oldLeadersPossible()
 }
 
-func quotaAmount(setting float64) units.Amount {
-	if setting == 0 {
-		return unlimited
-	}
-	return units.AmountOf(setting)
-}
-
-// SetInstanceTypes takes over the cloud's catalog.
-func (s *State) SetInstanceTypes(types []protocol.InstanceType) {
-	for _, t := range types {
-		s.InstanceTypes[t.Name] = t
-	}
-	for _, m := range s.Machines {
-		s.setCapacity(m)
-	}
-}
-
-// CapacityOf is what a machine of a type has.
-func CapacityOf(t protocol.InstanceType) units.Resources {
-	return units.Resources{
-		CPU:    units.AmountOf(t.CPUs),
-		GPU:    units.AmountOf(t.GPUs),
-		Memory: units.AmountOf(t.MemoryGB),
-	}
-}
-
-func (s *State) setCapacity(m *Machine) {
-	if t, ok := s.InstanceTypes[m.InstanceType]; ok {
-		m.Capacity, m.ImageCache = CapacityOf(t), units.AmountOf(t.CacheGB)
-	}
-}
-
-// EnsureMachine gives the machine of that name, made if need be.
-func (s *State) EnsureMachine(id, typ, zone string, spot bool, now units.Micros) *Machine {
-	m := s.Machines[id]
-	if m == nil {
-		m = &Machine{ID: id, InstanceType: typ, Zone: zone, Spot: spot, RentedAt: now, IdleSince: now,
-			Attempts: map[AttemptKey]*Attempt{}, failedJobs: map[string]bool{}}
-		s.Machines[id] = m
-		i, _ := s.findMachine(id)
-		s.sortedMachines = slices.Insert(s.sortedMachines, i, m)
-		s.setCapacity(m)
-	}
-	return m
-}
-
-func (s *State) findMachine(id string) (int, bool) {
-	return slices.BinarySearchFunc(s.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
-}
-
-// SortedMachines lists the machines in the order of their names. It is the ledger's
-// own list.
-func (s *State) SortedMachines() []*Machine { return s.sortedMachines }
-
-// AddJob takes in a job read from its record.
+// AddJob adds a job that was read from its records.
 func (s *State) AddJob(j *Job) {
-	if !s.oldLeadersPossible() && j.format == storage.FormatOld {
-		j.main.dirty, j.changed = true, true // to be migrated to the new form
+	if !s.rules.oldLeadersPossible() && j.records.format == storage.FormatOld {
+		j.records.main.dirty, j.write.due = true, true // to be migrated to the new format
 	}
-	j.changed = j.changed || len(j.obsolete) > 0 // a leader died before they were deleted
-	j.setNameSpace(s.nameSpace)
+	j.write.due = j.write.due || len(j.records.obsolete) > 0 // a leader died before they were deleted
+	j.records.setNameSpace(s.rules.nameSpace)
 	if s.Jobs[j.Spec.ID] == nil {
 		s.memory += JobMemory(&j.Spec)
 	}
 	s.Jobs[j.Spec.ID] = j
-	for m := range j.UnreconciledMachines {
-		s.addUnreconciled(j, m)
-	}
+	s.Unreconciled.addJob(j)
 }
 
-// removeJob drops a job that is over, or was never accepted.
+// removeJob drops a job in its terminal state, or one that was never accepted.
 func (s *State) removeJob(j *Job) {
 	if s.Jobs[j.Spec.ID] != nil {
 		s.memory -= JobMemory(&j.Spec)
 		delete(s.Jobs, j.Spec.ID)
 	}
-	delete(s.unreconciledJobs, j)
-	for m := range j.UnreconciledMachines {
-		if s.unreconciled[m] = slices.DeleteFunc(s.unreconciled[m], func(o *Job) bool { return o == j }); len(s.unreconciled[m]) == 0 {
-			delete(s.unreconciled, m)
-		}
-	}
+	s.Unreconciled.removeJob(j)
 }
 
-// NewJob adds a submitted job, which is not accepted until it is saved.
+// NewJob adds a submitted job. It is not accepted until its record is written, which is due
+// at once. wall is the time of day of the submission, now the steady time.
 func (s *State) NewJob(spec protocol.JobSpec, wall, now units.Micros) *Job {
-	j := newJob(spec, wall, s.format)
+	j := newJob(spec, wall, s.rules.format)
 	j.LearnedAt = now
 	s.AddJob(j)
 	j.MarkChanged(now, true)
 	return j
 }
 
-// Assign gives the next pending task of a job to a machine.
-func (s *State) Assign(j *Job, m *Machine, number uint64, now units.Micros) *Attempt {
-	i, ok := j.takePendingTask()
-	if !ok {
-		return nil
-	}
-	if c := j.shardOf[m.ID]; c == nil || c.dirty && !c.machines[m.ID] {
-		j.recordMachine(m.ID)
-		j.MarkChanged(now, true)
-	}
-	return s.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Assigned, AssignedAt: now})
-}
-
-// Adopt takes in an attempt that a machine reported and that this leader did
-// not start.
-func (s *State) Adopt(j *Job, i int, number uint64, m *Machine, now units.Micros) *Attempt {
-	if j.recordMachine(m.ID) {
-		j.MarkChanged(now, false)
-	}
-	return s.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Fetching, AssignedAt: now})
-}
-
-func (s *State) attach(a *Attempt) *Attempt {
-	a.Job.LiveAttempts[a.Index] = a
-	a.Job.attemptsByMachine[a.Machine.ID]++
-	a.Machine.Attempts[AttemptKey{a.Job.Spec.ID, a.Index, a.Number}] = a
-	s.addUsage(a, 1)
-	return a
-}
-
-func (s *State) addUsage(a *Attempt, n int) {
-	a.Machine.Used = a.Machine.Used.Plus(a.Job.Spec.Request, n)
-	if t := s.Teams[a.Job.Spec.Team]; t != nil {
-		t.Used = t.Used.Plus(a.Job.Spec.Request, n)
-	}
-	if a.Stopping {
-		s.addFreeing(a, n)
-	}
-}
-
-func (s *State) addFreeing(a *Attempt, n int) {
-	a.Machine.Freeing = a.Machine.Freeing.Plus(a.Job.Spec.Request, n)
-	if t := s.Teams[a.Job.Spec.Team]; t != nil {
-		t.Freeing = t.Freeing.Plus(a.Job.Spec.Request, n)
-	}
-}
-
-// StopAttempt notes that an attempt is to be stopped, with some time to save.
-func (s *State) StopAttempt(a *Attempt, grace units.Micros) {
-	if !a.Stopping {
-		a.Stopping = true
-		s.addFreeing(a, 1)
-	}
-	a.GracePeriod = grace
-}
-
-// AttemptGone notes that an attempt is certainly not on its machine any more. Unless
-// its task is done, the task is pending again.
-func (s *State) AttemptGone(a *Attempt, now units.Micros) {
-	key := AttemptKey{a.Job.Spec.ID, a.Index, a.Number}
-	if a.Machine.Attempts[key] != a {
-		return
-	}
-	delete(a.Machine.Attempts, key)
-	if a.Job.attemptsByMachine[a.Machine.ID]--; a.Job.attemptsByMachine[a.Machine.ID] == 0 {
-		delete(a.Job.attemptsByMachine, a.Machine.ID)
-	}
-	if a.Job.LiveAttempts[a.Index] == a {
-		delete(a.Job.LiveAttempts, a.Index)
-		if !a.Job.IsDone(a.Index) {
-			a.Job.retryTasks = append(a.Job.retryTasks, a.Index)
+// UnacceptedJobs returns the jobs whose acceptance is not in a write batch in flight: whether
+// they are admitted may be asked again.
+func (s *State) UnacceptedJobs() []*Job {
+	var out []*Job
+	for _, j := range s.Jobs {
+		if j.isNew() && !j.write.inFlight {
+			out = append(out, j)
 		}
 	}
-	s.addUsage(a, -1)
-	if len(a.Machine.Attempts) == 0 {
-		a.Machine.IdleSince = now
-	}
-}
-
-// RemoveMachine drops a machine that is certainly gone, and all that was on it.
-func (s *State) RemoveMachine(m *Machine, now units.Micros) {
-	s.MachineEmptied(m, now)
-	s.MarkReconciled(m.ID)
-	delete(s.Machines, m.ID)
-	if i, ok := s.findMachine(m.ID); ok {
-		s.sortedMachines = slices.Delete(s.sortedMachines, i, i+1)
-	}
-}
-
-// MachineEmptied notes that nothing that was on the machine is there any more.
-func (s *State) MachineEmptied(m *Machine, now units.Micros) {
-	for _, a := range sortedAttempts(m) {
-		s.AttemptGone(a, now)
-	}
-}
-
-func sortedAttempts(m *Machine) []*Attempt {
-	out := make([]*Attempt, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
-		out = append(out, a)
-	}
-	sort.Slice(out, func(i, k int) bool {
-		if a, b := out[i].Job.Spec.ID, out[k].Job.Spec.ID; a != b {
-			return a < b
-		}
-		return out[i].Index < out[k].Index
-	})
 	return out
 }
 
-// RecordImage notes that a machine has a job's image.
-func (s *State) RecordImage(m *Machine, j *Job) {
-	if j.Spec.ImageSize > 0 {
-		m.touchImage(j.Spec.Image, j.Spec.ImageSize)
+// DropUnaccepted removes a job that was never accepted: its ID turned out to be that of a
+// finished job, or it is not admitted after all. Whoever waits for its write is woken.
+func (s *State) DropUnaccepted(id string) {
+	if j := s.Jobs[id]; j != nil && !j.stored {
+		s.removeJob(j)
+		j.write.wakeAll()
 	}
 }
 
-// HasTasksToPlace tells whether tasks of the job are to be placed.
-func (j *Job) HasTasksToPlace() bool { return j.stored && !j.Cancelled && j.Pending() > 0 }
-
-// SortedAttempts lists the machine's attempts in a fixed order.
-func (m *Machine) SortedAttempts() []*Attempt { return sortedAttempts(m) }
-
-// JobsBySubmission lists the jobs in the order of their submission, of those submitted at
-// the same time by their id.
+// JobsBySubmission returns the jobs in the order of their submission, those submitted at
+// the same time by ID.
 func (s *State) JobsBySubmission() []*Job {
 	jobs := make([]*Job, 0, len(s.Jobs))
 	for _, j := range s.Jobs {
 		jobs = append(jobs, j)
 	}
-	sort.Slice(jobs, func(i, k int) bool {
-		if a, b := jobs[i].Submitted, jobs[k].Submitted; a != b {
-			return a < b
-		}
-		return jobs[i].Spec.ID < jobs[k].Spec.ID
+	slices.SortFunc(jobs, func(a, b *Job) int {
+		return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	return jobs
 }
 
-// NextAttempt returns a number for an attempt that no leader has used before: the fencing
-// token is in it, and no two leaders have the same one.
-func (s *State) NextAttempt(token uint64) uint64 {
-	s.AttemptsStarted++
-	return token<<32 | s.AttemptsStarted
+// TaskDone notes that a task has completed. It has no effect on a service or a task that is
+// done already.
+func (s *State) TaskDone(j *Job, i int, now units.Micros) {
+	if j.markDone(i) {
+		j.MarkChanged(now, j.Complete())
+	}
 }
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -98,7 +98,7 @@
 	run := func(machine string, length units.Micros) {
 		a := state.Assign(j, state.EnsureMachine(machine, "m", "a", true, 0), 1, 0)
 		a.Stage, a.RunningSince = Running, units.Second
-		state.AttemptCompleted(a, units.Second+length)
+		state.Outcomes.AttemptCompleted(a, units.Second+length)
 		state.TaskDone(j, a.Index, 0)
 		state.AttemptGone(a, 0)
 	}
--- a/internal/cluster/unreconciled.go
+++ b/internal/cluster/unreconciled.go
@@ -6,63 +6,73 @@
 	"slices"
 )
 
-func (s *State) addUnreconciled(j *Job, machine string) {
-	s.unreconciled[machine] = append(s.unreconciled[machine], j)
-	s.unreconciledJobs[j] = true
+// UnreconciledIndex holds the machines that are not reconciled since the failover: a job's
+// records name them, and no heartbeat has yet shown what they hold. Both maps shrink as
+// machines are reconciled, so that each use costs what it has to do with and not the whole
+// fleet. The lock of the State that owns it guards it.
+type UnreconciledIndex struct {
+	jobsOf map[string][]*Job // by machine
+	jobs   map[*Job]bool     // all of these
 }
 
-// MarkReconciled notes that what a machine holds is known.
-func (s *State) MarkReconciled(id string) {
-	for _, j := range s.unreconciled[id] {
-		delete(j.UnreconciledMachines, id)
-		if len(j.UnreconciledMachines) == 0 {
-			delete(s.unreconciledJobs, j)
+func newUnreconciledIndex() UnreconciledIndex {
+	return UnreconciledIndex{jobsOf: map[string][]*Job{}, jobs: map[*Job]bool{}}
+}
+
+func (u *UnreconciledIndex) add(j *Job, machine string) {
+	u.jobsOf[machine] = append(u.jobsOf[machine], j)
+	u.jobs[j] = true
+}
+
+// addJob adds all unreconciled machines of a job.
+func (u *UnreconciledIndex) addJob(j *Job) {
+	for m := range j.UnreconciledMachines {
+		u.add(j, m)
+	}
+}
+
+// removeJob drops a job that leaves the state.
+func (u *UnreconciledIndex) removeJob(j *Job) {
+	delete(u.jobs, j)
+	for m := range j.UnreconciledMachines {
+		u.jobsOf[m] = slices.DeleteFunc(u.jobsOf[m], func(o *Job) bool { return o == j })
+		if len(u.jobsOf[m]) == 0 {
+			delete(u.jobsOf, m)
 		}
 	}
-	delete(s.unreconciled, id)
 }
 
-// MarkUnreconciled notes that a machine may hold tasks of a job that nobody has told us of.
-func (s *State) MarkUnreconciled(j *Job, machine string) {
+// Mark notes that a machine may hold tasks of a job that no heartbeat has shown.
+func (u *UnreconciledIndex) Mark(j *Job, machine string) {
 	if !j.UnreconciledMachines[machine] {
 		j.UnreconciledMachines[machine] = true
-		s.addUnreconciled(j, machine)
+		u.add(j, machine)
 	}
 }
 
-// IsUnreconciled tells whether a job may have tasks on the machine that nobody has
-// told us of.
-func (s *State) IsUnreconciled(id string) bool { return len(s.unreconciled[id]) > 0 }
-
-// HoldsCancelled tells whether a machine may hold tasks of a cancelled job.
-func (s *State) HoldsCancelled(id string) bool {
-	if m := s.Machines[id]; m != nil {
-		if m.MayHoldCancelled {
-			return true
-		}
-		for _, a := range m.Attempts {
-			if a.Job.Cancelled {
-				return true
-			}
+// Resolve notes that a machine is reconciled: all that it holds is known.
+func (u *UnreconciledIndex) Resolve(machine string) {
+	for _, j := range u.jobsOf[machine] {
+		delete(j.UnreconciledMachines, machine)
+		if len(j.UnreconciledMachines) == 0 {
+			delete(u.jobs, j)
 		}
 	}
-	return slices.ContainsFunc(s.unreconciled[id], func(j *Job) bool { return j.Cancelled })
+	delete(u.jobsOf, machine)
 }
 
-// UnreconciledCount counts the machines that may hold tasks nobody has told us of.
-func (s *State) UnreconciledCount() int { return len(s.unreconciled) }
+// Contains reports whether a job may have tasks on the machine that no heartbeat has shown.
+func (u *UnreconciledIndex) Contains(machine string) bool { return len(u.jobsOf[machine]) > 0 }
 
-// UnreconciledMachines names them, in order.
-func (s *State) UnreconciledMachines() []string { return slices.Sorted(maps.Keys(s.unreconciled)) }
+func (u *UnreconciledIndex) holdsCancelled(machine string) bool {
+	return slices.ContainsFunc(u.jobsOf[machine], func(j *Job) bool { return j.Cancelled })
+}
 
-// UnreconciledJobs gives the jobs that may have tasks on such machines, in no order.
-func (s *State) UnreconciledJobs() iter.Seq[*Job] { return maps.Keys(s.unreconciledJobs) }
+// Len returns the number of unreconciled machines.
+func (u *UnreconciledIndex) Len() int { return len(u.jobsOf) }
 
-// UnreconciledTasks is what the job may be using on machines nobody has told us of, at
-// worst.
-func (j *Job) UnreconciledTasks() int {
-	if len(j.UnreconciledMachines) == 0 {
-		return 0
-	}
-	return j.Pending()
-}
+// Machines returns the IDs of the unreconciled machines in order.
+func (u *UnreconciledIndex) Machines() []string { return slices.Sorted(maps.Keys(u.jobsOf)) }
+
+// Jobs returns the jobs that may have tasks on unreconciled machines, in no order.
+func (u *UnreconciledIndex) Jobs() iter.Seq[*Job] { return maps.Keys(u.jobs) }
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -1,24 +1,24 @@
 package cluster
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// WriteBatch is a group of records on their way to the state service, as one
-// transaction. Its jobs are saved by nothing else until its outcome is known.
+// WriteBatch is a group of records on their way to the key-value store, as one
+// transaction. Nothing else writes its jobs until its outcome is known.
 type WriteBatch struct {
-	ID    string
+	ID    string // of this write, in all its records
 	Txn   protocol.Txn
 	parts []batchPart
 	stale []staleRecord
 }
 
-// batchPart is what a save holds of a job.
+// batchPart is what a batch holds of a job.
 type batchPart struct {
 	job       *Job
 	terminal  *storage.TerminalRecord
@@ -36,13 +36,33 @@
 	withPrevious bool     // only together with the one before
 }
 
-// staleRecord is a record of a job that is over.
+// staleRecord is a record of a job that has ended.
 type staleRecord struct {
 	bucket int
 	key    string
 }
 
-// BatchLimits bounds a Save.
+// ProbeKey returns a key whose record shows, by the batch's ID, whether the batch was
+// carried out; "" if it only deletes, which may as well be done again.
+func (b *WriteBatch) ProbeKey() string {
+	for _, c := range b.Txn.Then {
+		if c.Set != "" {
+			return c.Set
+		}
+	}
+	return ""
+}
+
+// JobIDs returns the IDs of the jobs in the batch.
+func (b *WriteBatch) JobIDs() []string {
+	ids := make([]string, len(b.parts))
+	for i, p := range b.parts {
+		ids[i] = p.job.Spec.ID
+	}
+	return ids
+}
+
+// BatchLimits bounds a WriteBatch.
 type BatchLimits struct {
 	CoalesceFor units.Micros // changes that nobody waits for are gathered for so long
 	Background  bool         // also write what nobody waits for
@@ -50,25 +70,23 @@
 	MaxChanges int
 }
 
-// A transaction may hold 64 KiB as JSON, which is at most about half larger
-// than CBOR.
-const maxBatchBytes = 36 << 10
-
 // BuildWriteBatch gathers what is to be written now, what somebody waits for first.
-// bucketVersions are the versions of the buckets' heads, on which every save is
-// conditional. It gives nil if there is nothing to write.
+// bucketVersions are the versions of the buckets' heads, on which every batch is
+// conditional. It returns nil if there is nothing to write. Every batch must be passed to
+// BatchCommitted, BatchRefused or BatchRejected once its outcome is known.
 func (s *State) BuildWriteBatch(id string, bucketVersions []uint64, limits BatchLimits, now units.Micros) *WriteBatch {
 	b := &batchBuilder{
 		state:          s,
+		rules:          &s.rules,
 		batch:          &WriteBatch{ID: id},
 		bucketVersions: bucketVersions,
 		heads:          map[int]bool{},
-		maxChanges:     s.maxChanges(),
+		maxChanges:     s.rules.maxChanges(),
 	}
 	if limits.MaxChanges > 0 {
 		b.maxChanges = min(b.maxChanges, limits.MaxChanges)
 	}
-	for _, j := range s.dueJobs(limits, now) {
+	for _, j := range dueJobs(s.Jobs, limits, now) {
 		if !b.addJob(j) {
 			break
 		}
@@ -82,33 +100,39 @@
 	return b.batch
 }
 
-// dueJobs lists the jobs with changes to be written now, in the order in which they go.
-func (s *State) dueJobs(limits BatchLimits, now units.Micros) []*Job {
+// dueJobs returns the jobs with changes to be written now, in the order in which they go.
+func dueJobs(jobs map[string]*Job, limits BatchLimits, now units.Micros) []*Job {
 	var due []*Job
-	for _, j := range s.Jobs {
-		if j.changed && !j.writeInFlight && (j.urgent || limits.Background && now-j.changedSince >= limits.CoalesceFor) {
+	for _, j := range jobs {
+		w := &j.write
+		if w.due && !w.inFlight && (w.urgent || limits.Background && now-w.since >= limits.CoalesceFor) {
 			due = append(due, j)
 		}
 	}
-	sort.Slice(due, func(i, k int) bool { return due[i].writtenBefore(due[k]) })
+	slices.SortFunc(due, compareDue)
 	return due
 }
 
-// writtenBefore tells whether one job that is due goes before another.
-func (j *Job) writtenBefore(other *Job) bool {
-	if j.urgent != other.urgent {
-		return j.urgent
+// compareDue orders jobs by when they are written.
+func compareDue(a, b *Job) int {
+	if a.write.urgent != b.write.urgent {
+		return firstIf(a.write.urgent)
 	}
-	// A user waits for a job's acceptance or cancellation. When a term begins
+	// A user waits for a job's acceptance or cancellation. After a failover
 	// in a large fleet, the names of machines alone can fill the rate of
 	// writes for seconds.
-	if j.userAwaitsWrite() != other.userAwaitsWrite() {
-		return j.userAwaitsWrite()
+	if a.userAwaitsWrite() != b.userAwaitsWrite() {
+		return firstIf(a.userAwaitsWrite())
 	}
-	if a, b := j.writeOrder(), other.writeOrder(); a != b {
-		return a < b
+	return cmp.Or(cmp.Compare(a.writeOrder(), b.writeOrder()), cmp.Compare(a.Spec.ID, b.Spec.ID))
+}
+
+// firstIf returns the order of two elements of which one goes first.
+func firstIf(first bool) int {
+	if first {
+		return -1
 	}
-	return j.Spec.ID < other.Spec.ID
+	return 1
 }
 
 // priorityHeadStart is by how much the changes of urgent jobs go before others: when
@@ -117,155 +141,13 @@
 // It is bounded so that nothing waits for ever behind a stream of urgent jobs.
 const priorityHeadStart = 60 * units.Second
 
-// writeOrder is the time since which the job's changes count as due among others.
+// writeOrder returns the time since which the job's changes count as due among others.
 func (j *Job) writeOrder() units.Micros {
 	if j.Spec.Priority >= protocol.High {
-		return j.changedSince - priorityHeadStart
-	}
-	return j.changedSince
-}
-
-// batchBuilder fills a save up to the limits of a transaction.
-type batchBuilder struct {
-	state          *State
-	batch          *WriteBatch
-	bucketVersions []uint64
-	heads          map[int]bool // buckets whose heads are among the conditions
-	accepts        bool         // it accepts a job, on the ledger's Acceptance
-	maxChanges     int          // changes that a transaction may hold
-	bytes          int          // used up
-}
-
-// addJob adds what there is to write of a job, as far as there is room, and tells
-// whether there may be room for another one.
-func (b *batchBuilder) addJob(j *Job) bool {
-	first := len(b.batch.parts) == 0
-	if !first && (j.writeAlone || b.batch.parts[0].job.writeAlone) {
-		return true
-	}
-	part, all := b.state.collectWrites(j, b.batch.ID)
-	if b.state.tooLarge(j, all) {
-		return true // until it may be divided
-	}
-	if len(all) == 0 {
-		j.nothingToWrite()
-		return true
+		return j.write.since - priorityHeadStart
 	}
-	n, bytes := cut(all, b.maxChanges-len(b.batch.Txn.Then), maxBatchBytes-b.bytes, first)
-	if n < len(all) && !first {
-		return false
-	}
-	b.bytes += bytes
-	part.writes, part.whole = all[:n], n == len(all)
-	b.addConditions(&part)
-	for _, w := range part.writes {
-		b.batch.Txn.Then = append(b.batch.Txn.Then, w.change)
-	}
-	j.beginWrite(&part)
-	b.batch.parts = append(b.batch.parts, part)
-	return true
+	return j.write.since
 }
 
-// isNew tells whether the job's next save accepts it. One from the inbox was accepted there.
-func (j *Job) isNew() bool { return !j.stored && !j.inPendingQueue }
-
-// addConditions adds what a job's writes are conditional on: its bucket is still this
-// leader's, the job is not over, and each record is as this leader knows it.
-func (b *batchBuilder) addConditions(part *batchPart) {
-	j := part.job
-	b.addHead(storage.BucketOf(j.Spec.ID))
-	if j.isNew() && !b.accepts && b.state.AcceptCondition != nil {
-		b.accepts = true
-		b.batch.Txn.If = append(b.batch.Txn.If, *b.state.AcceptCondition)
-	}
-	if !j.stored || part.terminal != nil {
-		b.addCondition(storage.KeyTerminal(j.Spec.ID), 0)
-	}
-	if part.terminal != nil {
-		b.addCondition(j.main.key, j.main.version)
-	}
-	for _, w := range part.writes {
-		if w.shard != nil {
-			b.addCondition(w.shard.key, w.shard.version)
-		}
-	}
-}
-
-func (b *batchBuilder) addCondition(key string, version uint64) {
-	b.batch.Txn.If = append(b.batch.Txn.If, protocol.Condition{Key: key, Version: version})
-}
-
-func (b *batchBuilder) addHead(bucket int) {
-	if b.heads[bucket] {
-		return
-	}
-	b.heads[bucket] = true
-	b.addCondition(storage.KeyBucketHead(bucket), b.bucketVersions[bucket])
-}
-
-// addStaleRecords deletes what is left of jobs that are over, as far as there is room.
-func (b *batchBuilder) addStaleRecords() {
-	s, batch := b.state, b.batch
-	for len(batch.Txn.Then) < b.maxChanges && len(s.staleRecords) > 0 {
-		left := s.staleRecords[0]
-		s.staleRecords = s.staleRecords[1:]
-		b.addHead(left.bucket)
-		batch.Txn.Then = append(batch.Txn.Then, protocol.Change{Delete: left.key})
-		batch.stale = append(batch.stale, left)
-	}
-}
-
-// tooLarge tells whether a job has a record in the old form that the state
-// service does not take any more, while it must not be divided yet.
-func (s *State) tooLarge(j *Job, all []write) bool {
-	if !s.nextLimitsApplied || !s.oldLeadersPossible() {
-		return false
-	}
-	return slices.ContainsFunc(all, func(w write) bool {
-		size := len(w.change.Value)
-		if w.shard == j.main {
-			size = storage.JSONSize(j.record(longestWriteID, w.machines))
-		}
-		return size > s.limits.Both().ValueBytes()
-	})
-}
-
-// cut gives how many of a job's writes go into a transaction, and their size.
-// What must go together does, even where nothing else is in the transaction and
-// it is over its limit: the state service then tells.
-func cut(all []write, ops, bytes int, first bool) (n, size int) {
-	for i := 0; i < len(all); {
-		k, add := i, 0
-		for {
-			add += len(all[k].change.Value) + 64
-			if k++; k == len(all) || !all[k].withPrevious {
-				break
-			}
-		}
-		if (k > ops || size+add > bytes) && !(first && i == 0) {
-			break
-		}
-		i, n, size = k, k, size+add
-	}
-	return n, size
-}
-
-// ProbeKey is a key whose record tells, by the save's id, whether the save was
-// carried out; "" if it only deletes, which may as well be done again.
-func (b *WriteBatch) ProbeKey() string {
-	for _, c := range b.Txn.Then {
-		if c.Set != "" {
-			return c.Set
-		}
-	}
-	return ""
-}
-
-// JobIDs lists the ids of the jobs in the save.
-func (b *WriteBatch) JobIDs() []string {
-	ids := make([]string, len(b.parts))
-	for i, p := range b.parts {
-		ids[i] = p.job.Spec.ID
-	}
-	return ids
-}
+// userAwaitsWrite reports whether a user is answered only after the job's next write.
+func (j *Job) userAwaitsWrite() bool { return !j.stored || j.Cancelled && !j.CancelDurable }
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -8,72 +8,52 @@
 	"dunestand/internal/storage"
 )
 
-// end gives the final record of a job that is over: complete, or cancelled
-// and with nothing left on any machine.
-func (j *Job) terminalRecord(id string) *storage.TerminalRecord {
-	switch {
-	case !j.stored:
-		return nil
-	case j.Cancelled && len(j.LiveAttempts) == 0 && len(j.UnreconciledMachines) == 0:
-		return &storage.TerminalRecord{Stage: protocol.StageCancelled, Tasks: j.Spec.Tasks, Done: j.doneCount, WriteID: id}
-	case !j.Cancelled && j.Complete():
-		return &storage.TerminalRecord{Stage: protocol.StageDone, Tasks: j.Spec.Tasks, Done: j.doneCount, WriteID: id}
-	}
-	return nil
-}
-
-// userAwaitsWrite tells whether a user is answered only after the job's next save.
-func (j *Job) userAwaitsWrite() bool { return !j.stored || j.Cancelled && !j.CancelDurable }
-
-// collectWrites gives all that is to be written of a job, in an order in which it is safe
+// collectWrites returns all that is to be written of a job, in an order in which it is safe
 // to stop anywhere.
-func (s *State) collectWrites(j *Job, id string) (batchPart, []write) {
+func collectWrites(j *Job, id string, rules *recordRules) (batchPart, []write) {
 	part := batchPart{job: j, cancelled: j.Cancelled, terminal: j.terminalRecord(id)}
-	w := &jobWrites{job: j, writeID: id}
+	w := &jobWrites{job: j, records: &j.records, writeID: id}
 	if part.terminal != nil {
 		w.terminal(part.terminal)
-		if s.oldLeadersPossible() && j.format == storage.FormatOld {
+		if rules.oldLeadersPossible() && j.records.format == storage.FormatOld {
 			w.removeOldPages()
 		}
 		return part, w.writes
 	}
-	if !s.oldLeadersPossible() && j.format == storage.FormatOld {
-		j.migrate(s.nameSpace)
+	w.live(rules)
+	return part, w.writes
+}
+
+// jobWrites gathers what a batch writes of a job.
+type jobWrites struct {
+	job     *Job
+	records *jobRecords
+	writeID string
+	writes  []write
+}
+
+// live writes the changed records of a job that has not ended.
+func (w *jobWrites) live(rules *recordRules) {
+	j, r := w.job, w.records
+	if !rules.oldLeadersPossible() && r.format == storage.FormatOld {
+		r.migrate(j.done.set, j.stored, rules.nameSpace)
 	}
-	j.markMainDirty()
-	if !j.migrating {
+	r.main.dirty = r.main.dirty || j.Cancelled && !j.CancelDurable
+	r.markMainDirty()
+	if !r.migrating {
 		w.main()
 	}
 	w.names()
 	w.pages()
-	if j.migrating {
+	if r.migrating {
 		w.main()
 	}
-	for _, key := range j.obsolete {
+	for _, key := range r.obsolete {
 		w.remove(key, false)
 	}
-	if j.stored && j.inPendingQueue && !j.main.dirty {
+	if j.stored && j.inPendingQueue && !r.main.dirty {
 		w.remove(storage.KeyPending(j.Spec.ID), false) // it was accepted in both places
 	}
-	return part, w.writes
-}
-
-// markMainDirty marks the job's own record where it must go along with other changes.
-func (j *Job) markMainDirty() {
-	j.main.dirty = j.main.dirty || j.Cancelled && !j.CancelDurable
-	if j.format != storage.FormatOld {
-		return
-	}
-	for _, c := range j.oldDonePages { // a page in the old form does not tell whose save it was
-		j.main.dirty = j.main.dirty || c.dirty
-	}
-}
-
-// jobWrites gathers what a save writes of a job.
-type jobWrites struct {
-	job     *Job
-	writeID string
-	writes  []write
 }
 
 // set writes a shard's record.
@@ -85,32 +65,32 @@
 	})
 }
 
-// remove deletes a record; with: only together with the write before.
-func (w *jobWrites) remove(key string, with bool) {
-	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, withPrevious: with})
+// remove deletes a record; withPrevious: only together with the write before.
+func (w *jobWrites) remove(key string, withPrevious bool) {
+	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, withPrevious: withPrevious})
 }
 
-// removePending deletes the job's record in the inbox, if it is there.
+// removePending deletes the job's pending submission, if there is one.
 func (w *jobWrites) removePending() {
 	if w.job.inPendingQueue {
 		w.remove(storage.KeyPending(w.job.Spec.ID), true)
 	}
 }
 
-// terminal writes the final record in place of the job's own.
-func (w *jobWrites) terminal(f *storage.TerminalRecord) {
+// terminal writes the terminal record in place of the job's own.
+func (w *jobWrites) terminal(record *storage.TerminalRecord) {
 	w.writes = append(w.writes, write{
-		change: protocol.Change{Set: storage.KeyTerminal(w.job.Spec.ID), Value: protocol.Encode(f)},
+		change: protocol.Change{Set: storage.KeyTerminal(w.job.Spec.ID), Value: protocol.Encode(record)},
 	})
-	w.remove(w.job.main.key, true)
+	w.remove(w.records.main.key, true)
 	w.removePending()
 }
 
 // removeOldPages deletes pages together with the job's own record: a reader of the old
-// form refuses pages without their job.
+// format refuses pages without their job.
 func (w *jobWrites) removeOldPages() {
-	for _, n := range slices.Sorted(maps.Keys(w.job.oldDonePages)) {
-		if c := w.job.oldDonePages[n]; c.version != 0 {
+	for _, n := range slices.Sorted(maps.Keys(w.records.oldDonePages)) {
+		if c := w.records.oldDonePages[n]; c.version != 0 {
 			w.remove(c.key, true)
 		}
 	}
@@ -118,21 +98,20 @@
 
 // main writes the job's own record, if it has changed.
 func (w *jobWrites) main() {
-	j := w.job
-	if !j.main.dirty {
+	c := w.records.main
+	if !c.dirty {
 		return
 	}
-	machines := j.machinesToRecord(j.main)
-	w.set(j.main, machines, j.record(w.writeID, machines))
+	machines := w.records.namesToWrite(c)
+	w.set(c, machines, w.job.record(w.writeID, machines))
 	w.removePending()
 }
 
 // names writes the further names of machines that have changed.
 func (w *jobWrites) names() {
-	j := w.job
-	for _, n := range slices.Sorted(maps.Keys(j.nameParts)) {
-		if c := j.nameParts[n]; c.dirty {
-			machines := j.machinesToRecord(c)
+	for _, n := range slices.Sorted(maps.Keys(w.records.nameParts)) {
+		if c := w.records.nameParts[n]; c.dirty {
+			machines := w.records.namesToWrite(c)
 			w.set(c, machines, machineNamesRecord{storage.FormatNew, w.writeID, machines})
 		}
 	}
@@ -140,70 +119,34 @@
 
 // pages writes the parts of the done set that have changed.
 func (w *jobWrites) pages() {
-	j := w.job
-	pages, size, format, saveID := j.donePages, pageTasks, storage.FormatNew, w.writeID
-	if j.format == storage.FormatOld {
-		pages, size, format, saveID = j.oldDonePages, oldPageTasks, 0, ""
+	pages, size, format, writeID := w.records.donePages, pageTasks, storage.FormatNew, w.writeID
+	if w.records.format == storage.FormatOld {
+		pages, size, format, writeID = w.records.oldDonePages, oldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
 		if c := pages[n]; c.dirty {
-			w.set(c, nil, donePageRecord{Format: format, WriteID: saveID, Done: encodePage(j.done.page(n, size))})
-		}
-	}
-}
-
-// machinesToRecord lists the machines that a record is to name.
-func (j *Job) machinesToRecord(c *shard) []string {
-	var out []string
-	for m := range c.machines {
-		if j.inUse(m) {
-			out = append(out, m)
+			done := encodePage(w.job.done.set.page(n, size))
+			w.set(c, nil, donePageRecord{Format: format, WriteID: writeID, Done: done})
 		}
 	}
-	slices.Sort(out)
-	return out
 }
 
-func sortedNames(machines map[string]bool) []string { return slices.Sorted(maps.Keys(machines)) }
-
-// nothingToWrite notes that a job has nothing to be written after all.
-func (j *Job) nothingToWrite() {
-	j.changed, j.urgent = false, false
-	for _, w := range append(j.refusedWaiters, j.durable) {
-		close(w)
-	}
-	j.refusedWaiters, j.durable = nil, make(chan struct{})
-}
-
-// beginWrite marks the job as being saved. Names that a record leaves out may not
-// be used any more, whether or not the save is carried out.
+// beginWrite marks the job as having a write in flight. Names that a record leaves out may not
+// be used any more, whether or not the batch is carried out.
 func (j *Job) beginWrite(part *batchPart) {
-	j.writeInFlight = true
-	j.endInFlight = part.terminal != nil || part.cancelled && !j.CancelDurable
+	j.write.inFlight = true
+	j.write.endInFlight = part.terminal != nil || part.cancelled && !j.CancelDurable
 	if part.whole {
-		j.changed, j.urgent = false, false
+		j.write.due, j.write.urgent = false, false
 	}
 	for _, w := range part.writes {
-		if w.shard == nil {
-			continue
-		}
-		w.shard.dirty = false
-		for _, m := range sortedNames(w.shard.machines) {
-			if !j.inUse(m) {
-				j.dropName(m)
-			}
-		}
-	}
-	for i := range j.doneUnwritten.all() {
-		if !j.pageOf(i).dirty {
-			j.doneInFlight.add(i)
-			j.doneUnwritten.remove(i)
+		if w.shard != nil {
+			w.shard.dirty = false
+			j.records.dropUnused(w.shard)
 		}
 	}
+	j.done.sent(&j.records)
 	if part.whole {
-		// Waiters are taken when the save is built: what changes later waits for
-		// the next one.
-		part.waiters = append(j.refusedWaiters, j.durable)
-		j.refusedWaiters, j.durableInFlight, j.durable = nil, j.durable, make(chan struct{})
+		part.waiters = j.write.takeWaiters()
 	}
 }
--- a/internal/cluster/writebatchoutcome.go
+++ b/internal/cluster/writebatchoutcome.go
@@ -1,30 +1,27 @@
 package cluster
 
 import (
-	"maps"
-	"slices"
-
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// BatchCommitted takes over that the save was carried out at a revision. It gives
-// the jobs that are finished by it; they leave the ledger.
+// BatchCommitted notes that a batch was carried out at a revision. It returns the terminal
+// records of the jobs that ended with it, by ID; these jobs leave the state.
 func (s *State) BatchCommitted(batch *WriteBatch, revision uint64) map[string]storage.TerminalRecord {
 	finished := map[string]storage.TerminalRecord{}
 	for _, p := range batch.parts {
 		j := p.job
-		j.writeInFlight, j.writeAlone, j.endInFlight = false, false, false
-		clear(j.doneInFlight)
+		j.write.committed()
+		j.done.committed()
 		for _, w := range p.writes {
 			j.writeCommitted(w, revision)
 		}
-		if p.cancelled && !j.CancelDurable && j.main.version == revision {
+		if p.cancelled && !j.CancelDurable && j.records.main.version == revision {
 			j.CancelDurable, j.cancelVersion = true, revision
 		}
 		if p.terminal != nil {
 			finished[j.Spec.ID] = *p.terminal
-			s.addStaleRecordsOf(j)
+			s.AddStaleRecords(j.Spec.ID, j.records.furtherKeys())
 			s.removeJob(j)
 		}
 		for _, w := range p.waiters {
@@ -34,21 +31,16 @@
 	return finished
 }
 
-// writeCommitted takes over that one of the job's changes was carried out.
+// writeCommitted notes that one of the job's changes was carried out.
 func (j *Job) writeCommitted(w write, revision uint64) {
 	switch {
 	case w.shard == nil:
 		key := w.change.Delete
 		j.inPendingQueue = j.inPendingQueue && key != storage.KeyPending(j.Spec.ID)
-		j.obsolete = slices.DeleteFunc(j.obsolete, func(o string) bool { return o == key })
-		for n, c := range j.oldDonePages {
-			if c.key == key {
-				delete(j.oldDonePages, n)
-			}
-		}
+		j.records.deleted(key)
 		return
-	case w.shard == j.main:
-		j.stored, j.migrating = true, false
+	case w.shard == j.records.main:
+		j.stored, j.records.migrating = true, false
 	}
 	w.shard.version = revision
 	for _, m := range w.machines {
@@ -58,76 +50,35 @@
 	}
 }
 
-// addStaleRecordsOf notes what is left of a job that is over.
-func (s *State) addStaleRecordsOf(j *Job) {
-	keys := j.obsolete
-	for _, shards := range []map[int]*shard{j.nameParts, j.donePages, j.oldDonePages} {
-		for _, n := range slices.Sorted(maps.Keys(shards)) {
-			if c := shards[n]; c.version != 0 {
-				keys = append(keys, c.key)
-			}
-		}
-	}
-	s.AddStaleRecords(j.Spec.ID, keys)
-}
-
-// AddStaleRecords notes records that are left over of a job that is over.
+// AddStaleRecords notes records that are left over of a job that has ended: they are deleted
+// when nobody waits for writes.
 func (s *State) AddStaleRecords(job string, keys []string) {
 	for _, key := range keys {
 		s.staleRecords = append(s.staleRecords, staleRecord{storage.BucketOf(job), key})
 	}
 }
 
-// BatchRefused takes over that the save was certainly not carried out and never
+// BatchRefused notes that a batch was certainly not carried out and never
 // will be: its changes are due again.
 func (s *State) BatchRefused(batch *WriteBatch, now units.Micros) {
 	s.staleRecords = append(s.staleRecords, batch.stale...)
 	for _, p := range batch.parts {
 		j := p.job
-		j.writeInFlight, j.endInFlight = false, false
-		j.doneUnwritten.addAll(j.doneInFlight)
-		clear(j.doneInFlight)
+		j.done.refused()
 		for _, w := range p.writes {
 			if w.shard != nil {
 				w.shard.dirty = true
 			}
 		}
-		j.MarkChanged(now, true)
-		j.refusedWaiters = append(j.refusedWaiters, p.waiters...)
+		j.write.refused(p.waiters, now)
 	}
 }
 
-// BatchRejected is Refused for a save that the state service will not take as it is.
+// BatchRejected is BatchRefused for a batch that the key-value store will not accept as it is.
 // It is built anew, each job by itself: one must not hold up the rest.
 func (s *State) BatchRejected(batch *WriteBatch, now units.Micros) {
 	s.BatchRefused(batch, now)
 	for _, p := range batch.parts {
-		p.job.writeAlone = true
-	}
-}
-
-// UnacceptedJobs lists the jobs whose acceptance is not on its way: what admits them may be
-// asked again.
-func (s *State) UnacceptedJobs() []*Job {
-	var out []*Job
-	for _, j := range s.Jobs {
-		if j.isNew() && !j.writeInFlight {
-			out = append(out, j)
-		}
+		p.job.write.alone = true
 	}
-	return out
 }
-
-// DropUnaccepted removes a job that was never accepted: its id turned out to be that of a finished
-// job, or it is not admitted after all.
-func (s *State) DropUnaccepted(id string) {
-	if j := s.Jobs[id]; j != nil && !j.stored {
-		s.removeJob(j)
-		for _, w := range append(j.refusedWaiters, j.durable) {
-			close(w)
-		}
-	}
-}
-
-// WritePending tells whether the job's final record is on its way or due.
-func (j *Job) WritePending() bool { return j.writeInFlight || j.changed }
--- a/internal/controller/broadcast_test.go
+++ b/internal/controller/broadcast_test.go
@@ -28,7 +28,7 @@
 	defer worker.Close()
 	unconfirm := func(id, endpoint string) {
 		term.state.EnsureMachine(id, "m", "a", true, clock.Now).Endpoint = endpoint
-		term.state.MarkUnreconciled(j, id)
+		term.state.Unreconciled.Mark(j, id)
 	}
 	for i := range 32 {
 		unconfirm(fmt.Sprintf("i-%06d", i), hanging.Addr().String())
@@ -47,7 +47,7 @@
 	confirmed := func() bool {
 		term.state.Lock()
 		defer term.state.Unlock()
-		return !term.state.IsUnreconciled(last)
+		return !term.state.Unreconciled.Contains(last)
 	}
 	for deadline := time.Now().Add(10 * time.Second); !confirmed(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/controller/delivery_test.go
+++ b/internal/controller/delivery_test.go
@@ -142,7 +142,7 @@
 	}
 	// A machine stays unconfirmed whatever an earlier term's report says.
 	j := term.state.Jobs["j-000001"]
-	term.state.MarkUnreconciled(j, "i-000004")
+	term.state.Unreconciled.Mark(j, "i-000004")
 	term.reconciler.Reconcile(testHeartbeat("i-000004", 1, 1, 6), clock.Now)
 	if !j.UnreconciledMachines["i-000004"] {
 		t.Error("a report from before this term confirms a machine")
@@ -156,7 +156,7 @@
 func TestBroadcastAnswerCountsOnlyBeforeTheFirstHeartbeat(t *testing.T) {
 	term, clock := leaderWithJob(t, 2)
 	j := term.state.Jobs["j-000001"]
-	term.state.MarkUnreconciled(j, "i-000001")
+	term.state.Unreconciled.Mark(j, "i-000001")
 	term.state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
 	term.broadcaster.Answered(testHeartbeat("i-000001", 1, 5, 7))
 	if len(j.UnreconciledMachines) > 0 {
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	later.persister.InstallRecords(jobs, modelCatalog)
-	if n := later.state.UnreconciledCount(); n != largestFleet {
+	if n := later.state.Unreconciled.Len(); n != largestFleet {
 		t.Fatalf("%d machines are unconfirmed after the restore", n)
 	}
 	for _, r := range reports {
@@ -74,7 +74,7 @@
 	for _, j := range later.state.Jobs {
 		live += len(j.LiveAttempts)
 	}
-	if n := later.state.UnreconciledCount(); n != 0 || live != 4*largestFleet {
+	if n := later.state.Unreconciled.Len(); n != 0 || live != 4*largestFleet {
 		t.Errorf("%d machines are unconfirmed after their reports, %d tasks are known", n, live)
 	}
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -196,7 +196,7 @@
 	})
 	l.persister.Admission = l.admission
 	if deps.Admitter != nil {
-		l.state.OnRunObserved = l.admission.ObserveRun
+		l.state.Outcomes.OnRunObserved = l.admission.ObserveRun
 	}
 	return l
 }
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -226,7 +226,7 @@
 		}
 		m := l.EnsureMachine(machine, "m", "a", true, clock.Now)
 		a := l.Assign(j, m, term.token<<32|uint64(len(job)), clock.Now)
-		l.AttemptFailed(a, clock.Now)
+		l.Outcomes.AttemptFailed(a, clock.Now)
 		l.AttemptGone(a, clock.Now)
 		return j
 	}
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -215,7 +215,7 @@
 	if machine := t.state.Machines[w.id]; machine != nil {
 		t.state.RemoveMachine(machine, now)
 	} else {
-		t.state.MarkReconciled(w.id)
+		t.state.Unreconciled.Resolve(w.id)
 	}
 	m.workers[i] = m.newWorker()
 }
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -17,7 +17,7 @@
 		for i := range jobs {
 			j := term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 			for k := range machines {
-				term.state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
+				term.state.Unreconciled.Mark(j, fmt.Sprintf("i-%06d", k))
 			}
 		}
 		return testing.AllocsPerRun(20, func() { term.detector.ExpireLeases(clock.Now) })
@@ -38,7 +38,7 @@
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
 			j := l.NewJob(spec, clock.Now, clock.Now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
-				l.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
+				l.Unreconciled.Mark(j, fmt.Sprintf("i-%06d", k))
 			}
 			named[spec.ID] = j.UnreconciledMachines
 		}
@@ -51,7 +51,7 @@
 				}
 			}
 			got := 0
-			for range l.UnreconciledJobs() {
+			for range l.Unreconciled.Jobs() {
 				got++
 			}
 			if got != want {
@@ -61,13 +61,13 @@
 				l.DropUnaccepted(jobs[0])
 				delete(named, jobs[0])
 			}
-			l.MarkReconciled(id)
-			if l.IsUnreconciled(id) {
+			l.Unreconciled.Resolve(id)
+			if l.Unreconciled.Contains(id) {
 				rt.Fatal("a confirmed machine is unconfirmed")
 			}
 		}
-		if l.UnreconciledCount() != 0 || len(l.UnreconciledMachines()) != 0 {
-			rt.Fatalf("still unconfirmed: %v", l.UnreconciledMachines())
+		if l.Unreconciled.Len() != 0 || len(l.Unreconciled.Machines()) != 0 {
+			rt.Fatalf("still unreconciled: %v", l.Unreconciled.Machines())
 		}
 	})
 }
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -85,7 +85,7 @@
 	}
 	d.maxUnreachablePeers = max(d.maxUnreachablePeers, d.UnreachablePeers())
 	if now-d.ElectedAt > leaderSearchStart+report.Share(5, 4)+leaderSearchPerNode*units.Micros(d.maxUnreachablePeers) {
-		for _, id := range d.State.UnreconciledMachines() {
+		for _, id := range d.State.Unreconciled.Machines() {
 			m := d.State.Machines[id]
 			if m != nil && m.Registered {
 				continue
@@ -135,7 +135,7 @@
 		}
 	}
 	if known == 0 {
-		known = d.State.UnreconciledCount()
+		known = d.State.Unreconciled.Len()
 	}
 	if d.State.Restored && known >= 2 && now-last > quiet && now-last < 3*quiet {
 		d.Log.Info("no machine reports; the lease is given up", "machines", known, "silent_ms", (now-last)/units.Millisecond)
@@ -158,11 +158,11 @@
 		// accepted an answer of this one since: and these have told what they hold,
 		// as an answer is accepted only to the newest report. A machine that hears
 		// no answer would otherwise stay unconfirmed for as long as it reports.
-		for _, id := range d.State.UnreconciledMachines() {
-			d.State.MarkReconciled(id)
+		for _, id := range d.State.Unreconciled.Machines() {
+			d.State.Unreconciled.Resolve(id)
 		}
 	}
-	if !d.allReconciled && d.State.Restored && d.State.UnreconciledCount() == 0 {
+	if !d.allReconciled && d.State.Restored && d.State.Unreconciled.Len() == 0 {
 		d.allReconciled = true
 		d.Log.Info("all machines confirmed", "after_ms", (now-d.ElectedAt)/units.Millisecond)
 	}
--- a/internal/persister/restore.go
+++ b/internal/persister/restore.go
@@ -111,7 +111,7 @@
 	}
 	p.State.Restored = true
 	close(p.restored)
-	p.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", p.State.UnreconciledCount(), "took_ms", (now-p.ElectedAt)/units.Millisecond)
+	p.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", p.State.Unreconciled.Len(), "took_ms", (now-p.ElectedAt)/units.Millisecond)
 	p.CycleSignal.Raise()
 }
 
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -134,12 +134,12 @@
 	b.State.Lock()
 	defer b.State.Unlock()
 	endpoints = map[string]string{}
-	for _, id := range b.State.UnreconciledMachines() {
+	for _, id := range b.State.Unreconciled.Machines() {
 		if m := b.State.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
 			endpoints[id] = m.Endpoint
 		}
 	}
-	return b.State.UnreconciledCount() > 0, endpoints
+	return b.State.Unreconciled.Len() > 0, endpoints
 }
 
 func (b *TokenBroadcaster) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -11,7 +11,7 @@
 // recordSentCommand notes the first command of an answer, for heard.
 func recordSentCommand(m *cluster.Machine, out []protocol.Command, key cluster.AttemptKey) {
 	if len(out) == 1 {
-		m.LastCommand = cluster.SentCommand{Pending: true, Verb: string(out[0].Verb), Key: key}
+		m.LastCommand = cluster.SentCommand{Pending: true, Verb: out[0].Verb, Key: key}
 	}
 }
 
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -70,7 +70,7 @@
 	// received. Any other may be a copy that comes late, of a machine that is
 	// gone by now, and an answer of a former leader may still be on its way.
 	if m.FencingToken != r.FencingToken && r.FencingToken == rc.Token {
-		rc.State.MarkReconciled(m.ID)
+		rc.State.Unreconciled.Resolve(m.ID)
 		rc.CycleSignal.Raise()
 	}
 	m.FencingToken, m.MayHoldCancelled = r.FencingToken, false
@@ -138,7 +138,7 @@
 		}
 	}
 	carriedOut := !there
-	switch protocol.Verb(m.LastCommand.Verb) {
+	switch m.LastCommand.Verb {
 	case protocol.VerbStart:
 		carriedOut = there
 	case protocol.VerbStop:
@@ -176,20 +176,20 @@
 	switch task.Cause {
 	case protocol.CauseDone:
 		if j.IsService() {
-			rc.State.ReplicaEnded(a, false, now)
+			rc.State.Outcomes.ReplicaEnded(a, false, now)
 			break
 		}
 		rc.State.Completions.Freed(j.Spec.Request.CPU)
-		rc.State.AttemptCompleted(a, now)
+		rc.State.Outcomes.AttemptCompleted(a, now)
 		rc.State.TaskDone(j, key.Index, now)
 		if j.Complete() {
 			rc.WriteSignal.Raise()
 		}
 	case protocol.CauseError:
 		if j.IsService() {
-			rc.State.ReplicaEnded(a, true, now)
+			rc.State.Outcomes.ReplicaEnded(a, true, now)
 		} else {
-			rc.State.AttemptFailed(a, now)
+			rc.State.Outcomes.AttemptFailed(a, now)
 		}
 		if m.Quarantined {
 			rc.Log.Info("machine set aside as faulty", "machine", m.ID, "task", a.TaskName())
@@ -225,10 +225,10 @@
 			a.Stage, a.RunningSince = cluster.Running, now
 			j.Started = true
 			rc.Tracer.Trace("task runs", a)
-			rc.State.RecordImage(m, j)
+			m.RecordImage(j)
 		}
 		if j.IsService() {
-			rc.State.ReplicaSteady(a, now)
+			rc.State.Outcomes.ReplicaSteady(a, now)
 		}
 	case protocol.TaskCheckpointing:
 		a.Stage = cluster.Checkpointing
--- a/internal/scheduler/eviction.go
+++ b/internal/scheduler/eviction.go
@@ -17,7 +17,7 @@
 		if a.Stopping {
 			continue
 		}
-		run := sc.State.EstimateRuntime(a.Job)
+		run := sc.State.Outcomes.EstimateRuntime(a.Job)
 		if a.RunningSince > 0 {
 			run -= now - a.RunningSince
 		}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -39,7 +39,7 @@
 	if sc.Detector.AllReconciled() {
 		return teams
 	}
-	for j := range sc.State.UnreconciledJobs() {
+	for j := range sc.State.Unreconciled.Jobs() {
 		if i, ok := teams[j.Spec.Team]; ok {
 			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Request, j.UnreconciledTasks())
 		}
@@ -261,7 +261,7 @@
 
 func (sc *Scheduler) rankInput(j *cluster.Job) config.RankInput {
 	waited := max(0, sc.Clock.Wall()-j.Submitted)
-	estimate := sc.State.EstimateRuntime(j)
+	estimate := sc.State.Outcomes.EstimateRuntime(j)
 	in := config.RankInput{
 		Class: j.Spec.Class, Team: j.Spec.Team, Priority: int(j.Spec.Priority),
 		Tasks: j.Spec.Tasks, Unfinished: j.Unfinished(), Pending: j.Pending(),
--- a/internal/storage/catalog.go
+++ b/internal/storage/catalog.go
@@ -71,7 +71,7 @@
 		stored[row.Key] = row.Version
 		var c protocol.Catalog
 		if e := protocol.Decode(row.Value, &c); e != nil {
-			err = fmt.Errorf("record %s: %w", row.Key, e)
+			err = &RecordError{Key: row.Key, Err: e}
 			continue
 		}
 		for _, t := range c.Types {
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -4,6 +4,7 @@
 package storage
 
 import (
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"net/url"
@@ -64,24 +65,35 @@
 	PartOldDonePage  = 'p'
 )
 
+// partKinds are all kinds of further records.
+var partKinds = string([]rune{PartMachineNames, PartDonePage, PartOldDonePage})
+
 // KeyJobPart is the key of a job's further record: the n-th of a kind.
 func KeyJobPart(job string, kind byte, n int) string {
 	return fmt.Sprintf("%s/%c%d", KeyJob(job), kind, n)
 }
 
-// ParseJobPart reads what a key below a job's says: the job's key, the kind and the
-// number.
-func ParseJobPart(key string) (job string, kind byte, n int, err error) {
+// JobPart is what the key of a job's further record says.
+type JobPart struct {
+	JobKey string // of the job's own record
+	Kind   byte   // PartMachineNames, PartDonePage or PartOldDonePage
+	Number int    // 0 or above
+}
+
+// ParseJobPart parses a key below a job's. It fails with a RecordError if the key is not one
+// that KeyJobPart makes.
+func ParseJobPart(key string) (JobPart, error) {
 	cut := strings.LastIndexByte(key, '/')
-	job, rest := key[:cut], key[cut+1:]
-	if len(rest) >= 2 {
-		kind = rest[0]
-		n, err = strconv.Atoi(rest[1:])
-	}
-	if len(rest) < 2 || err != nil || n < 0 || rest != fmt.Sprintf("%c%d", kind, n) || !strings.ContainsRune("mdp", rune(kind)) {
-		return "", 0, 0, fmt.Errorf("record %s: not of a known kind", key)
+	job, name := key[:cut], key[cut+1:]
+	if len(name) >= 2 && strings.ContainsRune(partKinds, rune(name[0])) {
+		part := JobPart{JobKey: job, Kind: name[0]}
+		var err error
+		part.Number, err = strconv.Atoi(name[1:])
+		if err == nil && part.Number >= 0 && name == fmt.Sprintf("%c%d", part.Kind, part.Number) {
+			return part, nil
+		}
 	}
-	return job, kind, n, nil
+	return JobPart{}, &RecordError{Key: key, Err: errors.New("not of a known kind")}
 }
 
 // LeaseRecord is a leased record: the fleet's, which names the leader and whose
