--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
@@ -33,7 +34,7 @@
 	Slow             bool
 	BlockedUntil     units.Micros // refused for want of room: our count is off
 
-	Stage        string // as the cloud lists it
+	Stage        protocol.MachineStage // as the cloud lists it
 	RentedAt     units.Micros
 	IdleSince    units.Micros
 	Releasing    bool
--- a/internal/controller/failuredetector_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -40,7 +40,7 @@
 // away, as if they had never come up.
 func TestZoneWithoutHeartbeatsIsKept(t *testing.T) {
 	term, clock := leaderWithJob(t, 1)
-	for i, stage := range []string{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineBooting} {
+	for i, stage := range []protocol.MachineStage{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineBooting} {
 		m := term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.Now-500*units.Second)
 		m.Stage = stage
 	}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,20 +1,14 @@
 package protocol
 
-// Paths of the cloud's interface.
-const (
-	PathCatalog  = "/catalog"
-	PathMachines = "/hosts"
-	PathScaleIn  = "/hosts/release"
-)
-
-// Limits of the cloud's requests.
+// Bounds on requests to the cloud: machines in one request or on one page.
 const (
 	MaxScaleOut = 50
 	MaxScaleIn  = 100
 	MaxListPage = 500
 )
 
-// InstanceType is an entry of the cloud's catalog.
+// InstanceType is an entry of the cloud's catalog: what a machine of the type has, and its
+// prices by hour.
 type InstanceType struct {
 	Name      string   `cbor:"name"`
 	CPUs      float64  `cbor:"vcpus"`
@@ -28,12 +22,13 @@
 	Zones     []string `cbor:"yards"`
 }
 
-// Catalog lists the machine types.
+// Catalog lists the instance types.
 type Catalog struct {
 	Types []InstanceType `cbor:"looms"`
 }
 
-// ScaleOutRequest asks for machines. Request is never used again for anything else.
+// ScaleOutRequest rents machines. It is idempotent by its RequestID, which is never used again
+// for anything else.
 type ScaleOutRequest struct {
 	RequestID    string `cbor:"hire"`
 	InstanceType string `cbor:"loom"`
@@ -42,30 +37,33 @@
 	Count        int    `cbor:"count"`
 }
 
-// MachineIDs is the answer to Rent, and the body of a release.
+// MachineIDs answers a ScaleOutRequest, and is the body of a request to scale in.
 type MachineIDs struct {
 	Machines []string `cbor:"dunes"`
 }
 
 // ListedMachine is a machine as the cloud lists it.
 type ListedMachine struct {
-	ID           string  `cbor:"uid"`
-	Endpoint     string  `cbor:"endpoint"`
-	InstanceType string  `cbor:"loom"`
-	Zone         string  `cbor:"yard"`
-	Spot         bool    `cbor:"borrowed"`
-	Stage        string  `cbor:"stage"`
-	AgeSeconds   float64 `cbor:"age_s"`
+	ID           string       `cbor:"uid"`
+	Endpoint     string       `cbor:"endpoint"`
+	InstanceType string       `cbor:"loom"`
+	Zone         string       `cbor:"yard"`
+	Spot         bool         `cbor:"borrowed"`
+	Stage        MachineStage `cbor:"stage"`
+	AgeSeconds   float64      `cbor:"age_s"`
 }
 
-// Stages of a listed machine.
+// MachineStage is the stage of a machine as the cloud sees it.
+type MachineStage string
+
+// The stages of a listed machine.
 const (
-	MachineBooting = "booting"
-	MachineRunning = "running"
-	MachineFailed  = "failed"
+	MachineBooting MachineStage = "booting"
+	MachineRunning MachineStage = "running"
+	MachineFailed  MachineStage = "failed"
 )
 
-// MachineList is a page of the cloud's list.
+// MachineList is a page of the cloud's list of rented machines.
 type MachineList struct {
 	Machines []ListedMachine `cbor:"dunes"`
 	More     bool            `cbor:"more"`
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,5 +1,5 @@
 // Package protocol holds every message that leaves or enters the process:
-// CBOR towards users, workers, the cloud and the state service, FlatBuffers
+// CBOR towards users, workers, the cloud and the key-value store, FlatBuffers
 // between controllers. The names on the wire stay in this package.
 package protocol
 
@@ -34,19 +34,25 @@
 	return v
 }
 
-// Raw is a value that is passed on undecoded.
+// Bodies that are no message at all.
+var (
+	ErrEmptyBody = errors.New("empty body")
+	ErrNotMap    = errors.New("not a CBOR map")
+)
+
+// Raw is an encoded value that is passed on as it is.
 type Raw = cbor.RawMessage
 
-// Encode writes a message. The messages of this package always can be.
+// Encode returns a message as CBOR. The messages of this package always can be encoded.
 func Encode(v any) []byte { return must(encoder.Marshal(v)) }
 
-// Decode reads a message; v points to a struct.
+// Decode reads a CBOR map into the struct that v points to.
 func Decode(data []byte, v any) error {
 	if len(data) == 0 {
-		return errors.New("empty body")
+		return ErrEmptyBody
 	}
 	if data[0]>>5 != 5 {
-		return errors.New("not a CBOR map")
+		return ErrNotMap
 	}
 	if err := decoder.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("not valid: %w", err)
--- a/internal/protocol/users.go
+++ b/internal/protocol/jobs.go
@@ -7,16 +7,7 @@
 	"dunestand/internal/units"
 )
 
-// Paths of the users' and workers' interface.
-const (
-	PathSubmit    = "/submissions"
-	PathPoll      = "/submissions/:id"
-	PathCancel    = "/submissions/:id/cancel"
-	PathHealth    = "/healthz"
-	PathHeartbeat = "/agent/beat"
-)
-
-// JobStage is a job's state as its user sees it.
+// JobStage is the state of a job as its user sees it.
 type JobStage string
 
 // The stages of a job.
@@ -27,7 +18,7 @@
 	StageCancelled JobStage = "aborted"
 )
 
-// IsTerminal tells whether a job in this stage stays there.
+// IsTerminal reports whether a job in this stage stays there.
 func (s JobStage) IsTerminal() bool { return s == StageDone || s == StageCancelled }
 
 // Priority orders jobs; a larger one goes first.
@@ -53,7 +44,7 @@
 	return fmt.Sprintf("priority(%d)", uint8(p))
 }
 
-// ParsePriority reads a priority's name.
+// ParsePriority reads the name of a priority.
 func ParsePriority(s string) (Priority, bool) {
 	for i, n := range priorityNames {
 		if n == s {
@@ -63,11 +54,12 @@
 	return 0, false
 }
 
-// JobKind is how a job's tasks belong together.
+// JobKind says how the tasks of a job belong together.
 type JobKind uint8
 
-// The shapes. Array tasks are independent. A gang's tasks start only when all
-// fit at once; a service's tasks are replicas, kept apart where possible.
+// The kinds. The tasks of a job array are independent. Those of a gang start only when all fit
+// at once. Those of a service are replicas that run until the job is cancelled, on different
+// machines and zones where possible.
 const (
 	Array JobKind = iota
 	Gang
@@ -76,43 +68,47 @@
 
 var jobKinds = map[string]JobKind{"sweep": Array, "gang": Gang, "service": Service}
 
-// JobKinds is the number of shapes.
+// JobKinds is the number of kinds.
 const JobKinds = 3
 
 // MaxTasks is the most tasks that a job may have.
 const MaxTasks = 100_000
 
-// Bounds on a user's texts, so that every job fits a record.
+// Bounds on the texts of a submission, so that every job fits a record: bytes of a text, and
+// names in a list.
 const (
 	maxText  = 128
 	maxTypes = 32
 )
 
-// JobSpec is a submission, checked.
+// JobSpec is what a user submitted, checked.
 type JobSpec struct {
-	ID                 string
-	Class              string
-	Team               string
-	Kind               JobKind
-	Priority           Priority
-	Tasks              int
-	Request            units.Resources
-	InstanceTypes      []string // allowed machine types; nil: any
-	Zone               string   // the only allowed zone; "": any
-	ZoneAffinity       bool
-	ZoneSpread         bool
-	AllowSpot          bool
+	ID       string
+	Class    string
+	Team     string
+	Kind     JobKind
+	Priority Priority
+	Tasks    int
+	Request  units.Resources // of each task
+
+	// Placement constraints.
+	InstanceTypes []string // allowed types; nil: any
+	Zone          string   // the only allowed zone; "": any
+	ZoneAffinity  bool     // all tasks in one zone
+	ZoneSpread    bool     // at most half of the tasks, rounded up, in a zone
+	AllowSpot     bool
+
 	Image              string
-	ImageSize          units.Amount
-	Estimate           units.Micros
-	CheckpointInterval units.Micros
-	CheckpointDuration units.Micros
+	ImageSize          units.Amount // GB
+	Estimate           units.Micros // expected run time of a task
+	CheckpointInterval units.Micros // 0: the tasks write no checkpoints
+	CheckpointDuration units.Micros // what a task that is stopped needs to write one
 	Deadline           units.Micros // from the submission; 0: none
 }
 
 const maxJobDigits = 18
 
-// ValidJobID tells whether a text has the form of a job id.
+// ValidJobID reports whether a text has the form of a job's id.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "j-")
 	return ok && len(digits) <= maxJobDigits && onlyDigits(digits)
@@ -127,8 +123,8 @@
 	return s != ""
 }
 
-// SubmissionID gives the job's id in a submission, of which nothing else need be
-// right.
+// SubmissionID reads the job's id from a submission of which nothing else need be right. It
+// reports whether there is one.
 func SubmissionID(body []byte) (string, bool) {
 	var w struct {
 		UID string `cbor:"uid"`
@@ -139,7 +135,7 @@
 	return w.UID, true
 }
 
-// JobState is the answer about a job.
+// JobState is what a user is told about a job.
 type JobState struct {
 	ID      string   `cbor:"uid"`
 	Stage   JobStage `cbor:"stage"`
@@ -147,9 +143,9 @@
 	Running int      `cbor:"running"`
 }
 
-// ErrorResponse is the body of an answer that refuses something.
+// ErrorResponse is the body of a response that refuses a request.
 type ErrorResponse struct {
 	Message string `cbor:"error"`
-	// PlanVersion is the version of the admission plan by which a job has to wait.
+	// PlanVersion is the version of the admission plan by which the job has to wait.
 	PlanVersion uint64 `cbor:"plan,omitempty"`
 }
--- a/internal/protocol/mesh.go
+++ b/internal/protocol/mesh.go
@@ -22,7 +22,7 @@
 )
 
 // Frame is a message between controllers: a user's request passed on to the
-// leader, or its answer.
+// leader, or the response to it.
 type Frame struct {
 	ID         uint64
 	Kind       FrameKind
@@ -32,7 +32,13 @@
 	RetryAfter int
 }
 
-// EncodeFrame writes a frame.
+// ErrShortFrame says that a frame has no room for its header.
+var ErrShortFrame = errors.New("frame too short")
+
+// minFrameBytes is the smallest frame: the offsets at its head.
+const minFrameBytes = 8
+
+// EncodeFrame returns a frame as FlatBuffers bytes.
 func EncodeFrame(f Frame) []byte {
 	b := flatbuffers.NewBuilder(128 + len(f.Body))
 	job := b.CreateString(f.Job)
@@ -53,8 +59,8 @@
 // other. A kind that is not known is none: controllers of a later version may
 // send it, and whoever gets it ignores it.
 func DecodeFrame(data []byte) (f Frame, err error) {
-	if len(data) < 8 {
-		return Frame{}, errors.New("frame too short")
+	if len(data) < minFrameBytes {
+		return Frame{}, ErrShortFrame
 	}
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -1,7 +1,6 @@
 package protocol
 
 import (
-	"errors"
 	"fmt"
 	"math"
 
@@ -39,8 +38,8 @@
 	maxSeconds  = 1e9
 )
 
-// ParseSubmission reads and checks a user's submission. Its error is the one
-// line that the user gets with status 400.
+// ParseSubmission reads and checks a user's submission. Its error, mostly a *FieldError, is the
+// one line that the user gets with status 400.
 func ParseSubmission(body []byte) (*JobSpec, error) {
 	var w submission
 	if err := Decode(body, &w); err != nil {
@@ -69,10 +68,10 @@
 	}
 	for _, t := range texts {
 		if t.value == nil {
-			return fmt.Errorf("%s: missing", t.field)
+			return fieldError(t.field, "missing")
 		}
 		if len(*t.value) > maxText {
-			return fmt.Errorf("%s: over %d bytes", t.field, maxText)
+			return fieldError(t.field, fmt.Sprintf("over %d bytes", maxText))
 		}
 	}
 	return nil
@@ -81,25 +80,25 @@
 // checkNames checks the texts that have a form or stand for something.
 func (w *submission) checkNames() error {
 	if !ValidJobID(*w.UID) {
-		return errors.New("uid: not of the form j-000412")
+		return fieldError("uid", "not of the form j-000412")
 	}
 	if _, known := jobKinds[*w.Shape]; !known {
-		return errors.New("shape: unknown")
+		return fieldError("shape", "unknown")
 	}
 	if _, known := ParsePriority(*w.Urgency); !known {
-		return errors.New("urgency: unknown")
+		return fieldError("urgency", "unknown")
 	}
 	return nil
 }
 
 func (w *submission) checkNumbers() error {
 	if w.Bolts == nil || *w.Bolts < 1 || *w.Bolts > MaxTasks {
-		return fmt.Errorf("bolts: missing or not within 1 to %d", MaxTasks)
+		return fieldError("bolts", fmt.Sprintf("missing or not within 1 to %d", MaxTasks))
 	}
 	numbers := []struct {
 		field string
 		value *float64
-		most  float64
+		max   float64
 	}{
 		{"vcpus", w.VCPUs, maxAmount},
 		{"cards", w.Cards, maxAmount},
@@ -110,19 +109,19 @@
 		{"stow_s", w.Stow, maxSeconds},
 	}
 	for _, n := range numbers {
-		if n.value == nil || !within(*n.value, n.most) {
-			return fmt.Errorf("%s: missing or out of range", n.field)
+		if n.value == nil || !within(*n.value, n.max) {
+			return fieldError(n.field, "missing or out of range")
 		}
 	}
 	if w.Due != nil && !within(*w.Due, maxSeconds) {
-		return errors.New("due_s: out of range")
+		return fieldError("due_s", "out of range")
 	}
 	return nil
 }
 
-// within tells whether a number is one, and neither negative nor too large.
-func within(value, most float64) bool {
-	return !math.IsNaN(value) && value >= 0 && value <= most
+// within reports whether a value is a number, not negative and not over a maximum.
+func within(value, maximum float64) bool {
+	return !math.IsNaN(value) && value >= 0 && value <= maximum
 }
 
 func (w *submission) checkFlags() error {
@@ -136,7 +135,7 @@
 	}
 	for _, f := range flags {
 		if f.value == nil {
-			return fmt.Errorf("%s: missing", f.field)
+			return fieldError(f.field, "missing")
 		}
 	}
 	return nil
@@ -145,23 +144,23 @@
 // checkPlacement checks the machine types and the zone that a job allows.
 func (w *submission) checkPlacement() error {
 	if len(w.Looms) > maxTypes {
-		return fmt.Errorf("looms: over %d types", maxTypes)
+		return fieldError("looms", fmt.Sprintf("over %d types", maxTypes))
 	}
 	for _, name := range w.Looms {
 		if name == "" || len(name) > maxText {
-			return errors.New("looms: a name is empty or too long")
+			return fieldError("looms", "a name is empty or too long")
 		}
 	}
 	if w.Looms != nil && len(w.Looms) == 0 {
-		return errors.New("looms: empty; null means any")
+		return fieldError("looms", "empty; null means any")
 	}
 	if w.Yard != nil && (*w.Yard == "" || len(*w.Yard) > maxText) {
-		return errors.New("yard: empty or too long")
+		return fieldError("yard", "empty or too long")
 	}
 	return nil
 }
 
-// spec gives the job that a checked submission describes.
+// spec returns the job that a checked submission describes.
 func (w *submission) spec() *JobSpec {
 	priority, _ := ParsePriority(*w.Urgency)
 	job := &JobSpec{
