--- a/internal/standin/rulechecker.go
+++ b/internal/standin/rulechecker.go
@@ -259,17 +259,3 @@
 	}
 	return out
 }
-
-// Unanswered lists the accepted jobs that are not over and about which no question
-// was answered for a time.
-func (r *RuleChecker) Unanswered(d time.Duration) []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var out []string
-	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
-		if j := r.jobs[id]; j.known && !j.told.IsTerminal() && time.Since(j.answered) > d {
-			out = append(out, id)
-		}
-	}
-	return out
-}
