--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -40,7 +40,7 @@
 	Slow             bool         // it runs tasks slower than their siblings elsewhere
 	BlockedUntil     units.Micros // it had no capacity for a start: our count is off
 
-	Stage        string // as the cloud lists it
+	Stage        protocol.MachineStage // as the cloud lists it
 	RentedAt     units.Micros
 	IdleSince    units.Micros
 	Releasing    bool
