--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -87,7 +87,7 @@
 	a.Job.LiveAttempts[a.Index] = a
 	a.Job.records.attempts[a.Machine.ID]++
 	a.Machine.Attempts[a.key()] = a
-	s.addUsage(a, 1)
+	s.addUsage(a, 1, 0)
 	return a
 }
 
@@ -95,7 +95,7 @@
 func (s *State) StopAttempt(a *Attempt, grace units.Micros) {
 	if !a.Stopping {
 		a.Stopping = true
-		s.addFreeing(a, 1)
+		s.addUsage(a, 0, 1)
 	}
 	a.GracePeriod = grace
 }
@@ -116,7 +116,11 @@
 			a.Job.pending.retries = append(a.Job.pending.retries, a.Index)
 		}
 	}
-	s.addUsage(a, -1)
+	freeing := 0
+	if a.Stopping {
+		freeing = -1
+	}
+	s.addUsage(a, -1, freeing)
 	if len(a.Machine.Attempts) == 0 {
 		a.Machine.IdleSince = now
 	}
--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -52,7 +52,7 @@
 	for _, w := range part.writes {
 		b.batch.Txn.Then = append(b.batch.Txn.Then, w.change)
 	}
-	j.beginWrite(&part)
+	part.begin()
 	b.batch.parts = append(b.batch.parts, part)
 	return true
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -18,10 +18,9 @@
 	Endpoint     string // as the cloud lists it
 	Capacity     units.Resources
 	ImageCache   units.Amount // bytes
-	Used         units.Resources
-	Freeing      units.Resources // part of Used, held by attempts that are to be stopped
-	Attempts     map[AttemptKey]*Attempt
-	Ended        int // ended tasks in its last heartbeat
+	Usage
+	Attempts map[AttemptKey]*Attempt
+	Ended    int // ended tasks in its last heartbeat
 
 	Registered   bool   // it sent a heartbeat to this leader
 	FencingToken uint64 // the highest that it had seen by its last heartbeat
@@ -91,6 +90,13 @@
 	size units.Amount
 }
 
+// setInstanceType sets the machine's capacity to that of its type, if the type is known.
+func (m *Machine) setInstanceType(types map[string]protocol.InstanceType) {
+	if t, ok := types[m.InstanceType]; ok {
+		m.Capacity, m.ImageCache = CapacityOf(t), units.AmountOf(t.CacheGB)
+	}
+}
+
 // Free returns the free capacity.
 func (m *Machine) Free() units.Resources { return m.Capacity.Plus(m.Used, -1) }
 
--- a/internal/cluster/machines.go
+++ b/internal/cluster/machines.go
@@ -15,13 +15,7 @@
 		s.InstanceTypes[t.Name] = t
 	}
 	for _, m := range s.Machines {
-		s.setCapacity(m)
-	}
-}
-
-func (s *State) setCapacity(m *Machine) {
-	if t, ok := s.InstanceTypes[m.InstanceType]; ok {
-		m.Capacity, m.ImageCache = CapacityOf(t), units.AmountOf(t.CacheGB)
+		m.setInstanceType(s.InstanceTypes)
 	}
 }
 
@@ -42,7 +36,7 @@
 		s.Machines[id] = m
 		i, _ := findMachine(s.sortedMachines, id)
 		s.sortedMachines = slices.Insert(s.sortedMachines, i, m)
-		s.setCapacity(m)
+		m.setInstanceType(s.InstanceTypes)
 	}
 	return m
 }
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -65,7 +65,12 @@
 		return err
 	}
 	if j := jobs[part.JobKey]; j != nil {
-		if err := j.parsePart(item, part); err != nil {
+		if part.Kind == storage.PartMachineNames {
+			err = j.parseNames(item, part)
+		} else {
+			err = j.parsePage(item, part)
+		}
+		if err != nil {
 			return &storage.RecordError{Key: item.Key, Err: err}
 		}
 		return nil
@@ -135,16 +140,8 @@
 	}
 }
 
-// parsePart decodes one of the job's further records.
-func (j *Job) parsePart(item protocol.Item, part storage.JobPart) error {
-	c := &shard{key: item.Key, version: item.Version}
-	if part.Kind == storage.PartMachineNames {
-		return j.parseNames(item, part.Number, c)
-	}
-	return j.parsePage(item, part, c)
-}
-
-func (j *Job) parseNames(item protocol.Item, n int, c *shard) error {
+// parseNames decodes a further part of the job's machine names.
+func (j *Job) parseNames(item protocol.Item, part storage.JobPart) error {
 	var r machineNamesRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return err
@@ -152,6 +149,7 @@
 	if r.Format != storage.FormatNew {
 		return storage.UnknownFormatError(r.Format)
 	}
+	n, c := part.Number, &shard{key: item.Key, version: item.Version}
 	if j.records.nameParts[n] != nil || n > maxParts {
 		return errOutOfRange
 	}
@@ -160,11 +158,13 @@
 	return nil
 }
 
-func (j *Job) parsePage(item protocol.Item, part storage.JobPart, c *shard) error {
+// parsePage decodes a page of the job's done set, in either format.
+func (j *Job) parsePage(item protocol.Item, part storage.JobPart) error {
 	var r donePageRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return err
 	}
+	c := &shard{key: item.Key, version: item.Version}
 	n, last := part.Number, j.Spec.Tasks-1
 	if part.Kind == storage.PartOldDonePage {
 		if n < 1 || n > last/oldPageTasks {
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -10,8 +10,19 @@
 	Name            string
 	GuaranteedQuota units.Resources
 	QuotaLimit      units.Resources
-	Used            units.Resources
-	Freeing         units.Resources // part of Used, held by attempts that are to be stopped
+	Usage
+}
+
+// Usage is what the attempts on a machine or of a team have requested.
+type Usage struct {
+	Used    units.Resources
+	Freeing units.Resources // part of Used, held by attempts that are to be stopped
+}
+
+// add adds a request so many times to Used and to Freeing.
+func (u *Usage) add(request units.Resources, used, freeing int) {
+	u.Used = u.Used.Plus(request, used)
+	u.Freeing = u.Freeing.Plus(request, freeing)
 }
 
 func newTeam(t config.Team) *Team {
@@ -47,21 +58,11 @@
 	return units.AmountOf(setting)
 }
 
-// addUsage adds an attempt's request n times, 1 or -1, to what its machine and team use.
-func (s *State) addUsage(a *Attempt, n int) {
-	a.Machine.Used = a.Machine.Used.Plus(a.Job.Spec.Request, n)
-	if t := s.Teams[a.Job.Spec.Team]; t != nil {
-		t.Used = t.Used.Plus(a.Job.Spec.Request, n)
-	}
-	if a.Stopping {
-		s.addFreeing(a, n)
-	}
-}
-
-// addFreeing is addUsage for the part that attempts which are to be stopped hold.
-func (s *State) addFreeing(a *Attempt, n int) {
-	a.Machine.Freeing = a.Machine.Freeing.Plus(a.Job.Spec.Request, n)
+// addUsage adds an attempt's request to the usage of its machine and team, so many times to
+// Used and to Freeing.
+func (s *State) addUsage(a *Attempt, used, freeing int) {
+	a.Machine.Usage.add(a.Job.Spec.Request, used, freeing)
 	if t := s.Teams[a.Job.Spec.Team]; t != nil {
-		t.Freeing = t.Freeing.Plus(a.Job.Spec.Request, n)
+		t.Usage.add(a.Job.Spec.Request, used, freeing)
 	}
 }
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -124,7 +124,7 @@
 	if a.userAwaitsWrite() != b.userAwaitsWrite() {
 		return firstIf(a.userAwaitsWrite())
 	}
-	return cmp.Or(cmp.Compare(a.writeOrder(), b.writeOrder()), cmp.Compare(a.Spec.ID, b.Spec.ID))
+	return cmp.Or(cmp.Compare(writeOrder(a), writeOrder(b)), cmp.Compare(a.Spec.ID, b.Spec.ID))
 }
 
 // firstIf returns the order of two elements of which one goes first.
@@ -142,7 +142,7 @@
 const priorityHeadStart = 60 * units.Second
 
 // writeOrder returns the time since which the job's changes count as due among others.
-func (j *Job) writeOrder() units.Micros {
+func writeOrder(j *Job) units.Micros {
 	if j.Spec.Priority >= protocol.High {
 		return j.write.since - priorityHeadStart
 	}
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -131,22 +131,23 @@
 	}
 }
 
-// beginWrite marks the job as having a write in flight. Names that a record leaves out may not
-// be used any more, whether or not the batch is carried out.
-func (j *Job) beginWrite(part *batchPart) {
+// begin marks the part's job as having a write in flight. Names that a record leaves out may
+// not be used any more, whether or not the batch is carried out.
+func (p *batchPart) begin() {
+	j := p.job
 	j.write.inFlight = true
-	j.write.endInFlight = part.terminal != nil || part.cancelled && !j.CancelDurable
-	if part.whole {
+	j.write.endInFlight = p.terminal != nil || p.cancelled && !j.CancelDurable
+	if p.whole {
 		j.write.due, j.write.urgent = false, false
 	}
-	for _, w := range part.writes {
+	for _, w := range p.writes {
 		if w.shard != nil {
 			w.shard.dirty = false
 			j.records.dropUnused(w.shard)
 		}
 	}
 	j.done.sent(&j.records)
-	if part.whole {
-		part.waiters = j.write.takeWaiters()
+	if p.whole {
+		p.waiters = j.write.takeWaiters()
 	}
 }
--- a/internal/cluster/writebatchoutcome.go
+++ b/internal/cluster/writebatchoutcome.go
@@ -11,14 +11,7 @@
 	finished := map[string]storage.TerminalRecord{}
 	for _, p := range batch.parts {
 		j := p.job
-		j.write.committed()
-		j.done.committed()
-		for _, w := range p.writes {
-			j.writeCommitted(w, revision)
-		}
-		if p.cancelled && !j.CancelDurable && j.records.main.version == revision {
-			j.CancelDurable, j.cancelVersion = true, revision
-		}
+		p.committed(revision)
 		if p.terminal != nil {
 			finished[j.Spec.ID] = *p.terminal
 			s.AddStaleRecords(j.Spec.ID, j.records.furtherKeys())
@@ -31,17 +24,29 @@
 	return finished
 }
 
-// writeCommitted notes that one of the job's changes was carried out.
-func (j *Job) writeCommitted(w write, revision uint64) {
-	switch {
-	case w.shard == nil:
-		key := w.change.Delete
-		j.inPendingQueue = j.inPendingQueue && key != storage.KeyPending(j.Spec.ID)
-		j.records.deleted(key)
-		return
-	case w.shard == j.records.main:
-		j.stored, j.records.migrating = true, false
+// committed notes that the part was carried out.
+func (p *batchPart) committed(revision uint64) {
+	j := p.job
+	j.write.committed()
+	j.done.committed()
+	for _, w := range p.writes {
+		if w.shard == nil {
+			j.inPendingQueue = j.inPendingQueue && w.change.Delete != storage.KeyPending(j.Spec.ID)
+			j.records.deleted(w.change.Delete)
+			continue
+		}
+		if w.shard == j.records.main {
+			j.stored, j.records.migrating = true, false
+		}
+		w.committed(revision)
+	}
+	if p.cancelled && !j.CancelDurable && j.records.main.version == revision {
+		j.CancelDurable, j.cancelVersion = true, revision
 	}
+}
+
+// committed notes that a record was written.
+func (w *write) committed(revision uint64) {
 	w.shard.version = revision
 	for _, m := range w.machines {
 		if _, named := w.shard.machines[m]; named {
