--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -93,28 +93,28 @@
 	for crash := range 40 {
 		s := &store{items: production(t), revision: 100}
 		for restart := 0; ; restart++ {
-			state := NewState(nil, limits)
-			state.UpgradeFormat(storage.FormatNew, 0)
+			l := NewState(nil, limits)
+			l.UpgradeFormat(storage.FormatNew, 0)
 			jobs, orphans, err := ParseJobs(s.rows())
 			if err != nil || len(orphans) > 0 {
 				t.Fatal(err, orphans)
 			}
 			for _, j := range jobs {
-				state.AddJob(j)
+				l.AddJob(j)
 			}
-			if got := len(state.Jobs["j-000003"].UnreconciledMachines); got != 600 {
+			if got := len(l.Jobs["j-000003"].UnreconciledMachines); got != 600 {
 				t.Fatalf("crash after %d saves: %d machines are named", crash, got)
 			}
-			if got := state.Jobs["j-000002"].DoneCount(); got != 12858 {
+			if got := l.Jobs["j-000002"].DoneCount(); got != 12858 {
 				t.Fatalf("crash after %d saves: %d are done", crash, got)
 			}
 			n := 0
 			for ; ; n++ {
-				save := state.BuildWriteBatch(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, storage.Buckets), BatchLimits{Background: true}, 10)
+				save := l.BuildWriteBatch(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, storage.Buckets), BatchLimits{Background: true}, 10)
 				if save == nil || restart == 0 && n == crash {
 					break
 				}
-				state.BatchCommitted(save, s.apply(t, save.Txn, limits.Both()))
+				l.BatchCommitted(save, s.apply(t, save.Txn, limits.Both()))
 			}
 			if restart > 0 {
 				break
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -14,7 +14,9 @@
 
 // ParseJobs decodes the records under the jobs' prefix. Any record that cannot be
 // decoded fails the whole with a *storage.RecordError: skipping it would forget a job. While a
-// job is migrated to the new format, what its records in either format say counts.
+// job is migrated to the new format, what its records in either format say counts. orphans are
+// the keys of further records without a job's own, by job: they are left over if the job has
+// ended.
 func ParseJobs(items []protocol.Item) (jobs []*Job, orphans map[string][]string, err error) {
 	byKey := map[string]*Job{}
 	var parts []protocol.Item
--- /dev/null
+++ b/internal/cluster/restore_test.go
@@ -0,0 +1,57 @@
+package cluster
+
+import (
+	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
+	"testing"
+)
+
+func TestUnreadableRecordFailsTheRestore(t *testing.T) {
+	good := newJob(protocol.JobSpec{ID: "j-000001", Tasks: 3}, 0, storage.FormatOld).record("1-1", nil)
+	other := good
+	other.Tasks = protocol.MaxTasks + 1
+	later := good
+	later.Format = storage.NewestFormat + 1
+	for name, row := range map[string]protocol.Item{
+		"not CBOR":          {Key: storage.KeyJob("j-000001"), Value: []byte{0xff}},
+		"under another key": {Key: storage.KeyJob("j-000002"), Value: protocol.Encode(good)},
+		"out of range":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(other)},
+		"later format":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(later)},
+		"unknown part":      {Key: storage.KeyJob("j-000001") + "/x1", Value: protocol.Encode(donePageRecord{})},
+		"odd number": {
+			Key:   storage.KeyJob("j-000001") + "/m01",
+			Value: protocol.Encode(machineNamesRecord{Format: storage.FormatNew}),
+		},
+		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(donePageRecord{})},
+	} {
+		if jobs, _, err := ParseJobs([]protocol.Item{row}); err == nil {
+			t.Errorf("%s: read as %v", name, jobs)
+		}
+	}
+}
+
+// A further record of a later format is not skipped, and one without a job's own
+// is not mistaken for a job: it is left over if the job has ended, else the restore
+// fails with an error.
+func TestPartOfALaterFormatFailsTheRestore(t *testing.T) {
+	good := protocol.Encode(newJob(protocol.JobSpec{
+		ID:    "j-000001",
+		Tasks: 5000,
+	}, 0, storage.FormatNew).record("1-1", nil))
+	for kind, value := range map[byte]protocol.Raw{
+		storage.PartMachineNames: protocol.Encode(machineNamesRecord{Format: storage.NewestFormat + 1}),
+		storage.PartDonePage:     protocol.Encode(donePageRecord{Format: storage.NewestFormat + 1}),
+	} {
+		rows := []protocol.Item{
+			{Key: storage.KeyJob("j-000001"), Value: good},
+			{Key: storage.KeyJobPart("j-000001", kind, 1), Value: value},
+		}
+		if _, _, err := ParseJobs(rows); err == nil {
+			t.Errorf("part %c of a later format is read", kind)
+		}
+		jobs, orphans, err := ParseJobs(rows[1:])
+		if err != nil || len(jobs) != 0 || len(orphans["j-000001"]) != 1 {
+			t.Errorf("part %c without its job: jobs %v, orphans %v, %v", kind, jobs, orphans, err)
+		}
+	}
+}
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-// The sums a ledger keeps are those of its attempts, and no task is on two
+// The usage that the state keeps is that of its attempts, and no task is on two
 // machines or both pending and placed, through any order of events.
 func TestUsageIsTheSumOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// A machine that runs its tasks slower than their siblings elsewhere is found
-// out, and does not spoil what is known of the job.
+// A machine that runs its tasks slower than their siblings elsewhere is detected,
+// and does not distort what is known of the job.
 func TestSlowMachineIsDetected(t *testing.T) {
 	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
--- a/internal/cluster/writebatchorder_test.go
+++ b/internal/cluster/writebatchorder_test.go
@@ -33,9 +33,9 @@
 	}
 	state.Assign(urgent, m, 100, 10*units.Second)
 	state.NewJob(protocol.JobSpec{ID: "j-900001", Tasks: 1}, 0, 11*units.Second).MarkChanged(11*units.Second, true)
-	s := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, 12*units.Second)
-	if got, want := s.JobIDs()[:2], []string{"j-900001", "j-900000"}; !slices.Equal(got, want) {
-		t.Errorf("saved first: %v, want the one whose user waits and then the urgent one, %v", got, want)
+	batch := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, 12*units.Second)
+	if got, want := batch.JobIDs()[:2], []string{"j-900001", "j-900000"}; !slices.Equal(got, want) {
+		t.Errorf("written first: %v, want the one whose user waits and then the urgent one, %v", got, want)
 	}
 }
 
@@ -47,48 +47,48 @@
 	low, high := storedJob(state, "j-000002", protocol.Low), storedJob(state, "j-000001", protocol.High)
 	state.Assign(low, m, 1, units.Second)
 	state.Assign(high, m, 2, units.Second+priorityHeadStart+1)
-	s := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, 2*priorityHeadStart)
-	if got, want := s.JobIDs(), []string{"j-000002", "j-000001"}; !slices.Equal(got, want) {
-		t.Errorf("saved in the order %v, want %v", got, want)
+	batch := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, 2*priorityHeadStart)
+	if got, want := batch.JobIDs(), []string{"j-000002", "j-000001"}; !slices.Equal(got, want) {
+		t.Errorf("written in the order %v, want %v", got, want)
 	}
 }
 
-// A save holds no more changes than the rate of writes has room for.
+// A batch holds no more changes than the rate of writes has space for.
 func TestWriteBatchKeepsWithinTheChangesAllowed(t *testing.T) {
 	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	for i := range 10 {
 		state.NewJob(protocol.JobSpec{ID: fmt.Sprintf("j-%06d", i), Tasks: 1}, 0, 0)
 	}
 	for _, limit := range []int{1, 4, 7} {
-		s := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{MaxChanges: limit}, 0)
-		if len(s.Txn.Then) != limit {
-			t.Errorf("%d changes with room for %d", len(s.Txn.Then), limit)
+		batch := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{MaxChanges: limit}, 0)
+		if len(batch.Txn.Then) != limit {
+			t.Errorf("%d changes with space for %d", len(batch.Txn.Then), limit)
 		}
-		state.BatchRefused(s, 0)
+		state.BatchRefused(batch, 0)
 	}
 }
 
-// A job that was accepted by the leader and in the inbox as well is only taken out of there
-// again: without a write of its own record, and when nobody waits for writes.
+// A job that was accepted by the leader and is in the pending-submission queue as well is only
+// removed from there: without a write of its own record, and when nobody waits for writes.
 func TestJobAcceptedTwiceIsRemovedFromThePendingQueue(t *testing.T) {
 	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
 	j := storedJob(state, "j-000001", protocol.Low)
 	state.AddPending(PendingSubmission{Spec: j.Spec}, units.Second)
-	if s := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, units.Second); s != nil {
-		t.Fatalf("it is written while there is no room for what nobody waits for: %v", s.Txn.Then)
+	if batch := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, units.Second); batch != nil {
+		t.Fatalf("it is written while there is no space for what nobody waits for: %v", batch.Txn.Then)
 	}
-	s := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{Background: true}, units.Second)
-	if s == nil || len(s.Txn.Then) != 1 || s.Txn.Then[0].Delete != storage.KeyPending("j-000001") {
-		t.Fatalf("the save: %+v", s)
+	batch := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{Background: true}, units.Second)
+	if batch == nil || len(batch.Txn.Then) != 1 || batch.Txn.Then[0].Delete != storage.KeyPending("j-000001") {
+		t.Fatalf("the batch: %+v", batch)
 	}
-	state.BatchCommitted(s, 2)
-	if s := state.BuildWriteBatch("1-2", make([]uint64, storage.Buckets), BatchLimits{Background: true}, 2*units.Second); s != nil {
-		t.Errorf("it is taken out again: %v", s.Txn.Then)
+	state.BatchCommitted(batch, 2)
+	if batch := state.BuildWriteBatch("1-2", make([]uint64, storage.Buckets), BatchLimits{Background: true}, 2*units.Second); batch != nil {
+		t.Errorf("it is removed again: %v", batch.Txn.Then)
 	}
-	// One that only the inbox has is accepted by the same save that takes it out.
+	// One that only the queue has is accepted by the same batch that removes it.
 	state.AddPending(PendingSubmission{Spec: protocol.JobSpec{ID: "j-000002", Tasks: 1}}, units.Second)
-	s = state.BuildWriteBatch("1-3", make([]uint64, storage.Buckets), BatchLimits{}, units.Second)
-	if s == nil || len(s.Txn.Then) != 2 || s.Txn.Then[1].Delete != storage.KeyPending("j-000002") {
-		t.Fatalf("the save of one from the inbox: %+v", s)
+	batch = state.BuildWriteBatch("1-3", make([]uint64, storage.Buckets), BatchLimits{}, units.Second)
+	if batch == nil || len(batch.Txn.Then) != 2 || batch.Txn.Then[1].Delete != storage.KeyPending("j-000002") {
+		t.Fatalf("the batch of one from the queue: %+v", batch)
 	}
 }
