--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -39,7 +39,7 @@
 const (
 	NoReason  Reason = iota
 	OverShare        // the cell has its share; the window comes round
-	NotItsTurn
+	Queued
 	QuotaUsed
 	PlanUnclear
 )
@@ -48,7 +48,7 @@
 	switch r {
 	case OverShare:
 		return "the team's work of this class has its share for now"
-	case NotItsTurn:
+	case Queued:
 		return "the job is large and waits for its turn"
 	case QuotaUsed:
 		return "the admission plan is being renewed"
@@ -97,10 +97,10 @@
 	switch {
 	case !found:
 		d.account, d.charged = account{cell: Cell{Team: cell.Team, Pool: cell.Pool}, ofTeam: true}, true
-	case p.HasTurn(job.ID):
-		// What it takes was set aside when it was named.
+	case p.AtQueueHead(job.ID):
+		// Its work was charged to the cell when the plan was made.
 	case cell.Band == Large:
-		d.Verdict, d.Reason = Wait, NotItsTurn
+		d.Verdict, d.Reason = Wait, Queued
 		d.RetryAfter = pausedRetry + p.spread(job.ID)
 	case gate.admits(position(job.ID)):
 		d.account, d.charged = account{cell: gated}, true
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -15,7 +15,7 @@
 )
 
 // Describe writes a plan for people: its teams, the cells that it restricts and the jobs
-// that it names.
+// that are at the head of the queue.
 func (p *Plan) Describe(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintf(t, "plan %d of term %d\n", p.Version, p.Term)
@@ -27,7 +27,7 @@
 	}
 	p.describeTeams(t)
 	p.describeCells(t)
-	p.describeTurns(t)
+	p.describeQueueHeads(t)
 	return t.Flush()
 }
 
@@ -60,12 +60,12 @@
 
 func ringPercent(positions uint32) float64 { return float64(positions) / Ring * percent }
 
-func (p *Plan) describeTurns(w io.Writer) {
+func (p *Plan) describeQueueHeads(w io.Writer) {
 	if p.Turns() == 0 {
 		return
 	}
 	fmt.Fprintf(w, "\nlarge jobs whose turn it is\n")
-	for id := range p.allTurns() {
+	for id := range p.allQueueHeads() {
 		fmt.Fprintln(w, id)
 	}
 }
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -57,7 +57,7 @@
 }
 
 // CellGate restricts the jobs of a cell: small ones are admitted while their position is
-// in the window, large ones when the plan names them.
+// in the window, large ones when they are at the head of the queue.
 type CellGate struct {
 	Start uint32 // first position of the window
 	Width uint32 // number of its positions
@@ -78,21 +78,21 @@
 	Horizon  units.Micros
 	Capacity Amounts
 
-	teams *iradix.Tree[TeamGate]
-	cells *iradix.Tree[CellGate]
-	turns *iradix.Tree[struct{}] // large jobs whose turn it is, by id
+	teams      *iradix.Tree[TeamGate]
+	cells      *iradix.Tree[CellGate]
+	queueHeads *iradix.Tree[struct{}] // IDs of the large jobs that it admits
 }
 
 // newPlan makes a plan without any gate.
 func newPlan(version, term uint64, horizon units.Micros, capacity Amounts) *Plan {
 	return &Plan{
-		Version:  version,
-		Term:     term,
-		Horizon:  horizon,
-		Capacity: capacity,
-		teams:    iradix.New[TeamGate](),
-		cells:    iradix.New[CellGate](),
-		turns:    iradix.New[struct{}](),
+		Version:    version,
+		Term:       term,
+		Horizon:    horizon,
+		Capacity:   capacity,
+		teams:      iradix.New[TeamGate](),
+		cells:      iradix.New[CellGate](),
+		queueHeads: iradix.New[struct{}](),
 	}
 }
 
@@ -133,17 +133,17 @@
 // keyBuffer is room for usual names without allocating.
 const keyBuffer = 96
 
-// HasTurn tells whether a plan names a job.
-func (p *Plan) HasTurn(id string) bool {
-	_, named := p.turns.Get([]byte(id))
-	return named
+// AtQueueHead reports whether the plan admits a large job by its ID.
+func (p *Plan) AtQueueHead(id string) bool {
+	_, found := p.queueHeads.Get([]byte(id))
+	return found
 }
 
 // Gates is the number of cells that the plan restricts.
 func (p *Plan) Gates() int { return p.cells.Len() }
 
-// Turns is the number of jobs that the plan names.
-func (p *Plan) Turns() int { return p.turns.Len() }
+// Turns returns the number of large jobs at the head of the queue, which the plan admits by ID.
+func (p *Plan) Turns() int { return p.queueHeads.Len() }
 
 // Classify gives a job's cell and its work, as the plan reckons both.
 func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -33,9 +33,9 @@
 
 // progress is how far a plan has got round.
 type progress struct {
-	plan    *Plan // nil: there was none
-	windows map[Cell]window
-	named   map[string]bool // large jobs whose turn it is
+	plan       *Plan // nil: there was none
+	windows    map[Cell]window
+	queueHeads map[string]bool // IDs of the large jobs that the plan admits
 }
 
 // window is where a gate's window is, and since when.
@@ -52,8 +52,8 @@
 	next      progress
 }
 
-// maxTurns bounds the jobs that one plan names.
-const maxTurns = 16
+// maxQueueHeads bounds the large jobs that one plan admits by ID.
+const maxQueueHeads = 16
 
 // leastWidth is the least window of a gate that admits anything: it bounds the time
 // until it has come round.
@@ -66,13 +66,13 @@
 // windows stay where they are.
 func NewPlanner(options Options, teams []Team, former *Plan, now units.Micros) *Planner {
 	p := &Planner{options: options, teams: teams}
-	p.last = progress{plan: former, windows: map[Cell]window{}, named: map[string]bool{}}
+	p.last = progress{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
 	if former != nil {
 		for cell, gate := range former.allCells() {
 			p.last.windows[cell] = window{start: gate.Start, width: gate.Width, since: now}
 		}
-		for id := range former.allTurns() {
-			p.last.named[id] = true
+		for id := range former.allQueueHeads() {
+			p.last.queueHeads[id] = true
 		}
 	}
 	return p
@@ -90,12 +90,12 @@
 		plan:     plan,
 		measured: m,
 		gates:    map[Cell]CellGate{},
-		next:     progress{plan: plan, windows: map[Cell]window{}, named: map[string]bool{}},
+		next:     progress{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
 	}
 	for pool := range Pool(Pools) {
 		builder.addPool(pool)
 	}
-	builder.nameTurns()
+	builder.selectQueueHeads()
 	plan.setCells(builder.gates)
 	return Proposal{Plan: plan, Standings: builder.standings, next: builder.next}
 }
@@ -338,26 +338,26 @@
 	return max(uint32(float64(Ring)*float64(credit)/float64(waiting)), leastWidth)
 }
 
-// nameTurns names large jobs, the longest waiting first, as long as their cell has credit
+// selectQueueHeads selects large jobs, the longest waiting first, while their cell has credit
 // left: the last one may exceed it, and the next has to wait until that is worked off.
-func (b *planBuilder) nameTurns() {
+func (b *planBuilder) selectQueueHeads() {
 	credit := map[Cell]Work{}
 	for _, c := range b.credits {
 		credit[c.cell] = c.work
 	}
-	named := b.next.named
-	for _, again := range []bool{true, false} { // whose turn it is keeps it
+	heads := b.next.queueHeads
+	for _, kept := range []bool{true, false} { // selected ones stay selected
 		for _, job := range b.measured.Waiting.Large {
 			left, gated := credit[job.Cell]
-			if !gated || named[job.ID] || b.planner.last.named[job.ID] != again || len(named) == maxTurns {
+			if !gated || heads[job.ID] || b.planner.last.queueHeads[job.ID] != kept || len(heads) == maxQueueHeads {
 				continue
 			}
-			if again || left > 0 {
-				named[job.ID] = true
+			if kept || left > 0 {
+				heads[job.ID] = true
 				credit[job.Cell] = left - job.Cost
 			}
 		}
 	}
-	b.planner.last.named = named
-	b.plan.setTurns(slices.Sorted(maps.Keys(named)))
+	b.planner.last.queueHeads = heads
+	b.plan.setQueueHeads(slices.Sorted(maps.Keys(heads)))
 }
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -65,7 +65,7 @@
 	huge := arrivals(jobsOf(200_000, 8, "mill", "huge", 130, 100), 20*units.Second, lasts*units.Second)
 	mixed := arrivals(jobsOf(300_000, 8, "mill", "bulk", 130, 100), 25*units.Second, lasts*units.Second)
 	few := arrivals(jobsOf(400_000, 40, "mill", "few", 5, 10), 30*units.Second, lasts*units.Second)
-	// These users are patient: what counts is whether their turn comes.
+	// These users are patient: what counts is whether they are admitted at all.
 	for _, u := range slices.Concat(huge, mixed, few) {
 		u.until += 600 * units.Second
 	}
@@ -105,7 +105,7 @@
 // planPause is the time between two plans.
 const planPause = 500 * units.Millisecond
 
-// A window goes once around the ring: every job is admitted in its turn, whatever its id.
+// A window goes once around the ring: every job is admitted, whatever its ID.
 func TestWindowComesRound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(Options{Horizon: testHorizon}, testTeams("mill"))
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -21,14 +21,14 @@
 
 // record is a plan as it is stored. Work is in whole units of the resource times seconds.
 type record struct {
-	Format   int          `cbor:"v" json:"v"`
-	Version  uint64       `cbor:"n" json:"n"`
-	Term     uint64       `cbor:"term" json:"term"`
-	Horizon  units.Micros `cbor:"ahead" json:"ahead"`
-	Capacity Amounts      `cbor:"cap" json:"cap"`
-	Teams    []teamRecord `cbor:"teams" json:"teams"`
-	Cells    []cellRecord `cbor:"cells" json:"cells"`
-	Turns    []string     `cbor:"turns" json:"turns"`
+	Format     int          `cbor:"v" json:"v"`
+	Version    uint64       `cbor:"n" json:"n"`
+	Term       uint64       `cbor:"term" json:"term"`
+	Horizon    units.Micros `cbor:"ahead" json:"ahead"`
+	Capacity   Amounts      `cbor:"cap" json:"cap"`
+	Teams      []teamRecord `cbor:"teams" json:"teams"`
+	Cells      []cellRecord `cbor:"cells" json:"cells"`
+	QueueHeads []string     `cbor:"turns" json:"turns"`
 }
 
 // teamRecord is a team's gate. It and cellRecord are stored as lists of their fields, for
@@ -102,14 +102,14 @@
 
 func (p *Plan) record() *record {
 	r := &record{
-		Format:   recordFormat,
-		Version:  p.Version,
-		Term:     p.Term,
-		Horizon:  p.Horizon,
-		Capacity: p.Capacity,
-		Teams:    []teamRecord{},
-		Cells:    []cellRecord{},
-		Turns:    slices.AppendSeq([]string{}, p.allTurns()),
+		Format:     recordFormat,
+		Version:    p.Version,
+		Term:       p.Term,
+		Horizon:    p.Horizon,
+		Capacity:   p.Capacity,
+		Teams:      []teamRecord{},
+		Cells:      []cellRecord{},
+		QueueHeads: slices.AppendSeq([]string{}, p.allQueueHeads()),
 	}
 	places := map[teamKey]int{}
 	for key, gate := range p.allTeams() {
@@ -145,7 +145,7 @@
 }
 
 // coarsen gives up detail: the classes of the team with the most cells get one gate
-// together, or else fewer jobs are named. It tells whether there was any to give up.
+// together, or else fewer jobs are admitted by ID. It tells whether there was any to give up.
 func (r *record) coarsen() bool {
 	count := map[int]int{}
 	most := -1
@@ -162,8 +162,8 @@
 		r.mergeClasses(most)
 		return true
 	}
-	if len(r.Turns) > 1 {
-		r.Turns = r.Turns[:len(r.Turns)/2]
+	if len(r.QueueHeads) > 1 {
+		r.QueueHeads = r.QueueHeads[:len(r.QueueHeads)/2]
 		return true
 	}
 	return false
@@ -197,11 +197,11 @@
 
 // Errors of records that no leader writes.
 var (
-	errFormat     = errors.New("its format is not known")
-	errNoAuthor   = errors.New("it has no version, term or horizon")
-	errOutOfRange = errors.New("a quantity is out of range")
-	errRepeated   = errors.New("a team or cell is named twice, or not at all")
-	errBadTurn    = errors.New("it names what is no job")
+	errFormat       = errors.New("its format is not known")
+	errNoAuthor     = errors.New("it has no version, term or horizon")
+	errOutOfRange   = errors.New("a quantity is out of range")
+	errRepeated     = errors.New("a team or cell is named twice, or not at all")
+	errInvalidJobID = errors.New("it names what is no job")
 )
 
 func (r *record) check() error {
@@ -216,9 +216,9 @@
 			return errOutOfRange
 		}
 	}
-	for _, id := range r.Turns {
+	for _, id := range r.QueueHeads {
 		if !protocol.ValidJobID(id) {
-			return errBadTurn
+			return errInvalidJobID
 		}
 	}
 	if err := r.checkTeams(); err != nil {
@@ -285,6 +285,6 @@
 		gates[r.cell(c)] = CellGate{Start: c.Start, Width: c.Width, Quota: Work(c.Quota) * storedUnit}
 	}
 	p.setCells(gates)
-	p.setTurns(r.Turns)
+	p.setQueueHeads(r.QueueHeads)
 	return p
 }
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -94,7 +94,7 @@
 		"width":          func(r *record) { r.Cells[0].Width = Ring + 1 },
 		"start":          func(r *record) { r.Cells[0].Start = Ring },
 		"cell's quota":   func(r *record) { r.Cells[0].Quota = 1 << 62 },
-		"turn":           func(r *record) { r.Turns = []string{"who"} },
+		"queue head":     func(r *record) { r.QueueHeads = []string{"who"} },
 	} {
 		r := good()
 		spoil(r)
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -14,7 +14,7 @@
 // Like tells whether a plan restricts the same cells in the same places as another one.
 // Their quotas may differ: these change with every task that ends.
 func (p *Plan) Like(other *Plan) bool {
-	if other == nil || p.cells.Len() != other.cells.Len() || p.turns.Len() != other.turns.Len() {
+	if other == nil || p.cells.Len() != other.cells.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
 		return false
 	}
 	for cell, gate := range p.allCells() {
@@ -23,8 +23,8 @@
 			return false
 		}
 	}
-	for id := range p.allTurns() {
-		if !other.HasTurn(id) {
+	for id := range p.allQueueHeads() {
+		if !other.AtQueueHead(id) {
 			return false
 		}
 	}
@@ -56,13 +56,13 @@
 	p.cells = txn.Commit()
 }
 
-// setTurns makes the named jobs the given ones.
-func (p *Plan) setTurns(ids []string) {
+// setQueueHeads replaces the jobs at the head of the queue.
+func (p *Plan) setQueueHeads(ids []string) {
 	txn := iradix.New[struct{}]().Txn()
 	for _, id := range ids {
 		txn.Insert([]byte(id), struct{}{})
 	}
-	p.turns = txn.Commit()
+	p.queueHeads = txn.Commit()
 }
 
 // allTeams goes over the teams' gates in the order of their keys.
@@ -93,10 +93,10 @@
 	}
 }
 
-// allTurns goes over the named jobs.
-func (p *Plan) allTurns() iter.Seq[string] {
+// allQueueHeads iterates over the IDs of the jobs at the head of the queue.
+func (p *Plan) allQueueHeads() iter.Seq[string] {
 	return func(yield func(string) bool) {
-		i := p.turns.Root().Iterator()
+		i := p.queueHeads.Root().Iterator()
 		for raw, _, ok := i.Next(); ok; raw, _, ok = i.Next() {
 			if !yield(string(raw)) {
 				return
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -28,7 +28,7 @@
 // WaitingDemand is the demand of the jobs that wait.
 type WaitingDemand struct {
 	Work  map[Cell]Work
-	Large []WaitingJob // those that need a turn, the longest waiting first
+	Large []WaitingJob // the queue of large jobs, the longest waiting first
 }
 
 // WaitingList remembers on the leader which jobs were told to come back: they are demand
