--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -74,7 +74,7 @@
 // account names a quota of a plan.
 type account struct {
 	cell   Cell
-	ofTeam bool // the team's quota, for cells without a gate
+	ofTeam bool // the team's quota, for cells without a restriction
 }
 
 // Bounds on the time after which a job that waits is to come back. The longest is shorter
@@ -93,7 +93,7 @@
 func (p *Plan) Decide(job *protocol.JobSpec) Decision {
 	cell, cost := p.Classify(job)
 	d := Decision{Verdict: Admit, Plan: p.Version, Cell: cell, Cost: cost}
-	gate, gated, found := p.Gate(cell)
+	restriction, restrictedCell, found := p.Restriction(cell)
 	switch {
 	case !found:
 		d.account, d.charged = account{cell: Cell{Team: cell.Team, Pool: cell.Pool}, ofTeam: true}, true
@@ -102,22 +102,22 @@
 	case cell.Band == Large:
 		d.Verdict, d.Reason = Wait, Queued
 		d.RetryAfter = pausedRetry + p.spread(job.ID)
-	case gate.admits(position(job.ID)):
-		d.account, d.charged = account{cell: gated}, true
+	case restriction.admits(position(job.ID)):
+		d.account, d.charged = account{cell: restrictedCell}, true
 	default:
 		d.Verdict, d.Reason = Wait, OverShare
-		d.RetryAfter = p.windowWait(gate, job.ID)
+		d.RetryAfter = p.windowWait(restriction, job.ID)
 	}
 	return d
 }
 
 // windowWait is when a job is to come back so that it finds its position in the window.
-func (p *Plan) windowWait(gate CellGate, id string) units.Micros {
-	if gate.Width == 0 {
+func (p *Plan) windowWait(restriction CellRestriction, id string) units.Micros {
+	if restriction.Width == 0 {
 		return pausedRetry + p.spread(id)
 	}
-	ahead := (position(id) - gate.Start) % Ring
-	dwells := units.Micros(ahead / gate.Width)
+	ahead := (position(id) - restriction.Start) % Ring
+	dwells := units.Micros(ahead / restriction.Width)
 	return min(max(dwells*Dwell-Dwell/2, leastRetry), mostRetry-retrySpread) + p.spread(id)
 }
 
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -33,9 +33,9 @@
 
 func (p *Plan) describeTeams(w io.Writer) {
 	fmt.Fprintf(w, "\nteam\tpool\tquota\tlarge above\testimates\n")
-	for key, gate := range p.allTeams() {
-		fmt.Fprintf(w, "%s\t%v\t%.0f\t%.0f\tx %.2f\n", key.Team, key.Pool, gate.Quota.UnitSeconds(),
-			gate.LargeAbove.UnitSeconds(), float64(gate.Correction)/float64(Exact))
+	for key, entry := range p.allTeams() {
+		fmt.Fprintf(w, "%s\t%v\t%.0f\t%.0f\tx %.2f\n", key.Team, key.Pool, entry.Quota.UnitSeconds(),
+			entry.LargeAbove.UnitSeconds(), float64(entry.Correction)/float64(Exact))
 	}
 }
 
@@ -45,16 +45,16 @@
 		return
 	}
 	fmt.Fprintf(w, "\nrestricted\tclass\tpool\tjobs\twindow\tquota\n")
-	for cell, gate := range p.allCells() {
+	for cell, restriction := range p.allRestrictions() {
 		class := cell.Class
 		if class == "" {
 			class = "(all others)"
 		}
 		window := "by name"
 		if cell.Band == Small {
-			window = fmt.Sprintf("%.0f%% from %.0f%%", ringPercent(gate.Width), ringPercent(gate.Start))
+			window = fmt.Sprintf("%.0f%% from %.0f%%", ringPercent(restriction.Width), ringPercent(restriction.Start))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", cell.Team, class, cell.Pool, cell.Band, window, gate.Quota.UnitSeconds())
+		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", cell.Team, class, cell.Pool, cell.Band, window, restriction.Quota.UnitSeconds())
 	}
 }
 
@@ -81,9 +81,9 @@
 	}
 	fmt.Fprintf(t, "reckoned as\t%v job of %s, class %s, by %v\n", d.Cell.Band, d.Cell.Team, d.Cell.Class, d.Cell.Pool)
 	fmt.Fprintf(t, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Cell.Pool)
-	if gate, _, gated := p.Gate(d.Cell); gated && d.Cell.Band == Small {
+	if restriction, _, restricted := p.Restriction(d.Cell); restricted && d.Cell.Band == Small {
 		fmt.Fprintf(t, "position\t%.0f%%; the window has %.0f%% from %.0f%%\n", ringPercent(position(job.ID)),
-			ringPercent(gate.Width), ringPercent(gate.Start))
+			ringPercent(restriction.Width), ringPercent(restriction.Start))
 	}
 	return t.Flush()
 }
--- a/internal/admission/keeper.go
+++ b/internal/admission/keeper.go
@@ -72,7 +72,7 @@
 	plan := newPlan(floorVersion, 0, options.Horizon, capacity)
 	for _, team := range teams {
 		for pool := range Pool(Pools) {
-			plan.setTeam(teamKey{Team: team.Name, Pool: pool}, TeamGate{
+			plan.setTeam(teamKey{Team: team.Name, Pool: pool}, TeamEntry{
 				Quota:      WorkOf(1, team.Guarantee[pool], Lifetime),
 				LargeAbove: MaxWork,
 				Correction: Exact,
@@ -217,11 +217,11 @@
 // quota gives the quota that an account stands for.
 func (p *Plan) quota(a account) Work {
 	if a.ofTeam {
-		gate, _ := p.Team(a.cell.Team, a.cell.Pool)
-		return gate.Quota
+		entry, _ := p.Team(a.cell.Team, a.cell.Pool)
+		return entry.Quota
 	}
-	gate, _, _ := p.Gate(a.cell)
-	return gate.Quota
+	restriction, _, _ := p.Restriction(a.cell)
+	return restriction.Quota
 }
 
 // count counts a decision about a team's job.
--- a/internal/admission/keeper_test.go
+++ b/internal/admission/keeper_test.go
@@ -11,7 +11,7 @@
 
 func heldPlan(version, term, revision uint64, at units.Micros) Held {
 	plan := newPlan(version, term, testHorizon, cpus(100))
-	plan.setTeam(teamKey{Team: "mill"}, TeamGate{Quota: 1000, LargeAbove: MaxWork, Correction: Exact})
+	plan.setTeam(teamKey{Team: "mill"}, TeamEntry{Quota: 1000, LargeAbove: MaxWork, Correction: Exact})
 	return Held{Plan: plan, Revision: revision, WrittenAfter: at, WrittenBefore: at}
 }
 
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -36,7 +36,7 @@
 	Band  Band
 }
 
-// Ring is the number of positions on which job ids are spread evenly. A gate admits the
+// Ring is the number of positions on which job ids are spread evenly. A restriction admits the
 // positions in a window that moves around the ring.
 const Ring = 1 << 16
 
@@ -49,22 +49,22 @@
 // Exact is the ratio of estimates that hold.
 const Exact PerMille = 1000
 
-// TeamGate is what a plan says of one team's work in a pool.
-type TeamGate struct {
-	Quota      Work     // that cells without a gate of their own may take under this version
+// TeamEntry is what a plan says of one team's work in a pool.
+type TeamEntry struct {
+	Quota      Work     // that cells without a restriction of their own may take under this version
 	LargeAbove Work     // a job of more work is in the band Large
 	Correction PerMille // run times against the team's estimates
 }
 
-// CellGate restricts the jobs of a cell: small ones are admitted while their position is
+// CellRestriction restricts the jobs of a cell: small ones are admitted while their position is
 // in the window, large ones when they are at the head of the queue.
-type CellGate struct {
+type CellRestriction struct {
 	Start uint32 // first position of the window
 	Width uint32 // number of its positions
 	Quota Work   // that may be admitted through the window under this version
 }
 
-// teamKey names a team's gate.
+// teamKey identifies a team in a pool.
 type teamKey struct {
 	Team string
 	Pool Pool
@@ -78,21 +78,21 @@
 	Horizon  units.Micros
 	Capacity Amounts
 
-	teams      *iradix.Tree[TeamGate]
-	cells      *iradix.Tree[CellGate]
-	queueHeads *iradix.Tree[struct{}] // IDs of the large jobs that it admits
+	teams        *iradix.Tree[TeamEntry]
+	restrictions *iradix.Tree[CellRestriction]
+	queueHeads   *iradix.Tree[struct{}] // IDs of the large jobs that it admits
 }
 
-// newPlan makes a plan without any gate.
+// newPlan returns a plan without teams and restrictions.
 func newPlan(version, term uint64, horizon units.Micros, capacity Amounts) *Plan {
 	return &Plan{
-		Version:    version,
-		Term:       term,
-		Horizon:    horizon,
-		Capacity:   capacity,
-		teams:      iradix.New[TeamGate](),
-		cells:      iradix.New[CellGate](),
-		queueHeads: iradix.New[struct{}](),
+		Version:      version,
+		Term:         term,
+		Horizon:      horizon,
+		Capacity:     capacity,
+		teams:        iradix.New[TeamEntry](),
+		restrictions: iradix.New[CellRestriction](),
+		queueHeads:   iradix.New[struct{}](),
 	}
 }
 
@@ -112,22 +112,22 @@
 	return appendName(buffer, c.Class)
 }
 
-// Team gives a team's gate in a pool; false: the plan says nothing of it.
-func (p *Plan) Team(team string, pool Pool) (TeamGate, bool) {
+// Team returns what the plan holds for a team in a pool; false: it holds nothing.
+func (p *Plan) Team(team string, pool Pool) (TeamEntry, bool) {
 	var buffer [keyBuffer]byte
 	return p.teams.Get(teamKey{Team: team, Pool: pool}.bytes(buffer[:0]))
 }
 
-// Gate gives the gate that a cell's jobs pass and the cell that it is for, which is the
+// Restriction returns what restricts a cell's jobs and the cell that it is made for, which is the
 // team's own or the one for all its other classes; false: none restricts them.
-func (p *Plan) Gate(cell Cell) (CellGate, Cell, bool) {
+func (p *Plan) Restriction(cell Cell) (CellRestriction, Cell, bool) {
 	var buffer [keyBuffer]byte
-	if gate, ok := p.cells.Get(cell.bytes(buffer[:0])); ok {
-		return gate, cell, true
+	if restriction, ok := p.restrictions.Get(cell.bytes(buffer[:0])); ok {
+		return restriction, cell, true
 	}
 	cell.Class = ""
-	gate, ok := p.cells.Get(cell.bytes(buffer[:0]))
-	return gate, cell, ok
+	restriction, ok := p.restrictions.Get(cell.bytes(buffer[:0]))
+	return restriction, cell, ok
 }
 
 // keyBuffer is room for usual names without allocating.
@@ -139,8 +139,8 @@
 	return found
 }
 
-// Gates is the number of cells that the plan restricts.
-func (p *Plan) Gates() int { return p.cells.Len() }
+// Gates returns the number of cells that the plan restricts.
+func (p *Plan) Gates() int { return p.restrictions.Len() }
 
 // Turns returns the number of large jobs at the head of the queue, which the plan admits by ID.
 func (p *Plan) Turns() int { return p.queueHeads.Len() }
@@ -148,12 +148,12 @@
 // Classify gives a job's cell and its work, as the plan reckons both.
 func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
 	cell := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Need, p.Capacity)}
-	gate, known := p.Team(cell.Team, cell.Pool)
+	entry, known := p.Team(cell.Team, cell.Pool)
 	if !known {
-		gate = TeamGate{LargeAbove: MaxWork, Correction: Exact}
+		entry = TeamEntry{LargeAbove: MaxWork, Correction: Exact}
 	}
-	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Need), runTime(job, gate.Correction, p.Horizon))
-	if cost > gate.LargeAbove {
+	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Need), runTime(job, entry.Correction, p.Horizon))
+	if cost > entry.LargeAbove {
 		cell.Band = Large
 	}
 	return cell, cost
@@ -165,11 +165,11 @@
 	cell, _ := p.Classify(job)
 	run := seen
 	if run <= 0 {
-		gate, known := p.Team(cell.Team, cell.Pool)
+		entry, known := p.Team(cell.Team, cell.Pool)
 		if !known {
-			gate.Correction = Exact
+			entry.Correction = Exact
 		}
-		run = runTime(job, gate.Correction, p.Horizon)
+		run = runTime(job, entry.Correction, p.Horizon)
 	}
 	return cell, WorkOf(unfinished, amountIn(cell.Pool, job.Need), run)
 }
@@ -185,6 +185,6 @@
 }
 
 // admits tells whether a position is in the window.
-func (g CellGate) admits(position uint32) bool {
-	return (position-g.Start)%Ring < g.Width
+func (r CellRestriction) admits(position uint32) bool {
+	return (position-r.Start)%Ring < r.Width
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -38,7 +38,7 @@
 	queueHeads map[string]bool // IDs of the large jobs that the plan admits
 }
 
-// window is where a gate's window is, and since when.
+// window is the part of the ring that a restriction admits, and since when.
 type window struct {
 	start uint32
 	width uint32
@@ -55,7 +55,7 @@
 // maxQueueHeads bounds the large jobs that one plan admits by ID.
 const maxQueueHeads = 16
 
-// leastWidth is the least window of a gate that admits anything: it bounds the time
+// leastWidth is the least window of a cell that has credit: it bounds the time
 // until it has come round.
 const leastWidth = Ring / 64
 
@@ -68,8 +68,8 @@
 	p := &Planner{options: options, teams: teams}
 	p.last = progress{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
 	if former != nil {
-		for cell, gate := range former.allCells() {
-			p.last.windows[cell] = window{start: gate.Start, width: gate.Width, since: now}
+		for cell, restriction := range former.allRestrictions() {
+			p.last.windows[cell] = window{start: restriction.Start, width: restriction.Width, since: now}
 		}
 		for id := range former.allQueueHeads() {
 			p.last.queueHeads[id] = true
@@ -83,20 +83,20 @@
 func (p *Planner) Next(version, term uint64, m Measurement) Proposal {
 	plan := newPlan(version, term, p.options.Horizon, p.capacity(m.Fleet))
 	if former := p.last.plan; former != nil {
-		plan.teams, plan.cells = former.teams, former.cells
+		plan.teams, plan.restrictions = former.teams, former.restrictions
 	}
 	builder := &planBuilder{
-		planner:  p,
-		plan:     plan,
-		measured: m,
-		gates:    map[Cell]CellGate{},
-		next:     progress{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
+		planner:      p,
+		plan:         plan,
+		measured:     m,
+		restrictions: map[Cell]CellRestriction{},
+		next:         progress{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
 	}
 	for pool := range Pool(Pools) {
 		builder.addPool(pool)
 	}
 	builder.selectQueueHeads()
-	plan.setCells(builder.gates)
+	plan.setRestrictions(builder.restrictions)
 	return Proposal{Plan: plan, Standings: builder.standings, next: builder.next}
 }
 
@@ -119,12 +119,12 @@
 
 // planBuilder makes one plan.
 type planBuilder struct {
-	planner  *Planner
-	plan     *Plan
-	measured Measurement
-	gates    map[Cell]CellGate
-	credits  []largeCredit
-	next     progress
+	planner      *Planner
+	plan         *Plan
+	measured     Measurement
+	restrictions map[Cell]CellRestriction
+	credits      []largeCredit
+	next         progress
 
 	standings []Standing
 }
@@ -230,16 +230,16 @@
 // wants, nothing is restricted, and its quota is what it may take until the next version:
 // at least what is left of its guarantee, whatever others do.
 func (b *planBuilder) addTeam(team Team, pool Pool, s teamShare) {
-	gate := TeamGate{
+	entry := TeamEntry{
 		LargeAbove: max(s.fair, s.floor)/largePart + 1,
 		Correction: cmp.Or(b.measured.Corrections[team.Name], Exact),
 	}
 	if s.contested() {
-		gate.Quota = b.restrict(s)
+		entry.Quota = b.restrict(s)
 	} else {
-		gate.Quota = max(min(s.unclaimed, s.limit-s.demand.backlog), s.floor-s.demand.backlog, 0)
+		entry.Quota = max(min(s.unclaimed, s.limit-s.demand.backlog), s.floor-s.demand.backlog, 0)
 	}
-	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, gate)
+	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, entry)
 	b.standings = append(b.standings, s.standing(team.Name, pool))
 }
 
@@ -255,24 +255,24 @@
 	for i, class := range names {
 		claims[i] = Claim{Demand: classes[class].total(), Weight: b.planner.options.classWeight(class)}
 	}
-	gated := 0
+	restricted := 0
 	var unrestricted Work
 	for i, share := range Divide(s.share, claims) {
 		for _, cell := range b.restrictClass(names[i], share, s.cells) {
-			if cell.gated {
-				gated++
+			if cell.restricted {
+				restricted++
 			} else {
 				unrestricted = unrestricted.Plus(cell.backlog)
 			}
 		}
 	}
-	return max(s.share/Work(gated+1)-unrestricted, 0)
+	return max(s.share/Work(restricted+1)-unrestricted, 0)
 }
 
 // cellOutcome tells whether a cell was restricted.
 type cellOutcome struct {
-	gated   bool
-	backlog Work
+	restricted bool
+	backlog    Work
 }
 
 // bandWeight is the same for small and large jobs.
@@ -294,27 +294,27 @@
 	outcomes := make([]cellOutcome, len(present))
 	for i, part := range Divide(share, claims) {
 		demand := cells[present[i]]
-		outcomes[i] = cellOutcome{gated: part < demand.total(), backlog: demand.backlog}
-		if outcomes[i].gated {
-			b.addGate(present[i], part, demand)
+		outcomes[i] = cellOutcome{restricted: part < demand.total(), backlog: demand.backlog}
+		if outcomes[i].restricted {
+			b.restrictCell(present[i], part, demand)
 		}
 	}
 	return outcomes
 }
 
-// addGate restricts a cell to its part.
-func (b *planBuilder) addGate(cell Cell, part Work, demand cellDemand) {
+// restrictCell restricts a cell to its part.
+func (b *planBuilder) restrictCell(cell Cell, part Work, demand cellDemand) {
 	credit := part - demand.backlog
 	if cell.Band == Large {
 		b.credits = append(b.credits, largeCredit{cell: cell, work: credit})
-		b.gates[cell] = CellGate{}
+		b.restrictions[cell] = CellRestriction{}
 		return
 	}
 	w, moving := b.planner.last.windows[cell]
 	if !moving {
 		w = window{start: position(cell.Team + "/" + cell.Class), since: b.measured.Now - Dwell}
 	}
-	gate := CellGate{Start: w.start}
+	restriction := CellRestriction{Start: w.start}
 	if credit <= 0 {
 		w.since = b.measured.Now // the window waits where it is
 	} else {
@@ -323,10 +323,10 @@
 			w.width = windowWidth(credit, demand.waiting)
 			w.since = b.measured.Now
 		}
-		gate = CellGate{Start: w.start, Width: w.width, Quota: credit}
+		restriction = CellRestriction{Start: w.start, Width: w.width, Quota: credit}
 	}
 	b.next.windows[cell] = w
-	b.gates[cell] = gate
+	b.restrictions[cell] = restriction
 }
 
 // windowWidth is the part of the ring on which about as much work waits as may be
@@ -348,8 +348,8 @@
 	heads := b.next.queueHeads
 	for _, kept := range []bool{true, false} { // selected ones stay selected
 		for _, job := range b.measured.Waiting.Large {
-			left, gated := credit[job.Cell]
-			if !gated || heads[job.ID] || b.planner.last.queueHeads[job.ID] != kept || len(heads) == maxQueueHeads {
+			left, restricted := credit[job.Cell]
+			if !restricted || heads[job.ID] || b.planner.last.queueHeads[job.ID] != kept || len(heads) == maxQueueHeads {
 				continue
 			}
 			if kept || left > 0 {
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -31,7 +31,7 @@
 	QueueHeads []string     `cbor:"turns" json:"turns"`
 }
 
-// teamRecord is a team's gate. It and cellRecord are stored as lists of their fields, for
+// teamRecord is a TeamEntry. It and cellRecord are stored as lists of their fields, for
 // there are many of them.
 type teamRecord struct {
 	_          struct{} `cbor:",toarray"`
@@ -47,7 +47,7 @@
 	return json.Marshal([]any{t.Name, t.Pool, t.Quota, t.LargeAbove, t.Correction})
 }
 
-// cellRecord is a cell's gate.
+// cellRecord is a CellRestriction.
 type cellRecord struct {
 	_     struct{} `cbor:",toarray"`
 	Team  int      // its place among the teams
@@ -112,24 +112,24 @@
 		QueueHeads: slices.AppendSeq([]string{}, p.allQueueHeads()),
 	}
 	places := map[teamKey]int{}
-	for key, gate := range p.allTeams() {
+	for key, entry := range p.allTeams() {
 		places[key] = len(r.Teams)
 		r.Teams = append(r.Teams, teamRecord{
 			Name:       key.Team,
 			Pool:       key.Pool,
-			Quota:      stored(gate.Quota),
-			LargeAbove: stored(gate.LargeAbove),
-			Correction: gate.Correction,
+			Quota:      stored(entry.Quota),
+			LargeAbove: stored(entry.LargeAbove),
+			Correction: entry.Correction,
 		})
 	}
-	for cell, gate := range p.allCells() {
+	for cell, restriction := range p.allRestrictions() {
 		r.Cells = append(r.Cells, cellRecord{
 			Team:  places[teamKey{Team: cell.Team, Pool: cell.Pool}],
 			Class: cell.Class,
 			Band:  cell.Band,
-			Start: gate.Start,
-			Width: gate.Width,
-			Quota: stored(gate.Quota),
+			Start: restriction.Start,
+			Width: restriction.Width,
+			Quota: stored(restriction.Quota),
 		})
 	}
 	return r
@@ -144,7 +144,7 @@
 	return len(raw)
 }
 
-// coarsen gives up detail: the classes of the team with the most cells get one gate
+// coarsen gives up detail: the classes of the team with the most cells get one restriction
 // together, or else fewer jobs are admitted by ID. It tells whether there was any to give up.
 func (r *record) coarsen() bool {
 	count := map[int]int{}
@@ -169,7 +169,7 @@
 	return false
 }
 
-// mergeClasses gives a team one gate in each band instead of one a class.
+// mergeClasses gives a team one restriction in each band instead of one a class.
 func (r *record) mergeClasses(team int) {
 	merged := map[Band]*cellRecord{}
 	var kept []cellRecord
@@ -274,17 +274,17 @@
 func (r *record) plan() *Plan {
 	p := newPlan(r.Version, r.Term, r.Horizon, r.Capacity)
 	for _, t := range r.Teams {
-		p.setTeam(teamKey{Team: t.Name, Pool: t.Pool}, TeamGate{
+		p.setTeam(teamKey{Team: t.Name, Pool: t.Pool}, TeamEntry{
 			Quota:      Work(t.Quota) * storedUnit,
 			LargeAbove: Work(t.LargeAbove) * storedUnit,
 			Correction: t.Correction,
 		})
 	}
-	gates := map[Cell]CellGate{}
+	restrictions := map[Cell]CellRestriction{}
 	for _, c := range r.Cells {
-		gates[r.cell(c)] = CellGate{Start: c.Start, Width: c.Width, Quota: Work(c.Quota) * storedUnit}
+		restrictions[r.cell(c)] = CellRestriction{Start: c.Start, Width: c.Width, Quota: Work(c.Quota) * storedUnit}
 	}
-	p.setCells(gates)
+	p.setRestrictions(restrictions)
 	p.setQueueHeads(r.QueueHeads)
 	return p
 }
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("%d bytes: %v, %+v", most, err, read)
 		}
 		restricted := testJob(77, "kitchen-03", "class-2", 10, 100)
-		if _, _, found := read.Gate(mustCell(read, restricted)); !found {
+		if _, _, found := read.Restriction(mustCell(read, restricted)); !found {
 			t.Errorf("%d bytes: a restricted class is open", most)
 		}
 	}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -14,12 +14,12 @@
 // Like tells whether a plan restricts the same cells in the same places as another one.
 // Their quotas may differ: these change with every task that ends.
 func (p *Plan) Like(other *Plan) bool {
-	if other == nil || p.cells.Len() != other.cells.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
+	if other == nil || p.restrictions.Len() != other.restrictions.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
 		return false
 	}
-	for cell, gate := range p.allCells() {
-		known, _, found := other.Gate(cell)
-		if !found || known.Start != gate.Start || known.Width != gate.Width {
+	for cell, restriction := range p.allRestrictions() {
+		known, _, found := other.Restriction(cell)
+		if !found || known.Start != restriction.Start || known.Width != restriction.Width {
 			return false
 		}
 	}
@@ -31,29 +31,29 @@
 	return true
 }
 
-// setTeam sets a team's gate.
-func (p *Plan) setTeam(key teamKey, gate TeamGate) {
+// setTeam sets a team's entry.
+func (p *Plan) setTeam(key teamKey, entry TeamEntry) {
 	raw := key.bytes(nil)
-	if known, ok := p.teams.Get(raw); !ok || known != gate {
-		p.teams, _, _ = p.teams.Insert(raw, gate)
+	if known, ok := p.teams.Get(raw); !ok || known != entry {
+		p.teams, _, _ = p.teams.Insert(raw, entry)
 	}
 }
 
-// setCells makes the cells' gates the given ones.
-func (p *Plan) setCells(gates map[Cell]CellGate) {
-	txn := p.cells.Txn()
-	for cell := range p.allCells() {
-		if _, kept := gates[cell]; !kept {
+// setRestrictions replaces the restrictions of cells.
+func (p *Plan) setRestrictions(restrictions map[Cell]CellRestriction) {
+	txn := p.restrictions.Txn()
+	for cell := range p.allRestrictions() {
+		if _, kept := restrictions[cell]; !kept {
 			txn.Delete(cell.bytes(nil))
 		}
 	}
-	for cell, gate := range gates {
+	for cell, restriction := range restrictions {
 		raw := cell.bytes(nil)
-		if known, ok := p.cells.Get(raw); !ok || known != gate {
-			txn.Insert(raw, gate)
+		if known, ok := p.restrictions.Get(raw); !ok || known != restriction {
+			txn.Insert(raw, restriction)
 		}
 	}
-	p.cells = txn.Commit()
+	p.restrictions = txn.Commit()
 }
 
 // setQueueHeads replaces the jobs at the head of the queue.
@@ -65,28 +65,28 @@
 	p.queueHeads = txn.Commit()
 }
 
-// allTeams goes over the teams' gates in the order of their keys.
-func (p *Plan) allTeams() iter.Seq2[teamKey, TeamGate] {
-	return func(yield func(teamKey, TeamGate) bool) {
+// allTeams iterates over the teams in the order of their keys.
+func (p *Plan) allTeams() iter.Seq2[teamKey, TeamEntry] {
+	return func(yield func(teamKey, TeamEntry) bool) {
 		i := p.teams.Root().Iterator()
-		for raw, gate, ok := i.Next(); ok; raw, gate, ok = i.Next() {
+		for raw, entry, ok := i.Next(); ok; raw, entry, ok = i.Next() {
 			team, rest := cutName(raw)
-			if !yield(teamKey{Team: team, Pool: Pool(rest[0])}, gate) {
+			if !yield(teamKey{Team: team, Pool: Pool(rest[0])}, entry) {
 				return
 			}
 		}
 	}
 }
 
-// allCells goes over the cells' gates in the order of their keys.
-func (p *Plan) allCells() iter.Seq2[Cell, CellGate] {
-	return func(yield func(Cell, CellGate) bool) {
-		i := p.cells.Root().Iterator()
-		for raw, gate, ok := i.Next(); ok; raw, gate, ok = i.Next() {
+// allRestrictions iterates over the restrictions in the order of their cells' keys.
+func (p *Plan) allRestrictions() iter.Seq2[Cell, CellRestriction] {
+	return func(yield func(Cell, CellRestriction) bool) {
+		i := p.restrictions.Root().Iterator()
+		for raw, restriction, ok := i.Next(); ok; raw, restriction, ok = i.Next() {
 			team, rest := cutName(raw)
 			class, _ := cutName(rest[2:])
 			cell := Cell{Team: team, Class: class, Pool: Pool(rest[0]), Band: Band(rest[1])}
-			if !yield(cell, gate) {
+			if !yield(cell, restriction) {
 				return
 			}
 		}
