--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -62,7 +62,7 @@
 type Decision struct {
 	Verdict    Verdict
 	Reason     Reason
-	Plan       uint64 // the plan's version; 0: the built-in floor
+	Plan       uint64 // the plan's version; 0: the fallback plan
 	Cell       Cell
 	Cost       Work
 	RetryAfter units.Micros // unless the job is admitted
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -104,19 +104,19 @@
 // pass lets time go by: teams with work share the fleet evenly.
 func (f *fleet) pass(d units.Micros) {
 	f.now += d
-	claims := make([]Claim, len(f.teams))
+	requests := make([]ShareRequest, len(f.teams))
 	for i, team := range f.teams {
 		for cell, work := range f.backlog {
 			if cell.Team == team.Name {
-				claims[i].Demand += work
+				requests[i].Demand += work
 			}
 		}
-		claims[i].Weight = 1
+		requests[i].Weight = 1
 	}
-	for i, done := range Divide(WorkOf(1, f.capacity[CPU], d), claims) {
+	for i, done := range FairShares(WorkOf(1, f.capacity[CPU], d), requests) {
 		for cell, work := range f.backlog {
-			if cell.Team == f.teams[i].Name && claims[i].Demand > 0 {
-				f.backlog[cell] -= Work(float64(done) * float64(work) / float64(claims[i].Demand))
+			if cell.Team == f.teams[i].Name && requests[i].Demand > 0 {
+				f.backlog[cell] -= Work(float64(done) * float64(work) / float64(requests[i].Demand))
 			}
 		}
 	}
--- a/internal/admission/keeper.go
+++ b/internal/admission/keeper.go
@@ -21,16 +21,16 @@
 // Keeper holds the plan in force on one controller and keeps account of its quotas. It is
 // safe for concurrent use.
 type Keeper struct {
-	floor *Plan
-	nodes int // controllers that may admit by themselves
+	fallback *Plan
+	nodes    int // controllers that may admit by themselves
 
-	mu        sync.Mutex
-	read      bool   // the record, or that there is none, is known
-	seen      uint64 // the newest revision that was taken in
-	held      Held
-	used      map[account]Work
-	floorFrom units.Micros // when the floor's accounts were opened
-	teams     map[string]Counts
+	mu            sync.Mutex
+	read          bool   // the record, or that there is none, is known
+	seen          uint64 // the newest revision that was taken in
+	held          Held
+	used          map[account]Work
+	fallbackSince units.Micros // when its quotas were last renewed
+	teams         map[string]Counts
 }
 
 // Held is the plan's record as a controller knows it.
@@ -38,7 +38,7 @@
 	Plan     *Plan  // nil: there is none, or it is not readable
 	Revision uint64 // of the record; 0: there is none
 	// The record was written between these times, by the controller's steady clock: it
-	// is obeyed until it might be too old, and the floor is used once it surely is.
+	// is obeyed until it might be too old, and the fallback plan is used once it surely is.
 	WrittenAfter, WrittenBefore units.Micros
 }
 
@@ -46,30 +46,30 @@
 type Counts struct{ Admitted, Waits, Undecided uint64 }
 
 // NewKeeper makes a keeper for one of several controllers. Until it gets a plan the
-// built-in floor is in force.
+// fallback plan is in force.
 func NewKeeper(options Options, teams []Team, nodes int) *Keeper {
 	return &Keeper{
-		floor: Floor(options, teams),
-		nodes: max(nodes, 1),
-		used:  map[account]Work{},
-		teams: map[string]Counts{},
+		fallback: FallbackPlan(options, teams),
+		nodes:    max(nodes, 1),
+		used:     map[account]Work{},
+		teams:    map[string]Counts{},
 	}
 }
 
-// floorVersion is the version of the built-in floor: no plan that was written has it.
-const floorVersion = 0
+// fallbackVersion is the version of the fallback plan: no plan that was written has it.
+const fallbackVersion = 0
 
-// Floor is the plan that is in force without a valid one. It is worked out from the
+// FallbackPlan is the plan that is in force without a valid one. It is worked out from the
 // settings alone, and so is the same on every controller: any job is admitted, up to a
 // quota that each team's guarantee can do in a Lifetime.
-func Floor(options Options, teams []Team) *Plan {
+func FallbackPlan(options Options, teams []Team) *Plan {
 	var capacity Amounts
 	for _, team := range teams {
 		for pool, amount := range team.Guarantee {
 			capacity[pool] += amount
 		}
 	}
-	plan := newPlan(floorVersion, 0, options.Horizon, capacity)
+	plan := newPlan(fallbackVersion, 0, options.Horizon, capacity)
 	for _, team := range teams {
 		for pool := range Pool(Pools) {
 			plan.setTeam(teamKey{Team: team.Name, Pool: pool}, TeamEntry{
@@ -123,7 +123,7 @@
 	Unclear Force = iota
 	// ByPlan: the plan that the record holds.
 	ByPlan
-	// ByFloor: the built-in floor, as there is no plan or it has lapsed.
+	// ByFloor: the fallback plan, as there is no plan or it has lapsed.
 	ByFloor
 )
 
@@ -150,20 +150,20 @@
 	case h.Plan != nil && s.Age < Lifetime:
 		s.Force, s.Plan = ByPlan, h.Plan
 	case h.Plan == nil, now-h.WrittenBefore >= Lifetime:
-		s.Force, s.Plan = ByFloor, k.floor
+		s.Force, s.Plan = ByFloor, k.fallback
 	}
 	return s
 }
 
 // Reckoning gives the plan by which work is reckoned: the last one that was read, valid
-// or not, or else the floor.
+// or not, or else the fallback plan.
 func (k *Keeper) Reckoning() *Plan {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.held.Plan != nil {
 		return k.held.Plan
 	}
-	return k.floor
+	return k.fallback
 }
 
 // Side tells in which role a controller decides.
@@ -187,7 +187,7 @@
 		k.count(job.Team, Undecided)
 		return Decision{Verdict: Undecided, Reason: PlanUnclear, RetryAfter: undecidedWait}, s.Revision
 	case ByFloor:
-		k.openFloor(now)
+		k.renewFallbackQuotas(now)
 	}
 	d = s.Plan.Decide(job)
 	if d.Verdict == Admit && d.charged {
@@ -205,11 +205,11 @@
 	return d, s.Revision
 }
 
-// openFloor opens the floor's accounts anew every Lifetime, so that without a plan each
+// renewFallbackQuotas renews the fallback plan's quotas every Lifetime, so that without a plan each
 // team's jobs are admitted at the rate of its guarantee.
-func (k *Keeper) openFloor(now units.Micros) {
-	if k.floorFrom == 0 || now-k.floorFrom >= Lifetime {
-		k.floorFrom = now
+func (k *Keeper) renewFallbackQuotas(now units.Micros) {
+	if k.fallbackSince == 0 || now-k.fallbackSince >= Lifetime {
+		k.fallbackSince = now
 		k.used = map[account]Work{}
 	}
 }
--- a/internal/admission/keeper_test.go
+++ b/internal/admission/keeper_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A plan is obeyed while it surely is not too old, and the floor is used once it surely
+// A plan is obeyed while it surely is not too old, and the fallback plan is used once it surely
 // is; in between nothing is decided.
 func TestPlansLapse(t *testing.T) {
 	k := NewKeeper(Options{Horizon: testHorizon}, testTeams("mill"), 5)
@@ -77,17 +77,17 @@
 	}
 }
 
-// Controllers that each admit alone, under one version of a plan or by the floor, exceed
+// Controllers that each admit alone, under one version of a plan or by the fallback plan, exceed
 // a quota together by at most one job each.
 func TestControllersAloneKeepWithinTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 5
-		byFloor := rapid.Bool().Draw(t, "by the floor")
+		fallback := rapid.Bool().Draw(t, "by the fallback plan")
 		largest := Work(0)
 		admitted := Work(0)
 		for node := range nodes {
 			k := NewKeeper(Options{Horizon: testHorizon}, testTeams("mill"), nodes)
-			if byFloor {
+			if fallback {
 				k.Missing(1)
 			} else if err := k.Adopt(heldPlan(1, 1, 1, 0)); err != nil {
 				t.Fatal(err)
@@ -101,7 +101,7 @@
 			}
 		}
 		quota := Work(1000)
-		if byFloor {
+		if fallback {
 			quota = WorkOf(1, cpus(testCPUs)[CPU], Lifetime)
 		}
 		if admitted > quota+nodes*largest {
@@ -114,7 +114,7 @@
 }
 
 // Without a plan each team goes on at the rate of its guarantee.
-func TestFloorAdmitsAtTheRateOfTheGuarantee(t *testing.T) {
+func TestFallbackPlanAdmitsAtTheGuaranteedRate(t *testing.T) {
 	k := NewKeeper(Options{Horizon: testHorizon}, testTeams("mill"), 1)
 	k.Missing(1)
 	const lasts = 100
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -154,34 +154,34 @@
 		return
 	}
 	cells := b.demands(pool)
-	claims := make([]Claim, len(b.planner.teams))
+	requests := make([]ShareRequest, len(b.planner.teams))
 	demands := make([]cellDemand, len(b.planner.teams))
 	weights := 0.0
 	for i, team := range b.planner.teams {
 		for _, demand := range cells[team.Name] {
 			demands[i] = demands[i].plus(demand)
 		}
-		claims[i] = Claim{
-			Demand: min(demands[i].total(), b.within(team.Limit[pool])),
-			Weight: b.planner.options.teamWeight(team, pool),
-			Floor:  b.within(team.Guarantee[pool]),
+		requests[i] = ShareRequest{
+			Demand:   min(demands[i].total(), b.within(team.Limit[pool])),
+			Weight:   b.planner.options.teamWeight(team, pool),
+			MinShare: b.within(team.Guarantee[pool]),
 		}
-		weights += claims[i].Weight
+		weights += requests[i].Weight
 	}
-	shares := Divide(total, claims)
-	unclaimed := total
+	shares := FairShares(total, requests)
+	unrequested := total
 	for _, share := range shares {
-		unclaimed -= share
+		unrequested -= share
 	}
 	for i, team := range b.planner.teams {
 		b.addTeam(team, pool, teamShare{
-			share:     shares[i],
-			floor:     claims[i].Floor,
-			fair:      Work(float64(total) * claims[i].Weight / weights),
-			unclaimed: Work(float64(unclaimed) * claims[i].Weight / weights),
-			limit:     b.within(team.Limit[pool]),
-			demand:    demands[i],
-			cells:     cells[team.Name],
+			share:       shares[i],
+			guaranteed:  requests[i].MinShare,
+			fair:        Work(float64(total) * requests[i].Weight / weights),
+			unrequested: Work(float64(unrequested) * requests[i].Weight / weights),
+			limit:       b.within(team.Limit[pool]),
+			demand:      demands[i],
+			cells:       cells[team.Name],
 		})
 	}
 }
@@ -214,13 +214,13 @@
 
 // teamShare is what a team gets in a pool.
 type teamShare struct {
-	share     Work // by what it has and wants now
-	floor     Work // that is guaranteed to it
-	fair      Work // if everybody wanted all
-	unclaimed Work // its part of what nobody wants now
-	limit     Work
-	demand    cellDemand
-	cells     map[Cell]cellDemand
+	share       Work // by what it has and wants now
+	guaranteed  Work // within the horizon, by its guaranteed quota
+	fair        Work // if everybody wanted all
+	unrequested Work // its part of what nobody wants now
+	limit       Work
+	demand      cellDemand
+	cells       map[Cell]cellDemand
 }
 
 // contested tells whether the team wants more than it gets.
@@ -231,13 +231,13 @@
 // at least what is left of its guarantee, whatever others do.
 func (b *planBuilder) addTeam(team Team, pool Pool, s teamShare) {
 	entry := TeamEntry{
-		LargeAbove: max(s.fair, s.floor)/largePart + 1,
+		LargeAbove: max(s.fair, s.guaranteed)/largePart + 1,
 		Correction: cmp.Or(b.measured.Corrections[team.Name], Exact),
 	}
 	if s.contested() {
 		entry.Quota = b.restrict(s)
 	} else {
-		entry.Quota = max(min(s.unclaimed, s.limit-s.demand.backlog), s.floor-s.demand.backlog, 0)
+		entry.Quota = max(min(s.unrequested, s.limit-s.demand.backlog), s.guaranteed-s.demand.backlog, 0)
 	}
 	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, entry)
 	b.standings = append(b.standings, s.standing(team.Name, pool))
@@ -251,13 +251,13 @@
 		classes[cell.Class] = classes[cell.Class].plus(demand)
 	}
 	names := slices.Sorted(maps.Keys(classes))
-	claims := make([]Claim, len(names))
+	requests := make([]ShareRequest, len(names))
 	for i, class := range names {
-		claims[i] = Claim{Demand: classes[class].total(), Weight: b.planner.options.classWeight(class)}
+		requests[i] = ShareRequest{Demand: classes[class].total(), Weight: b.planner.options.classWeight(class)}
 	}
 	restricted := 0
 	var unrestricted Work
-	for i, share := range Divide(s.share, claims) {
+	for i, share := range FairShares(s.share, requests) {
 		for _, cell := range b.restrictClass(names[i], share, s.cells) {
 			if cell.restricted {
 				restricted++
@@ -287,12 +287,12 @@
 		}
 	}
 	slices.SortFunc(present, func(x, y Cell) int { return cmp.Compare(x.Band, y.Band) })
-	claims := make([]Claim, len(present))
+	requests := make([]ShareRequest, len(present))
 	for i, cell := range present {
-		claims[i] = Claim{Demand: cells[cell].total(), Weight: bandWeight}
+		requests[i] = ShareRequest{Demand: cells[cell].total(), Weight: bandWeight}
 	}
 	outcomes := make([]cellOutcome, len(present))
-	for i, part := range Divide(share, claims) {
+	for i, part := range FairShares(share, requests) {
 		demand := cells[present[i]]
 		outcomes[i] = cellOutcome{restricted: part < demand.total(), backlog: demand.backlog}
 		if outcomes[i].restricted {
--- a/internal/admission/shares_test.go
+++ b/internal/admission/shares_test.go
@@ -12,33 +12,33 @@
 	"dunestand/internal/units"
 )
 
-func drawClaims(t *rapid.T) []Claim {
-	n := rapid.IntRange(1, 8).Draw(t, "claims")
-	claims := make([]Claim, n)
-	for i := range claims {
-		claims[i] = Claim{
+func drawRequests(t *rapid.T) []ShareRequest {
+	n := rapid.IntRange(1, 8).Draw(t, "requests")
+	requests := make([]ShareRequest, n)
+	for i := range requests {
+		requests[i] = ShareRequest{
 			Demand: Work(rapid.Int64Range(0, 1_000_000).Draw(t, "demand")),
 			Weight: float64(rapid.IntRange(1, 50).Draw(t, "weight")),
 		}
 	}
-	return claims
+	return requests
 }
 
 // oracle divides by linear programs: it raises the least satisfied until a demand is met,
 // fixes that, and goes on with the others.
-func oracle(t *rapid.T, total float64, claims []Claim) []float64 {
-	shares := make([]float64, len(claims))
-	fixed := make([]bool, len(claims))
-	for range claims {
-		level := raise(t, total, claims, shares, fixed)
+func oracle(t *rapid.T, total float64, requests []ShareRequest) []float64 {
+	shares := make([]float64, len(requests))
+	fixed := make([]bool, len(requests))
+	for range requests {
+		level := raise(t, total, requests, shares, fixed)
 		met := false
-		for i, c := range claims {
+		for i, r := range requests {
 			if fixed[i] {
 				continue
 			}
-			shares[i] = c.Weight * level
-			if shares[i] >= float64(c.Demand)-0.5 {
-				shares[i], fixed[i], met = float64(c.Demand), true, true
+			shares[i] = r.Weight * level
+			if shares[i] >= float64(r.Demand)-0.5 {
+				shares[i], fixed[i], met = float64(r.Demand), true, true
 			}
 		}
 		if !met {
@@ -50,17 +50,17 @@
 
 // raise maximizes the level at which all that are not fixed get weight times level.
 // Variables: the level, and one slack for each constraint.
-func raise(t *rapid.T, total float64, claims []Claim, shares []float64, fixed []bool) float64 {
+func raise(t *rapid.T, total float64, requests []ShareRequest, shares []float64, fixed []bool) float64 {
 	var rows [][]float64
 	var bounds []float64
 	all := 0.0
-	for i, c := range claims {
+	for i, r := range requests {
 		if fixed[i] {
 			total -= shares[i]
 			continue
 		}
-		rows, bounds = append(rows, []float64{c.Weight}), append(bounds, float64(c.Demand))
-		all += c.Weight
+		rows, bounds = append(rows, []float64{r.Weight}), append(bounds, float64(r.Demand))
+		all += r.Weight
 	}
 	if len(rows) == 0 {
 		return 0
@@ -80,49 +80,49 @@
 	return solution[0]
 }
 
-func TestDivideAgreesWithLinearPrograms(t *testing.T) {
+func TestFairSharesAgreeWithLinearPrograms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		claims := drawClaims(t)
+		requests := drawRequests(t)
 		total := Work(rapid.Int64Range(1, 4_000_000).Draw(t, "total"))
-		want := oracle(t, float64(total), claims)
-		for i, got := range Divide(total, claims) {
+		want := oracle(t, float64(total), requests)
+		for i, got := range FairShares(total, requests) {
 			if math.Abs(float64(got)-want[i]) > 20 { // each division rounds down
-				t.Fatalf("claim %d gets %d, by the oracle %.1f", i, got, want[i])
+				t.Fatalf("request %d gets %d, by the oracle %.1f", i, got, want[i])
 			}
 		}
 	})
 }
 
-// Nobody gets more than its demand, all is given out as long as there is demand, floors
+// Nobody gets more than its demand, all is given out as long as there is demand, minimum shares
 // hold, and more weight is never less share.
-func TestDivideIsFair(t *testing.T) {
+func TestFairSharesAreFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		claims := drawClaims(t)
-		var floors, demand Work
-		for i := range claims {
-			claims[i].Floor = Work(rapid.Int64Range(0, 100_000).Draw(t, "floor"))
-			floors += min(claims[i].Floor, claims[i].Demand)
-			demand += claims[i].Demand
+		requests := drawRequests(t)
+		var minShares, demand Work
+		for i := range requests {
+			requests[i].MinShare = Work(rapid.Int64Range(0, 100_000).Draw(t, "minimum share"))
+			minShares += min(requests[i].MinShare, requests[i].Demand)
+			demand += requests[i].Demand
 		}
 		total := Work(rapid.Int64Range(0, 4_000_000).Draw(t, "total"))
-		shares := Divide(total, claims)
+		shares := FairShares(total, requests)
 		var sum Work
 		for i, share := range shares {
 			sum += share
-			if share < 0 || share > claims[i].Demand {
-				t.Fatalf("claim %d gets %d of %d", i, share, claims[i].Demand)
+			if share < 0 || share > requests[i].Demand {
+				t.Fatalf("request %d gets %d of %d", i, share, requests[i].Demand)
 			}
-			if floors <= total && share < min(claims[i].Floor, claims[i].Demand)-Work(len(claims)) {
-				t.Fatalf("claim %d gets %d, below its floor of %d", i, share, claims[i].Floor)
+			if minShares <= total && share < min(requests[i].MinShare, requests[i].Demand)-Work(len(requests)) {
+				t.Fatalf("request %d gets %d, below its minimum share of %d", i, share, requests[i].MinShare)
 			}
 		}
-		if slack := min(total, demand) - sum; slack < 0 || slack > 4*Work(len(claims)) {
+		if slack := min(total, demand) - sum; slack < 0 || slack > 4*Work(len(requests)) {
 			t.Fatalf("%d of %d are given out, %d are wanted", sum, total, demand)
 		}
-		k := rapid.IntRange(0, len(claims)-1).Draw(t, "heavier")
-		claims[k].Weight *= 2
-		if more := Divide(total, claims)[k]; more < shares[k]-4 {
-			t.Fatalf("with twice the weight claim %d gets %d, not %d", k, more, shares[k])
+		k := rapid.IntRange(0, len(requests)-1).Draw(t, "heavier")
+		requests[k].Weight *= 2
+		if more := FairShares(total, requests)[k]; more < shares[k]-4 {
+			t.Fatalf("with twice the weight request %d gets %d, not %d", k, more, shares[k])
 		}
 	})
 }
@@ -144,7 +144,7 @@
 	if all != machines*cpus*week*1000 {
 		t.Errorf("a week of the fleet is %d", all)
 	}
-	shares := Divide(all, []Claim{{Demand: MaxWork, Weight: 1}, {Demand: MaxWork, Weight: 3}})
+	shares := FairShares(all, []ShareRequest{{Demand: MaxWork, Weight: 1}, {Demand: MaxWork, Weight: 3}})
 	if shares[0]+shares[1] > all || shares[1] < shares[0]*3-10 {
 		t.Errorf("%v of %d", shares, all)
 	}
--- a/internal/admission/standing.go
+++ b/internal/admission/standing.go
@@ -24,7 +24,7 @@
 	return Standing{
 		Team:       team,
 		Pool:       pool,
-		Guaranteed: s.floor,
+		Guaranteed: s.guaranteed,
 		Share:      s.share,
 		Backlog:    s.demand.backlog,
 		Waiting:    s.demand.waiting,
