--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -67,12 +67,12 @@
 	Cost       Work
 	RetryAfter units.Micros // unless the job is admitted
 
-	account account // what an admission is charged to
-	charged bool    // it is
+	quota   quotaKey // that an admission is charged to
+	charged bool     // it is
 }
 
-// account names a quota of a plan.
-type account struct {
+// quotaKey identifies a quota of a plan.
+type quotaKey struct {
 	cell   Cell
 	ofTeam bool // the team's quota, for cells without a restriction
 }
@@ -96,14 +96,14 @@
 	restriction, restrictedCell, found := p.Restriction(cell)
 	switch {
 	case !found:
-		d.account, d.charged = account{cell: Cell{Team: cell.Team, Pool: cell.Pool}, ofTeam: true}, true
+		d.quota, d.charged = quotaKey{cell: Cell{Team: cell.Team, Pool: cell.Pool}, ofTeam: true}, true
 	case p.AtQueueHead(job.ID):
 		// Its work was charged to the cell when the plan was made.
 	case cell.Band == Large:
 		d.Verdict, d.Reason = Wait, Queued
 		d.RetryAfter = pausedRetry + p.spread(job.ID)
 	case restriction.admits(position(job.ID)):
-		d.account, d.charged = account{cell: restrictedCell}, true
+		d.quota, d.charged = quotaKey{cell: restrictedCell}, true
 	default:
 		d.Verdict, d.Reason = Wait, OverShare
 		d.RetryAfter = p.windowWait(restriction, job.ID)
--- a/internal/admission/keeper.go
+++ b/internal/admission/planstore.go
@@ -18,19 +18,19 @@
 // Conditional saves exclude it, so the record was damaged.
 var ErrOldTerm = errors.New("the admission plan is of a former term or version, though its record is newer")
 
-// Keeper holds the plan in force on one controller and keeps account of its quotas. It is
+// Keeper holds the plan in force on one controller and accounts for its quotas. It is
 // safe for concurrent use.
 type Keeper struct {
 	fallback *Plan
 	nodes    int // controllers that may admit by themselves
 
-	mu            sync.Mutex
-	read          bool   // the record, or that there is none, is known
-	seen          uint64 // the newest revision that was taken in
-	held          Held
-	used          map[account]Work
-	fallbackSince units.Micros // when its quotas were last renewed
-	teams         map[string]Counts
+	mu              sync.Mutex
+	known           bool   // whether there is a record, and what it holds
+	revision        uint64 // the newest one that was observed
+	observed        Held
+	used            map[quotaKey]Work // of the quotas of the plan in force
+	fallbackRenewed units.Micros      // when its quotas were last renewed
+	counts          map[string]Counts // by team
 }
 
 // Held is the plan's record as a controller knows it.
@@ -51,8 +51,8 @@
 	return &Keeper{
 		fallback: FallbackPlan(options, teams),
 		nodes:    max(nodes, 1),
-		used:     map[account]Work{},
-		teams:    map[string]Counts{},
+		used:     map[quotaKey]Work{},
+		counts:   map[string]Counts{},
 	}
 }
 
@@ -84,18 +84,18 @@
 
 // Adopt takes over what a record holds. An older record than the one that is known
 // changes nothing.
-func (k *Keeper) Adopt(held Held) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if held.Revision <= k.seen {
+func (s *Keeper) Adopt(observed Held) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if observed.Revision <= s.revision {
 		return nil
 	}
-	former := k.held.Plan
-	if former != nil && held.Plan != nil && !held.Plan.follows(former) {
+	former := s.observed.Plan
+	if former != nil && observed.Plan != nil && !observed.Plan.follows(former) {
 		return ErrOldTerm
 	}
-	k.seen, k.held, k.read = held.Revision, held, true
-	k.used = map[account]Work{}
+	s.revision, s.observed, s.known = observed.Revision, observed, true
+	s.used = map[quotaKey]Work{}
 	return nil
 }
 
@@ -105,12 +105,12 @@
 }
 
 // Missing takes over that there is no record at a revision of the state service.
-func (k *Keeper) Missing(revision uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if revision >= k.seen {
-		k.seen, k.held, k.read = revision, Held{}, true
-		k.used = map[account]Work{}
+func (s *Keeper) Missing(revision uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if revision >= s.revision {
+		s.revision, s.observed, s.known = revision, Held{}, true
+		s.used = map[quotaKey]Work{}
 	}
 }
 
@@ -136,34 +136,34 @@
 }
 
 // Now tells what is in force.
-func (k *Keeper) Now(now units.Micros) State {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.state(now)
+func (s *Keeper) Now(now units.Micros) State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stateAt(now)
 }
 
-func (k *Keeper) state(now units.Micros) State {
-	h := k.held
-	s := State{Revision: h.Revision, Age: now - h.WrittenAfter}
+func (s *Keeper) stateAt(now units.Micros) State {
+	observed := s.observed
+	state := State{Revision: observed.Revision, Age: now - observed.WrittenAfter}
 	switch {
-	case !k.read:
-	case h.Plan != nil && s.Age < Lifetime:
-		s.Force, s.Plan = ByPlan, h.Plan
-	case h.Plan == nil, now-h.WrittenBefore >= Lifetime:
-		s.Force, s.Plan = ByFloor, k.fallback
+	case !s.known:
+	case observed.Plan != nil && state.Age < Lifetime:
+		state.Force, state.Plan = ByPlan, observed.Plan
+	case observed.Plan == nil, now-observed.WrittenBefore >= Lifetime:
+		state.Force, state.Plan = ByFloor, s.fallback
 	}
-	return s
+	return state
 }
 
 // Reckoning gives the plan by which work is reckoned: the last one that was read, valid
 // or not, or else the fallback plan.
-func (k *Keeper) Reckoning() *Plan {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.held.Plan != nil {
-		return k.held.Plan
+func (s *Keeper) Reckoning() *Plan {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.observed.Plan != nil {
+		return s.observed.Plan
 	}
-	return k.fallback
+	return s.fallback
 }
 
 // Side tells in which role a controller decides.
@@ -178,56 +178,56 @@
 
 // Decide decides about a job that is not known yet, and charges what it admits. The
 // revision tells on which version of the plan's record an acceptance must be conditional.
-func (k *Keeper) Decide(job *protocol.JobSpec, side Side, now units.Micros) (d Decision, revision uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.state(now)
-	switch s.Force {
+func (s *Keeper) Decide(job *protocol.JobSpec, side Side, now units.Micros) (d Decision, revision uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.stateAt(now)
+	switch state.Force {
 	case Unclear:
-		k.count(job.Team, Undecided)
-		return Decision{Verdict: Undecided, Reason: PlanUnclear, RetryAfter: undecidedWait}, s.Revision
+		s.countDecision(job.Team, Undecided)
+		return Decision{Verdict: Undecided, Reason: PlanUnclear, RetryAfter: undecidedWait}, state.Revision
 	case ByFloor:
-		k.renewFallbackQuotas(now)
+		s.renewFallbackQuotas(now)
 	}
-	d = s.Plan.Decide(job)
+	d = state.Plan.Decide(job)
 	if d.Verdict == Admit && d.charged {
 		divisor := uint64(1)
-		if side == Alone || s.Force == ByFloor {
-			divisor = uint64(k.nodes)
+		if side == Alone || state.Force == ByFloor {
+			divisor = uint64(s.nodes)
 		}
-		if k.used[d.account] >= max(s.Plan.quota(d.account).scaled(1, divisor), 1) {
+		if s.used[d.quota] >= max(state.Plan.quota(d.quota).scaled(1, divisor), 1) {
 			d.Verdict, d.Reason, d.RetryAfter = Undecided, QuotaUsed, undecidedWait
 		} else {
-			k.used[d.account] = k.used[d.account].Plus(d.Cost)
+			s.used[d.quota] = s.used[d.quota].Plus(d.Cost)
 		}
 	}
-	k.count(job.Team, d.Verdict)
-	return d, s.Revision
+	s.countDecision(job.Team, d.Verdict)
+	return d, state.Revision
 }
 
 // renewFallbackQuotas renews the fallback plan's quotas every Lifetime, so that without a plan each
 // team's jobs are admitted at the rate of its guarantee.
-func (k *Keeper) renewFallbackQuotas(now units.Micros) {
-	if k.fallbackSince == 0 || now-k.fallbackSince >= Lifetime {
-		k.fallbackSince = now
-		k.used = map[account]Work{}
+func (s *Keeper) renewFallbackQuotas(now units.Micros) {
+	if s.fallbackRenewed == 0 || now-s.fallbackRenewed >= Lifetime {
+		s.fallbackRenewed = now
+		s.used = map[quotaKey]Work{}
 	}
 }
 
-// quota gives the quota that an account stands for.
-func (p *Plan) quota(a account) Work {
-	if a.ofTeam {
-		entry, _ := p.Team(a.cell.Team, a.cell.Pool)
+// quota returns the quota that a key identifies.
+func (p *Plan) quota(key quotaKey) Work {
+	if key.ofTeam {
+		entry, _ := p.Team(key.cell.Team, key.cell.Pool)
 		return entry.Quota
 	}
-	restriction, _, _ := p.Restriction(a.cell)
+	restriction, _, _ := p.Restriction(key.cell)
 	return restriction.Quota
 }
 
-// count counts a decision about a team's job.
-func (k *Keeper) count(team string, v Verdict) {
-	counts := k.teams[team]
-	switch v {
+// countDecision counts a decision about a team's job.
+func (s *Keeper) countDecision(team string, verdict Verdict) {
+	counts := s.counts[team]
+	switch verdict {
 	case Admit:
 		counts.Admitted++
 	case Wait:
@@ -235,7 +235,7 @@
 	case Undecided:
 		counts.Undecided++
 	}
-	k.teams[team] = counts
+	s.counts[team] = counts
 }
 
 // TeamCounts is what was decided about a team's jobs.
@@ -245,12 +245,12 @@
 }
 
 // CountsByTeam tells what was decided so far, in the order of the teams' names.
-func (k *Keeper) CountsByTeam() []TeamCounts {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make([]TeamCounts, 0, len(k.teams))
-	for _, team := range slices.Sorted(maps.Keys(k.teams)) {
-		out = append(out, TeamCounts{Team: team, Counts: k.teams[team]})
+func (s *Keeper) CountsByTeam() []TeamCounts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]TeamCounts, 0, len(s.counts))
+	for _, team := range slices.Sorted(maps.Keys(s.counts)) {
+		out = append(out, TeamCounts{Team: team, Counts: s.counts[team]})
 	}
 	return out
 }
