--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -40,7 +40,7 @@
 	NoReason  Reason = iota
 	OverShare        // the cell has its share; the window comes round
 	Queued
-	QuotaUsed
+	QuotaExhausted
 	PlanUnclear
 )
 
@@ -50,7 +50,7 @@
 		return "the team's work of this class has its share for now"
 	case Queued:
 		return "the job is large and waits for its turn"
-	case QuotaUsed:
+	case QuotaExhausted:
 		return "the admission plan is being renewed"
 	case PlanUnclear:
 		return "the admission plan is not known for certain"
@@ -78,13 +78,13 @@
 }
 
 // Bounds on the time after which a job that waits is to come back. The longest is shorter
-// than WaitingMemory, so that who still waits is not forgotten.
+// than waitingTimeout, so that who still waits is not forgotten.
 const (
-	leastRetry    = units.Second
-	pausedRetry   = 2 * units.Second
-	mostRetry     = 8 * units.Second
-	retrySpread   = 2 * units.Second // over which jobs that are told the same come back
-	undecidedWait = units.Second
+	minRetry       = units.Second
+	pausedRetry    = 2 * units.Second
+	maxRetry       = 8 * units.Second
+	retryJitter    = 2 * units.Second // over which jobs that are told the same come back
+	undecidedRetry = units.Second
 )
 
 // Decide tells whether a job is admitted: Admit or Wait. It depends on the plan and the
@@ -101,7 +101,7 @@
 		// Its work was charged to the cell when the plan was made.
 	case cell.Band == Large:
 		d.Verdict, d.Reason = Wait, Queued
-		d.RetryAfter = pausedRetry + p.spread(job.ID)
+		d.RetryAfter = pausedRetry + p.jitter(job.ID)
 	case restriction.admits(position(job.ID)):
 		d.quota, d.charged = quotaKey{cell: restrictedCell}, true
 	default:
@@ -114,17 +114,17 @@
 // windowWait is when a job is to come back so that it finds its position in the window.
 func (p *Plan) windowWait(restriction CellRestriction, id string) units.Micros {
 	if restriction.Width == 0 {
-		return pausedRetry + p.spread(id)
+		return pausedRetry + p.jitter(id)
 	}
-	ahead := (position(id) - restriction.Start) % Ring
-	dwells := units.Micros(ahead / restriction.Width)
-	return min(max(dwells*Dwell-Dwell/2, leastRetry), mostRetry-retrySpread) + p.spread(id)
+	ahead := (position(id) - restriction.Start) % ringSize
+	moves := units.Micros(ahead / restriction.Width)
+	return min(max(moves*windowDwell-windowDwell/2, minRetry), maxRetry-retryJitter) + p.jitter(id)
 }
 
-// spread gives a part of retrySpread that differs from job to job and plan to plan, so
+// jitter returns a part of retryJitter that differs from job to job and plan to plan, so
 // that a flood does not come back in one second.
-func (p *Plan) spread(id string) units.Micros {
+func (p *Plan) jitter(id string) units.Micros {
 	const versionStep = 40503 // odd: every version moves each job to another place
-	place := (position(id) + uint32(p.Version%Ring)*versionStep) % Ring
-	return retrySpread * units.Micros(place) / Ring
+	place := (position(id) + uint32(p.Version%ringSize)*versionStep) % ringSize
+	return retryJitter * units.Micros(place) / ringSize
 }
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -35,7 +35,7 @@
 	fmt.Fprintf(w, "\nteam\tpool\tquota\tlarge above\testimates\n")
 	for key, entry := range p.allTeams() {
 		fmt.Fprintf(w, "%s\t%v\t%.0f\t%.0f\tx %.2f\n", key.Team, key.Pool, entry.Quota.UnitSeconds(),
-			entry.LargeAbove.UnitSeconds(), float64(entry.Correction)/float64(Exact))
+			entry.LargeThreshold.UnitSeconds(), float64(entry.EstimateCorrection)/float64(exactEstimates))
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-func ringPercent(positions uint32) float64 { return float64(positions) / Ring * percent }
+func ringPercent(positions uint32) float64 { return float64(positions) / ringSize * percent }
 
 func (p *Plan) describeQueueHeads(w io.Writer) {
 	if p.Turns() == 0 {
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -10,47 +10,47 @@
 // of its tasks. A team that overstates or understates all of them gains nothing by it.
 // The mean is taken on a logarithmic scale: twice as long and half as long weigh the
 // same.
-type Corrections struct{ teams map[string]*correction }
+type Corrections struct{ teams map[string]*runRatio }
 
-type correction struct {
+type runRatio struct {
 	mean float64 // of the binary logarithm of run time against estimate
-	seen int
+	runs int
 }
 
 // A run counts for at least this much of the mean; the first ones count for more.
-const leastRunWeight = 0.02
+const minRunWeight = 0.02
 
-// mostOff bounds a ratio, as its binary logarithm.
-const mostOff = 4
+// maxLogRatio bounds a ratio, as its binary logarithm.
+const maxLogRatio = 4
 
 // NewCorrections makes corrections that have seen nothing.
-func NewCorrections() *Corrections { return &Corrections{teams: map[string]*correction{}} }
+func NewCorrections() *Corrections { return &Corrections{teams: map[string]*runRatio{}} }
 
 // Observe takes in the run time of a task with an estimate.
 func (c *Corrections) Observe(team string, estimate, run units.Micros) {
 	if estimate <= 0 || run <= 0 {
 		return
 	}
-	known := c.teams[team]
-	if known == nil {
-		known = &correction{}
-		c.teams[team] = known
+	ratio := c.teams[team]
+	if ratio == nil {
+		ratio = &runRatio{}
+		c.teams[team] = ratio
 	}
-	ratio := math.Log2(run.Seconds() / max(estimate, leastRun).Seconds())
-	known.seen++
+	logRatio := math.Log2(run.Seconds() / max(estimate, minRunTime).Seconds())
+	ratio.runs++
 	// The first runs are taken in beside as many imagined ones that hold.
-	weight := max(1/float64(known.seen+imaginedRuns), leastRunWeight)
-	known.mean += weight * (max(-mostOff, min(ratio, mostOff)) - known.mean)
+	weight := max(1/float64(ratio.runs+priorRuns), minRunWeight)
+	ratio.mean += weight * (max(-maxLogRatio, min(logRatio, maxLogRatio)) - ratio.mean)
 }
 
-// imaginedRuns is how many runs speak for the estimates at first.
-const imaginedRuns = 5
+// priorRuns is how many runs speak for the estimates at first.
+const priorRuns = 5
 
 // Snapshot gives the corrections of all teams that were seen.
 func (c *Corrections) Snapshot() map[string]PerMille {
 	out := make(map[string]PerMille, len(c.teams))
-	for team, known := range c.teams {
-		out[team] = PerMille(math.Round(float64(Exact) * math.Exp2(known.mean)))
+	for team, ratio := range c.teams {
+		out[team] = PerMille(math.Round(float64(exactEstimates) * math.Exp2(ratio.mean)))
 	}
 	return out
 }
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -23,16 +23,16 @@
 	Limit     Amounts
 }
 
-// leastWeight is the weight of a team that is guaranteed nothing, in units of the
+// minTeamWeight is the weight of a team that is guaranteed nothing, in units of the
 // resource: it is served after the others, but not starved.
-const leastWeight = 1.0
+const minTeamWeight = 1.0
 
 // teamWeight gives a team's weight in a pool.
 func (o Options) teamWeight(team Team, pool Pool) float64 {
 	if weight, given := o.TeamShares[team.Name]; given {
 		return weight
 	}
-	return max(team.Guarantee[pool].Float(), leastWeight)
+	return max(team.Guarantee[pool].Float(), minTeamWeight)
 }
 
 // defaultClassWeight is the weight of a class of which the operators say nothing.
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -18,7 +18,7 @@
 const (
 	Small Band = iota
 	Large
-	Bands = 2
+	numBands = 2
 )
 
 func (b Band) String() string {
@@ -36,24 +36,24 @@
 	Band  Band
 }
 
-// Ring is the number of positions on which job ids are spread evenly. A restriction admits the
+// ringSize is the number of positions on which job ids are spread evenly. A restriction admits the
 // positions in a window that moves around the ring.
-const Ring = 1 << 16
+const ringSize = 1 << 16
 
-// Dwell is how long a window stays where it is: longer than users take to come back.
-const Dwell = 4 * units.Second
+// windowDwell is how long a window stays where it is: longer than users take to come back.
+const windowDwell = 4 * units.Second
 
 // PerMille is a ratio in thousandths.
 type PerMille uint32
 
-// Exact is the ratio of estimates that hold.
-const Exact PerMille = 1000
+// exactEstimates is the ratio of estimates that hold.
+const exactEstimates PerMille = 1000
 
 // TeamEntry is what a plan says of one team's work in a pool.
 type TeamEntry struct {
-	Quota      Work     // that cells without a restriction of their own may take under this version
-	LargeAbove Work     // a job of more work is in the band Large
-	Correction PerMille // run times against the team's estimates
+	Quota              Work     // that cells without a restriction of their own may take under this version
+	LargeThreshold     Work     // a job of more work is in the band Large
+	EstimateCorrection PerMille // run times against the team's estimates
 }
 
 // CellRestriction restricts the jobs of a cell: small ones are admitted while their position is
@@ -150,10 +150,10 @@
 	cell := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Need, p.Capacity)}
 	entry, known := p.Team(cell.Team, cell.Pool)
 	if !known {
-		entry = TeamEntry{LargeAbove: MaxWork, Correction: Exact}
+		entry = TeamEntry{LargeThreshold: MaxWork, EstimateCorrection: exactEstimates}
 	}
-	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Need), runTime(job, entry.Correction, p.Horizon))
-	if cost > entry.LargeAbove {
+	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Need), runTime(job, entry.EstimateCorrection, p.Horizon))
+	if cost > entry.LargeThreshold {
 		cell.Band = Large
 	}
 	return cell, cost
@@ -167,9 +167,9 @@
 	if run <= 0 {
 		entry, known := p.Team(cell.Team, cell.Pool)
 		if !known {
-			entry.Correction = Exact
+			entry.EstimateCorrection = exactEstimates
 		}
-		run = runTime(job, entry.Correction, p.Horizon)
+		run = runTime(job, entry.EstimateCorrection, p.Horizon)
 	}
 	return cell, WorkOf(unfinished, amountIn(cell.Pool, job.Need), run)
 }
@@ -186,5 +186,5 @@
 
 // admits tells whether a position is in the window.
 func (r CellRestriction) admits(position uint32) bool {
-	return (position-r.Start)%Ring < r.Width
+	return (position-r.Start)%ringSize < r.Width
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -20,7 +20,7 @@
 	Fleet   Amounts // of the machines that are there
 	Loads   []Load
 	Waiting WaitingDemand
-	// Corrections are those of the teams; one that is missing has Exact.
+	// Corrections are those of the teams; one that is missing has exactEstimates.
 	Corrections map[string]PerMille
 }
 
@@ -28,11 +28,11 @@
 type Planner struct {
 	options Options
 	teams   []Team
-	last    progress
+	current plannerState
 }
 
-// progress is how far a plan has got round.
-type progress struct {
+// plannerState is what the next plan continues from.
+type plannerState struct {
 	plan       *Plan // nil: there was none
 	windows    map[Cell]window
 	queueHeads map[string]bool // IDs of the large jobs that the plan admits
@@ -49,30 +49,30 @@
 type Proposal struct {
 	Plan      *Plan
 	Standings []Standing // of the teams, by which the plan was made
-	next      progress
+	next      plannerState
 }
 
 // maxQueueHeads bounds the large jobs that one plan admits by ID.
 const maxQueueHeads = 16
 
-// leastWidth is the least window of a cell that has credit: it bounds the time
+// minWindowWidth is the least window of a cell that has credit: it bounds the time
 // until it has come round.
-const leastWidth = Ring / 64
+const minWindowWidth = ringSize / 64
 
-// largePart is the part of a team's share of the horizon beyond which a job is large.
-const largePart = 8
+// largeFraction is the part of a team's share of the horizon beyond which a job is large.
+const largeFraction = 8
 
 // NewPlanner makes a planner that goes on from the plan in force, if there is one: the
 // windows stay where they are.
 func NewPlanner(options Options, teams []Team, former *Plan, now units.Micros) *Planner {
 	p := &Planner{options: options, teams: teams}
-	p.last = progress{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
+	p.current = plannerState{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
 	if former != nil {
 		for cell, restriction := range former.allRestrictions() {
-			p.last.windows[cell] = window{start: restriction.Start, width: restriction.Width, since: now}
+			p.current.windows[cell] = window{start: restriction.Start, width: restriction.Width, since: now}
 		}
 		for id := range former.allQueueHeads() {
-			p.last.queueHeads[id] = true
+			p.current.queueHeads[id] = true
 		}
 	}
 	return p
@@ -82,26 +82,26 @@
 // Accept.
 func (p *Planner) Next(version, term uint64, m Measurement) Proposal {
 	plan := newPlan(version, term, p.options.Horizon, p.capacity(m.Fleet))
-	if former := p.last.plan; former != nil {
+	if former := p.current.plan; former != nil {
 		plan.teams, plan.restrictions = former.teams, former.restrictions
 	}
 	builder := &planBuilder{
 		planner:      p,
 		plan:         plan,
-		measured:     m,
+		measurement:  m,
 		restrictions: map[Cell]CellRestriction{},
-		next:         progress{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
+		next:         plannerState{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
 	}
-	for pool := range Pool(Pools) {
-		builder.addPool(pool)
+	for pool := range Pool(numPools) {
+		builder.sharePool(pool)
 	}
 	builder.selectQueueHeads()
 	plan.setRestrictions(builder.restrictions)
-	return Proposal{Plan: plan, Standings: builder.standings, next: builder.next}
+	return Proposal{Plan: plan, Standings: builder.usages, next: builder.next}
 }
 
 // Accept takes over that a proposal was written: the next plan goes on from it.
-func (p *Planner) Accept(proposal Proposal) { p.last = proposal.next }
+func (p *Planner) Accept(proposal Proposal) { p.current = proposal.next }
 
 // capacity is what is divided: the fleet, and at least what is guaranteed.
 func (p *Planner) capacity(fleet Amounts) Amounts {
@@ -121,12 +121,12 @@
 type planBuilder struct {
 	planner      *Planner
 	plan         *Plan
-	measured     Measurement
+	measurement  Measurement
 	restrictions map[Cell]CellRestriction
 	credits      []largeCredit
-	next         progress
+	next         plannerState
 
-	standings []Standing
+	usages []Standing
 }
 
 // largeCredit is what the large jobs of a cell may still take.
@@ -147,9 +147,9 @@
 	return cellDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
 }
 
-// addPool divides one resource among the teams.
-func (b *planBuilder) addPool(pool Pool) {
-	total := b.within(b.plan.Capacity[pool])
+// sharePool divides one resource among the teams.
+func (b *planBuilder) sharePool(pool Pool) {
+	total := b.workWithinHorizon(b.plan.Capacity[pool])
 	if total == 0 {
 		return
 	}
@@ -162,9 +162,9 @@
 			demands[i] = demands[i].plus(demand)
 		}
 		requests[i] = ShareRequest{
-			Demand:   min(demands[i].total(), b.within(team.Limit[pool])),
+			Demand:   min(demands[i].total(), b.workWithinHorizon(team.Limit[pool])),
 			Weight:   b.planner.options.teamWeight(team, pool),
-			MinShare: b.within(team.Guarantee[pool]),
+			MinShare: b.workWithinHorizon(team.Guarantee[pool]),
 		}
 		weights += requests[i].Weight
 	}
@@ -174,20 +174,20 @@
 		unrequested -= share
 	}
 	for i, team := range b.planner.teams {
-		b.addTeam(team, pool, teamShare{
+		b.setTeam(team, pool, teamShare{
 			share:       shares[i],
 			guaranteed:  requests[i].MinShare,
-			fair:        Work(float64(total) * requests[i].Weight / weights),
+			fairShare:   Work(float64(total) * requests[i].Weight / weights),
 			unrequested: Work(float64(unrequested) * requests[i].Weight / weights),
-			limit:       b.within(team.Limit[pool]),
+			limit:       b.workWithinHorizon(team.Limit[pool]),
 			demand:      demands[i],
 			cells:       cells[team.Name],
 		})
 	}
 }
 
-// within is the work that an amount of a resource does within the horizon.
-func (b *planBuilder) within(amount units.Amount) Work {
+// workWithinHorizon is the work that an amount of a resource does within the horizon.
+func (b *planBuilder) workWithinHorizon(amount units.Amount) Work {
 	return WorkOf(1, amount, b.plan.Horizon)
 }
 
@@ -203,10 +203,10 @@
 		}
 		teams[cell.Team][cell] = teams[cell.Team][cell].plus(demand)
 	}
-	for _, load := range b.measured.Loads {
+	for _, load := range b.measurement.Loads {
 		add(load.Cell, cellDemand{backlog: load.Work})
 	}
-	for cell, work := range b.measured.Waiting.Work {
+	for cell, work := range b.measurement.Waiting.Work {
 		add(cell, cellDemand{waiting: work})
 	}
 	return teams
@@ -216,7 +216,7 @@
 type teamShare struct {
 	share       Work // by what it has and wants now
 	guaranteed  Work // within the horizon, by its guaranteed quota
-	fair        Work // if everybody wanted all
+	fairShare   Work // if everybody wanted all
 	unrequested Work // its part of what nobody wants now
 	limit       Work
 	demand      cellDemand
@@ -226,26 +226,26 @@
 // contested tells whether the team wants more than it gets.
 func (s teamShare) contested() bool { return s.share < s.demand.total() }
 
-// addTeam writes what the plan says of a team in a pool. As long as it gets what it
+// setTeam writes what the plan says of a team in a pool. As long as it gets what it
 // wants, nothing is restricted, and its quota is what it may take until the next version:
 // at least what is left of its guarantee, whatever others do.
-func (b *planBuilder) addTeam(team Team, pool Pool, s teamShare) {
+func (b *planBuilder) setTeam(team Team, pool Pool, s teamShare) {
 	entry := TeamEntry{
-		LargeAbove: max(s.fair, s.guaranteed)/largePart + 1,
-		Correction: cmp.Or(b.measured.Corrections[team.Name], Exact),
+		LargeThreshold:     max(s.fairShare, s.guaranteed)/largeFraction + 1,
+		EstimateCorrection: cmp.Or(b.measurement.Corrections[team.Name], exactEstimates),
 	}
 	if s.contested() {
-		entry.Quota = b.restrict(s)
+		entry.Quota = b.restrictTeam(s)
 	} else {
 		entry.Quota = max(min(s.unrequested, s.limit-s.demand.backlog), s.guaranteed-s.demand.backlog, 0)
 	}
 	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, entry)
-	b.standings = append(b.standings, s.standing(team.Name, pool))
+	b.usages = append(b.usages, s.usage(team.Name, pool))
 }
 
-// restrict divides a team's share among its classes and these among small and large jobs,
+// restrictTeam divides a team's share among its classes and these among small and large jobs,
 // and restricts the cells that want more than they get. It gives the quota of the others.
-func (b *planBuilder) restrict(s teamShare) Work {
+func (b *planBuilder) restrictTeam(s teamShare) Work {
 	classes := map[string]cellDemand{}
 	for cell, demand := range s.cells {
 		classes[cell.Class] = classes[cell.Class].plus(demand)
@@ -280,23 +280,23 @@
 
 // restrictClass divides a class's share among small and large jobs.
 func (b *planBuilder) restrictClass(class string, share Work, cells map[Cell]cellDemand) []cellOutcome {
-	var present []Cell
+	var bands []Cell
 	for cell := range cells {
 		if cell.Class == class {
-			present = append(present, cell)
+			bands = append(bands, cell)
 		}
 	}
-	slices.SortFunc(present, func(x, y Cell) int { return cmp.Compare(x.Band, y.Band) })
-	requests := make([]ShareRequest, len(present))
-	for i, cell := range present {
+	slices.SortFunc(bands, func(x, y Cell) int { return cmp.Compare(x.Band, y.Band) })
+	requests := make([]ShareRequest, len(bands))
+	for i, cell := range bands {
 		requests[i] = ShareRequest{Demand: cells[cell].total(), Weight: bandWeight}
 	}
-	outcomes := make([]cellOutcome, len(present))
+	outcomes := make([]cellOutcome, len(bands))
 	for i, part := range FairShares(share, requests) {
-		demand := cells[present[i]]
+		demand := cells[bands[i]]
 		outcomes[i] = cellOutcome{restricted: part < demand.total(), backlog: demand.backlog}
 		if outcomes[i].restricted {
-			b.restrictCell(present[i], part, demand)
+			b.restrictCell(bands[i], part, demand)
 		}
 	}
 	return outcomes
@@ -310,18 +310,18 @@
 		b.restrictions[cell] = CellRestriction{}
 		return
 	}
-	w, moving := b.planner.last.windows[cell]
-	if !moving {
-		w = window{start: position(cell.Team + "/" + cell.Class), since: b.measured.Now - Dwell}
+	w, known := b.planner.current.windows[cell]
+	if !known {
+		w = window{start: position(cell.Team + "/" + cell.Class), since: b.measurement.Now - windowDwell}
 	}
 	restriction := CellRestriction{Start: w.start}
 	if credit <= 0 {
-		w.since = b.measured.Now // the window waits where it is
+		w.since = b.measurement.Now // the window waits where it is
 	} else {
-		if w.width == 0 || b.measured.Now-w.since >= Dwell {
-			w.start = (w.start + w.width) % Ring
+		if w.width == 0 || b.measurement.Now-w.since >= windowDwell {
+			w.start = (w.start + w.width) % ringSize
 			w.width = windowWidth(credit, demand.waiting)
-			w.since = b.measured.Now
+			w.since = b.measurement.Now
 		}
 		restriction = CellRestriction{Start: w.start, Width: w.width, Quota: credit}
 	}
@@ -333,9 +333,9 @@
 // admitted.
 func windowWidth(credit, waiting Work) uint32 {
 	if waiting <= credit {
-		return Ring
+		return ringSize
 	}
-	return max(uint32(float64(Ring)*float64(credit)/float64(waiting)), leastWidth)
+	return max(uint32(float64(ringSize)*float64(credit)/float64(waiting)), minWindowWidth)
 }
 
 // selectQueueHeads selects large jobs, the longest waiting first, while their cell has credit
@@ -347,9 +347,9 @@
 	}
 	heads := b.next.queueHeads
 	for _, kept := range []bool{true, false} { // selected ones stay selected
-		for _, job := range b.measured.Waiting.Large {
+		for _, job := range b.measurement.Waiting.Large {
 			left, restricted := credit[job.Cell]
-			if !restricted || heads[job.ID] || b.planner.last.queueHeads[job.ID] != kept || len(heads) == maxQueueHeads {
+			if !restricted || heads[job.ID] || b.planner.current.queueHeads[job.ID] != kept || len(heads) == maxQueueHeads {
 				continue
 			}
 			if kept || left > 0 {
@@ -358,6 +358,6 @@
 			}
 		}
 	}
-	b.planner.last.queueHeads = heads
+	b.planner.current.queueHeads = heads
 	b.plan.setQueueHeads(slices.Sorted(maps.Keys(heads)))
 }
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -128,7 +128,7 @@
 				break
 			}
 			next = f.now + d.RetryAfter
-			if most := Dwell*units.Micros(100/share+2) + mostRetry; f.now-began > most {
+			if most := windowDwell*units.Micros(100/share+2) + maxRetry; f.now-began > most {
 				t.Fatalf("not admitted after %.0f s with %d%% of the ring at a time", (f.now - began).Seconds(), share)
 			}
 		}
@@ -180,7 +180,7 @@
 				t.Fatalf("%v, and later %v", known, here)
 			}
 			first[job.ID] = here
-			if here.Verdict == Wait && (here.RetryAfter < leastRetry || here.RetryAfter > mostRetry) {
+			if here.Verdict == Wait && (here.RetryAfter < minRetry || here.RetryAfter > maxRetry) {
 				t.Fatalf("a job is to come back after %v", here.RetryAfter.Duration())
 			}
 		}
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -14,9 +14,9 @@
 // it three times in that.
 const Lifetime = 10 * units.Second
 
-// ErrOldTerm says that a plan's record was written over by a leader of a former term.
+// ErrStalePlan says that a plan's record was written over by a leader of a former term.
 // Conditional saves exclude it, so the record was damaged.
-var ErrOldTerm = errors.New("the admission plan is of a former term or version, though its record is newer")
+var ErrStalePlan = errors.New("the admission plan is of a former term or version, though its record is newer")
 
 // Keeper holds the plan in force on one controller and accounts for its quotas. It is
 // safe for concurrent use.
@@ -71,11 +71,11 @@
 	}
 	plan := newPlan(fallbackVersion, 0, options.Horizon, capacity)
 	for _, team := range teams {
-		for pool := range Pool(Pools) {
+		for pool := range Pool(numPools) {
 			plan.setTeam(teamKey{Team: team.Name, Pool: pool}, TeamEntry{
-				Quota:      WorkOf(1, team.Guarantee[pool], Lifetime),
-				LargeAbove: MaxWork,
-				Correction: Exact,
+				Quota:              WorkOf(1, team.Guarantee[pool], Lifetime),
+				LargeThreshold:     MaxWork,
+				EstimateCorrection: exactEstimates,
 			})
 		}
 	}
@@ -92,7 +92,7 @@
 	}
 	former := s.observed.Plan
 	if former != nil && observed.Plan != nil && !observed.Plan.follows(former) {
-		return ErrOldTerm
+		return ErrStalePlan
 	}
 	s.revision, s.observed, s.known = observed.Revision, observed, true
 	s.used = map[quotaKey]Work{}
@@ -185,7 +185,7 @@
 	switch state.Force {
 	case Unclear:
 		s.countDecision(job.Team, Undecided)
-		return Decision{Verdict: Undecided, Reason: PlanUnclear, RetryAfter: undecidedWait}, state.Revision
+		return Decision{Verdict: Undecided, Reason: PlanUnclear, RetryAfter: undecidedRetry}, state.Revision
 	case ByFloor:
 		s.renewFallbackQuotas(now)
 	}
@@ -196,7 +196,7 @@
 			divisor = uint64(s.nodes)
 		}
 		if s.used[d.quota] >= max(state.Plan.quota(d.quota).scaled(1, divisor), 1) {
-			d.Verdict, d.Reason, d.RetryAfter = Undecided, QuotaUsed, undecidedWait
+			d.Verdict, d.Reason, d.RetryAfter = Undecided, QuotaExhausted, undecidedRetry
 		} else {
 			s.used[d.quota] = s.used[d.quota].Plus(d.Cost)
 		}
--- a/internal/admission/planstore_test.go
+++ b/internal/admission/planstore_test.go
@@ -11,7 +11,7 @@
 
 func heldPlan(version, term, revision uint64, at units.Micros) Held {
 	plan := newPlan(version, term, testHorizon, cpus(100))
-	plan.setTeam(teamKey{Team: "mill"}, TeamEntry{Quota: 1000, LargeAbove: MaxWork, Correction: Exact})
+	plan.setTeam(teamKey{Team: "mill"}, TeamEntry{Quota: 1000, LargeThreshold: MaxWork, EstimateCorrection: exactEstimates})
 	return Held{Plan: plan, Revision: revision, WrittenAfter: at, WrittenBefore: at}
 }
 
@@ -26,8 +26,8 @@
 	}{
 		{heldPlan(3, 2, 10, 0), nil, 3},
 		{heldPlan(2, 1, 9, 0), nil, 3}, // late
-		{heldPlan(4, 1, 11, 0), ErrOldTerm, 3},
-		{heldPlan(3, 2, 12, 0), ErrOldTerm, 3},
+		{heldPlan(4, 1, 11, 0), ErrStalePlan, 3},
+		{heldPlan(3, 2, 12, 0), ErrStalePlan, 3},
 		{heldPlan(4, 3, 13, 0), nil, 4},
 	} {
 		err := k.Adopt(step.held)
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -34,17 +34,17 @@
 // teamRecord is a TeamEntry. It and cellRecord are stored as lists of their fields, for
 // there are many of them.
 type teamRecord struct {
-	_          struct{} `cbor:",toarray"`
-	Name       string
-	Pool       Pool
-	Quota      int64
-	LargeAbove int64
-	Correction PerMille
+	_                  struct{} `cbor:",toarray"`
+	Name               string
+	Pool               Pool
+	Quota              int64
+	LargeThreshold     int64
+	EstimateCorrection PerMille
 }
 
 // MarshalJSON gives the list that is stored, for its size.
 func (t teamRecord) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{t.Name, t.Pool, t.Quota, t.LargeAbove, t.Correction})
+	return json.Marshal([]any{t.Name, t.Pool, t.Quota, t.LargeThreshold, t.EstimateCorrection})
 }
 
 // cellRecord is a CellRestriction.
@@ -75,11 +75,11 @@
 // Encode gives the plan's record, and the plan that this record holds: a plan that is too
 // large is made coarser until it fits. Whoever writes a plan goes by the latter, as all
 // who read it do.
-func Encode(plan *Plan, mostBytes int) ([]byte, *Plan, error) {
+func Encode(plan *Plan, maxBytes int) ([]byte, *Plan, error) {
 	r := plan.record()
-	for r.size() > mostBytes {
+	for r.size() > maxBytes {
 		if !r.coarsen() {
-			return nil, nil, fmt.Errorf("%w: %d bytes, %d are allowed", ErrTooLarge, r.size(), mostBytes)
+			return nil, nil, fmt.Errorf("%w: %d bytes, %d are allowed", ErrTooLarge, r.size(), maxBytes)
 		}
 	}
 	raw := protocol.Encode(r)
@@ -115,11 +115,11 @@
 	for key, entry := range p.allTeams() {
 		places[key] = len(r.Teams)
 		r.Teams = append(r.Teams, teamRecord{
-			Name:       key.Team,
-			Pool:       key.Pool,
-			Quota:      stored(entry.Quota),
-			LargeAbove: stored(entry.LargeAbove),
-			Correction: entry.Correction,
+			Name:               key.Team,
+			Pool:               key.Pool,
+			Quota:              stored(entry.Quota),
+			LargeThreshold:     stored(entry.LargeThreshold),
+			EstimateCorrection: entry.EstimateCorrection,
 		})
 	}
 	for cell, restriction := range p.allRestrictions() {
@@ -187,7 +187,7 @@
 		m.Width = min(m.Width, c.Width)
 		m.Quota += c.Quota
 	}
-	for band := range Band(Bands) {
+	for band := range Band(numBands) {
 		if m := merged[band]; m != nil {
 			kept = append(kept, *m)
 		}
@@ -198,7 +198,7 @@
 // Errors of records that no leader writes.
 var (
 	errFormat       = errors.New("its format is not known")
-	errNoAuthor     = errors.New("it has no version, term or horizon")
+	errMissing      = errors.New("it has no version, term or horizon")
 	errOutOfRange   = errors.New("a quantity is out of range")
 	errRepeated     = errors.New("a team or cell is named twice, or not at all")
 	errInvalidJobID = errors.New("it names what is no job")
@@ -209,7 +209,7 @@
 	case r.Format != recordFormat:
 		return fmt.Errorf("%w: %d", errFormat, r.Format)
 	case r.Version == 0 || r.Term == 0 || r.Horizon <= 0:
-		return errNoAuthor
+		return errMissing
 	}
 	for _, amount := range r.Capacity {
 		if amount < 0 {
@@ -227,10 +227,10 @@
 	return r.checkCells()
 }
 
-// mostStored is the most work that a record holds.
-const mostStored = int64(MaxWork/storedUnit) + 1
+// maxStored is the most work that a record holds.
+const maxStored = int64(MaxWork/storedUnit) + 1
 
-func inRange(work int64) bool { return work >= 0 && work <= mostStored }
+func inRange(work int64) bool { return work >= 0 && work <= maxStored }
 
 func (r *record) checkTeams() error {
 	seen := map[teamKey]bool{}
@@ -239,7 +239,7 @@
 		switch {
 		case t.Name == "" || seen[key]:
 			return errRepeated
-		case t.Pool >= Pools || !inRange(t.Quota) || !inRange(t.LargeAbove) || t.Correction == 0:
+		case t.Pool >= numPools || !inRange(t.Quota) || !inRange(t.LargeThreshold) || t.EstimateCorrection == 0:
 			return errOutOfRange
 		}
 		seen[key] = true
@@ -257,7 +257,7 @@
 		switch {
 		case seen[cell]:
 			return errRepeated
-		case c.Band >= Bands || c.Start >= Ring || c.Width > Ring || !inRange(c.Quota):
+		case c.Band >= numBands || c.Start >= ringSize || c.Width > ringSize || !inRange(c.Quota):
 			return errOutOfRange
 		}
 		seen[cell] = true
@@ -275,9 +275,9 @@
 	p := newPlan(r.Version, r.Term, r.Horizon, r.Capacity)
 	for _, t := range r.Teams {
 		p.setTeam(teamKey{Team: t.Name, Pool: t.Pool}, TeamEntry{
-			Quota:      Work(t.Quota) * storedUnit,
-			LargeAbove: Work(t.LargeAbove) * storedUnit,
-			Correction: t.Correction,
+			Quota:              Work(t.Quota) * storedUnit,
+			LargeThreshold:     Work(t.LargeThreshold) * storedUnit,
+			EstimateCorrection: t.EstimateCorrection,
 		})
 	}
 	restrictions := map[Cell]CellRestriction{}
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -19,8 +19,8 @@
 // UnitSeconds gives some work in units of the resource times seconds, for display.
 func (w Work) UnitSeconds() float64 { return float64(w) / storedUnit }
 
-// standing gives a team's standing by its share.
-func (s teamShare) standing(team string, pool Pool) Standing {
+// usage returns a team's usage and its share.
+func (s teamShare) usage(team string, pool Pool) Standing {
 	return Standing{
 		Team:       team,
 		Pool:       pool,
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -8,9 +8,9 @@
 	"dunestand/internal/units"
 )
 
-// WaitingMemory is for how long a job that was told to come back counts as waiting. It is
+// waitingTimeout is for how long a job that was told to come back counts as waiting. It is
 // longer than any job is told to stay away.
-const WaitingMemory = mostRetry + 7*units.Second
+const waitingTimeout = maxRetry + 7*units.Second
 
 // maxWaiting bounds the jobs that a leader remembers as waiting. Those beyond it are
 // answered like all others but do not count as demand.
@@ -18,11 +18,11 @@
 
 // WaitingJob is a job that was told to come back.
 type WaitingJob struct {
-	ID    string
-	Cell  Cell
-	Cost  Work
-	Since units.Micros // when it was told so first
-	last  units.Micros
+	ID          string
+	Cell        Cell
+	Cost        Work
+	Since       units.Micros // when it was told so first
+	lastRequest units.Micros
 }
 
 // WaitingDemand is the demand of the jobs that wait.
@@ -37,13 +37,13 @@
 type WaitingList struct {
 	jobs map[string]*WaitingJob
 	work map[Cell]Work // of all jobs
-	// unknown holds the jobs that no record told of when this leader looked.
-	unknown map[string]bool
+	// unrecorded holds the jobs of which there was no record when this leader looked.
+	unrecorded map[string]bool
 }
 
 // NewWaitingList makes an empty list.
 func NewWaitingList() *WaitingList {
-	return &WaitingList{jobs: map[string]*WaitingJob{}, work: map[Cell]Work{}, unknown: map[string]bool{}}
+	return &WaitingList{jobs: map[string]*WaitingJob{}, work: map[Cell]Work{}, unrecorded: map[string]bool{}}
 }
 
 // Add notes that a job was told to come back.
@@ -51,19 +51,19 @@
 	job := l.jobs[id]
 	switch {
 	case job != nil:
-		l.count(job, -1)
+		l.addWork(job, -1)
 	case len(l.jobs) >= maxWaiting:
 		return
 	default:
 		job = &WaitingJob{ID: id, Since: now}
 		l.jobs[id] = job
 	}
-	job.Cell, job.Cost, job.last = d.Cell, d.Cost, now
-	l.count(job, 1)
+	job.Cell, job.Cost, job.lastRequest = d.Cell, d.Cost, now
+	l.addWork(job, 1)
 }
 
-// count adds a job's work to its cell's, or takes it off.
-func (l *WaitingList) count(job *WaitingJob, sign Work) {
+// addWork adds a job's work to its cell's, or takes it off.
+func (l *WaitingList) addWork(job *WaitingJob, sign Work) {
 	l.work[job.Cell] += sign * job.Cost
 	if l.work[job.Cell] == 0 {
 		delete(l.work, job.Cell)
@@ -74,12 +74,12 @@
 // saves can change that, but for the inbox.
 func (l *WaitingList) SetUnknown(id string) {
 	if l.jobs[id] != nil {
-		l.unknown[id] = true
+		l.unrecorded[id] = true
 	}
 }
 
 // IsUnknown tells whether SetUnknown was called for a job since it waits.
-func (l *WaitingList) IsUnknown(id string) bool { return l.unknown[id] }
+func (l *WaitingList) IsUnknown(id string) bool { return l.unrecorded[id] }
 
 // Remove takes a job out: it was admitted, or did not come back. It gives since when it
 // waited.
@@ -88,16 +88,16 @@
 	if job == nil {
 		return 0, false
 	}
-	l.count(job, -1)
+	l.addWork(job, -1)
 	delete(l.jobs, id)
-	delete(l.unknown, id)
+	delete(l.unrecorded, id)
 	return job.Since, true
 }
 
 // Expire forgets the jobs that did not come back.
 func (l *WaitingList) Expire(now units.Micros) {
 	for id, job := range l.jobs {
-		if now-job.last > WaitingMemory {
+		if now-job.lastRequest > waitingTimeout {
 			l.Remove(id)
 		}
 	}
--- a/internal/admission/work.go
+++ b/internal/admission/work.go
@@ -58,7 +58,7 @@
 const (
 	CPU Pool = iota
 	GPU
-	Pools = 2
+	numPools = 2
 )
 
 func (p Pool) String() string {
@@ -69,7 +69,7 @@
 }
 
 // Amounts is an amount of each pool's resource.
-type Amounts [Pools]units.Amount
+type Amounts [numPools]units.Amount
 
 // AmountsOf gives what resources hold of each pool.
 func AmountsOf(r units.Resources) Amounts { return Amounts{CPU: r.CPU, GPU: r.GPU} }
@@ -95,8 +95,8 @@
 // amountIn gives what a task needs of a pool's resource.
 func amountIn(pool Pool, need units.Resources) units.Amount { return AmountsOf(need)[pool] }
 
-// leastRun stands for estimates that are shorter, or missing.
-const leastRun = units.Second
+// minRunTime stands for estimates that are shorter, or missing.
+const minRunTime = units.Second
 
 // runTime is how long a task of a job is reckoned to run before any was seen: by its
 // owner's estimate and what the team's estimates were off by. A service holds its
@@ -105,6 +105,6 @@
 	if job.Shape == protocol.Service {
 		return horizon
 	}
-	corrected := Work(job.Estimate).scaled(uint64(correction), uint64(Exact))
-	return max(units.Micros(corrected), leastRun)
+	corrected := Work(job.Estimate).scaled(uint64(correction), uint64(exactEstimates))
+	return max(units.Micros(corrected), minRunTime)
 }
