--- /dev/null
+++ b/internal/admission/builder.go
@@ -0,0 +1,130 @@
+package admission
+
+import (
+	"cmp"
+
+	"dunestand/internal/units"
+)
+
+// planBuilder makes one plan.
+type planBuilder struct {
+	planner      *Planner
+	plan         *Plan
+	measurement  Measurement
+	restrictions map[Cell]CellRestriction
+	credits      []largeCredit
+	next         plannerState
+
+	usages []Standing
+}
+
+// cellDemand is what a cell has and wants.
+type cellDemand struct {
+	backlog Work
+	waiting Work
+}
+
+func (d cellDemand) total() Work { return d.backlog.Plus(d.waiting) }
+
+func (d cellDemand) plus(other cellDemand) cellDemand {
+	return cellDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
+}
+
+// sharePool divides one resource among the teams.
+func (b *planBuilder) sharePool(pool Pool) {
+	total := b.workWithinHorizon(b.plan.Capacity[pool])
+	if total == 0 {
+		return
+	}
+	cells := b.demands(pool)
+	requests := make([]ShareRequest, len(b.planner.teams))
+	demands := make([]cellDemand, len(b.planner.teams))
+	weights := 0.0
+	for i, team := range b.planner.teams {
+		for _, demand := range cells[team.Name] {
+			demands[i] = demands[i].plus(demand)
+		}
+		requests[i] = ShareRequest{
+			Demand:   min(demands[i].total(), b.workWithinHorizon(team.Limit[pool])),
+			Weight:   b.planner.options.teamWeight(team, pool),
+			MinShare: b.workWithinHorizon(team.Guarantee[pool]),
+		}
+		weights += requests[i].Weight
+	}
+	shares := FairShares(total, requests)
+	unrequested := total
+	for _, share := range shares {
+		unrequested -= share
+	}
+	for i, team := range b.planner.teams {
+		b.setTeam(team, pool, teamShare{
+			share:       shares[i],
+			guaranteed:  requests[i].MinShare,
+			fairShare:   Work(float64(total) * requests[i].Weight / weights),
+			unrequested: Work(float64(unrequested) * requests[i].Weight / weights),
+			limit:       b.workWithinHorizon(team.Limit[pool]),
+			demand:      demands[i],
+			cells:       cells[team.Name],
+		})
+	}
+}
+
+// workWithinHorizon is the work that an amount of a resource does within the horizon.
+func (b *planBuilder) workWithinHorizon(amount units.Amount) Work {
+	return WorkOf(1, amount, b.plan.Horizon)
+}
+
+// demands gives what each cell of a pool has and wants, by team.
+func (b *planBuilder) demands(pool Pool) map[string]map[Cell]cellDemand {
+	teams := map[string]map[Cell]cellDemand{}
+	add := func(cell Cell, demand cellDemand) {
+		if cell.Pool != pool {
+			return
+		}
+		if teams[cell.Team] == nil {
+			teams[cell.Team] = map[Cell]cellDemand{}
+		}
+		teams[cell.Team][cell] = teams[cell.Team][cell].plus(demand)
+	}
+	for _, load := range b.measurement.Loads {
+		add(load.Cell, cellDemand{backlog: load.Work})
+	}
+	for cell, work := range b.measurement.Waiting.Work {
+		add(cell, cellDemand{waiting: work})
+	}
+	return teams
+}
+
+// teamShare is what a team gets in a pool.
+type teamShare struct {
+	share       Work // by what it has and wants now
+	guaranteed  Work // within the horizon, by its guaranteed quota
+	fairShare   Work // if everybody wanted all
+	unrequested Work // its part of what nobody wants now
+	limit       Work
+	demand      cellDemand
+	cells       map[Cell]cellDemand
+}
+
+// contested tells whether the team wants more than it gets.
+func (s teamShare) contested() bool { return s.share < s.demand.total() }
+
+// largeFraction is the part of a team's share of the horizon beyond which a job is large.
+const largeFraction = 8
+
+// setTeam writes what the plan says of a team in a pool. As long as it gets what it
+// wants, nothing is restricted, and its quota is what it may take until the next version:
+// at least what is left of its guarantee, whatever others do.
+func (b *planBuilder) setTeam(team Team, pool Pool, s teamShare) {
+	entry := TeamEntry{
+		LargeThreshold:     max(s.fairShare, s.guaranteed)/largeFraction + 1,
+		EstimateCorrection: cmp.Or(b.measurement.Corrections[team.Name], exactEstimates),
+	}
+	if s.contested() {
+		entry.Quota = b.restrictTeam(s)
+	} else {
+		entry.Quota = max(min(s.unrequested, s.limit-s.demand.backlog), s.guaranteed-s.demand.backlog, 0)
+	}
+	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, entry)
+	b.usages = append(b.usages, s.usage(team.Name, pool))
+}
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 
+	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
@@ -54,3 +55,23 @@
 	}
 	return out
 }
+
+// PerMille is a ratio in thousandths.
+type PerMille uint32
+
+// exactEstimates is the ratio of estimates that hold.
+const exactEstimates PerMille = 1000
+
+// minRunTime stands for estimates that are shorter, or missing.
+const minRunTime = units.Second
+
+// runTime is how long a task of a job is reckoned to run before any was seen: by its
+// owner's estimate and what the team's estimates were off by. A service holds its
+// resources for the whole horizon.
+func runTime(job *protocol.JobSpec, correction PerMille, horizon units.Micros) units.Micros {
+	if job.Shape == protocol.Service {
+		return horizon
+	}
+	corrected := Work(job.Estimate).scaled(uint64(correction), uint64(exactEstimates))
+	return max(units.Micros(corrected), minRunTime)
+}
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -1,54 +1,12 @@
 package admission
 
 import (
-	"encoding/binary"
-	"hash/fnv"
-
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// Band divides a class's jobs by their work, so that neither small jobs nor large ones
-// starve the others.
-type Band uint8
-
-// The bands.
-const (
-	Small Band = iota
-	Large
-	numBands = 2
-)
-
-func (b Band) String() string {
-	if b == Large {
-		return "large"
-	}
-	return "small"
-}
-
-// Cell is a group of jobs with a share of its own.
-type Cell struct {
-	Team  string
-	Class string // "": all classes that have no cell of their own
-	Pool  Pool
-	Band  Band
-}
-
-// ringSize is the number of positions on which job ids are spread evenly. A restriction admits the
-// positions in a window that moves around the ring.
-const ringSize = 1 << 16
-
-// windowDwell is how long a window stays where it is: longer than users take to come back.
-const windowDwell = 4 * units.Second
-
-// PerMille is a ratio in thousandths.
-type PerMille uint32
-
-// exactEstimates is the ratio of estimates that hold.
-const exactEstimates PerMille = 1000
-
 // TeamEntry is what a plan says of one team's work in a pool.
 type TeamEntry struct {
 	Quota              Work     // that cells without a restriction of their own may take under this version
@@ -64,12 +22,6 @@
 	Quota Work   // that may be admitted through the window under this version
 }
 
-// teamKey identifies a team in a pool.
-type teamKey struct {
-	Team string
-	Pool Pool
-}
-
 // Plan says which jobs are admitted. It never changes once it is made: a later plan has
 // a higher version, and shares with it what has stayed the same.
 type Plan struct {
@@ -96,22 +48,6 @@
 	}
 }
 
-// appendName adds a name to a key so that no other names give the same key.
-func appendName(key []byte, name string) []byte {
-	key = binary.AppendUvarint(key, uint64(len(name)))
-	return append(key, name...)
-}
-
-func (k teamKey) bytes(buffer []byte) []byte {
-	return append(appendName(buffer, k.Team), byte(k.Pool))
-}
-
-func (c Cell) bytes(buffer []byte) []byte {
-	buffer = appendName(buffer, c.Team)
-	buffer = append(buffer, byte(c.Pool), byte(c.Band))
-	return appendName(buffer, c.Class)
-}
-
 // Team returns what the plan holds for a team in a pool; false: it holds nothing.
 func (p *Plan) Team(team string, pool Pool) (TeamEntry, bool) {
 	var buffer [keyBuffer]byte
@@ -130,9 +66,6 @@
 	return restriction, cell, ok
 }
 
-// keyBuffer is room for usual names without allocating.
-const keyBuffer = 96
-
 // AtQueueHead reports whether the plan admits a large job by its ID.
 func (p *Plan) AtQueueHead(id string) bool {
 	_, found := p.queueHeads.Get([]byte(id))
@@ -173,18 +106,3 @@
 	}
 	return cell, WorkOf(unfinished, amountIn(cell.Pool, job.Need), run)
 }
-
-// position places a job on the ring.
-func position(id string) uint32 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // never fails
-	// The hash of short ids differs mostly in its low bits; the product spreads these
-	// over the high ones.
-	const spread = 0x9e3779b97f4a7c15
-	return uint32(h.Sum64() * spread >> 48)
-}
-
-// admits tells whether a position is in the window.
-func (r CellRestriction) admits(position uint32) bool {
-	return (position-r.Start)%ringSize < r.Width
-}
--- a/internal/admission/plantrees.go
+++ b/internal/admission/plantrees.go
@@ -1,7 +1,6 @@
 package admission
 
 import (
-	"encoding/binary"
 	"iter"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
@@ -104,10 +103,3 @@
 		}
 	}
 }
-
-// cutName takes a name off a key that appendName made.
-func cutName(key []byte) (name string, rest []byte) {
-	length, n := binary.Uvarint(key)
-	end := n + int(length)
-	return string(key[n:end]), key[end:]
-}
--- /dev/null
+++ b/internal/admission/recordsize.go
@@ -0,0 +1,69 @@
+package admission
+
+import (
+	"encoding/json"
+	"errors"
+)
+
+// ErrTooLarge says that a plan does not fit into one value of the state service.
+var ErrTooLarge = errors.New("the admission plan fits no value of the state service")
+
+// size is the record's size as the state service counts it.
+func (r *record) size() int {
+	raw, err := json.Marshal(r)
+	if err != nil {
+		panic(err) // a struct of texts and numbers
+	}
+	return len(raw)
+}
+
+// coarsen gives up detail: the classes of the team with the most cells get one restriction
+// together, or else fewer jobs are admitted by ID. It tells whether there was any to give up.
+func (r *record) coarsen() bool {
+	count := map[int]int{}
+	most := -1
+	for _, c := range r.Cells {
+		if c.Class == "" {
+			continue
+		}
+		count[c.Team]++
+		if most < 0 || count[c.Team] > count[most] {
+			most = c.Team
+		}
+	}
+	if most >= 0 {
+		r.mergeClasses(most)
+		return true
+	}
+	if len(r.QueueHeads) > 1 {
+		r.QueueHeads = r.QueueHeads[:len(r.QueueHeads)/2]
+		return true
+	}
+	return false
+}
+
+// mergeClasses gives a team one restriction in each band instead of one a class.
+func (r *record) mergeClasses(team int) {
+	merged := map[Band]*cellRecord{}
+	var kept []cellRecord
+	for _, c := range r.Cells {
+		if c.Team != team {
+			kept = append(kept, c)
+			continue
+		}
+		m := merged[c.Band]
+		if m == nil {
+			c.Class = ""
+			merged[c.Band] = &c
+			continue
+		}
+		m.Width = min(m.Width, c.Width)
+		m.Quota += c.Quota
+	}
+	for band := range Band(numBands) {
+		if m := merged[band]; m != nil {
+			kept = append(kept, *m)
+		}
+	}
+	r.Cells = kept
+}
--- /dev/null
+++ b/internal/admission/restrict.go
@@ -0,0 +1,93 @@
+package admission
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// restrictTeam divides a team's share among its classes and these among small and large jobs,
+// and restricts the cells that want more than they get. It gives the quota of the others.
+func (b *planBuilder) restrictTeam(s teamShare) Work {
+	classes := map[string]cellDemand{}
+	for cell, demand := range s.cells {
+		classes[cell.Class] = classes[cell.Class].plus(demand)
+	}
+	names := slices.Sorted(maps.Keys(classes))
+	requests := make([]ShareRequest, len(names))
+	for i, class := range names {
+		requests[i] = ShareRequest{Demand: classes[class].total(), Weight: b.planner.options.classWeight(class)}
+	}
+	restricted := 0
+	var unrestricted Work
+	for i, share := range FairShares(s.share, requests) {
+		for _, cell := range b.restrictClass(names[i], share, s.cells) {
+			if cell.restricted {
+				restricted++
+			} else {
+				unrestricted = unrestricted.Plus(cell.backlog)
+			}
+		}
+	}
+	return max(s.share/Work(restricted+1)-unrestricted, 0)
+}
+
+// cellOutcome tells whether a cell was restricted.
+type cellOutcome struct {
+	restricted bool
+	backlog    Work
+}
+
+// bandWeight is the same for small and large jobs.
+const bandWeight = 1.0
+
+// restrictClass divides a class's share among small and large jobs.
+func (b *planBuilder) restrictClass(class string, share Work, cells map[Cell]cellDemand) []cellOutcome {
+	var bands []Cell
+	for cell := range cells {
+		if cell.Class == class {
+			bands = append(bands, cell)
+		}
+	}
+	slices.SortFunc(bands, func(x, y Cell) int { return cmp.Compare(x.Band, y.Band) })
+	requests := make([]ShareRequest, len(bands))
+	for i, cell := range bands {
+		requests[i] = ShareRequest{Demand: cells[cell].total(), Weight: bandWeight}
+	}
+	outcomes := make([]cellOutcome, len(bands))
+	for i, part := range FairShares(share, requests) {
+		demand := cells[bands[i]]
+		outcomes[i] = cellOutcome{restricted: part < demand.total(), backlog: demand.backlog}
+		if outcomes[i].restricted {
+			b.restrictCell(bands[i], part, demand)
+		}
+	}
+	return outcomes
+}
+
+// restrictCell restricts a cell to its part.
+func (b *planBuilder) restrictCell(cell Cell, part Work, demand cellDemand) {
+	credit := part - demand.backlog
+	if cell.Band == Large {
+		b.credits = append(b.credits, largeCredit{cell: cell, work: credit})
+		b.restrictions[cell] = CellRestriction{}
+		return
+	}
+	w, known := b.planner.current.windows[cell]
+	if !known {
+		w = window{start: position(cell.Team + "/" + cell.Class), since: b.measurement.Now - windowDwell}
+	}
+	restriction := CellRestriction{Start: w.start}
+	if credit <= 0 {
+		w.since = b.measurement.Now // the window waits where it is
+	} else {
+		if w.width == 0 || b.measurement.Now-w.since >= windowDwell {
+			w.start = (w.start + w.width) % ringSize
+			w.width = windowWidth(credit, demand.waiting)
+			w.since = b.measurement.Now
+		}
+		restriction = CellRestriction{Start: w.start, Width: w.width, Quota: credit}
+	}
+	b.next.windows[cell] = w
+	b.restrictions[cell] = restriction
+}
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -16,9 +16,6 @@
 // quota by the last job of a version.
 func (s Standing) Excess() Work { return max(s.Backlog-s.Share, 0) }
 
-// UnitSeconds gives some work in units of the resource times seconds, for display.
-func (w Work) UnitSeconds() float64 { return float64(w) / storedUnit }
-
 // usage returns a team's usage and its share.
 func (s teamShare) usage(team string, pool Pool) Standing {
 	return Standing{
