--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -12,7 +12,7 @@
 	plan         *Plan
 	measurement  Measurement
 	restrictions map[Cell]CellRestriction
-	credits      []largeCredit
+	credits      map[Cell]Work // by cell: what its large jobs may still take
 	next         plannerState
 
 	usages []Standing
--- a/internal/admission/fairshare.go
+++ b/internal/admission/fairshare.go
@@ -1,6 +1,9 @@
 package admission
 
-import "sort"
+import (
+	"cmp"
+	"slices"
+)
 
 // ShareRequest is what one party wants of something that is divided.
 type ShareRequest struct {
@@ -39,9 +42,9 @@
 		order[i] = i
 		weights += r.Weight
 	}
-	sort.SliceStable(order, func(a, b int) bool {
-		i, k := order[a], order[b]
-		return float64(demands[i])*requests[k].Weight < float64(demands[k])*requests[i].Weight
+	// Compared by demand for each unit of weight, without dividing.
+	slices.SortStableFunc(order, func(i, k int) int {
+		return cmp.Compare(float64(demands[i])*requests[k].Weight, float64(demands[k])*requests[i].Weight)
 	})
 	// Whoever wants least for its weight is served first; what it leaves of its part is
 	// divided among the others.
--- a/internal/admission/fallback.go
+++ b/internal/admission/fallback.go
@@ -7,13 +7,7 @@
 // settings alone, and so is the same on every controller: any job is admitted, up to a
 // quota that each team's guarantee can do in a Lifetime.
 func FallbackPlan(options Options, teams []Team) *Plan {
-	var capacity Amounts
-	for _, team := range teams {
-		for pool, amount := range team.Guarantee {
-			capacity[pool] += amount
-		}
-	}
-	plan := newPlan(fallbackVersion, 0, options.Horizon, capacity)
+	plan := newPlan(fallbackVersion, 0, options.Horizon, totalGuarantee(teams))
 	for _, team := range teams {
 		for pool := range Pool(numPools) {
 			plan.setTeam(teamKey{Team: team.Name, Pool: pool}, TeamEntry{
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -23,6 +23,17 @@
 	Limit     Amounts
 }
 
+// totalGuarantee returns the sum of the guaranteed quotas of all teams.
+func totalGuarantee(teams []Team) Amounts {
+	var total Amounts
+	for _, team := range teams {
+		for pool, amount := range team.Guarantee {
+			total[pool] += amount
+		}
+	}
+	return total
+}
+
 // minTeamWeight is the weight of a team that is guaranteed nothing, in units of the
 // resource: it is served after the others, but not starved.
 const minTeamWeight = 1.0
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -54,6 +54,15 @@
 	return p.teams.Get(teamKey{Team: team, Pool: pool}.bytes(buffer[:0]))
 }
 
+// teamOrDefault returns what the plan holds for a team in a pool; of a team that it does not
+// know no job is large, and its estimates are taken as they are.
+func (p *Plan) teamOrDefault(team string, pool Pool) TeamEntry {
+	if entry, known := p.Team(team, pool); known {
+		return entry
+	}
+	return TeamEntry{LargeThreshold: MaxWork, EstimateCorrection: exactEstimates}
+}
+
 // Restriction returns what restricts a cell's jobs and the cell that it is made for, which is the
 // team's own or the one for all its other classes; false: none restricts them.
 func (p *Plan) Restriction(cell Cell) (CellRestriction, Cell, bool) {
@@ -81,10 +90,7 @@
 // Classify gives a job's cell and its work, as the plan reckons both.
 func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
 	cell := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Need, p.Capacity)}
-	entry, known := p.Team(cell.Team, cell.Pool)
-	if !known {
-		entry = TeamEntry{LargeThreshold: MaxWork, EstimateCorrection: exactEstimates}
-	}
+	entry := p.teamOrDefault(cell.Team, cell.Pool)
 	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Need), runTime(job, entry.EstimateCorrection, p.Horizon))
 	if cost > entry.LargeThreshold {
 		cell.Band = Large
@@ -98,10 +104,7 @@
 	cell, _ := p.Classify(job)
 	run := seen
 	if run <= 0 {
-		entry, known := p.Team(cell.Team, cell.Pool)
-		if !known {
-			entry.EstimateCorrection = exactEstimates
-		}
+		entry := p.teamOrDefault(cell.Team, cell.Pool)
 		run = runTime(job, entry.EstimateCorrection, p.Horizon)
 	}
 	return cell, WorkOf(unfinished, amountIn(cell.Pool, job.Need), run)
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -67,6 +67,7 @@
 		plan:         plan,
 		measurement:  m,
 		restrictions: map[Cell]CellRestriction{},
+		credits:      map[Cell]Work{},
 		next:         plannerState{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
 	}
 	for pool := range Pool(numPools) {
@@ -82,14 +83,8 @@
 
 // capacity is what is divided: the fleet, and at least what is guaranteed.
 func (p *Planner) capacity(fleet Amounts) Amounts {
-	var guaranteed Amounts
-	for _, team := range p.teams {
-		for pool, amount := range team.Guarantee {
-			guaranteed[pool] += amount
-		}
-	}
-	for pool := range fleet {
-		fleet[pool] = max(fleet[pool], guaranteed[pool])
+	for pool, guaranteed := range totalGuarantee(p.teams) {
+		fleet[pool] = max(fleet[pool], guaranteed)
 	}
 	return fleet
 }
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -165,20 +165,29 @@
 	}
 	d = state.Plan.Decide(job)
 	if d.Verdict == Admit && d.charged {
-		divisor := uint64(1)
+		sharedBy := uint64(1)
 		if side == Alone || state.Force == ByFloor {
-			divisor = uint64(s.nodes)
+			sharedBy = uint64(s.nodes)
 		}
-		if s.used[d.quota] >= max(state.Plan.quota(d.quota).scaled(1, divisor), 1) {
+		if !s.charge(d.quota, state.Plan.quota(d.quota).scaled(1, sharedBy), d.Cost) {
 			d.Verdict, d.Reason, d.RetryAfter = Undecided, QuotaExhausted, undecidedRetry
-		} else {
-			s.used[d.quota] = s.used[d.quota].Plus(d.Cost)
 		}
 	}
 	s.countDecision(job.Team, d.Verdict)
 	return d, state.Revision
 }
 
+// charge charges an admission to a quota and reports whether any of it was left. The last
+// admission may exceed it, so a job that is larger than the quota is admitted too; a quota of
+// 0 admits one job.
+func (s *Keeper) charge(key quotaKey, quota, cost Work) bool {
+	if s.used[key] >= max(quota, 1) {
+		return false
+	}
+	s.used[key] = s.used[key].Plus(cost)
+	return true
+}
+
 // renewFallbackQuotas renews the fallback plan's quotas every Lifetime, so that without a plan each
 // team's jobs are admitted at the rate of its guarantee.
 func (s *Keeper) renewFallbackQuotas(now units.Micros) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -8,32 +8,34 @@
 // maxQueueHeads bounds the large jobs that one plan admits by ID.
 const maxQueueHeads = 16
 
-// largeCredit is what the large jobs of a cell may still take.
-type largeCredit struct {
-	cell Cell
-	work Work
-}
-
-// selectQueueHeads selects large jobs, the longest waiting first, while their cell has credit
-// left: the last one may exceed it, and the next has to wait until that is worked off.
+// selectQueueHeads selects the large jobs that the plan admits: those that were selected
+// before and still wait, then the others, the longest waiting first, while their cell has
+// credit left. The last one may exceed it, and the next has to wait until that is worked off.
+// The selection holds for the plans after this one even if this one is never written.
 func (b *planBuilder) selectQueueHeads() {
-	credit := map[Cell]Work{}
-	for _, c := range b.credits {
-		credit[c.cell] = c.work
-	}
+	former := b.planner.current.queueHeads
 	heads := b.next.queueHeads
-	for _, kept := range []bool{true, false} { // selected ones stay selected
-		for _, job := range b.measurement.Waiting.Large {
-			left, restricted := credit[job.Cell]
-			if !restricted || heads[job.ID] || b.planner.current.queueHeads[job.ID] != kept || len(heads) == maxQueueHeads {
-				continue
-			}
-			if kept || left > 0 {
-				heads[job.ID] = true
-				credit[job.Cell] = left - job.Cost
-			}
+	for _, job := range b.measurement.Waiting.Large {
+		if former[job.ID] {
+			b.selectQueueHead(job, heads)
+		}
+	}
+	for _, job := range b.measurement.Waiting.Large {
+		if !former[job.ID] && b.credits[job.Cell] > 0 {
+			b.selectQueueHead(job, heads)
 		}
 	}
 	b.planner.current.queueHeads = heads
 	b.plan.setQueueHeads(slices.Sorted(maps.Keys(heads)))
 }
+
+// selectQueueHead adds a job to the heads and charges it to its cell, if the cell is
+// restricted and there are not too many.
+func (b *planBuilder) selectQueueHead(job WaitingJob, heads map[string]bool) {
+	credit, restricted := b.credits[job.Cell]
+	if !restricted || heads[job.ID] || len(heads) == maxQueueHeads {
+		return
+	}
+	heads[job.ID] = true
+	b.credits[job.Cell] = credit - job.Cost
+}
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -69,25 +69,20 @@
 func (b *planBuilder) restrictCell(cell Cell, part Work, demand cellDemand) {
 	credit := part - demand.backlog
 	if cell.Band == Large {
-		b.credits = append(b.credits, largeCredit{cell: cell, work: credit})
+		b.credits[cell] = credit
 		b.restrictions[cell] = CellRestriction{}
 		return
 	}
-	w, known := b.planner.current.windows[cell]
+	now := b.measurement.Now
+	current, known := b.planner.current.windows[cell]
 	if !known {
-		w = window{start: position(cell.Team + "/" + cell.Class), since: b.measurement.Now - windowDwell}
+		current = window{start: position(cell.Team + "/" + cell.Class), since: now - windowDwell}
 	}
-	restriction := CellRestriction{Start: w.start}
-	if credit <= 0 {
-		w.since = b.measurement.Now // the window waits where it is
-	} else {
-		if w.width == 0 || b.measurement.Now-w.since >= windowDwell {
-			w.start = (w.start + w.width) % ringSize
-			w.width = windowWidth(credit, demand.waiting)
-			w.since = b.measurement.Now
-		}
-		restriction = CellRestriction{Start: w.start, Width: w.width, Quota: credit}
+	next := current.next(credit, demand.waiting, now)
+	b.next.windows[cell] = next
+	restriction := CellRestriction{Start: next.start}
+	if credit > 0 {
+		restriction.Width, restriction.Quota = next.width, credit
 	}
-	b.next.windows[cell] = w
 	b.restrictions[cell] = restriction
 }
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -17,6 +17,20 @@
 // until it has come round.
 const minWindowWidth = ringSize / 64
 
+// next returns the window of the next plan: without credit the window stays where it is,
+// otherwise it moves on once it has stayed for windowDwell.
+func (w window) next(credit, waiting Work, now units.Micros) window {
+	switch {
+	case credit <= 0:
+		w.since = now
+	case w.width == 0 || now-w.since >= windowDwell:
+		w.start = (w.start + w.width) % ringSize
+		w.width = windowWidth(credit, waiting)
+		w.since = now
+	}
+	return w
+}
+
 // windowWidth is the part of the ring on which about as much work waits as may be
 // admitted.
 func windowWidth(credit, waiting Work) uint32 {
