--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -36,10 +36,10 @@
 }
 
 // newPlan returns a plan without teams and restrictions.
-func newPlan(version, term uint64, horizon units.Micros, capacity Amounts) *Plan {
+func newPlan(version, fencingToken uint64, horizon units.Micros, capacity Amounts) *Plan {
 	return &Plan{
 		Version:      version,
-		Term:         term,
+		Term:         fencingToken,
 		Horizon:      horizon,
 		Capacity:     capacity,
 		teams:        iradix.New[TeamEntry](),
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -57,8 +57,8 @@
 
 // Next makes the next plan from what was measured. Nothing is taken over from it before
 // Accept.
-func (p *Planner) Next(version, term uint64, m Measurement) Proposal {
-	plan := newPlan(version, term, p.options.Horizon, p.capacity(m.Fleet))
+func (p *Planner) Next(version, fencingToken uint64, m Measurement) Proposal {
+	plan := newPlan(version, fencingToken, p.options.Horizon, p.capacity(m.Fleet))
 	if former := p.current.plan; former != nil {
 		plan.teams, plan.restrictions = former.teams, former.restrictions
 	}
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"maps"
 	"slices"
 	"sync"
@@ -16,7 +17,7 @@
 
 // ErrStalePlan says that a plan's record was written over by a leader of a former term.
 // Conditional saves exclude it, so the record was damaged.
-var ErrStalePlan = errors.New("the admission plan is of a former term or version, though its record is newer")
+var ErrStalePlan = errors.New("admission plan is older than the plan of a former revision of its record")
 
 // Keeper holds the plan in force on one controller and accounts for its quotas. It is
 // safe for concurrent use.
@@ -66,7 +67,8 @@
 	}
 	former := s.observed.Plan
 	if former != nil && observed.Plan != nil && !observed.Plan.follows(former) {
-		return ErrStalePlan
+		return fmt.Errorf("%w: version %d with fencing token %d follows version %d with token %d", ErrStalePlan,
+			observed.Plan.Version, observed.Plan.Term, former.Version, former.Term)
 	}
 	s.revision, s.observed, s.known = observed.Revision, observed, true
 	s.used = map[quotaKey]Work{}
--- a/internal/admission/planstore_test.go
+++ b/internal/admission/planstore_test.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/units"
 )
 
-func heldPlan(version, term, revision uint64, at units.Micros) Held {
-	plan := newPlan(version, term, testHorizon, cpus(100))
+func heldPlan(version, fencingToken, revision uint64, at units.Micros) Held {
+	plan := newPlan(version, fencingToken, testHorizon, cpus(100))
 	plan.setTeam(teamKey{Team: "mill"}, TeamEntry{Quota: 1000, LargeThreshold: MaxWork, EstimateCorrection: exactEstimates})
 	return Held{Plan: plan, Revision: revision, WrittenAfter: at, WrittenBefore: at}
 }
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -20,14 +20,14 @@
 
 // record is a plan as it is stored. Work is in whole units of the resource times seconds.
 type record struct {
-	Format     int          `cbor:"v" json:"v"`
-	Version    uint64       `cbor:"n" json:"n"`
-	Term       uint64       `cbor:"term" json:"term"`
-	Horizon    units.Micros `cbor:"ahead" json:"ahead"`
-	Capacity   Amounts      `cbor:"cap" json:"cap"`
-	Teams      []teamRecord `cbor:"teams" json:"teams"`
-	Cells      []cellRecord `cbor:"cells" json:"cells"`
-	QueueHeads []string     `cbor:"turns" json:"turns"`
+	Format       int          `cbor:"v" json:"v"`
+	Version      uint64       `cbor:"n" json:"n"`
+	FencingToken uint64       `cbor:"term" json:"term"`
+	Horizon      units.Micros `cbor:"ahead" json:"ahead"`
+	Capacity     Amounts      `cbor:"cap" json:"cap"`
+	Teams        []teamRecord `cbor:"teams" json:"teams"`
+	Cells        []cellRecord `cbor:"cells" json:"cells"`
+	QueueHeads   []string     `cbor:"turns" json:"turns"`
 }
 
 // teamRecord is a TeamEntry. It and cellRecord are stored as lists of their fields, for
@@ -48,25 +48,25 @@
 
 // cellRecord is a CellRestriction.
 type cellRecord struct {
-	_     struct{} `cbor:",toarray"`
-	Team  int      // its place among the teams
-	Class string
-	Band  Band
-	Start uint32
-	Width uint32
-	Quota int64
+	_         struct{} `cbor:",toarray"`
+	TeamIndex int      // in the record's Teams
+	Class     string
+	Band      Band
+	Start     uint32
+	Width     uint32
+	Quota     int64
 }
 
 // MarshalJSON gives the list that is stored, for its size.
 func (c cellRecord) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{c.Team, c.Class, c.Band, c.Start, c.Width, c.Quota})
+	return json.Marshal([]any{c.TeamIndex, c.Class, c.Band, c.Start, c.Width, c.Quota})
 }
 
 // storedUnit is how much Work makes one in a record.
 const storedUnit = 1000
 
-// stored rounds work up to what a record holds.
-func stored(w Work) int64 { return int64((min(w, MaxWork) + storedUnit - 1) / storedUnit) }
+// storedWork rounds work up to what a record holds.
+func storedWork(w Work) int64 { return int64((min(w, MaxWork) + storedUnit - 1) / storedUnit) }
 
 // Encode gives the plan's record, and the plan that this record holds: a plan that is too
 // large is made coarser until it fits. Whoever writes a plan goes by the latter, as all
@@ -79,8 +79,8 @@
 		}
 	}
 	raw := protocol.Encode(r)
-	held, err := Decode(raw)
-	return raw, held, err
+	kept, err := Decode(raw)
+	return raw, kept, err
 }
 
 // Decode reads a plan's record. One that could not have been written by any leader is an
@@ -98,47 +98,47 @@
 
 func (p *Plan) record() *record {
 	r := &record{
-		Format:     recordFormat,
-		Version:    p.Version,
-		Term:       p.Term,
-		Horizon:    p.Horizon,
-		Capacity:   p.Capacity,
-		Teams:      []teamRecord{},
-		Cells:      []cellRecord{},
-		QueueHeads: slices.AppendSeq([]string{}, p.allQueueHeads()),
+		Format:       recordFormat,
+		Version:      p.Version,
+		FencingToken: p.Term,
+		Horizon:      p.Horizon,
+		Capacity:     p.Capacity,
+		Teams:        []teamRecord{},
+		Cells:        []cellRecord{},
+		QueueHeads:   slices.AppendSeq([]string{}, p.allQueueHeads()),
 	}
-	places := map[teamKey]int{}
+	indexes := map[teamKey]int{}
 	for key, entry := range p.allTeams() {
-		places[key] = len(r.Teams)
+		indexes[key] = len(r.Teams)
 		r.Teams = append(r.Teams, teamRecord{
 			Name:               key.Team,
 			Pool:               key.Pool,
-			Quota:              stored(entry.Quota),
-			LargeThreshold:     stored(entry.LargeThreshold),
+			Quota:              storedWork(entry.Quota),
+			LargeThreshold:     storedWork(entry.LargeThreshold),
 			EstimateCorrection: entry.EstimateCorrection,
 		})
 	}
 	for cell, restriction := range p.allRestrictions() {
 		r.Cells = append(r.Cells, cellRecord{
-			Team:  places[teamKey{Team: cell.Team, Pool: cell.Pool}],
-			Class: cell.Class,
-			Band:  cell.Band,
-			Start: restriction.Start,
-			Width: restriction.Width,
-			Quota: stored(restriction.Quota),
+			TeamIndex: indexes[teamKey{Team: cell.Team, Pool: cell.Pool}],
+			Class:     cell.Class,
+			Band:      cell.Band,
+			Start:     restriction.Start,
+			Width:     restriction.Width,
+			Quota:     storedWork(restriction.Quota),
 		})
 	}
 	return r
 }
 
 func (r *record) cell(c cellRecord) Cell {
-	team := r.Teams[c.Team]
+	team := r.Teams[c.TeamIndex]
 	return Cell{Team: team.Name, Class: c.Class, Pool: team.Pool, Band: c.Band}
 }
 
 // plan gives the plan that a checked record holds.
 func (r *record) plan() *Plan {
-	p := newPlan(r.Version, r.Term, r.Horizon, r.Capacity)
+	p := newPlan(r.Version, r.FencingToken, r.Horizon, r.Capacity)
 	for _, t := range r.Teams {
 		p.setTeam(teamKey{Team: t.Name, Pool: t.Pool}, TeamEntry{
 			Quota:              Work(t.Quota) * storedUnit,
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -71,36 +71,49 @@
 	return cell
 }
 
-// A record that no leader writes is an error, never a plan.
+// A record that no leader writes is an error that names the field, never a plan.
 func TestImpossibleRecordsAreRefused(t *testing.T) {
 	good := func() *record { return crowded(2, 2).record() }
 	if _, err := Decode(protocol.Encode(good())); err != nil {
 		t.Fatal(err)
 	}
-	for what, spoil := range map[string]func(*record){
-		"format":         func(r *record) { r.Format = 2 },
-		"version":        func(r *record) { r.Version = 0 },
-		"term":           func(r *record) { r.Term = 0 },
-		"horizon":        func(r *record) { r.Horizon = -units.Second },
-		"capacity":       func(r *record) { r.Capacity[GPU] = -1 },
-		"team twice":     func(r *record) { r.Teams = append(r.Teams, r.Teams[0]) },
-		"team unnamed":   func(r *record) { r.Teams[0].Name = "" },
-		"pool":           func(r *record) { r.Teams[0].Pool = numPools },
-		"quota":          func(r *record) { r.Teams[0].Quota = -1 },
-		"correction":     func(r *record) { r.Teams[0].EstimateCorrection = 0 },
-		"team of a cell": func(r *record) { r.Cells[0].Team = 99 },
-		"cell twice":     func(r *record) { r.Cells = append(r.Cells, r.Cells[0]) },
-		"band":           func(r *record) { r.Cells[0].Band = numBands },
-		"width":          func(r *record) { r.Cells[0].Width = ringSize + 1 },
-		"start":          func(r *record) { r.Cells[0].Start = ringSize },
-		"cell's quota":   func(r *record) { r.Cells[0].Quota = 1 << 62 },
-		"queue head":     func(r *record) { r.QueueHeads = []string{"who"} },
+	teams, cells := len(good().Teams), len(good().Cells)
+	for _, test := range []struct {
+		field string
+		cause error
+		spoil func(*record)
+	}{
+		{"format", errUnknownFormat, func(r *record) { r.Format = 2 }},
+		{"version", errMissing, func(r *record) { r.Version = 0 }},
+		{"fencing_token", errMissing, func(r *record) { r.FencingToken = 0 }},
+		{"horizon", errMissing, func(r *record) { r.Horizon = -units.Second }},
+		{"capacity.gpu", errOutOfRange, func(r *record) { r.Capacity[GPU] = -1 }},
+		{fmt.Sprintf("teams[%d].name", teams), errDuplicate, func(r *record) { r.Teams = append(r.Teams, r.Teams[0]) }},
+		{"teams[0].name", errMissing, func(r *record) { r.Teams[0].Name = "" }},
+		{"teams[0].pool", errOutOfRange, func(r *record) { r.Teams[0].Pool = numPools }},
+		{"teams[0].quota", errOutOfRange, func(r *record) { r.Teams[0].Quota = -1 }},
+		{"teams[0].large_threshold", errOutOfRange, func(r *record) { r.Teams[0].LargeThreshold = maxStored + 1 }},
+		{"teams[0].estimate_correction", errOutOfRange, func(r *record) { r.Teams[0].EstimateCorrection = 0 }},
+		{"cells[0].team", errUnknownTeam, func(r *record) { r.Cells[0].TeamIndex = 99 }},
+		{fmt.Sprintf("cells[%d].class", cells), errDuplicate, func(r *record) { r.Cells = append(r.Cells, r.Cells[0]) }},
+		{"cells[0].band", errOutOfRange, func(r *record) { r.Cells[0].Band = numBands }},
+		{"cells[0].width", errOutOfRange, func(r *record) { r.Cells[0].Width = ringSize + 1 }},
+		{"cells[0].start", errOutOfRange, func(r *record) { r.Cells[0].Start = ringSize }},
+		{"cells[0].quota", errOutOfRange, func(r *record) { r.Cells[0].Quota = 1 << 62 }},
+		{"queue_heads[0]", errInvalidJobID, func(r *record) { r.QueueHeads = []string{"who"} }},
 	} {
-		r := good()
-		spoil(r)
-		if _, err := Decode(protocol.Encode(r)); err == nil {
-			t.Errorf("%s: it is taken", what)
-		}
+		t.Run(test.field, func(t *testing.T) {
+			r := good()
+			test.spoil(r)
+			_, err := Decode(protocol.Encode(r))
+			if err == nil {
+				t.Fatal("the record is accepted")
+			}
+			var invalid *FieldError
+			if !errors.As(err, &invalid) || invalid.Field != test.field || !errors.Is(err, test.cause) {
+				t.Errorf("%v, want %s: %v", err, test.field, test.cause)
+			}
+		})
 	}
 }
 
--- a/internal/admission/recordcheck.go
+++ b/internal/admission/recordcheck.go
@@ -7,30 +7,75 @@
 	"dunestand/internal/protocol"
 )
 
-// Errors of records that no leader writes.
+// FieldError reports a field of the plan's record with a value that no leader writes. It
+// wraps the cause.
+type FieldError struct {
+	Field string // path of the field, such as teams[2].quota
+	Err   error
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// Causes of a FieldError.
 var (
-	errFormat       = errors.New("its format is not known")
-	errMissing      = errors.New("it has no version, term or horizon")
-	errOutOfRange   = errors.New("a quantity is out of range")
-	errRepeated     = errors.New("a team or cell is named twice, or not at all")
-	errInvalidJobID = errors.New("it names what is no job")
+	errUnknownFormat = errors.New("unknown format")
+	errMissing       = errors.New("missing")
+	errOutOfRange    = errors.New("out of range")
+	errDuplicate     = errors.New("duplicate")
+	errUnknownTeam   = errors.New("no such team")
+	errInvalidJobID  = errors.New("invalid job ID")
 )
 
+// maxStored is the most work that a record holds.
+const maxStored = int64(MaxWork/storedUnit) + 1
+
+// validWork reports whether stored work is in range.
+func validWork(work int64) bool { return work >= 0 && work <= maxStored }
+
+// requirement is a condition on a field of the record, and the cause to report if it is
+// not met.
+type requirement struct {
+	met   bool
+	field string
+	cause error
+}
+
+// firstUnmet returns the first requirement that is not met, if there is one.
+func firstUnmet(requirements ...requirement) (unmet requirement, found bool) {
+	for _, r := range requirements {
+		if !r.met {
+			return r, true
+		}
+	}
+	return requirement{}, false
+}
+
+// elementError reports a field of an element of one of the record's lists.
+func elementError(list string, index int, unmet requirement) error {
+	return &FieldError{Field: fmt.Sprintf("%s[%d].%s", list, index, unmet.field), Err: unmet.cause}
+}
+
+// check returns a *FieldError for a record that no leader writes.
 func (r *record) check() error {
-	switch {
-	case r.Format != recordFormat:
-		return fmt.Errorf("%w: %d", errFormat, r.Format)
-	case r.Version == 0 || r.Term == 0 || r.Horizon <= 0:
-		return errMissing
+	if unmet, found := firstUnmet(
+		requirement{r.Format == recordFormat, "format", errUnknownFormat},
+		requirement{r.Version > 0, "version", errMissing},
+		requirement{r.FencingToken > 0, "fencing_token", errMissing},
+		requirement{r.Horizon > 0, "horizon", errMissing},
+	); found {
+		return &FieldError{Field: unmet.field, Err: unmet.cause}
 	}
-	for _, amount := range r.Capacity {
+	for pool, amount := range r.Capacity {
 		if amount < 0 {
-			return errOutOfRange
+			return &FieldError{Field: fmt.Sprintf("capacity.%v", Pool(pool)), Err: errOutOfRange}
 		}
 	}
-	for _, id := range r.QueueHeads {
+	for i, id := range r.QueueHeads {
 		if !protocol.ValidJobID(id) {
-			return errInvalidJobID
+			return &FieldError{Field: fmt.Sprintf("queue_heads[%d]", i), Err: errInvalidJobID}
 		}
 	}
 	if err := r.checkTeams(); err != nil {
@@ -39,20 +84,19 @@
 	return r.checkCells()
 }
 
-// maxStored is the most work that a record holds.
-const maxStored = int64(MaxWork/storedUnit) + 1
-
-func inRange(work int64) bool { return work >= 0 && work <= maxStored }
-
 func (r *record) checkTeams() error {
 	seen := map[teamKey]bool{}
-	for _, t := range r.Teams {
+	for i, t := range r.Teams {
 		key := teamKey{Team: t.Name, Pool: t.Pool}
-		switch {
-		case t.Name == "" || seen[key]:
-			return errRepeated
-		case t.Pool >= numPools || !inRange(t.Quota) || !inRange(t.LargeThreshold) || t.EstimateCorrection == 0:
-			return errOutOfRange
+		if unmet, found := firstUnmet(
+			requirement{t.Name != "", "name", errMissing},
+			requirement{!seen[key], "name", errDuplicate},
+			requirement{t.Pool < numPools, "pool", errOutOfRange},
+			requirement{validWork(t.Quota), "quota", errOutOfRange},
+			requirement{validWork(t.LargeThreshold), "large_threshold", errOutOfRange},
+			requirement{t.EstimateCorrection > 0, "estimate_correction", errOutOfRange},
+		); found {
+			return elementError("teams", i, unmet)
 		}
 		seen[key] = true
 	}
@@ -61,16 +105,19 @@
 
 func (r *record) checkCells() error {
 	seen := map[Cell]bool{}
-	for _, c := range r.Cells {
-		if c.Team < 0 || c.Team >= len(r.Teams) {
-			return errRepeated
+	for i, c := range r.Cells {
+		if c.TeamIndex < 0 || c.TeamIndex >= len(r.Teams) {
+			return elementError("cells", i, requirement{field: "team", cause: errUnknownTeam})
 		}
 		cell := r.cell(c)
-		switch {
-		case seen[cell]:
-			return errRepeated
-		case c.Band >= numBands || c.Start >= ringSize || c.Width > ringSize || !inRange(c.Quota):
-			return errOutOfRange
+		if unmet, found := firstUnmet(
+			requirement{!seen[cell], "class", errDuplicate},
+			requirement{c.Band < numBands, "band", errOutOfRange},
+			requirement{c.Start < ringSize, "start", errOutOfRange},
+			requirement{c.Width <= ringSize, "width", errOutOfRange},
+			requirement{validWork(c.Quota), "quota", errOutOfRange},
+		); found {
+			return elementError("cells", i, unmet)
 		}
 		seen[cell] = true
 	}
--- a/internal/admission/recordsize.go
+++ b/internal/admission/recordsize.go
@@ -6,7 +6,7 @@
 )
 
 // ErrTooLarge says that a plan does not fit into one value of the state service.
-var ErrTooLarge = errors.New("the admission plan fits no value of the state service")
+var ErrTooLarge = errors.New("admission plan does not fit into one value of the key-value store")
 
 // size is the record's size as the state service counts it.
 func (r *record) size() int {
@@ -26,9 +26,9 @@
 		if c.Class == "" {
 			continue
 		}
-		count[c.Team]++
-		if most < 0 || count[c.Team] > count[most] {
-			most = c.Team
+		count[c.TeamIndex]++
+		if most < 0 || count[c.TeamIndex] > count[most] {
+			most = c.TeamIndex
 		}
 	}
 	if most >= 0 {
@@ -47,7 +47,7 @@
 	merged := map[Band]*cellRecord{}
 	var kept []cellRecord
 	for _, c := range r.Cells {
-		if c.Team != team {
+		if c.TeamIndex != team {
 			kept = append(kept, c)
 			continue
 		}
