--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -58,9 +58,9 @@
 	}
 	for i, team := range b.planner.teams {
 		b.setTeam(team, pool, teamShare{
-			share:       shares[i],
+			granted:     shares[i],
 			guaranteed:  requests[i].MinShare,
-			fairShare:   Work(float64(total) * requests[i].Weight / weights),
+			weighted:    Work(float64(total) * requests[i].Weight / weights),
 			unrequested: Work(float64(unrequested) * requests[i].Weight / weights),
 			limit:       b.workWithinHorizon(team.Limit[pool]),
 			demand:      demands[i],
@@ -97,9 +97,9 @@
 
 // teamShare is what a team gets in a pool.
 type teamShare struct {
-	share       Work // by what it has and wants now
+	granted     Work // by what it has and wants now
 	guaranteed  Work // within the horizon, by its guaranteed quota
-	fairShare   Work // if everybody wanted all
+	weighted    Work // if everybody wanted all
 	unrequested Work // its part of what nobody wants now
 	limit       Work
 	demand      cellDemand
@@ -107,23 +107,23 @@
 }
 
 // contested tells whether the team wants more than it gets.
-func (s teamShare) contested() bool { return s.share < s.demand.total() }
+func (s teamShare) contested() bool { return s.granted < s.demand.total() }
 
-// largeFraction is the part of a team's share of the horizon beyond which a job is large.
-const largeFraction = 8
+// largeDivisor is the part of a team's share of the horizon beyond which a job is large.
+const largeDivisor = 8
 
 // setTeam writes what the plan says of a team in a pool. As long as it gets what it
 // wants, nothing is restricted, and its quota is what it may take until the next version:
 // at least what is left of its guarantee, whatever others do.
 func (b *planBuilder) setTeam(team Team, pool Pool, s teamShare) {
 	entry := TeamEntry{
-		LargeThreshold:     max(s.fairShare, s.guaranteed)/largeFraction + 1,
+		LargeThreshold:     max(s.weighted, s.guaranteed)/largeDivisor + 1,
 		EstimateCorrection: cmp.Or(b.measurement.Corrections[team.Name], exactEstimates),
 	}
 	if s.contested() {
-		entry.Quota = b.restrictTeam(s)
+		entry.VersionQuota = b.restrictTeam(s)
 	} else {
-		entry.Quota = max(min(s.unrequested, s.limit-s.demand.backlog), s.guaranteed-s.demand.backlog, 0)
+		entry.VersionQuota = max(min(s.unrequested, s.limit-s.demand.backlog), s.guaranteed-s.demand.backlog, 0)
 	}
 	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, entry)
 	b.usages = append(b.usages, s.usage(team.Name, pool))
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -34,7 +34,7 @@
 func (p *Plan) describeTeams(w io.Writer) {
 	fmt.Fprintf(w, "\nteam\tpool\tquota\tlarge above\testimates\n")
 	for key, entry := range p.allTeams() {
-		fmt.Fprintf(w, "%s\t%v\t%.0f\t%.0f\tx %.2f\n", key.Team, key.Pool, entry.Quota.UnitSeconds(),
+		fmt.Fprintf(w, "%s\t%v\t%.0f\t%.0f\tx %.2f\n", key.Team, key.Pool, entry.VersionQuota.UnitSeconds(),
 			entry.LargeThreshold.UnitSeconds(), float64(entry.EstimateCorrection)/float64(exactEstimates))
 	}
 }
@@ -54,7 +54,7 @@
 		if cell.Band == Small {
 			window = fmt.Sprintf("%.0f%% from %.0f%%", ringPercent(restriction.Width), ringPercent(restriction.Start))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", cell.Team, class, cell.Pool, cell.Band, window, restriction.Quota.UnitSeconds())
+		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", cell.Team, class, cell.Pool, cell.Band, window, restriction.VersionQuota.UnitSeconds())
 	}
 }
 
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -9,7 +9,7 @@
 
 // TeamEntry is what a plan says of one team's work in a pool.
 type TeamEntry struct {
-	Quota              Work     // that cells without a restriction of their own may take under this version
+	VersionQuota       Work     // that cells without a restriction of their own may take under this version
 	LargeThreshold     Work     // a job of more work is in the band Large
 	EstimateCorrection PerMille // run times against the team's estimates
 }
@@ -17,9 +17,9 @@
 // CellRestriction restricts the jobs of a cell: small ones are admitted while their position is
 // in the window, large ones when they are at the head of the queue.
 type CellRestriction struct {
-	Start uint32 // first position of the window
-	Width uint32 // number of its positions
-	Quota Work   // that may be admitted through the window under this version
+	Start        uint32 // first position of the window
+	Width        uint32 // number of its positions
+	VersionQuota Work   // that may be admitted through the window under this version
 }
 
 // Plan says which jobs are admitted. It never changes once it is made: a later plan has
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -171,7 +171,7 @@
 		if side == Alone || state.Force == ByFloor {
 			sharedBy = uint64(s.nodes)
 		}
-		if !s.charge(d.quota, state.Plan.quota(d.quota).scaled(1, sharedBy), d.Cost) {
+		if !s.charge(d.quota, state.Plan.versionQuota(d.quota).scaled(1, sharedBy), d.Cost) {
 			d.Verdict, d.Reason, d.RetryAfter = Undecided, QuotaExhausted, undecidedRetry
 		}
 	}
@@ -199,14 +199,14 @@
 	}
 }
 
-// quota returns the quota that a key identifies.
-func (p *Plan) quota(key quotaKey) Work {
+// versionQuota returns the version quota that a key identifies.
+func (p *Plan) versionQuota(key quotaKey) Work {
 	if key.ofTeam {
 		entry, _ := p.Team(key.cell.Team, key.cell.Pool)
-		return entry.Quota
+		return entry.VersionQuota
 	}
 	restriction, _, _ := p.Restriction(key.cell)
-	return restriction.Quota
+	return restriction.VersionQuota
 }
 
 // countDecision counts a decision about a team's job.
--- a/internal/admission/planstore_test.go
+++ b/internal/admission/planstore_test.go
@@ -11,7 +11,7 @@
 
 func heldPlan(version, fencingToken, revision uint64, at units.Micros) Held {
 	plan := newPlan(version, fencingToken, testHorizon, cpus(100))
-	plan.setTeam(teamKey{Team: "mill"}, TeamEntry{Quota: 1000, LargeThreshold: MaxWork, EstimateCorrection: exactEstimates})
+	plan.setTeam(teamKey{Team: "mill"}, TeamEntry{VersionQuota: 1000, LargeThreshold: MaxWork, EstimateCorrection: exactEstimates})
 	return Held{Plan: plan, Revision: revision, WrittenAfter: at, WrittenBefore: at}
 }
 
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -36,30 +36,30 @@
 	_                  struct{} `cbor:",toarray"`
 	Name               string
 	Pool               Pool
-	Quota              int64
+	VersionQuota       int64
 	LargeThreshold     int64
 	EstimateCorrection PerMille
 }
 
 // MarshalJSON gives the list that is stored, for its size.
 func (t teamRecord) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{t.Name, t.Pool, t.Quota, t.LargeThreshold, t.EstimateCorrection})
+	return json.Marshal([]any{t.Name, t.Pool, t.VersionQuota, t.LargeThreshold, t.EstimateCorrection})
 }
 
 // cellRecord is a CellRestriction.
 type cellRecord struct {
-	_         struct{} `cbor:",toarray"`
-	TeamIndex int      // in the record's Teams
-	Class     string
-	Band      Band
-	Start     uint32
-	Width     uint32
-	Quota     int64
+	_            struct{} `cbor:",toarray"`
+	TeamIndex    int      // in the record's Teams
+	Class        string
+	Band         Band
+	Start        uint32
+	Width        uint32
+	VersionQuota int64
 }
 
 // MarshalJSON gives the list that is stored, for its size.
 func (c cellRecord) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{c.TeamIndex, c.Class, c.Band, c.Start, c.Width, c.Quota})
+	return json.Marshal([]any{c.TeamIndex, c.Class, c.Band, c.Start, c.Width, c.VersionQuota})
 }
 
 // storedUnit is how much Work makes one in a record.
@@ -113,19 +113,19 @@
 		r.Teams = append(r.Teams, teamRecord{
 			Name:               key.Team,
 			Pool:               key.Pool,
-			Quota:              storedWork(entry.Quota),
+			VersionQuota:       storedWork(entry.VersionQuota),
 			LargeThreshold:     storedWork(entry.LargeThreshold),
 			EstimateCorrection: entry.EstimateCorrection,
 		})
 	}
 	for cell, restriction := range p.allRestrictions() {
 		r.Cells = append(r.Cells, cellRecord{
-			TeamIndex: indexes[teamKey{Team: cell.Team, Pool: cell.Pool}],
-			Class:     cell.Class,
-			Band:      cell.Band,
-			Start:     restriction.Start,
-			Width:     restriction.Width,
-			Quota:     storedWork(restriction.Quota),
+			TeamIndex:    indexes[teamKey{Team: cell.Team, Pool: cell.Pool}],
+			Class:        cell.Class,
+			Band:         cell.Band,
+			Start:        restriction.Start,
+			Width:        restriction.Width,
+			VersionQuota: storedWork(restriction.VersionQuota),
 		})
 	}
 	return r
@@ -141,14 +141,14 @@
 	p := newPlan(r.Version, r.FencingToken, r.Horizon, r.Capacity)
 	for _, t := range r.Teams {
 		p.setTeam(teamKey{Team: t.Name, Pool: t.Pool}, TeamEntry{
-			Quota:              Work(t.Quota) * storedUnit,
+			VersionQuota:       Work(t.VersionQuota) * storedUnit,
 			LargeThreshold:     Work(t.LargeThreshold) * storedUnit,
 			EstimateCorrection: t.EstimateCorrection,
 		})
 	}
 	restrictions := map[Cell]CellRestriction{}
 	for _, c := range r.Cells {
-		restrictions[r.cell(c)] = CellRestriction{Start: c.Start, Width: c.Width, Quota: Work(c.Quota) * storedUnit}
+		restrictions[r.cell(c)] = CellRestriction{Start: c.Start, Width: c.Width, VersionQuota: Work(c.VersionQuota) * storedUnit}
 	}
 	p.setRestrictions(restrictions)
 	p.setQueueHeads(r.QueueHeads)
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -91,7 +91,7 @@
 		{fmt.Sprintf("teams[%d].name", teams), errDuplicate, func(r *record) { r.Teams = append(r.Teams, r.Teams[0]) }},
 		{"teams[0].name", errMissing, func(r *record) { r.Teams[0].Name = "" }},
 		{"teams[0].pool", errOutOfRange, func(r *record) { r.Teams[0].Pool = numPools }},
-		{"teams[0].quota", errOutOfRange, func(r *record) { r.Teams[0].Quota = -1 }},
+		{"teams[0].version_quota", errOutOfRange, func(r *record) { r.Teams[0].VersionQuota = -1 }},
 		{"teams[0].large_threshold", errOutOfRange, func(r *record) { r.Teams[0].LargeThreshold = maxStored + 1 }},
 		{"teams[0].estimate_correction", errOutOfRange, func(r *record) { r.Teams[0].EstimateCorrection = 0 }},
 		{"cells[0].team", errUnknownTeam, func(r *record) { r.Cells[0].TeamIndex = 99 }},
@@ -99,7 +99,7 @@
 		{"cells[0].band", errOutOfRange, func(r *record) { r.Cells[0].Band = numBands }},
 		{"cells[0].width", errOutOfRange, func(r *record) { r.Cells[0].Width = ringSize + 1 }},
 		{"cells[0].start", errOutOfRange, func(r *record) { r.Cells[0].Start = ringSize }},
-		{"cells[0].quota", errOutOfRange, func(r *record) { r.Cells[0].Quota = 1 << 62 }},
+		{"cells[0].version_quota", errOutOfRange, func(r *record) { r.Cells[0].VersionQuota = 1 << 62 }},
 		{"queue_heads[0]", errInvalidJobID, func(r *record) { r.QueueHeads = []string{"who"} }},
 	} {
 		t.Run(test.field, func(t *testing.T) {
--- a/internal/admission/recordcheck.go
+++ b/internal/admission/recordcheck.go
@@ -92,7 +92,7 @@
 			requirement{t.Name != "", "name", errMissing},
 			requirement{!seen[key], "name", errDuplicate},
 			requirement{t.Pool < numPools, "pool", errOutOfRange},
-			requirement{validWork(t.Quota), "quota", errOutOfRange},
+			requirement{validWork(t.VersionQuota), "version_quota", errOutOfRange},
 			requirement{validWork(t.LargeThreshold), "large_threshold", errOutOfRange},
 			requirement{t.EstimateCorrection > 0, "estimate_correction", errOutOfRange},
 		); found {
@@ -115,7 +115,7 @@
 			requirement{c.Band < numBands, "band", errOutOfRange},
 			requirement{c.Start < ringSize, "start", errOutOfRange},
 			requirement{c.Width <= ringSize, "width", errOutOfRange},
-			requirement{validWork(c.Quota), "quota", errOutOfRange},
+			requirement{validWork(c.VersionQuota), "version_quota", errOutOfRange},
 		); found {
 			return elementError("cells", i, unmet)
 		}
--- a/internal/admission/recordsize.go
+++ b/internal/admission/recordsize.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		m.Width = min(m.Width, c.Width)
-		m.Quota += c.Quota
+		m.VersionQuota += c.VersionQuota
 	}
 	for band := range Band(numBands) {
 		if m := merged[band]; m != nil {
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -20,7 +20,7 @@
 	}
 	restricted := 0
 	var unrestricted Work
-	for i, share := range FairShares(s.share, requests) {
+	for i, share := range FairShares(s.granted, requests) {
 		for _, cell := range b.restrictClass(names[i], share, s.cells) {
 			if cell.restricted {
 				restricted++
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	return max(s.share/Work(restricted+1)-unrestricted, 0)
+	return max(s.granted/Work(restricted+1)-unrestricted, 0)
 }
 
 // cellOutcome tells whether a cell was restricted.
@@ -82,7 +82,7 @@
 	b.next.windows[cell] = next
 	restriction := CellRestriction{Start: next.start}
 	if credit > 0 {
-		restriction.Width, restriction.Quota = next.width, credit
+		restriction.Width, restriction.VersionQuota = next.width, credit
 	}
 	b.restrictions[cell] = restriction
 }
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -22,7 +22,7 @@
 		Team:       team,
 		Pool:       pool,
 		Guaranteed: s.guaranteed,
-		Share:      s.share,
+		Share:      s.granted,
 		Backlog:    s.demand.backlog,
 		Waiting:    s.demand.waiting,
 		Restricted: s.contested(),
