--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -115,16 +115,16 @@
 // setTeam writes what the plan says of a team in a pool. As long as it gets what it
 // wants, nothing is restricted, and its quota is what it may take until the next version:
 // at least what is left of its guarantee, whatever others do.
-func (b *planBuilder) setTeam(team Team, pool Pool, s teamShare) {
+func (b *planBuilder) setTeam(team Team, pool Pool, share teamShare) {
 	entry := TeamEntry{
-		LargeThreshold:     max(s.weighted, s.guaranteed)/largeDivisor + 1,
+		LargeThreshold:     max(share.weighted, share.guaranteed)/largeDivisor + 1,
 		EstimateCorrection: cmp.Or(b.measurement.Corrections[team.Name], exactEstimates),
 	}
-	if s.contested() {
-		entry.VersionQuota = b.restrictTeam(s)
+	if share.contested() {
+		entry.VersionQuota = b.restrictTeam(share)
 	} else {
-		entry.VersionQuota = max(min(s.unrequested, s.limit-s.demand.backlog), s.guaranteed-s.demand.backlog, 0)
+		entry.VersionQuota = max(min(share.unrequested, share.limit-share.demand.backlog), share.guaranteed-share.demand.backlog, 0)
 	}
 	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, entry)
-	b.usages = append(b.usages, s.usage(team.Name, pool))
+	b.usages = append(b.usages, share.usage(team.Name, pool))
 }
--- a/internal/admission/cell.go
+++ b/internal/admission/cell.go
@@ -43,11 +43,11 @@
 	return append(key, name...)
 }
 
-func (k teamKey) bytes(buffer []byte) []byte {
+func (k teamKey) appendKey(buffer []byte) []byte {
 	return append(appendName(buffer, k.Team), byte(k.Pool))
 }
 
-func (c Cell) bytes(buffer []byte) []byte {
+func (c Cell) appendKey(buffer []byte) []byte {
 	buffer = appendName(buffer, c.Team)
 	buffer = append(buffer, byte(c.Pool), byte(c.Band))
 	return appendName(buffer, c.Class)
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -51,7 +51,7 @@
 // Team returns what the plan holds for a team in a pool; false: it holds nothing.
 func (p *Plan) Team(team string, pool Pool) (TeamEntry, bool) {
 	var buffer [keyBuffer]byte
-	return p.teams.Get(teamKey{Team: team, Pool: pool}.bytes(buffer[:0]))
+	return p.teams.Get(teamKey{Team: team, Pool: pool}.appendKey(buffer[:0]))
 }
 
 // teamOrDefault returns what the plan holds for a team in a pool; of a team that it does not
@@ -67,11 +67,11 @@
 // team's own or the one for all its other classes; false: none restricts them.
 func (p *Plan) Restriction(cell Cell) (CellRestriction, Cell, bool) {
 	var buffer [keyBuffer]byte
-	if restriction, ok := p.restrictions.Get(cell.bytes(buffer[:0])); ok {
+	if restriction, ok := p.restrictions.Get(cell.appendKey(buffer[:0])); ok {
 		return restriction, cell, true
 	}
 	cell.Class = ""
-	restriction, ok := p.restrictions.Get(cell.bytes(buffer[:0]))
+	restriction, ok := p.restrictions.Get(cell.appendKey(buffer[:0]))
 	return restriction, cell, ok
 }
 
@@ -100,9 +100,9 @@
 
 // Remaining gives a job's cell and the work of its tasks that are not done. seen is the
 // mean run time of those that are, 0 if none is.
-func (p *Plan) Remaining(job *protocol.JobSpec, unfinished int, seen units.Micros) (Cell, Work) {
+func (p *Plan) Remaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Cell, Work) {
 	cell, _ := p.Classify(job)
-	run := seen
+	run := meanRun
 	if run <= 0 {
 		entry := p.teamOrDefault(cell.Team, cell.Pool)
 		run = runTime(job, entry.EstimateCorrection, p.Horizon)
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -57,15 +57,15 @@
 
 // Next makes the next plan from what was measured. Nothing is taken over from it before
 // Accept.
-func (p *Planner) Next(version, fencingToken uint64, m Measurement) Proposal {
-	plan := newPlan(version, fencingToken, p.options.Horizon, p.capacity(m.Fleet))
+func (p *Planner) Next(version, fencingToken uint64, measurement Measurement) Proposal {
+	plan := newPlan(version, fencingToken, p.options.Horizon, p.capacity(measurement.Fleet))
 	if former := p.current.plan; former != nil {
 		plan.teams, plan.restrictions = former.teams, former.restrictions
 	}
 	builder := &planBuilder{
 		planner:      p,
 		plan:         plan,
-		measurement:  m,
+		measurement:  measurement,
 		restrictions: map[Cell]CellRestriction{},
 		credits:      map[Cell]Work{},
 		next:         plannerState{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
--- a/internal/admission/plantrees.go
+++ b/internal/admission/plantrees.go
@@ -32,7 +32,7 @@
 
 // setTeam sets a team's entry.
 func (p *Plan) setTeam(key teamKey, entry TeamEntry) {
-	raw := key.bytes(nil)
+	raw := key.appendKey(nil)
 	if known, ok := p.teams.Get(raw); !ok || known != entry {
 		p.teams, _, _ = p.teams.Insert(raw, entry)
 	}
@@ -43,11 +43,11 @@
 	txn := p.restrictions.Txn()
 	for cell := range p.allRestrictions() {
 		if _, kept := restrictions[cell]; !kept {
-			txn.Delete(cell.bytes(nil))
+			txn.Delete(cell.appendKey(nil))
 		}
 	}
 	for cell, restriction := range restrictions {
-		raw := cell.bytes(nil)
+		raw := cell.appendKey(nil)
 		if known, ok := p.restrictions.Get(raw); !ok || known != restriction {
 			txn.Insert(raw, restriction)
 		}
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -8,9 +8,9 @@
 
 // restrictTeam divides a team's share among its classes and these among small and large jobs,
 // and restricts the cells that want more than they get. It gives the quota of the others.
-func (b *planBuilder) restrictTeam(s teamShare) Work {
+func (b *planBuilder) restrictTeam(team teamShare) Work {
 	classes := map[string]cellDemand{}
-	for cell, demand := range s.cells {
+	for cell, demand := range team.cells {
 		classes[cell.Class] = classes[cell.Class].plus(demand)
 	}
 	names := slices.Sorted(maps.Keys(classes))
@@ -20,8 +20,8 @@
 	}
 	restricted := 0
 	var unrestricted Work
-	for i, share := range FairShares(s.granted, requests) {
-		for _, cell := range b.restrictClass(names[i], share, s.cells) {
+	for i, share := range FairShares(team.granted, requests) {
+		for _, cell := range b.restrictClass(names[i], share, team.cells) {
 			if cell.restricted {
 				restricted++
 			} else {
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	return max(s.granted/Work(restricted+1)-unrestricted, 0)
+	return max(team.granted/Work(restricted+1)-unrestricted, 0)
 }
 
 // cellOutcome tells whether a cell was restricted.
@@ -74,11 +74,11 @@
 		return
 	}
 	now := b.measurement.Now
-	current, known := b.planner.current.windows[cell]
+	former, known := b.planner.current.windows[cell]
 	if !known {
-		current = window{start: position(cell.Team + "/" + cell.Class), since: now - windowDwell}
+		former = window{start: position(cell.Team + "/" + cell.Class), since: now - windowDwell}
 	}
-	next := current.next(credit, demand.waiting, now)
+	next := former.next(credit, demand.waiting, now)
 	b.next.windows[cell] = next
 	restriction := CellRestriction{Start: next.start}
 	if credit > 0 {
