--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -12,16 +12,16 @@
 	plan         *Plan
 	measurement  Measurement
 	restrictions map[Cell]CellRestriction
-	credits      map[Cell]Work // by cell: what its large jobs may still take
+	credits      map[Cell]Work // what large jobs of the cell may still be admitted for
 	next         plannerState
 
 	usages []Standing
 }
 
-// cellDemand is what a cell has and wants.
+// cellDemand is the demand of a cell.
 type cellDemand struct {
-	backlog Work
-	waiting Work
+	backlog Work // of unfinished jobs
+	waiting Work // of jobs on the waiting list
 }
 
 func (d cellDemand) total() Work { return d.backlog.Plus(d.waiting) }
@@ -30,7 +30,7 @@
 	return cellDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
 }
 
-// sharePool divides one resource among the teams.
+// sharePool divides the capacity of one pool among the teams.
 func (b *planBuilder) sharePool(pool Pool) {
 	total := b.workWithinHorizon(b.plan.Capacity[pool])
 	if total == 0 {
@@ -69,12 +69,12 @@
 	}
 }
 
-// workWithinHorizon is the work that an amount of a resource does within the horizon.
+// workWithinHorizon returns the work that an amount of a resource does within the horizon.
 func (b *planBuilder) workWithinHorizon(amount units.Amount) Work {
 	return WorkOf(1, amount, b.plan.Horizon)
 }
 
-// demands gives what each cell of a pool has and wants, by team.
+// demands returns the demand of the cells of a pool, by team.
 func (b *planBuilder) demands(pool Pool) map[string]map[Cell]cellDemand {
 	teams := map[string]map[Cell]cellDemand{}
 	add := func(cell Cell, demand cellDemand) {
@@ -97,24 +97,25 @@
 
 // teamShare is what a team gets in a pool.
 type teamShare struct {
-	granted     Work // by what it has and wants now
-	guaranteed  Work // within the horizon, by its guaranteed quota
-	weighted    Work // if everybody wanted all
-	unrequested Work // its part of what nobody wants now
-	limit       Work
+	granted     Work // its max-min share
+	guaranteed  Work // by its guaranteed quota, within the horizon
+	weighted    Work // the part of the capacity by its weight alone
+	unrequested Work // the part of the unrequested capacity by its weight
+	limit       Work // by its quota limit, within the horizon
 	demand      cellDemand
 	cells       map[Cell]cellDemand
 }
 
-// contested tells whether the team wants more than it gets.
+// contested reports whether the demand of the team exceeds its share.
 func (s teamShare) contested() bool { return s.granted < s.demand.total() }
 
-// largeDivisor is the part of a team's share of the horizon beyond which a job is large.
+// largeDivisor divides a team's share of the horizon; a job with more work than the quotient
+// is large.
 const largeDivisor = 8
 
-// setTeam writes what the plan says of a team in a pool. As long as it gets what it
-// wants, nothing is restricted, and its quota is what it may take until the next version:
-// at least what is left of its guarantee, whatever others do.
+// setTeam sets a team's entry in the plan. A team whose demand is met is not restricted, and
+// its version quota is what it may admit until the next version: at least the unused part of
+// its guaranteed quota, whatever other teams do.
 func (b *planBuilder) setTeam(team Team, pool Pool, share teamShare) {
 	entry := TeamEntry{
 		LargeThreshold:     max(share.weighted, share.guaranteed)/largeDivisor + 1,
--- a/internal/admission/cell.go
+++ b/internal/admission/cell.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// Band divides a class's jobs by their work, so that neither small jobs nor large ones
-// starve the others.
+// Band is the size class of a job. Small and large jobs of a class have shares of their own,
+// so that neither starve the others.
 type Band uint8
 
 // The bands.
@@ -13,6 +13,7 @@
 	numBands = 2
 )
 
+// String returns "small" or "large".
 func (b Band) String() string {
 	if b == Large {
 		return "large"
@@ -20,40 +21,45 @@
 	return "small"
 }
 
-// Cell is a group of jobs with a share of its own.
+// Cell is a group of jobs with a share of its own: those of one team, class, pool and band. It
+// has nothing to do with the cells of a federation.
 type Cell struct {
 	Team  string
-	Class string // "": all classes that have no cell of their own
+	Class string // "": all classes of the team without a restriction of their own
 	Pool  Pool
 	Band  Band
 }
 
-// teamKey identifies a team in a pool.
+// teamKey identifies a team's entry in a plan.
 type teamKey struct {
 	Team string
 	Pool Pool
 }
 
-// keyBuffer is room for usual names without allocating.
+// keyBuffer is the size in bytes of a buffer on the stack for the keys of names of usual
+// length, so that a lookup does not allocate.
 const keyBuffer = 96
 
-// appendName adds a name to a key so that no other names give the same key.
+// appendName appends a name to a key with its length first, so that different names never give
+// the same key.
 func appendName(key []byte, name string) []byte {
 	key = binary.AppendUvarint(key, uint64(len(name)))
 	return append(key, name...)
 }
 
+// appendKey appends the key of a team's entry to buffer.
 func (k teamKey) appendKey(buffer []byte) []byte {
 	return append(appendName(buffer, k.Team), byte(k.Pool))
 }
 
+// appendKey appends the key of a cell's restriction to buffer.
 func (c Cell) appendKey(buffer []byte) []byte {
 	buffer = appendName(buffer, c.Team)
 	buffer = append(buffer, byte(c.Pool), byte(c.Band))
 	return appendName(buffer, c.Class)
 }
 
-// cutName takes a name off a key that appendName made.
+// cutName splits off a name that appendName appended.
 func cutName(key []byte) (name string, rest []byte) {
 	length, n := binary.Uvarint(key)
 	end := n + int(length)
--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -7,19 +7,20 @@
 	"dunestand/internal/units"
 )
 
-// Verdict is what a plan says about a job that is not known yet.
+// Verdict is the outcome of a decision about a new job.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Admit: the job may be accepted.
+	// Admit means that the job may be accepted.
 	Admit Verdict = iota
-	// Wait: the job is not accepted under this version of the plan.
+	// Wait means that the job is not accepted under this version of the plan.
 	Wait
-	// Undecided: the quota of this version is used up. The next version decides.
+	// Undecided means that a later version of the plan decides.
 	Undecided
 )
 
+// String returns the verdict in lower case.
 func (v Verdict) String() string {
 	switch v {
 	case Admit:
@@ -32,18 +33,24 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// Reason tells why a job waits.
+// Reason is why a job is not admitted.
 type Reason uint8
 
 // The reasons.
 const (
-	NoReason  Reason = iota
-	OverShare        // the cell has its share; the window comes round
+	// NoReason is the reason of jobs that are admitted.
+	NoReason Reason = iota
+	// OverShare means that the cell has its share, and the job is outside the window.
+	OverShare
+	// Queued means that the job is large and not yet at the head of the queue.
 	Queued
+	// QuotaExhausted means that the plan admits the job, but its version quota is used up.
 	QuotaExhausted
+	// PlanUnclear means that no plan is known to be in force.
 	PlanUnclear
 )
 
+// String returns the text that users get; "" for NoReason.
 func (r Reason) String() string {
 	switch r {
 	case OverShare:
@@ -58,38 +65,38 @@
 	return ""
 }
 
-// Decision is a verdict about a job under one version of the plan.
+// Decision is a verdict on a job under one version of the plan.
 type Decision struct {
 	Verdict    Verdict
 	Reason     Reason
-	Plan       uint64 // the plan's version; 0: the fallback plan
+	Plan       uint64 // version of the plan; 0: the fallback plan, or none
 	Cell       Cell
 	Cost       Work
-	RetryAfter units.Micros // unless the job is admitted
+	RetryAfter units.Micros // 0 if the job is admitted
 
-	quota   quotaKey // that an admission is charged to
-	charged bool     // it is
+	quota   quotaKey // that the admission is charged to, if charged
+	charged bool
 }
 
-// quotaKey identifies a quota of a plan.
+// quotaKey identifies a version quota of a plan.
 type quotaKey struct {
 	cell   Cell
-	ofTeam bool // the team's quota, for cells without a restriction
+	ofTeam bool // the quota for the team's cells without a restriction
 }
 
-// Bounds on the time after which a job that waits is to come back. The longest is shorter
-// than waitingTimeout, so that who still waits is not forgotten.
+// Bounds on RetryAfter. maxRetry is below waitingTimeout, so that a job whose user still asks
+// does not drop out of the waiting list.
 const (
 	minRetry       = units.Second
-	pausedRetry    = 2 * units.Second
+	pausedRetry    = 2 * units.Second // of large jobs, and while the window is closed
 	maxRetry       = 8 * units.Second
-	retryJitter    = 2 * units.Second // over which jobs that are told the same come back
-	undecidedRetry = units.Second
+	retryJitter    = 2 * units.Second // spreads jobs that would otherwise ask at the same time
+	undecidedRetry = units.Second     // the next plan comes within half a second
 )
 
-// Decide tells whether a job is admitted: Admit or Wait. It depends on the plan and the
-// job alone, and so is the same on every controller, at any time and in any order. What
-// is left of the plan's quotas is a Keeper's matter.
+// Decide returns whether a job is admitted: Admit or Wait. It depends on the plan and the job
+// alone, and so is the same on every controller, at any time and in any order. It does not
+// look at what is left of the version quotas; PlanStore.Decide does.
 func (p *Plan) Decide(job *protocol.JobSpec) Decision {
 	cell, cost := p.Classify(job)
 	d := Decision{Verdict: Admit, Plan: p.Version, Cell: cell, Cost: cost}
@@ -111,7 +118,8 @@
 	return d
 }
 
-// windowWait is when a job is to come back so that it finds its position in the window.
+// windowWait returns the time after which a job is expected to find its position in the
+// window.
 func (p *Plan) windowWait(restriction CellRestriction, id string) units.Micros {
 	if restriction.Width == 0 {
 		return pausedRetry + p.jitter(id)
@@ -121,10 +129,10 @@
 	return min(max(moves*windowDwell-windowDwell/2, minRetry), maxRetry-retryJitter) + p.jitter(id)
 }
 
-// jitter returns a part of retryJitter that differs from job to job and plan to plan, so
-// that a flood does not come back in one second.
+// jitter returns a part of retryJitter that differs by job and version of the plan, so that
+// the users of a flood do not all ask again in the same second.
 func (p *Plan) jitter(id string) units.Micros {
-	const versionStep = 40503 // odd: every version moves each job to another place
+	const versionStep = 40503 // odd, so that every version moves each job to another place
 	place := (position(id) + uint32(p.Version%ringSize)*versionStep) % ringSize
 	return retryJitter * units.Micros(place) / ringSize
 }
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -8,14 +8,14 @@
 	"dunestand/internal/protocol"
 )
 
-// The look of tables for people.
+// Layout of the tables.
 const (
 	columnPadding = 2
 	percent       = 100
 )
 
-// Describe writes a plan for people: its teams, the cells that it restricts and the jobs
-// that are at the head of the queue.
+// Describe writes the teams of a plan, the cells that it restricts and the jobs at the head of
+// the queue as a table for people.
 func (p *Plan) Describe(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintf(t, "plan %d of term %d\n", p.Version, p.Term)
@@ -31,6 +31,7 @@
 	return t.Flush()
 }
 
+// describeTeams writes the entries of teams.
 func (p *Plan) describeTeams(w io.Writer) {
 	fmt.Fprintf(w, "\nteam\tpool\tquota\tlarge above\testimates\n")
 	for key, entry := range p.allTeams() {
@@ -39,6 +40,7 @@
 	}
 }
 
+// describeCells writes the restrictions.
 func (p *Plan) describeCells(w io.Writer) {
 	if p.Gates() == 0 {
 		fmt.Fprintf(w, "\nnothing is restricted\n")
@@ -58,8 +60,10 @@
 	}
 }
 
+// ringPercent returns a number of positions as a percentage of the ring.
 func ringPercent(positions uint32) float64 { return float64(positions) / ringSize * percent }
 
+// describeQueueHeads writes the IDs of the jobs at the head of the queue.
 func (p *Plan) describeQueueHeads(w io.Writer) {
 	if p.Turns() == 0 {
 		return
@@ -70,7 +74,7 @@
 	}
 }
 
-// Explain writes what a plan says about a job, and why.
+// Explain writes the decision of a plan about a job, and the reason, for people.
 func (p *Plan) Explain(w io.Writer, job *protocol.JobSpec) error {
 	d := p.Decide(job)
 	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -7,27 +7,28 @@
 	"dunestand/internal/units"
 )
 
-// Corrections learns by how much the estimates of each team are off, from the run times
-// of its tasks. A team that overstates or understates all of them gains nothing by it.
-// The mean is taken on a logarithmic scale: twice as long and half as long weigh the
-// same.
+// Corrections learns for each team by which factor its run time estimates are off, from the
+// run times of its tasks; a team that overstates or understates all of them gains nothing by
+// it. The factor is a geometric mean: twice as long and half as long cancel out. Corrections
+// is not safe for concurrent use.
 type Corrections struct{ teams map[string]*runRatio }
 
+// runRatio is the ratio of run times to estimates of one team.
 type runRatio struct {
-	mean float64 // of the binary logarithm of run time against estimate
+	mean float64 // of the binary logarithms of the ratios
 	runs int
 }
 
-// A run counts for at least this much of the mean; the first ones count for more.
+// minRunWeight is the least weight of a run in the mean. The first runs weigh more.
 const minRunWeight = 0.02
 
-// maxLogRatio bounds a ratio, as its binary logarithm.
+// maxLogRatio bounds the binary logarithm of the ratio of one run.
 const maxLogRatio = 4
 
-// NewCorrections makes corrections that have seen nothing.
+// NewCorrections returns corrections without any run, by which all estimates are exact.
 func NewCorrections() *Corrections { return &Corrections{teams: map[string]*runRatio{}} }
 
-// Observe takes in the run time of a task with an estimate.
+// Observe records the run time of a task with an estimate. It ignores runs without one.
 func (c *Corrections) Observe(team string, estimate, run units.Micros) {
 	if estimate <= 0 || run <= 0 {
 		return
@@ -39,15 +40,15 @@
 	}
 	logRatio := math.Log2(run.Seconds() / max(estimate, minRunTime).Seconds())
 	ratio.runs++
-	// The first runs are taken in beside as many imagined ones that hold.
 	weight := max(1/float64(ratio.runs+priorRuns), minRunWeight)
 	ratio.mean += weight * (max(-maxLogRatio, min(logRatio, maxLogRatio)) - ratio.mean)
 }
 
-// priorRuns is how many runs speak for the estimates at first.
+// priorRuns is the number of runs that match their estimates with which the mean of each team
+// is assumed to begin.
 const priorRuns = 5
 
-// Snapshot gives the corrections of all teams that were seen.
+// Snapshot returns the factors of all teams with a recorded run.
 func (c *Corrections) Snapshot() map[string]PerMille {
 	out := make(map[string]PerMille, len(c.teams))
 	for team, ratio := range c.teams {
@@ -59,15 +60,14 @@
 // PerMille is a ratio in thousandths.
 type PerMille uint32
 
-// exactEstimates is the ratio of estimates that hold.
+// exactEstimates is the correction of estimates that are right.
 const exactEstimates PerMille = 1000
 
-// minRunTime stands for estimates that are shorter, or missing.
+// minRunTime replaces shorter and missing estimates.
 const minRunTime = units.Second
 
-// runTime is how long a task of a job is reckoned to run before any was seen: by its
-// owner's estimate and what the team's estimates were off by. A service holds its
-// resources for the whole horizon.
+// runTime returns the expected run time of a task of a job: its estimate, corrected by the
+// factor of its team. A service holds its resources for the whole horizon.
 func runTime(job *protocol.JobSpec, correction PerMille, horizon units.Micros) units.Micros {
 	if job.Shape == protocol.Service {
 		return horizon
--- a/internal/admission/fairshare.go
+++ b/internal/admission/fairshare.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// ShareRequest is what one party wants of something that is divided.
+// ShareRequest is what one party requests of a total that is divided.
 type ShareRequest struct {
 	Demand   Work
-	Weight   float64 // more than 0
-	MinShare Work    // its demand is met up to here before any request gets more
+	Weight   float64 // positive
+	MinShare Work    // served, up to the demand, before any party gets more
 }
 
-// FairShares divides a total by weighted max-min fairness: nobody gets more than its demand,
-// minimum shares go first, and what is left is given in proportion to the weights, until a demand
-// is met and its part goes to the others. All of the total is given out as long as there
-// is demand. Minimum shares that together exceed the total are cut by the same rule.
+// FairShares divides a total by weighted max-min fairness and returns the shares in the order
+// of the requests. No share exceeds its demand. Minimum shares are served first; the rest is
+// divided in proportion to the weights, and what a party does not need of its part goes to the
+// others. All of the total is given out as long as there is demand, but for rounding. If the
+// minimum shares together exceed the total, they are divided by the same rule.
 func FairShares(total Work, requests []ShareRequest) []Work {
 	minShares := make([]Work, len(requests))
 	for i, r := range requests {
@@ -34,7 +35,7 @@
 	return shares
 }
 
-// waterFill is FairShares without minimum shares.
+// waterFill is progressive filling: weighted max-min fairness without minimum shares.
 func waterFill(total Work, demands []Work, requests []ShareRequest) []Work {
 	order := make([]int, len(demands))
 	weights := 0.0
@@ -42,12 +43,12 @@
 		order[i] = i
 		weights += r.Weight
 	}
-	// Compared by demand for each unit of weight, without dividing.
+	// The order is by demand/weight; multiplying crosswise avoids the division.
 	slices.SortStableFunc(order, func(i, k int) int {
 		return cmp.Compare(float64(demands[i])*requests[k].Weight, float64(demands[k])*requests[i].Weight)
 	})
-	// Whoever wants least for its weight is served first; what it leaves of its part is
-	// divided among the others.
+	// The party with the least demand for its weight is served first; what it leaves of its
+	// part is divided among the others.
 	shares := make([]Work, len(demands))
 	left := max(total, 0)
 	for _, i := range order {
--- a/internal/admission/fallback.go
+++ b/internal/admission/fallback.go
@@ -1,11 +1,11 @@
 package admission
 
-// fallbackVersion is the version of the fallback plan: no plan that was written has it.
+// fallbackVersion is the version of the fallback plan. No plan of a leader has it.
 const fallbackVersion = 0
 
-// FallbackPlan is the plan that is in force without a valid one. It is worked out from the
-// settings alone, and so is the same on every controller: any job is admitted, up to a
-// quota that each team's guarantee can do in a Lifetime.
+// FallbackPlan returns the plan that is in force without a valid one. It depends on the
+// settings alone, and so is the same on every controller: it admits any job, up to the work
+// that each team's guaranteed quota does in a PlanLifetime.
 func FallbackPlan(options Options, teams []Team) *Plan {
 	plan := newPlan(fallbackVersion, 0, options.Horizon, totalGuarantee(teams))
 	for _, team := range teams {
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -2,25 +2,26 @@
 
 import "dunestand/internal/units"
 
-// Options are the operators' choices.
+// Options are the operators' settings of admission.
 type Options struct {
-	// Horizon is for how much time ahead work is admitted: a team's share of the fleet,
-	// used for so long, is what its unfinished jobs may come to. 0: admission is off.
+	// Horizon is how far ahead work is admitted: the unfinished jobs of a team may add up to
+	// what its share of the fleet does in that time. 0: admission by a plan is off.
 	Horizon units.Micros
-	// TeamShares are weights of teams. One that is left out has its guarantee.
+	// TeamShares are the weights of teams. The weight of a team that is not in the map is its
+	// guaranteed quota.
 	TeamShares map[string]float64
-	// ClassShares are weights of classes within a team. One that is left out has 1.
+	// ClassShares are the weights of classes within a team; 1 for one that is not in the map.
 	ClassShares map[string]float64
 }
 
-// On tells whether jobs are admitted by a plan.
+// On reports whether jobs are admitted by a plan.
 func (o Options) On() bool { return o.Horizon > 0 }
 
-// Team is what the settings say of a team.
+// Team is a team with what the settings grant it.
 type Team struct {
 	Name      string
-	Guarantee Amounts
-	Limit     Amounts
+	Guarantee Amounts // guaranteed quota
+	Limit     Amounts // quota limit
 }
 
 // totalGuarantee returns the sum of the guaranteed quotas of all teams.
@@ -34,11 +35,12 @@
 	return total
 }
 
-// minTeamWeight is the weight of a team that is guaranteed nothing, in units of the
-// resource: it is served after the others, but not starved.
+// minTeamWeight is the weight, in units of the resource, of a team with a smaller guaranteed
+// quota: its share is small, but it is not starved.
 const minTeamWeight = 1.0
 
-// teamWeight gives a team's weight in a pool.
+// teamWeight returns the weight of a team in a pool: the configured one, or else its
+// guaranteed quota.
 func (o Options) teamWeight(team Team, pool Pool) float64 {
 	if weight, given := o.TeamShares[team.Name]; given {
 		return weight
@@ -46,9 +48,10 @@
 	return max(team.Guarantee[pool].Float(), minTeamWeight)
 }
 
-// defaultClassWeight is the weight of a class of which the operators say nothing.
+// defaultClassWeight is the weight of a class without a configured one.
 const defaultClassWeight = 1.0
 
+// classWeight returns the weight of a class within its team.
 func (o Options) classWeight(class string) float64 {
 	if weight, given := o.ClassShares[class]; given {
 		return weight
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -7,32 +7,33 @@
 	"dunestand/internal/units"
 )
 
-// TeamEntry is what a plan says of one team's work in a pool.
+// TeamEntry is what a plan holds for the work of one team in a pool.
 type TeamEntry struct {
-	VersionQuota       Work     // that cells without a restriction of their own may take under this version
-	LargeThreshold     Work     // a job of more work is in the band Large
-	EstimateCorrection PerMille // run times against the team's estimates
+	VersionQuota       Work     // that cells without a restriction may admit under this version
+	LargeThreshold     Work     // a job with more work is in the band Large
+	EstimateCorrection PerMille // ratio of run times to the team's estimates
 }
 
-// CellRestriction restricts the jobs of a cell: small ones are admitted while their position is
-// in the window, large ones when they are at the head of the queue.
+// CellRestriction restricts the jobs of a cell: small ones are admitted while their position
+// on the ring is in the window, large ones when they are at the head of the queue.
 type CellRestriction struct {
 	Start        uint32 // first position of the window
-	Width        uint32 // number of its positions
-	VersionQuota Work   // that may be admitted through the window under this version
+	Width        uint32 // number of positions in it
+	VersionQuota Work   // that the window may admit under this version
 }
 
-// Plan says which jobs are admitted. It never changes once it is made: a later plan has
-// a higher version, and shares with it what has stayed the same.
+// Plan decides which jobs are admitted. It is immutable and safe for concurrent use; a later
+// plan has a higher version and shares with it what has not changed. The zero value is not
+// usable: plans come from a Planner, from Decode or from FallbackPlan.
 type Plan struct {
-	Version  uint64 // counts all plans of the fleet
-	Term     uint64 // of the leader that made it
-	Horizon  units.Micros
-	Capacity Amounts
+	Version  uint64       // increases with every plan of the fleet
+	Term     uint64       // fencing token of the leader that made it
+	Horizon  units.Micros // see Options
+	Capacity Amounts      // that is divided among the teams
 
 	teams        *iradix.Tree[TeamEntry]
 	restrictions *iradix.Tree[CellRestriction]
-	queueHeads   *iradix.Tree[struct{}] // IDs of the large jobs that it admits
+	queueHeads   *iradix.Tree[struct{}] // IDs of the large jobs that are admitted
 }
 
 // newPlan returns a plan without teams and restrictions.
@@ -48,14 +49,14 @@
 	}
 }
 
-// Team returns what the plan holds for a team in a pool; false: it holds nothing.
+// Team returns what the plan holds for a team in a pool, and whether it holds anything.
 func (p *Plan) Team(team string, pool Pool) (TeamEntry, bool) {
 	var buffer [keyBuffer]byte
 	return p.teams.Get(teamKey{Team: team, Pool: pool}.appendKey(buffer[:0]))
 }
 
-// teamOrDefault returns what the plan holds for a team in a pool; of a team that it does not
-// know no job is large, and its estimates are taken as they are.
+// teamOrDefault returns what the plan holds for a team in a pool. Of a team that it does not
+// hold no job is large, and the estimates are taken as they are.
 func (p *Plan) teamOrDefault(team string, pool Pool) TeamEntry {
 	if entry, known := p.Team(team, pool); known {
 		return entry
@@ -63,8 +64,9 @@
 	return TeamEntry{LargeThreshold: MaxWork, EstimateCorrection: exactEstimates}
 }
 
-// Restriction returns what restricts a cell's jobs and the cell that it is made for, which is the
-// team's own or the one for all its other classes; false: none restricts them.
+// Restriction returns what restricts a cell, and the cell that the restriction was made for:
+// the same one, or the one for all other classes of the team. The last result is false if
+// nothing restricts it.
 func (p *Plan) Restriction(cell Cell) (CellRestriction, Cell, bool) {
 	var buffer [keyBuffer]byte
 	if restriction, ok := p.restrictions.Get(cell.appendKey(buffer[:0])); ok {
@@ -75,7 +77,8 @@
 	return restriction, cell, ok
 }
 
-// AtQueueHead reports whether the plan admits a large job by its ID.
+// AtQueueHead reports whether a large job is at the head of the queue, so that the plan admits
+// it by its ID.
 func (p *Plan) AtQueueHead(id string) bool {
 	_, found := p.queueHeads.Get([]byte(id))
 	return found
@@ -84,10 +87,10 @@
 // Gates returns the number of cells that the plan restricts.
 func (p *Plan) Gates() int { return p.restrictions.Len() }
 
-// Turns returns the number of large jobs at the head of the queue, which the plan admits by ID.
+// Turns returns the number of large jobs at the head of the queue.
 func (p *Plan) Turns() int { return p.queueHeads.Len() }
 
-// Classify gives a job's cell and its work, as the plan reckons both.
+// Classify returns the cell of a job and its expected work.
 func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
 	cell := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Need, p.Capacity)}
 	entry := p.teamOrDefault(cell.Team, cell.Pool)
@@ -98,8 +101,8 @@
 	return cell, cost
 }
 
-// Remaining gives a job's cell and the work of its tasks that are not done. seen is the
-// mean run time of those that are, 0 if none is.
+// Remaining returns the cell of a job and the expected work of its unfinished tasks. meanRun
+// is the mean run time of the finished ones, 0 if there are none.
 func (p *Plan) Remaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Cell, Work) {
 	cell, _ := p.Classify(job)
 	run := meanRun
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -2,23 +2,26 @@
 
 import "dunestand/internal/units"
 
-// Load is the unfinished work that was admitted already.
+// Load is the unfinished work of a cell that was admitted already.
 type Load struct {
 	Cell Cell
 	Work Work
 }
 
-// Measurement is what the leader knows when it makes a plan.
+// Measurement is the input of a plan.
 type Measurement struct {
 	Now     units.Micros
-	Fleet   Amounts // of the machines that are there
+	Fleet   Amounts // capacity of the machines
 	Loads   []Load
 	Waiting WaitingDemand
-	// Corrections are those of the teams; one that is missing has exactEstimates.
+	// Corrections are the estimate corrections by team, from EstimateCorrections.Snapshot. The
+	// estimates of a team that is not in the map are taken as they are.
 	Corrections map[string]PerMille
 }
 
-// Planner makes one leader's plans. It is not safe for concurrent use.
+// Planner makes the plans of one leader: it divides capacity among teams, classes and bands,
+// and moves windows and the queue on from plan to plan. It has no clock and no I/O. It is not
+// safe for concurrent use.
 type Planner struct {
 	options Options
 	teams   []Team
@@ -27,20 +30,20 @@
 
 // plannerState is what the next plan continues from.
 type plannerState struct {
-	plan       *Plan // nil: there was none
+	plan       *Plan // nil: none
 	windows    map[Cell]window
-	queueHeads map[string]bool // IDs of the large jobs that the plan admits
+	queueHeads map[string]bool // IDs of the large jobs at the head of the queue
 }
 
-// Proposal is a plan that was made and may yet be written.
+// Proposal is a plan that is not written yet.
 type Proposal struct {
 	Plan      *Plan
-	Standings []Standing // of the teams, by which the plan was made
+	Standings []Standing // of all teams and pools of the plan
 	next      plannerState
 }
 
-// NewPlanner makes a planner that goes on from the plan in force, if there is one: the
-// windows stay where they are.
+// NewPlanner returns a planner. If there is a former plan, in force at time now, its windows
+// and the head of the queue stay where they are.
 func NewPlanner(options Options, teams []Team, former *Plan, now units.Micros) *Planner {
 	p := &Planner{options: options, teams: teams}
 	p.current = plannerState{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
@@ -55,8 +58,9 @@
 	return p
 }
 
-// Next makes the next plan from what was measured. Nothing is taken over from it before
-// Accept.
+// Next returns the next plan, with a version and the leader's fencing token. Until Accept the
+// following one continues from the same plan as this one, except that the head of the queue is
+// kept.
 func (p *Planner) Next(version, fencingToken uint64, measurement Measurement) Proposal {
 	plan := newPlan(version, fencingToken, p.options.Horizon, p.capacity(measurement.Fleet))
 	if former := p.current.plan; former != nil {
@@ -78,10 +82,11 @@
 	return Proposal{Plan: plan, Standings: builder.usages, next: builder.next}
 }
 
-// Accept takes over that a proposal was written: the next plan goes on from it.
+// Accept records that a proposal was written: the next plan continues from it.
 func (p *Planner) Accept(proposal Proposal) { p.current = proposal.next }
 
-// capacity is what is divided: the fleet, and at least what is guaranteed.
+// capacity returns what is divided among the teams: the fleet, but not less than what is
+// guaranteed.
 func (p *Planner) capacity(fleet Amounts) Amounts {
 	for pool, guaranteed := range totalGuarantee(p.teams) {
 		fleet[pool] = max(fleet[pool], guaranteed)
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -11,43 +11,44 @@
 	"dunestand/internal/units"
 )
 
-// Lifetime is for how long a plan may be obeyed after it was written. The leader renews
-// it three times in that.
+// Lifetime is how long a plan may be followed after it was written. The leader renews it three
+// times in that time.
 const Lifetime = 10 * units.Second
 
-// ErrStalePlan says that a plan's record was written over by a leader of a former term.
-// Conditional saves exclude it, so the record was damaged.
+// ErrStalePlan reports a plan with an older fencing token or version than the plan of an older
+// revision of its record. The leaders' compare-and-swap excludes that, so the record was
+// damaged.
 var ErrStalePlan = errors.New("admission plan is older than the plan of a former revision of its record")
 
-// Keeper holds the plan in force on one controller and accounts for its quotas. It is
+// Keeper holds the plan in force on one controller and accounts for its version quotas. It is
 // safe for concurrent use.
 type Keeper struct {
 	fallback *Plan
-	nodes    int // controllers that may admit by themselves
+	nodes    int // number of controllers, each of which may be isolated
 
-	mu              sync.Mutex
-	known           bool   // whether there is a record, and what it holds
-	revision        uint64 // the newest one that was observed
+	mu              sync.Mutex // guards the fields below
+	known           bool       // whether the record was read, or found to be missing
+	revision        uint64     // the newest one that was read
 	observed        Held
-	used            map[quotaKey]Work // of the quotas of the plan in force
+	used            map[quotaKey]Work // admitted under the plan in force, by version quota
 	fallbackRenewed units.Micros      // when its quotas were last renewed
 	counts          map[string]Counts // by team
 }
 
-// Held is the plan's record as a controller knows it.
+// Held is the plan's record as a controller has read it, and when it was written.
 type Held struct {
-	Plan     *Plan  // nil: there is none, or it is not readable
+	Plan     *Plan  // nil: there is none, or it cannot be decoded
 	Revision uint64 // of the record; 0: there is none
-	// The record was written between these times, by the controller's steady clock: it
-	// is obeyed until it might be too old, and the fallback plan is used once it surely is.
+	// The record was written between these times of the controller's steady clock. The plan
+	// is in force until it may be older than its lifetime, the fallback plan once it must be.
 	WrittenAfter, WrittenBefore units.Micros
 }
 
-// Counts is how often a keeper has decided in which way.
+// Counts is the number of decisions by verdict.
 type Counts struct{ Admitted, Waits, Undecided uint64 }
 
-// NewKeeper makes a keeper for one of several controllers. Until it gets a plan the
-// fallback plan is in force.
+// NewKeeper returns a plan store for one of a number of controllers (nodes). Until the plan's
+// record was read no plan is in force.
 func NewKeeper(options Options, teams []Team, nodes int) *Keeper {
 	return &Keeper{
 		fallback: FallbackPlan(options, teams),
@@ -57,8 +58,9 @@
 	}
 }
 
-// Adopt takes over what a record holds. An older record than the one that is known
-// changes nothing.
+// Adopt records what the plan's record holds at a revision. A revision that is not newer than
+// the last one is ignored. The error is an ErrStalePlan, which leaves the plan in force as it
+// is.
 func (s *Keeper) Adopt(observed Held) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,12 +77,12 @@
 	return nil
 }
 
-// follows tells whether a plan may come after another one.
+// follows reports whether a plan may replace a former one.
 func (p *Plan) follows(former *Plan) bool {
 	return p.Term >= former.Term && p.Version > former.Version
 }
 
-// Missing takes over that there is no record at a revision of the state service.
+// Missing records that there is no plan at a revision of the key-value store.
 func (s *Keeper) Missing(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,34 +92,36 @@
 	}
 }
 
-// Force tells what is in force.
+// Force is where the plan in force comes from.
 type Force uint8
 
-// What may be in force.
+// The sources of the plan in force.
 const (
-	// Unclear: nothing is. The record was not read yet, or its age is not certain.
+	// Unclear means that no plan is in force: the record was not read yet, or the plan may
+	// have expired.
 	Unclear Force = iota
-	// ByPlan: the plan that the record holds.
+	// ByPlan means that the plan of the record is in force.
 	ByPlan
-	// ByFloor: the fallback plan, as there is no plan or it has lapsed.
+	// ByFloor means that the fallback plan is in force: there is no other, or it has expired.
 	ByFloor
 )
 
-// State is what a keeper goes by at a moment.
+// State is what a plan store goes by at a time.
 type State struct {
 	Force    Force
-	Plan     *Plan        // the one in force; nil: none is
+	Plan     *Plan        // the one in force; nil: none
 	Revision uint64       // of the plan's record; 0: there is none
-	Age      units.Micros // of the record, at most
+	Age      units.Micros // upper bound of the age of the record
 }
 
-// Now tells what is in force.
+// Now returns the state at a time of the steady clock.
 func (s *Keeper) Now(now units.Micros) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stateAt(now)
 }
 
+// stateAt is State under the lock.
 func (s *Keeper) stateAt(now units.Micros) State {
 	observed := s.observed
 	state := State{Revision: observed.Revision, Age: now - observed.WrittenAfter}
@@ -131,7 +135,7 @@
 	return state
 }
 
-// Reckoning gives the plan by which work is reckoned: the last one that was read, valid
+// Reckoning returns the plan by which work is estimated: the last one that was read, in force
 // or not, or else the fallback plan.
 func (s *Keeper) Reckoning() *Plan {
 	s.mu.Lock()
@@ -142,18 +146,18 @@
 	return s.fallback
 }
 
-// Side tells in which role a controller decides.
+// Side is the role in which a controller decides.
 type Side uint8
 
-// The sides. A controller that reaches no leader may use the part of a quota that falls
-// to it if all controllers do the same.
+// The roles. A controller that does not reach the leader may use only its part of a version
+// quota, for all others may do the same.
 const (
 	Alone Side = iota
 	Leading
 )
 
-// Decide decides about a job that is not known yet, and charges what it admits. The
-// revision tells on which version of the plan's record an acceptance must be conditional.
+// Decide decides about a job that is not known yet, and charges it to a version quota if it
+// admits it. An acceptance must be conditional on the returned revision of the plan's record.
 func (s *Keeper) Decide(job *protocol.JobSpec, side Side, now units.Micros) (d Decision, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,8 +194,8 @@
 	return true
 }
 
-// renewFallbackQuotas renews the fallback plan's quotas every Lifetime, so that without a plan each
-// team's jobs are admitted at the rate of its guarantee.
+// renewFallbackQuotas renews the version quotas of the fallback plan once per PlanLifetime, so
+// that without a plan the jobs of each team are admitted at the rate of its guaranteed quota.
 func (s *Keeper) renewFallbackQuotas(now units.Micros) {
 	if s.fallbackRenewed == 0 || now-s.fallbackRenewed >= Lifetime {
 		s.fallbackRenewed = now
@@ -223,13 +227,13 @@
 	s.counts[team] = counts
 }
 
-// TeamCounts is what was decided about a team's jobs.
+// TeamCounts is the number of decisions about a team's jobs, by verdict.
 type TeamCounts struct {
 	Team string
 	Counts
 }
 
-// CountsByTeam tells what was decided so far, in the order of the teams' names.
+// CountsByTeam returns the decisions so far, in the order of the teams' names.
 func (s *Keeper) CountsByTeam() []TeamCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/admission/plantrees.go
+++ b/internal/admission/plantrees.go
@@ -6,12 +6,13 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// A plan is built by these functions and by nothing else, before anybody else sees it. The
-// trees that it holds are persistent: a plan that begins with those of the one before
-// shares with it all that has not changed, and readers need no lock.
+// The functions below alone set the fields of a plan, before anything else sees it. Its
+// trees are persistent (immutable with shared structure): a plan that starts from the trees
+// of the one before shares what does not change, and readers need no lock.
 
-// Like tells whether a plan restricts the same cells in the same places as another one.
-// Their quotas may differ: these change with every task that ends.
+// Like reports whether two plans restrict the same cells to the same windows and have the same
+// jobs at the head of the queue. Their version quotas may differ: these change with every task
+// that ends.
 func (p *Plan) Like(other *Plan) bool {
 	if other == nil || p.restrictions.Len() != other.restrictions.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
 		return false
@@ -38,7 +39,7 @@
 	}
 }
 
-// setRestrictions replaces the restrictions of cells.
+// setRestrictions replaces all restrictions.
 func (p *Plan) setRestrictions(restrictions map[Cell]CellRestriction) {
 	txn := p.restrictions.Txn()
 	for cell := range p.allRestrictions() {
@@ -64,7 +65,7 @@
 	p.queueHeads = txn.Commit()
 }
 
-// allTeams iterates over the teams in the order of their keys.
+// allTeams iterates over the entries of teams in the order of their keys.
 func (p *Plan) allTeams() iter.Seq2[teamKey, TeamEntry] {
 	return func(yield func(teamKey, TeamEntry) bool) {
 		i := p.teams.Root().Iterator()
@@ -92,7 +93,7 @@
 	}
 }
 
-// allQueueHeads iterates over the IDs of the jobs at the head of the queue.
+// allQueueHeads iterates over the IDs of the jobs at the head of the queue, in order.
 func (p *Plan) allQueueHeads() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		i := p.queueHeads.Root().Iterator()
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -9,13 +9,14 @@
 // Pool is a resource that work is measured in.
 type Pool uint8
 
-// The pools. A job counts in the one of which it needs the larger part of the fleet.
+// The pools. A job counts in the pool of its dominant resource.
 const (
 	CPU Pool = iota
 	GPU
 	numPools = 2
 )
 
+// String returns the name of the resource, as in the labels of metrics.
 func (p Pool) String() string {
 	if p == GPU {
 		return "gpu"
@@ -23,14 +24,14 @@
 	return "cpu"
 }
 
-// Amounts is an amount of each pool's resource.
+// Amounts is an amount of the resource of each pool.
 type Amounts [numPools]units.Amount
 
-// AmountsOf gives what resources hold of each pool.
+// AmountsOf returns the parts of resources that are pools.
 func AmountsOf(r units.Resources) Amounts { return Amounts{CPU: r.CPU, GPU: r.GPU} }
 
-// poolOf gives the pool of a job's dominant resource: the one of which a task needs the
-// larger part of the capacity.
+// poolOf returns the pool of the dominant resource: the one of which a task requests the
+// larger part of the capacity. GPUs win a tie.
 func poolOf(need units.Resources, capacity Amounts) Pool {
 	if need.GPU <= 0 {
 		return CPU
@@ -38,7 +39,7 @@
 	if capacity[GPU] <= 0 || capacity[CPU] <= 0 {
 		return GPU
 	}
-	// need.GPU/capacity[GPU] against need.CPU/capacity[CPU], without rounding.
+	// Compares need.GPU/capacity[GPU] with need.CPU/capacity[CPU] without rounding.
 	gpuHigh, gpuLow := bits.Mul64(uint64(need.GPU), uint64(capacity[CPU]))
 	cpuHigh, cpuLow := bits.Mul64(uint64(max(need.CPU, 0)), uint64(capacity[GPU]))
 	if gpuHigh > cpuHigh || gpuHigh == cpuHigh && gpuLow >= cpuLow {
@@ -47,5 +48,5 @@
 	return CPU
 }
 
-// amountIn gives what a task needs of a pool's resource.
+// amountIn returns what a task requests of the resource of a pool.
 func amountIn(pool Pool, need units.Resources) units.Amount { return AmountsOf(need)[pool] }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// maxQueueHeads bounds the large jobs that one plan admits by ID.
+// maxQueueHeads bounds the large jobs at the head of the queue in one plan.
 const maxQueueHeads = 16
 
-// selectQueueHeads selects the large jobs that the plan admits: those that were selected
-// before and still wait, then the others, the longest waiting first, while their cell has
-// credit left. The last one may exceed it, and the next has to wait until that is worked off.
-// The selection holds for the plans after this one even if this one is never written.
+// selectQueueHeads selects the large jobs at the head of the queue: those that were there
+// already and still wait, then the longest waiting ones while their cell has credit. The last
+// one may exceed the credit, and the next one waits until that is worked off. The following
+// plan keeps the selection even if this one is never written.
 func (b *planBuilder) selectQueueHeads() {
 	former := b.planner.current.queueHeads
 	heads := b.next.queueHeads
@@ -29,8 +29,8 @@
 	b.plan.setQueueHeads(slices.Sorted(maps.Keys(heads)))
 }
 
-// selectQueueHead adds a job to the heads and charges it to its cell, if the cell is
-// restricted and there are not too many.
+// selectQueueHead adds a job to the head of the queue and charges it to its cell, if the cell
+// is restricted and the head is not full.
 func (b *planBuilder) selectQueueHead(job WaitingJob, heads map[string]bool) {
 	credit, restricted := b.credits[job.Cell]
 	if !restricted || heads[job.ID] || len(heads) == maxQueueHeads {
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -9,7 +9,7 @@
 	"dunestand/internal/units"
 )
 
-// Prefix is the prefix of this package's keys in the state service.
+// Prefix is the prefix of this package's keys in the key-value store.
 const Prefix = "admission/"
 
 // KeyPlan is the key of the plan's record.
@@ -18,7 +18,8 @@
 // recordFormat is the format of the plan's record that this version reads and writes.
 const recordFormat = 1
 
-// record is a plan as it is stored. Work is in whole units of the resource times seconds.
+// record is the stored form of a plan. Its names are part of the format. Work is in whole
+// units of the resource times seconds.
 type record struct {
 	Format       int          `cbor:"v" json:"v"`
 	Version      uint64       `cbor:"n" json:"n"`
@@ -30,8 +31,8 @@
 	QueueHeads   []string     `cbor:"turns" json:"turns"`
 }
 
-// teamRecord is a TeamEntry. It and cellRecord are stored as lists of their fields, for
-// there are many of them.
+// teamRecord is the stored form of a TeamEntry. It and cellRecord are stored as lists of their
+// fields, to save space.
 type teamRecord struct {
 	_                  struct{} `cbor:",toarray"`
 	Name               string
@@ -41,12 +42,12 @@
 	EstimateCorrection PerMille
 }
 
-// MarshalJSON gives the list that is stored, for its size.
+// MarshalJSON returns the list that is stored, for the size of the record.
 func (t teamRecord) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{t.Name, t.Pool, t.VersionQuota, t.LargeThreshold, t.EstimateCorrection})
 }
 
-// cellRecord is a CellRestriction.
+// cellRecord is the stored form of a CellRestriction.
 type cellRecord struct {
 	_            struct{} `cbor:",toarray"`
 	TeamIndex    int      // in the record's Teams
@@ -57,20 +58,20 @@
 	VersionQuota int64
 }
 
-// MarshalJSON gives the list that is stored, for its size.
+// MarshalJSON returns the list that is stored, for the size of the record.
 func (c cellRecord) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{c.TeamIndex, c.Class, c.Band, c.Start, c.Width, c.VersionQuota})
 }
 
-// storedUnit is how much Work makes one in a record.
+// storedUnit is one stored unit of work in Work.
 const storedUnit = 1000
 
-// storedWork rounds work up to what a record holds.
+// storedWork returns work in stored units, rounded up.
 func storedWork(w Work) int64 { return int64((min(w, MaxWork) + storedUnit - 1) / storedUnit) }
 
-// Encode gives the plan's record, and the plan that this record holds: a plan that is too
-// large is made coarser until it fits. Whoever writes a plan goes by the latter, as all
-// who read it do.
+// Encode returns the record of a plan, and the plan as it is decoded from that record, which
+// is coarser where the plan would not fit into maxBytes. A leader follows the latter, as all
+// readers of the record do. The error is an ErrTooLarge if the coarsest record does not fit.
 func Encode(plan *Plan, maxBytes int) ([]byte, *Plan, error) {
 	r := plan.record()
 	for r.size() > maxBytes {
@@ -83,8 +84,8 @@
 	return raw, kept, err
 }
 
-// Decode reads a plan's record. One that could not have been written by any leader is an
-// error, never a plan.
+// Decode returns the plan of a record. The error wraps a *FieldError if no leader could have
+// written the record.
 func Decode(raw []byte) (*Plan, error) {
 	var r record
 	if err := protocol.Decode(raw, &r); err != nil {
@@ -96,6 +97,7 @@
 	return r.plan(), nil
 }
 
+// record returns the stored form of a plan.
 func (p *Plan) record() *record {
 	r := &record{
 		Format:       recordFormat,
@@ -131,12 +133,13 @@
 	return r
 }
 
+// cell returns the cell of a cellRecord.
 func (r *record) cell(c cellRecord) Cell {
 	team := r.Teams[c.TeamIndex]
 	return Cell{Team: team.Name, Class: c.Class, Pool: team.Pool, Band: c.Band}
 }
 
-// plan gives the plan that a checked record holds.
+// plan returns the plan of a record that check has passed.
 func (r *record) plan() *Plan {
 	p := newPlan(r.Version, r.FencingToken, r.Horizon, r.Capacity)
 	for _, t := range r.Teams {
--- a/internal/admission/recordcheck.go
+++ b/internal/admission/recordcheck.go
@@ -29,7 +29,7 @@
 	errInvalidJobID  = errors.New("invalid job ID")
 )
 
-// maxStored is the most work that a record holds.
+// maxStored is the most stored work of a field.
 const maxStored = int64(MaxWork/storedUnit) + 1
 
 // validWork reports whether stored work is in range.
@@ -84,6 +84,7 @@
 	return r.checkCells()
 }
 
+// checkTeams checks the entries of teams.
 func (r *record) checkTeams() error {
 	seen := map[teamKey]bool{}
 	for i, t := range r.Teams {
@@ -103,6 +104,7 @@
 	return nil
 }
 
+// checkCells checks the restrictions of cells.
 func (r *record) checkCells() error {
 	seen := map[Cell]bool{}
 	for i, c := range r.Cells {
--- a/internal/admission/recordsize.go
+++ b/internal/admission/recordsize.go
@@ -5,20 +5,21 @@
 	"errors"
 )
 
-// ErrTooLarge says that a plan does not fit into one value of the state service.
+// ErrTooLarge reports a plan that does not fit into one value of the key-value store.
 var ErrTooLarge = errors.New("admission plan does not fit into one value of the key-value store")
 
-// size is the record's size as the state service counts it.
+// size returns the size of the record in bytes as the key-value store counts it.
 func (r *record) size() int {
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a struct of texts and numbers
+		panic(err) // a struct of strings and numbers always encodes
 	}
 	return len(raw)
 }
 
-// coarsen gives up detail: the classes of the team with the most cells get one restriction
-// together, or else fewer jobs are admitted by ID. It tells whether there was any to give up.
+// coarsen drops detail: the classes of the team with the most restricted cells get one
+// restriction together, or else the queue of large jobs is cut in half. It reports whether
+// there was anything left to drop.
 func (r *record) coarsen() bool {
 	count := map[int]int{}
 	most := -1
@@ -42,7 +43,7 @@
 	return false
 }
 
-// mergeClasses gives a team one restriction in each band instead of one a class.
+// mergeClasses gives a team one restriction in each band instead of one in each class.
 func (r *record) mergeClasses(team int) {
 	merged := map[Band]*cellRecord{}
 	var kept []cellRecord
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// restrictTeam divides a team's share among its classes and these among small and large jobs,
-// and restricts the cells that want more than they get. It gives the quota of the others.
+// restrictTeam divides a team's share among its classes, these among small and large jobs, and
+// restricts the cells whose demand exceeds their part. It returns the version quota of the
+// unrestricted cells: all restricted ones and these together get equal parts.
 func (b *planBuilder) restrictTeam(team teamShare) Work {
 	classes := map[string]cellDemand{}
 	for cell, demand := range team.cells {
@@ -32,16 +33,17 @@
 	return max(team.granted/Work(restricted+1)-unrestricted, 0)
 }
 
-// cellOutcome tells whether a cell was restricted.
+// cellOutcome is what restrictClass did with a cell.
 type cellOutcome struct {
 	restricted bool
 	backlog    Work
 }
 
-// bandWeight is the same for small and large jobs.
+// bandWeight is the weight of small and of large jobs within a class.
 const bandWeight = 1.0
 
-// restrictClass divides a class's share among small and large jobs.
+// restrictClass divides a class's share among small and large jobs and restricts those whose
+// demand exceeds their part.
 func (b *planBuilder) restrictClass(class string, share Work, cells map[Cell]cellDemand) []cellOutcome {
 	var bands []Cell
 	for cell := range cells {
@@ -65,7 +67,7 @@
 	return outcomes
 }
 
-// restrictCell restricts a cell to its part.
+// restrictCell restricts a cell to its part of the share.
 func (b *planBuilder) restrictCell(cell Cell, part Work, demand cellDemand) {
 	credit := part - demand.backlog
 	if cell.Band == Large {
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -1,22 +1,22 @@
 package admission
 
-// Standing is how a team stood in a pool when a plan was made. All of it is work within the
-// plan's horizon.
+// Standing is the usage of one team in a pool at the time of a plan, beside its share. All
+// amounts of work are within the plan's horizon.
 type Standing struct {
 	Team       string
 	Pool       Pool
-	Guaranteed Work
-	Share      Work // what it gets, by what it has and wants
+	Guaranteed Work // by its guaranteed quota
+	Share      Work // its max-min share, of its backlog and waiting work
 	Backlog    Work // of its unfinished jobs
-	Waiting    Work // of jobs that were told to come back
-	Restricted bool // it wants more than it gets
+	Waiting    Work // of the jobs on the waiting list
+	Restricted bool // backlog and waiting work exceed the share
 }
 
-// Excess is what a team has beyond its share: admitted before others came back, or beyond a
-// quota by the last job of a version.
+// Excess returns the backlog beyond the share: work that was admitted before other teams came
+// back, or by the last job of a version quota.
 func (s Standing) Excess() Work { return max(s.Backlog-s.Share, 0) }
 
-// usage returns a team's usage and its share.
+// usage returns the usage of the team with this share.
 func (s teamShare) usage(team string, pool Pool) Standing {
 	return Standing{
 		Team:       team,
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -8,45 +8,46 @@
 	"dunestand/internal/units"
 )
 
-// waitingTimeout is for how long a job that was told to come back counts as waiting. It is
-// longer than any job is told to stay away.
+// waitingTimeout is how long after its last request a job counts as waiting. It is longer than
+// any RetryAfter.
 const waitingTimeout = maxRetry + 7*units.Second
 
-// maxWaiting bounds the jobs that a leader remembers as waiting. Those beyond it are
-// answered like all others but do not count as demand.
+// maxWaiting bounds the jobs on a waiting list. Those beyond it get the same answers but do
+// not count as demand.
 const maxWaiting = 20_000
 
-// WaitingJob is a job that was told to come back.
+// WaitingJob is a job whose user was told to retry later.
 type WaitingJob struct {
 	ID          string
 	Cell        Cell
 	Cost        Work
-	Since       units.Micros // when it was told so first
-	lastRequest units.Micros
+	Since       units.Micros // time of the first request
+	lastRequest units.Micros // time of the last request
 }
 
-// WaitingDemand is the demand of the jobs that wait.
+// WaitingDemand is the demand of the jobs on a waiting list.
 type WaitingDemand struct {
 	Work  map[Cell]Work
-	Large []WaitingJob // the queue of large jobs, the longest waiting first
+	Large []WaitingJob // queue of large jobs, longest waiting first
 }
 
-// WaitingList remembers on the leader which jobs were told to come back: they are demand
-// that is not met. Nothing of it is stored; a later leader learns it anew as users come
-// back. It is not safe for concurrent use.
+// WaitingList holds, on the leader, the jobs whose users were told to retry later: they are
+// unmet demand. It is not stored; the next leader learns it from the retries. It is not safe
+// for concurrent use.
 type WaitingList struct {
 	jobs map[string]*WaitingJob
-	work map[Cell]Work // of all jobs
-	// unrecorded holds the jobs of which there was no record when this leader looked.
+	work map[Cell]Work // of all jobs, by cell
+	// unrecorded holds the IDs of jobs that no record mentioned when the leader looked.
 	unrecorded map[string]bool
 }
 
-// NewWaitingList makes an empty list.
+// NewWaitingList returns an empty list.
 func NewWaitingList() *WaitingList {
 	return &WaitingList{jobs: map[string]*WaitingJob{}, work: map[Cell]Work{}, unrecorded: map[string]bool{}}
 }
 
-// Add notes that a job was told to come back.
+// Add records that the user of a job was told by a decision to retry later. It ignores new
+// jobs beyond maxWaiting.
 func (l *WaitingList) Add(id string, d Decision, now units.Micros) {
 	job := l.jobs[id]
 	switch {
@@ -62,7 +63,7 @@
 	l.addWork(job, 1)
 }
 
-// addWork adds a job's work to its cell's, or takes it off.
+// addWork adds a job's work to that of its cell; sign is -1 to subtract it.
 func (l *WaitingList) addWork(job *WaitingJob, sign Work) {
 	l.work[job.Cell] += sign * job.Cost
 	if l.work[job.Cell] == 0 {
@@ -70,19 +71,19 @@
 	}
 }
 
-// SetUnknown notes that no record tells of a job that waits. Only this leader's own
-// saves can change that, but for the inbox.
+// SetUnknown marks a waiting job as one that no record mentions. Afterwards only transactions
+// of this leader can create such a record, or a submission in the pending queue.
 func (l *WaitingList) SetUnknown(id string) {
 	if l.jobs[id] != nil {
 		l.unrecorded[id] = true
 	}
 }
 
-// IsUnknown tells whether SetUnknown was called for a job since it waits.
+// IsUnknown reports whether a waiting job was marked by MarkUnrecorded.
 func (l *WaitingList) IsUnknown(id string) bool { return l.unrecorded[id] }
 
-// Remove takes a job out: it was admitted, or did not come back. It gives since when it
-// waited.
+// Remove removes a job, which was admitted or not asked for again. It returns since when it
+// waited, and whether it was on the list.
 func (l *WaitingList) Remove(id string) (since units.Micros, waited bool) {
 	job := l.jobs[id]
 	if job == nil {
@@ -94,7 +95,7 @@
 	return job.Since, true
 }
 
-// Expire forgets the jobs that did not come back.
+// Expire removes the jobs that were not asked for during waitingTimeout.
 func (l *WaitingList) Expire(now units.Micros) {
 	for id, job := range l.jobs {
 		if now-job.lastRequest > waitingTimeout {
@@ -103,10 +104,10 @@
 	}
 }
 
-// Len is the number of jobs that wait.
+// Len returns the number of waiting jobs.
 func (l *WaitingList) Len() int { return len(l.jobs) }
 
-// Demand gives the demand of the jobs that wait.
+// Demand returns the demand of the waiting jobs.
 func (l *WaitingList) Demand() WaitingDemand {
 	demand := WaitingDemand{Work: maps.Clone(l.work)}
 	for _, job := range l.jobs {
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -10,15 +10,15 @@
 type window struct {
 	start uint32
 	width uint32
-	since units.Micros
+	since units.Micros // by the clock of Measurement.Now
 }
 
-// minWindowWidth is the least window of a cell that has credit: it bounds the time
-// until it has come round.
+// minWindowWidth is the least width of the window of a cell with credit. It bounds the time in
+// which a window goes once round the ring.
 const minWindowWidth = ringSize / 64
 
-// next returns the window of the next plan: without credit the window stays where it is,
-// otherwise it moves on once it has stayed for windowDwell.
+// next returns the window of the next plan. Without credit it stays where it is, otherwise it
+// moves on once it has stayed for windowDwell.
 func (w window) next(credit, waiting Work, now units.Micros) window {
 	switch {
 	case credit <= 0:
@@ -31,8 +31,8 @@
 	return w
 }
 
-// windowWidth is the part of the ring on which about as much work waits as may be
-// admitted.
+// windowWidth returns the width of a window whose part of the waiting work is about the
+// credit.
 func windowWidth(credit, waiting Work) uint32 {
 	if waiting <= credit {
 		return ringSize
@@ -40,24 +40,24 @@
 	return max(uint32(float64(ringSize)*float64(credit)/float64(waiting)), minWindowWidth)
 }
 
-// ringSize is the number of positions on which job ids are spread evenly. A restriction admits the
-// positions in a window that moves around the ring.
+// ringSize is the number of positions of the ring on which the IDs of jobs are spread evenly.
+// A restriction admits the positions in a window that moves around the ring.
 const ringSize = 1 << 16
 
-// windowDwell is how long a window stays where it is: longer than users take to come back.
+// windowDwell is how long a window stays where it is: longer than users take to retry.
 const windowDwell = 4 * units.Second
 
-// position places a job on the ring.
+// position returns the place of a job on the ring.
 func position(id string) uint32 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // never fails
-	// The hash of short ids differs mostly in its low bits; the product spreads these
-	// over the high ones.
+	// The hashes of short IDs differ mostly in the low bits; the product spreads these over
+	// the high ones.
 	const spread = 0x9e3779b97f4a7c15
 	return uint32(h.Sum64() * spread >> 48)
 }
 
-// admits tells whether a position is in the window.
+// admits reports whether a position is in the window.
 func (r CellRestriction) admits(position uint32) bool {
 	return (position-r.Start)%ringSize < r.Width
 }
--- a/internal/admission/work.go
+++ b/internal/admission/work.go
@@ -6,18 +6,19 @@
 	"dunestand/internal/units"
 )
 
-// Work is a resource used for a time, in thousandths of a unit times seconds.
+// Work is an amount of a resource held for a time, in thousandths of a unit times seconds.
 type Work int64
 
-// MaxWork is the most work that is told apart: sums of many such amounts do not overflow
-// in the arithmetic of this package, and it is exact as a floating-point number.
+// MaxWork bounds an amount of work. Sums of many such amounts do not overflow in the
+// arithmetic of this package, and it is exact as a float64.
 const MaxWork Work = 1 << 53
 
-// workUnit is how many millionths of a unit times microseconds make one Work.
+// workUnit is one Work in millionths of a unit times microseconds, the units of units.Amount
+// and units.Micros.
 const workUnit = 1_000_000_000
 
-// WorkOf is the work of a number of tasks that each hold an amount of a resource for a
-// time. It is bounded by MaxWork.
+// WorkOf returns the work of a number of tasks that each hold an amount of a resource for a
+// run time, at most MaxWork. It is 0 if any of the three is not positive.
 func WorkOf(tasks int, need units.Amount, run units.Micros) Work {
 	if tasks <= 0 || need <= 0 || run <= 0 {
 		return 0
@@ -34,10 +35,11 @@
 	return Work(low)
 }
 
-// Plus adds two amounts of work, bounded by MaxWork.
+// Plus returns the sum of two amounts of work, at most MaxWork.
 func (w Work) Plus(other Work) Work { return min(w+other, MaxWork) }
 
-// scaled gives the part numerator/denominator of some work, bounded by MaxWork.
+// scaled returns w*numerator/denominator, rounded down and at most MaxWork; 0 for work that is
+// not positive.
 func (w Work) scaled(numerator, denominator uint64) Work {
 	if w <= 0 || numerator == 0 {
 		return 0
@@ -50,5 +52,5 @@
 	return Work(min(quotient, uint64(MaxWork)))
 }
 
-// UnitSeconds gives some work in units of the resource times seconds, for display.
+// UnitSeconds returns the work in units of the resource times seconds, for display.
 func (w Work) UnitSeconds() float64 { return float64(w) / storedUnit }
