--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkDecide decides about jobs by a plan that restricts 96 cells of 12 teams.
 func BenchmarkDecide(b *testing.B) {
-	plan := crowded(12, 4)
+	plan := crowdedPlan(b, 12, 4)
 	job := testJob(77, "kitchen-03", "class-2", 10, 100)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -17,15 +17,15 @@
 
 // BenchmarkNextPlan makes a plan for 12 teams with as many waiting jobs as are remembered.
 func BenchmarkNextPlan(b *testing.B) {
-	f := newFleet(Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink", "a", "b", "c", "d", "e", "f", "g", "h", "i"))
+	sim := newSimulation(b, Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink", "a", "b", "c", "d", "e", "f", "g", "h", "i"))
 	for i := range maxWaiting {
-		team := f.teams[i%len(f.teams)].Name
+		team := sim.teams[i%len(sim.teams)].Name
 		cell := Cell{Team: team, Class: fmt.Sprintf("class-%d", i%4)}
-		f.backlog[cell] += 1_000_000
-		f.waiting.Add(fmt.Sprintf("j-%06d", i), Decision{Cell: cell, Cost: 100_000}, f.now)
+		sim.backlog[cell] += 1_000_000
+		sim.waiting.Add(fmt.Sprintf("j-%06d", i), Decision{Cell: cell, Cost: 100_000}, sim.now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = f.planner.Next(f.version+1, 1, f.measure())
+		_ = sim.planner.Next(sim.version+1, 1, sim.measure())
 	}
 }
--- a/internal/admission/fairshare_test.go
+++ b/internal/admission/fairshare_test.go
@@ -12,6 +12,7 @@
 	"dunestand/internal/units"
 )
 
+// drawRequests draws requests without minimum shares.
 func drawRequests(t *rapid.T) []ShareRequest {
 	n := rapid.IntRange(1, 8).Draw(t, "requests")
 	requests := make([]ShareRequest, n)
@@ -24,9 +25,10 @@
 	return requests
 }
 
-// oracle divides by linear programs: it raises the least satisfied until a demand is met,
-// fixes that, and goes on with the others.
+// oracle divides a total by linear programs: it raises the level of the least served until a
+// demand is met, fixes that share, and goes on with the others.
 func oracle(t *rapid.T, total float64, requests []ShareRequest) []float64 {
+	t.Helper()
 	shares := make([]float64, len(requests))
 	fixed := make([]bool, len(requests))
 	for range requests {
@@ -48,9 +50,10 @@
 	return shares
 }
 
-// raise maximizes the level at which all that are not fixed get weight times level.
-// Variables: the level, and one slack for each constraint.
+// raise returns the greatest level at which every share that is not fixed is weight times
+// level. The variables are the level and one slack for each constraint.
 func raise(t *rapid.T, total float64, requests []ShareRequest, shares []float64, fixed []bool) float64 {
+	t.Helper()
 	var rows [][]float64
 	var bounds []float64
 	all := 0.0
@@ -80,6 +83,7 @@
 	return solution[0]
 }
 
+// FairShares agrees with an oracle that solves the same problem by linear programs.
 func TestFairSharesAgreeWithLinearPrograms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests := drawRequests(t)
@@ -93,9 +97,9 @@
 	})
 }
 
-// Nobody gets more than its demand, all is given out as long as there is demand, minimum shares
-// hold, and more weight is never less share.
-func TestFairSharesAreFair(t *testing.T) {
+// No share exceeds its demand, all is given out as long as there is demand, minimum shares
+// hold, and more weight never means a smaller share.
+func TestFairSharesKeepMaxMinRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests := drawRequests(t)
 		var minShares, demand Work
@@ -127,8 +131,8 @@
 	})
 }
 
-// The largest jobs on the largest fleets do not overflow.
-func TestWorkIsBounded(t *testing.T) {
+// The work of the largest jobs on the largest fleets does not overflow.
+func TestWorkDoesNotOverflow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(0, 100_000).Draw(t, "tasks")
 		need := rapid.Int64Range(0, 1_000_000_000_000).Draw(t, "need")
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -11,54 +11,55 @@
 	"dunestand/internal/units"
 )
 
-// crowded is a plan that restricts many classes of many teams.
-func crowded(teams, classes int) *Plan {
+// crowdedPlan returns a plan that restricts many classes of many teams.
+func crowdedPlan(t fataler, teams, classes int) *Plan {
 	names := make([]string, teams)
 	for i := range names {
 		names[i] = fmt.Sprintf("kitchen-%02d", i)
 	}
-	f := newFleet(Options{Horizon: testHorizon}, testTeams(names...))
+	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams(names...))
 	n := 0
 	for _, team := range names {
 		for c := range classes {
+			class := fmt.Sprintf("class-%d", c)
 			for _, tasks := range []int{10, 9000} {
 				for range 3 {
 					n++
-					f.backlog[Cell{Team: team, Class: fmt.Sprintf("class-%d", c)}] += WorkOf(1, f.capacity[CPU], testHorizon)
-					f.offer(testJob(n, team, fmt.Sprintf("class-%d", c), tasks, 100))
+					sim.backlog[Cell{Team: team, Class: class}] += WorkOf(1, sim.capacity[CPU], testHorizon)
+					sim.submit(testJob(n, team, class, tasks, 100))
 				}
 			}
 		}
 	}
-	f.publish()
+	sim.publishPlan()
 	for _, team := range names {
 		for c := range classes {
 			n++
-			f.offer(testJob(n, team, fmt.Sprintf("class-%d", c), 9000, 100))
+			sim.submit(testJob(n, team, fmt.Sprintf("class-%d", c), 9000, 100))
 		}
 	}
-	return f.publish()
+	return sim.publishPlan()
 }
 
-// A plan goes into one value of the state service: it is made coarser until it fits, and
-// what cannot fit is refused.
-func TestPlanFitsItsRecord(t *testing.T) {
-	plan := crowded(12, 4)
+// A plan goes into one value of the key-value store: it is made coarser until it fits, and
+// one that cannot fit is an error.
+func TestPlanIsCoarsenedUntilItFits(t *testing.T) {
+	plan := crowdedPlan(t, 12, 4)
 	if plan.Gates() < 48 {
 		t.Fatalf("only %d cells are restricted", plan.Gates())
 	}
-	for _, most := range []int{8 << 10, 2 << 10, 1 << 10} {
-		raw, held, err := Encode(plan, most)
-		if err != nil || held.record().size() > most {
-			t.Fatalf("%d bytes: %v", most, err)
+	for _, maxBytes := range []int{8 << 10, 2 << 10, 1 << 10} {
+		raw, kept, err := Encode(plan, maxBytes)
+		if err != nil || kept.record().size() > maxBytes {
+			t.Fatalf("%d bytes: %v", maxBytes, err)
 		}
 		read, err := Decode(raw)
-		if err != nil || !read.Like(held) || read.Version != plan.Version || read.Term != plan.Term {
-			t.Errorf("%d bytes: %v, %+v", most, err, read)
+		if err != nil || !read.Like(kept) || read.Version != plan.Version || read.Term != plan.Term {
+			t.Errorf("%d bytes: %v, %+v", maxBytes, err, read)
 		}
 		restricted := testJob(77, "kitchen-03", "class-2", 10, 100)
-		if _, _, found := read.Restriction(mustCell(read, restricted)); !found {
-			t.Errorf("%d bytes: a restricted class is open", most)
+		if _, _, found := read.Restriction(cellOf(read, restricted)); !found {
+			t.Errorf("%d bytes: a restricted class is open", maxBytes)
 		}
 	}
 	if _, _, err := Encode(plan, 300); !errors.Is(err, ErrTooLarge) {
@@ -66,14 +67,15 @@
 	}
 }
 
-func mustCell(p *Plan, job *protocol.JobSpec) Cell {
+// cellOf returns the cell of a job.
+func cellOf(p *Plan, job *protocol.JobSpec) Cell {
 	cell, _ := p.Classify(job)
 	return cell
 }
 
 // A record that no leader writes is an error that names the field, never a plan.
-func TestImpossibleRecordsAreRefused(t *testing.T) {
-	good := func() *record { return crowded(2, 2).record() }
+func TestDecodeRejectsImpossibleRecords(t *testing.T) {
+	good := func() *record { return crowdedPlan(t, 2, 2).record() }
 	if _, err := Decode(protocol.Encode(good())); err != nil {
 		t.Fatal(err)
 	}
@@ -117,8 +119,9 @@
 	}
 }
 
+// Bytes that Decode accepts give a plan whose own record gives it back.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(protocol.Encode(crowded(2, 2).record())))
+	f.Add([]byte(protocol.Encode(crowdedPlan(f, 2, 2).record())))
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		plan, err := Decode(raw)
@@ -134,15 +137,15 @@
 // A plan leaves the one before it as it is, and shares what is the same.
 func TestPlansAreImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink"))
+		sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink"))
 		var plans []*Plan
 		var records []string
 		for step := range 5 {
 			for i := range rapid.IntRange(0, 60).Draw(t, "jobs") {
-				f.offer(drawJob(t, 100*step+i))
+				sim.submit(drawJob(t, 100*step+i))
 			}
-			f.now += units.Second
-			plan := f.publish()
+			sim.now += units.Second
+			plan := sim.publishPlan()
 			plans, records = append(plans, plan), append(records, string(protocol.Encode(plan.record())))
 		}
 		for i, plan := range plans {
--- /dev/null
+++ b/internal/admission/simulation_test.go
@@ -0,0 +1,208 @@
+package admission
+
+import (
+	"fmt"
+
+	"dunestand/internal/protocol"
+	"dunestand/internal/units"
+)
+
+const (
+	testHorizon = 100 * units.Second
+	testCPUs    = 100 // guaranteed to each of the test teams
+)
+
+// cpus returns an amount of CPUs and no GPUs.
+func cpus(n float64) Amounts { return Amounts{CPU: units.AmountOf(n)} }
+
+// testTeams returns teams with the same guaranteed quota, whose quota limit is the fleet.
+func testTeams(names ...string) []Team {
+	teams := make([]Team, len(names))
+	for i, name := range names {
+		teams[i] = Team{Name: name, Guarantee: cpus(testCPUs), Limit: cpus(float64(testCPUs * len(names)))}
+	}
+	return teams
+}
+
+// testJob returns a job of tasks that use one CPU each.
+func testJob(n int, team, class string, tasks int, seconds float64) *protocol.JobSpec {
+	return &protocol.JobSpec{
+		ID:       fmt.Sprintf("j-%06d", n),
+		Team:     team,
+		Class:    class,
+		Tasks:    tasks,
+		Need:     units.Resources{CPU: units.AmountOf(1)},
+		Estimate: units.Seconds(seconds),
+	}
+}
+
+// fataler is a test, a benchmark, a fuzz test or a check of rapid.
+type fataler interface {
+	Helper()
+	Fatal(args ...any)
+}
+
+// simulation is the admission of a leader, and a fleet that does the admitted work, at the
+// same rate for each team that has some.
+type simulation struct {
+	t           fataler
+	teams       []Team
+	plans       *Keeper
+	planner     *Planner
+	waiting     *WaitingList
+	corrections *Corrections
+	now         units.Micros
+	version     uint64
+	revision    uint64
+	backlog     map[Cell]Work
+	admitted    map[Cell]Work
+	jobs        map[string]int // admitted jobs by team and class
+	capacity    Amounts
+}
+
+// newSimulation returns a simulation with a first plan in force.
+func newSimulation(t fataler, options Options, teams []Team) *simulation {
+	t.Helper()
+	s := &simulation{
+		t:           t,
+		teams:       teams,
+		plans:       NewKeeper(options, teams, 1),
+		planner:     NewPlanner(options, teams, nil, 0),
+		waiting:     NewWaitingList(),
+		corrections: NewCorrections(),
+		now:         units.Second,
+		backlog:     map[Cell]Work{},
+		admitted:    map[Cell]Work{},
+		jobs:        map[string]int{},
+	}
+	for _, team := range teams {
+		s.capacity[CPU] += team.Guarantee[CPU]
+	}
+	s.publishPlan()
+	return s
+}
+
+// measure returns the input of the next plan.
+func (s *simulation) measure() Measurement {
+	s.waiting.Expire(s.now)
+	m := Measurement{Now: s.now, Fleet: s.capacity, Waiting: s.waiting.Demand(), Corrections: s.corrections.Snapshot()}
+	for cell, work := range s.backlog {
+		m.Loads = append(m.Loads, Load{Cell: cell, Work: work})
+	}
+	return m
+}
+
+// publishPlan makes the next plan and puts it in force.
+func (s *simulation) publishPlan() *Plan {
+	s.t.Helper()
+	s.version++
+	s.revision++
+	proposal := s.planner.Next(s.version, 1, s.measure())
+	s.planner.Accept(proposal)
+	observed := Held{Plan: proposal.Plan, Revision: s.revision, WrittenAfter: s.now, WrittenBefore: s.now}
+	if err := s.plans.Adopt(observed); err != nil {
+		s.t.Fatal(err)
+	}
+	return proposal.Plan
+}
+
+// submit asks once for the admission of a job.
+func (s *simulation) submit(job *protocol.JobSpec) Decision {
+	d, _ := s.plans.Decide(job, Leading, s.now)
+	if d.Verdict != Admit {
+		s.waiting.Add(job.ID, d, s.now)
+		return d
+	}
+	s.waiting.Remove(job.ID)
+	s.backlog[d.Cell] += d.Cost
+	s.admitted[d.Cell] += d.Cost
+	s.jobs[job.Team+"/"+job.Class]++
+	return d
+}
+
+// advance lets time go by; teams with work share the fleet evenly.
+func (s *simulation) advance(d units.Micros) {
+	s.now += d
+	requests := make([]ShareRequest, len(s.teams))
+	for i, team := range s.teams {
+		requests[i] = ShareRequest{Demand: workOfTeam(s.backlog, team.Name), Weight: 1}
+	}
+	for i, done := range FairShares(WorkOf(1, s.capacity[CPU], d), requests) {
+		for cell, work := range s.backlog {
+			if cell.Team == s.teams[i].Name && requests[i].Demand > 0 {
+				s.backlog[cell] -= Work(float64(done) * float64(work) / float64(requests[i].Demand))
+			}
+		}
+	}
+}
+
+// admittedBy returns the admitted work of a team.
+func (s *simulation) admittedBy(team string) Work { return workOfTeam(s.admitted, team) }
+
+// workOfTeam returns the sum of the work of a team's cells.
+func workOfTeam(cells map[Cell]Work, team string) Work {
+	var sum Work
+	for cell, work := range cells {
+		if cell.Team == team {
+			sum += work
+		}
+	}
+	return sum
+}
+
+// user submits a job until it is admitted or patience runs out.
+type user struct {
+	job   *protocol.JobSpec
+	next  units.Micros // time of the next request
+	until units.Micros // time at which the user gives up
+	done  bool
+}
+
+// userPatience is how long users ask for a job.
+const userPatience = 60 * units.Second
+
+// run plays users that come at times of their own, with a plan every half second, and
+// returns the number of users that gave up, by team.
+func (s *simulation) run(users []*user, until units.Micros) map[string]int {
+	gaveUp := map[string]int{}
+	const step = 100 * units.Millisecond
+	for ; s.now < until; s.advance(step) {
+		if s.now%(5*step) == 0 {
+			s.publishPlan()
+		}
+		for _, u := range users {
+			if u.done || s.now < u.next {
+				continue
+			}
+			d := s.submit(u.job)
+			u.next = s.now + d.RetryAfter
+			switch {
+			case d.Verdict == Admit:
+				u.done = true
+			case u.next > u.until:
+				u.done = true
+				gaveUp[u.job.Team]++
+			}
+		}
+	}
+	return gaveUp
+}
+
+// arrivals returns users whose first requests come evenly over a time.
+func arrivals(jobs []*protocol.JobSpec, from, until units.Micros) []*user {
+	users := make([]*user, len(jobs))
+	for i, job := range jobs {
+		at := from + (until-from)*units.Micros(i)/units.Micros(len(jobs))
+		users[i] = &user{job: job, next: at, until: at + userPatience}
+	}
+	return users
+}
+
+// testJobs returns jobs that differ by their number, the first of which is given.
+func testJobs(first, count int, team, class string, tasks int, seconds float64) []*protocol.JobSpec {
+	jobs := make([]*protocol.JobSpec, count)
+	for i := range jobs {
+		jobs[i] = testJob(first+i, team, class, tasks, seconds)
+	}
+	return jobs
+}
