--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -86,8 +86,8 @@
 		}
 		teams[cell.Team][cell] = teams[cell.Team][cell].plus(demand)
 	}
-	for _, load := range b.measurement.Loads {
-		add(load.Cell, cellDemand{backlog: load.Work})
+	for _, backlog := range b.measurement.Loads {
+		add(backlog.Cell, cellDemand{backlog: backlog.Work})
 	}
 	for cell, work := range b.measurement.Waiting.Work {
 		add(cell, cellDemand{waiting: work})
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -20,8 +20,8 @@
 // Team is a team with what the settings grant it.
 type Team struct {
 	Name      string
-	Guarantee Amounts // guaranteed quota
-	Limit     Amounts // quota limit
+	Guarantee Amounts // served first, whatever other teams request
+	Limit     Amounts // bounds the share, also of capacity that nobody else requests
 }
 
 // totalGuarantee returns the sum of the guaranteed quotas of all teams.
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -14,8 +14,8 @@
 	Fleet   Amounts // capacity of the machines
 	Loads   []Load
 	Waiting WaitingDemand
-	// Corrections are the estimate corrections by team, from EstimateCorrections.Snapshot. The
-	// estimates of a team that is not in the map are taken as they are.
+	// Corrections are the factors by team, from EstimateCorrections.Snapshot. The estimates of
+	// a team that is not in the map are taken as they are.
 	Corrections map[string]PerMille
 }
 
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -158,7 +158,7 @@
 
 // Decide decides about a job that is not known yet, and charges it to a version quota if it
 // admits it. An acceptance must be conditional on the returned revision of the plan's record.
-func (s *Keeper) Decide(job *protocol.JobSpec, side Side, now units.Micros) (d Decision, revision uint64) {
+func (s *Keeper) Decide(job *protocol.JobSpec, role Side, now units.Micros) (d Decision, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.stateAt(now)
@@ -172,7 +172,7 @@
 	d = state.Plan.Decide(job)
 	if d.Verdict == Admit && d.charged {
 		sharedBy := uint64(1)
-		if side == Alone || state.Force == ByFloor {
+		if role == Alone || state.Force == ByFloor {
 			sharedBy = uint64(s.nodes)
 		}
 		if !s.charge(d.quota, state.Plan.versionQuota(d.quota).scaled(1, sharedBy), d.Cost) {
