--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -24,8 +24,10 @@
 	waiting Work // of jobs on the waiting list
 }
 
+// total returns the demand of the cell, at most MaxWork.
 func (d cellDemand) total() Work { return d.backlog.Plus(d.waiting) }
 
+// plus returns the demand of two cells together.
 func (d cellDemand) plus(other cellDemand) cellDemand {
 	return cellDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
 }
--- a/internal/admission/recordcheck.go
+++ b/internal/admission/recordcheck.go
@@ -14,6 +14,7 @@
 	Err   error
 }
 
+// Error returns the path of the field and the cause.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/internal/admission/recordsize.go
+++ b/internal/admission/recordsize.go
@@ -22,18 +22,18 @@
 // there was anything left to drop.
 func (r *record) coarsen() bool {
 	count := map[int]int{}
-	most := -1
+	crowded := -1
 	for _, c := range r.Cells {
 		if c.Class == "" {
 			continue
 		}
 		count[c.TeamIndex]++
-		if most < 0 || count[c.TeamIndex] > count[most] {
-			most = c.TeamIndex
+		if crowded < 0 || count[c.TeamIndex] > count[crowded] {
+			crowded = c.TeamIndex
 		}
 	}
-	if most >= 0 {
-		r.mergeClasses(most)
+	if crowded >= 0 {
+		r.mergeClasses(crowded)
 		return true
 	}
 	if len(r.QueueHeads) > 1 {
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -6,6 +6,13 @@
 	"dunestand/internal/units"
 )
 
+// ringSize is the number of positions of the ring on which the IDs of jobs are spread evenly.
+// A restriction admits the positions in a window that moves around the ring.
+const ringSize = 1 << 16
+
+// windowDwell is how long a window stays where it is: longer than users take to retry.
+const windowDwell = 4 * units.Second
+
 // window is the part of the ring that a restriction admits, and since when.
 type window struct {
 	start uint32
@@ -40,13 +47,6 @@
 	return max(uint32(float64(ringSize)*float64(credit)/float64(waiting)), minWindowWidth)
 }
 
-// ringSize is the number of positions of the ring on which the IDs of jobs are spread evenly.
-// A restriction admits the positions in a window that moves around the ring.
-const ringSize = 1 << 16
-
-// windowDwell is how long a window stays where it is: longer than users take to retry.
-const windowDwell = 4 * units.Second
-
 // position returns the place of a job on the ring.
 func position(id string) uint32 {
 	h := fnv.New64a()
