--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -17,18 +17,18 @@
 // Describe writes the teams of a plan, the cells that it restricts and the jobs at the head of
 // the queue as a table for people.
 func (p *Plan) Describe(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintf(t, "plan %d of term %d\n", p.Version, p.Term)
-	fmt.Fprintf(t, "horizon\t%.0f s\n", p.Horizon.Seconds())
+	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
+	fmt.Fprintf(table, "plan %d of term %d\n", p.Version, p.Term)
+	fmt.Fprintf(table, "horizon\t%.0f s\n", p.Horizon.Seconds())
 	for pool, amount := range p.Capacity {
 		if amount > 0 {
-			fmt.Fprintf(t, "%v\t%g\n", Pool(pool), amount.Float())
+			fmt.Fprintf(table, "%v\t%g\n", Pool(pool), amount.Float())
 		}
 	}
-	p.describeTeams(t)
-	p.describeCells(t)
-	p.describeQueueHeads(t)
-	return t.Flush()
+	p.describeTeams(table)
+	p.describeCells(table)
+	p.describeQueueHeads(table)
+	return table.Flush()
 }
 
 // describeTeams writes the entries of teams.
@@ -77,17 +77,17 @@
 // Explain writes the decision of a plan about a job, and the reason, for people.
 func (p *Plan) Explain(w io.Writer, job *protocol.JobSpec) error {
 	d := p.Decide(job)
-	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintf(t, "%s\t%v by plan %d\n", job.ID, d.Verdict, p.Version)
+	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
+	fmt.Fprintf(table, "%s\t%v by plan %d\n", job.ID, d.Verdict, p.Version)
 	if d.Verdict != Admit {
-		fmt.Fprintf(t, "why\t%v\n", d.Reason)
-		fmt.Fprintf(t, "again after\t%.1f s\n", d.RetryAfter.Seconds())
+		fmt.Fprintf(table, "why\t%v\n", d.Reason)
+		fmt.Fprintf(table, "again after\t%.1f s\n", d.RetryAfter.Seconds())
 	}
-	fmt.Fprintf(t, "reckoned as\t%v job of %s, class %s, by %v\n", d.Cell.Band, d.Cell.Team, d.Cell.Class, d.Cell.Pool)
-	fmt.Fprintf(t, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Cell.Pool)
+	fmt.Fprintf(table, "reckoned as\t%v job of %s, class %s, by %v\n", d.Cell.Band, d.Cell.Team, d.Cell.Class, d.Cell.Pool)
+	fmt.Fprintf(table, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Cell.Pool)
 	if restriction, _, restricted := p.Restriction(d.Cell); restricted && d.Cell.Band == Small {
-		fmt.Fprintf(t, "position\t%.0f%%; the window has %.0f%% from %.0f%%\n", ringPercent(position(job.ID)),
+		fmt.Fprintf(table, "position\t%.0f%%; the window has %.0f%% from %.0f%%\n", ringPercent(position(job.ID)),
 			ringPercent(restriction.Width), ringPercent(restriction.Start))
 	}
-	return t.Flush()
+	return table.Flush()
 }
