--- a/cmd/dunestand/admission_test.go
+++ b/cmd/dunestand/admission_test.go
@@ -38,10 +38,10 @@
 	if _, err := execute("admission", "show", settings); !errors.Is(err, node.ErrNoPlan) {
 		t.Errorf("without a plan: %v", err)
 	}
-	teams := []admission.Team{{Name: "mill", Guarantee: admission.Amounts{units.AmountOf(8)}, Limit: admission.Amounts{units.AmountOf(16)}}}
+	teams := []admission.Team{{Name: "mill", GuaranteedQuota: admission.Amounts{units.AmountOf(8)}, QuotaLimit: admission.Amounts{units.AmountOf(16)}}}
 	bulk := admission.Cell{Team: "mill", Class: "q"}
 	plan := admission.NewPlanner(admission.Options{Horizon: 100 * units.Second}, teams, nil, 0).Next(3, 2, admission.Measurement{
-		Loads: []admission.Load{{Cell: bulk, Work: admission.WorkOf(800, units.AmountOf(1), 10*units.Second)}},
+		Backlog: []admission.CellBacklog{{Cell: bulk, Work: admission.WorkOf(800, units.AmountOf(1), 10*units.Second)}},
 	}).Plan
 	raw, _, err := admission.Encode(plan, 8<<10)
 	if err != nil {
--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -15,7 +15,7 @@
 	credits      map[Cell]Work // of restricted cells of large jobs; nil: none
 	next         plannerState
 
-	usages []Standing
+	usages []Usage
 }
 
 // cellDemand is the demand of a cell.
@@ -47,9 +47,9 @@
 			demands[i] = demands[i].plus(demand)
 		}
 		requests[i] = ShareRequest{
-			Demand:   min(demands[i].total(), b.workWithinHorizon(team.Limit[pool])),
+			Demand:   min(demands[i].total(), b.workWithinHorizon(team.QuotaLimit[pool])),
 			Weight:   b.planner.options.teamWeight(team, pool),
-			MinShare: b.workWithinHorizon(team.Guarantee[pool]),
+			MinShare: b.workWithinHorizon(team.GuaranteedQuota[pool]),
 		}
 		weights += requests[i].Weight
 	}
@@ -64,7 +64,7 @@
 			guaranteed:  requests[i].MinShare,
 			weighted:    Work(float64(total) * requests[i].Weight / weights),
 			unrequested: Work(float64(unrequested) * requests[i].Weight / weights),
-			limit:       b.workWithinHorizon(team.Limit[pool]),
+			limit:       b.workWithinHorizon(team.QuotaLimit[pool]),
 			demand:      demands[i],
 			cells:       cells[team.Name],
 		})
@@ -88,7 +88,7 @@
 		}
 		teams[cell.Team][cell] = teams[cell.Team][cell].plus(demand)
 	}
-	for _, backlog := range b.measurement.Loads {
+	for _, backlog := range b.measurement.Backlog {
 		add(backlog.Cell, cellDemand{backlog: backlog.Work})
 	}
 	for cell, work := range b.measurement.Waiting.Work {
@@ -121,7 +121,7 @@
 func (b *planBuilder) setTeam(team Team, pool Pool, share teamShare) {
 	entry := TeamEntry{
 		LargeThreshold:     max(share.weighted, share.guaranteed)/largeDivisor + 1,
-		EstimateCorrection: cmp.Or(b.measurement.Corrections[team.Name], exactEstimates),
+		EstimateCorrection: cmp.Or(b.measurement.EstimateCorrections[team.Name], exactEstimates),
 	}
 	if share.contested() {
 		entry.VersionQuota = b.restrictTeam(share)
--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -46,8 +46,8 @@
 	Queued
 	// QuotaExhausted means that the plan admits the job, but its version quota is used up.
 	QuotaExhausted
-	// PlanUnclear means that no plan is known to be in force.
-	PlanUnclear
+	// PlanUncertain means that no plan is known to be in force.
+	PlanUncertain
 )
 
 // String returns the text that users get; "" for NoReason.
@@ -59,7 +59,7 @@
 		return "the job is large and waits for its turn"
 	case QuotaExhausted:
 		return "the admission plan is being renewed"
-	case PlanUnclear:
+	case PlanUncertain:
 		return "the admission plan is not known for certain"
 	}
 	return ""
@@ -67,12 +67,12 @@
 
 // Decision is a verdict on a job under one version of the plan.
 type Decision struct {
-	Verdict    Verdict
-	Reason     Reason
-	Plan       uint64 // version of the plan; 0: the fallback plan, or none
-	Cell       Cell
-	Cost       Work
-	RetryAfter units.Micros // 0 if the job is admitted
+	Verdict     Verdict
+	Reason      Reason
+	PlanVersion uint64 // version of the plan; 0: the fallback plan, or none
+	Cell        Cell
+	Cost        Work
+	RetryAfter  units.Micros // 0 if the job is admitted
 
 	quota   quotaKey // that the admission is charged to, if charged
 	charged bool
@@ -99,7 +99,7 @@
 // look at what is left of the version quotas; PlanStore.Decide does.
 func (p *Plan) Decide(job *protocol.JobSpec) Decision {
 	cell, cost := p.Classify(job)
-	d := Decision{Verdict: Admit, Plan: p.Version, Cell: cell, Cost: cost}
+	d := Decision{Verdict: Admit, PlanVersion: p.Version, Cell: cell, Cost: cost}
 	restriction, restrictedCell, found := p.Restriction(cell)
 	switch {
 	case !found:
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -18,7 +18,7 @@
 // the queue as a table for people.
 func (p *Plan) Describe(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintf(table, "plan %d of term %d\n", p.Version, p.Term)
+	fmt.Fprintf(table, "plan %d of term %d\n", p.Version, p.FencingToken)
 	fmt.Fprintf(table, "horizon\t%.0f s\n", p.Horizon.Seconds())
 	for pool, amount := range p.Capacity {
 		if amount > 0 {
@@ -42,7 +42,7 @@
 
 // describeCells writes the restrictions.
 func (p *Plan) describeCells(w io.Writer) {
-	if p.Gates() == 0 {
+	if p.NumRestrictedCells() == 0 {
 		fmt.Fprintf(w, "\nnothing is restricted\n")
 		return
 	}
@@ -65,7 +65,7 @@
 
 // describeQueueHeads writes the IDs of the jobs at the head of the queue.
 func (p *Plan) describeQueueHeads(w io.Writer) {
-	if p.Turns() == 0 {
+	if p.NumQueueHeads() == 0 {
 		return
 	}
 	fmt.Fprintf(w, "\nlarge jobs whose turn it is\n")
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -7,11 +7,11 @@
 	"dunestand/internal/units"
 )
 
-// Corrections learns for each team by which factor its run time estimates are off, from the
+// EstimateCorrections learns for each team by which factor its run time estimates are off, from the
 // run times of its tasks; a team that overstates or understates all of them gains nothing by
 // it. The factor is a geometric mean: twice as long and half as long cancel out. Corrections
 // is not safe for concurrent use.
-type Corrections struct{ teams map[string]*runRatio }
+type EstimateCorrections struct{ teams map[string]*runRatio }
 
 // runRatio is the ratio of run times to estimates of one team.
 type runRatio struct {
@@ -25,11 +25,13 @@
 // maxLogRatio bounds the binary logarithm of the ratio of one run.
 const maxLogRatio = 4
 
-// NewCorrections returns corrections without any run, by which all estimates are exact.
-func NewCorrections() *Corrections { return &Corrections{teams: map[string]*runRatio{}} }
+// NewEstimateCorrections returns corrections without any run, by which all estimates are exact.
+func NewEstimateCorrections() *EstimateCorrections {
+	return &EstimateCorrections{teams: map[string]*runRatio{}}
+}
 
-// Observe records the run time of a task with an estimate. It ignores runs without one.
-func (c *Corrections) Observe(team string, estimate, run units.Micros) {
+// RecordRun records the run time of a task with an estimate. It ignores runs without one.
+func (c *EstimateCorrections) RecordRun(team string, estimate, run units.Micros) {
 	if estimate <= 0 || run <= 0 {
 		return
 	}
@@ -49,7 +51,7 @@
 const priorRuns = 5
 
 // Snapshot returns the factors of all teams with a recorded run.
-func (c *Corrections) Snapshot() map[string]PerMille {
+func (c *EstimateCorrections) Snapshot() map[string]PerMille {
 	out := make(map[string]PerMille, len(c.teams))
 	for team, ratio := range c.teams {
 		out[team] = PerMille(math.Round(float64(exactEstimates) * math.Exp2(ratio.mean)))
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -13,14 +13,14 @@
 func Example() {
 	options := admission.Options{Horizon: 100 * units.Second}
 	teams := []admission.Team{
-		{Name: "planning", Guarantee: admission.Amounts{admission.CPU: units.AmountOf(10)}, Limit: admission.Amounts{admission.CPU: units.AmountOf(40)}},
-		{Name: "dyehouse", Guarantee: admission.Amounts{admission.CPU: units.AmountOf(30)}, Limit: admission.Amounts{admission.CPU: units.AmountOf(40)}},
+		{Name: "planning", GuaranteedQuota: admission.Amounts{admission.CPU: units.AmountOf(10)}, QuotaLimit: admission.Amounts{admission.CPU: units.AmountOf(40)}},
+		{Name: "dyehouse", GuaranteedQuota: admission.Amounts{admission.CPU: units.AmountOf(30)}, QuotaLimit: admission.Amounts{admission.CPU: units.AmountOf(40)}},
 	}
 	planner := admission.NewPlanner(options, teams, nil, 0)
 	bulk := admission.Cell{Team: "planning", Class: "bulk"}
 	plan := planner.Next(1, 1, admission.Measurement{
 		// The team has taken what the whole fleet can do, and the other one comes back.
-		Loads: []admission.Load{
+		Backlog: []admission.CellBacklog{
 			{Cell: bulk, Work: admission.WorkOf(400, units.AmountOf(1), 10*units.Second)},
 			{Cell: admission.Cell{Team: "dyehouse", Class: "lot"}, Work: admission.WorkOf(10, units.AmountOf(1), 10*units.Second)},
 		},
--- a/internal/admission/fallback.go
+++ b/internal/admission/fallback.go
@@ -11,7 +11,7 @@
 	for _, team := range teams {
 		for pool := range Pool(numPools) {
 			plan.setTeam(teamKey{Team: team.Name, Pool: pool}, TeamEntry{
-				VersionQuota:       WorkOf(1, team.Guarantee[pool], Lifetime),
+				VersionQuota:       WorkOf(1, team.GuaranteedQuota[pool], PlanLifetime),
 				LargeThreshold:     MaxWork,
 				EstimateCorrection: exactEstimates,
 			})
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -14,21 +14,21 @@
 	ClassShares map[string]float64
 }
 
-// On reports whether jobs are admitted by a plan.
-func (o Options) On() bool { return o.Horizon > 0 }
+// Enabled reports whether jobs are admitted by a plan.
+func (o Options) Enabled() bool { return o.Horizon > 0 }
 
 // Team is a team with what the settings grant it.
 type Team struct {
-	Name      string
-	Guarantee Amounts // served first, whatever other teams request
-	Limit     Amounts // bounds the share, also of capacity that nobody else requests
+	Name            string
+	GuaranteedQuota Amounts // served first, whatever other teams request
+	QuotaLimit      Amounts // bounds the share, also of capacity that nobody else requests
 }
 
 // totalGuarantee returns the sum of the guaranteed quotas of all teams.
 func totalGuarantee(teams []Team) Amounts {
 	var total Amounts
 	for _, team := range teams {
-		for pool, amount := range team.Guarantee {
+		for pool, amount := range team.GuaranteedQuota {
 			total[pool] += amount
 		}
 	}
@@ -45,7 +45,7 @@
 	if weight, given := o.TeamShares[team.Name]; given {
 		return weight
 	}
-	return max(team.Guarantee[pool].Float(), minTeamWeight)
+	return max(team.GuaranteedQuota[pool].Float(), minTeamWeight)
 }
 
 // defaultClassWeight is the weight of a class without a configured one.
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -26,10 +26,10 @@
 // plan has a higher version and shares with it what has not changed. The zero value is not
 // usable: plans come from a Planner, from Decode or from FallbackPlan.
 type Plan struct {
-	Version  uint64       // increases with every plan of the fleet
-	Term     uint64       // fencing token of the leader that made it
-	Horizon  units.Micros // see Options
-	Capacity Amounts      // that is divided among the teams
+	Version      uint64       // increases with every plan of the fleet
+	FencingToken uint64       // fencing token of the leader that made it
+	Horizon      units.Micros // see Options
+	Capacity     Amounts      // that is divided among the teams
 
 	teams        *iradix.Tree[TeamEntry]
 	restrictions *iradix.Tree[CellRestriction]
@@ -40,7 +40,7 @@
 func newPlan(version, fencingToken uint64, horizon units.Micros, capacity Amounts) *Plan {
 	return &Plan{
 		Version:      version,
-		Term:         fencingToken,
+		FencingToken: fencingToken,
 		Horizon:      horizon,
 		Capacity:     capacity,
 		teams:        iradix.New[TeamEntry](),
@@ -84,11 +84,11 @@
 	return found
 }
 
-// Gates returns the number of cells that the plan restricts.
-func (p *Plan) Gates() int { return p.restrictions.Len() }
+// NumRestrictedCells returns the number of cells that the plan restricts.
+func (p *Plan) NumRestrictedCells() int { return p.restrictions.Len() }
 
-// Turns returns the number of large jobs at the head of the queue.
-func (p *Plan) Turns() int { return p.queueHeads.Len() }
+// NumQueueHeads returns the number of large jobs at the head of the queue.
+func (p *Plan) NumQueueHeads() int { return p.queueHeads.Len() }
 
 // Classify returns the cell of a job and its expected work.
 func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
@@ -101,9 +101,9 @@
 	return cell, cost
 }
 
-// Remaining returns the cell of a job and the expected work of its unfinished tasks. meanRun
+// ClassifyRemaining returns the cell of a job and the expected work of its unfinished tasks. meanRun
 // is the mean run time of the finished ones, 0 if there are none.
-func (p *Plan) Remaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Cell, Work) {
+func (p *Plan) ClassifyRemaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Cell, Work) {
 	cell, _ := p.Classify(job)
 	run := meanRun
 	if run <= 0 {
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -2,21 +2,21 @@
 
 import "dunestand/internal/units"
 
-// Load is the unfinished work of a cell that was admitted already.
-type Load struct {
+// CellBacklog is the unfinished work of a cell that was admitted already.
+type CellBacklog struct {
 	Cell Cell
 	Work Work
 }
 
 // Measurement is the input of a plan.
 type Measurement struct {
-	Now     units.Micros
-	Fleet   Amounts // capacity of the machines
-	Loads   []Load
-	Waiting WaitingDemand
-	// Corrections are the factors by team, from EstimateCorrections.Snapshot. The estimates of
+	Now           units.Micros
+	FleetCapacity Amounts // capacity of the machines
+	Backlog       []CellBacklog
+	Waiting       WaitingDemand
+	// EstimateCorrections are the factors by team, from EstimateCorrections.Snapshot. The estimates of
 	// a team that is not in the map are taken as they are.
-	Corrections map[string]PerMille
+	EstimateCorrections map[string]PerMille
 }
 
 // Planner makes the plans of one leader: it divides capacity among teams, classes and bands,
@@ -37,9 +37,9 @@
 
 // Proposal is a plan that is not written yet.
 type Proposal struct {
-	Plan      *Plan
-	Standings []Standing // of all teams and pools of the plan
-	next      plannerState
+	Plan   *Plan
+	Usages []Usage // of all teams and pools of the plan
+	next   plannerState
 }
 
 // NewPlanner returns a planner. If there is a former plan, in force at time now, its windows
@@ -62,7 +62,7 @@
 // following one continues from the same plan as this one, except that the head of the queue is
 // kept.
 func (p *Planner) Next(version, fencingToken uint64, measurement Measurement) Proposal {
-	plan := newPlan(version, fencingToken, p.options.Horizon, p.capacity(measurement.Fleet))
+	plan := newPlan(version, fencingToken, p.options.Horizon, p.capacity(measurement.FleetCapacity))
 	if former := p.current.plan; former != nil {
 		plan.teams, plan.restrictions = former.teams, former.restrictions
 	}
@@ -78,7 +78,7 @@
 	}
 	builder.selectQueueHeads()
 	plan.setRestrictions(builder.restrictions)
-	return Proposal{Plan: plan, Standings: builder.usages, next: builder.next}
+	return Proposal{Plan: plan, Usages: builder.usages, next: builder.next}
 }
 
 // Accept records that a proposal was written: the next plan continues from it.
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -118,7 +118,7 @@
 		id := rapid.IntRange(0, 999_999).Draw(t, "id")
 		share := rapid.IntRange(5, 60).Draw(t, "share in percent")
 		job := testJob(id, "mill", "bulk", 1, 10)
-		cell, _ := sim.plans.Reckoning().Classify(job)
+		cell, _ := sim.plans.LatestPlan().Classify(job)
 		full := WorkOf(1, sim.capacity[CPU], testHorizon)
 		began, next := sim.now, sim.now
 		for ; ; sim.now += planInterval {
@@ -154,10 +154,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye"))
 			for range 200 {
-				sim.corrections.Observe("mill", units.Seconds(test.estimate), 10*units.Second)
+				sim.corrections.RecordRun("mill", units.Seconds(test.estimate), 10*units.Second)
 			}
 			sim.publishPlan()
-			_, cost := sim.plans.Reckoning().Classify(testJob(1, "mill", "bulk", 10, test.estimate))
+			_, cost := sim.plans.LatestPlan().Classify(testJob(1, "mill", "bulk", 10, test.estimate))
 			if want := Work(100_000); cost < want*95/100 || cost > want*105/100 {
 				t.Errorf("estimate %v: the work is %d, want %d", test.estimate, cost, want)
 			}
@@ -213,7 +213,7 @@
 // Users that are told to retry do not all retry in the same second.
 func TestRetriesAreSpread(t *testing.T) {
 	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill"))
-	cell, _ := sim.plans.Reckoning().Classify(testJob(0, "mill", "bulk", 10, 10))
+	cell, _ := sim.plans.LatestPlan().Classify(testJob(0, "mill", "bulk", 10, 10))
 	sim.backlog[cell] = MaxWork / 4
 	sim.waiting.Add("j-1", Decision{Cell: cell, Cost: 1000}, sim.now)
 	sim.publishPlan()
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -11,32 +11,32 @@
 	"dunestand/internal/units"
 )
 
-// Lifetime is how long a plan may be followed after it was written. The leader renews it three
+// PlanLifetime is how long a plan may be followed after it was written. The leader renews it three
 // times in that time.
-const Lifetime = 10 * units.Second
+const PlanLifetime = 10 * units.Second
 
 // ErrStalePlan reports a plan with an older fencing token or version than the plan of an older
 // revision of its record. The leaders' compare-and-swap excludes that, so the record was
 // damaged.
 var ErrStalePlan = errors.New("admission plan is older than the plan of a former revision of its record")
 
-// Keeper holds the plan in force on one controller and accounts for its version quotas. It is
+// PlanStore holds the plan in force on one controller and accounts for its version quotas. It is
 // safe for concurrent use.
-type Keeper struct {
+type PlanStore struct {
 	fallback *Plan
 	nodes    int // number of controllers, each of which may be isolated
 
 	mu              sync.Mutex // guards the fields below
 	known           bool       // whether the record was read, or found to be missing
 	revision        uint64     // the newest one that was read
-	observed        Held
+	observed        ObservedPlan
 	used            map[quotaKey]Work // admitted under the plan in force, by version quota
 	fallbackRenewed units.Micros      // when its quotas were last renewed
 	counts          map[string]Counts // by team
 }
 
-// Held is the plan's record as a controller has read it, and when it was written.
-type Held struct {
+// ObservedPlan is the plan's record as a controller has read it, and when it was written.
+type ObservedPlan struct {
 	Plan     *Plan  // nil: there is none, or it cannot be decoded
 	Revision uint64 // of the record; 0: there is none
 	// The record was written between these times of the controller's steady clock. The plan
@@ -47,10 +47,10 @@
 // Counts is the number of decisions by verdict.
 type Counts struct{ Admitted, Waits, Undecided uint64 }
 
-// NewKeeper returns a plan store for one of a number of controllers (nodes). Until the plan's
+// NewPlanStore returns a plan store for one of a number of controllers (nodes). Until the plan's
 // record was read no plan is in force.
-func NewKeeper(options Options, teams []Team, nodes int) *Keeper {
-	return &Keeper{
+func NewPlanStore(options Options, teams []Team, nodes int) *PlanStore {
+	return &PlanStore{
 		fallback: FallbackPlan(options, teams),
 		nodes:    max(nodes, 1),
 		used:     map[quotaKey]Work{},
@@ -58,10 +58,10 @@
 	}
 }
 
-// Adopt records what the plan's record holds at a revision. A revision that is not newer than
+// Update records what the plan's record holds at a revision. A revision that is not newer than
 // the last one is ignored. The error is an ErrStalePlan, which leaves the plan in force as it
 // is.
-func (s *Keeper) Adopt(observed Held) error {
+func (s *PlanStore) Update(observed ObservedPlan) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if observed.Revision <= s.revision {
@@ -70,7 +70,7 @@
 	former := s.observed.Plan
 	if former != nil && observed.Plan != nil && !observed.Plan.follows(former) {
 		return fmt.Errorf("%w: version %d with fencing token %d follows version %d with token %d", ErrStalePlan,
-			observed.Plan.Version, observed.Plan.Term, former.Version, former.Term)
+			observed.Plan.Version, observed.Plan.FencingToken, former.Version, former.FencingToken)
 	}
 	s.revision, s.observed, s.known = observed.Revision, observed, true
 	s.used = map[quotaKey]Work{}
@@ -79,65 +79,65 @@
 
 // follows reports whether a plan may replace a former one.
 func (p *Plan) follows(former *Plan) bool {
-	return p.Term >= former.Term && p.Version > former.Version
+	return p.FencingToken >= former.FencingToken && p.Version > former.Version
 }
 
-// Missing records that there is no plan at a revision of the key-value store.
-func (s *Keeper) Missing(revision uint64) {
+// Clear records that there is no plan at a revision of the key-value store.
+func (s *PlanStore) Clear(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision >= s.revision {
-		s.revision, s.observed, s.known = revision, Held{}, true
+		s.revision, s.observed, s.known = revision, ObservedPlan{}, true
 		s.used = map[quotaKey]Work{}
 	}
 }
 
-// Force is where the plan in force comes from.
-type Force uint8
+// PlanSource is where the plan in force comes from.
+type PlanSource uint8
 
 // The sources of the plan in force.
 const (
-	// Unclear means that no plan is in force: the record was not read yet, or the plan may
+	// SourceUncertain means that no plan is in force: the record was not read yet, or the plan may
 	// have expired.
-	Unclear Force = iota
-	// ByPlan means that the plan of the record is in force.
-	ByPlan
-	// ByFloor means that the fallback plan is in force: there is no other, or it has expired.
-	ByFloor
+	SourceUncertain PlanSource = iota
+	// SourceRecord means that the plan of the record is in force.
+	SourceRecord
+	// SourceFallback means that the fallback plan is in force: there is no other, or it has expired.
+	SourceFallback
 )
 
 // State is what a plan store goes by at a time.
 type State struct {
-	Force    Force
+	Source   PlanSource
 	Plan     *Plan        // the one in force; nil: none
 	Revision uint64       // of the plan's record; 0: there is none
 	Age      units.Micros // upper bound of the age of the record
 }
 
-// Now returns the state at a time of the steady clock.
-func (s *Keeper) Now(now units.Micros) State {
+// State returns the state at a time of the steady clock.
+func (s *PlanStore) State(now units.Micros) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stateAt(now)
 }
 
 // stateAt is State under the lock.
-func (s *Keeper) stateAt(now units.Micros) State {
+func (s *PlanStore) stateAt(now units.Micros) State {
 	observed := s.observed
 	state := State{Revision: observed.Revision, Age: now - observed.WrittenAfter}
 	switch {
 	case !s.known:
-	case observed.Plan != nil && state.Age < Lifetime:
-		state.Force, state.Plan = ByPlan, observed.Plan
-	case observed.Plan == nil, now-observed.WrittenBefore >= Lifetime:
-		state.Force, state.Plan = ByFloor, s.fallback
+	case observed.Plan != nil && state.Age < PlanLifetime:
+		state.Source, state.Plan = SourceRecord, observed.Plan
+	case observed.Plan == nil, now-observed.WrittenBefore >= PlanLifetime:
+		state.Source, state.Plan = SourceFallback, s.fallback
 	}
 	return state
 }
 
-// Reckoning returns the plan by which work is estimated: the last one that was read, in force
+// LatestPlan returns the plan by which work is estimated: the last one that was read, in force
 // or not, or else the fallback plan.
-func (s *Keeper) Reckoning() *Plan {
+func (s *PlanStore) LatestPlan() *Plan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.observed.Plan != nil {
@@ -146,33 +146,33 @@
 	return s.fallback
 }
 
-// Side is the role in which a controller decides.
-type Side uint8
+// Role is the role in which a controller decides.
+type Role uint8
 
 // The roles. A controller that does not reach the leader may use only its part of a version
 // quota, for all others may do the same.
 const (
-	Alone Side = iota
-	Leading
+	Isolated Role = iota
+	Leader
 )
 
 // Decide decides about a job that is not known yet, and charges it to a version quota if it
 // admits it. An acceptance must be conditional on the returned revision of the plan's record.
-func (s *Keeper) Decide(job *protocol.JobSpec, role Side, now units.Micros) (d Decision, revision uint64) {
+func (s *PlanStore) Decide(job *protocol.JobSpec, role Role, now units.Micros) (d Decision, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.stateAt(now)
-	switch state.Force {
-	case Unclear:
+	switch state.Source {
+	case SourceUncertain:
 		s.countDecision(job.Team, Undecided)
-		return Decision{Verdict: Undecided, Reason: PlanUnclear, RetryAfter: undecidedRetry}, state.Revision
-	case ByFloor:
+		return Decision{Verdict: Undecided, Reason: PlanUncertain, RetryAfter: undecidedRetry}, state.Revision
+	case SourceFallback:
 		s.renewFallbackQuotas(now)
 	}
 	d = state.Plan.Decide(job)
 	if d.Verdict == Admit && d.charged {
 		sharedBy := uint64(1)
-		if role == Alone || state.Force == ByFloor {
+		if role == Isolated || state.Source == SourceFallback {
 			sharedBy = uint64(s.nodes)
 		}
 		if !s.charge(d.quota, state.Plan.versionQuota(d.quota).scaled(1, sharedBy), d.Cost) {
@@ -186,7 +186,7 @@
 // charge charges an admission to a quota and reports whether any of it was left. The last
 // admission may exceed it, so a job that is larger than the quota is admitted too; a quota of
 // 0 admits one job.
-func (s *Keeper) charge(key quotaKey, quota, cost Work) bool {
+func (s *PlanStore) charge(key quotaKey, quota, cost Work) bool {
 	if s.used[key] >= max(quota, 1) {
 		return false
 	}
@@ -196,8 +196,8 @@
 
 // renewFallbackQuotas renews the version quotas of the fallback plan once per PlanLifetime, so
 // that without a plan the jobs of each team are admitted at the rate of its guaranteed quota.
-func (s *Keeper) renewFallbackQuotas(now units.Micros) {
-	if s.fallbackRenewed == 0 || now-s.fallbackRenewed >= Lifetime {
+func (s *PlanStore) renewFallbackQuotas(now units.Micros) {
+	if s.fallbackRenewed == 0 || now-s.fallbackRenewed >= PlanLifetime {
 		s.fallbackRenewed = now
 		s.used = map[quotaKey]Work{}
 	}
@@ -214,7 +214,7 @@
 }
 
 // countDecision counts a decision about a team's job.
-func (s *Keeper) countDecision(team string, verdict Verdict) {
+func (s *PlanStore) countDecision(team string, verdict Verdict) {
 	counts := s.counts[team]
 	switch verdict {
 	case Admit:
@@ -234,7 +234,7 @@
 }
 
 // CountsByTeam returns the decisions so far, in the order of the teams' names.
-func (s *Keeper) CountsByTeam() []TeamCounts {
+func (s *PlanStore) CountsByTeam() []TeamCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]TeamCounts, 0, len(s.counts))
--- a/internal/admission/planstore_test.go
+++ b/internal/admission/planstore_test.go
@@ -10,18 +10,18 @@
 )
 
 // observedPlan returns a plan of one team, as it was read at a revision.
-func observedPlan(version, fencingToken, revision uint64, at units.Micros) Held {
+func observedPlan(version, fencingToken, revision uint64, at units.Micros) ObservedPlan {
 	plan := newPlan(version, fencingToken, testHorizon, cpus(100))
 	plan.setTeam(teamKey{Team: "mill"}, TeamEntry{VersionQuota: 1000, LargeThreshold: MaxWork, EstimateCorrection: exactEstimates})
-	return Held{Plan: plan, Revision: revision, WrittenAfter: at, WrittenBefore: at}
+	return ObservedPlan{Plan: plan, Revision: revision, WrittenAfter: at, WrittenBefore: at}
 }
 
 // A plan with an older fencing token or version never replaces a newer one: an older revision
 // of the record has no effect, and in a newer one it is an error.
 func TestStalePlanIsRejected(t *testing.T) {
-	plans := NewKeeper(Options{Horizon: testHorizon}, testTeams("mill"), 5)
+	plans := NewPlanStore(Options{Horizon: testHorizon}, testTeams("mill"), 5)
 	for _, step := range []struct {
-		observed Held
+		observed ObservedPlan
 		err      error
 		want     uint64
 	}{
@@ -31,20 +31,20 @@
 		{observedPlan(3, 2, 12, 0), ErrStalePlan, 3},
 		{observedPlan(4, 3, 13, 0), nil, 4},
 	} {
-		err := plans.Adopt(step.observed)
+		err := plans.Update(step.observed)
 		if !errors.Is(err, step.err) {
 			t.Errorf("%v, want %v", err, step.err)
 		}
-		if got := plans.Now(0).Plan.Version; got != step.want {
+		if got := plans.State(0).Plan.Version; got != step.want {
 			t.Errorf("version %d is in force, want %d", got, step.want)
 		}
 	}
-	plans.Missing(5)
-	if s := plans.Now(0); s.Force != ByPlan {
+	plans.Clear(5)
+	if s := plans.State(0); s.Source != SourceRecord {
 		t.Errorf("a late read without a record: %v", s)
 	}
-	plans.Missing(20)
-	if s := plans.Now(0); s.Force != ByFloor || s.Revision != 0 {
+	plans.Clear(20)
+	if s := plans.State(0); s.Source != SourceFallback || s.Revision != 0 {
 		t.Errorf("the record is gone: %v", s)
 	}
 }
@@ -52,28 +52,28 @@
 // A plan is in force while it cannot have expired, and the fallback plan once it must have; in
 // between nothing is decided.
 func TestExpiredPlanGivesWayToFallbackPlan(t *testing.T) {
-	plans := NewKeeper(Options{Horizon: testHorizon}, testTeams("mill"), 5)
+	plans := NewPlanStore(Options{Horizon: testHorizon}, testTeams("mill"), 5)
 	job := testJob(1, "mill", "bulk", 1, 1)
-	if d, _ := plans.Decide(job, Alone, 0); d.Verdict != Undecided {
+	if d, _ := plans.Decide(job, Isolated, 0); d.Verdict != Undecided {
 		t.Errorf("before the record is read: %v", d)
 	}
 	observed := observedPlan(1, 1, 7, 100*units.Second)
 	observed.WrittenBefore += 3 * units.Second
-	if err := plans.Adopt(observed); err != nil {
+	if err := plans.Update(observed); err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
 		after units.Micros
-		want  Force
+		want  PlanSource
 	}{
-		{0, ByPlan},
-		{Lifetime - 1, ByPlan},
-		{Lifetime, Unclear},
-		{Lifetime + 3*units.Second - 1, Unclear},
-		{Lifetime + 3*units.Second, ByFloor},
+		{0, SourceRecord},
+		{PlanLifetime - 1, SourceRecord},
+		{PlanLifetime, SourceUncertain},
+		{PlanLifetime + 3*units.Second - 1, SourceUncertain},
+		{PlanLifetime + 3*units.Second, SourceFallback},
 	} {
-		if s := plans.Now(100*units.Second + test.after); s.Force != test.want || s.Revision != 7 {
-			t.Errorf("after %.1f s: %v, want %v", test.after.Seconds(), s.Force, test.want)
+		if s := plans.State(100*units.Second + test.after); s.Source != test.want || s.Revision != 7 {
+			t.Errorf("after %.1f s: %v, want %v", test.after.Seconds(), s.Source, test.want)
 		}
 	}
 }
@@ -87,15 +87,15 @@
 		largest := Work(0)
 		admitted := Work(0)
 		for node := range nodes {
-			plans := NewKeeper(Options{Horizon: testHorizon}, testTeams("mill"), nodes)
+			plans := NewPlanStore(Options{Horizon: testHorizon}, testTeams("mill"), nodes)
 			if fallback {
-				plans.Missing(1)
-			} else if err := plans.Adopt(observedPlan(1, 1, 1, 0)); err != nil {
+				plans.Clear(1)
+			} else if err := plans.Update(observedPlan(1, 1, 1, 0)); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 100 {
 				job := testJob(1000*node+i, "mill", "bulk", rapid.IntRange(1, 40).Draw(t, "tasks"), 10)
-				if d, _ := plans.Decide(job, Alone, units.Second); d.Verdict == Admit {
+				if d, _ := plans.Decide(job, Isolated, units.Second); d.Verdict == Admit {
 					admitted += d.Cost
 					largest = max(largest, d.Cost)
 				}
@@ -103,7 +103,7 @@
 		}
 		quota := Work(1000)
 		if fallback {
-			quota = WorkOf(1, cpus(testCPUs)[CPU], Lifetime)
+			quota = WorkOf(1, cpus(testCPUs)[CPU], PlanLifetime)
 		}
 		if admitted > quota+nodes*largest {
 			t.Fatalf("%d are admitted, the quota is %d and the largest job %d", admitted, quota, largest)
@@ -116,13 +116,13 @@
 
 // Without a plan the jobs of each team are admitted at the rate of its guaranteed quota.
 func TestFallbackPlanAdmitsAtTheGuaranteedRate(t *testing.T) {
-	plans := NewKeeper(Options{Horizon: testHorizon}, testTeams("mill"), 1)
-	plans.Missing(1)
+	plans := NewPlanStore(Options{Horizon: testHorizon}, testTeams("mill"), 1)
+	plans.Clear(1)
 	const lasts = 100
 	var admitted Work
 	for i := range lasts * 10 {
 		at := units.Second + units.Micros(i)*units.Second/10
-		if d, _ := plans.Decide(testJob(i, "mill", "bulk", 10, 10), Alone, at); d.Verdict == Admit {
+		if d, _ := plans.Decide(testJob(i, "mill", "bulk", 10, 10), Isolated, at); d.Verdict == Admit {
 			admitted += d.Cost
 		}
 	}
--- a/internal/admission/plantrees.go
+++ b/internal/admission/plantrees.go
@@ -10,10 +10,10 @@
 // trees are persistent (immutable with shared structure): a plan that starts from the trees
 // of the one before shares what does not change, and readers need no lock.
 
-// Like reports whether two plans restrict the same cells to the same windows and have the same
+// SameRestrictions reports whether two plans restrict the same cells to the same windows and have the same
 // jobs at the head of the queue. Their version quotas may differ: these change with every task
 // that ends.
-func (p *Plan) Like(other *Plan) bool {
+func (p *Plan) SameRestrictions(other *Plan) bool {
 	if other == nil || p.restrictions.Len() != other.restrictions.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
 		return false
 	}
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -9,11 +9,11 @@
 	"dunestand/internal/units"
 )
 
-// Prefix is the prefix of this package's keys in the key-value store.
-const Prefix = "admission/"
+// KeyPrefix is the prefix of this package's keys in the key-value store.
+const KeyPrefix = "admission/"
 
 // KeyPlan is the key of the plan's record.
-const KeyPlan = Prefix + "plan"
+const KeyPlan = KeyPrefix + "plan"
 
 // recordFormat is the format of the plan's record that this version reads and writes.
 const recordFormat = 1
@@ -102,7 +102,7 @@
 	r := &record{
 		Format:       recordFormat,
 		Version:      p.Version,
-		FencingToken: p.Term,
+		FencingToken: p.FencingToken,
 		Horizon:      p.Horizon,
 		Capacity:     p.Capacity,
 		Teams:        []teamRecord{},
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -45,8 +45,8 @@
 // one that cannot fit is an error.
 func TestPlanIsCoarsenedUntilItFits(t *testing.T) {
 	plan := crowdedPlan(t, 12, 4)
-	if plan.Gates() < 48 {
-		t.Fatalf("only %d cells are restricted", plan.Gates())
+	if plan.NumRestrictedCells() < 48 {
+		t.Fatalf("only %d cells are restricted", plan.NumRestrictedCells())
 	}
 	for _, maxBytes := range []int{8 << 10, 2 << 10, 1 << 10} {
 		raw, kept, err := Encode(plan, maxBytes)
@@ -54,7 +54,7 @@
 			t.Fatalf("%d bytes: %v", maxBytes, err)
 		}
 		read, err := Decode(raw)
-		if err != nil || !read.Like(kept) || read.Version != plan.Version || read.Term != plan.Term {
+		if err != nil || !read.SameRestrictions(kept) || read.Version != plan.Version || read.FencingToken != plan.FencingToken {
 			t.Errorf("%d bytes: %v, %+v", maxBytes, err, read)
 		}
 		restricted := testJob(77, "kitchen-03", "class-2", 10, 100)
@@ -128,7 +128,7 @@
 		if err != nil {
 			return
 		}
-		if again, err := Decode(protocol.Encode(plan.record())); err != nil || !again.Like(plan) {
+		if again, err := Decode(protocol.Encode(plan.record())); err != nil || !again.SameRestrictions(plan) {
 			t.Errorf("a plan that was read is not readable: %v", err)
 		}
 	})
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -19,7 +19,7 @@
 func testTeams(names ...string) []Team {
 	teams := make([]Team, len(names))
 	for i, name := range names {
-		teams[i] = Team{Name: name, Guarantee: cpus(testCPUs), Limit: cpus(float64(testCPUs * len(names)))}
+		teams[i] = Team{Name: name, GuaranteedQuota: cpus(testCPUs), QuotaLimit: cpus(float64(testCPUs * len(names)))}
 	}
 	return teams
 }
@@ -47,10 +47,10 @@
 type simulation struct {
 	t           fataler
 	teams       []Team
-	plans       *Keeper
+	plans       *PlanStore
 	planner     *Planner
 	waiting     *WaitingList
-	corrections *Corrections
+	corrections *EstimateCorrections
 	now         units.Micros
 	version     uint64
 	revision    uint64
@@ -66,17 +66,17 @@
 	s := &simulation{
 		t:           t,
 		teams:       teams,
-		plans:       NewKeeper(options, teams, 1),
+		plans:       NewPlanStore(options, teams, 1),
 		planner:     NewPlanner(options, teams, nil, 0),
 		waiting:     NewWaitingList(),
-		corrections: NewCorrections(),
+		corrections: NewEstimateCorrections(),
 		now:         units.Second,
 		backlog:     map[Cell]Work{},
 		admitted:    map[Cell]Work{},
 		jobs:        map[string]int{},
 	}
 	for _, team := range teams {
-		s.capacity[CPU] += team.Guarantee[CPU]
+		s.capacity[CPU] += team.GuaranteedQuota[CPU]
 	}
 	s.publishPlan()
 	return s
@@ -85,9 +85,9 @@
 // measure returns the input of the next plan.
 func (s *simulation) measure() Measurement {
 	s.waiting.Expire(s.now)
-	m := Measurement{Now: s.now, Fleet: s.capacity, Waiting: s.waiting.Demand(), Corrections: s.corrections.Snapshot()}
+	m := Measurement{Now: s.now, FleetCapacity: s.capacity, Waiting: s.waiting.Demand(), EstimateCorrections: s.corrections.Snapshot()}
 	for cell, work := range s.backlog {
-		m.Loads = append(m.Loads, Load{Cell: cell, Work: work})
+		m.Backlog = append(m.Backlog, CellBacklog{Cell: cell, Work: work})
 	}
 	return m
 }
@@ -99,8 +99,8 @@
 	s.revision++
 	proposal := s.planner.Next(s.version, 1, s.measure())
 	s.planner.Accept(proposal)
-	observed := Held{Plan: proposal.Plan, Revision: s.revision, WrittenAfter: s.now, WrittenBefore: s.now}
-	if err := s.plans.Adopt(observed); err != nil {
+	observed := ObservedPlan{Plan: proposal.Plan, Revision: s.revision, WrittenAfter: s.now, WrittenBefore: s.now}
+	if err := s.plans.Update(observed); err != nil {
 		s.t.Fatal(err)
 	}
 	return proposal.Plan
@@ -108,7 +108,7 @@
 
 // submit asks once for the admission of a job.
 func (s *simulation) submit(job *protocol.JobSpec) Decision {
-	d, _ := s.plans.Decide(job, Leading, s.now)
+	d, _ := s.plans.Decide(job, Leader, s.now)
 	if d.Verdict != Admit {
 		s.waiting.Add(job.ID, d, s.now)
 		return d
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -1,8 +1,8 @@
 package admission
 
-// Standing is the usage of one team in a pool at the time of a plan, beside its share. All
+// Usage is the usage of one team in a pool at the time of a plan, beside its share. All
 // amounts of work are within the plan's horizon.
-type Standing struct {
+type Usage struct {
 	Team       string
 	Pool       Pool
 	Guaranteed Work // by its guaranteed quota
@@ -14,11 +14,11 @@
 
 // Excess returns the backlog beyond the share: work that was admitted before other teams came
 // back, or by the last job of a version quota.
-func (s Standing) Excess() Work { return max(s.Backlog-s.Share, 0) }
+func (s Usage) Excess() Work { return max(s.Backlog-s.Share, 0) }
 
 // usage returns the usage of the team with this share.
-func (s teamShare) usage(team string, pool Pool) Standing {
-	return Standing{
+func (s teamShare) usage(team string, pool Pool) Usage {
+	return Usage{
 		Team:       team,
 		Pool:       pool,
 		Guaranteed: s.guaranteed,
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -71,16 +71,16 @@
 	}
 }
 
-// SetUnknown marks a waiting job as one that no record mentions. Afterwards only transactions
+// MarkUnrecorded marks a waiting job as one that no record mentions. Afterwards only transactions
 // of this leader can create such a record, or a submission in the pending queue.
-func (l *WaitingList) SetUnknown(id string) {
+func (l *WaitingList) MarkUnrecorded(id string) {
 	if l.jobs[id] != nil {
 		l.unrecorded[id] = true
 	}
 }
 
-// IsUnknown reports whether a waiting job was marked by MarkUnrecorded.
-func (l *WaitingList) IsUnknown(id string) bool { return l.unrecorded[id] }
+// Unrecorded reports whether a waiting job was marked by MarkUnrecorded.
+func (l *WaitingList) Unrecorded(id string) bool { return l.unrecorded[id] }
 
 // Remove removes a job, which was admitted or not asked for again. It returns since when it
 // waited, and whether it was on the list.
--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -29,7 +29,7 @@
 type Admitter struct {
 	options admission.Options
 	teams   []admission.Team
-	keeper  *admission.Keeper
+	keeper  *admission.PlanStore
 	store   *kv.Client // on connections of its own: a watch keeps one
 	format  recordformat.Source
 	clock   units.Clock
@@ -46,9 +46,9 @@
 	out := make([]admission.Team, len(teams))
 	for i, t := range teams {
 		out[i] = admission.Team{
-			Name:      t.Name,
-			Guarantee: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
-			Limit:     admission.AmountsOf(cluster.QuotaLimitOf(t)),
+			Name:            t.Name,
+			GuaranteedQuota: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
+			QuotaLimit:      admission.AmountsOf(cluster.QuotaLimitOf(t)),
 		}
 	}
 	return out
@@ -72,14 +72,14 @@
 
 // NewAdmitter makes a controller's admitter; nil where admission is off.
 func NewAdmitter(s *config.Settings, options admission.Options, store *kv.Client, format recordformat.Source, clock units.Clock, log *slog.Logger, metrics *telemetry.Metrics) *Admitter {
-	if !options.On() {
+	if !options.Enabled() {
 		return nil
 	}
 	teams := admissionTeams(s.Fleet.Teams)
 	a := &Admitter{
 		options:      options,
 		teams:        teams,
-		keeper:       admission.NewKeeper(options, teams, 1+len(s.Others)),
+		keeper:       admission.NewPlanStore(options, teams, 1+len(s.Others)),
 		store:        store.WithOwnConnections(),
 		format:       format,
 		clock:        clock,
@@ -102,16 +102,16 @@
 	a.metrics.Gauge("dunestand_admission_active", func() float64 { return truth(a.active()) })
 	a.metrics.Gauge("dunestand_admission_held_back", func() float64 { return truth(!a.active()) })
 	a.metrics.Gauge("dunestand_admission_plan_unreadable", func() float64 { return truth(a.unreadable.Load() != 0) })
-	a.metrics.Gauge("dunestand_admission_at_floor", func() float64 { return truth(now().Force == admission.ByFloor) })
+	a.metrics.Gauge("dunestand_admission_at_floor", func() float64 { return truth(now().Source == admission.SourceFallback) })
 	a.metrics.Gauge("dunestand_admission_plan_version", func() float64 {
-		if s := now(); s.Force == admission.ByPlan {
+		if s := now(); s.Source == admission.SourceRecord {
 			return float64(s.Plan.Version)
 		}
 		return 0
 	})
 	a.metrics.Gauge("dunestand_admission_restricted_cells", func() float64 {
 		if s := now(); s.Plan != nil {
-			return float64(s.Plan.Gates())
+			return float64(s.Plan.NumRestrictedCells())
 		}
 		return 0
 	})
@@ -134,11 +134,11 @@
 }
 
 // State is what admits jobs now: the plan in force, or the built-in minimum.
-func (a *Admitter) State() admission.State { return a.keeper.Now(a.clock.Steady()) }
+func (a *Admitter) State() admission.State { return a.keeper.State(a.clock.Steady()) }
 
 // decide decides about a job that is not known. The revision tells on which version of
 // the plan's record its acceptance must be conditional.
-func (a *Admitter) decide(spec *protocol.JobSpec, side admission.Side) (admission.Decision, uint64) {
+func (a *Admitter) decide(spec *protocol.JobSpec, side admission.Role) (admission.Decision, uint64) {
 	return a.keeper.Decide(spec, side, a.clock.Steady())
 }
 
@@ -149,7 +149,7 @@
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
 	}
-	d, revision := a.decide(spec, admission.Alone)
+	d, revision := a.decide(spec, admission.Isolated)
 	return d, protocol.Condition{Key: admission.KeyPlan, Version: revision}
 }
 
@@ -157,16 +157,16 @@
 // read is neither obeyed nor taken for none.
 func (a *Admitter) adopt(item protocol.Item, after, before units.Micros) {
 	plan, err := admission.Decode(item.Value)
-	held := admission.Held{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
+	held := admission.ObservedPlan{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
 	if err == nil {
-		err = a.keeper.Adopt(held)
+		err = a.keeper.Update(held)
 	}
 	if err != nil {
 		if a.unreadable.Swap(item.Version) != item.Version {
 			a.log.Error("the admission plan is not readable; it is not obeyed and not overwritten", "revision", item.Version, "error", err)
 		}
 		held.Plan = nil
-		_ = a.keeper.Adopt(held) // without a plan nothing can be wrong with it
+		_ = a.keeper.Update(held) // without a plan nothing can be wrong with it
 		return
 	}
 	a.unreadable.Store(0)
@@ -231,7 +231,7 @@
 		f.revision, f.asOf, f.began = revision, sent, true
 		return nil
 	}
-	list, err := a.store.Watch(ctx, admission.Prefix, f.revision, planWatchTimeout)
+	list, err := a.store.Watch(ctx, admission.KeyPrefix, f.revision, planWatchTimeout)
 	if err != nil {
 		f.revision = 0
 		return err
@@ -239,7 +239,7 @@
 	for _, change := range list.Changes {
 		switch {
 		case change.Delete == admission.KeyPlan:
-			a.keeper.Missing(change.Version)
+			a.keeper.Clear(change.Version)
 		case change.Set == admission.KeyPlan:
 			f.take(protocol.Item{Key: change.Set, Value: change.Value, Version: change.Version}, list.Revision)
 		}
@@ -253,12 +253,12 @@
 func (f *planFollower) take(item protocol.Item, revision uint64) {
 	a := f.admitter
 	if item.Version == 0 {
-		a.keeper.Missing(revision)
+		a.keeper.Clear(revision)
 		return
 	}
 	after := f.asOf
 	if !f.began {
-		after = a.clock.Steady() - admission.Lifetime // it may be of any age
+		after = a.clock.Steady() - admission.PlanLifetime // it may be of any age
 	}
 	a.adopt(item, after, a.clock.Steady())
 }
@@ -266,7 +266,7 @@
 // WaitingAnswer tells a user that a job is not accepted now, and when to come back.
 func WaitingAnswer(d admission.Decision) answer.Answer {
 	r := answer.ErrorResponse(http.StatusTooManyRequests, d.Reason.String())
-	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.Plan})
+	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.PlanVersion})
 	r.RetryAfter = int((d.RetryAfter + units.Second - 1) / units.Second)
 	return answer.Plain(r)
 }
--- a/internal/admissioncontrol/leader.go
+++ b/internal/admissioncontrol/leader.go
@@ -39,7 +39,7 @@
 
 	publisher   *planPublisher
 	Waiting     *admission.WaitingList
-	corrections *admission.Corrections
+	corrections *admission.EstimateCorrections
 	// planKnown: the plan's record is known for certain. Until then nobody is told to
 	// wait, and nothing is accepted before it was once.
 	planKnown, planEverKnown bool
@@ -49,7 +49,7 @@
 	la := &LeaderAdmission{
 		LeaderAdmissionDeps: deps,
 		Waiting:             admission.NewWaitingList(),
-		corrections:         admission.NewCorrections(),
+		corrections:         admission.NewEstimateCorrections(),
 	}
 	la.publisher = newPlanPublisher(deps, la)
 	return la
@@ -71,7 +71,7 @@
 // ObserveRun learns from a task that was seen to run from its start to its end. It needs the
 // lock of the state held.
 func (la *LeaderAdmission) ObserveRun(j *cluster.Job, run units.Micros) {
-	la.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
+	la.corrections.RecordRun(j.Spec.Team, j.Spec.Estimate, run)
 }
 
 // Admit decides, under the lock, whether a new job may be entered.
@@ -83,7 +83,7 @@
 	if !la.planEverKnown {
 		return undecided()
 	}
-	d, _ := la.Admitter.decide(spec, admission.Leading)
+	d, _ := la.Admitter.decide(spec, admission.Leader)
 	if d.Verdict == admission.Admit {
 		if since, waited := la.Waiting.Remove(spec.ID); waited {
 			la.Metrics.AdmissionWaited(now - since)
@@ -105,7 +105,7 @@
 
 // undecided is the decision while no plan is known to be in force.
 func undecided() admission.Decision {
-	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUnclear, RetryAfter: units.Second}
+	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUncertain, RetryAfter: units.Second}
 }
 
 // IsSurelyUnknown tells whether no record can tell of a job that waits: none did when this
@@ -115,7 +115,7 @@
 	la.State.Lock()
 	defer la.State.Unlock()
 	state := la.Admitter.State()
-	return la.Waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
+	return la.Waiting.Unrecorded(id) && state.Source == admission.SourceRecord && state.Age < admission.PlanLifetime/2
 }
 
 // planUncertain notes that the plan's record may change at any moment.
@@ -142,11 +142,11 @@
 func (la *LeaderAdmission) Reconsider() {
 	now := la.Clock.Steady()
 	for _, j := range la.State.UnacceptedJobs() {
-		d, _ := la.Admitter.decide(&j.Spec, admission.Leading)
-		if d.Verdict == admission.Wait || d.Reason == admission.PlanUnclear {
+		d, _ := la.Admitter.decide(&j.Spec, admission.Leader)
+		if d.Verdict == admission.Wait || d.Reason == admission.PlanUncertain {
 			la.Waiting.Add(j.Spec.ID, d, now)
 			la.State.DropUnaccepted(j.Spec.ID)
-			la.Log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
+			la.Log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.PlanVersion)
 		}
 	}
 }
@@ -156,18 +156,18 @@
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.Waiting.Expire(now)
-	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), Corrections: la.corrections.Snapshot()}
-	reckoning := la.Admitter.keeper.Reckoning()
+	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), EstimateCorrections: la.corrections.Snapshot()}
+	reckoning := la.Admitter.keeper.LatestPlan()
 	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
-			cell, work := reckoning.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
-			m.Loads = append(m.Loads, admission.Load{Cell: cell, Work: work})
+			cell, work := reckoning.ClassifyRemaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
+			m.Backlog = append(m.Backlog, admission.CellBacklog{Cell: cell, Work: work})
 		}
 	}
 	for _, machine := range la.State.Machines {
 		if machine.Registered && !machine.Releasing {
 			for pool, amount := range admission.AmountsOf(machine.Capacity) {
-				m.Fleet[pool] += amount
+				m.FleetCapacity[pool] += amount
 			}
 		}
 	}
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -36,7 +36,7 @@
 	tooLarge    bool         // the last plan did not fit, and that was logged
 	limiter     *rate.Limiter
 
-	standings atomic.Pointer[[]admission.Standing] // of the teams, by the last proposal
+	standings atomic.Pointer[[]admission.Usage] // of the teams, by the last proposal
 }
 
 func newPlanPublisher(deps LeaderAdmissionDeps, la *LeaderAdmission) *planPublisher {
@@ -138,7 +138,7 @@
 		return nil
 	}
 	proposal := p.planner.Next(p.version+1, p.Leadership.Token(), p.admission.measure(now))
-	p.standings.Store(&proposal.Standings)
+	p.standings.Store(&proposal.Usages)
 	if !p.due(proposal.Plan, now, asked) {
 		return nil
 	}
@@ -172,10 +172,10 @@
 
 // due tells whether a plan is to be written now.
 func (p *planPublisher) due(plan *admission.Plan, now units.Micros, asked bool) bool {
-	if p.sentAt == 0 || now-p.sentAt >= admission.Lifetime/renewalsPerLifetime {
+	if p.sentAt == 0 || now-p.sentAt >= admission.PlanLifetime/renewalsPerLifetime {
 		return true
 	}
-	if !asked && !p.failed && plan.Like(p.written) {
+	if !asked && !p.failed && plan.SameRestrictions(p.written) {
 		return false
 	}
 	return p.KV.HasWriteBudget() && p.limiter.Allow()
@@ -189,10 +189,10 @@
 		return err
 	}
 	if item.Version == 0 {
-		p.Admitter.keeper.Missing(revision)
+		p.Admitter.keeper.Clear(revision)
 		p.Admitter.unreadable.Store(0)
 	} else {
-		after := asked - admission.Lifetime // it may be of any age
+		after := asked - admission.PlanLifetime // it may be of any age
 		if p.sentAt != 0 && item.Version > p.revision {
 			after = p.sentAt // it is the one whose answer was lost
 		}
@@ -267,9 +267,9 @@
 		p.recordKnown = false
 		return err
 	}
-	if !plan.Like(p.written) {
-		p.Admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.Gates(),
-			"turns", plan.Turns(), "waiting", p.admission.WaitingCount())
+	if !plan.SameRestrictions(p.written) {
+		p.Admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.NumRestrictedCells(),
+			"turns", plan.NumQueueHeads(), "waiting", p.admission.WaitingCount())
 	}
 	p.written, p.version = plan, plan.Version
 	if err := p.ingestPending(ctx); err != nil {
@@ -277,7 +277,7 @@
 		p.revision = revision
 		return err
 	}
-	if err := p.Admitter.keeper.Adopt(admission.Held{
+	if err := p.Admitter.keeper.Update(admission.ObservedPlan{
 		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.Clock.Steady(),
 	}); err != nil {
 		return err
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -256,7 +256,7 @@
 		t.Fatal(err)
 	}
 	item, _ := s.Get(admission.KeyPlan)
-	if plan, err := admission.Decode(item.Value); err != nil || plan.Term != 2 || plan.Version < 2 {
+	if plan, err := admission.Decode(item.Value); err != nil || plan.FencingToken != 2 || plan.Version < 2 {
 		t.Errorf("%+v, %v", plan, err)
 	}
 }
@@ -281,8 +281,8 @@
 		if after, _ := s.Get(admission.KeyPlan); after.Version != before.Version {
 			t.Errorf("%s: it was overwritten", what)
 		}
-		if state := term.Admitter.State(); state.Force != admission.ByFloor {
-			t.Errorf("%s: in force is %v", what, state.Force)
+		if state := term.Admitter.State(); state.Source != admission.SourceFallback {
+			t.Errorf("%s: in force is %v", what, state.Source)
 		}
 		go func() { _ = term.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
 		for _, stored := s.Get(storage.KeyJob("j-000001")); !stored; _, stored = s.Get(storage.KeyJob("j-000001")) {
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -83,7 +83,7 @@
 		others[i] = o.Node
 	}
 	supported := storage.FormatNew
-	if options := env.admissionOptions(); options.On() {
+	if options := env.admissionOptions(); options.Enabled() {
 		supported = storage.FormatAdmission
 	}
 	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -230,7 +230,7 @@
 			return known
 		}
 		l.state.Lock()
-		l.admission.Waiting.SetUnknown(id)
+		l.admission.Waiting.MarkUnrecorded(id)
 		l.state.Unlock()
 	}
 	return admissioncontrol.WaitingAnswer(d)
--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/standin/admissioncheck/checker.go
@@ -102,8 +102,8 @@
 		c.breaks("a plan is stored that is not readable: %v", err)
 		return
 	}
-	if c.plan != nil && (plan.Version <= c.plan.Version || plan.Term < c.plan.Term) {
-		c.breaks("plan %d of term %d replaces plan %d of term %d", plan.Version, plan.Term, c.plan.Version, c.plan.Term)
+	if c.plan != nil && (plan.Version <= c.plan.Version || plan.FencingToken < c.plan.FencingToken) {
+		c.breaks("plan %d of term %d replaces plan %d of term %d", plan.Version, plan.FencingToken, c.plan.Version, c.plan.FencingToken)
 	}
 	c.plans[plan.Version], c.plan, c.writtenAt = plan, plan, time.Now()
 }
@@ -126,7 +126,7 @@
 		c.accepted[id] = acceptance{lapsed: true}
 		return
 	}
-	lapsed := time.Since(c.writtenAt) > admission.Lifetime.Duration()-lapseMargin
+	lapsed := time.Since(c.writtenAt) > admission.PlanLifetime.Duration()-lapseMargin
 	if d := c.plan.Decide(&job); d.Verdict != admission.Admit && !lapsed {
 		c.breaks("%s is accepted while plan %d says %v", id, c.plan.Version, d.Verdict)
 	}
