--- a/internal/federation/cells.go
+++ b/internal/federation/cells.go
@@ -14,20 +14,20 @@
 	"dunestand/internal/units"
 )
 
-// Cells is the cells file, checked: which cells there are, and how jobs move between them.
-type Cells struct {
+// Config is the cells file, checked: which cells there are, and how jobs move between them.
+type Config struct {
 	// Self is the name of the cell that this controller belongs to.
 	Self string
-	// CompleteBy is the hour of the day, UTC, by which work is to be complete.
-	CompleteBy int
-	Terms      Terms
+	// CompleteByHour is the hour of the day, UTC, by which work is to be complete.
+	CompleteByHour int
+	Timing         Timing
 	// Margin is by how much sooner another cell must be expected to complete a job.
 	Margin units.Micros
-	// Moves is how often a job may be handed over.
-	Moves int
-	Cells []Cell
+	// MaxMoves is how often a job may be handed over.
+	MaxMoves int
+	Cells    []Cell
 	// Classes are the rules of classes; a class that is not named is not handed over.
-	Classes []Class
+	Classes []ClassPolicy
 
 	networks *bart.Table[string]
 }
@@ -39,17 +39,17 @@
 	Networks    []netip.Prefix
 }
 
-// Class says what is allowed of a class's jobs.
-type Class struct {
-	Name     string
-	Restarts int // how often a job may be begun anew beyond its first run
+// ClassPolicy says what is allowed of a class's jobs.
+type ClassPolicy struct {
+	Name        string
+	MaxRestarts int // how often a job may be begun anew beyond its first run
 }
 
-// AnyRestarts stands for a class whose jobs may be begun anew as often as needed.
-const AnyRestarts = math.MaxInt32
+// UnlimitedRestarts stands for a class whose jobs may be begun anew as often as needed.
+const UnlimitedRestarts = math.MaxInt32
 
-// cellsFile is the file as it is written.
-type cellsFile struct {
+// configFile is the file as it is written.
+type configFile struct {
 	Self       string      `toml:"self"`
 	CompleteBy *int        `toml:"complete_by_hour"`
 	LeaseS     float64     `toml:"lease_s"`
@@ -85,7 +85,7 @@
 		switch v {
 		case "none":
 		case "any":
-			r.count = AnyRestarts
+			r.count = UnlimitedRestarts
 		default:
 			return fmt.Errorf(`restarts: %q is neither "none" nor "any" nor a number`, v)
 		}
@@ -97,13 +97,13 @@
 
 // What a file that leaves them out means.
 const (
-	defaultMargin = 60 * units.Second
-	defaultMoves  = 2
+	defaultMargin   = 60 * units.Second
+	defaultMaxMoves = 2
 )
 
 // LoadCells reads and checks a cells file. Its error is one line that names the field.
-func LoadCells(path string) (*Cells, error) {
-	var file cellsFile
+func LoadCells(path string) (*Config, error) {
+	var file configFile
 	meta, err := toml.DecodeFile(path, &file)
 	if err != nil {
 		var parse toml.ParseError
@@ -115,22 +115,22 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("%s: %s: unknown field", path, unknown[0])
 	}
-	cells, err := file.cells()
+	cells, err := file.config()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return cells, nil
 }
 
-// cells checks the file.
-func (f *cellsFile) cells() (*Cells, error) {
-	c := &Cells{
+// config checks the file.
+func (f *configFile) config() (*Config, error) {
+	c := &Config{
 		Self:     f.Self,
 		Margin:   defaultMargin,
-		Moves:    defaultMoves,
+		MaxMoves: defaultMaxMoves,
 		networks: new(bart.Table[string]),
 	}
-	for _, check := range []func(*Cells) error{f.times, f.cellList, f.classes} {
+	for _, check := range []func(*Config) error{f.applyTimes, f.applyCells, f.applyClasses} {
 		if err := check(c); err != nil {
 			return nil, err
 		}
@@ -138,7 +138,7 @@
 	return c, nil
 }
 
-func (f *cellsFile) times(c *Cells) error {
+func (f *configFile) applyTimes(c *Config) error {
 	switch {
 	case f.CompleteBy == nil:
 		return errors.New("complete_by_hour: missing")
@@ -153,21 +153,21 @@
 	case f.Moves != nil && *f.Moves < 1:
 		return fmt.Errorf("moves: %d is below 1", *f.Moves)
 	}
-	c.CompleteBy = *f.CompleteBy
-	c.Terms = Terms{Lease: units.Seconds(f.LeaseS), Stop: units.Seconds(f.StopS)}
+	c.CompleteByHour = *f.CompleteBy
+	c.Timing = Timing{Lease: units.Seconds(f.LeaseS), StopGrace: units.Seconds(f.StopS)}
 	if f.MarginS != nil {
 		c.Margin = units.Seconds(*f.MarginS)
 	}
 	if f.Moves != nil {
-		c.Moves = *f.Moves
+		c.MaxMoves = *f.Moves
 	}
 	return nil
 }
 
-func (f *cellsFile) cellList(c *Cells) error {
+func (f *configFile) applyCells(c *Config) error {
 	for i, entry := range f.Cells {
 		field := fmt.Sprintf("cell[%d]", i)
-		cell, err := entry.cell(field)
+		cell, err := entry.parse(field)
 		if err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func (e *cellEntry) cell(field string) (Cell, error) {
+func (e *cellEntry) parse(field string) (Cell, error) {
 	cell := Cell{Name: e.Name}
 	if !ValidCellName(e.Name) {
 		return cell, fmt.Errorf("%s.name: %q is not made of up to 32 of a-z, 0-9 and -", field, e.Name)
@@ -224,7 +224,7 @@
 	return cell, nil
 }
 
-func (f *cellsFile) classes(c *Cells) error {
+func (f *configFile) applyClasses(c *Config) error {
 	for i, class := range f.Classes {
 		field := fmt.Sprintf("class[%d]", i)
 		switch {
@@ -237,16 +237,16 @@
 		case class.Restarts.count < 0:
 			return fmt.Errorf("%s.restarts: %d is below 0", field, class.Restarts.count)
 		}
-		c.Classes = append(c.Classes, Class{
-			Name:     class.Name,
-			Restarts: int(min(class.Restarts.count, AnyRestarts)),
+		c.Classes = append(c.Classes, ClassPolicy{
+			Name:        class.Name,
+			MaxRestarts: int(min(class.Restarts.count, UnlimitedRestarts)),
 		})
 	}
 	return nil
 }
 
 // Cell gives the cell of a name, nil if there is none.
-func (c *Cells) Cell(name string) *Cell {
+func (c *Config) Cell(name string) *Cell {
 	if i := slices.IndexFunc(c.Cells, func(cell Cell) bool { return cell.Name == name }); i >= 0 {
 		return &c.Cells[i]
 	}
@@ -254,32 +254,32 @@
 }
 
 // Class gives the rules of a class, nil if its jobs are not handed over.
-func (c *Cells) Class(name string) *Class {
-	if i := slices.IndexFunc(c.Classes, func(class Class) bool { return class.Name == name }); i >= 0 {
+func (c *Config) Class(name string) *ClassPolicy {
+	if i := slices.IndexFunc(c.Classes, func(class ClassPolicy) bool { return class.Name == name }); i >= 0 {
 		return &c.Classes[i]
 	}
 	return nil
 }
 
-// CellAt names the cell that an address belongs to, "" for none.
-func (c *Cells) CellAt(address netip.Addr) string {
+// CellByAddress names the cell that an address belongs to, "" for none.
+func (c *Config) CellByAddress(address netip.Addr) string {
 	name, _ := c.networks.Lookup(address.Unmap())
 	return name
 }
 
 // Permits tells whether messages in a cell's name may come from an address.
-func (c *Cells) Permits(address netip.Addr, cell string) bool {
-	return cell != "" && c.CellAt(address) == cell
+func (c *Config) Permits(address netip.Addr, cell string) bool {
+	return cell != "" && c.CellByAddress(address) == cell
 }
 
 // CheckSettings tells whether the cell's own settings and the cells file go together.
-func (c *Cells) CheckSettings(settings *config.Settings) error {
+func (c *Config) CheckSettings(settings *config.Settings) error {
 	workers := settings.Fleet.Workers
-	if c.Terms.Stop < withDrift(workers.Lease()) {
+	if c.Timing.StopGrace < withDrift(workers.Lease()) {
 		return fmt.Errorf("stop_s: %v s is shorter than the workers' lease of %v s, drift included",
-			c.Terms.Stop.Seconds(), workers.LeaseS)
+			c.Timing.StopGrace.Seconds(), workers.LeaseS)
 	}
-	if certain := c.Terms.Certain(); certain > workers.Cancel() {
+	if certain := c.Timing.ReclaimDelay(); certain > workers.Cancel() {
 		return fmt.Errorf("lease_s: lease and stop take %v s, drift included, and do not fit cancel_s of %v s",
 			certain.Seconds(), workers.CancelS)
 	}
@@ -293,5 +293,5 @@
 }
 
 func withDrift(length units.Micros) units.Micros {
-	return length + length*driftPerMillion/1_000_000
+	return length + length*maxDriftPPM/1_000_000
 }
--- a/internal/federation/cells_test.go
+++ b/internal/federation/cells_test.go
@@ -13,7 +13,7 @@
 
 const deployedCells = "../../deploy/cells.toml"
 
-func deployed(t *testing.T) *Cells {
+func deployed(t *testing.T) *Config {
 	t.Helper()
 	cells, err := LoadCells(deployedCells)
 	if err != nil {
@@ -24,11 +24,11 @@
 
 func TestDeployedCells(t *testing.T) {
 	c := deployed(t)
-	if c.Self != "mill" || len(c.Cells) != 3 || c.CompleteBy != 6 || c.Moves != 2 || c.Margin != 60*units.Second {
+	if c.Self != "mill" || len(c.Cells) != 3 || c.CompleteByHour != 6 || c.MaxMoves != 2 || c.Margin != 60*units.Second {
 		t.Errorf("read as %+v", c)
 	}
-	for class, want := range map[string]int{"loomplan": AnyRestarts, "rushorder": 0, "yarnrecount": 2} {
-		if got := c.Class(class); got == nil || got.Restarts != want {
+	for class, want := range map[string]int{"loomplan": UnlimitedRestarts, "rushorder": 0, "yarnrecount": 2} {
+		if got := c.Class(class); got == nil || got.MaxRestarts != want {
 			t.Errorf("%s: %+v, want %d restarts", class, got, want)
 		}
 	}
@@ -37,7 +37,7 @@
 	}
 	for address, want := range map[string]string{"10.0.1.77": "dye", "::ffff:10.0.2.1": "recipes", "10.0.3.1": "", "::1": ""} {
 		addr := netip.MustParseAddr(address)
-		if got := c.CellAt(addr); got != want {
+		if got := c.CellByAddress(addr); got != want {
 			t.Errorf("%s is in %q, want %q", address, got, want)
 		}
 		if c.Permits(addr, "mill") || c.Permits(addr, "") {
@@ -93,10 +93,10 @@
 	if err := deployed(t).CheckSettings(settings); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*Cells){
-		"stop_s":        func(c *Cells) { c.Terms.Stop = 26 * units.Second }, // not with drift
-		"lease_s":       func(c *Cells) { c.Terms.Lease = 16 * units.Second },
-		"class[3].name": func(c *Cells) { c.Classes = append(c.Classes, Class{Name: "reindex"}) },
+	for want, spoil := range map[string]func(*Config){
+		"stop_s":        func(c *Config) { c.Timing.StopGrace = 26 * units.Second }, // not with drift
+		"lease_s":       func(c *Config) { c.Timing.Lease = 16 * units.Second },
+		"class[3].name": func(c *Config) { c.Classes = append(c.Classes, ClassPolicy{Name: "reindex"}) },
 	} {
 		c := deployed(t)
 		spoil(c)
--- a/internal/federation/cellstandin_test.go
+++ b/internal/federation/cellstandin_test.go
@@ -58,7 +58,7 @@
 	clock  units.Clock
 	random *rand.Rand
 	cells  map[string]*standInCell
-	terms  *Cells
+	terms  *Config
 
 	mu      sync.Mutex
 	cut     map[string]bool
@@ -196,10 +196,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	present := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.foreign == id })
-	return Progress{Done: c.foreign[id], Complete: allDone(c.foreign[id]), Present: present}
+	return Progress{Done: c.foreign[id], Complete: allDone(c.foreign[id]), Running: present}
 }
 
-func allDone(done TaskSet) bool { return done.Contains(TaskSet{1<<standInTasks - 1}) }
+func allDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<standInTasks - 1}) }
 
 func (c *standInCell) job(id string) *cellJob {
 	i := slices.IndexFunc(c.jobs, func(j *cellJob) bool { return j.id == id })
@@ -239,24 +239,24 @@
 func (c *standInCell) lead() {
 	c.term++
 	m := NewManager(Options{
-		Cells:     c.region.cellsFor(c.name),
-		Store:     c.store,
-		Link:      link{c.region, c.name},
-		Scheduler: c,
-		Clock:     c.region.clock,
-		Term:      c.term,
-		ClaimedAt: c.region.clock.Steady(),
+		Config:          c.region.cellsFor(c.name),
+		Store:           c.store,
+		Transport:       link{c.region, c.name},
+		Scheduler:       c,
+		Clock:           c.region.clock,
+		FencingToken:    c.term,
+		LeaseAcquiredAt: c.region.clock.Steady(),
 	})
 	if err := m.Restore(context.Background()); err != nil {
 		c.region.t.Error(err)
 	}
-	m.Offer(Work(c.slots) * 100_000)
+	m.SetCapacity(Work(c.slots) * 100_000)
 	c.region.mu.Lock()
 	c.manager = m
 	c.region.mu.Unlock()
 }
 
-func (r *region) cellsFor(self string) *Cells {
+func (r *region) cellsFor(self string) *Config {
 	cells := *r.terms
 	cells.Self = self
 	return &cells
@@ -279,7 +279,7 @@
 	for _, t := range c.tasks {
 		own := t.foreign == TransferID{}
 		if manager != nil && (own || c.wanted[t.foreign] && manager.MayRun(t.foreign)) {
-			t.dies = now + c.region.terms.Terms.Stop
+			t.dies = now + c.region.terms.Timing.StopGrace
 		}
 		switch {
 		case now >= t.dies, own && c.job(t.job).over:
@@ -334,7 +334,7 @@
 			c.start(j.id, TransferID{}, j.done, now)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(c.wanted), compareTransfers) {
+	for _, id := range slices.SortedFunc(maps.Keys(c.wanted), compareTransferIDs) {
 		if c.wanted[id] && manager.MayRun(id) {
 			c.start(id.Job, id, c.foreign[id], now)
 		}
@@ -352,7 +352,7 @@
 			foreign: foreign,
 			task:    task,
 			ends:    now + taskRun,
-			dies:    now + c.region.terms.Terms.Stop,
+			dies:    now + c.region.terms.Timing.StopGrace,
 		})
 		c.region.runs(c.name, job, true)
 	}
@@ -376,7 +376,7 @@
 		case over:
 		case held && cancel:
 			manager.Cancel(ctx, j.id)
-		case !held && (cancel || complete) && manager.Ended(ctx, j.id):
+		case !held && (cancel || complete) && manager.JobEnded(ctx, j.id):
 			c.mu.Lock()
 			j.over = true
 			c.mu.Unlock()
@@ -396,7 +396,7 @@
 	var waiting []*cellJob
 	present := c.present()
 	for _, j := range c.jobs {
-		if !j.held && !j.over && !j.cancel && len(j.done) == 0 && !present[j.id] && manager.Owner(j.id) == HereAgain {
+		if !j.held && !j.over && !j.cancel && len(j.done) == 0 && !present[j.id] && manager.Owner(j.id) == OwnerOrigin {
 			waiting = append(waiting, j)
 		}
 	}
@@ -406,7 +406,7 @@
 	}
 	for _, j := range waiting[2:min(len(waiting), 5)] {
 		for _, name := range []string{"dye", "recipes", "mill"} {
-			if other := c.region.cells[name]; name == c.name || other.manager == nil || other.manager.Free() < 20_000 {
+			if other := c.region.cells[name]; name == c.name || other.manager == nil || other.manager.FreeCapacity() < 20_000 {
 				continue
 			}
 			c.mu.Lock()
@@ -414,7 +414,7 @@
 			c.mu.Unlock()
 			if err := manager.HandOver(ctx, j.id, j.class, []byte(j.id), 20_000, j.reruns, name); err != nil {
 				c.mu.Lock()
-				j.held = manager.Owner(j.id) != HereAgain
+				j.held = manager.Owner(j.id) != OwnerOrigin
 				c.mu.Unlock()
 			}
 			break
--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -25,8 +25,8 @@
 	Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error)
 }
 
-// Link sends messages to other cells. They may be lost, doubled or late.
-type Link interface {
+// Transport sends messages to other cells. They may be lost, doubled or late.
+type Transport interface {
 	Send(cell string, m Message)
 }
 
@@ -53,27 +53,27 @@
 	Done TaskSet
 	// Complete: none is left to be done.
 	Complete bool
-	// Present: some may be on a machine.
-	Present bool
+	// Running: some may be on a machine.
+	Running bool
 }
 
 // Options are what a Manager needs.
 type Options struct {
-	Cells     *Cells
+	Config    *Config
 	Store     Store
-	Link      Link
+	Transport Transport
 	Scheduler Scheduler
 	Clock     units.Clock
 	Log       *slog.Logger
-	// Term is the incarnation of the fleet lease, ClaimedAt the steady time of its claim.
-	Term      uint64
-	ClaimedAt units.Micros
-	// Lost is called once when another leader has written a record.
-	Lost func()
+	// FencingToken is the incarnation of the fleet lease, ClaimedAt the steady time of its claim.
+	FencingToken    uint64
+	LeaseAcquiredAt units.Micros
+	// OnSuperseded is called once when another leader has written a record.
+	OnSuperseded func()
 }
 
 // Stats count what a Manager did.
-type Stats struct{ Sent, Received, Rejected, Saves atomic.Int64 }
+type Stats struct{ Sent, Received, Rejected, Writes atomic.Int64 }
 
 // Manager carries out the transfers of a cell during one term of its leader: it stores
 // records, sends messages, repeats what is not answered and tells the scheduler. It is
@@ -82,41 +82,41 @@
 	Options
 	Stats Stats
 
-	mu       sync.Mutex
-	out      map[string]*outgoing
-	in       map[TransferID]*incoming
-	blocked  map[string]error // keys of records that cannot be read
-	rooms    *Reservations
-	transfer uint64 // begun in this term
-	lost     bool
+	mu            sync.Mutex
+	outgoing      map[string]*outgoingTransfer
+	incoming      map[TransferID]*incomingTransfer
+	unreadable    map[string]error // keys of records that cannot be read
+	reservations  *Reservations
+	transferCount uint64 // begun in this term
+	superseded    bool
 }
 
-// outgoing is a transfer of a job of this cell. While its record is being stored it is
+// outgoingTransfer is a transfer of a job of this cell. While its record is being stored it is
 // busy, and messages about it are dropped: they are repeated.
-type outgoing struct {
+type outgoingTransfer struct {
 	record  OriginRecord
 	version uint64
-	grantor Grantor
-	busy    bool
+	grantor LeaseGrantor
+	writing bool
 }
 
-// incoming is a transfer of another cell's job.
-type incoming struct {
-	record  TargetRecord
-	version uint64
-	holder  Holder
-	busy    bool
-	asked   units.Micros // when the last Renew was sent
+// incomingTransfer is a transfer of another cell's job.
+type incomingTransfer struct {
+	record      TargetRecord
+	version     uint64
+	holder      LeaseHolder
+	writing     bool
+	lastRenewal units.Micros // when the last Renew was sent
 }
 
 const (
 	// reservationHold is for how long a reservation lasts that no commitment follows.
 	reservationHold = 10 * units.Second
-	// renewShare is how many times within a lease the target asks for the next grant.
-	renewShare = 3
-	// takeBackAfter is for how many leases a target may be silent until the job is taken
+	// renewalsPerLease is how many times within a lease the target asks for the next grant.
+	renewalsPerLease = 3
+	// reclaimAfterLeases is for how many leases a target may be silent until the job is taken
 	// back.
-	takeBackAfter = 3
+	reclaimAfterLeases = 3
 	// incarnationBits leaves room for so many transfers in one term.
 	incarnationBits = 24
 )
@@ -127,11 +127,11 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	return &Manager{
-		Options: o,
-		out:     map[string]*outgoing{},
-		in:      map[TransferID]*incoming{},
-		blocked: map[string]error{},
-		rooms:   NewReservations(reservationHold),
+		Options:      o,
+		outgoing:     map[string]*outgoingTransfer{},
+		incoming:     map[TransferID]*incomingTransfer{},
+		unreadable:   map[string]error{},
+		reservations: NewReservations(reservationHold),
 	}
 }
 
@@ -142,7 +142,7 @@
 	if err != nil {
 		return fmt.Errorf("transfers of this cell's jobs: %w", err)
 	}
-	taken, err := m.Store.List(ctx, PrefixIn)
+	taken, err := m.Store.List(ctx, IncomingPrefix)
 	if err != nil {
 		return fmt.Errorf("transfers of other cells' jobs: %w", err)
 	}
@@ -151,79 +151,79 @@
 	for _, item := range sent {
 		r, err := ParseOrigin(item)
 		if err != nil {
-			m.block(item.Key, err)
+			m.markUnreadable(item.Key, err)
 			continue
 		}
-		m.out[r.Transfer.Job] = &outgoing{record: *r, version: item.Version, grantor: NewGrantor(m.ClaimedAt)}
+		m.outgoing[r.Transfer.Job] = &outgoingTransfer{record: *r, version: item.Version, grantor: NewLeaseGrantor(m.LeaseAcquiredAt)}
 	}
 	for _, item := range taken {
-		r, err := ParseTarget(item)
+		r, err := DecodeTargetRecord(item)
 		if err != nil {
-			m.block(item.Key, err)
+			m.markUnreadable(item.Key, err)
 			continue
 		}
-		m.in[r.Transfer] = &incoming{record: *r, version: item.Version, holder: NewHolder(m.Term)}
-		m.rooms.Restore(r, m.Clock.Steady())
+		m.incoming[r.Transfer] = &incomingTransfer{record: *r, version: item.Version, holder: NewLeaseHolder(m.FencingToken)}
+		m.reservations.Restore(r, m.Clock.Steady())
 	}
 	return nil
 }
 
-func (m *Manager) block(key string, err error) {
-	m.blocked[key] = err
+func (m *Manager) markUnreadable(key string, err error) {
+	m.unreadable[key] = err
 	m.Log.Error("the record of a transfer cannot be read; it is left alone", "key", key, "error", err)
 }
 
-// Blocked gives the error of the record that keeps a job's transfer from being restored.
-func (m *Manager) Blocked(job string) error {
+// ReadError gives the error of the record that keeps a job's transfer from being restored.
+func (m *Manager) ReadError(job string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.blocked[PrefixOut+job]
+	return m.unreadable[PrefixOut+job]
 }
 
-// Offer tells how much work of other cells this one can take over beside its own.
-func (m *Manager) Offer(work Work) {
+// SetCapacity tells how much work of other cells this one can take over beside its own.
+func (m *Manager) SetCapacity(work Work) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rooms.SetCapacity(work)
+	m.reservations.SetCapacity(work)
 }
 
-// Free is how much of that is not promised.
-func (m *Manager) Free() Work {
+// FreeCapacity is how much of that is not promised.
+func (m *Manager) FreeCapacity() Work {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.rooms.Free()
+	return m.reservations.Free()
 }
 
-// ErrNotMoved says that a job is not handed over.
-var ErrNotMoved = errors.New("the job is not handed over")
+// ErrNotHandedOver says that a job is not handed over.
+var ErrNotHandedOver = errors.New("the job is not handed over")
 
 // HandOver begins to hand a job over that has no task on a machine. reruns is how often it
 // was begun anew. The scheduler starts nothing of it until Returned is called.
 func (m *Manager) HandOver(ctx context.Context, job, class string, description []byte, work Work, reruns int, target string) error {
-	rules := m.Cells.Class(class)
+	rules := m.Config.Class(class)
 	switch {
 	case rules == nil:
-		return fmt.Errorf("%w: class %q stays where it is", ErrNotMoved, class)
-	case reruns > rules.Restarts:
-		return fmt.Errorf("%w: its class allows no further run", ErrNotMoved)
-	case target == m.Cells.Self || m.Cells.Cell(target) == nil:
-		return fmt.Errorf("%w: %q is no other cell", ErrNotMoved, target)
+		return fmt.Errorf("%w: class %q stays where it is", ErrNotHandedOver, class)
+	case reruns > rules.MaxRestarts:
+		return fmt.Errorf("%w: its class allows no further run", ErrNotHandedOver)
+	case target == m.Config.Self || m.Config.Cell(target) == nil:
+		return fmt.Errorf("%w: %q is no other cell", ErrNotHandedOver, target)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.out[job] != nil || m.blocked[PrefixOut+job] != nil {
-		return fmt.Errorf("%w: it has a transfer", ErrNotMoved)
+	if m.outgoing[job] != nil || m.unreadable[PrefixOut+job] != nil {
+		return fmt.Errorf("%w: it has a transfer", ErrNotHandedOver)
 	}
-	m.transfer++
-	id := TransferID{Origin: m.Cells.Self, Job: job, Incarnation: m.Term<<incarnationBits | m.transfer}
+	m.transferCount++
+	id := TransferID{Origin: m.Config.Self, Job: job, Incarnation: m.FencingToken<<incarnationBits | m.transferCount}
 	if err := id.check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotMoved, err)
+		return fmt.Errorf("%w: %w", ErrNotHandedOver, err)
 	}
-	o := &outgoing{grantor: NewGrantor(m.ClaimedAt)}
-	m.out[job] = o
-	if m.originDecided(ctx, o, Begin(id, target, description, work, rules.Restarts, reruns)); o.version == 0 {
-		delete(m.out, job)
-		return fmt.Errorf("%w: its transfer was not stored", ErrNotMoved)
+	o := &outgoingTransfer{grantor: NewLeaseGrantor(m.LeaseAcquiredAt)}
+	m.outgoing[job] = o
+	if m.applyOrigin(ctx, o, BeginTransfer(id, target, description, work, rules.MaxRestarts, reruns)); o.version == 0 {
+		delete(m.outgoing, job)
+		return fmt.Errorf("%w: its transfer was not stored", ErrNotHandedOver)
 	}
 	return nil
 }
@@ -233,44 +233,44 @@
 func (m *Manager) Cancel(ctx context.Context, job string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if o := m.out[job]; o != nil && !o.busy {
-		m.originDecided(ctx, o, o.record.Cancel())
+	if o := m.outgoing[job]; o != nil && !o.writing {
+		m.applyOrigin(ctx, o, o.record.Cancel())
 	}
 }
 
-// Ended is called before the end of a job is stored that had returned. It tells whether
+// JobEnded is called before the end of a job is stored that had returned. It tells whether
 // the end may be stored.
-func (m *Manager) Ended(ctx context.Context, job string) bool {
+func (m *Manager) JobEnded(ctx context.Context, job string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	o := m.out[job]
+	o := m.outgoing[job]
 	switch {
 	case o == nil:
 		return true
-	case o.busy:
+	case o.writing:
 		return false
 	}
-	m.originDecided(ctx, o, o.record.Ended())
-	return o.record.Phase == Withdrawn && !m.lost
+	m.applyOrigin(ctx, o, o.record.JobEnded())
+	return o.record.Phase == OriginWithdrawn && !m.superseded
 }
 
 // Owner tells who may start tasks of a job of this cell.
 func (m *Manager) Owner(job string) Owner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if o := m.out[job]; o != nil {
+	if o := m.outgoing[job]; o != nil {
 		return o.record.Owner()
 	}
-	if m.blocked[PrefixOut+job] != nil {
-		return Nobody
+	if m.unreadable[PrefixOut+job] != nil {
+		return OwnerNone
 	}
-	return HereAgain
+	return OwnerOrigin
 }
 
 // MayRun tells whether tasks of another cell's job may be started, and may go on.
 func (m *Manager) MayRun(id TransferID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	i := m.in[id]
-	return i != nil && !m.lost && i.record.MayRun(&i.holder, m.Clock.Steady())
+	i := m.incoming[id]
+	return i != nil && !m.superseded && i.record.MayRun(&i.holder, m.Clock.Steady())
 }
--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -15,7 +15,7 @@
 
 func newRegion(t *testing.T, seed uint64) *region {
 	cells := deployed(t)
-	cells.Terms = Terms{Lease: 10 * units.Second, Stop: 15 * units.Second}
+	cells.Timing = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
 	r := &region{
 		t:       t,
 		clock:   bubbleClock{time.Now()},
@@ -103,7 +103,7 @@
 	moved, messages, saves := 0, int64(0), int64(0)
 	for name, c := range r.cells {
 		messages += c.manager.Stats.Sent.Load()
-		saves += c.manager.Stats.Saves.Load()
+		saves += c.manager.Stats.Writes.Load()
 		if len(c.store.items) != 0 {
 			t.Errorf("%s keeps %d records", name, len(c.store.items))
 		}
@@ -161,7 +161,7 @@
 		r.submit("mill", 2, "loomplan")
 		c := r.cells["mill"]
 		old, lost := c.manager, 0
-		old.Lost = func() { lost++ }
+		old.OnSuperseded = func() { lost++ }
 		ctx := t.Context()
 		if err := old.HandOver(ctx, "j-000001", "loomplan", nil, 10, 0, "dye"); err != nil {
 			t.Fatal(err)
@@ -172,7 +172,7 @@
 		for range 3 {
 			old.Tick(ctx)
 		}
-		if err := old.HandOver(ctx, "j-000002", "loomplan", nil, 10, 0, "dye"); !errors.Is(err, ErrNotMoved) {
+		if err := old.HandOver(ctx, "j-000002", "loomplan", nil, 10, 0, "dye"); !errors.Is(err, ErrNotHandedOver) {
 			t.Errorf("it begins a transfer: %v", err)
 		}
 		if lost != 1 {
@@ -193,7 +193,7 @@
 			"used up":       func() error { return m.HandOver(t.Context(), "j-000001", "yarnrecount", nil, 1, 3, "dye") },
 			"bad id":        func() error { return m.HandOver(t.Context(), "job", "loomplan", nil, 1, 0, "dye") },
 		} {
-			if err := try(); !errors.Is(err, ErrNotMoved) || m.Owner("j-000001") != HereAgain {
+			if err := try(); !errors.Is(err, ErrNotHandedOver) || m.Owner("j-000001") != OwnerOrigin {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
@@ -208,21 +208,21 @@
 		c := r.cells["mill"]
 		raw := protocol.Encode("damaged")
 		in := TransferID{Origin: "dye", Job: "j-000009", Incarnation: 7}
-		for _, key := range []string{PrefixOut + "j-000001", keyIn(in)} {
+		for _, key := range []string{PrefixOut + "j-000001", incomingKey(in)} {
 			c.store.items[key] = protocol.Item{Key: key, Value: raw, Version: 5}
 		}
 		c.lead()
-		if err := c.manager.Blocked("j-000001"); !errors.Is(err, ErrUnreadable) || c.manager.Owner("j-000001") != Nobody {
+		if err := c.manager.ReadError("j-000001"); !errors.Is(err, ErrUnreadableRecord) || c.manager.Owner("j-000001") != OwnerNone {
 			t.Errorf("the job is not blocked: %v", err)
 		}
-		if err := c.manager.HandOver(t.Context(), "j-000001", "loomplan", nil, 1, 0, "dye"); !errors.Is(err, ErrNotMoved) {
+		if err := c.manager.HandOver(t.Context(), "j-000001", "loomplan", nil, 1, 0, "dye"); !errors.Is(err, ErrNotHandedOver) {
 			t.Errorf("it is handed over: %v", err)
 		}
 		out := TransferID{Origin: "mill", Job: "j-000001", Incarnation: 1}
-		c.manager.Receive(t.Context(), "dye", Message{Kind: Refused, Transfer: out})
-		c.manager.Receive(t.Context(), "dye", Message{Kind: Commit, Transfer: in})
+		c.manager.Receive(t.Context(), "dye", Message{Kind: MessageRefused, Transfer: out})
+		c.manager.Receive(t.Context(), "dye", Message{Kind: MessageCommit, Transfer: in})
 		c.manager.Tick(t.Context())
-		if sent, saves := c.manager.Stats.Sent.Load(), c.manager.Stats.Saves.Load(); sent != 0 || saves != 0 {
+		if sent, saves := c.manager.Stats.Sent.Load(), c.manager.Stats.Writes.Load(); sent != 0 || saves != 0 {
 			t.Errorf("%d messages and %d saves about what cannot be read", sent, saves)
 		}
 	})
@@ -237,11 +237,11 @@
 			from string
 			m    Message
 		}{
-			{"recipes", Message{Kind: Reserve, Transfer: of("dye"), Work: 1}},
-			{"dye", Message{Kind: Refused, Transfer: of("dye")}},
-			{"mill", Message{Kind: Reserve, Transfer: of("mill"), Work: 1}},
-			{"loom", Message{Kind: Reserve, Transfer: of("loom"), Work: 1}},
-			{"dye", Message{Kind: messageKinds, Transfer: of("dye")}},
+			{"recipes", Message{Kind: MessageReserve, Transfer: of("dye"), Work: 1}},
+			{"dye", Message{Kind: MessageRefused, Transfer: of("dye")}},
+			{"mill", Message{Kind: MessageReserve, Transfer: of("mill"), Work: 1}},
+			{"loom", Message{Kind: MessageReserve, Transfer: of("loom"), Work: 1}},
+			{"dye", Message{Kind: messageKindCount, Transfer: of("dye")}},
 		} {
 			m.Receive(t.Context(), c.from, c.m)
 			if got := m.Stats.Rejected.Load(); got != int64(n+1) || m.Stats.Sent.Load() != 0 {
--- a/internal/federation/managertrouble_test.go
+++ b/internal/federation/managertrouble_test.go
@@ -17,7 +17,7 @@
 	if err := c.manager.HandOver(t.Context(), "j-000001", class, nil, 10, 0, "dye"); err != nil {
 		t.Fatal(err)
 	}
-	id := c.manager.out["j-000001"].record.Transfer
+	id := c.manager.outgoing["j-000001"].record.Transfer
 	for range 20 {
 		if r.pass(time.Second); r.cells["dye"].manager.MayRun(id) {
 			return r, id
@@ -30,14 +30,14 @@
 // A job whose target is cut off for ever is taken back once the lease, the time to stop
 // and the drift have passed; one that may not be begun again waits.
 func TestJobIsTakenBackFromACellThatIsCutOff(t *testing.T) {
-	for class, want := range map[string]Owner{"loomplan": HereAgain, "rushorder": There} {
+	for class, want := range map[string]Owner{"loomplan": OwnerOrigin, "rushorder": OwnerTarget} {
 		synctest.Test(t, func(t *testing.T) {
 			r, _ := delegated(t, class)
 			r.cells["dye"].slots = 0 // it gets no further
 			r.setCut("dye", true)
 			m := r.cells["mill"].manager
-			r.pass((takeBackAfter*r.terms.Terms.Lease + r.terms.Terms.Certain() + 3*units.Second).Duration())
-			if got := m.Owner("j-000001"); got != want && !(want == HereAgain && got == NeverAgain) {
+			r.pass((reclaimAfterLeases*r.terms.Timing.Lease + r.terms.Timing.ReclaimDelay() + 3*units.Second).Duration())
+			if got := m.Owner("j-000001"); got != want && !(want == OwnerOrigin && got == OwnerEnded) {
 				t.Errorf("%s: owner %d, want %d", class, got, want)
 			}
 		})
@@ -54,12 +54,12 @@
 		r.setCut("dye", true)
 		c.lead()
 		c.manager.Cancel(t.Context(), "j-000001")
-		r.pass((r.terms.Terms.Certain() - 2*units.Second).Duration())
-		if got := c.manager.Owner("j-000001"); got != Nobody {
+		r.pass((r.terms.Timing.ReclaimDelay() - 2*units.Second).Duration())
+		if got := c.manager.Owner("j-000001"); got != OwnerNone {
 			t.Errorf("before the time has passed: owner %d", got)
 		}
 		r.pass(4 * time.Second)
-		if got := c.manager.Owner("j-000001"); got != NeverAgain || r.answers["j-000001"] != "cancelled" {
+		if got := c.manager.Owner("j-000001"); got != OwnerEnded || r.answers["j-000001"] != "cancelled" {
 			t.Errorf("after it: owner %d, answer %q", got, r.answers["j-000001"])
 		}
 		if d := r.cells["dye"]; d.manager.MayRun(id) || d.wanted[id] {
@@ -77,15 +77,15 @@
 		if err := m.HandOver(t.Context(), "j-000001", "loomplan", nil, 10, 0, "dye"); err != nil {
 			t.Fatal(err)
 		}
-		id := m.out["j-000001"].record.Transfer
+		id := m.outgoing["j-000001"].record.Transfer
 		r.cells["mill"].store.down = true
 		before := m.Stats.Sent.Load()
-		m.Receive(t.Context(), "dye", Message{Kind: Reserved, Transfer: id})
-		m.Receive(t.Context(), "dye", Message{Kind: Reserve, Transfer: TransferID{"dye", "j-000002", 1}, Work: 1})
-		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.out["j-000001"].record.Phase != Intended {
-			t.Errorf("%d messages, phase %d", sent, m.out["j-000001"].record.Phase)
+		m.Receive(t.Context(), "dye", Message{Kind: MessageReserved, Transfer: id})
+		m.Receive(t.Context(), "dye", Message{Kind: MessageReserve, Transfer: TransferID{"dye", "j-000002", 1}, Work: 1})
+		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.outgoing["j-000001"].record.Phase != Intended {
+			t.Errorf("%d messages, phase %d", sent, m.outgoing["j-000001"].record.Phase)
 		}
-		if free := m.Free(); free != Work(r.cells["mill"].slots)*100_000 {
+		if free := m.FreeCapacity(); free != Work(r.cells["mill"].slots)*100_000 {
 			t.Errorf("%d free: a reservation that is not stored is kept", free)
 		}
 	})
@@ -96,21 +96,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		r, id := delegated(t, "loomplan")
 		m := r.cells["mill"].manager
-		result := Message{Kind: Result, Transfer: id, Done: TaskSet{15}, Run: 1}
+		result := Message{Kind: MessageResult, Transfer: id, Done: TaskSet{15}, Run: 1}
 		m.Receive(t.Context(), "recipes", result)
-		if got := m.Owner("j-000001"); got != There {
+		if got := m.Owner("j-000001"); got != OwnerTarget {
 			t.Errorf("another cell tells of the end: owner %d", got)
 		}
-		if m.Ended(t.Context(), "j-000001") {
+		if m.JobEnded(t.Context(), "j-000001") {
 			t.Error("a job that is elsewhere may end here")
 		}
-		o := m.out["j-000001"]
-		o.record.Phase = Returned
-		if !m.Ended(t.Context(), "j-000001") {
+		o := m.outgoing["j-000001"]
+		o.record.Phase = OriginReturned
+		if !m.JobEnded(t.Context(), "j-000001") {
 			t.Fatal("a job that is back may not end")
 		}
 		m.Receive(t.Context(), "dye", result)
-		if o.record.Phase != Withdrawn {
+		if o.record.Phase != OriginWithdrawn {
 			t.Errorf("a result after the job's end: phase %d", o.record.Phase)
 		}
 	})
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -22,7 +22,7 @@
 	modelPatience = 20 * units.Second
 )
 
-var modelTerms = Terms{Lease: 10 * units.Second, Stop: 15 * units.Second}
+var modelTerms = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
 
 // execution is a job's tasks on the machines of one cell.
 type execution struct {
@@ -56,8 +56,8 @@
 
 // modelLeader is what a leader keeps in memory alone.
 type modelLeader struct {
-	grantors map[string]*Grantor
-	holders  map[TransferID]*Holder
+	grantors map[string]*LeaseGrantor
+	holders  map[TransferID]*LeaseHolder
 	rooms    *Reservations
 }
 
@@ -107,17 +107,17 @@
 func (m *model) claim(c *modelCell) {
 	c.term++
 	c.leader = modelLeader{
-		grantors: map[string]*Grantor{},
-		holders:  map[TransferID]*Holder{},
+		grantors: map[string]*LeaseGrantor{},
+		holders:  map[TransferID]*LeaseHolder{},
 		rooms:    NewReservations(5 * units.Second),
 	}
 	c.leader.rooms.SetCapacity(modelCapacity)
 	for job := range c.out {
-		grantor := NewGrantor(m.clock(c))
+		grantor := NewLeaseGrantor(m.clock(c))
 		c.leader.grantors[job] = &grantor
 	}
 	for id, r := range c.in {
-		holder := NewHolder(c.term)
+		holder := NewLeaseHolder(c.term)
 		c.leader.holders[id] = &holder
 		c.leader.rooms.Restore(&r, m.clock(c))
 	}
@@ -153,10 +153,10 @@
 		return
 	}
 	job := d.Record.Transfer.Job
-	if d.Save {
+	if d.Write {
 		c.out[job] = roundTripOrigin(m.t, d.Record)
 		if c.leader.grantors[job] == nil {
-			grantor := NewGrantor(m.clock(c))
+			grantor := NewLeaseGrantor(m.clock(c))
 			c.leader.grantors[job] = &grantor
 		}
 		if m.ends(c) {
@@ -174,16 +174,16 @@
 	switch {
 	case d.Remove:
 		delete(c.in, id)
-	case d.Save:
+	case d.Write:
 		c.in[id] = roundTripTarget(m.t, d.Record)
 		if c.leader.holders[id] == nil {
-			holder := NewHolder(c.term)
+			holder := NewLeaseHolder(c.term)
 			c.leader.holders[id] = &holder
 		}
 		switch d.Record.Phase {
-		case AcceptedHere:
+		case TargetAccepted:
 			c.leader.rooms.Commit(id)
-		case FinishedHere, RefusedHere:
+		case TargetFinished, TargetRefused:
 			c.leader.rooms.Release(id)
 		}
 		if m.ends(c) {
@@ -204,13 +204,13 @@
 			m.targetDecides(c, r.Receive(msg, c.leader.holders[msg.Transfer], modelTerms.Lease, m.clock(c)))
 			return
 		}
-		room := msg.Kind == Reserve && c.leader.rooms.Try(msg.Transfer, msg.Work, m.clock(c))
+		room := msg.Kind == MessageReserve && c.leader.rooms.Reserve(msg.Transfer, msg.Work, m.clock(c))
 		m.targetDecides(c, ReceiveNew(msg, room))
 		return
 	}
 	r, known := c.out[msg.Transfer.Job]
 	if !known {
-		m.send(c, e.from.name, ReceiveUnknown(msg))
+		m.send(c, e.from.name, ReplyToUnknown(msg))
 		return
 	}
 	d := r.Receive(msg, c.leader.grantors[r.Transfer.Job], m.clock(c))
@@ -244,8 +244,8 @@
 		}
 	}
 	for _, c := range m.cells {
-		if c.leader.rooms.promised("") > modelCapacity {
-			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.rooms.promised(""), modelCapacity)
+		if c.leader.rooms.reservedBy("") > modelCapacity {
+			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.rooms.reservedBy(""), modelCapacity)
 		}
 	}
 }
@@ -265,7 +265,7 @@
 		return
 	}
 	id := TransferID{Origin: c.name, Job: job.id, Incarnation: job.incarnation + 1}
-	m.originDecides(c, Begin(id, to.name, []byte("job"), 2, job.allowance, reruns))
+	m.originDecides(c, BeginTransfer(id, to.name, []byte("job"), 2, job.allowance, reruns))
 }
 
 func (m *model) step() {
@@ -365,7 +365,7 @@
 }
 
 func roundTripTarget(t *rapid.T, r TargetRecord) TargetRecord {
-	back, err := ParseTarget(protocol.Item{Key: r.Key(), Value: r.Encode("1-1")})
+	back, err := DecodeTargetRecord(protocol.Item{Key: r.Key(), Value: r.Encode("1-1")})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/federation/modelcell_test.go
+++ b/internal/federation/modelcell_test.go
@@ -23,12 +23,12 @@
 	}
 	for _, id := range c.leader.rooms.Expired(m.clock(c)) {
 		if r, ok := c.in[id]; ok {
-			m.targetDecides(c, r.Expire())
+			m.targetDecides(c, r.ExpireReservation())
 		} else {
 			c.leader.rooms.Release(id)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(c.in), compareTransfers) {
+	for _, id := range slices.SortedFunc(maps.Keys(c.in), compareTransferIDs) {
 		if r, ok := c.in[id]; ok && m.now >= c.up {
 			m.tickTarget(c, r)
 		}
@@ -37,7 +37,7 @@
 
 // tickJob is what the origin does about one of its jobs.
 func (m *model) tickJob(c *modelCell, job *userJob) {
-	if r, moved := c.out[job.id]; !moved || r.Owner() == HereAgain {
+	if r, moved := c.out[job.id]; !moved || r.Owner() == OwnerOrigin {
 		m.runHere(c, job)
 	}
 	r, moved := c.out[job.id]
@@ -45,14 +45,14 @@
 		return
 	}
 	switch r.Phase {
-	case Finished:
+	case OriginFinished:
 		m.tellDone(job, c.done[job.id].Union(r.Done))
-	case Withdrawn:
+	case OriginWithdrawn:
 		m.tellCancelled(job)
 	}
-	if r.Over() && (r.Phase != Returned || job.done || job.cancelled || rapid.Bool().Draw(m.t, "remove")) {
+	if r.Removable() && (r.Phase != OriginReturned || job.done || job.cancelled || rapid.Bool().Draw(m.t, "remove")) {
 		c.done[job.id] = c.done[job.id].Union(r.Done)
-		job.incarnation, job.reruns = r.Transfer.Incarnation, r.NextReruns()
+		job.incarnation, job.reruns = r.Transfer.Incarnation, r.NextRestarts()
 		delete(c.out, job.id)
 		return
 	}
@@ -62,12 +62,12 @@
 		switch {
 		case job.cancel:
 			m.originDecides(c, r.Cancel())
-		case grantor.Silent(m.clock(c)) > modelPatience:
-			m.originDecides(c, r.TakeBack())
+		case grantor.SinceLastGrant(m.clock(c)) > modelPatience:
+			m.originDecides(c, r.Reclaim())
 		}
 	}
 	if r, ok := c.out[job.id]; ok && m.now >= c.up {
-		m.originDecides(c, r.Repeat())
+		m.originDecides(c, r.Resend())
 	}
 }
 
@@ -96,7 +96,7 @@
 // endedHere stores, together with a job's end, that its transfer matters no more.
 func (m *model) endedHere(c *modelCell, job *userJob) {
 	if r, moved := c.out[job.id]; moved {
-		c.out[job.id] = r.Ended().Record
+		c.out[job.id] = r.JobEnded().Record
 	}
 }
 
@@ -110,21 +110,21 @@
 		} else {
 			exec.aliveUntil = m.now + m.stop(c) // the workers are answered
 			m.progress(exec)
-			m.targetDecides(c, r.Complete(exec.done, complete(r.Done.Union(exec.done))))
+			m.targetDecides(c, r.TasksCompleted(exec.done, complete(r.Done.Union(exec.done))))
 		}
 	}
 	if r.Stopping && exec == nil {
-		m.targetDecides(c, r.Stopped())
+		m.targetDecides(c, r.TasksStopped())
 	}
 	if r, ok := c.in[r.Transfer]; ok && m.now >= c.up {
-		m.targetDecides(c, r.Repeat())
-		m.targetDecides(c, r.Renew(holder, m.clock(c)))
+		m.targetDecides(c, r.Resend())
+		m.targetDecides(c, r.RequestRenewal(holder, m.clock(c)))
 	}
 }
 
 // stop is, in real time, how long a cell's workers go on without an answer.
 func (m *model) stop(c *modelCell) units.Micros {
-	return units.Micros(float64(modelTerms.Stop) / c.rate)
+	return units.Micros(float64(modelTerms.StopGrace) / c.rate)
 }
 
 // begin starts a job's tasks. That a cell starts tasks of a run once more that were lost
@@ -145,7 +145,7 @@
 	}
 }
 
-func complete(done TaskSet) bool { return done.Contains(TaskSet{1<<modelTasks - 1}) }
+func complete(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<modelTasks - 1}) }
 
 func (m *model) tellDone(job *userJob, done TaskSet) {
 	if !complete(done) {
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -11,30 +11,30 @@
 	Intended OriginPhase = iota + 1
 	// Committed: the target may accept the job; nothing of it is started here.
 	Committed
-	// Revoking: nothing is granted any more; the job waits for the target's refusal, or
+	// OriginRevoking: nothing is granted any more; the job waits for the target's refusal, or
 	// for the time after which nothing of it runs there.
-	Revoking
-	// Returned: the job is its origin's again. The record stays until the target has
+	OriginRevoking
+	// OriginReturned: the job is its origin's again. The record stays until the target has
 	// refused the transfer.
-	Returned
-	// Finished: all tasks are done.
-	Finished
-	// Withdrawn: the job was cancelled, or ended at its origin after it had returned, and
+	OriginReturned
+	// OriginFinished: all tasks are done.
+	OriginFinished
+	// OriginWithdrawn: the job was cancelled, or ended at its origin after it had returned, and
 	// nothing of it runs at the target.
-	Withdrawn
-	originPhases
+	OriginWithdrawn
+	originPhaseCount
 )
 
-// Cause is why a transfer is revoked.
-type Cause uint8
+// RevokeCause is why a transfer is revoked.
+type RevokeCause uint8
 
 // The causes.
 const (
-	NoCause Cause = iota
-	// TakenBack: the target was not heard for too long.
-	TakenBack
-	// Cancelled: the job's user cancelled it.
-	Cancelled
+	CauseNone RevokeCause = iota
+	// CauseTargetSilent: the target was not heard for too long.
+	CauseTargetSilent
+	// CauseCancelled: the job's user cancelled it.
+	CauseCancelled
 )
 
 // OriginRecord is what the origin stores of a transfer.
@@ -42,15 +42,15 @@
 	Transfer TransferID  `cbor:"transfer"`
 	Target   string      `cbor:"to"`
 	Phase    OriginPhase `cbor:"phase"`
-	Cause    Cause       `cbor:"cause,omitempty"`
-	// Allowance is how often the job's class lets it be begun anew; Reruns is how often
+	Cause    RevokeCause `cbor:"cause,omitempty"`
+	// MaxRestarts is how often the job's class lets it be begun anew; Reruns is how often
 	// that was in earlier transfers.
-	Allowance int `cbor:"allowed"`
-	Reruns    int `cbor:"reruns"`
+	MaxRestarts int `cbor:"allowed"`
+	Restarts    int `cbor:"reruns"`
 	// Run is the last run that was granted to the target, 0: none.
 	Run int `cbor:"run"`
-	// Heard: the target has answered for good, and keeps no task.
-	Heard bool `cbor:"heard,omitempty"`
+	// Confirmed: the target has answered for good, and keeps no task.
+	Confirmed bool `cbor:"heard,omitempty"`
 	// Job is the job's description, Work what it takes.
 	Job  []byte  `cbor:"job"`
 	Work Work    `cbor:"work"`
@@ -62,52 +62,52 @@
 
 // The owners.
 const (
-	// Nobody may start tasks now.
-	Nobody Owner = iota
-	// HereAgain: the origin may.
-	HereAgain
-	// There: the target may, under a grant.
-	There
-	// NeverAgain: the job is over.
-	NeverAgain
+	// OwnerNone may start tasks now.
+	OwnerNone Owner = iota
+	// OwnerOrigin: the origin may.
+	OwnerOrigin
+	// OwnerTarget: the target may, under a grant.
+	OwnerTarget
+	// OwnerEnded: the job is over.
+	OwnerEnded
 )
 
 // Owner tells who may start tasks of the job.
 func (r *OriginRecord) Owner() Owner {
 	switch r.Phase {
 	case Committed:
-		return There
-	case Returned:
-		return HereAgain
-	case Finished:
-		return NeverAgain
-	case Withdrawn:
-		if r.Cause == Cancelled {
-			return NeverAgain
+		return OwnerTarget
+	case OriginReturned:
+		return OwnerOrigin
+	case OriginFinished:
+		return OwnerEnded
+	case OriginWithdrawn:
+		if r.Cause == CauseCancelled {
+			return OwnerEnded
 		}
-		return HereAgain // its own record tells that it is over
+		return OwnerOrigin // its own record tells that it is over
 	}
-	return Nobody
+	return OwnerNone
 }
 
 // unbounded tells whether the run that was granted last is the last that the class allows:
 // the target then goes on without renewals.
-func (r *OriginRecord) unbounded() bool { return r.Run > 0 && r.Reruns+r.Run-1 >= r.Allowance }
+func (r *OriginRecord) unbounded() bool { return r.Run > 0 && r.Restarts+r.Run-1 >= r.MaxRestarts }
 
-// CanBeTakenBack tells whether the class allows to begin the job here once more.
-func (r *OriginRecord) CanBeTakenBack() bool {
-	return r.Phase == Committed && (r.Run == 0 || r.Reruns+r.Run <= r.Allowance)
+// canReclaim tells whether the class allows to begin the job here once more.
+func (r *OriginRecord) canReclaim() bool {
+	return r.Phase == Committed && (r.Run == 0 || r.Restarts+r.Run <= r.MaxRestarts)
 }
 
-// NextReruns is how often the job has been begun anew once it is begun here, for its next
+// NextRestarts is how often the job has been begun anew once it is begun here, for its next
 // transfer.
-func (r *OriginRecord) NextReruns() int { return r.Reruns + r.Run }
+func (r *OriginRecord) NextRestarts() int { return r.Restarts + r.Run }
 
 // OriginDecision is what follows at the origin. Where Save is set, the record is stored
 // first.
 type OriginDecision struct {
 	Record OriginRecord
-	Save   bool
+	Write  bool
 	Send   []Message
 }
 
@@ -119,163 +119,163 @@
 	return d
 }
 
-func (r OriginRecord) save(send ...MessageKind) OriginDecision {
+func (r OriginRecord) write(send ...MessageKind) OriginDecision {
 	d := r.keep(send...)
-	d.Save = true
+	d.Write = true
 	return d
 }
 
 func (r *OriginRecord) message(kind MessageKind) Message {
 	m := Message{Kind: kind, Transfer: r.Transfer}
 	switch kind {
-	case Reserve:
+	case MessageReserve:
 		m.Work = r.Work
-	case Commit:
+	case MessageCommit:
 		m.Job, m.Work = r.Job, r.Work
 	}
 	return m
 }
 
-// Begin makes the record of a transfer that is to be stored first of all. reruns is how
+// BeginTransfer makes the record of a transfer that is to be stored first of all. reruns is how
 // often the job was begun anew before.
-func Begin(id TransferID, target string, job []byte, work Work, allowance, reruns int) OriginDecision {
+func BeginTransfer(id TransferID, target string, job []byte, work Work, allowance, reruns int) OriginDecision {
 	r := OriginRecord{
-		Transfer:  id,
-		Target:    target,
-		Phase:     Intended,
-		Allowance: allowance,
-		Reruns:    reruns,
-		Job:       job,
-		Work:      work,
+		Transfer:    id,
+		Target:      target,
+		Phase:       Intended,
+		MaxRestarts: allowance,
+		Restarts:    reruns,
+		Job:         job,
+		Work:        work,
 	}
-	return r.save(Reserve)
+	return r.write(MessageReserve)
 }
 
-// Repeat gives what is sent again while no answer comes.
-func (r OriginRecord) Repeat() OriginDecision {
+// Resend gives what is sent again while no answer comes.
+func (r OriginRecord) Resend() OriginDecision {
 	switch {
 	case r.Phase == Intended:
-		return r.keep(Reserve)
+		return r.keep(MessageReserve)
 	case r.Phase == Committed && r.Run == 0:
-		return r.keep(Commit)
-	case r.Phase == Revoking, r.Phase == Returned && !r.Heard, r.Phase == Withdrawn && !r.Heard:
-		return r.keep(Revoke)
-	case r.Phase == Finished, r.Heard:
-		return r.keep(Settle)
+		return r.keep(MessageCommit)
+	case r.Phase == OriginRevoking, r.Phase == OriginReturned && !r.Confirmed, r.Phase == OriginWithdrawn && !r.Confirmed:
+		return r.keep(MessageRevoke)
+	case r.Phase == OriginFinished, r.Confirmed:
+		return r.keep(MessageSettle)
 	}
 	return r.keep()
 }
 
 // Receive decides on a message of the target. One of another incarnation is answered as
 // if there were no record.
-func (r OriginRecord) Receive(m *Message, grantor *Grantor, now units.Micros) OriginDecision {
+func (r OriginRecord) Receive(m *Message, grantor *LeaseGrantor, now units.Micros) OriginDecision {
 	if m.Transfer != r.Transfer {
-		return OriginDecision{Record: r, Send: ReceiveUnknown(m)}
+		return OriginDecision{Record: r, Send: ReplyToUnknown(m)}
 	}
 	switch m.Kind {
-	case Reserved:
-		return r.reserved()
-	case NoRoom:
+	case MessageReserved:
+		return r.onReserved()
+	case MessageNoCapacity:
 		if r.Phase == Intended {
-			return r.returned(true)
+			return r.returnToOrigin(true)
 		}
-	case Accepted:
+	case MessageAccepted:
 		if r.Phase != Committed {
-			return r.Repeat()
+			return r.Resend()
 		}
-	case Renew:
-		return r.renew(m, grantor, now)
-	case Refused:
-		return r.refused(m)
-	case Result:
-		return r.result(m)
+	case MessageRenew:
+		return r.onRenew(m, grantor, now)
+	case MessageRefused:
+		return r.onRefused(m)
+	case MessageResult:
+		return r.onResult(m)
 	}
 	return r.keep()
 }
 
-// reserved: the target has room. An answer to a transfer that was given up frees it.
-func (r OriginRecord) reserved() OriginDecision {
+// onReserved: the target has room. An answer to a transfer that was given up frees it.
+func (r OriginRecord) onReserved() OriginDecision {
 	if r.Phase != Intended {
-		return r.Repeat()
+		return r.Resend()
 	}
 	r.Phase = Committed
-	return r.save(Commit)
+	return r.write(MessageCommit)
 }
 
-// renew grants a run of the job. What lets the target begin a run is stored before.
-func (r OriginRecord) renew(m *Message, grantor *Grantor, now units.Micros) OriginDecision {
+// onRenew grants a run of the job. What lets the target begin a run is stored before.
+func (r OriginRecord) onRenew(m *Message, grantor *LeaseGrantor, now units.Micros) OriginDecision {
 	if r.Phase != Committed {
-		return r.Repeat()
+		return r.Resend()
 	}
-	if m.Run < r.Run || m.Run > r.Run+1 || r.Reruns+m.Run-1 > max(r.Allowance, r.Reruns) {
+	if m.Run < r.Run || m.Run > r.Run+1 || r.Restarts+m.Run-1 > max(r.MaxRestarts, r.Restarts) {
 		return r.keep() // late, or no run that the class allows
 	}
 	save := m.Run > r.Run
 	r.Run = m.Run
-	if !r.Done.Contains(m.Done) {
+	if !r.Done.ContainsAll(m.Done) {
 		r.Done, save = r.Done.Union(m.Done), true
 	}
-	grant := r.message(Grant)
+	grant := r.message(MessageGrant)
 	grant.Renewal = m.Renewal
 	grant.Run = m.Run
 	grant.Unbounded = r.unbounded()
-	grantor.granted(now)
-	return OriginDecision{Record: r, Save: save, Send: []Message{grant}}
+	grantor.recordGrant(now)
+	return OriginDecision{Record: r, Write: save, Send: []Message{grant}}
 }
 
-// refused: nothing of the job is at the target, for good.
-func (r OriginRecord) refused(m *Message) OriginDecision {
+// onRefused: nothing of the job is at the target, for good.
+func (r OriginRecord) onRefused(m *Message) OriginDecision {
 	r.Done = r.Done.Union(m.Done)
 	r.Run = min(r.Run, m.Run) // runs that were granted and never begun are none
 	switch r.Phase {
 	case Intended, Committed:
-		return r.returned(true)
-	case Revoking:
-		return r.released(true)
+		return r.returnToOrigin(true)
+	case OriginRevoking:
+		return r.finishRevocation(true)
 	}
-	if r.Heard {
-		return r.keep(Settle)
+	if r.Confirmed {
+		return r.keep(MessageSettle)
 	}
-	r.Heard = true
-	return r.save(Settle)
+	r.Confirmed = true
+	return r.write(MessageSettle)
 }
 
-// result: all tasks are done. It holds even for a job that was taken back meanwhile.
-func (r OriginRecord) result(m *Message) OriginDecision {
+// onResult: all tasks are done. It holds even for a job that was taken back meanwhile.
+func (r OriginRecord) onResult(m *Message) OriginDecision {
 	switch r.Phase {
-	case Finished:
-		return r.keep(Settle)
-	case Withdrawn:
-		if r.Heard {
-			return r.keep(Settle)
+	case OriginFinished:
+		return r.keep(MessageSettle)
+	case OriginWithdrawn:
+		if r.Confirmed {
+			return r.keep(MessageSettle)
 		}
-		r.Heard = true // its user was told that it is cancelled
-		return r.save(Settle)
+		r.Confirmed = true // its user was told that it is cancelled
+		return r.write(MessageSettle)
 	}
-	r.Phase, r.Heard = Finished, true
+	r.Phase, r.Confirmed = OriginFinished, true
 	r.Done = r.Done.Union(m.Done)
-	return r.save(Settle)
+	return r.write(MessageSettle)
 }
 
-// returned gives the job back to its origin. Nothing ran at the target that could go on.
-func (r OriginRecord) returned(heard bool) OriginDecision {
-	r.Phase, r.Heard = Returned, heard
+// returnToOrigin gives the job back to its origin. Nothing ran at the target that could go on.
+func (r OriginRecord) returnToOrigin(heard bool) OriginDecision {
+	r.Phase, r.Confirmed = OriginReturned, heard
 	if heard {
-		return r.save(Settle)
+		return r.write(MessageSettle)
 	}
-	return r.save(Revoke)
+	return r.write(MessageRevoke)
 }
 
-// released ends a revocation: nothing of the job runs at the target.
-func (r OriginRecord) released(heard bool) OriginDecision {
-	if r.Cause != Cancelled {
-		return r.returned(heard)
+// finishRevocation ends a revocation: nothing of the job runs at the target.
+func (r OriginRecord) finishRevocation(heard bool) OriginDecision {
+	if r.Cause != CauseCancelled {
+		return r.returnToOrigin(heard)
 	}
-	r.Phase, r.Heard = Withdrawn, heard
+	r.Phase, r.Confirmed = OriginWithdrawn, heard
 	if heard {
-		return r.save(Settle)
+		return r.write(MessageSettle)
 	}
-	return r.save(Revoke)
+	return r.write(MessageRevoke)
 }
 
 // Cancel is called when the job's user cancels it. The user may be told so once the job
@@ -283,67 +283,67 @@
 func (r OriginRecord) Cancel() OriginDecision {
 	switch r.Phase {
 	case Intended:
-		return r.returned(false)
+		return r.returnToOrigin(false)
 	case Committed:
 		if r.Run == 0 {
-			return r.returned(false) // nothing was ever granted
+			return r.returnToOrigin(false) // nothing was ever granted
 		}
-		r.Phase, r.Cause = Revoking, Cancelled
-		return r.save(Revoke)
-	case Revoking:
-		if r.Cause != Cancelled {
-			r.Cause = Cancelled
-			return r.save(Revoke)
+		r.Phase, r.Cause = OriginRevoking, CauseCancelled
+		return r.write(MessageRevoke)
+	case OriginRevoking:
+		if r.Cause != CauseCancelled {
+			r.Cause = CauseCancelled
+			return r.write(MessageRevoke)
 		}
 	}
 	return r.keep()
 }
 
-// Ended is called when a job that had returned is done or cancelled at its origin. The
+// JobEnded is called when a job that had returned is done or cancelled at its origin. The
 // record is stored before the job's end, or with it: a result that comes late from the
 // target must not change what the user was told.
-func (r OriginRecord) Ended() OriginDecision {
-	if r.Phase != Returned {
+func (r OriginRecord) JobEnded() OriginDecision {
+	if r.Phase != OriginReturned {
 		return r.keep()
 	}
-	r.Phase = Withdrawn
-	return r.save()
+	r.Phase = OriginWithdrawn
+	return r.write()
 }
 
-// TakeBack begins to take a job back whose target was not heard for too long.
-func (r OriginRecord) TakeBack() OriginDecision {
+// Reclaim begins to take a job back whose target was not heard for too long.
+func (r OriginRecord) Reclaim() OriginDecision {
 	switch {
 	case r.Phase == Intended:
-		return r.returned(false)
-	case !r.CanBeTakenBack():
+		return r.returnToOrigin(false)
+	case !r.canReclaim():
 		return r.keep()
 	case r.Run == 0:
-		return r.returned(false)
+		return r.returnToOrigin(false)
 	}
-	r.Phase, r.Cause = Revoking, TakenBack
-	return r.save(Revoke)
+	r.Phase, r.Cause = OriginRevoking, CauseTargetSilent
+	return r.write(MessageRevoke)
 }
 
 // Tick ends a revocation by time, once nothing of the job can run at the target.
-func (r OriginRecord) Tick(grantor *Grantor, now units.Micros, terms Terms) OriginDecision {
-	if r.Phase == Revoking && !r.unbounded() && grantor.Lapsed(now, terms) {
-		return r.released(false)
+func (r OriginRecord) Tick(grantor *LeaseGrantor, now units.Micros, terms Timing) OriginDecision {
+	if r.Phase == OriginRevoking && !r.unbounded() && grantor.Expired(now, terms) {
+		return r.finishRevocation(false)
 	}
 	return r.keep()
 }
 
-// Over tells whether the record can be removed: the job needs it no more, and the target
+// Removable tells whether the record can be removed: the job needs it no more, and the target
 // has been heard.
-func (r *OriginRecord) Over() bool {
-	return r.Heard && (r.Phase == Returned || r.Phase == Finished || r.Phase == Withdrawn)
+func (r *OriginRecord) Removable() bool {
+	return r.Confirmed && (r.Phase == OriginReturned || r.Phase == OriginFinished || r.Phase == OriginWithdrawn)
 }
 
-// ReceiveUnknown answers a message about a transfer that the origin has no record of: it
+// ReplyToUnknown answers a message about a transfer that the origin has no record of: it
 // is over.
-func ReceiveUnknown(m *Message) []Message {
-	kind := Revoke
-	if m.Kind == Result || m.Kind == Refused {
-		kind = Settle
+func ReplyToUnknown(m *Message) []Message {
+	kind := MessageRevoke
+	if m.Kind == MessageResult || m.Kind == MessageRefused {
+		kind = MessageSettle
 	}
 	return []Message{{Kind: kind, Transfer: m.Transfer}}
 }
--- a/internal/federation/record.go
+++ b/internal/federation/record.go
@@ -11,74 +11,74 @@
 // Keys of the records in the state service: of transfers that a cell began, and of those
 // that it was asked to take.
 const (
-	PrefixOut = "transfer/out/"
-	PrefixIn  = "transfer/in/"
+	PrefixOut      = "transfer/out/"
+	IncomingPrefix = "transfer/in/"
 )
 
 // recordFormat is the format of both records that this version reads and writes.
 const recordFormat = 1
 
-// ErrUnreadable says that a record of a transfer cannot be read. Its job is not restored,
+// ErrUnreadableRecord says that a record of a transfer cannot be read. Its job is not restored,
 // and the record is not replaced.
-var ErrUnreadable = errors.New("unreadable record of a transfer")
+var ErrUnreadableRecord = errors.New("unreadable record of a transfer")
 
 // Key gives the key of the origin's record. A job has one transfer at a time.
 func (r *OriginRecord) Key() string { return PrefixOut + r.Transfer.Job }
 
 // Key gives the key of the target's record.
-func (r *TargetRecord) Key() string { return keyIn(r.Transfer) }
+func (r *TargetRecord) Key() string { return incomingKey(r.Transfer) }
 
-func keyIn(id TransferID) string {
-	return fmt.Sprintf("%s%s/%s/%d", PrefixIn, id.Origin, id.Job, id.Incarnation)
+func incomingKey(id TransferID) string {
+	return fmt.Sprintf("%s%s/%s/%d", IncomingPrefix, id.Origin, id.Job, id.Incarnation)
 }
 
-// stored is what both records have around them.
-type stored[R any] struct {
-	Format int    `cbor:"v"`
-	Save   string `cbor:"save"`
-	Record R      `cbor:"record"`
+// storedRecord is what both records have around them.
+type storedRecord[R any] struct {
+	Format  int    `cbor:"v"`
+	WriteID string `cbor:"save"`
+	Record  R      `cbor:"record"`
 }
 
 // Encode gives the value that is stored. save identifies the save, for its author to find
 // out whether one without an answer was carried out.
 func (r *OriginRecord) Encode(save string) []byte {
-	return protocol.Encode(stored[OriginRecord]{Format: recordFormat, Save: save, Record: *r})
+	return protocol.Encode(storedRecord[OriginRecord]{Format: recordFormat, WriteID: save, Record: *r})
 }
 
 // Encode gives the value that is stored.
 func (r *TargetRecord) Encode(save string) []byte {
-	return protocol.Encode(stored[TargetRecord]{Format: recordFormat, Save: save, Record: *r})
+	return protocol.Encode(storedRecord[TargetRecord]{Format: recordFormat, WriteID: save, Record: *r})
 }
 
 // ParseOrigin reads an origin's record.
 func ParseOrigin(item protocol.Item) (*OriginRecord, error) {
-	r, err := parse[OriginRecord](item)
+	r, err := decodeRecord[OriginRecord](item)
 	if err != nil {
 		return nil, err
 	}
 	switch {
 	case r.Transfer.check() != nil, r.Key() != item.Key:
 		return nil, unreadable(item, "it is of another transfer")
-	case r.Phase == 0 || r.Phase >= originPhases || r.Cause > Cancelled:
+	case r.Phase == 0 || r.Phase >= originPhaseCount || r.Cause > CauseCancelled:
 		return nil, unreadable(item, "unknown phase or cause")
 	case r.Target == "" || r.Target == r.Transfer.Origin:
 		return nil, unreadable(item, "no target")
-	case r.Allowance < 0 || r.Reruns < 0 || r.Run < 0 || r.Work < 0:
+	case r.MaxRestarts < 0 || r.Restarts < 0 || r.Run < 0 || r.Work < 0:
 		return nil, unreadable(item, "amounts below 0")
 	}
 	return r, nil
 }
 
-// ParseTarget reads a target's record.
-func ParseTarget(item protocol.Item) (*TargetRecord, error) {
-	r, err := parse[TargetRecord](item)
+// DecodeTargetRecord reads a target's record.
+func DecodeTargetRecord(item protocol.Item) (*TargetRecord, error) {
+	r, err := decodeRecord[TargetRecord](item)
 	if err != nil {
 		return nil, err
 	}
 	switch {
 	case r.Transfer.check() != nil, r.Key() != item.Key:
 		return nil, unreadable(item, "it is of another transfer")
-	case r.Phase == 0 || r.Phase >= targetPhases:
+	case r.Phase == 0 || r.Phase >= targetPhaseCount:
 		return nil, unreadable(item, "unknown phase")
 	case r.Run < 0 || r.Work < 0:
 		return nil, unreadable(item, "amounts below 0")
@@ -86,8 +86,8 @@
 	return r, nil
 }
 
-func parse[R any](item protocol.Item) (*R, error) {
-	var s stored[R]
+func decodeRecord[R any](item protocol.Item) (*R, error) {
+	var s storedRecord[R]
 	if err := protocol.Decode(item.Value, &s); err != nil {
 		return nil, unreadable(item, err.Error())
 	}
@@ -98,8 +98,8 @@
 }
 
 func unreadable(item protocol.Item, why string) error {
-	return fmt.Errorf("%w: %s: %s", ErrUnreadable, item.Key, why)
+	return fmt.Errorf("%w: %s: %s", ErrUnreadableRecord, item.Key, why)
 }
 
-// JobOf gives the job whose transfer the origin's record under a key is of.
-func JobOf(key string) (string, bool) { return strings.CutPrefix(key, PrefixOut) }
+// JobFromKey gives the job whose transfer the origin's record under a key is of.
+func JobFromKey(key string) (string, bool) { return strings.CutPrefix(key, PrefixOut) }
--- a/internal/federation/reservation.go
+++ b/internal/federation/reservation.go
@@ -11,12 +11,12 @@
 // the same time share it equally: what one does not ask for the others may have, but
 // nobody gets more than its share while others ask.
 type Reservations struct {
-	// Hold is for how long a reservation lasts that no commitment follows.
-	Hold units.Micros
+	// HoldTime is for how long a reservation lasts that no commitment follows.
+	HoldTime units.Micros
 
-	capacity Work
-	byID     map[TransferID]reservation
-	asked    map[string]units.Micros // by origin: when it last asked
+	capacity    Work
+	byID        map[TransferID]reservation
+	lastRequest map[string]units.Micros // by origin: when it last asked
 }
 
 type reservation struct {
@@ -24,15 +24,15 @@
 	expires units.Micros // 0: committed, it lasts until it is released
 }
 
-// askMemory is for how long an origin counts as one that asks.
-const askMemory = 30 * units.Second
+// requestWindow is for how long an origin counts as one that asks.
+const requestWindow = 30 * units.Second
 
 // NewReservations makes an empty ledger. Nothing can be promised before SetCapacity.
 func NewReservations(hold units.Micros) *Reservations {
 	return &Reservations{
-		Hold:  hold,
-		byID:  map[TransferID]reservation{},
-		asked: map[string]units.Micros{},
+		HoldTime:    hold,
+		byID:        map[TransferID]reservation{},
+		lastRequest: map[string]units.Micros{},
 	}
 }
 
@@ -40,30 +40,30 @@
 // already stays promised.
 func (r *Reservations) SetCapacity(work Work) { r.capacity = max(0, work) }
 
-// Try reserves work for a transfer and tells whether there was room. A repeated call for
+// Reserve reserves work for a transfer and tells whether there was room. A repeated call for
 // the same transfer prolongs its reservation.
-func (r *Reservations) Try(id TransferID, work Work, now units.Micros) bool {
-	r.asked[id.Origin] = now
+func (r *Reservations) Reserve(id TransferID, work Work, now units.Micros) bool {
+	r.lastRequest[id.Origin] = now
 	if old, held := r.byID[id]; held {
 		if old.expires != 0 {
-			old.expires = now + r.Hold
+			old.expires = now + r.HoldTime
 			r.byID[id] = old
 		}
 		return true
 	}
-	if work <= 0 || work > r.capacity-r.promised("") || work > r.share(now)-r.promised(id.Origin) {
+	if work <= 0 || work > r.capacity-r.reservedBy("") || work > r.fairShare(now)-r.reservedBy(id.Origin) {
 		return false
 	}
-	r.byID[id] = reservation{work: work, expires: now + r.Hold}
+	r.byID[id] = reservation{work: work, expires: now + r.HoldTime}
 	return true
 }
 
 // Restore takes over what a record tells, without asking for room.
 func (r *Reservations) Restore(t *TargetRecord, now units.Micros) {
 	switch t.Phase {
-	case ReservedHere:
-		r.byID[t.Transfer] = reservation{work: t.Work, expires: now + r.Hold}
-	case AcceptedHere:
+	case TargetReserved:
+		r.byID[t.Transfer] = reservation{work: t.Work, expires: now + r.HoldTime}
+	case TargetAccepted:
 		r.byID[t.Transfer] = reservation{work: t.Work}
 	}
 }
@@ -88,15 +88,15 @@
 			out = append(out, id)
 		}
 	}
-	slices.SortFunc(out, compareTransfers)
+	slices.SortFunc(out, compareTransferIDs)
 	return out
 }
 
 // Free is what can still be promised.
-func (r *Reservations) Free() Work { return max(0, r.capacity-r.promised("")) }
+func (r *Reservations) Free() Work { return max(0, r.capacity-r.reservedBy("")) }
 
-// promised is what is reserved for an origin, "": for all.
-func (r *Reservations) promised(origin string) Work {
+// reservedBy is what is reserved for an origin, "": for all.
+func (r *Reservations) reservedBy(origin string) Work {
 	total := Work(0)
 	for id, held := range r.byID {
 		if origin == "" || id.Origin == origin {
@@ -106,8 +106,8 @@
 	return total
 }
 
-// share is what each of the origins that ask may have.
-func (r *Reservations) share(now units.Micros) Work {
-	maps.DeleteFunc(r.asked, func(_ string, at units.Micros) bool { return now-at > askMemory })
-	return r.capacity / Work(max(1, len(r.asked)))
+// fairShare is what each of the origins that ask may have.
+func (r *Reservations) fairShare(now units.Micros) Work {
+	maps.DeleteFunc(r.lastRequest, func(_ string, at units.Micros) bool { return now-at > requestWindow })
+	return r.capacity / Work(max(1, len(r.lastRequest)))
 }
--- a/internal/federation/target.go
+++ b/internal/federation/target.go
@@ -7,15 +7,15 @@
 
 // The phases at the target.
 const (
-	// ReservedHere: room is kept for the job, for a while.
-	ReservedHere TargetPhase = iota + 1
-	// AcceptedHere: the job is the target's to run, under grants.
-	AcceptedHere
-	// FinishedHere: all tasks are done; the origin is told until it settles.
-	FinishedHere
-	// RefusedHere: nothing of the job is here, and the transfer is never taken.
-	RefusedHere
-	targetPhases
+	// TargetReserved: room is kept for the job, for a while.
+	TargetReserved TargetPhase = iota + 1
+	// TargetAccepted: the job is the target's to run, under grants.
+	TargetAccepted
+	// TargetFinished: all tasks are done; the origin is told until it settles.
+	TargetFinished
+	// TargetRefused: nothing of the job is here, and the transfer is never taken.
+	TargetRefused
+	targetPhaseCount
 )
 
 // TargetRecord is what the target stores of a transfer.
@@ -34,15 +34,15 @@
 }
 
 // MayRun tells whether tasks of the job may be started, and may go on, at the target.
-func (r *TargetRecord) MayRun(holder *Holder, now units.Micros) bool {
-	return r.Phase == AcceptedHere && r.Run > 0 && !r.Stopping && (r.Unbounded || holder.Valid(now, r.Run))
+func (r *TargetRecord) MayRun(holder *LeaseHolder, now units.Micros) bool {
+	return r.Phase == TargetAccepted && r.Run > 0 && !r.Stopping && (r.Unbounded || holder.Valid(now, r.Run))
 }
 
 // TargetDecision is what follows at the target. Where Save is set, the record is stored
 // first; where Remove is set, it is removed.
 type TargetDecision struct {
 	Record TargetRecord
-	Save   bool
+	Write  bool
 	Remove bool
 	Send   []Message
 }
@@ -55,15 +55,15 @@
 	return d
 }
 
-func (r TargetRecord) save(send ...MessageKind) TargetDecision {
+func (r TargetRecord) write(send ...MessageKind) TargetDecision {
 	d := r.keep(send...)
-	d.Save = true
+	d.Write = true
 	return d
 }
 
 func (r *TargetRecord) message(kind MessageKind) Message {
 	m := Message{Kind: kind, Transfer: r.Transfer}
-	if kind == Refused || kind == Result {
+	if kind == MessageRefused || kind == MessageResult {
 		m.Done, m.Run = r.Done, r.Run
 	}
 	return m
@@ -75,133 +75,133 @@
 func ReceiveNew(m *Message, hasRoom bool) TargetDecision {
 	r := TargetRecord{Transfer: m.Transfer}
 	switch m.Kind {
-	case Reserve:
+	case MessageReserve:
 		if !hasRoom {
-			return r.keep(NoRoom)
+			return r.keep(MessageNoCapacity)
 		}
-		r.Phase, r.Work = ReservedHere, m.Work
-		return r.save(Reserved)
-	case Commit, Revoke:
-		r.Phase = RefusedHere
-		return r.save(Refused)
+		r.Phase, r.Work = TargetReserved, m.Work
+		return r.write(MessageReserved)
+	case MessageCommit, MessageRevoke:
+		r.Phase = TargetRefused
+		return r.write(MessageRefused)
 	}
 	return r.keep() // a late grant, or a repeated settlement
 }
 
 // Receive decides on a message of the origin. lease is the length of a grant.
-func (r TargetRecord) Receive(m *Message, holder *Holder, lease, now units.Micros) TargetDecision {
+func (r TargetRecord) Receive(m *Message, holder *LeaseHolder, lease, now units.Micros) TargetDecision {
 	switch m.Kind {
-	case Reserve:
-		return r.Repeat()
-	case Commit:
-		if r.Phase != ReservedHere {
-			return r.Repeat()
+	case MessageReserve:
+		return r.Resend()
+	case MessageCommit:
+		if r.Phase != TargetReserved {
+			return r.Resend()
 		}
-		r.Phase, r.Job = AcceptedHere, m.Job
-		return r.save(Accepted)
-	case Grant:
-		return r.grant(m, holder, lease, now)
-	case Revoke:
-		return r.revoke()
-	case Settle:
-		if r.Phase == FinishedHere || r.Phase == RefusedHere {
+		r.Phase, r.Job = TargetAccepted, m.Job
+		return r.write(MessageAccepted)
+	case MessageGrant:
+		return r.onGrant(m, holder, lease, now)
+	case MessageRevoke:
+		return r.onRevoke()
+	case MessageSettle:
+		if r.Phase == TargetFinished || r.Phase == TargetRefused {
 			return TargetDecision{Record: r, Remove: true}
 		}
 	}
 	return r.keep()
 }
 
-// Repeat gives what is sent again while no answer comes.
-func (r TargetRecord) Repeat() TargetDecision {
+// Resend gives what is sent again while no answer comes.
+func (r TargetRecord) Resend() TargetDecision {
 	switch r.Phase {
-	case ReservedHere:
-		return r.keep(Reserved)
-	case AcceptedHere:
-		return r.keep(Accepted)
-	case FinishedHere:
-		return r.keep(Result)
-	case RefusedHere:
-		return r.keep(Refused)
+	case TargetReserved:
+		return r.keep(MessageReserved)
+	case TargetAccepted:
+		return r.keep(MessageAccepted)
+	case TargetFinished:
+		return r.keep(MessageResult)
+	case TargetRefused:
+		return r.keep(MessageRefused)
 	}
 	return r.keep()
 }
 
-// grant lets the job run. That a run begins, and that it needs no renewals, is stored
+// onGrant lets the job run. That a run begins, and that it needs no renewals, is stored
 // before any task is started by it.
-func (r TargetRecord) grant(m *Message, holder *Holder, lease, now units.Micros) TargetDecision {
-	if r.Phase != AcceptedHere || r.Stopping || m.Run < r.Run || !holder.take(m, lease, now) {
+func (r TargetRecord) onGrant(m *Message, holder *LeaseHolder, lease, now units.Micros) TargetDecision {
+	if r.Phase != TargetAccepted || r.Stopping || m.Run < r.Run || !holder.acceptGrant(m, lease, now) {
 		return r.keep()
 	}
 	if m.Run == r.Run && m.Unbounded == r.Unbounded {
 		return r.keep()
 	}
 	r.Run, r.Unbounded = m.Run, m.Unbounded
-	return r.save()
+	return r.write()
 }
 
-// revoke ends the transfer, once what runs is stopped.
-func (r TargetRecord) revoke() TargetDecision {
+// onRevoke ends the transfer, once what runs is stopped.
+func (r TargetRecord) onRevoke() TargetDecision {
 	switch r.Phase {
-	case ReservedHere:
-		r.Phase = RefusedHere
-		return r.save(Refused)
-	case AcceptedHere:
+	case TargetReserved:
+		r.Phase = TargetRefused
+		return r.write(MessageRefused)
+	case TargetAccepted:
 		if r.Run == 0 {
-			r.Phase = RefusedHere
-			return r.save(Refused)
+			r.Phase = TargetRefused
+			return r.write(MessageRefused)
 		}
 		if !r.Stopping {
 			r.Stopping = true
-			return r.save()
+			return r.write()
 		}
 		return r.keep()
 	}
-	return r.Repeat()
+	return r.Resend()
 }
 
-// Expire ends a reservation that was not used.
-func (r TargetRecord) Expire() TargetDecision {
-	if r.Phase != ReservedHere {
+// ExpireReservation ends a reservation that was not used.
+func (r TargetRecord) ExpireReservation() TargetDecision {
+	if r.Phase != TargetReserved {
 		return r.keep()
 	}
-	r.Phase = RefusedHere
-	return r.save(Refused)
+	r.Phase = TargetRefused
+	return r.write(MessageRefused)
 }
 
-// Renew asks for the next grant. Where this leader holds no lease on the run, what runs
+// RequestRenewal asks for the next grant. Where this leader holds no lease on the run, what runs
 // next is a new one: its predecessor may have stopped the tasks.
-func (r TargetRecord) Renew(holder *Holder, now units.Micros) TargetDecision {
-	if r.Phase != AcceptedHere || r.Stopping || r.Unbounded {
+func (r TargetRecord) RequestRenewal(holder *LeaseHolder, now units.Micros) TargetDecision {
+	if r.Phase != TargetAccepted || r.Stopping || r.Unbounded {
 		return r.keep()
 	}
 	run := r.Run
 	if run == 0 || !holder.Valid(now, run) {
 		run++
 	}
-	m := r.message(Renew)
+	m := r.message(MessageRenew)
 	m.Run, m.Done = run, r.Done
-	m.Renewal = holder.ask(now, run)
+	m.Renewal = holder.newRenewal(now, run)
 	return TargetDecision{Record: r, Send: []Message{m}}
 }
 
-// Complete is called when tasks are done here, durably. all tells that none is left.
-func (r TargetRecord) Complete(done TaskSet, all bool) TargetDecision {
-	if r.Phase != AcceptedHere {
+// TasksCompleted is called when tasks are done here, durably. all tells that none is left.
+func (r TargetRecord) TasksCompleted(done TaskSet, all bool) TargetDecision {
+	if r.Phase != TargetAccepted {
 		return r.keep()
 	}
 	r.Done = r.Done.Union(done)
 	if !all {
-		return r.save()
+		return r.write()
 	}
-	r.Phase = FinishedHere
-	return r.save(Result)
+	r.Phase = TargetFinished
+	return r.write(MessageResult)
 }
 
-// Stopped is called when nothing of a job whose transfer is revoked is left on any machine.
-func (r TargetRecord) Stopped() TargetDecision {
-	if r.Phase != AcceptedHere || !r.Stopping {
+// TasksStopped is called when nothing of a job whose transfer is revoked is left on any machine.
+func (r TargetRecord) TasksStopped() TargetDecision {
+	if r.Phase != TargetAccepted || !r.Stopping {
 		return r.keep()
 	}
-	r.Phase = RefusedHere
-	return r.save(Refused)
+	r.Phase = TargetRefused
+	return r.write(MessageRefused)
 }
--- a/internal/federation/transfer.go
+++ b/internal/federation/transfer.go
@@ -33,59 +33,59 @@
 	return nil
 }
 
-// cellName is what a cell may be called: its name is part of keys and addresses.
-var cellName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,31}$`)
+// cellNamePattern is what a cell may be called: its name is part of keys and addresses.
+var cellNamePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,31}$`)
 
 // ValidCellName tells whether a cell may have a name.
-func ValidCellName(name string) bool { return cellName.MatchString(name) }
+func ValidCellName(name string) bool { return cellNamePattern.MatchString(name) }
 
 // MessageKind is what a message says.
 type MessageKind uint8
 
 // The messages of a transfer. Each may be sent again at any time.
 const (
-	// Reserve asks the target for room.
-	Reserve MessageKind = iota + 1
-	// Reserved tells that there is room, for a while.
-	Reserved
-	// NoRoom tells that there is none now. Unlike Refused it settles nothing.
-	NoRoom
-	// Commit hands the job over. The origin starts nothing of it from then on.
-	Commit
-	// Accepted tells that the target has the job.
-	Accepted
-	// Refused tells that nothing of the job is at the target, and that the target will
+	// MessageReserve asks the target for room.
+	MessageReserve MessageKind = iota + 1
+	// MessageReserved tells that there is room, for a while.
+	MessageReserved
+	// MessageNoCapacity tells that there is none now. Unlike Refused it settles nothing.
+	MessageNoCapacity
+	// MessageCommit hands the job over. The origin starts nothing of it from then on.
+	MessageCommit
+	// MessageAccepted tells that the target has the job.
+	MessageAccepted
+	// MessageRefused tells that nothing of the job is at the target, and that the target will
 	// never take this transfer. It is durable there.
-	Refused
-	// Renew asks for a grant.
-	Renew
-	// Grant lets the target run tasks, from when it sent the Renew that is answered.
-	Grant
-	// Revoke ends the transfer: the target stops the tasks and answers Refused.
-	Revoke
-	// Result tells that all tasks of the job are done.
-	Result
-	// Settle tells that the origin needs no answer of this transfer any more.
-	Settle
-	messageKinds
+	MessageRefused
+	// MessageRenew asks for a grant.
+	MessageRenew
+	// MessageGrant lets the target run tasks, from when it sent the Renew that is answered.
+	MessageGrant
+	// MessageRevoke ends the transfer: the target stops the tasks and answers Refused.
+	MessageRevoke
+	// MessageResult tells that all tasks of the job are done.
+	MessageResult
+	// MessageSettle tells that the origin needs no answer of this transfer any more.
+	MessageSettle
+	messageKindCount
 )
 
-var messageNames = [messageKinds]string{
-	Reserve:  "reserve",
-	Reserved: "reserved",
-	NoRoom:   "no room",
-	Commit:   "commit",
-	Accepted: "accepted",
-	Refused:  "refused",
-	Renew:    "renew",
-	Grant:    "grant",
-	Revoke:   "revoke",
-	Result:   "result",
-	Settle:   "settle",
+var messageNames = [messageKindCount]string{
+	MessageReserve:    "reserve",
+	MessageReserved:   "reserved",
+	MessageNoCapacity: "no room",
+	MessageCommit:     "commit",
+	MessageAccepted:   "accepted",
+	MessageRefused:    "refused",
+	MessageRenew:      "renew",
+	MessageGrant:      "grant",
+	MessageRevoke:     "revoke",
+	MessageResult:     "result",
+	MessageSettle:     "settle",
 }
 
 func (k MessageKind) String() string {
-	if k > 0 && k < messageKinds {
+	if k > 0 && k < messageKindCount {
 		return messageNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
@@ -94,7 +94,7 @@
 // toTarget tells whether a message goes from a job's origin to the target.
 func (k MessageKind) toTarget() bool {
 	switch k {
-	case Reserve, Commit, Grant, Revoke, Settle:
+	case MessageReserve, MessageCommit, MessageGrant, MessageRevoke, MessageSettle:
 		return true
 	}
 	return false
@@ -109,7 +109,7 @@
 	// Work is how much of the target's capacity the job takes: in Reserve.
 	Work Work `cbor:"work,omitempty"`
 	// Renewal tells which Renew a Grant answers.
-	Renewal Renewal `cbor:"renewal,omitzero"`
+	Renewal RenewalID `cbor:"renewal,omitzero"`
 	// Run is the run of the job at the target that is asked for or granted, from 1; in
 	// Refused the last one that began, 0: none.
 	Run int `cbor:"run,omitempty"`
@@ -122,31 +122,31 @@
 // Work is a job's expected use of processors, in thousandths of a processor times seconds.
 type Work int64
 
-// Renewal names a Renew: the fleet lease's incarnation at the target, and a number within.
-type Renewal struct {
-	Term   uint64 `cbor:"term"`
-	Number uint64 `cbor:"n"`
+// RenewalID names a Renew: the fleet lease's incarnation at the target, and a number within.
+type RenewalID struct {
+	FencingToken uint64 `cbor:"term"`
+	Sequence     uint64 `cbor:"n"`
 }
 
-// mostRuns bounds the runs that a message may name.
-const mostRuns = 1 << 20
+// maxRun bounds the runs that a message may name.
+const maxRun = 1 << 20
 
-// ErrMessage says that a message cannot be what a cell of this version sends.
-var ErrMessage = errors.New("malformed message of a transfer")
+// ErrMalformedMessage says that a message cannot be what a cell of this version sends.
+var ErrMalformedMessage = errors.New("malformed message of a transfer")
 
 // Check tells whether a message can be acted on. One that cannot is ignored and counted.
 func (m *Message) Check() error {
-	if m.Kind == 0 || m.Kind >= messageKinds {
-		return fmt.Errorf("%w: %v", ErrMessage, m.Kind)
+	if m.Kind == 0 || m.Kind >= messageKindCount {
+		return fmt.Errorf("%w: %v", ErrMalformedMessage, m.Kind)
 	}
 	if err := m.Transfer.check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrMessage, err)
+		return fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
-	if m.Work < 0 || m.Run < 0 || m.Run > mostRuns {
-		return fmt.Errorf("%w: amounts out of range", ErrMessage)
+	if m.Work < 0 || m.Run < 0 || m.Run > maxRun {
+		return fmt.Errorf("%w: amounts out of range", ErrMalformedMessage)
 	}
-	if (m.Kind == Renew || m.Kind == Grant) && m.Run == 0 {
-		return fmt.Errorf("%w: %v without a run", ErrMessage, m.Kind)
+	if (m.Kind == MessageRenew || m.Kind == MessageGrant) && m.Run == 0 {
+		return fmt.Errorf("%w: %v without a run", ErrMalformedMessage, m.Kind)
 	}
 	return nil
 }
@@ -164,8 +164,8 @@
 	return out
 }
 
-// Contains tells whether every task of other is in the set.
-func (s TaskSet) Contains(other TaskSet) bool {
+// ContainsAll tells whether every task of other is in the set.
+func (s TaskSet) ContainsAll(other TaskSet) bool {
 	for i, bits := range other {
 		if bits != 0 && (i >= len(s) || s[i]&bits != bits) {
 			return false
@@ -185,31 +185,31 @@
 // Has tells whether a task is in the set.
 func (s TaskSet) Has(task int) bool { return task/8 < len(s) && s[task/8]&(1<<(task%8)) != 0 }
 
-// Terms are the times of a delegation, the same in both cells.
-type Terms struct {
+// Timing are the times of a delegation, the same in both cells.
+type Timing struct {
 	// Lease is for how long a grant lets the target run tasks.
 	Lease units.Micros
-	// Stop is the time within which the tasks are gone after the lease's end, whatever
+	// StopGrace is the time within which the tasks are gone after the lease's end, whatever
 	// happens to the target's controllers: no less than the lease of its workers.
-	Stop units.Micros
+	StopGrace units.Micros
 }
 
 const (
-	// driftPerMillion is by how much two steady clocks may drift apart.
-	driftPerMillion = 500
-	// graceForRounding covers what the clocks' steps hide.
-	graceForRounding = 100 * units.Millisecond
+	// maxDriftPPM is by how much two steady clocks may drift apart.
+	maxDriftPPM = 500
+	// roundingAllowance covers what the clocks' steps hide.
+	roundingAllowance = 100 * units.Millisecond
 )
 
-// Certain is how long the origin waits, by its own clock, from its last grant until nothing
+// ReclaimDelay is how long the origin waits, by its own clock, from its last grant until nothing
 // of the job runs at the target.
-func (t Terms) Certain() units.Micros {
-	length := t.Lease + t.Stop
-	return withDrift(length) + graceForRounding
+func (t Timing) ReclaimDelay() units.Micros {
+	length := t.Lease + t.StopGrace
+	return withDrift(length) + roundingAllowance
 }
 
-// compareTransfers orders transfers.
-func compareTransfers(a, b TransferID) int {
+// compareTransferIDs orders transfers.
+func compareTransferIDs(a, b TransferID) int {
 	return cmp.Or(
 		cmp.Compare(a.Origin, b.Origin),
 		cmp.Compare(a.Job, b.Job),
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -16,22 +16,22 @@
 	t        *testing.T
 	origin   OriginRecord
 	target   *TargetRecord
-	grantor  Grantor
-	holder   Holder
+	grantor  LeaseGrantor
+	holder   LeaseHolder
 	now      units.Micros
 	messages int
 	writes   int
 }
 
 func newPair(t *testing.T, allowance int) *pair {
-	p := &pair{t: t, holder: NewHolder(1)}
-	p.fromOrigin(Begin(transfer, "dye", []byte("job"), 10, allowance, 0))
+	p := &pair{t: t, holder: NewLeaseHolder(1)}
+	p.fromOrigin(BeginTransfer(transfer, "dye", []byte("job"), 10, allowance, 0))
 	return p
 }
 
 func (p *pair) fromOrigin(d OriginDecision) {
 	p.origin = d.Record
-	if d.Save {
+	if d.Write {
 		p.writes++
 	}
 	for i := range d.Send {
@@ -49,7 +49,7 @@
 }
 
 func (p *pair) fromTarget(d TargetDecision) {
-	if d.Save || d.Remove {
+	if d.Write || d.Remove {
 		p.writes++
 	}
 	p.target = &d.Record
@@ -76,18 +76,18 @@
 func TestHandOverCosts(t *testing.T) {
 	p := newPair(t, 1)
 	p.want(Committed, false)
-	p.fromTarget(p.target.Renew(&p.holder, p.now))
+	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
 	p.want(Committed, true)
 	if p.messages != 6 || p.writes != 6 {
 		t.Errorf("until the first task: %d messages and %d writes, want 6 and 6", p.messages, p.writes)
 	}
 	p.now += modelTerms.Lease / 2
-	p.fromTarget(p.target.Renew(&p.holder, p.now))
+	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
 	if p.messages != 8 || p.writes != 6 {
 		t.Errorf("after a renewal: %d messages and %d writes, want 2 more and none", p.messages, p.writes)
 	}
-	p.fromTarget(p.target.Complete(TaskSet{1}, true))
-	p.want(Finished, false)
+	p.fromTarget(p.target.TasksCompleted(TaskSet{1}, true))
+	p.want(OriginFinished, false)
 	if p.target != nil || p.messages != 10 || p.writes != 9 {
 		t.Errorf("in all: %d messages and %d writes, want 10 and 9", p.messages, p.writes)
 	}
@@ -97,9 +97,9 @@
 func TestMessagesOfAnEarlierTransferChangeNothing(t *testing.T) {
 	p := newPair(t, 3)
 	p.origin.Transfer.Incarnation = 2
-	for _, kind := range []MessageKind{Refused, NoRoom, Reserved, Accepted} {
+	for _, kind := range []MessageKind{MessageRefused, MessageNoCapacity, MessageReserved, MessageAccepted} {
 		d := p.origin.Receive(&Message{Kind: kind, Transfer: transfer}, &p.grantor, p.now)
-		if d.Save || d.Record.Phase != Committed {
+		if d.Write || d.Record.Phase != Committed {
 			t.Errorf("%v of an earlier transfer: phase %d", kind, d.Record.Phase)
 		}
 		if len(d.Send) != 1 || d.Send[0].Transfer != transfer {
@@ -111,15 +111,15 @@
 // What a target refused it never takes, though late copies of all messages follow; and it
 // takes no commitment without a reservation.
 func TestRefusalIsDurable(t *testing.T) {
-	for _, first := range []MessageKind{Commit, Revoke} {
+	for _, first := range []MessageKind{MessageCommit, MessageRevoke} {
 		d := ReceiveNew(&Message{Kind: first, Transfer: transfer, Job: []byte("job")}, true)
-		if !d.Save || d.Record.Phase != RefusedHere {
+		if !d.Write || d.Record.Phase != TargetRefused {
 			t.Fatalf("%v without a reservation: %+v", first, d)
 		}
-		for _, late := range []MessageKind{Reserve, Commit, Reserve, Commit, Revoke} {
-			holder := NewHolder(1)
+		for _, late := range []MessageKind{MessageReserve, MessageCommit, MessageReserve, MessageCommit, MessageRevoke} {
+			holder := NewLeaseHolder(1)
 			d = d.Record.Receive(&Message{Kind: late, Transfer: transfer, Work: 1}, &holder, modelTerms.Lease, 0)
-			if d.Record.Phase != RefusedHere || len(d.Send) != 1 || d.Send[0].Kind != Refused {
+			if d.Record.Phase != TargetRefused || len(d.Send) != 1 || d.Send[0].Kind != MessageRefused {
 				t.Errorf("a late %v after the refusal: %+v", late, d)
 			}
 		}
@@ -129,13 +129,13 @@
 // That there is no room now settles nothing: a copy of that answer may come after a later
 // one that promised room.
 func TestNoRoomIsNoRefusal(t *testing.T) {
-	if d := ReceiveNew(&Message{Kind: Reserve, Transfer: transfer, Work: 1}, false); d.Save || d.Send[0].Kind != NoRoom {
+	if d := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, false); d.Write || d.Send[0].Kind != MessageNoCapacity {
 		t.Fatalf("without room: %+v", d)
 	}
 	p := newPair(t, 1)
-	p.fromTarget(p.target.Renew(&p.holder, p.now))
-	d := p.origin.Receive(&Message{Kind: NoRoom, Transfer: transfer}, &p.grantor, p.now)
-	if d.Save || d.Record.Phase != Committed {
+	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
+	d := p.origin.Receive(&Message{Kind: MessageNoCapacity, Transfer: transfer}, &p.grantor, p.now)
+	if d.Write || d.Record.Phase != Committed {
 		t.Errorf("a late answer ends the transfer: %+v", d.Record)
 	}
 }
@@ -144,15 +144,15 @@
 // being stopped, and starting them again is another run.
 func TestLapsedRunDoesNotGoOn(t *testing.T) {
 	p := newPair(t, 1)
-	p.fromTarget(p.target.Renew(&p.holder, p.now))
+	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
 	p.now += modelTerms.Lease - 1
-	asked := p.target.Renew(&p.holder, p.now)
+	asked := p.target.RequestRenewal(&p.holder, p.now)
 	grant := p.origin.Receive(&asked.Send[0], &p.grantor, p.now)
 	p.now += 1
 	p.want(Committed, false)
 	p.toTarget(&grant.Send[0])
 	p.want(Committed, false)
-	p.fromTarget(p.target.Renew(&p.holder, p.now))
+	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
 	p.want(Committed, true)
 	if p.origin.Run != 2 || p.target.Run != 2 || !p.target.Unbounded {
 		t.Errorf("origin's run %d, target's %d, unbounded %v; want the second and last", p.origin.Run, p.target.Run, p.target.Unbounded)
@@ -161,14 +161,14 @@
 
 // The wait covers clocks that drift apart by the bound, and more.
 func TestCertainTimeCoversDrift(t *testing.T) {
-	for _, terms := range []Terms{modelTerms, {Lease: units.Second, Stop: 600 * units.Second}} {
-		slowest := (terms.Lease + terms.Stop).Share(1_000_000+driftPerMillion, 1_000_000)
-		if terms.Certain() <= slowest {
-			t.Errorf("%+v: certain after %d, a slow clock may take %d", terms, terms.Certain(), slowest)
+	for _, terms := range []Timing{modelTerms, {Lease: units.Second, StopGrace: 600 * units.Second}} {
+		slowest := (terms.Lease + terms.StopGrace).Share(1_000_000+maxDriftPPM, 1_000_000)
+		if terms.ReclaimDelay() <= slowest {
+			t.Errorf("%+v: certain after %d, a slow clock may take %d", terms, terms.ReclaimDelay(), slowest)
 		}
-		grantor := NewGrantor(5)
-		grantor.granted(7)
-		if grantor.Lapsed(7+slowest, terms) || !grantor.Lapsed(8+terms.Certain(), terms) {
+		grantor := NewLeaseGrantor(5)
+		grantor.recordGrant(7)
+		if grantor.Expired(7+slowest, terms) || !grantor.Expired(8+terms.ReclaimDelay(), terms) {
 			t.Errorf("%+v: lapsed at the wrong time", terms)
 		}
 	}
@@ -178,59 +178,59 @@
 // which waits for it, also when the job is cancelled.
 func TestClassWithoutRerunsWaitsForItsTarget(t *testing.T) {
 	p := newPair(t, 0)
-	p.fromTarget(p.target.Renew(&p.holder, p.now))
-	p.now += 1000 * modelTerms.Certain()
+	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
+	p.now += 1000 * modelTerms.ReclaimDelay()
 	p.want(Committed, true)
-	if p.fromOrigin(p.origin.TakeBack()); p.origin.Phase != Committed {
+	if p.fromOrigin(p.origin.Reclaim()); p.origin.Phase != Committed {
 		t.Fatal("it is taken back")
 	}
 	d := p.origin.Cancel()
 	p.origin = d.Record // the target is cut off
-	p.now += 1000 * modelTerms.Certain()
-	if p.fromOrigin(p.origin.Tick(&p.grantor, p.now, modelTerms)); p.origin.Phase != Revoking {
+	p.now += 1000 * modelTerms.ReclaimDelay()
+	if p.fromOrigin(p.origin.Tick(&p.grantor, p.now, modelTerms)); p.origin.Phase != OriginRevoking {
 		t.Fatal("its end is taken for certain")
 	}
 	p.toTarget(&d.Send[0])
-	p.fromTarget(p.target.Stopped())
-	if p.origin.Phase != Withdrawn || !p.origin.Over() {
+	p.fromTarget(p.target.TasksStopped())
+	if p.origin.Phase != OriginWithdrawn || !p.origin.Removable() {
 		t.Errorf("after its target was heard: %+v", p.origin)
 	}
 }
 
 // A result counts though the job was taken back, unless its user was told of its end.
 func TestLateResultCounts(t *testing.T) {
-	result := &Message{Kind: Result, Transfer: transfer, Done: TaskSet{3}, Run: 1}
-	back := OriginRecord{Transfer: transfer, Target: "dye", Phase: Returned, Run: 1, Allowance: 2, Done: TaskSet{4}}
-	if d := back.Receive(result, &Grantor{}, 0); d.Record.Phase != Finished || !d.Save || !d.Record.Done.Contains(TaskSet{7}) {
+	result := &Message{Kind: MessageResult, Transfer: transfer, Done: TaskSet{3}, Run: 1}
+	back := OriginRecord{Transfer: transfer, Target: "dye", Phase: OriginReturned, Run: 1, MaxRestarts: 2, Done: TaskSet{4}}
+	if d := back.Receive(result, &LeaseGrantor{}, 0); d.Record.Phase != OriginFinished || !d.Write || !d.Record.Done.ContainsAll(TaskSet{7}) {
 		t.Errorf("a result after the job returned: %+v", d)
 	}
-	if d := back.Ended().Record.Receive(result, &Grantor{}, 0); d.Record.Phase != Withdrawn || d.Send[0].Kind != Settle {
+	if d := back.JobEnded().Record.Receive(result, &LeaseGrantor{}, 0); d.Record.Phase != OriginWithdrawn || d.Send[0].Kind != MessageSettle {
 		t.Errorf("a result after the job ended: %+v", d)
 	}
 }
 
 func TestMalformedMessagesAreRefused(t *testing.T) {
-	good := Message{Kind: Renew, Transfer: transfer, Run: 1}
+	good := Message{Kind: MessageRenew, Transfer: transfer, Run: 1}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for what, spoil := range map[string]func(*Message){
 		"kind 0":           func(m *Message) { m.Kind = 0 },
-		"kind of a later":  func(m *Message) { m.Kind = messageKinds },
+		"kind of a later":  func(m *Message) { m.Kind = messageKindCount },
 		"no origin":        func(m *Message) { m.Transfer.Origin = "" },
 		"slash in origin":  func(m *Message) { m.Transfer.Origin = "a/b" },
 		"bad job":          func(m *Message) { m.Transfer.Job = "x" },
 		"no incarnation":   func(m *Message) { m.Transfer.Incarnation = 0 },
 		"negative work":    func(m *Message) { m.Work = -1 },
 		"renew of no run":  func(m *Message) { m.Run = 0 },
-		"runs beyond all":  func(m *Message) { m.Run = mostRuns + 1 },
+		"runs beyond all":  func(m *Message) { m.Run = maxRun + 1 },
 		"runs below zero":  func(m *Message) { m.Run = -1 },
-		"grant of no run":  func(m *Message) { m.Kind, m.Run = Grant, 0 },
+		"grant of no run":  func(m *Message) { m.Kind, m.Run = MessageGrant, 0 },
 		"name with spaces": func(m *Message) { m.Transfer.Origin = "the mill" },
 	} {
 		m := good
 		spoil(&m)
-		if err := m.Check(); !errors.Is(err, ErrMessage) {
+		if err := m.Check(); !errors.Is(err, ErrMalformedMessage) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -238,15 +238,15 @@
 
 // A record that cannot be read is told with its key, and never taken for another.
 func TestUnreadableRecords(t *testing.T) {
-	origin := Begin(transfer, "dye", nil, 1, 0, 0).Record
-	target := ReceiveNew(&Message{Kind: Reserve, Transfer: transfer, Work: 1}, true).Record
+	origin := BeginTransfer(transfer, "dye", nil, 1, 0, 0).Record
+	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
 	bad := origin
-	bad.Phase = originPhases
+	bad.Phase = originPhaseCount
 	own := origin
 	own.Target = "mill"
 	negative := target
 	negative.Run = -1
-	later := protocol.Encode(stored[OriginRecord]{Format: recordFormat + 1, Record: origin})
+	later := protocol.Encode(storedRecord[OriginRecord]{Format: recordFormat + 1, Record: origin})
 	for what, item := range map[string]protocol.Item{
 		"no value":        {Key: origin.Key()},
 		"other key":       {Key: PrefixOut + "j-000002", Value: origin.Encode("")},
@@ -255,7 +255,7 @@
 		"a later format":  {Key: origin.Key(), Value: later},
 		"target's record": {Key: origin.Key(), Value: target.Encode("")},
 	} {
-		if r, err := ParseOrigin(item); !errors.Is(err, ErrUnreadable) {
+		if r, err := ParseOrigin(item); !errors.Is(err, ErrUnreadableRecord) {
 			t.Errorf("origin, %s: %+v, %v", what, r, err)
 		}
 	}
@@ -264,11 +264,11 @@
 		"other key":    {Key: origin.Key(), Value: target.Encode("")},
 		"negative run": {Key: negative.Key(), Value: negative.Encode("")},
 	} {
-		if r, err := ParseTarget(item); !errors.Is(err, ErrUnreadable) {
+		if r, err := DecodeTargetRecord(item); !errors.Is(err, ErrUnreadableRecord) {
 			t.Errorf("target, %s: %+v, %v", what, r, err)
 		}
 	}
-	if job, ok := JobOf(origin.Key()); !ok || job != "j-000001" {
+	if job, ok := JobFromKey(origin.Key()); !ok || job != "j-000001" {
 		t.Errorf("the job of %s: %q", origin.Key(), job)
 	}
 }
@@ -280,22 +280,22 @@
 		return TransferID{Origin: origin, Job: "j-000001", Incarnation: n}
 	}
 	r := NewReservations(5 * units.Second)
-	if r.Try(id("mill", 1), 1, 0) {
+	if r.Reserve(id("mill", 1), 1, 0) {
 		t.Fatal("something is promised before the capacity is known")
 	}
 	r.SetCapacity(10)
-	r.Try(id("dye", 1), 1, 0)
+	r.Reserve(id("dye", 1), 1, 0)
 	for n := range uint64(10) {
-		r.Try(id("mill", 10+n), 1, 0)
+		r.Reserve(id("mill", 10+n), 1, 0)
 	}
-	if mill := r.promised("mill"); mill != 5 {
+	if mill := r.reservedBy("mill"); mill != 5 {
 		t.Errorf("mill has %d of 10 while dye asks, want 5", mill)
 	}
 	for n := range uint64(10) {
-		r.Try(id("dye", 10+n), 1, 0)
+		r.Reserve(id("dye", 10+n), 1, 0)
 	}
-	if r.Free() != 0 || r.promised("dye") != 5 {
-		t.Errorf("dye has %d, %d are free", r.promised("dye"), r.Free())
+	if r.Free() != 0 || r.reservedBy("dye") != 5 {
+		t.Errorf("dye has %d, %d are free", r.reservedBy("dye"), r.Free())
 	}
 	r.Commit(id("mill", 10))
 	later := 6 * units.Second
@@ -305,12 +305,12 @@
 	for _, e := range r.Expired(later) {
 		r.Release(e)
 	}
-	alone := later + askMemory + 1
-	if !r.Try(id("dye", 99), 9, alone) || r.Try(id("dye", 100), 1, alone) {
+	alone := later + requestWindow + 1
+	if !r.Reserve(id("dye", 99), 9, alone) || r.Reserve(id("dye", 100), 1, alone) {
 		t.Error("a cell that asks alone gets less or more than what is left")
 	}
 	r.SetCapacity(1) // machines are lost: promises hold, nothing new is promised
-	if r.Free() != 0 || r.promised("") != 10 || r.Try(id("mill", 200), 1, alone) {
-		t.Errorf("after machines were lost: %d promised, %d free", r.promised(""), r.Free())
+	if r.Free() != 0 || r.reservedBy("") != 10 || r.Reserve(id("mill", 200), 1, alone) {
+		t.Errorf("after machines were lost: %d promised, %d free", r.reservedBy(""), r.Free())
 	}
 }
