--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -2,76 +2,14 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
 
-	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// ErrConflict says that a record was not stored, as another leader has written since.
-var ErrConflict = errors.New("another leader has written the record")
-
-// Store keeps the records of a cell's transfers.
-type Store interface {
-	// List gives all records under a prefix.
-	List(ctx context.Context, prefix string) ([]protocol.Item, error)
-	// Save puts a value, or deletes the key if it is nil, on condition of the version
-	// that the record has, 0: none. It gives the new version. It returns an error other
-	// than ErrConflict only if the save is certain not to be carried out.
-	Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error)
-}
-
-// Transport sends messages to other cells. They may be lost, doubled or late.
-type Transport interface {
-	Send(cell string, m Message)
-}
-
-// Scheduler runs jobs in this cell. Its methods are called again and again for the same
-// transfer; they return at once and do not call the Manager.
-type Scheduler interface {
-	// Run has the tasks of another cell's job run that are not done. The scheduler asks
-	// Manager.MayRun before each start, and before each answer to a machine that holds one.
-	Run(id TransferID, job []byte, done TaskSet)
-	// Stop has them stopped.
-	Stop(id TransferID)
-	// Progress tells how far the tasks are.
-	Progress(id TransferID) Progress
-	// Returned gives a job of this cell back to it, Finished and Withdrawn tell that one is
-	// over. They tell whether that is durable here; until then the transfer's record stays.
-	Returned(job string, done TaskSet, reruns int) bool
-	Finished(job string, done TaskSet) bool
-	Withdrawn(job string) bool
-}
-
-// Progress is how far the tasks of another cell's job are.
-type Progress struct {
-	// Done are the tasks that are done, durably.
-	Done TaskSet
-	// Complete: none is left to be done.
-	Complete bool
-	// Running: some may be on a machine.
-	Running bool
-}
-
-// Options are what a Manager needs.
-type Options struct {
-	Config    *Config
-	Store     Store
-	Transport Transport
-	Scheduler Scheduler
-	Clock     units.Clock
-	Log       *slog.Logger
-	// FencingToken is the incarnation of the fleet lease, ClaimedAt the steady time of its claim.
-	FencingToken    uint64
-	LeaseAcquiredAt units.Micros
-	// OnSuperseded is called once when another leader has written a record.
-	OnSuperseded func()
-}
-
 // Stats count what a Manager did.
 type Stats struct{ Sent, Received, Rejected, Writes atomic.Int64 }
 
@@ -193,84 +131,3 @@
 	defer m.mu.Unlock()
 	return m.reservations.Free()
 }
-
-// ErrNotHandedOver says that a job is not handed over.
-var ErrNotHandedOver = errors.New("the job is not handed over")
-
-// HandOver begins to hand a job over that has no task on a machine. reruns is how often it
-// was begun anew. The scheduler starts nothing of it until Returned is called.
-func (m *Manager) HandOver(ctx context.Context, job, class string, description []byte, work Work, reruns int, target string) error {
-	rules := m.Config.Class(class)
-	switch {
-	case rules == nil:
-		return fmt.Errorf("%w: class %q stays where it is", ErrNotHandedOver, class)
-	case reruns > rules.MaxRestarts:
-		return fmt.Errorf("%w: its class allows no further run", ErrNotHandedOver)
-	case target == m.Config.Self || m.Config.Cell(target) == nil:
-		return fmt.Errorf("%w: %q is no other cell", ErrNotHandedOver, target)
-	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.outgoing[job] != nil || m.unreadable[PrefixOut+job] != nil {
-		return fmt.Errorf("%w: it has a transfer", ErrNotHandedOver)
-	}
-	m.transferCount++
-	id := TransferID{Origin: m.Config.Self, Job: job, Incarnation: m.FencingToken<<incarnationBits | m.transferCount}
-	if err := id.check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotHandedOver, err)
-	}
-	o := &outgoingTransfer{grantor: NewLeaseGrantor(m.LeaseAcquiredAt)}
-	m.outgoing[job] = o
-	if m.applyOrigin(ctx, o, BeginTransfer(id, target, description, work, rules.MaxRestarts, reruns)); o.version == 0 {
-		delete(m.outgoing, job)
-		return fmt.Errorf("%w: its transfer was not stored", ErrNotHandedOver)
-	}
-	return nil
-}
-
-// Cancel begins to cancel a job that was handed over. It is called until the scheduler was
-// told, by Withdrawn, or has the job back by Returned; then its user may be told.
-func (m *Manager) Cancel(ctx context.Context, job string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if o := m.outgoing[job]; o != nil && !o.writing {
-		m.applyOrigin(ctx, o, o.record.Cancel())
-	}
-}
-
-// JobEnded is called before the end of a job is stored that had returned. It tells whether
-// the end may be stored.
-func (m *Manager) JobEnded(ctx context.Context, job string) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	o := m.outgoing[job]
-	switch {
-	case o == nil:
-		return true
-	case o.writing:
-		return false
-	}
-	m.applyOrigin(ctx, o, o.record.JobEnded())
-	return o.record.Phase == OriginWithdrawn && !m.superseded
-}
-
-// Owner tells who may start tasks of a job of this cell.
-func (m *Manager) Owner(job string) Owner {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if o := m.outgoing[job]; o != nil {
-		return o.record.Owner()
-	}
-	if m.unreadable[PrefixOut+job] != nil {
-		return OwnerNone
-	}
-	return OwnerOrigin
-}
-
-// MayRun tells whether tasks of another cell's job may be started, and may go on.
-func (m *Manager) MayRun(id TransferID) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	i := m.incoming[id]
-	return i != nil && !m.superseded && i.record.MayRun(&i.holder, m.Clock.Steady())
-}
--- /dev/null
+++ b/internal/federation/taskset.go
@@ -0,0 +1,35 @@
+package federation
+
+// TaskSet is a set of a job's tasks, a bit for each.
+type TaskSet []byte
+
+// Union gives the tasks in either set.
+func (s TaskSet) Union(other TaskSet) TaskSet {
+	out := make(TaskSet, max(len(s), len(other)))
+	copy(out, s)
+	for i, bits := range other {
+		out[i] |= bits
+	}
+	return out
+}
+
+// ContainsAll tells whether every task of other is in the set.
+func (s TaskSet) ContainsAll(other TaskSet) bool {
+	for i, bits := range other {
+		if bits != 0 && (i >= len(s) || s[i]&bits != bits) {
+			return false
+		}
+	}
+	return true
+}
+
+// Add puts a task into the set, which grows as needed.
+func (s *TaskSet) Add(task int) {
+	for len(*s) <= task/8 {
+		*s = append(*s, 0)
+	}
+	(*s)[task/8] |= 1 << (task % 8)
+}
+
+// Has tells whether a task is in the set.
+func (s TaskSet) Has(task int) bool { return task/8 < len(s) && s[task/8]&(1<<(task%8)) != 0 }
