--- a/internal/federation/apply.go
+++ b/internal/federation/apply.go
@@ -6,71 +6,91 @@
 	"fmt"
 )
 
-// applyOrigin carries a decision out: the record is stored, then messages are sent. The
-// lock is held, and given up while the record is being stored.
-func (m *Manager) applyOrigin(ctx context.Context, o *outgoingTransfer, d OriginDecision) {
-	if d.Write {
-		version, ok := m.write(ctx, &o.writing, d.Record.Key(), d.Record.Encode(m.nextWriteID()), o.version)
-		if !ok {
+// applyOrigin carries out a decision about a transfer of this cell's job: the record is
+// written, then the messages are sent. It is called with the lock held, which is released
+// while the record is being written.
+func (m *Manager) applyOrigin(ctx context.Context, transfer *outgoingTransfer, decision Decision[OriginRecord]) {
+	if decision.Write {
+		before := transfer.record.Phase
+		if !writeRecord(ctx, m, &transfer.versionedRecord, decision.Record) {
 			return
 		}
-		if d.Record.Phase != o.record.Phase {
-			m.Log.Info("transfer of a job", "transfer", d.Record.Transfer.String(), "target", d.Record.Target,
-				"phase", int(d.Record.Phase), "run", d.Record.Run)
+		if now := transfer.record; now.Phase != before {
+			m.Log.Info("transfer of a job", "transfer", now.Transfer.String(), "target", now.Target,
+				"phase", int(now.Phase), "run", now.Run)
 		}
-		o.record, o.version = d.Record, version
 	}
-	m.send(d.Record.Target, d.Send)
+	m.send(decision.Record.Target, decision.Send)
 }
 
-func (m *Manager) applyTarget(ctx context.Context, i *incomingTransfer, d TargetDecision) {
-	id := d.Record.Transfer
-	switch {
-	case d.Remove:
-		if _, ok := m.write(ctx, &i.writing, d.Record.Key(), nil, i.version); ok {
+// applyTarget does the same for a transfer of another cell's job, and has the reservations
+// follow the record.
+func (m *Manager) applyTarget(ctx context.Context, transfer *incomingTransfer, decision Decision[TargetRecord]) {
+	id := decision.Record.Transfer
+	if decision.Remove {
+		if removeRecord(ctx, m, &transfer.versionedRecord) {
 			delete(m.incoming, id)
 			m.reservations.Release(id)
 		}
 		return
-	case d.Write:
-		version, ok := m.write(ctx, &i.writing, d.Record.Key(), d.Record.Encode(m.nextWriteID()), i.version)
-		if !ok {
+	}
+	if decision.Write {
+		before := transfer.record.Phase
+		if !writeRecord(ctx, m, &transfer.versionedRecord, decision.Record) {
 			return
 		}
-		if d.Record.Phase != i.record.Phase {
-			m.Log.Info("transfer of another cell's job", "transfer", id.String(), "phase", int(d.Record.Phase), "run", d.Record.Run)
+		if now := transfer.record; now.Phase != before {
+			m.Log.Info("transfer of another cell's job", "transfer", id.String(), "phase", int(now.Phase), "run", now.Run)
 		}
-		i.record, i.version = d.Record, version
-		m.updateReservation(&i.record)
+		m.updateReservation(transfer.record)
 	}
-	m.send(id.Origin, d.Send)
+	m.send(id.Origin, decision.Send)
 }
 
 // updateReservation has the reservations follow a record.
-func (m *Manager) updateReservation(r *TargetRecord) {
-	switch r.Phase {
+func (m *Manager) updateReservation(record TargetRecord) {
+	switch record.Phase {
 	case TargetAccepted:
-		m.reservations.Commit(r.Transfer)
+		m.reservations.Commit(record.Transfer)
 	case TargetFinished, TargetRefused:
-		m.reservations.Release(r.Transfer)
+		m.reservations.Release(record.Transfer)
+	}
+}
+
+// writeRecord writes a record in place of the current one and reports whether it is stored.
+func writeRecord[R transferRecord](ctx context.Context, m *Manager, current *versionedRecord[R], next R) bool {
+	version, ok := m.compareAndSwap(ctx, &current.writing, next.Key(), next.Encode(m.nextWriteID()), current.version)
+	if ok {
+		current.record, current.version = next, version
 	}
+	return ok
+}
+
+// removeRecord deletes a record and reports whether it is gone.
+func removeRecord[R transferRecord](ctx context.Context, m *Manager, current *versionedRecord[R]) bool {
+	_, ok := m.compareAndSwap(ctx, &current.writing, current.record.Key(), nil, current.version)
+	return ok
 }
 
+// nextWriteID identifies the write that comes next, in all terms of the cell's leaders.
 func (m *Manager) nextWriteID() string {
 	return fmt.Sprintf("%d-%d", m.FencingToken, m.Stats.Writes.Load()+1)
 }
 
-// write stores a value, with the lock given up meanwhile.
-func (m *Manager) write(ctx context.Context, busy *bool, key string, value []byte, version uint64) (uint64, bool) {
+// compareAndSwap writes a value, or deletes the key if it is nil, and returns the new
+// version and whether that is done. The lock is released meanwhile; writing is set, so
+// that nothing else is decided on that record. After a version conflict the Manager
+// decides nothing more: another leader is at work.
+func (m *Manager) compareAndSwap(ctx context.Context, writing *bool, key string, value []byte, version uint64) (uint64, bool) {
 	if m.superseded {
 		return 0, false
 	}
-	*busy = true
+	*writing = true
 	m.mu.Unlock()
 	m.Stats.Writes.Add(1)
 	stored, err := m.Store.Save(ctx, key, value, version)
 	m.mu.Lock()
-	*busy = false
+	*writing = false
 	if errors.Is(err, ErrConflict) && !m.superseded {
 		m.superseded = true
 		m.Log.Error("the record of a transfer was written by another leader", "key", key)
@@ -82,8 +102,8 @@
 }
 
 func (m *Manager) send(cell string, messages []Message) {
-	for _, msg := range messages {
+	for _, message := range messages {
 		m.Stats.Sent.Add(1)
-		m.Transport.Send(cell, msg)
+		m.Transport.Send(cell, message)
 	}
 }
--- a/internal/federation/handover.go
+++ b/internal/federation/handover.go
@@ -23,7 +23,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.outgoing[job] != nil || m.unreadable[PrefixOut+job] != nil {
+	if m.outgoing[job] != nil || m.unreadable[outgoingKey(job)] != nil {
 		return fmt.Errorf("%w: it has a transfer", ErrNotHandedOver)
 	}
 	m.transferCount++
@@ -73,7 +73,7 @@
 	if o := m.outgoing[job]; o != nil {
 		return o.record.Owner()
 	}
-	if m.unreadable[PrefixOut+job] != nil {
+	if m.unreadable[outgoingKey(job)] != nil {
 		return OwnerNone
 	}
 	return OwnerOrigin
--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -29,21 +29,24 @@
 	superseded    bool
 }
 
-// outgoingTransfer is a transfer of a job of this cell. While its record is being stored it is
-// busy, and messages about it are dropped: they are repeated.
-type outgoingTransfer struct {
-	record  OriginRecord
+// versionedRecord is a record with the version that the store has of it, 0: none. While it
+// is being written, messages about its transfer are dropped: they are repeated.
+type versionedRecord[R transferRecord] struct {
+	record  R
 	version uint64
-	grantor LeaseGrantor
 	writing bool
 }
 
+// outgoingTransfer is a transfer of a job of this cell.
+type outgoingTransfer struct {
+	versionedRecord[OriginRecord]
+	grantor LeaseGrantor
+}
+
 // incomingTransfer is a transfer of another cell's job.
 type incomingTransfer struct {
-	record      TargetRecord
-	version     uint64
+	versionedRecord[TargetRecord]
 	holder      LeaseHolder
-	writing     bool
 	lastRenewal units.Micros // when the last Renew was sent
 }
 
@@ -92,7 +95,10 @@
 			m.markUnreadable(item.Key, err)
 			continue
 		}
-		m.outgoing[r.Transfer.Job] = &outgoingTransfer{record: *r, version: item.Version, grantor: NewLeaseGrantor(m.LeaseAcquiredAt)}
+		m.outgoing[r.Transfer.Job] = &outgoingTransfer{
+			versionedRecord: versionedRecord[OriginRecord]{record: r, version: item.Version},
+			grantor:         NewLeaseGrantor(m.LeaseAcquiredAt),
+		}
 	}
 	for _, item := range taken {
 		r, err := DecodeTargetRecord(item)
@@ -100,7 +106,10 @@
 			m.markUnreadable(item.Key, err)
 			continue
 		}
-		m.incoming[r.Transfer] = &incomingTransfer{record: *r, version: item.Version, holder: NewLeaseHolder(m.FencingToken)}
+		m.incoming[r.Transfer] = &incomingTransfer{
+			versionedRecord: versionedRecord[TargetRecord]{record: r, version: item.Version},
+			holder:          NewLeaseHolder(m.FencingToken),
+		}
 		m.reservations.Restore(r, m.Clock.Steady())
 	}
 	return nil
@@ -115,7 +124,7 @@
 func (m *Manager) ReadError(job string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unreadable[PrefixOut+job]
+	return m.unreadable[outgoingKey(job)]
 }
 
 // SetCapacity tells how much work of other cells this one can take over beside its own.
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -119,7 +119,7 @@
 	for id, r := range c.in {
 		holder := NewLeaseHolder(c.term)
 		c.leader.holders[id] = &holder
-		c.leader.rooms.Restore(&r, m.clock(c))
+		c.leader.rooms.Restore(r, m.clock(c))
 	}
 }
 
@@ -148,7 +148,7 @@
 }
 
 // originDecides carries a decision out: stored first, then sent.
-func (m *model) originDecides(c *modelCell, d OriginDecision) {
+func (m *model) originDecides(c *modelCell, d Decision[OriginRecord]) {
 	if m.ends(c) {
 		return
 	}
@@ -166,7 +166,7 @@
 	m.send(c, d.Record.Target, d.Send)
 }
 
-func (m *model) targetDecides(c *modelCell, d TargetDecision) {
+func (m *model) targetDecides(c *modelCell, d Decision[TargetRecord]) {
 	if m.ends(c) {
 		return
 	}
@@ -361,7 +361,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return *back
+	return back
 }
 
 func roundTripTarget(t *rapid.T, r TargetRecord) TargetRecord {
@@ -369,5 +369,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return *back
+	return back
 }
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -2,29 +2,7 @@
 
 import "dunestand/internal/units"
 
-// OriginDecision is what follows at the origin. Where Save is set, the record is stored
-// first.
-type OriginDecision struct {
-	Record OriginRecord
-	Write  bool
-	Send   []Message
-}
-
-func (r OriginRecord) keep(send ...MessageKind) OriginDecision {
-	d := OriginDecision{Record: r}
-	for _, kind := range send {
-		d.Send = append(d.Send, r.message(kind))
-	}
-	return d
-}
-
-func (r OriginRecord) write(send ...MessageKind) OriginDecision {
-	d := r.keep(send...)
-	d.Write = true
-	return d
-}
-
-func (r *OriginRecord) message(kind MessageKind) Message {
+func (r OriginRecord) message(kind MessageKind) Message {
 	m := Message{Kind: kind, Transfer: r.Transfer}
 	switch kind {
 	case MessageReserve:
@@ -37,7 +15,7 @@
 
 // BeginTransfer makes the record of a transfer that is to be stored first of all. reruns is how
 // often the job was begun anew before.
-func BeginTransfer(id TransferID, target string, job []byte, work Work, allowance, reruns int) OriginDecision {
+func BeginTransfer(id TransferID, target string, job []byte, work Work, allowance, reruns int) Decision[OriginRecord] {
 	r := OriginRecord{
 		Transfer:    id,
 		Target:      target,
@@ -47,36 +25,36 @@
 		Job:         job,
 		Work:        work,
 	}
-	return r.write(MessageReserve)
+	return changed(r, MessageReserve)
 }
 
 // Resend gives what is sent again while no answer comes.
-func (r OriginRecord) Resend() OriginDecision {
+func (r OriginRecord) Resend() Decision[OriginRecord] {
 	switch {
 	case r.Phase == Intended:
-		return r.keep(MessageReserve)
+		return unchanged(r, MessageReserve)
 	case r.Phase == Committed && r.Run == 0:
-		return r.keep(MessageCommit)
+		return unchanged(r, MessageCommit)
 	case r.Phase == OriginRevoking, r.Phase == OriginReturned && !r.Confirmed, r.Phase == OriginWithdrawn && !r.Confirmed:
-		return r.keep(MessageRevoke)
+		return unchanged(r, MessageRevoke)
 	case r.Phase == OriginFinished, r.Confirmed:
-		return r.keep(MessageSettle)
+		return unchanged(r, MessageSettle)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
 // Receive decides on a message of the target. One of another incarnation is answered as
 // if there were no record.
-func (r OriginRecord) Receive(m *Message, grantor *LeaseGrantor, now units.Micros) OriginDecision {
+func (r OriginRecord) Receive(m *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
 	if m.Transfer != r.Transfer {
-		return OriginDecision{Record: r, Send: ReplyToUnknown(m)}
+		return Decision[OriginRecord]{Record: r, Send: ReplyToUnknown(m)}
 	}
 	switch m.Kind {
 	case MessageReserved:
 		return r.onReserved()
 	case MessageNoCapacity:
 		if r.Phase == Intended {
-			return r.returnToOrigin(true)
+			return r.detach(OriginReturned, true)
 		}
 	case MessageAccepted:
 		if r.Phase != Committed {
@@ -89,25 +67,25 @@
 	case MessageResult:
 		return r.onResult(m)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
 // onReserved: the target has room. An answer to a transfer that was given up frees it.
-func (r OriginRecord) onReserved() OriginDecision {
+func (r OriginRecord) onReserved() Decision[OriginRecord] {
 	if r.Phase != Intended {
 		return r.Resend()
 	}
 	r.Phase = Committed
-	return r.write(MessageCommit)
+	return changed(r, MessageCommit)
 }
 
 // onRenew grants a run of the job. What lets the target begin a run is stored before.
-func (r OriginRecord) onRenew(m *Message, grantor *LeaseGrantor, now units.Micros) OriginDecision {
+func (r OriginRecord) onRenew(m *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
 	if r.Phase != Committed {
 		return r.Resend()
 	}
 	if m.Run < r.Run || m.Run > r.Run+1 || r.Restarts+m.Run-1 > max(r.MaxRestarts, r.Restarts) {
-		return r.keep() // late, or no run that the class allows
+		return unchanged(r) // late, or no run that the class allows
 	}
 	save := m.Run > r.Run
 	r.Run = m.Run
@@ -119,116 +97,113 @@
 	grant.Run = m.Run
 	grant.Unbounded = r.unbounded()
 	grantor.recordGrant(now)
-	return OriginDecision{Record: r, Write: save, Send: []Message{grant}}
+	return Decision[OriginRecord]{Record: r, Write: save, Send: []Message{grant}}
 }
 
 // onRefused: nothing of the job is at the target, for good.
-func (r OriginRecord) onRefused(m *Message) OriginDecision {
+func (r OriginRecord) onRefused(m *Message) Decision[OriginRecord] {
 	r.Done = r.Done.Union(m.Done)
 	r.Run = min(r.Run, m.Run) // runs that were granted and never begun are none
 	switch r.Phase {
 	case Intended, Committed:
-		return r.returnToOrigin(true)
+		return r.detach(OriginReturned, true)
 	case OriginRevoking:
 		return r.finishRevocation(true)
 	}
 	if r.Confirmed {
-		return r.keep(MessageSettle)
+		return unchanged(r, MessageSettle)
 	}
 	r.Confirmed = true
-	return r.write(MessageSettle)
+	return changed(r, MessageSettle)
 }
 
 // onResult: all tasks are done. It holds even for a job that was taken back meanwhile.
-func (r OriginRecord) onResult(m *Message) OriginDecision {
+func (r OriginRecord) onResult(m *Message) Decision[OriginRecord] {
 	switch r.Phase {
 	case OriginFinished:
-		return r.keep(MessageSettle)
+		return unchanged(r, MessageSettle)
 	case OriginWithdrawn:
 		if r.Confirmed {
-			return r.keep(MessageSettle)
+			return unchanged(r, MessageSettle)
 		}
 		r.Confirmed = true // its user was told that it is cancelled
-		return r.write(MessageSettle)
+		return changed(r, MessageSettle)
 	}
 	r.Phase, r.Confirmed = OriginFinished, true
 	r.Done = r.Done.Union(m.Done)
-	return r.write(MessageSettle)
+	return changed(r, MessageSettle)
 }
 
-// returnToOrigin gives the job back to its origin. Nothing ran at the target that could go on.
-func (r OriginRecord) returnToOrigin(heard bool) OriginDecision {
-	r.Phase, r.Confirmed = OriginReturned, heard
-	if heard {
-		return r.write(MessageSettle)
+// finishRevocation ends a revocation: nothing of the job runs at the target.
+func (r OriginRecord) finishRevocation(confirmed bool) Decision[OriginRecord] {
+	if r.Cause == CauseCancelled {
+		return r.detach(OriginWithdrawn, confirmed)
 	}
-	return r.write(MessageRevoke)
+	return r.detach(OriginReturned, confirmed)
 }
 
-// finishRevocation ends a revocation: nothing of the job runs at the target.
-func (r OriginRecord) finishRevocation(heard bool) OriginDecision {
-	if r.Cause != CauseCancelled {
-		return r.returnToOrigin(heard)
-	}
-	r.Phase, r.Confirmed = OriginWithdrawn, heard
-	if heard {
-		return r.write(MessageSettle)
+// detach enters a phase in which nothing of the job runs at the target or can start there.
+// Unless the target has confirmed that, it is asked until it does.
+func (r OriginRecord) detach(phase OriginPhase, confirmed bool) Decision[OriginRecord] {
+	r.Phase, r.Confirmed = phase, confirmed
+	if confirmed {
+		return changed(r, MessageSettle)
 	}
-	return r.write(MessageRevoke)
+	return changed(r, MessageRevoke)
 }
 
 // Cancel is called when the job's user cancels it. The user may be told so once the job
 // is Withdrawn, or Returned and cancelled here.
-func (r OriginRecord) Cancel() OriginDecision {
+func (r OriginRecord) Cancel() Decision[OriginRecord] {
 	switch r.Phase {
 	case Intended:
-		return r.returnToOrigin(false)
+		return r.detach(OriginReturned, false)
 	case Committed:
 		if r.Run == 0 {
-			return r.returnToOrigin(false) // nothing was ever granted
+			return r.detach(OriginReturned, false) // nothing was ever granted
 		}
 		r.Phase, r.Cause = OriginRevoking, CauseCancelled
-		return r.write(MessageRevoke)
+		return changed(r, MessageRevoke)
 	case OriginRevoking:
 		if r.Cause != CauseCancelled {
 			r.Cause = CauseCancelled
-			return r.write(MessageRevoke)
+			return changed(r, MessageRevoke)
 		}
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
 // JobEnded is called when a job that had returned is done or cancelled at its origin. The
 // record is stored before the job's end, or with it: a result that comes late from the
 // target must not change what the user was told.
-func (r OriginRecord) JobEnded() OriginDecision {
+func (r OriginRecord) JobEnded() Decision[OriginRecord] {
 	if r.Phase != OriginReturned {
-		return r.keep()
+		return unchanged(r)
 	}
 	r.Phase = OriginWithdrawn
-	return r.write()
+	return changed(r)
 }
 
 // Reclaim begins to take a job back whose target was not heard for too long.
-func (r OriginRecord) Reclaim() OriginDecision {
+func (r OriginRecord) Reclaim() Decision[OriginRecord] {
 	switch {
 	case r.Phase == Intended:
-		return r.returnToOrigin(false)
+		return r.detach(OriginReturned, false)
 	case !r.canReclaim():
-		return r.keep()
+		return unchanged(r)
 	case r.Run == 0:
-		return r.returnToOrigin(false)
+		return r.detach(OriginReturned, false)
 	}
 	r.Phase, r.Cause = OriginRevoking, CauseTargetSilent
-	return r.write(MessageRevoke)
+	return changed(r, MessageRevoke)
 }
 
 // Tick ends a revocation by time, once nothing of the job can run at the target.
-func (r OriginRecord) Tick(grantor *LeaseGrantor, now units.Micros, terms Timing) OriginDecision {
+func (r OriginRecord) Tick(grantor *LeaseGrantor, now units.Micros, terms Timing) Decision[OriginRecord] {
 	if r.Phase == OriginRevoking && !r.unbounded() && grantor.Expired(now, terms) {
 		return r.finishRevocation(false)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
 // ReplyToUnknown answers a message about a transfer that the origin has no record of: it
--- a/internal/federation/originrecord.go
+++ b/internal/federation/originrecord.go
@@ -71,7 +71,7 @@
 )
 
 // Owner tells who may start tasks of the job.
-func (r *OriginRecord) Owner() Owner {
+func (r OriginRecord) Owner() Owner {
 	switch r.Phase {
 	case Committed:
 		return OwnerTarget
@@ -90,19 +90,19 @@
 
 // unbounded tells whether the run that was granted last is the last that the class allows:
 // the target then goes on without renewals.
-func (r *OriginRecord) unbounded() bool { return r.Run > 0 && r.Restarts+r.Run-1 >= r.MaxRestarts }
+func (r OriginRecord) unbounded() bool { return r.Run > 0 && r.Restarts+r.Run-1 >= r.MaxRestarts }
 
 // canReclaim tells whether the class allows to begin the job here once more.
-func (r *OriginRecord) canReclaim() bool {
+func (r OriginRecord) canReclaim() bool {
 	return r.Phase == Committed && (r.Run == 0 || r.Restarts+r.Run <= r.MaxRestarts)
 }
 
 // NextRestarts is how often the job has been begun anew once it is begun here, for its next
 // transfer.
-func (r *OriginRecord) NextRestarts() int { return r.Restarts + r.Run }
+func (r OriginRecord) NextRestarts() int { return r.Restarts + r.Run }
 
 // Removable tells whether the record can be removed: the job needs it no more, and the target
 // has been heard.
-func (r *OriginRecord) Removable() bool {
+func (r OriginRecord) Removable() bool {
 	return r.Confirmed && (r.Phase == OriginReturned || r.Phase == OriginFinished || r.Phase == OriginWithdrawn)
 }
--- a/internal/federation/receive.go
+++ b/internal/federation/receive.go
@@ -69,7 +69,7 @@
 func (m *Manager) receiveAtOrigin(ctx context.Context, from string, msg *Message) {
 	o := m.outgoing[msg.Transfer.Job]
 	switch {
-	case o == nil && m.unreadable[PrefixOut+msg.Transfer.Job] != nil:
+	case o == nil && m.unreadable[outgoingKey(msg.Transfer.Job)] != nil:
 	case o == nil, o.record.Transfer != msg.Transfer:
 		m.send(from, ReplyToUnknown(msg))
 	case !o.writing && o.record.Target == from:
--- a/internal/federation/reservation.go
+++ b/internal/federation/reservation.go
@@ -59,7 +59,7 @@
 }
 
 // Restore takes over what a record tells, without asking for room.
-func (r *Reservations) Restore(t *TargetRecord, now units.Micros) {
+func (r *Reservations) Restore(t TargetRecord, now units.Micros) {
 	switch t.Phase {
 	case TargetReserved:
 		r.byID[t.Transfer] = reservation{work: t.Work, expires: now + r.HoldTime}
--- a/internal/federation/target.go
+++ b/internal/federation/target.go
@@ -34,34 +34,11 @@
 }
 
 // MayRun tells whether tasks of the job may be started, and may go on, at the target.
-func (r *TargetRecord) MayRun(holder *LeaseHolder, now units.Micros) bool {
+func (r TargetRecord) MayRun(holder *LeaseHolder, now units.Micros) bool {
 	return r.Phase == TargetAccepted && r.Run > 0 && !r.Stopping && (r.Unbounded || holder.Valid(now, r.Run))
 }
 
-// TargetDecision is what follows at the target. Where Save is set, the record is stored
-// first; where Remove is set, it is removed.
-type TargetDecision struct {
-	Record TargetRecord
-	Write  bool
-	Remove bool
-	Send   []Message
-}
-
-func (r TargetRecord) keep(send ...MessageKind) TargetDecision {
-	d := TargetDecision{Record: r}
-	for _, kind := range send {
-		d.Send = append(d.Send, r.message(kind))
-	}
-	return d
-}
-
-func (r TargetRecord) write(send ...MessageKind) TargetDecision {
-	d := r.keep(send...)
-	d.Write = true
-	return d
-}
-
-func (r *TargetRecord) message(kind MessageKind) Message {
+func (r TargetRecord) message(kind MessageKind) Message {
 	m := Message{Kind: kind, Transfer: r.Transfer}
 	if kind == MessageRefused || kind == MessageResult {
 		m.Done, m.Run = r.Done, r.Run
@@ -72,24 +49,24 @@
 // ReceiveNew decides on a message about a transfer that the target has no record of.
 // hasRoom tells whether there is room for a reservation. Whatever is not a reservation is
 // refused for good: what was refused or settled before may be met by late copies.
-func ReceiveNew(m *Message, hasRoom bool) TargetDecision {
+func ReceiveNew(m *Message, hasRoom bool) Decision[TargetRecord] {
 	r := TargetRecord{Transfer: m.Transfer}
 	switch m.Kind {
 	case MessageReserve:
 		if !hasRoom {
-			return r.keep(MessageNoCapacity)
+			return unchanged(r, MessageNoCapacity)
 		}
 		r.Phase, r.Work = TargetReserved, m.Work
-		return r.write(MessageReserved)
+		return changed(r, MessageReserved)
 	case MessageCommit, MessageRevoke:
 		r.Phase = TargetRefused
-		return r.write(MessageRefused)
+		return changed(r, MessageRefused)
 	}
-	return r.keep() // a late grant, or a repeated settlement
+	return unchanged(r) // a late grant, or a repeated settlement
 }
 
 // Receive decides on a message of the origin. lease is the length of a grant.
-func (r TargetRecord) Receive(m *Message, holder *LeaseHolder, lease, now units.Micros) TargetDecision {
+func (r TargetRecord) Receive(m *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
 	switch m.Kind {
 	case MessageReserve:
 		return r.Resend()
@@ -98,81 +75,81 @@
 			return r.Resend()
 		}
 		r.Phase, r.Job = TargetAccepted, m.Job
-		return r.write(MessageAccepted)
+		return changed(r, MessageAccepted)
 	case MessageGrant:
 		return r.onGrant(m, holder, lease, now)
 	case MessageRevoke:
 		return r.onRevoke()
 	case MessageSettle:
 		if r.Phase == TargetFinished || r.Phase == TargetRefused {
-			return TargetDecision{Record: r, Remove: true}
+			return Decision[TargetRecord]{Record: r, Remove: true}
 		}
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
 // Resend gives what is sent again while no answer comes.
-func (r TargetRecord) Resend() TargetDecision {
+func (r TargetRecord) Resend() Decision[TargetRecord] {
 	switch r.Phase {
 	case TargetReserved:
-		return r.keep(MessageReserved)
+		return unchanged(r, MessageReserved)
 	case TargetAccepted:
-		return r.keep(MessageAccepted)
+		return unchanged(r, MessageAccepted)
 	case TargetFinished:
-		return r.keep(MessageResult)
+		return unchanged(r, MessageResult)
 	case TargetRefused:
-		return r.keep(MessageRefused)
+		return unchanged(r, MessageRefused)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
 // onGrant lets the job run. That a run begins, and that it needs no renewals, is stored
 // before any task is started by it.
-func (r TargetRecord) onGrant(m *Message, holder *LeaseHolder, lease, now units.Micros) TargetDecision {
+func (r TargetRecord) onGrant(m *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || r.Stopping || m.Run < r.Run || !holder.acceptGrant(m, lease, now) {
-		return r.keep()
+		return unchanged(r)
 	}
 	if m.Run == r.Run && m.Unbounded == r.Unbounded {
-		return r.keep()
+		return unchanged(r)
 	}
 	r.Run, r.Unbounded = m.Run, m.Unbounded
-	return r.write()
+	return changed(r)
 }
 
 // onRevoke ends the transfer, once what runs is stopped.
-func (r TargetRecord) onRevoke() TargetDecision {
+func (r TargetRecord) onRevoke() Decision[TargetRecord] {
 	switch r.Phase {
 	case TargetReserved:
 		r.Phase = TargetRefused
-		return r.write(MessageRefused)
+		return changed(r, MessageRefused)
 	case TargetAccepted:
 		if r.Run == 0 {
 			r.Phase = TargetRefused
-			return r.write(MessageRefused)
+			return changed(r, MessageRefused)
 		}
 		if !r.Stopping {
 			r.Stopping = true
-			return r.write()
+			return changed(r)
 		}
-		return r.keep()
+		return unchanged(r)
 	}
 	return r.Resend()
 }
 
 // ExpireReservation ends a reservation that was not used.
-func (r TargetRecord) ExpireReservation() TargetDecision {
+func (r TargetRecord) ExpireReservation() Decision[TargetRecord] {
 	if r.Phase != TargetReserved {
-		return r.keep()
+		return unchanged(r)
 	}
 	r.Phase = TargetRefused
-	return r.write(MessageRefused)
+	return changed(r, MessageRefused)
 }
 
 // RequestRenewal asks for the next grant. Where this leader holds no lease on the run, what runs
 // next is a new one: its predecessor may have stopped the tasks.
-func (r TargetRecord) RequestRenewal(holder *LeaseHolder, now units.Micros) TargetDecision {
+func (r TargetRecord) RequestRenewal(holder *LeaseHolder, now units.Micros) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || r.Stopping || r.Unbounded {
-		return r.keep()
+		return unchanged(r)
 	}
 	run := r.Run
 	if run == 0 || !holder.Valid(now, run) {
@@ -181,27 +158,27 @@
 	m := r.message(MessageRenew)
 	m.Run, m.Done = run, r.Done
 	m.Renewal = holder.newRenewal(now, run)
-	return TargetDecision{Record: r, Send: []Message{m}}
+	return Decision[TargetRecord]{Record: r, Send: []Message{m}}
 }
 
 // TasksCompleted is called when tasks are done here, durably. all tells that none is left.
-func (r TargetRecord) TasksCompleted(done TaskSet, all bool) TargetDecision {
+func (r TargetRecord) TasksCompleted(done TaskSet, all bool) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted {
-		return r.keep()
+		return unchanged(r)
 	}
 	r.Done = r.Done.Union(done)
 	if !all {
-		return r.write()
+		return changed(r)
 	}
 	r.Phase = TargetFinished
-	return r.write(MessageResult)
+	return changed(r, MessageResult)
 }
 
 // TasksStopped is called when nothing of a job whose transfer is revoked is left on any machine.
-func (r TargetRecord) TasksStopped() TargetDecision {
+func (r TargetRecord) TasksStopped() Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || !r.Stopping {
-		return r.keep()
+		return unchanged(r)
 	}
 	r.Phase = TargetRefused
-	return r.write(MessageRefused)
+	return changed(r, MessageRefused)
 }
--- a/internal/federation/tick.go
+++ b/internal/federation/tick.go
@@ -37,13 +37,15 @@
 		m.applyOrigin(ctx, o, o.record.Reclaim())
 	}
 	m.applyOrigin(ctx, o, o.record.Resend())
-	if told := m.notifyScheduler(job, &o.record); told && o.record.Removable() {
-		m.removeOutgoing(ctx, job, o)
+	if notified := m.notifyScheduler(job, o.record); notified && o.record.Removable() {
+		if removeRecord(ctx, m, &o.versionedRecord) {
+			delete(m.outgoing, job)
+		}
 	}
 }
 
 // notifyScheduler tells the scheduler where a job is now, and whether it knows so durably.
-func (m *Manager) notifyScheduler(job string, r *OriginRecord) bool {
+func (m *Manager) notifyScheduler(job string, r OriginRecord) bool {
 	switch {
 	case r.Phase == OriginFinished:
 		return m.Scheduler.Finished(job, r.Done)
@@ -57,12 +59,6 @@
 	return false
 }
 
-func (m *Manager) removeOutgoing(ctx context.Context, job string, o *outgoingTransfer) {
-	if _, ok := m.write(ctx, &o.writing, o.record.Key(), nil, o.version); ok {
-		delete(m.outgoing, job)
-	}
-}
-
 func (m *Manager) tickIncoming(ctx context.Context, i *incomingTransfer) {
 	now := m.Clock.Steady()
 	id := i.record.Transfer
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -29,7 +29,7 @@
 	return p
 }
 
-func (p *pair) fromOrigin(d OriginDecision) {
+func (p *pair) fromOrigin(d Decision[OriginRecord]) {
 	p.origin = d.Record
 	if d.Write {
 		p.writes++
@@ -48,7 +48,7 @@
 	p.fromTarget(p.target.Receive(m, &p.holder, modelTerms.Lease, p.now))
 }
 
-func (p *pair) fromTarget(d TargetDecision) {
+func (p *pair) fromTarget(d Decision[TargetRecord]) {
 	if d.Write || d.Remove {
 		p.writes++
 	}
