--- a/internal/federation/apply.go
+++ b/internal/federation/apply.go
@@ -17,7 +17,7 @@
 		}
 		if now := transfer.record; now.Phase != before {
 			m.Log.Info("transfer of a job", "transfer", now.Transfer.String(), "target", now.Target,
-				"phase", int(now.Phase), "run", now.Run)
+				"phase", now.Phase.String(), "run", now.Run)
 		}
 	}
 	m.send(decision.Record.Target, decision.Send)
@@ -40,7 +40,7 @@
 			return
 		}
 		if now := transfer.record; now.Phase != before {
-			m.Log.Info("transfer of another cell's job", "transfer", id.String(), "phase", int(now.Phase), "run", now.Run)
+			m.Log.Info("transfer of another cell's job", "transfer", id.String(), "phase", now.Phase.String(), "run", now.Run)
 		}
 		m.updateReservation(transfer.record)
 	}
--- a/internal/federation/cellstandin_test.go
+++ b/internal/federation/cellstandin_test.go
@@ -412,7 +412,7 @@
 			c.mu.Lock()
 			j.held = true
 			c.mu.Unlock()
-			if err := manager.HandOver(ctx, j.id, j.class, []byte(j.id), 20_000, j.reruns, name); err != nil {
+			if err := manager.HandOver(ctx, HandOverRequest{Job: j.id, Class: j.class, Target: name, Description: []byte(j.id), Work: 20_000, Restarts: j.reruns}); err != nil {
 				c.mu.Lock()
 				j.held = manager.Owner(j.id) != OwnerOrigin
 				c.mu.Unlock()
--- a/internal/federation/configfile.go
+++ b/internal/federation/configfile.go
@@ -161,7 +161,7 @@
 
 func (e *cellEntry) parse(field string) (Cell, error) {
 	cell := Cell{Name: e.Name}
-	if !ValidCellName(e.Name) {
+	if !validCellName(e.Name) {
 		return cell, fmt.Errorf("%s.name: %q is not made of up to 32 of a-z, 0-9 and -", field, e.Name)
 	}
 	if len(e.Controllers) == 0 {
--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -163,7 +163,7 @@
 		old, lost := c.manager, 0
 		old.OnSuperseded = func() { lost++ }
 		ctx := t.Context()
-		if err := old.HandOver(ctx, "j-000001", "loomplan", nil, 10, 0, "dye"); err != nil {
+		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
 		}
 		c.lead()
@@ -172,7 +172,7 @@
 		for range 3 {
 			old.Tick(ctx)
 		}
-		if err := old.HandOver(ctx, "j-000002", "loomplan", nil, 10, 0, "dye"); !errors.Is(err, ErrNotHandedOver) {
+		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000002", Class: "loomplan", Target: "dye", Work: 10}); !errors.Is(err, ErrNotHandedOver) {
 			t.Errorf("it begins a transfer: %v", err)
 		}
 		if lost != 1 {
@@ -186,15 +186,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion(t, 1)
 		m := r.cells["mill"].manager
-		for what, try := range map[string]func() error{
-			"unknown class": func() error { return m.HandOver(t.Context(), "j-000001", "other", nil, 1, 0, "dye") },
-			"to itself":     func() error { return m.HandOver(t.Context(), "j-000001", "loomplan", nil, 1, 0, "mill") },
-			"to nowhere":    func() error { return m.HandOver(t.Context(), "j-000001", "loomplan", nil, 1, 0, "loom") },
-			"used up":       func() error { return m.HandOver(t.Context(), "j-000001", "yarnrecount", nil, 1, 3, "dye") },
-			"bad id":        func() error { return m.HandOver(t.Context(), "job", "loomplan", nil, 1, 0, "dye") },
+		for name, spoil := range map[string]func(*HandOverRequest){
+			"unknown class": func(r *HandOverRequest) { r.Class = "other" },
+			"to itself":     func(r *HandOverRequest) { r.Target = "mill" },
+			"to nowhere":    func(r *HandOverRequest) { r.Target = "loom" },
+			"used up":       func(r *HandOverRequest) { r.Class, r.Restarts = "yarnrecount", 3 },
+			"bad id":        func(r *HandOverRequest) { r.Job = "job" },
 		} {
-			if err := try(); !errors.Is(err, ErrNotHandedOver) || m.Owner("j-000001") != OwnerOrigin {
-				t.Errorf("%s: %v", what, err)
+			request := HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}
+			spoil(&request)
+			if err := m.HandOver(t.Context(), request); !errors.Is(err, ErrNotHandedOver) || m.Owner("j-000001") != OwnerOrigin {
+				t.Errorf("%s: %v", name, err)
 			}
 		}
 	})
@@ -215,7 +217,7 @@
 		if err := c.manager.ReadError("j-000001"); !errors.Is(err, ErrUnreadableRecord) || c.manager.Owner("j-000001") != OwnerNone {
 			t.Errorf("the job is not blocked: %v", err)
 		}
-		if err := c.manager.HandOver(t.Context(), "j-000001", "loomplan", nil, 1, 0, "dye"); !errors.Is(err, ErrNotHandedOver) {
+		if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}); !errors.Is(err, ErrNotHandedOver) {
 			t.Errorf("it is handed over: %v", err)
 		}
 		out := TransferID{Origin: "mill", Job: "j-000001", Incarnation: 1}
--- a/internal/federation/managertrouble_test.go
+++ b/internal/federation/managertrouble_test.go
@@ -14,7 +14,7 @@
 	r.submit("mill", 1, class)
 	c := r.cells["mill"]
 	c.jobs[0].held = true
-	if err := c.manager.HandOver(t.Context(), "j-000001", class, nil, 10, 0, "dye"); err != nil {
+	if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: class, Target: "dye", Work: 10}); err != nil {
 		t.Fatal(err)
 	}
 	id := c.manager.outgoing["j-000001"].record.Transfer
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion(t, 1)
 		m := r.cells["mill"].manager
-		if err := m.HandOver(t.Context(), "j-000001", "loomplan", nil, 10, 0, "dye"); err != nil {
+		if err := m.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
 		}
 		id := m.outgoing["j-000001"].record.Transfer
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -265,7 +265,8 @@
 		return
 	}
 	id := TransferID{Origin: c.name, Job: job.id, Incarnation: job.incarnation + 1}
-	m.originDecides(c, BeginTransfer(id, to.name, []byte("job"), 2, job.allowance, reruns))
+	request := HandOverRequest{Target: to.name, Description: []byte("job"), Work: 2, Restarts: reruns}
+	m.originDecides(c, BeginTransfer(id, request, job.allowance))
 }
 
 func (m *model) step() {
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -2,33 +2,22 @@
 
 import "dunestand/internal/units"
 
-func (r OriginRecord) message(kind MessageKind) Message {
-	m := Message{Kind: kind, Transfer: r.Transfer}
-	switch kind {
-	case MessageReserve:
-		m.Work = r.Work
-	case MessageCommit:
-		m.Job, m.Work = r.Job, r.Work
-	}
-	return m
-}
-
-// BeginTransfer makes the record of a transfer that is to be stored first of all. reruns is how
-// often the job was begun anew before.
-func BeginTransfer(id TransferID, target string, job []byte, work Work, allowance, reruns int) Decision[OriginRecord] {
+// BeginTransfer decides to hand a job over whose class allows it to be restarted
+// maxRestarts times.
+func BeginTransfer(id TransferID, request HandOverRequest, maxRestarts int) Decision[OriginRecord] {
 	r := OriginRecord{
 		Transfer:    id,
-		Target:      target,
+		Target:      request.Target,
 		Phase:       Intended,
-		MaxRestarts: allowance,
-		Restarts:    reruns,
-		Job:         job,
-		Work:        work,
+		MaxRestarts: maxRestarts,
+		Restarts:    request.Restarts,
+		Job:         request.Description,
+		Work:        request.Work,
 	}
 	return changed(r, MessageReserve)
 }
 
-// Resend gives what is sent again while no answer comes.
+// Resend decides to send again what the target has not answered yet.
 func (r OriginRecord) Resend() Decision[OriginRecord] {
 	switch {
 	case r.Phase == Intended:
@@ -43,13 +32,13 @@
 	return unchanged(r)
 }
 
-// Receive decides on a message of the target. One of another incarnation is answered as
+// Receive decides on a message of the target. One about another incarnation is answered as
 // if there were no record.
-func (r OriginRecord) Receive(m *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
-	if m.Transfer != r.Transfer {
-		return Decision[OriginRecord]{Record: r, Send: ReplyToUnknown(m)}
+func (r OriginRecord) Receive(message *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
+	if message.Transfer != r.Transfer {
+		return Decision[OriginRecord]{Record: r, Send: ReplyToUnknown(message)}
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case MessageReserved:
 		return r.onReserved()
 	case MessageNoCapacity:
@@ -61,16 +50,16 @@
 			return r.Resend()
 		}
 	case MessageRenew:
-		return r.onRenew(m, grantor, now)
+		return r.onRenew(message, grantor, now)
 	case MessageRefused:
-		return r.onRefused(m)
+		return r.onRefused(message)
 	case MessageResult:
-		return r.onResult(m)
+		return r.onResult(message)
 	}
 	return unchanged(r)
 }
 
-// onReserved: the target has room. An answer to a transfer that was given up frees it.
+// onReserved commits the job. A reservation for a transfer that was given up is released.
 func (r OriginRecord) onReserved() Decision[OriginRecord] {
 	if r.Phase != Intended {
 		return r.Resend()
@@ -79,31 +68,32 @@
 	return changed(r, MessageCommit)
 }
 
-// onRenew grants a run of the job. What lets the target begin a run is stored before.
-func (r OriginRecord) onRenew(m *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
+// onRenew grants a lease on a run of the job. That a run may begin is stored before the
+// grant is sent, so that runs are counted before they begin.
+func (r OriginRecord) onRenew(renew *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
 	if r.Phase != Committed {
 		return r.Resend()
 	}
-	if m.Run < r.Run || m.Run > r.Run+1 || r.Restarts+m.Run-1 > max(r.MaxRestarts, r.Restarts) {
-		return unchanged(r) // late, or no run that the class allows
+	if renew.Run < r.Run || renew.Run > r.Run+1 || r.Restarts+renew.Run-1 > max(r.MaxRestarts, r.Restarts) {
+		return unchanged(r) // late, or a run that the class does not allow
 	}
-	save := m.Run > r.Run
-	r.Run = m.Run
-	if !r.Done.ContainsAll(m.Done) {
-		r.Done, save = r.Done.Union(m.Done), true
+	write := renew.Run > r.Run
+	r.Run = renew.Run
+	if !r.Done.ContainsAll(renew.Done) {
+		r.Done, write = r.Done.Union(renew.Done), true
 	}
 	grant := r.message(MessageGrant)
-	grant.Renewal = m.Renewal
-	grant.Run = m.Run
+	grant.Renewal = renew.Renewal
+	grant.Run = renew.Run
 	grant.Unbounded = r.unbounded()
 	grantor.recordGrant(now)
-	return Decision[OriginRecord]{Record: r, Write: save, Send: []Message{grant}}
+	return Decision[OriginRecord]{Record: r, Write: write, Send: []Message{grant}}
 }
 
-// onRefused: nothing of the job is at the target, for good.
-func (r OriginRecord) onRefused(m *Message) Decision[OriginRecord] {
-	r.Done = r.Done.Union(m.Done)
-	r.Run = min(r.Run, m.Run) // runs that were granted and never begun are none
+// onRefused records that nothing of the job is at the target, for good.
+func (r OriginRecord) onRefused(refused *Message) Decision[OriginRecord] {
+	r.Done = r.Done.Union(refused.Done)
+	r.Run = min(r.Run, refused.Run) // a run that was granted and never began does not count
 	switch r.Phase {
 	case Intended, Committed:
 		return r.detach(OriginReturned, true)
@@ -117,8 +107,9 @@
 	return changed(r, MessageSettle)
 }
 
-// onResult: all tasks are done. It holds even for a job that was taken back meanwhile.
-func (r OriginRecord) onResult(m *Message) Decision[OriginRecord] {
+// onResult finishes the job, even one that was reclaimed meanwhile, unless its user was
+// told otherwise.
+func (r OriginRecord) onResult(result *Message) Decision[OriginRecord] {
 	switch r.Phase {
 	case OriginFinished:
 		return unchanged(r, MessageSettle)
@@ -126,15 +117,15 @@
 		if r.Confirmed {
 			return unchanged(r, MessageSettle)
 		}
-		r.Confirmed = true // its user was told that it is cancelled
+		r.Confirmed = true // the user was told that the job is cancelled, or done at its origin
 		return changed(r, MessageSettle)
 	}
 	r.Phase, r.Confirmed = OriginFinished, true
-	r.Done = r.Done.Union(m.Done)
+	r.Done = r.Done.Union(result.Done)
 	return changed(r, MessageSettle)
 }
 
-// finishRevocation ends a revocation: nothing of the job runs at the target.
+// finishRevocation ends a revocation: nothing of the job runs at the target any more.
 func (r OriginRecord) finishRevocation(confirmed bool) Decision[OriginRecord] {
 	if r.Cause == CauseCancelled {
 		return r.detach(OriginWithdrawn, confirmed)
@@ -142,8 +133,8 @@
 	return r.detach(OriginReturned, confirmed)
 }
 
-// detach enters a phase in which nothing of the job runs at the target or can start there.
-// Unless the target has confirmed that, it is asked until it does.
+// detach enters a phase in which nothing of the job runs at the target. Unless the target
+// has confirmed that, the transfer is revoked until it does.
 func (r OriginRecord) detach(phase OriginPhase, confirmed bool) Decision[OriginRecord] {
 	r.Phase, r.Confirmed = phase, confirmed
 	if confirmed {
@@ -152,15 +143,15 @@
 	return changed(r, MessageRevoke)
 }
 
-// Cancel is called when the job's user cancels it. The user may be told so once the job
-// is Withdrawn, or Returned and cancelled here.
+// Cancel begins to cancel the job. Its user may be told that it is cancelled once the phase
+// is OriginWithdrawn, or once it is OriginReturned and the origin has cancelled the job.
 func (r OriginRecord) Cancel() Decision[OriginRecord] {
 	switch r.Phase {
 	case Intended:
 		return r.detach(OriginReturned, false)
 	case Committed:
 		if r.Run == 0 {
-			return r.detach(OriginReturned, false) // nothing was ever granted
+			return r.detach(OriginReturned, false) // no lease was ever granted
 		}
 		r.Phase, r.Cause = OriginRevoking, CauseCancelled
 		return changed(r, MessageRevoke)
@@ -173,9 +164,9 @@
 	return unchanged(r)
 }
 
-// JobEnded is called when a job that had returned is done or cancelled at its origin. The
-// record is stored before the job's end, or with it: a result that comes late from the
-// target must not change what the user was told.
+// JobEnded records that a job that had returned has ended at its origin. The record is
+// written before the job's end, or in the same transaction: a late result of the target
+// must not change what the user was told.
 func (r OriginRecord) JobEnded() Decision[OriginRecord] {
 	if r.Phase != OriginReturned {
 		return unchanged(r)
@@ -184,7 +175,8 @@
 	return changed(r)
 }
 
-// Reclaim begins to take a job back whose target was not heard for too long.
+// Reclaim begins to take the job back from a target that has been silent for too long. It
+// changes nothing if the class does not allow another restart.
 func (r OriginRecord) Reclaim() Decision[OriginRecord] {
 	switch {
 	case r.Phase == Intended:
@@ -198,20 +190,32 @@
 	return changed(r, MessageRevoke)
 }
 
-// Tick ends a revocation by time, once nothing of the job can run at the target.
-func (r OriginRecord) Tick(grantor *LeaseGrantor, now units.Micros, terms Timing) Decision[OriginRecord] {
-	if r.Phase == OriginRevoking && !r.unbounded() && grantor.Expired(now, terms) {
+// Tick ends a revocation without the target's refusal, once nothing of the job can run there.
+func (r OriginRecord) Tick(grantor *LeaseGrantor, now units.Micros, timing Timing) Decision[OriginRecord] {
+	if r.Phase == OriginRevoking && !r.unbounded() && grantor.Expired(now, timing) {
 		return r.finishRevocation(false)
 	}
 	return unchanged(r)
 }
 
-// ReplyToUnknown answers a message about a transfer that the origin has no record of: it
-// is over.
-func ReplyToUnknown(m *Message) []Message {
+// ReplyToUnknown returns the answer to a message about a transfer that the origin has no
+// record of, which is therefore over.
+func ReplyToUnknown(message *Message) []Message {
 	kind := MessageRevoke
-	if m.Kind == MessageResult || m.Kind == MessageRefused {
+	if message.Kind == MessageResult || message.Kind == MessageRefused {
 		kind = MessageSettle
 	}
-	return []Message{{Kind: kind, Transfer: m.Transfer}}
+	return []Message{{Kind: kind, Transfer: message.Transfer}}
+}
+
+// message implements transferRecord.
+func (r OriginRecord) message(kind MessageKind) Message {
+	message := Message{Kind: kind, Transfer: r.Transfer}
+	switch kind {
+	case MessageReserve:
+		message.Work = r.Work
+	case MessageCommit:
+		message.Job, message.Work = r.Job, r.Work
+	}
+	return message
 }
--- a/internal/federation/receive.go
+++ b/internal/federation/receive.go
@@ -2,77 +2,86 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 )
 
-// Receive decides on a message from another cell.
-func (m *Manager) Receive(ctx context.Context, from string, msg Message) {
+// ErrForbiddenMessage reports a message that the cell it came from may not send.
+var ErrForbiddenMessage = errors.New("message of a transfer from a cell that may not send it")
+
+// Receive decides on a message from another cell, whose name the caller has authenticated.
+// A malformed or forbidden message is logged and counted as rejected.
+func (m *Manager) Receive(ctx context.Context, from string, message Message) {
 	m.Stats.Received.Add(1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.checkSender(from, &msg); err != nil {
+	if err := m.checkMessage(from, &message); err != nil {
 		m.Stats.Rejected.Add(1)
-		m.Log.Warn("message of a transfer refused", "from", from, "error", err)
+		m.Log.Warn("message of a transfer rejected", "from", from, "error", err)
 		return
 	}
 	if m.superseded {
 		return
 	}
-	if msg.Kind.toTarget() {
-		m.receiveAtTarget(ctx, &msg)
+	if message.Kind.toTarget() {
+		m.receiveAtTarget(ctx, &message)
 		return
 	}
-	m.receiveAtOrigin(ctx, from, &msg)
+	m.receiveAtOrigin(ctx, from, &message)
 }
 
-// checkSender tells whether a cell may say what a message says.
-func (m *Manager) checkSender(from string, msg *Message) error {
-	if err := msg.Check(); err != nil {
+// checkMessage returns why a message of a cell must not be acted on, nil if it may be: a
+// cell speaks only for transfers of its own jobs, and answers only about this cell's.
+func (m *Manager) checkMessage(from string, message *Message) error {
+	if err := message.Check(); err != nil {
 		return err
 	}
 	switch {
-	case from == m.Config.Self || m.Config.Cell(from) == nil:
-		return fmt.Errorf("%w: %q is no other cell", ErrMalformedMessage, from)
-	case msg.Kind.toTarget() && msg.Transfer.Origin != from:
-		return fmt.Errorf("%w: %v speaks for %s", ErrMalformedMessage, from, msg.Transfer)
-	case !msg.Kind.toTarget() && msg.Transfer.Origin != m.Config.Self:
-		return fmt.Errorf("%w: %s is no transfer of this cell", ErrMalformedMessage, msg.Transfer)
+	case !m.otherCell(from):
+		return fmt.Errorf("%w: %q is no other cell", ErrForbiddenMessage, from)
+	case message.Kind.toTarget() && message.Transfer.Origin != from:
+		return fmt.Errorf("%w: %v speaks for %s", ErrForbiddenMessage, from, message.Transfer)
+	case !message.Kind.toTarget() && message.Transfer.Origin != m.Config.Self:
+		return fmt.Errorf("%w: %s is no transfer of this cell", ErrForbiddenMessage, message.Transfer)
 	}
 	return nil
 }
 
-func (m *Manager) receiveAtTarget(ctx context.Context, msg *Message) {
+func (m *Manager) receiveAtTarget(ctx context.Context, message *Message) {
 	now := m.Clock.Steady()
-	if i := m.incoming[msg.Transfer]; i != nil {
-		if !i.writing {
-			m.applyTarget(ctx, i, i.record.Receive(msg, &i.holder, m.Config.Timing.Lease, now))
+	id := message.Transfer
+	if transfer := m.incoming[id]; transfer != nil {
+		if !transfer.writing {
+			m.applyTarget(ctx, transfer, transfer.record.Receive(message, &transfer.holder, m.Config.Timing.Lease, now))
 		}
 		return
 	}
-	if m.unreadable[incomingKey(msg.Transfer)] != nil {
+	if m.unreadable[incomingKey(id)] != nil {
 		return
 	}
-	room := msg.Kind == MessageReserve && m.reservations.Reserve(msg.Transfer, msg.Work, now)
-	d := ReceiveNew(msg, room)
-	if !d.Write {
-		m.send(msg.Transfer.Origin, d.Send)
+	hasCapacity := message.Kind == MessageReserve && m.reservations.Reserve(id, message.Work, now)
+	decision := ReceiveNew(message, hasCapacity)
+	if !decision.Write {
+		m.send(id.Origin, decision.Send)
 		return
 	}
-	i := &incomingTransfer{holder: NewLeaseHolder(m.FencingToken)}
-	m.incoming[msg.Transfer] = i
-	if m.applyTarget(ctx, i, d); i.version == 0 {
-		delete(m.incoming, msg.Transfer)
-		m.reservations.Release(msg.Transfer)
+	transfer := &incomingTransfer{holder: NewLeaseHolder(m.FencingToken)}
+	m.incoming[id] = transfer
+	m.applyTarget(ctx, transfer, decision)
+	if !transfer.stored() {
+		delete(m.incoming, id)
+		m.reservations.Release(id)
 	}
 }
 
-func (m *Manager) receiveAtOrigin(ctx context.Context, from string, msg *Message) {
-	o := m.outgoing[msg.Transfer.Job]
+func (m *Manager) receiveAtOrigin(ctx context.Context, from string, message *Message) {
+	transfer := m.outgoing[message.Transfer.Job]
 	switch {
-	case o == nil && m.unreadable[outgoingKey(msg.Transfer.Job)] != nil:
-	case o == nil, o.record.Transfer != msg.Transfer:
-		m.send(from, ReplyToUnknown(msg))
-	case !o.writing && o.record.Target == from:
-		m.applyOrigin(ctx, o, o.record.Receive(msg, &o.grantor, m.Clock.Steady()))
+	case transfer == nil && m.unreadable[outgoingKey(message.Transfer.Job)] != nil:
+		// What the record says is not known, so nothing is answered.
+	case transfer == nil, transfer.record.Transfer != message.Transfer:
+		m.send(from, ReplyToUnknown(message))
+	case !transfer.writing && transfer.record.Target == from:
+		m.applyOrigin(ctx, transfer, transfer.record.Receive(message, &transfer.grantor, m.Clock.Steady()))
 	}
 }
--- a/internal/federation/recordcodec.go
+++ b/internal/federation/recordcodec.go
@@ -93,7 +93,7 @@
 
 func (r OriginRecord) invalid() string {
 	switch {
-	case r.Phase == 0 || r.Phase >= originPhaseCount || r.Cause > CauseCancelled:
+	case r.Phase == 0 || r.Phase >= originPhaseCount || r.Cause >= causeCount:
 		return "unknown phase or cause"
 	case r.Target == "" || r.Target == r.Transfer.Origin:
 		return "no target"
--- a/internal/federation/target.go
+++ b/internal/federation/target.go
@@ -2,82 +2,86 @@
 
 import "dunestand/internal/units"
 
-// TargetPhase is how far a transfer is, as the target's record tells.
+// TargetPhase is the state of a transfer at its target.
 type TargetPhase uint8
 
-// The phases at the target.
+// The phases at the target. docs/federation.md has the table of all steps.
 const (
-	// TargetReserved: room is kept for the job, for a while.
+	// TargetReserved: capacity is reserved for the job, for a while.
 	TargetReserved TargetPhase = iota + 1
-	// TargetAccepted: the job is the target's to run, under grants.
+	// TargetAccepted: the target runs the job, while it holds a lease.
 	TargetAccepted
-	// TargetFinished: all tasks are done; the origin is told until it settles.
+	// TargetFinished: all tasks are done; the result is sent until the origin settles.
 	TargetFinished
-	// TargetRefused: nothing of the job is here, and the transfer is never taken.
+	// TargetRefused: nothing of the job is here, and the transfer will never be accepted.
 	TargetRefused
 	targetPhaseCount
 )
 
-// TargetRecord is what the target stores of a transfer.
+var targetPhaseNames = [targetPhaseCount]string{
+	TargetReserved: "reserved",
+	TargetAccepted: "accepted",
+	TargetFinished: "finished",
+	TargetRefused:  "refused",
+}
+
+// String returns the name of the phase, as docs/federation.md has it.
+func (p TargetPhase) String() string { return enumName(targetPhaseNames[:], "phase", uint8(p)) }
+
+// TargetRecord is what the target stores of a transfer, and its state machine: each event
+// is a method that returns a Decision and leaves the record as it is.
 type TargetRecord struct {
 	Transfer TransferID  `cbor:"transfer"`
 	Phase    TargetPhase `cbor:"phase"`
-	// Run is the last run that was begun here, 0: none.
+	// Run is the last run that began here, 0: none.
 	Run int `cbor:"run"`
-	// Unbounded: the run goes on without renewals.
+	// Unbounded is set if the lease on the run never expires.
 	Unbounded bool `cbor:"unbounded,omitempty"`
-	// Stopping: the transfer is revoked; the tasks are being stopped.
-	Stopping bool    `cbor:"stopping,omitempty"`
-	Job      []byte  `cbor:"job,omitempty"`
-	Work     Work    `cbor:"work,omitempty"`
-	Done     TaskSet `cbor:"done,omitempty"`
+	// Stopping is set once the transfer is revoked, while the tasks are being stopped.
+	Stopping bool `cbor:"stopping,omitempty"`
+	// Job is the job's description as its user sent it, Work the capacity it takes.
+	Job  []byte  `cbor:"job,omitempty"`
+	Work Work    `cbor:"work,omitempty"`
+	Done TaskSet `cbor:"done,omitempty"` // tasks that were completed here
 }
 
-// MayRun tells whether tasks of the job may be started, and may go on, at the target.
+// MayRun reports whether tasks of the job may be started, and may go on, at the target.
 func (r TargetRecord) MayRun(holder *LeaseHolder, now units.Micros) bool {
 	return r.Phase == TargetAccepted && r.Run > 0 && !r.Stopping && (r.Unbounded || holder.Valid(now, r.Run))
 }
 
-func (r TargetRecord) message(kind MessageKind) Message {
-	m := Message{Kind: kind, Transfer: r.Transfer}
-	if kind == MessageRefused || kind == MessageResult {
-		m.Done, m.Run = r.Done, r.Run
-	}
-	return m
-}
-
 // ReceiveNew decides on a message about a transfer that the target has no record of.
-// hasRoom tells whether there is room for a reservation. Whatever is not a reservation is
-// refused for good: what was refused or settled before may be met by late copies.
-func ReceiveNew(m *Message, hasRoom bool) Decision[TargetRecord] {
-	r := TargetRecord{Transfer: m.Transfer}
-	switch m.Kind {
+// hasCapacity is whether capacity for it was reserved. A commitment or a revocation is
+// refused durably: either may be a late copy, of a transfer that was refused or settled.
+func ReceiveNew(message *Message, hasCapacity bool) Decision[TargetRecord] {
+	r := TargetRecord{Transfer: message.Transfer}
+	switch message.Kind {
 	case MessageReserve:
-		if !hasRoom {
+		if !hasCapacity {
 			return unchanged(r, MessageNoCapacity)
 		}
-		r.Phase, r.Work = TargetReserved, m.Work
+		r.Phase, r.Work = TargetReserved, message.Work
 		return changed(r, MessageReserved)
 	case MessageCommit, MessageRevoke:
-		r.Phase = TargetRefused
-		return changed(r, MessageRefused)
+		return r.refuse()
 	}
 	return unchanged(r) // a late grant, or a repeated settlement
 }
 
-// Receive decides on a message of the origin. lease is the length of a grant.
-func (r TargetRecord) Receive(m *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
-	switch m.Kind {
+// Receive decides on a message of the origin. lease is the length of the lease that a grant
+// is for.
+func (r TargetRecord) Receive(message *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
+	switch message.Kind {
 	case MessageReserve:
 		return r.Resend()
 	case MessageCommit:
 		if r.Phase != TargetReserved {
 			return r.Resend()
 		}
-		r.Phase, r.Job = TargetAccepted, m.Job
+		r.Phase, r.Job = TargetAccepted, message.Job
 		return changed(r, MessageAccepted)
 	case MessageGrant:
-		return r.onGrant(m, holder, lease, now)
+		return r.onGrant(message, holder, lease, now)
 	case MessageRevoke:
 		return r.onRevoke()
 	case MessageSettle:
@@ -88,7 +92,7 @@
 	return unchanged(r)
 }
 
-// Resend gives what is sent again while no answer comes.
+// Resend decides to send again what the origin has not answered yet.
 func (r TargetRecord) Resend() Decision[TargetRecord] {
 	switch r.Phase {
 	case TargetReserved:
@@ -103,50 +107,49 @@
 	return unchanged(r)
 }
 
-// onGrant lets the job run. That a run begins, and that it needs no renewals, is stored
-// before any task is started by it.
-func (r TargetRecord) onGrant(m *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
-	if r.Phase != TargetAccepted || r.Stopping || m.Run < r.Run || !holder.acceptGrant(m, lease, now) {
+// onGrant extends the lease. That a run begins, and that its lease never expires, is stored
+// before any task is started on account of it.
+func (r TargetRecord) onGrant(grant *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
+	if r.Phase != TargetAccepted || r.Stopping || grant.Run < r.Run || !holder.acceptGrant(grant, lease, now) {
 		return unchanged(r)
 	}
-	if m.Run == r.Run && m.Unbounded == r.Unbounded {
+	if grant.Run == r.Run && grant.Unbounded == r.Unbounded {
 		return unchanged(r)
 	}
-	r.Run, r.Unbounded = m.Run, m.Unbounded
+	r.Run, r.Unbounded = grant.Run, grant.Unbounded
 	return changed(r)
 }
 
-// onRevoke ends the transfer, once what runs is stopped.
+// onRevoke refuses the transfer, once what runs has been stopped.
 func (r TargetRecord) onRevoke() Decision[TargetRecord] {
-	switch r.Phase {
-	case TargetReserved:
-		r.Phase = TargetRefused
-		return changed(r, MessageRefused)
-	case TargetAccepted:
-		if r.Run == 0 {
-			r.Phase = TargetRefused
-			return changed(r, MessageRefused)
-		}
-		if !r.Stopping {
-			r.Stopping = true
-			return changed(r)
-		}
+	switch {
+	case r.Phase == TargetReserved, r.Phase == TargetAccepted && r.Run == 0:
+		return r.refuse()
+	case r.Phase != TargetAccepted:
+		return r.Resend()
+	case r.Stopping:
 		return unchanged(r)
 	}
-	return r.Resend()
+	r.Stopping = true
+	return changed(r)
 }
 
-// ExpireReservation ends a reservation that was not used.
+// refuse ends the transfer for good.
+func (r TargetRecord) refuse() Decision[TargetRecord] {
+	r.Phase = TargetRefused
+	return changed(r, MessageRefused)
+}
+
+// ExpireReservation ends a reservation that no commitment has followed in time.
 func (r TargetRecord) ExpireReservation() Decision[TargetRecord] {
 	if r.Phase != TargetReserved {
 		return unchanged(r)
 	}
-	r.Phase = TargetRefused
-	return changed(r, MessageRefused)
+	return r.refuse()
 }
 
-// RequestRenewal asks for the next grant. Where this leader holds no lease on the run, what runs
-// next is a new one: its predecessor may have stopped the tasks.
+// RequestRenewal asks for the next grant. Where this leader holds no lease on the run, it
+// asks for a new run: its predecessor may have stopped the tasks.
 func (r TargetRecord) RequestRenewal(holder *LeaseHolder, now units.Micros) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || r.Stopping || r.Unbounded {
 		return unchanged(r)
@@ -155,13 +158,14 @@
 	if run == 0 || !holder.Valid(now, run) {
 		run++
 	}
-	m := r.message(MessageRenew)
-	m.Run, m.Done = run, r.Done
-	m.Renewal = holder.newRenewal(now, run)
-	return Decision[TargetRecord]{Record: r, Send: []Message{m}}
+	renew := r.message(MessageRenew)
+	renew.Run, renew.Done = run, r.Done
+	renew.Renewal = holder.newRenewal(now, run)
+	return Decision[TargetRecord]{Record: r, Send: []Message{renew}}
 }
 
-// TasksCompleted is called when tasks are done here, durably. all tells that none is left.
+// TasksCompleted records tasks that were completed here, durably; all is whether no task of
+// the job is left to be done.
 func (r TargetRecord) TasksCompleted(done TaskSet, all bool) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted {
 		return unchanged(r)
@@ -174,11 +178,19 @@
 	return changed(r, MessageResult)
 }
 
-// TasksStopped is called when nothing of a job whose transfer is revoked is left on any machine.
+// TasksStopped records that, after a revocation, no task of the job is on any machine.
 func (r TargetRecord) TasksStopped() Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || !r.Stopping {
 		return unchanged(r)
 	}
-	r.Phase = TargetRefused
-	return changed(r, MessageRefused)
+	return r.refuse()
+}
+
+// message implements transferRecord.
+func (r TargetRecord) message(kind MessageKind) Message {
+	message := Message{Kind: kind, Transfer: r.Transfer}
+	if kind == MessageRefused || kind == MessageResult {
+		message.Done, message.Run = r.Done, r.Run
+	}
+	return message
 }
--- a/internal/federation/taskset.go
+++ b/internal/federation/taskset.go
@@ -1,9 +1,10 @@
 package federation
 
-// TaskSet is a set of a job's tasks, a bit for each.
+// TaskSet is a set of a job's tasks by their index: a bit for each, from the lowest of the
+// first byte on. Nil is the empty set.
 type TaskSet []byte
 
-// Union gives the tasks in either set.
+// Union returns a new set of the tasks in either.
 func (s TaskSet) Union(other TaskSet) TaskSet {
 	out := make(TaskSet, max(len(s), len(other)))
 	copy(out, s)
@@ -13,7 +14,7 @@
 	return out
 }
 
-// ContainsAll tells whether every task of other is in the set.
+// ContainsAll reports whether every task of other is in the set.
 func (s TaskSet) ContainsAll(other TaskSet) bool {
 	for i, bits := range other {
 		if bits != 0 && (i >= len(s) || s[i]&bits != bits) {
@@ -23,7 +24,7 @@
 	return true
 }
 
-// Add puts a task into the set, which grows as needed.
+// Add adds a task.
 func (s *TaskSet) Add(task int) {
 	for len(*s) <= task/8 {
 		*s = append(*s, 0)
@@ -31,5 +32,5 @@
 	(*s)[task/8] |= 1 << (task % 8)
 }
 
-// Has tells whether a task is in the set.
+// Has reports whether a task is in the set.
 func (s TaskSet) Has(task int) bool { return task/8 < len(s) && s[task/8]&(1<<(task%8)) != 0 }
--- a/internal/federation/tick.go
+++ b/internal/federation/tick.go
@@ -8,86 +8,88 @@
 	"dunestand/internal/units"
 )
 
-// Tick looks at every transfer: what is to be repeated, what has passed its time, and what
-// the scheduler has to know. It is called about once a second, by one goroutine.
+// Tick looks at every transfer: what is to be sent again, what has expired, and what the
+// scheduler has to know. It is called about once a second, by one goroutine, and returns
+// once the store has answered.
 func (m *Manager) Tick(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range m.reservations.Expired(m.Clock.Steady()) {
-		if i := m.incoming[id]; i != nil && !i.writing {
-			m.applyTarget(ctx, i, i.record.ExpireReservation())
+		if transfer := m.incoming[id]; transfer != nil && !transfer.writing {
+			m.applyTarget(ctx, transfer, transfer.record.ExpireReservation())
 		}
 	}
 	for _, job := range slices.Sorted(maps.Keys(m.outgoing)) {
-		if o := m.outgoing[job]; o != nil && !o.writing && !m.superseded {
-			m.tickOutgoing(ctx, job, o)
+		if transfer := m.outgoing[job]; transfer != nil && !transfer.writing && !m.superseded {
+			m.tickOutgoing(ctx, job, transfer)
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(m.incoming), compareTransferIDs) {
-		if i := m.incoming[id]; i != nil && !i.writing && !m.superseded {
-			m.tickIncoming(ctx, i)
+		if transfer := m.incoming[id]; transfer != nil && !transfer.writing && !m.superseded {
+			m.tickIncoming(ctx, transfer)
 		}
 	}
 }
 
-func (m *Manager) tickOutgoing(ctx context.Context, job string, o *outgoingTransfer) {
+func (m *Manager) tickOutgoing(ctx context.Context, job string, transfer *outgoingTransfer) {
 	now := m.Clock.Steady()
-	m.applyOrigin(ctx, o, o.record.Tick(&o.grantor, now, m.Config.Timing))
-	if o.grantor.SinceLastGrant(now) > reclaimAfterLeases*m.Config.Timing.Lease {
-		m.applyOrigin(ctx, o, o.record.Reclaim())
+	m.applyOrigin(ctx, transfer, transfer.record.Tick(&transfer.grantor, now, m.Config.Timing))
+	if transfer.grantor.SinceLastGrant(now) > reclaimAfterLeases*m.Config.Timing.Lease {
+		m.applyOrigin(ctx, transfer, transfer.record.Reclaim())
 	}
-	m.applyOrigin(ctx, o, o.record.Resend())
-	if notified := m.notifyScheduler(job, o.record); notified && o.record.Removable() {
-		if removeRecord(ctx, m, &o.versionedRecord) {
+	m.applyOrigin(ctx, transfer, transfer.record.Resend())
+	if notified := m.notifyScheduler(job, transfer.record); notified && transfer.record.Removable() {
+		if removeRecord(ctx, m, &transfer.versionedRecord) {
 			delete(m.outgoing, job)
 		}
 	}
 }
 
-// notifyScheduler tells the scheduler where a job is now, and whether it knows so durably.
-func (m *Manager) notifyScheduler(job string, r OriginRecord) bool {
+// notifyScheduler gives a job back to the scheduler, or ends it there, and reports whether
+// that is durable, so that the record of the transfer is no longer needed for it.
+func (m *Manager) notifyScheduler(job string, record OriginRecord) bool {
 	switch {
-	case r.Phase == OriginFinished:
-		return m.Scheduler.Finished(job, r.Done)
-	case r.Phase == OriginWithdrawn && r.Cause == CauseCancelled:
+	case record.Phase == OriginFinished:
+		return m.Scheduler.Finished(job, record.Done)
+	case record.Phase == OriginWithdrawn && record.Cause == CauseCancelled:
 		return m.Scheduler.Withdrawn(job)
-	case r.Phase == OriginWithdrawn:
+	case record.Phase == OriginWithdrawn:
 		return true
-	case r.Phase == OriginReturned:
-		return m.Scheduler.Returned(job, r.Done, r.NextRestarts())
+	case record.Phase == OriginReturned:
+		return m.Scheduler.Returned(job, record.Done, record.NextRestarts())
 	}
 	return false
 }
 
-func (m *Manager) tickIncoming(ctx context.Context, i *incomingTransfer) {
+func (m *Manager) tickIncoming(ctx context.Context, transfer *incomingTransfer) {
 	now := m.Clock.Steady()
-	id := i.record.Transfer
-	if i.record.Phase == TargetAccepted {
-		m.tickAccepted(ctx, i, now)
+	id := transfer.record.Transfer
+	if transfer.record.Phase == TargetAccepted {
+		m.tickAccepted(ctx, transfer, now)
 	}
-	if i.record.Phase != TargetAccepted { // Renew tells as much
-		m.applyTarget(ctx, i, i.record.Resend())
+	if transfer.record.Phase != TargetAccepted { // else MessageRenew says as much
+		m.applyTarget(ctx, transfer, transfer.record.Resend())
 	}
-	if now-i.lastRenewal >= m.Config.Timing.Lease/renewalsPerLease || i.lastRenewal == 0 {
-		i.lastRenewal = now
-		m.applyTarget(ctx, i, i.record.RequestRenewal(&i.holder, now))
+	if now-transfer.lastRenewal >= m.Config.Timing.Lease/renewalsPerLease || transfer.lastRenewal == 0 {
+		transfer.lastRenewal = now
+		m.applyTarget(ctx, transfer, transfer.record.RequestRenewal(&transfer.holder, now))
 	}
-	if i.record.MayRun(&i.holder, m.Clock.Steady()) {
-		m.Scheduler.Run(id, i.record.Job, i.record.Done)
+	if transfer.record.MayRun(&transfer.holder, m.Clock.Steady()) {
+		m.Scheduler.Run(id, transfer.record.Job, transfer.record.Done)
 		return
 	}
 	m.Scheduler.Stop(id)
 }
 
-// tickAccepted takes over how far the tasks are.
-func (m *Manager) tickAccepted(ctx context.Context, i *incomingTransfer, now units.Micros) {
-	progress := m.Scheduler.Progress(i.record.Transfer)
+// tickAccepted records how far the tasks are.
+func (m *Manager) tickAccepted(ctx context.Context, transfer *incomingTransfer, now units.Micros) {
+	progress := m.Scheduler.Progress(transfer.record.Transfer)
 	switch {
-	case i.record.Stopping && !progress.Running:
-		m.applyTarget(ctx, i, i.record.TasksStopped())
-	case progress.Complete && i.record.MayRun(&i.holder, now):
-		m.applyTarget(ctx, i, i.record.TasksCompleted(progress.Done, true))
-	case !i.record.Done.ContainsAll(progress.Done):
-		m.applyTarget(ctx, i, i.record.TasksCompleted(progress.Done, false))
+	case transfer.record.Stopping && !progress.Running:
+		m.applyTarget(ctx, transfer, transfer.record.TasksStopped())
+	case progress.Complete && transfer.record.MayRun(&transfer.holder, now):
+		m.applyTarget(ctx, transfer, transfer.record.TasksCompleted(progress.Done, true))
+	case !transfer.record.Done.ContainsAll(progress.Done):
+		m.applyTarget(ctx, transfer, transfer.record.TasksCompleted(progress.Done, false))
 	}
 }
--- a/internal/federation/transfer.go
+++ b/internal/federation/transfer.go
@@ -8,20 +8,23 @@
 	"dunestand/internal/protocol"
 )
 
-// TransferID names one attempt to move a job. The incarnation is raised for each, so
-// that what is late from an earlier one is known.
+// TransferID identifies one transfer of a job.
 type TransferID struct {
-	Origin      string `cbor:"from"`
-	Job         string `cbor:"job"`
+	// Origin is the name of the cell that the job belongs to, Job the job's id there.
+	Origin string `cbor:"from"`
+	Job    string `cbor:"job"`
+	// Incarnation, from 1, is greater with each new transfer of the job, so that late
+	// messages of an earlier one are recognised.
 	Incarnation uint64 `cbor:"n"`
 }
 
+// String returns origin, job and incarnation, as they appear in logs.
 func (t TransferID) String() string { return fmt.Sprintf("%s/%s#%d", t.Origin, t.Job, t.Incarnation) }
 
-// check tells what is wrong with an id that came from outside.
+// check returns what is wrong with an id that came from outside, nil if nothing is.
 func (t TransferID) check() error {
 	switch {
-	case !ValidCellName(t.Origin):
+	case !validCellName(t.Origin):
 		return fmt.Errorf("transfer %q: bad name of a cell", t)
 	case !protocol.ValidJobID(t.Job):
 		return fmt.Errorf("transfer %q: bad id of a job", t)
@@ -31,13 +34,13 @@
 	return nil
 }
 
-// cellNamePattern is what a cell may be called: its name is part of keys and addresses.
+// cellNamePattern has no "/": a cell's name is part of keys.
 var cellNamePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,31}$`)
 
-// ValidCellName tells whether a cell may have a name.
-func ValidCellName(name string) bool { return cellNamePattern.MatchString(name) }
+// validCellName reports whether a cell may have a name.
+func validCellName(name string) bool { return cellNamePattern.MatchString(name) }
 
-// compareTransferIDs orders transfers.
+// compareTransferIDs orders transfers by origin, job and incarnation.
 func compareTransferIDs(a, b TransferID) int {
 	return cmp.Or(
 		cmp.Compare(a.Origin, b.Origin),
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -25,7 +25,7 @@
 
 func newPair(t *testing.T, allowance int) *pair {
 	p := &pair{t: t, holder: NewLeaseHolder(1)}
-	p.fromOrigin(BeginTransfer(transfer, "dye", []byte("job"), 10, allowance, 0))
+	p.fromOrigin(BeginTransfer(transfer, HandOverRequest{Target: "dye", Description: []byte("job"), Work: 10}, allowance))
 	return p
 }
 
@@ -238,7 +238,7 @@
 
 // A record that cannot be read is told with its key, and never taken for another.
 func TestUnreadableRecords(t *testing.T) {
-	origin := BeginTransfer(transfer, "dye", nil, 1, 0, 0).Record
+	origin := BeginTransfer(transfer, HandOverRequest{Target: "dye", Work: 1}, 0).Record
 	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
 	bad := origin
 	bad.Phase = originPhaseCount
