--- a/internal/federation/configfile.go
+++ b/internal/federation/configfile.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/units"
 )
 
-// configFile is the file as it is written.
+// configFile is the cells file as it is written. A nil pointer is a field that is left out.
 type configFile struct {
 	Self       string      `toml:"self"`
 	CompleteBy *int        `toml:"complete_by_hour"`
@@ -38,7 +38,7 @@
 	count int64
 }
 
-// UnmarshalTOML reads the value.
+// UnmarshalTOML implements toml.Unmarshaler.
 func (r *restarts) UnmarshalTOML(value any) error {
 	r.given = true
 	switch v := value.(type) {
@@ -50,21 +50,30 @@
 		case "any":
 			r.count = UnlimitedRestarts
 		default:
-			return fmt.Errorf(`restarts: %q is neither "none" nor "any" nor a number`, v)
+			return fieldErrorf("restarts", `%q is neither "none" nor "any" nor a number`, v)
 		}
 	default:
-		return errors.New(`restarts: neither "none" nor "any" nor a number`)
+		return fieldErrorf("restarts", `neither "none" nor "any" nor a number`)
 	}
 	return nil
 }
 
-// What a file that leaves them out means.
+// The values of fields that are left out.
 const (
 	defaultMargin   = 60 * units.Second
 	defaultMaxMoves = 2
 )
 
-// LoadCells reads and checks a cells file. Its error is one line that names the field.
+// Bounds of fields, in seconds. They keep out values that are meant in another unit.
+const (
+	minLeaseS  = 1
+	maxLeaseS  = 3600
+	maxStopS   = 3600
+	maxMarginS = 86400
+)
+
+// LoadCells reads and checks a cells file. Its error is one line that begins with the path.
+// It wraps a *FieldError for a field that is unknown, out of range or contradicts another.
 func LoadCells(path string) (*Config, error) {
 	var file configFile
 	meta, err := toml.DecodeFile(path, &file)
@@ -76,16 +85,16 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, fmt.Errorf("%s: %s: unknown field", path, unknown[0])
+		return nil, fmt.Errorf("%s: %w", path, fieldErrorf(unknown[0].String(), "unknown field"))
 	}
-	cells, err := file.config()
+	c, err := file.config()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return cells, nil
+	return c, nil
 }
 
-// config checks the file.
+// config returns what the file says, checked.
 func (f *configFile) config() (*Config, error) {
 	c := &Config{
 		Self:     f.Self,
@@ -93,8 +102,8 @@
 		MaxMoves: defaultMaxMoves,
 		networks: new(bart.Table[string]),
 	}
-	for _, check := range []func(*Config) error{f.applyTimes, f.applyCells, f.applyClasses} {
-		if err := check(c); err != nil {
+	for _, apply := range []func(*Config) error{f.applyTimes, f.applyCells, f.applyClasses} {
+		if err := apply(c); err != nil {
 			return nil, err
 		}
 	}
@@ -104,17 +113,17 @@
 func (f *configFile) applyTimes(c *Config) error {
 	switch {
 	case f.CompleteBy == nil:
-		return errors.New("complete_by_hour: missing")
+		return fieldErrorf("complete_by_hour", "missing")
 	case *f.CompleteBy < 0 || *f.CompleteBy > 23:
-		return fmt.Errorf("complete_by_hour: %d is no hour of the day", *f.CompleteBy)
-	case !(f.LeaseS >= 1 && f.LeaseS <= 3600):
-		return fmt.Errorf("lease_s: %v is not between 1 and 3600", f.LeaseS)
-	case !(f.StopS > 0 && f.StopS <= 3600):
-		return fmt.Errorf("stop_s: %v is not above 0 and at most 3600", f.StopS)
-	case f.MarginS != nil && !(*f.MarginS >= 0 && *f.MarginS <= 86400):
-		return fmt.Errorf("margin_s: %v is not between 0 and 86400", *f.MarginS)
+		return fieldErrorf("complete_by_hour", "%d is no hour of the day", *f.CompleteBy)
+	case !(f.LeaseS >= minLeaseS && f.LeaseS <= maxLeaseS): // so that NaN is refused too
+		return fieldErrorf("lease_s", "%v is not between %d and %d", f.LeaseS, minLeaseS, maxLeaseS)
+	case !(f.StopS > 0 && f.StopS <= maxStopS):
+		return fieldErrorf("stop_s", "%v is not above 0 and at most %d", f.StopS, maxStopS)
+	case f.MarginS != nil && !(*f.MarginS >= 0 && *f.MarginS <= maxMarginS):
+		return fieldErrorf("margin_s", "%v is not between 0 and %d", *f.MarginS, maxMarginS)
 	case f.Moves != nil && *f.Moves < 1:
-		return fmt.Errorf("moves: %d is below 1", *f.Moves)
+		return fieldErrorf("moves", "%d is below 1", *f.Moves)
 	}
 	c.CompleteByHour = *f.CompleteBy
 	c.Timing = Timing{Lease: units.Seconds(f.LeaseS), StopGrace: units.Seconds(f.StopS)}
@@ -129,76 +138,86 @@
 
 func (f *configFile) applyCells(c *Config) error {
 	for i, entry := range f.Cells {
-		field := fmt.Sprintf("cell[%d]", i)
-		cell, err := entry.parse(field)
+		cell, err := entry.parse(i)
 		if err != nil {
 			return err
 		}
-		if c.Cell(cell.Name) != nil {
-			return fmt.Errorf("%s.name: %q is listed twice", field, cell.Name)
-		}
-		for k, network := range cell.Networks {
-			if c.networks.OverlapsPrefix(network) {
-				return fmt.Errorf("%s.networks[%d]: %v overlaps another network", field, k, network)
-			}
-			c.networks.Insert(network, cell.Name)
-		}
-		for k, controller := range cell.Controllers {
-			if !c.Permits(controller.Addr(), cell.Name) {
-				return fmt.Errorf("%s.controllers[%d]: %v is in none of the cell's networks", field, k, controller)
-			}
+		if err := c.addCell(cell, i); err != nil {
+			return err
 		}
-		c.Cells = append(c.Cells, cell)
 	}
 	switch {
 	case len(c.Cells) < 2:
-		return errors.New("cell: fewer than two cells")
+		return fieldErrorf("cell", "fewer than two cells")
 	case c.Cell(c.Self) == nil:
-		return fmt.Errorf("self: %q is none of the cells", c.Self)
+		return fieldErrorf("self", "%q is none of the cells", c.Self)
 	}
 	return nil
 }
 
-func (e *cellEntry) parse(field string) (Cell, error) {
+// parse reads the entry at an index. It checks the entry by itself.
+func (e *cellEntry) parse(index int) (Cell, error) {
 	cell := Cell{Name: e.Name}
 	if !validCellName(e.Name) {
-		return cell, fmt.Errorf("%s.name: %q is not made of up to 32 of a-z, 0-9 and -", field, e.Name)
+		return cell, fieldErrorf(cellField(index, "name"), "%q is not made of up to 32 of a-z, 0-9 and -", e.Name)
 	}
+	field := cellField(index, "controllers")
 	if len(e.Controllers) == 0 {
-		return cell, fmt.Errorf("%s.controllers: missing", field)
+		return cell, fieldErrorf(field, "missing")
 	}
-	for k, text := range e.Controllers {
+	for i, text := range e.Controllers {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return cell, fmt.Errorf("%s.controllers[%d]: %q is not an IP address and port", field, k, text)
+			return cell, fieldErrorf(element(field, i), "%q is not an IP address and port", text)
 		}
 		cell.Controllers = append(cell.Controllers, address)
 	}
+	field = cellField(index, "networks")
 	if len(e.Networks) == 0 {
-		return cell, fmt.Errorf("%s.networks: missing", field)
+		return cell, fieldErrorf(field, "missing")
 	}
-	for k, text := range e.Networks {
+	for i, text := range e.Networks {
 		network, err := netip.ParsePrefix(text)
 		if err != nil || network != network.Masked() {
-			return cell, fmt.Errorf("%s.networks[%d]: %q is not a network such as 10.0.0.0/24", field, k, text)
+			return cell, fieldErrorf(element(field, i), "%q is not a network such as 10.0.0.0/24", text)
 		}
 		cell.Networks = append(cell.Networks, network)
 	}
 	return cell, nil
 }
 
+// addCell adds the cell at an index, which must not share its name or a network with those
+// before it.
+func (c *Config) addCell(cell Cell, index int) error {
+	if c.Cell(cell.Name) != nil {
+		return fieldErrorf(cellField(index, "name"), "%q is listed twice", cell.Name)
+	}
+	for i, network := range cell.Networks {
+		if c.networks.OverlapsPrefix(network) {
+			return fieldErrorf(element(cellField(index, "networks"), i), "%v overlaps another network", network)
+		}
+		c.networks.Insert(network, cell.Name)
+	}
+	for i, controller := range cell.Controllers {
+		if !c.Permits(controller.Addr(), cell.Name) {
+			return fieldErrorf(element(cellField(index, "controllers"), i), "%v is in none of the cell's networks", controller)
+		}
+	}
+	c.Cells = append(c.Cells, cell)
+	return nil
+}
+
 func (f *configFile) applyClasses(c *Config) error {
 	for i, class := range f.Classes {
-		field := fmt.Sprintf("class[%d]", i)
 		switch {
 		case class.Name == "":
-			return fmt.Errorf("%s.name: missing", field)
+			return fieldErrorf(classField(i, "name"), "missing")
 		case c.Class(class.Name) != nil:
-			return fmt.Errorf("%s.name: %q is listed twice", field, class.Name)
+			return fieldErrorf(classField(i, "name"), "%q is listed twice", class.Name)
 		case !class.Restarts.given:
-			return fmt.Errorf("%s.restarts: missing", field)
+			return fieldErrorf(classField(i, "restarts"), "missing")
 		case class.Restarts.count < 0:
-			return fmt.Errorf("%s.restarts: %d is below 0", field, class.Restarts.count)
+			return fieldErrorf(classField(i, "restarts"), "%d is below 0", class.Restarts.count)
 		}
 		c.Classes = append(c.Classes, ClassPolicy{
 			Name:        class.Name,
--- a/internal/federation/decision.go
+++ b/internal/federation/decision.go
@@ -19,8 +19,8 @@
 	Encode(writeID string) []byte
 	// id returns the transfer that the record is of.
 	id() TransferID
-	// invalid returns what no version of this software stores, "" if there is nothing.
-	invalid() string
+	// check returns which field has a value that this version does not store, nil if none.
+	check() error
 	// message returns a message of a kind with what the record has for it.
 	message(kind MessageKind) Message
 }
--- a/internal/federation/forecast.go
+++ b/internal/federation/forecast.go
@@ -8,21 +8,28 @@
 	"dunestand/internal/units"
 )
 
-// Load is what a cell's leader knows of the room in its next hours, for one team.
+// Work is an expected use of CPUs, in thousandths of a CPU times seconds.
+type Work int64
+
+// microsPerWork is one Work in millionths of a CPU times microseconds.
+const microsPerWork = 1e3 * 1e6
+
+// Load is what a cell's leader says of the capacity in its next hours, for one team, as it
+// is encoded between cells.
 type Load struct {
-	// CPUs are the processors of machines that work.
+	// CPUs are those of all machines that work.
 	CPUs units.Amount `cbor:"cpus"`
-	// Provisioning are machines that are rented and not up yet.
+	// Provisioning are machines that were ordered and are not up yet.
 	Provisioning []ProvisioningCapacity `cbor:"coming,omitempty"`
 	// Queued is unfinished work that goes before a new job.
 	Queued Work `cbor:"queued"`
-	// QuotaFree is what the team's limit leaves.
+	// QuotaFree is what the team's quota limit leaves, in CPUs.
 	QuotaFree units.Amount `cbor:"free"`
 	// ImageFetch is how long a machine takes to fetch the job's image.
 	ImageFetch units.Micros `cbor:"fetch"`
 }
 
-// ProvisioningCapacity are processors that are expected to be up after a time.
+// ProvisioningCapacity is capacity that is expected to be up after a time.
 type ProvisioningCapacity struct {
 	ReadyIn units.Micros `cbor:"in"`
 	CPUs    units.Amount `cbor:"cpus"`
@@ -30,57 +37,56 @@
 
 // Demand is what a job asks for.
 type Demand struct {
-	Tasks   int
+	Tasks   int          // that are not done
 	CPUs    units.Amount // of each task
 	RunTime units.Micros // expected of each task
 }
 
-// Never is the forecast of a job that a cell cannot complete as things stand.
-const Never units.Micros = math.MaxInt64
+// cpuTime returns the CPUs times the run time of all tasks, in millionths of a CPU times
+// microseconds.
+func (d Demand) cpuTime() float64 { return float64(d.Tasks) * float64(d.CPUs) * float64(d.RunTime) }
 
-// workUnit is one Work, a thousandth of a processor for a second, in millionths of
-// a processor times microseconds.
-const workUnit = 1e3 * 1e6
+// Work returns the work of all tasks, rounded up.
+func (d Demand) Work() Work { return Work(math.Ceil(d.cpuTime() / microsPerWork)) }
 
-// Work gives the work of a job.
-func (d Demand) Work() Work {
-	return Work(math.Ceil(float64(d.Tasks) * float64(d.CPUs) * float64(d.RunTime) / workUnit))
-}
+// Never is the forecast for a job that a cell cannot complete as things stand.
+const Never units.Micros = math.MaxInt64
 
-// TimeToComplete forecasts in how much time a new job would be complete: the machines first do
-// what is queued, and then the job, as wide as its tasks and its team's limit allow, while
-// machines that are coming join. Its last task takes its whole run time.
-func (l *Load) TimeToComplete(d Demand) units.Micros {
-	width := min(units.Amount(d.Tasks)*d.CPUs, l.QuotaFree)
-	if d.Tasks <= 0 || width < d.CPUs {
+// TimeToComplete forecasts after how much time a new job would be complete, Never if the
+// cell cannot run it: the machines first do what is queued, and then the job, as wide as its
+// tasks and its team's quota allow, while machines that are being provisioned join. No job
+// takes less than one of its tasks, and its image is fetched first.
+func (l *Load) TimeToComplete(demand Demand) units.Micros {
+	width := min(units.Amount(demand.Tasks)*demand.CPUs, l.QuotaFree)
+	if demand.Tasks <= 0 || width < demand.CPUs {
 		return Never
 	}
-	queued := float64(l.Queued) * workUnit
-	work := float64(d.Tasks) * float64(d.CPUs) * float64(d.RunTime)
-	cpus, at := l.CPUs, units.Micros(0)
-	coming := slices.SortedFunc(slices.Values(l.Provisioning), func(a, b ProvisioningCapacity) int { return cmp.Compare(a.ReadyIn, b.ReadyIn) })
-	for _, step := range append(coming, ProvisioningCapacity{ReadyIn: Never}) {
-		span := float64(step.ReadyIn - at)
-		drained := min(span, drainTime(queued, cpus))
+	queued, work := float64(l.Queued)*microsPerWork, demand.cpuTime()
+	cpus, now := l.CPUs, units.Micros(0)
+	// Between two arrivals of machines the number of CPUs is constant. The last period has
+	// no end.
+	arrivals := slices.SortedFunc(slices.Values(l.Provisioning), func(a, b ProvisioningCapacity) int {
+		return cmp.Compare(a.ReadyIn, b.ReadyIn)
+	})
+	for _, arrival := range append(arrivals, ProvisioningCapacity{ReadyIn: Never}) {
+		period := float64(arrival.ReadyIn - now)
+		drained := min(period, timeFor(queued, cpus))
 		queued -= drained * float64(cpus)
-		rate := min(cpus, width)
-		if took := drainTime(work, rate); cpus >= d.CPUs && drained+took <= span {
-			return l.withImageFetch(at+units.Micros(drained+took), d)
+		if cpus >= demand.CPUs {
+			rate := min(cpus, width)
+			if needed := timeFor(work, rate); drained+needed <= period {
+				return max(now+units.Micros(drained+needed), demand.RunTime) + l.ImageFetch
+			}
+			work -= (period - drained) * float64(rate)
 		}
-		if cpus >= d.CPUs {
-			work -= (span - drained) * float64(rate)
-		}
-		cpus, at = cpus+step.CPUs, step.ReadyIn
+		cpus, now = cpus+arrival.CPUs, arrival.ReadyIn
 	}
 	return Never
 }
 
-// withImageFetch adds the image's fetch; no job ends sooner than one of its tasks.
-func (l *Load) withImageFetch(end units.Micros, d Demand) units.Micros {
-	return max(end, d.RunTime) + l.ImageFetch
-}
-
-func drainTime(work float64, cpus units.Amount) float64 {
+// timeFor returns how many microseconds CPUs take for work, which is in millionths of a CPU
+// times microseconds: without CPUs, for ever.
+func timeFor(work float64, cpus units.Amount) float64 {
 	if work <= 0 {
 		return 0
 	}
@@ -89,6 +95,3 @@
 	}
 	return work / float64(cpus)
 }
-
-// Work is a job's expected use of processors, in thousandths of a processor times seconds.
-type Work int64
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -244,8 +244,8 @@
 		}
 	}
 	for _, c := range m.cells {
-		if c.leader.rooms.reservedBy("") > modelCapacity {
-			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.rooms.reservedBy(""), modelCapacity)
+		if c.leader.rooms.reserved() > modelCapacity {
+			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.rooms.reserved(), modelCapacity)
 		}
 	}
 }
--- a/internal/federation/recordcodec.go
+++ b/internal/federation/recordcodec.go
@@ -20,10 +20,33 @@
 // recordFormat is the format of both records that this version reads and writes.
 const recordFormat = 1
 
-// ErrUnreadableRecord says that a record of a transfer cannot be read. Its job is not restored,
-// and the record is not replaced.
+// ErrUnreadableRecord reports that a record of a transfer cannot be read. Its job is not
+// restored, and the record is not replaced.
 var ErrUnreadableRecord = errors.New("unreadable record of a transfer")
 
+// RecordError is an unreadable record. It wraps ErrUnreadableRecord and the reason.
+type RecordError struct {
+	Key    string
+	Reason error
+}
+
+// Error returns what is wrong with the record of which key.
+func (e *RecordError) Error() string {
+	return fmt.Sprintf("%v: %s: %v", ErrUnreadableRecord, e.Key, e.Reason)
+}
+
+// Unwrap returns ErrUnreadableRecord and the reason.
+func (e *RecordError) Unwrap() []error { return []error{ErrUnreadableRecord, e.Reason} }
+
+// The reasons for which a record that can be decoded is not one of this version's.
+var (
+	errOtherTransfer  = errors.New("it is of another transfer")
+	errUnknownPhase   = errors.New("unknown phase")
+	errUnknownState   = errors.New("unknown phase or cause")
+	errNoTarget       = errors.New("no target")
+	errNegativeAmount = errors.New("amounts below 0")
+)
+
 // Key returns the key of the origin's record. A job has one transfer at a time.
 func (r OriginRecord) Key() string { return outgoingKey(r.Transfer.Job) }
 
@@ -59,60 +82,62 @@
 	return protocol.Encode(storedRecord[R]{Format: recordFormat, WriteID: writeID, Record: record})
 }
 
-// ParseOrigin reads an origin's record. Its error wraps ErrUnreadableRecord.
+// ParseOrigin reads an origin's record. Its error is a *RecordError.
 func ParseOrigin(item protocol.Item) (OriginRecord, error) {
 	return decodeRecord[OriginRecord](item)
 }
 
-// DecodeTargetRecord reads a target's record. Its error wraps ErrUnreadableRecord.
+// DecodeTargetRecord reads a target's record. Its error is a *RecordError.
 func DecodeTargetRecord(item protocol.Item) (TargetRecord, error) {
 	return decodeRecord[TargetRecord](item)
 }
 
 func decodeRecord[R transferRecord](item protocol.Item) (R, error) {
 	var stored storedRecord[R]
-	if err := protocol.Decode(item.Value, &stored); err != nil {
-		return stored.Record, unreadable(item, err.Error())
+	err := protocol.Decode(item.Value, &stored)
+	if err == nil {
+		err = stored.check(item.Key)
 	}
-	record := stored.Record
-	if stored.Format != recordFormat {
-		return record, unreadable(item, fmt.Sprintf("format %d", stored.Format))
+	if err != nil {
+		err = &RecordError{Key: item.Key, Reason: err}
 	}
-	if record.id().check() != nil || record.Key() != item.Key {
-		return record, unreadable(item, "it is of another transfer")
+	return stored.Record, err
+}
+
+// check returns why a record under a key is not one that this version stores there, nil if
+// it is.
+func (s *storedRecord[R]) check(key string) error {
+	if s.Format != recordFormat {
+		return fmt.Errorf("format %d", s.Format)
 	}
-	if problem := record.invalid(); problem != "" {
-		return record, unreadable(item, problem)
+	if s.Record.id().check() != nil || s.Record.Key() != key {
+		return errOtherTransfer
 	}
-	return record, nil
+	return s.Record.check()
 }
 
 func (r OriginRecord) id() TransferID { return r.Transfer }
 
 func (r TargetRecord) id() TransferID { return r.Transfer }
 
-func (r OriginRecord) invalid() string {
+func (r OriginRecord) check() error {
 	switch {
 	case r.Phase == 0 || r.Phase >= originPhaseCount || r.Cause >= causeCount:
-		return "unknown phase or cause"
+		return errUnknownState
 	case r.Target == "" || r.Target == r.Transfer.Origin:
-		return "no target"
+		return errNoTarget
 	case r.MaxRestarts < 0 || r.Restarts < 0 || r.Run < 0 || r.Work < 0:
-		return "amounts below 0"
+		return errNegativeAmount
 	}
-	return ""
+	return nil
 }
 
-func (r TargetRecord) invalid() string {
+func (r TargetRecord) check() error {
 	switch {
 	case r.Phase == 0 || r.Phase >= targetPhaseCount:
-		return "unknown phase"
+		return errUnknownPhase
 	case r.Run < 0 || r.Work < 0:
-		return "amounts below 0"
+		return errNegativeAmount
 	}
-	return ""
-}
-
-func unreadable(item protocol.Item, why string) error {
-	return fmt.Errorf("%w: %s: %s", ErrUnreadableRecord, item.Key, why)
+	return nil
 }
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -310,7 +310,7 @@
 		t.Error("a cell that asks alone gets less or more than what is left")
 	}
 	r.SetCapacity(1) // machines are lost: promises hold, nothing new is promised
-	if r.Free() != 0 || r.reservedBy("") != 10 || r.Reserve(id("mill", 200), 1, alone) {
-		t.Errorf("after machines were lost: %d promised, %d free", r.reservedBy(""), r.Free())
+	if r.Free() != 0 || r.reserved() != 10 || r.Reserve(id("mill", 200), 1, alone) {
+		t.Errorf("after machines were lost: %d promised, %d free", r.reserved(), r.Free())
 	}
 }
