--- a/internal/federation/cells_test.go
+++ b/internal/federation/cells_test.go
@@ -11,19 +11,19 @@
 	"dunestand/internal/units"
 )
 
-const deployedCells = "../../deploy/cells.toml"
+const exampleConfigPath = "../../deploy/cells.toml"
 
-func deployed(t *testing.T) *Config {
+func loadExampleConfig(t *testing.T) *Config {
 	t.Helper()
-	cells, err := LoadCells(deployedCells)
+	cells, err := LoadCells(exampleConfigPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return cells
 }
 
-func TestDeployedCells(t *testing.T) {
-	c := deployed(t)
+func TestExampleConfigIsRead(t *testing.T) {
+	c := loadExampleConfig(t)
 	if c.Self != "mill" || len(c.Cells) != 3 || c.CompleteByHour != 6 || c.MaxMoves != 2 || c.Margin != 60*units.Second {
 		t.Errorf("read as %+v", c)
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-func TestBadCellsNameTheField(t *testing.T) {
-	raw, err := os.ReadFile(deployedCells)
+func TestInvalidConfigNamesTheField(t *testing.T) {
+	raw, err := os.ReadFile(exampleConfigPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,12 +85,12 @@
 	}
 }
 
-func TestCellsFitTheSettings(t *testing.T) {
+func TestConfigMustAgreeWithSettings(t *testing.T) {
 	settings := &config.Settings{Fleet: config.Fleet{
 		Workers:    config.Workers{LeaseS: 26, CancelS: 46},
 		Objectives: []config.Objective{{Class: "loomplan"}, {Class: "rushorder"}, {Class: "yarnrecount"}},
 	}}
-	if err := deployed(t).CheckSettings(settings); err != nil {
+	if err := loadExampleConfig(t).CheckSettings(settings); err != nil {
 		t.Fatal(err)
 	}
 	for want, spoil := range map[string]func(*Config){
@@ -98,7 +98,7 @@
 		"lease_s":       func(c *Config) { c.Timing.Lease = 16 * units.Second },
 		"class[3].name": func(c *Config) { c.Classes = append(c.Classes, ClassPolicy{Name: "reindex"}) },
 	} {
-		c := deployed(t)
+		c := loadExampleConfig(t)
 		spoil(c)
 		if err := c.CheckSettings(settings); err == nil || !strings.HasPrefix(err.Error(), want+":") {
 			t.Errorf("%v, want an error about %s", err, want)
--- a/internal/federation/cellstandin_test.go
+++ b/internal/federation/cellstandin_test.go
@@ -14,18 +14,18 @@
 )
 
 // memoryStore keeps records with versions, as the state service does.
-type memoryStore struct {
+type fakeStore struct {
 	mu       sync.Mutex
-	items    map[string]protocol.Item
+	records  map[string]protocol.Item
 	revision uint64
 	down     bool
 }
 
-func (s *memoryStore) List(_ context.Context, prefix string) ([]protocol.Item, error) {
+func (s *fakeStore) List(_ context.Context, prefix string) ([]protocol.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []protocol.Item
-	for key, item := range s.items {
+	for key, item := range s.records {
 		if len(key) > len(prefix) && key[:len(prefix)] == prefix {
 			out = append(out, item)
 		}
@@ -33,37 +33,37 @@
 	return out, nil
 }
 
-func (s *memoryStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
+func (s *fakeStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
 	time.Sleep(6 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return 0, context.DeadlineExceeded
 	}
-	if s.items[key].Version != version {
+	if s.records[key].Version != version {
 		return 0, ErrConflict
 	}
 	s.revision++
 	if value == nil {
-		delete(s.items, key)
+		delete(s.records, key)
 	} else {
-		s.items[key] = protocol.Item{Key: key, Value: value, Version: s.revision}
+		s.records[key] = protocol.Item{Key: key, Value: value, Version: s.revision}
 	}
 	return s.revision, nil
 }
 
 // region is three cells on one network, and an observer of all their machines.
-type region struct {
+type fakeRegion struct {
 	t      *testing.T
 	clock  units.Clock
 	random *rand.Rand
-	cells  map[string]*standInCell
-	terms  *Config
+	cells  map[string]*fakeCell
+	config *Config
 
-	mu      sync.Mutex
-	cut     map[string]bool
-	answers map[string]string // by job: what its user was told at last
-	runsIn  map[string]map[string]bool
+	mu          sync.Mutex
+	partitioned map[string]bool
+	answers     map[string]string // by job: what its user was told at last
+	runningIn   map[string]map[string]bool
 }
 
 // bubbleClock is the time of a synctest bubble.
@@ -76,12 +76,12 @@
 func (c bubbleClock) Wall() units.Micros { return units.Micros(time.Now().UnixMicro()) }
 
 // link loses, doubles and delays messages.
-type link struct {
-	region *region
+type fakeTransport struct {
+	region *fakeRegion
 	from   string
 }
 
-func (l link) Send(cell string, m Message) {
+func (l fakeTransport) Send(cell string, m Message) {
 	r := l.region
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,13 +97,13 @@
 		if r.random.IntN(20) == 0 {
 			delay = time.Duration(r.random.IntN(60_000)) * time.Millisecond
 		}
-		time.AfterFunc(delay, func() { r.arrive(l.from, cell, m) })
+		time.AfterFunc(delay, func() { r.deliver(l.from, cell, m) })
 	}
 }
 
-func (r *region) arrive(from, to string, m Message) {
+func (r *fakeRegion) deliver(from, to string, m Message) {
 	r.mu.Lock()
-	lost := r.cut[from] || r.cut[to]
+	lost := r.partitioned[from] || r.partitioned[to]
 	manager := r.cells[to].manager
 	r.mu.Unlock()
 	if !lost && manager != nil {
@@ -112,7 +112,7 @@
 }
 
 // answer notes what a job's user is told, which must not change once it is final.
-func (r *region) answer(job, what string) {
+func (r *fakeRegion) recordAnswer(job, what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if told := r.answers[job]; told != "" && told != what {
@@ -122,99 +122,99 @@
 }
 
 // runs notes that a cell's machine begins or ends a task.
-func (r *region) runs(cell, job string, begins bool) {
+func (r *fakeRegion) recordRun(cell, job string, begins bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.runsIn[job] == nil {
-		r.runsIn[job] = map[string]bool{}
+	if r.runningIn[job] == nil {
+		r.runningIn[job] = map[string]bool{}
 	}
 	if begins {
-		r.runsIn[job][cell] = true
+		r.runningIn[job][cell] = true
 	} else {
-		delete(r.runsIn[job], cell)
+		delete(r.runningIn[job], cell)
 	}
-	if len(r.runsIn[job]) > 1 {
-		r.t.Errorf("%s runs in two cells: %v", job, r.runsIn[job])
+	if len(r.runningIn[job]) > 1 {
+		r.t.Errorf("%s runs in two cells: %v", job, r.runningIn[job])
 	}
 }
 
 // machineTask is a task on a machine of a stand-in cell.
 type machineTask struct {
-	job     string
-	foreign TransferID // of another cell's job, else zero
-	task    int
-	ends    units.Micros
-	dies    units.Micros // the worker's lease, prolonged by the leader
+	job          string
+	guest        TransferID // of another cell's job, else zero
+	task         int
+	completesAt  units.Micros
+	leaseExpires units.Micros // the worker's lease, prolonged by the leader
 }
 
 // cellJob is a job as a stand-in cell's scheduler keeps it, durably.
-type cellJob struct {
-	id, class string
-	held      bool // handed over, or being handed over
-	cancel    bool
-	over      bool
-	done      TaskSet
-	reruns    int
+type fakeJob struct {
+	id, class       string
+	handedOver      bool // handed over, or being handed over
+	cancelRequested bool
+	ended           bool
+	done            TaskSet
+	restarts        int
 }
 
 // standInCell is a cell: a leader that may be gone, machines that go on without it, and
 // records.
-type standInCell struct {
-	name    string
-	region  *region
-	store   *memoryStore
-	manager *Manager // nil: no leader
-	term    uint64
-	slots   int
-
-	mu      sync.Mutex
-	jobs    []*cellJob
-	foreign map[TransferID]TaskSet // other cells' jobs that are to run, and what is done
-	wanted  map[TransferID]bool
-	tasks   []machineTask
+type fakeCell struct {
+	name         string
+	region       *fakeRegion
+	store        *fakeStore
+	manager      *Manager // nil: no leader
+	fencingToken uint64
+	slots        int
+
+	mu          sync.Mutex
+	jobs        []*fakeJob
+	guestDone   map[TransferID]TaskSet // other cells' jobs that are to run, and what is done
+	guestWanted map[TransferID]bool
+	tasks       []machineTask
 }
 
 const (
-	standInTasks = 4
-	taskRun      = 5 * units.Second
+	fakeJobTasks    = 4
+	fakeTaskRunTime = 5 * units.Second
 )
 
-func (c *standInCell) Run(id TransferID, _ []byte, done TaskSet) {
+func (c *fakeCell) Run(id TransferID, _ []byte, done TaskSet) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.foreign[id] = c.foreign[id].Union(done)
-	c.wanted[id] = true
+	c.guestDone[id] = c.guestDone[id].Union(done)
+	c.guestWanted[id] = true
 }
 
-func (c *standInCell) Stop(id TransferID) {
+func (c *fakeCell) Stop(id TransferID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wanted[id] = false
+	c.guestWanted[id] = false
 }
 
-func (c *standInCell) Progress(id TransferID) Progress {
+func (c *fakeCell) Progress(id TransferID) Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	present := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.foreign == id })
-	return Progress{Done: c.foreign[id], Complete: allDone(c.foreign[id]), Running: present}
+	present := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.guest == id })
+	return Progress{Done: c.guestDone[id], Complete: allDone(c.guestDone[id]), Running: present}
 }
 
-func allDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<standInTasks - 1}) }
+func allDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<fakeJobTasks - 1}) }
 
-func (c *standInCell) job(id string) *cellJob {
-	i := slices.IndexFunc(c.jobs, func(j *cellJob) bool { return j.id == id })
+func (c *fakeCell) job(id string) *fakeJob {
+	i := slices.IndexFunc(c.jobs, func(j *fakeJob) bool { return j.id == id })
 	return c.jobs[i]
 }
 
-func (c *standInCell) Returned(id string, done TaskSet, reruns int) bool {
+func (c *fakeCell) Returned(id string, done TaskSet, reruns int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.job(id)
-	j.held, j.done, j.reruns = false, j.done.Union(done), reruns
-	return j.over
+	j.handedOver, j.done, j.restarts = false, j.done.Union(done), reruns
+	return j.ended
 }
 
-func (c *standInCell) Finished(id string, done TaskSet) bool {
+func (c *fakeCell) Finished(id string, done TaskSet) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.job(id)
@@ -222,29 +222,29 @@
 	if !allDone(j.done) {
 		c.region.t.Errorf("%s is finished with tasks %v", id, j.done)
 	}
-	j.over = true
-	c.region.answer(id, "done")
+	j.ended = true
+	c.region.recordAnswer(id, "done")
 	return true
 }
 
-func (c *standInCell) Withdrawn(id string) bool {
+func (c *fakeCell) Withdrawn(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.job(id).over = true
-	c.region.answer(id, "cancelled")
+	c.job(id).ended = true
+	c.region.recordAnswer(id, "cancelled")
 	return true
 }
 
 // lead begins a new leader.
-func (c *standInCell) lead() {
-	c.term++
+func (c *fakeCell) startLeader() {
+	c.fencingToken++
 	m := NewManager(Options{
-		Config:          c.region.cellsFor(c.name),
+		Config:          c.region.configFor(c.name),
 		Store:           c.store,
-		Transport:       link{c.region, c.name},
+		Transport:       fakeTransport{c.region, c.name},
 		Scheduler:       c,
 		Clock:           c.region.clock,
-		FencingToken:    c.term,
+		FencingToken:    c.fencingToken,
 		LeaseAcquiredAt: c.region.clock.Steady(),
 	})
 	if err := m.Restore(context.Background()); err != nil {
@@ -256,54 +256,54 @@
 	c.region.mu.Unlock()
 }
 
-func (r *region) cellsFor(self string) *Config {
-	cells := *r.terms
+func (r *fakeRegion) configFor(self string) *Config {
+	cells := *r.config
 	cells.Self = self
 	return &cells
 }
 
 // end ends the leader; its machines go on until their leases end.
-func (c *standInCell) end() {
+func (c *fakeCell) stopLeader() {
 	c.region.mu.Lock()
 	defer c.region.mu.Unlock()
 	c.manager = nil
 }
 
 // work is what machines and leader do in a quarter of a second.
-func (c *standInCell) work() {
+func (c *fakeCell) stepMachines() {
 	now := c.region.clock.Steady()
 	manager := c.manager
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.tasks[:0]
 	for _, t := range c.tasks {
-		own := t.foreign == TransferID{}
-		if manager != nil && (own || c.wanted[t.foreign] && manager.MayRun(t.foreign)) {
-			t.dies = now + c.region.terms.Timing.StopGrace
+		own := t.guest == TransferID{}
+		if manager != nil && (own || c.guestWanted[t.guest] && manager.MayRun(t.guest)) {
+			t.leaseExpires = now + c.region.config.Timing.StopGrace
 		}
 		switch {
-		case now >= t.dies, own && c.job(t.job).over:
-		case now >= t.ends && own:
+		case now >= t.leaseExpires, own && c.job(t.job).ended:
+		case now >= t.completesAt && own:
 			c.job(t.job).done.Add(t.task)
-		case now >= t.ends:
-			done := c.foreign[t.foreign].Union(nil)
+		case now >= t.completesAt:
+			done := c.guestDone[t.guest].Union(nil)
 			done.Add(t.task)
-			c.foreign[t.foreign] = done
+			c.guestDone[t.guest] = done
 		default:
 			kept = append(kept, t)
 		}
 	}
 	c.tasks = kept
-	for job := range c.present() {
-		c.region.runs(c.name, job, true)
+	for job := range c.jobsOnMachines() {
+		c.region.recordRun(c.name, job, true)
 	}
-	c.forget()
+	c.recordJobsGone()
 	if manager != nil {
 		c.schedule(manager, now)
 	}
 }
 
-func (c *standInCell) present() map[string]bool {
+func (c *fakeCell) jobsOnMachines() map[string]bool {
 	jobs := map[string]bool{}
 	for _, t := range c.tasks {
 		jobs[t.job] = true
@@ -312,54 +312,54 @@
 }
 
 // forget tells the observer which jobs have left the cell's machines.
-func (c *standInCell) forget() {
-	present := c.present()
+func (c *fakeCell) recordJobsGone() {
+	present := c.jobsOnMachines()
 	c.region.mu.Lock()
 	var gone []string
-	for job, cells := range c.region.runsIn {
+	for job, cells := range c.region.runningIn {
 		if cells[c.name] && !present[job] {
 			gone = append(gone, job)
 		}
 	}
 	c.region.mu.Unlock()
 	for _, job := range gone {
-		c.region.runs(c.name, job, false)
+		c.region.recordRun(c.name, job, false)
 	}
 }
 
 // schedule starts tasks where there is room: its own jobs first, in their order.
-func (c *standInCell) schedule(manager *Manager, now units.Micros) {
+func (c *fakeCell) schedule(manager *Manager, now units.Micros) {
 	for _, j := range c.jobs {
-		if !j.held && !j.over && !j.cancel {
-			c.start(j.id, TransferID{}, j.done, now)
+		if !j.handedOver && !j.ended && !j.cancelRequested {
+			c.startTasks(j.id, TransferID{}, j.done, now)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(c.wanted), compareTransferIDs) {
-		if c.wanted[id] && manager.MayRun(id) {
-			c.start(id.Job, id, c.foreign[id], now)
+	for _, id := range slices.SortedFunc(maps.Keys(c.guestWanted), compareTransferIDs) {
+		if c.guestWanted[id] && manager.MayRun(id) {
+			c.startTasks(id.Job, id, c.guestDone[id], now)
 		}
 	}
 }
 
-func (c *standInCell) start(job string, foreign TransferID, done TaskSet, now units.Micros) {
-	for task := range standInTasks {
+func (c *fakeCell) startTasks(job string, foreign TransferID, done TaskSet, now units.Micros) {
+	for task := range fakeJobTasks {
 		there := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.job == job && t.task == task })
 		if done.Has(task) || there || len(c.tasks) >= c.slots {
 			continue
 		}
 		c.tasks = append(c.tasks, machineTask{
-			job:     job,
-			foreign: foreign,
-			task:    task,
-			ends:    now + taskRun,
-			dies:    now + c.region.terms.Timing.StopGrace,
+			job:          job,
+			guest:        foreign,
+			task:         task,
+			completesAt:  now + fakeTaskRunTime,
+			leaseExpires: now + c.region.config.Timing.StopGrace,
 		})
-		c.region.runs(c.name, job, true)
+		c.region.recordRun(c.name, job, true)
 	}
 }
 
 // finish tells the users of jobs that ended here, and hands over jobs that wait.
-func (c *standInCell) finish(ctx context.Context) {
+func (c *fakeCell) stepLeader(ctx context.Context) {
 	manager := c.manager
 	if manager == nil {
 		return
@@ -370,7 +370,7 @@
 	c.mu.Unlock()
 	for _, j := range jobs {
 		c.mu.Lock()
-		cancel, complete, held, over := j.cancel, allDone(j.done), j.held, j.over
+		cancel, complete, held, over := j.cancelRequested, allDone(j.done), j.handedOver, j.ended
 		c.mu.Unlock()
 		switch {
 		case over:
@@ -378,25 +378,25 @@
 			manager.Cancel(ctx, j.id)
 		case !held && (cancel || complete) && manager.JobEnded(ctx, j.id):
 			c.mu.Lock()
-			j.over = true
+			j.ended = true
 			c.mu.Unlock()
 			answer := "done"
 			if !complete {
 				answer = "cancelled"
 			}
-			c.region.answer(j.id, answer)
+			c.region.recordAnswer(j.id, answer)
 		}
 	}
-	c.spill(ctx, manager)
+	c.handOverWaiting(ctx, manager)
 }
 
 // spill hands jobs that wait over to the cells with most room.
-func (c *standInCell) spill(ctx context.Context, manager *Manager) {
+func (c *fakeCell) handOverWaiting(ctx context.Context, manager *Manager) {
 	c.mu.Lock()
-	var waiting []*cellJob
-	present := c.present()
+	var waiting []*fakeJob
+	present := c.jobsOnMachines()
 	for _, j := range c.jobs {
-		if !j.held && !j.over && !j.cancel && len(j.done) == 0 && !present[j.id] && manager.Owner(j.id) == OwnerOrigin {
+		if !j.handedOver && !j.ended && !j.cancelRequested && len(j.done) == 0 && !present[j.id] && manager.Owner(j.id) == OwnerOrigin {
 			waiting = append(waiting, j)
 		}
 	}
@@ -410,11 +410,11 @@
 				continue
 			}
 			c.mu.Lock()
-			j.held = true
+			j.handedOver = true
 			c.mu.Unlock()
-			if err := manager.HandOver(ctx, HandOverRequest{Job: j.id, Class: j.class, Target: name, Description: []byte(j.id), Work: 20_000, Restarts: j.reruns}); err != nil {
+			if err := manager.HandOver(ctx, HandOverRequest{Job: j.id, Class: j.class, Target: name, Description: []byte(j.id), Work: 20_000, Restarts: j.restarts}); err != nil {
 				c.mu.Lock()
-				j.held = manager.Owner(j.id) != OwnerOrigin
+				j.handedOver = manager.Owner(j.id) != OwnerOrigin
 				c.mu.Unlock()
 			}
 			break
--- a/internal/federation/forecast_test.go
+++ b/internal/federation/forecast_test.go
@@ -12,7 +12,7 @@
 
 func work(cpuSeconds float64) Work { return Work(cpuSeconds * 1000) }
 
-func TestFinishIn(t *testing.T) {
+func TestTimeToComplete(t *testing.T) {
 	job := Demand{Tasks: 20, CPUs: cpus(1), RunTime: 10 * units.Second} // 200 processor seconds
 	idle := Load{CPUs: cpus(10), QuotaFree: cpus(100)}
 	for what, c := range map[string]struct {
@@ -66,8 +66,8 @@
 	})
 }
 
-func TestChoose(t *testing.T) {
-	c := deployed(t)
+func TestChooseTarget(t *testing.T) {
+	c := loadExampleConfig(t)
 	fast := Load{CPUs: cpus(100), QuotaFree: cpus(100)}
 	slow := Load{CPUs: cpus(10), QuotaFree: cpus(100)}
 	job := Candidate{
@@ -100,8 +100,8 @@
 	}
 }
 
-func TestDueIn(t *testing.T) {
-	c := deployed(t) // six in the morning
+func TestTimeToDeadline(t *testing.T) {
+	c := loadExampleConfig(t) // six in the morning
 	hour := 3600 * units.Second
 	for _, w := range []struct{ now, deadline, want units.Micros }{
 		{5 * hour, 0, hour},
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestEstimatesAreCorrectedByWhatWasSeen(t *testing.T) {
+func TestEstimatesAreCorrectedByRunTimes(t *testing.T) {
 	e := NewEstimateCorrection()
 	for range minRatioSamples - 1 {
 		e.Observe("loomplan", 10*units.Second, 20*units.Second)
--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -13,86 +13,86 @@
 	"dunestand/internal/units"
 )
 
-func newRegion(t *testing.T, seed uint64) *region {
-	cells := deployed(t)
+func newFakeRegion(t *testing.T, seed uint64) *fakeRegion {
+	cells := loadExampleConfig(t)
 	cells.Timing = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
-	r := &region{
-		t:       t,
-		clock:   bubbleClock{time.Now()},
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		cells:   map[string]*standInCell{},
-		terms:   cells,
-		cut:     map[string]bool{},
-		answers: map[string]string{},
-		runsIn:  map[string]map[string]bool{},
+	r := &fakeRegion{
+		t:           t,
+		clock:       bubbleClock{time.Now()},
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		cells:       map[string]*fakeCell{},
+		config:      cells,
+		partitioned: map[string]bool{},
+		answers:     map[string]string{},
+		runningIn:   map[string]map[string]bool{},
 	}
 	for name, slots := range map[string]int{"mill": 4, "dye": 16, "recipes": 16} {
-		r.cells[name] = &standInCell{
-			name:    name,
-			region:  r,
-			store:   &memoryStore{items: map[string]protocol.Item{}},
-			slots:   slots,
-			foreign: map[TransferID]TaskSet{},
-			wanted:  map[TransferID]bool{},
+		r.cells[name] = &fakeCell{
+			name:        name,
+			region:      r,
+			store:       &fakeStore{records: map[string]protocol.Item{}},
+			slots:       slots,
+			guestDone:   map[TransferID]TaskSet{},
+			guestWanted: map[TransferID]bool{},
 		}
 	}
 	for _, c := range r.cells {
-		c.lead()
+		c.startLeader()
 	}
 	return r
 }
 
 // pass lets the cells work for a time.
-func (r *region) pass(length time.Duration) {
+func (r *fakeRegion) advance(length time.Duration) {
 	for step := range int(length / (250 * time.Millisecond)) {
 		time.Sleep(250 * time.Millisecond)
 		synctest.Wait()
 		for _, name := range []string{"mill", "dye", "recipes"} {
-			r.cells[name].work()
+			r.cells[name].stepMachines()
 			if step%4 == 0 {
-				r.cells[name].finish(context.Background())
+				r.cells[name].stepLeader(context.Background())
 			}
 		}
 	}
 }
 
-func (r *region) submit(cell string, n int, class string) {
+func (r *fakeRegion) submit(cell string, n int, class string) {
 	c := r.cells[cell]
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range n {
-		c.jobs = append(c.jobs, &cellJob{id: fmt.Sprintf("j-%06d", len(c.jobs)+1), class: class})
+		c.jobs = append(c.jobs, &fakeJob{id: fmt.Sprintf("j-%06d", len(c.jobs)+1), class: class})
 	}
 }
 
 // Three stand-in cells, the mill overloaded, the dyehouse cut off and later without half
 // of its machines, leaders ending all the while: every job gets exactly one final answer.
-func TestThreeStandInCells(t *testing.T) {
+func TestThreeFakeCellsGiveOneFinalAnswerPerJob(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { threeCells(t, seed) })
+			synctest.Test(t, func(t *testing.T) { testThreeFakeCells(t, seed) })
 		})
 	}
 }
 
-func threeCells(t *testing.T, seed uint64) {
-	r := newRegion(t, seed)
+func testThreeFakeCells(t *testing.T, seed uint64) {
+	r := newFakeRegion(t, seed)
 	for _, class := range []string{"loomplan", "rushorder", "yarnrecount"} {
 		r.submit("mill", 12, class)
 	}
-	r.pass(8 * time.Second)
-	r.setCut("dye", true)
+	r.advance(8 * time.Second)
+	r.setPartitioned("dye", true)
 	r.cancelSome()
-	r.restart("mill", 2*time.Second)
-	r.pass(40 * time.Second)
-	r.restart("dye", time.Second)
-	r.pass(60 * time.Second)
-	r.setCut("dye", false)
+	r.restartLeader("mill", 2*time.Second)
+	r.advance(40 * time.Second)
+	r.restartLeader("dye", time.Second)
+	r.advance(60 * time.Second)
+	r.setPartitioned("dye", false)
 	r.cells["dye"].slots /= 2
-	r.restart("recipes", 20*time.Second)
-	r.pass(10 * time.Second)
-	r.outage("mill", 15*time.Second)
-	r.pass(10 * time.Minute)
+	r.restartLeader("recipes", 20*time.Second)
+	r.advance(10 * time.Second)
+	r.failStore("mill", 15*time.Second)
+	r.advance(10 * time.Minute)
 	count := map[string]int{}
 	for _, j := range r.cells["mill"].jobs {
 		count[r.answers[j.id]]++
@@ -104,45 +104,45 @@
 	for name, c := range r.cells {
 		messages += c.manager.Stats.Sent.Load()
 		saves += c.manager.Stats.Writes.Load()
-		if len(c.store.items) != 0 {
-			t.Errorf("%s keeps %d records", name, len(c.store.items))
+		if len(c.store.records) != 0 {
+			t.Errorf("%s keeps %d records", name, len(c.store.records))
 		}
-		moved += len(c.foreign)
+		moved += len(c.guestDone)
 	}
 	if moved == 0 {
 		t.Error("no job was handed over")
 	}
 	t.Logf("%v; %d transfers began to run; of the last leaders %d messages, %d saves", count, moved, messages, saves)
 	for _, c := range r.cells {
-		c.end()
+		c.stopLeader()
 	}
 	time.Sleep(2 * time.Minute) // late messages
 }
 
-func (r *region) setCut(cell string, cut bool) {
+func (r *fakeRegion) setPartitioned(cell string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut[cell] = cut
+	r.partitioned[cell] = cut
 }
 
 // cancelSome cancels every sixth job.
-func (r *region) cancelSome() {
+func (r *fakeRegion) cancelSome() {
 	c := r.cells["mill"]
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, j := range c.jobs {
-		j.cancel = j.cancel || k%6 == 5
+		j.cancelRequested = j.cancelRequested || k%6 == 5
 	}
 }
 
-func (r *region) restart(cell string, away time.Duration) {
-	r.cells[cell].end()
-	r.pass(away)
-	r.cells[cell].lead()
+func (r *fakeRegion) restartLeader(cell string, away time.Duration) {
+	r.cells[cell].stopLeader()
+	r.advance(away)
+	r.cells[cell].startLeader()
 }
 
 // outage has a cell's state service refuse for a while.
-func (r *region) outage(cell string, length time.Duration) {
+func (r *fakeRegion) failStore(cell string, length time.Duration) {
 	s := r.cells[cell].store
 	set := func(down bool) {
 		s.mu.Lock()
@@ -150,14 +150,14 @@
 		s.down = down
 	}
 	set(true)
-	r.pass(length)
+	r.advance(length)
 	set(false)
 }
 
 // A leader that was replaced stores nothing, stops, and says so once.
-func TestReplacedLeaderStops(t *testing.T) {
+func TestSupersededLeaderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t, 1)
+		r := newFakeRegion(t, 1)
 		r.submit("mill", 2, "loomplan")
 		c := r.cells["mill"]
 		old, lost := c.manager, 0
@@ -166,7 +166,7 @@
 		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
 		}
-		c.lead()
+		c.startLeader()
 		c.manager.Cancel(ctx, "j-000001") // the new leader writes
 		old.Cancel(ctx, "j-000001")
 		for range 3 {
@@ -182,9 +182,9 @@
 }
 
 // What may not be handed over is refused with the reason, and stays where it is.
-func TestWhatIsNotHandedOver(t *testing.T) {
+func TestIneligibleJobIsNotHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t, 1)
+		r := newFakeRegion(t, 1)
 		m := r.cells["mill"].manager
 		for name, spoil := range map[string]func(*HandOverRequest){
 			"unknown class": func(r *HandOverRequest) { r.Class = "other" },
@@ -206,14 +206,14 @@
 // about it get no answer.
 func TestUnreadableRecordBlocksItsJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t, 1)
+		r := newFakeRegion(t, 1)
 		c := r.cells["mill"]
 		raw := protocol.Encode("damaged")
 		in := TransferID{Origin: "dye", Job: "j-000009", Incarnation: 7}
 		for _, key := range []string{PrefixOut + "j-000001", incomingKey(in)} {
-			c.store.items[key] = protocol.Item{Key: key, Value: raw, Version: 5}
+			c.store.records[key] = protocol.Item{Key: key, Value: raw, Version: 5}
 		}
-		c.lead()
+		c.startLeader()
 		if err := c.manager.ReadError("j-000001"); !errors.Is(err, ErrUnreadableRecord) || c.manager.Owner("j-000001") != OwnerNone {
 			t.Errorf("the job is not blocked: %v", err)
 		}
@@ -231,9 +231,9 @@
 }
 
 // A cell may speak only for its own transfers, and only cells of the file are heard.
-func TestMessagesOfOthersAreRejected(t *testing.T) {
+func TestForbiddenMessageIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newRegion(t, 1).cells["mill"].manager
+		m := newFakeRegion(t, 1).cells["mill"].manager
 		of := func(cell string) TransferID { return TransferID{Origin: cell, Job: "j-000001", Incarnation: 1} }
 		for n, c := range []struct {
 			from string
--- a/internal/federation/managertrouble_test.go
+++ b/internal/federation/managertrouble_test.go
@@ -9,17 +9,17 @@
 )
 
 // delegated is a region in which the dyehouse runs a job of the mill.
-func delegated(t *testing.T, class string) (*region, TransferID) {
-	r := newRegion(t, 3)
+func newDelegatedRegion(t *testing.T, class string) (*fakeRegion, TransferID) {
+	r := newFakeRegion(t, 3)
 	r.submit("mill", 1, class)
 	c := r.cells["mill"]
-	c.jobs[0].held = true
+	c.jobs[0].handedOver = true
 	if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: class, Target: "dye", Work: 10}); err != nil {
 		t.Fatal(err)
 	}
 	id := c.manager.outgoing["j-000001"].record.Transfer
 	for range 20 {
-		if r.pass(time.Second); r.cells["dye"].manager.MayRun(id) {
+		if r.advance(time.Second); r.cells["dye"].manager.MayRun(id) {
 			return r, id
 		}
 	}
@@ -29,14 +29,14 @@
 
 // A job whose target is cut off for ever is taken back once the lease, the time to stop
 // and the drift have passed; one that may not be begun again waits.
-func TestJobIsTakenBackFromACellThatIsCutOff(t *testing.T) {
+func TestJobIsReclaimedFromPartitionedCell(t *testing.T) {
 	for class, want := range map[string]Owner{"loomplan": OwnerOrigin, "rushorder": OwnerTarget} {
 		synctest.Test(t, func(t *testing.T) {
-			r, _ := delegated(t, class)
+			r, _ := newDelegatedRegion(t, class)
 			r.cells["dye"].slots = 0 // it gets no further
-			r.setCut("dye", true)
+			r.setPartitioned("dye", true)
 			m := r.cells["mill"].manager
-			r.pass((reclaimAfterLeases*r.terms.Timing.Lease + r.terms.Timing.ReclaimDelay() + 3*units.Second).Duration())
+			r.advance((reclaimAfterLeases*r.config.Timing.Lease + r.config.Timing.ReclaimDelay() + 3*units.Second).Duration())
 			if got := m.Owner("j-000001"); got != want && !(want == OwnerOrigin && got == OwnerEnded) {
 				t.Errorf("%s: owner %d, want %d", class, got, want)
 			}
@@ -46,23 +46,23 @@
 
 // A leader that begins while a job is elsewhere does not know of its predecessor's last
 // grant: it takes its own claim for it, also when the job is cancelled at once.
-func TestNewLeaderWaitsForItsPredecessorsGrants(t *testing.T) {
+func TestNewLeaderWaitsForPredecessorsGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, id := delegated(t, "loomplan")
+		r, id := newDelegatedRegion(t, "loomplan")
 		c := r.cells["mill"]
-		c.end()
-		r.setCut("dye", true)
-		c.lead()
+		c.stopLeader()
+		r.setPartitioned("dye", true)
+		c.startLeader()
 		c.manager.Cancel(t.Context(), "j-000001")
-		r.pass((r.terms.Timing.ReclaimDelay() - 2*units.Second).Duration())
+		r.advance((r.config.Timing.ReclaimDelay() - 2*units.Second).Duration())
 		if got := c.manager.Owner("j-000001"); got != OwnerNone {
 			t.Errorf("before the time has passed: owner %d", got)
 		}
-		r.pass(4 * time.Second)
+		r.advance(4 * time.Second)
 		if got := c.manager.Owner("j-000001"); got != OwnerEnded || r.answers["j-000001"] != "cancelled" {
 			t.Errorf("after it: owner %d, answer %q", got, r.answers["j-000001"])
 		}
-		if d := r.cells["dye"]; d.manager.MayRun(id) || d.wanted[id] {
+		if d := r.cells["dye"]; d.manager.MayRun(id) || d.guestWanted[id] {
 			t.Error("the target goes on")
 		}
 	})
@@ -70,9 +70,9 @@
 
 // While the state service is down nothing is decided and nothing is sent that rests on a
 // decision.
-func TestNothingIsSentThatIsNotStored(t *testing.T) {
+func TestNothingIsSentBeforeItIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t, 1)
+		r := newFakeRegion(t, 1)
 		m := r.cells["mill"].manager
 		if err := m.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
@@ -92,9 +92,9 @@
 }
 
 // Only its target may tell how a job ended, and nobody once its user was told.
-func TestLateAndForeignResults(t *testing.T) {
+func TestLateOrForbiddenResultChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, id := delegated(t, "loomplan")
+		r, id := newDelegatedRegion(t, "loomplan")
 		m := r.cells["mill"].manager
 		result := Message{Kind: MessageResult, Transfer: id, Done: TaskSet{15}, Run: 1}
 		m.Receive(t.Context(), "recipes", result)
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -17,115 +17,115 @@
 // clocks that drift. What must hold is checked on the tasks themselves, from outside.
 
 const (
-	modelTasks    = 4
-	modelCapacity = Work(5)
-	modelPatience = 20 * units.Second
+	modelTasks        = 4
+	modelCapacity     = Work(5)
+	modelReclaimAfter = 20 * units.Second
 )
 
-var modelTerms = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
+var modelTiming = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
 
 // execution is a job's tasks on the machines of one cell.
 type execution struct {
-	aliveUntil units.Micros // real time at which the workers' leases end
-	done       TaskSet
+	leaseExpires units.Micros // real time at which the workers' leases end
+	done         TaskSet
 }
 
 // userJob is a job as its user and an observer of all machines see it.
 type userJob struct {
-	id              string
-	home            *modelCell
-	allowance       int
-	begun           map[string]bool // the runs of its tasks, in whichever cell
-	cancel          bool
-	done, cancelled bool // the user was told
-	incarnation     uint64
-	reruns          int
+	id                      string
+	home                    *modelCell
+	maxRestarts             int
+	runsBegun               map[string]bool // the runs of its tasks, in whichever cell
+	cancelRequested         bool
+	toldDone, toldCancelled bool // the user was told
+	incarnation             uint64
+	restarts                int
 }
 
 type modelCell struct {
-	name   string
-	rate   float64 // of its steady clock
-	term   uint64
-	up     units.Micros // real time from which a leader is there
-	out    map[string]OriginRecord
-	in     map[TransferID]TargetRecord
-	execs  map[string]*execution // by job
-	done   map[string]TaskSet    // of jobs that are the cell's own
-	leader modelLeader
+	name         string
+	clockRate    float64 // of its steady clock
+	fencingToken uint64
+	leaderFrom   units.Micros // real time from which a leader is there
+	outgoing     map[string]OriginRecord
+	incoming     map[TransferID]TargetRecord
+	executions   map[string]*execution // by job
+	done         map[string]TaskSet    // of jobs that are the cell's own
+	leader       modelLeader
 }
 
 // modelLeader is what a leader keeps in memory alone.
 type modelLeader struct {
-	grantors map[string]*LeaseGrantor
-	holders  map[TransferID]*LeaseHolder
-	rooms    *Reservations
+	grantors     map[string]*LeaseGrantor
+	holders      map[TransferID]*LeaseHolder
+	reservations *Reservations
 }
 
 type envelope struct {
 	from, to *modelCell
-	m        Message
+	message  Message
 }
 
 type model struct {
-	t     *rapid.T
-	now   units.Micros
-	cells []*modelCell
-	jobs  []*userJob
-	net   []envelope
-	cuts  map[[2]string]bool
-	calm  bool
+	t          *rapid.T
+	now        units.Micros
+	cells      []*modelCell
+	jobs       []*userJob
+	network    []envelope
+	partitions map[[2]string]bool
+	healed     bool
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, cuts: map[[2]string]bool{}}
+	m := &model{t: t, partitions: map[[2]string]bool{}}
 	for i, name := range []string{"mill", "dye", "recipes"} {
 		c := &modelCell{
-			name:  name,
-			rate:  1 + float64(rapid.IntRange(-250, 250).Draw(t, "drift"))/1e6,
-			out:   map[string]OriginRecord{},
-			in:    map[TransferID]TargetRecord{},
-			execs: map[string]*execution{},
-			done:  map[string]TaskSet{},
+			name:       name,
+			clockRate:  1 + float64(rapid.IntRange(-250, 250).Draw(t, "drift"))/1e6,
+			outgoing:   map[string]OriginRecord{},
+			incoming:   map[TransferID]TargetRecord{},
+			executions: map[string]*execution{},
+			done:       map[string]TaskSet{},
 		}
 		m.cells = append(m.cells, c)
-		m.claim(c)
+		m.startLeader(c)
 		for k := range 2 {
 			m.jobs = append(m.jobs, &userJob{
-				id:        fmt.Sprintf("j-%06d", 10*i+k),
-				home:      c,
-				begun:     map[string]bool{},
-				allowance: rapid.IntRange(0, 2).Draw(t, "allowance"),
+				id:          fmt.Sprintf("j-%06d", 10*i+k),
+				home:        c,
+				runsBegun:   map[string]bool{},
+				maxRestarts: rapid.IntRange(0, 2).Draw(t, "allowance"),
 			})
 		}
 	}
 	return m
 }
 
-func (m *model) clock(c *modelCell) units.Micros { return units.Micros(float64(m.now) * c.rate) }
+func (m *model) clock(c *modelCell) units.Micros { return units.Micros(float64(m.now) * c.clockRate) }
 
 // claim begins a new leader, which knows what is stored and nothing else.
-func (m *model) claim(c *modelCell) {
-	c.term++
+func (m *model) startLeader(c *modelCell) {
+	c.fencingToken++
 	c.leader = modelLeader{
-		grantors: map[string]*LeaseGrantor{},
-		holders:  map[TransferID]*LeaseHolder{},
-		rooms:    NewReservations(5 * units.Second),
+		grantors:     map[string]*LeaseGrantor{},
+		holders:      map[TransferID]*LeaseHolder{},
+		reservations: NewReservations(5 * units.Second),
 	}
-	c.leader.rooms.SetCapacity(modelCapacity)
-	for job := range c.out {
+	c.leader.reservations.SetCapacity(modelCapacity)
+	for job := range c.outgoing {
 		grantor := NewLeaseGrantor(m.clock(c))
 		c.leader.grantors[job] = &grantor
 	}
-	for id, r := range c.in {
-		holder := NewLeaseHolder(c.term)
+	for id, r := range c.incoming {
+		holder := NewLeaseHolder(c.fencingToken)
 		c.leader.holders[id] = &holder
-		c.leader.rooms.Restore(r, m.clock(c))
+		c.leader.reservations.Restore(r, m.clock(c))
 	}
 }
 
 // ends has a cell's leader end, and tells so.
-func (m *model) ends(c *modelCell) bool {
-	if m.calm || rapid.IntRange(0, 99).Draw(m.t, "leader ends") != 50 {
+func (m *model) maybeCrash(c *modelCell) bool {
+	if m.healed || rapid.IntRange(0, 99).Draw(m.t, "leader ends") != 50 {
 		return false
 	}
 	m.crash(c)
@@ -133,8 +133,8 @@
 }
 
 func (m *model) crash(c *modelCell) {
-	m.claim(c)
-	c.up = m.now + rapid.SampledFrom([]units.Micros{0, 1, 5, 40}).Draw(m.t, "away")*units.Second
+	m.startLeader(c)
+	c.leaderFrom = m.now + rapid.SampledFrom([]units.Micros{0, 1, 5, 40}).Draw(m.t, "away")*units.Second
 }
 
 func (m *model) send(from *modelCell, to string, messages []Message) {
@@ -143,50 +143,50 @@
 			m.t.Fatalf("a cell sends %+v: %v", msg, err)
 		}
 		i := slices.IndexFunc(m.cells, func(c *modelCell) bool { return c.name == to })
-		m.net = append(m.net, envelope{from, m.cells[i], msg})
+		m.network = append(m.network, envelope{from, m.cells[i], msg})
 	}
 }
 
 // originDecides carries a decision out: stored first, then sent.
-func (m *model) originDecides(c *modelCell, d Decision[OriginRecord]) {
-	if m.ends(c) {
+func (m *model) applyOrigin(c *modelCell, d Decision[OriginRecord]) {
+	if m.maybeCrash(c) {
 		return
 	}
 	job := d.Record.Transfer.Job
 	if d.Write {
-		c.out[job] = roundTripOrigin(m.t, d.Record)
+		c.outgoing[job] = roundTripOrigin(m.t, d.Record)
 		if c.leader.grantors[job] == nil {
 			grantor := NewLeaseGrantor(m.clock(c))
 			c.leader.grantors[job] = &grantor
 		}
-		if m.ends(c) {
+		if m.maybeCrash(c) {
 			return
 		}
 	}
 	m.send(c, d.Record.Target, d.Send)
 }
 
-func (m *model) targetDecides(c *modelCell, d Decision[TargetRecord]) {
-	if m.ends(c) {
+func (m *model) applyTarget(c *modelCell, d Decision[TargetRecord]) {
+	if m.maybeCrash(c) {
 		return
 	}
 	id := d.Record.Transfer
 	switch {
 	case d.Remove:
-		delete(c.in, id)
+		delete(c.incoming, id)
 	case d.Write:
-		c.in[id] = roundTripTarget(m.t, d.Record)
+		c.incoming[id] = roundTripTarget(m.t, d.Record)
 		if c.leader.holders[id] == nil {
-			holder := NewLeaseHolder(c.term)
+			holder := NewLeaseHolder(c.fencingToken)
 			c.leader.holders[id] = &holder
 		}
 		switch d.Record.Phase {
 		case TargetAccepted:
-			c.leader.rooms.Commit(id)
+			c.leader.reservations.Commit(id)
 		case TargetFinished, TargetRefused:
-			c.leader.rooms.Release(id)
+			c.leader.reservations.Release(id)
 		}
-		if m.ends(c) {
+		if m.maybeCrash(c) {
 			return
 		}
 	}
@@ -194,21 +194,21 @@
 }
 
 func (m *model) deliver(e envelope) {
-	c, msg := e.to, &e.m
-	if m.now < c.up || m.cuts[[2]string{e.from.name, c.name}] {
+	c, msg := e.to, &e.message
+	if m.now < c.leaderFrom || m.partitions[[2]string{e.from.name, c.name}] {
 		return // lost
 	}
 	if msg.Kind.toTarget() {
-		r, known := c.in[msg.Transfer]
+		r, known := c.incoming[msg.Transfer]
 		if known {
-			m.targetDecides(c, r.Receive(msg, c.leader.holders[msg.Transfer], modelTerms.Lease, m.clock(c)))
+			m.applyTarget(c, r.Receive(msg, c.leader.holders[msg.Transfer], modelTiming.Lease, m.clock(c)))
 			return
 		}
-		room := msg.Kind == MessageReserve && c.leader.rooms.Reserve(msg.Transfer, msg.Work, m.clock(c))
-		m.targetDecides(c, ReceiveNew(msg, room))
+		room := msg.Kind == MessageReserve && c.leader.reservations.Reserve(msg.Transfer, msg.Work, m.clock(c))
+		m.applyTarget(c, ReceiveNew(msg, room))
 		return
 	}
-	r, known := c.out[msg.Transfer.Job]
+	r, known := c.outgoing[msg.Transfer.Job]
 	if !known {
 		m.send(c, e.from.name, ReplyToUnknown(msg))
 		return
@@ -218,7 +218,7 @@
 		m.send(c, e.from.name, d.Send)
 		return
 	}
-	m.originDecides(c, d)
+	m.applyOrigin(c, d)
 }
 
 func (m *model) job(id string) *userJob {
@@ -226,13 +226,13 @@
 }
 
 // check looks at the machines of all cells.
-func (m *model) check() {
+func (m *model) checkInvariants() {
 	for _, job := range m.jobs {
 		var in []string
 		for _, c := range m.cells {
-			exec := c.execs[job.id]
-			if exec != nil && m.now >= exec.aliveUntil {
-				delete(c.execs, job.id)
+			exec := c.executions[job.id]
+			if exec != nil && m.now >= exec.leaseExpires {
+				delete(c.executions, job.id)
 				exec = nil
 			}
 			if exec != nil {
@@ -244,20 +244,20 @@
 		}
 	}
 	for _, c := range m.cells {
-		if c.leader.rooms.reserved() > modelCapacity {
-			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.rooms.reserved(), modelCapacity)
+		if c.leader.reservations.reserved() > modelCapacity {
+			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.reservations.reserved(), modelCapacity)
 		}
 	}
 }
 
 // spill begins a transfer of a job that does not run.
-func (m *model) spill(job *userJob) {
+func (m *model) maybeHandOver(job *userJob) {
 	c := job.home
-	if _, moved := c.out[job.id]; moved || m.now < c.up || c.execs[job.id] != nil || job.done || job.cancel {
+	if _, moved := c.outgoing[job.id]; moved || m.now < c.leaderFrom || c.executions[job.id] != nil || job.toldDone || job.cancelRequested {
 		return
 	}
-	reruns := job.reruns
-	if reruns > job.allowance {
+	reruns := job.restarts
+	if reruns > job.maxRestarts {
 		return
 	}
 	to := m.cells[rapid.IntRange(0, len(m.cells)-1).Draw(m.t, "target")]
@@ -266,7 +266,7 @@
 	}
 	id := TransferID{Origin: c.name, Job: job.id, Incarnation: job.incarnation + 1}
 	request := HandOverRequest{Target: to.name, Description: []byte("job"), Work: 2, Restarts: reruns}
-	m.originDecides(c, BeginTransfer(id, request, job.allowance))
+	m.applyOrigin(c, BeginTransfer(id, request, job.maxRestarts))
 }
 
 func (m *model) step() {
@@ -278,82 +278,82 @@
 		m.crash(c)
 	case 1:
 		link := [2]string{c.name, other.name}
-		m.cuts[link] = !m.cuts[link]
+		m.partitions[link] = !m.partitions[link]
 	case 2:
-		job.cancel = job.cancel || rapid.IntRange(0, 2).Draw(m.t, "cancel") == 0
+		job.cancelRequested = job.cancelRequested || rapid.IntRange(0, 2).Draw(m.t, "cancel") == 0
 	case 3, 4, 5:
-		m.spill(job)
+		m.maybeHandOver(job)
 	case 6:
-		m.pass(units.Micros(rapid.IntRange(1, 40).Draw(m.t, "long")) * units.Second)
+		m.advance(units.Micros(rapid.IntRange(1, 40).Draw(m.t, "long")) * units.Second)
 	case 7, 8, 9, 10, 11, 12, 13, 14:
-		m.pass(units.Micros(rapid.IntRange(1, 2_000).Draw(m.t, "short")) * units.Millisecond)
+		m.advance(units.Micros(rapid.IntRange(1, 2_000).Draw(m.t, "short")) * units.Millisecond)
 	default:
-		for range min(3, len(m.net)) {
+		for range min(3, len(m.network)) {
 			m.deliverAny()
 		}
 	}
 }
 
 // pass lets time go by, and then every leader look at its records.
-func (m *model) pass(time units.Micros) {
+func (m *model) advance(time units.Micros) {
 	m.now += time
-	m.check()
+	m.checkInvariants()
 	for _, c := range m.cells {
 		m.tick(c)
-		m.check()
+		m.checkInvariants()
 	}
 }
 
 // deliverAny delivers any message that is on its way, however old. A copy may stay.
 func (m *model) deliverAny() {
-	i := rapid.IntRange(0, len(m.net)-1).Draw(m.t, "message")
-	e := m.net[i]
-	if len(m.net) > 60 || rapid.IntRange(0, 4).Draw(m.t, "copy stays") != 0 {
-		m.net = slices.Delete(m.net, i, i+1)
+	i := rapid.IntRange(0, len(m.network)-1).Draw(m.t, "message")
+	e := m.network[i]
+	if len(m.network) > 60 || rapid.IntRange(0, 4).Draw(m.t, "copy stays") != 0 {
+		m.network = slices.Delete(m.network, i, i+1)
 	}
 	m.deliver(e)
-	m.check()
+	m.checkInvariants()
 }
 
 // settle heals everything and waits until every job is over and no record is left.
-func (m *model) settle() {
-	m.calm = true
-	clear(m.cuts)
+func (m *model) healAndFinish() {
+	m.healed = true
+	clear(m.partitions)
 	for range 400 {
 		m.now += units.Second
-		m.check()
+		m.checkInvariants()
 		for _, c := range m.cells {
 			m.tick(c)
 		}
 		for range 4 {
-			pending := m.net
-			m.net = nil
+			pending := m.network
+			m.network = nil
 			for _, e := range pending {
 				m.deliver(e)
 			}
 		}
-		m.check()
+		m.checkInvariants()
 	}
 	for _, job := range m.jobs {
-		if !job.done && !job.cancelled {
-			m.t.Fatalf("%s is lost: %+v", job.id, job.home.out[job.id])
+		if !job.toldDone && !job.toldCancelled {
+			m.t.Fatalf("%s is lost: %+v", job.id, job.home.outgoing[job.id])
 		}
 	}
 	for _, c := range m.cells {
-		if len(c.out)+len(c.in) != 0 {
-			m.t.Fatalf("%s keeps records: %+v %+v", c.name, c.out, c.in)
+		if len(c.outgoing)+len(c.incoming) != 0 {
+			m.t.Fatalf("%s keeps records: %+v %+v", c.name, c.outgoing, c.incoming)
 		}
 	}
 }
 
-func TestThreeCellsKeepTheRules(t *testing.T) {
+func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
-			m.check()
+			m.checkInvariants()
 			m.step()
 		}
-		m.settle()
+		m.healAndFinish()
 	})
 }
 
--- a/internal/federation/modelcell_test.go
+++ b/internal/federation/modelcell_test.go
@@ -13,7 +13,7 @@
 // This file is what the leaders of the model's cells do when they look at their records.
 
 func (m *model) tick(c *modelCell) {
-	if m.now < c.up {
+	if m.now < c.leaderFrom {
 		return
 	}
 	for _, job := range m.jobs {
@@ -21,15 +21,15 @@
 			m.tickJob(c, job)
 		}
 	}
-	for _, id := range c.leader.rooms.Expired(m.clock(c)) {
-		if r, ok := c.in[id]; ok {
-			m.targetDecides(c, r.ExpireReservation())
+	for _, id := range c.leader.reservations.Expired(m.clock(c)) {
+		if r, ok := c.incoming[id]; ok {
+			m.applyTarget(c, r.ExpireReservation())
 		} else {
-			c.leader.rooms.Release(id)
+			c.leader.reservations.Release(id)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(c.in), compareTransferIDs) {
-		if r, ok := c.in[id]; ok && m.now >= c.up {
+	for _, id := range slices.SortedFunc(maps.Keys(c.incoming), compareTransferIDs) {
+		if r, ok := c.incoming[id]; ok && m.now >= c.leaderFrom {
 			m.tickTarget(c, r)
 		}
 	}
@@ -37,109 +37,109 @@
 
 // tickJob is what the origin does about one of its jobs.
 func (m *model) tickJob(c *modelCell, job *userJob) {
-	if r, moved := c.out[job.id]; !moved || r.Owner() == OwnerOrigin {
-		m.runHere(c, job)
+	if r, moved := c.outgoing[job.id]; !moved || r.Owner() == OwnerOrigin {
+		m.runAtHome(c, job)
 	}
-	r, moved := c.out[job.id]
+	r, moved := c.outgoing[job.id]
 	if !moved {
 		return
 	}
 	switch r.Phase {
 	case OriginFinished:
-		m.tellDone(job, c.done[job.id].Union(r.Done))
+		m.checkToldDone(job, c.done[job.id].Union(r.Done))
 	case OriginWithdrawn:
-		m.tellCancelled(job)
+		m.checkToldCancelled(job)
 	}
-	if r.Removable() && (r.Phase != OriginReturned || job.done || job.cancelled || rapid.Bool().Draw(m.t, "remove")) {
+	if r.Removable() && (r.Phase != OriginReturned || job.toldDone || job.toldCancelled || rapid.Bool().Draw(m.t, "remove")) {
 		c.done[job.id] = c.done[job.id].Union(r.Done)
-		job.incarnation, job.reruns = r.Transfer.Incarnation, r.NextRestarts()
-		delete(c.out, job.id)
+		job.incarnation, job.restarts = r.Transfer.Incarnation, r.NextRestarts()
+		delete(c.outgoing, job.id)
 		return
 	}
 	grantor := c.leader.grantors[job.id]
-	m.originDecides(c, r.Tick(grantor, m.clock(c), modelTerms))
-	if r, ok := c.out[job.id]; ok && m.now >= c.up {
+	m.applyOrigin(c, r.Tick(grantor, m.clock(c), modelTiming))
+	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderFrom {
 		switch {
-		case job.cancel:
-			m.originDecides(c, r.Cancel())
-		case grantor.SinceLastGrant(m.clock(c)) > modelPatience:
-			m.originDecides(c, r.Reclaim())
+		case job.cancelRequested:
+			m.applyOrigin(c, r.Cancel())
+		case grantor.SinceLastGrant(m.clock(c)) > modelReclaimAfter:
+			m.applyOrigin(c, r.Reclaim())
 		}
 	}
-	if r, ok := c.out[job.id]; ok && m.now >= c.up {
-		m.originDecides(c, r.Resend())
+	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderFrom {
+		m.applyOrigin(c, r.Resend())
 	}
 }
 
 // runHere is what a cell does with a job that is its own.
-func (m *model) runHere(c *modelCell, job *userJob) {
-	switch exec := c.execs[job.id]; {
-	case job.done || job.cancelled:
-		delete(c.execs, job.id)
-	case job.cancel:
-		delete(c.execs, job.id)
-		m.tellCancelled(job)
-		m.endedHere(c, job)
+func (m *model) runAtHome(c *modelCell, job *userJob) {
+	switch exec := c.executions[job.id]; {
+	case job.toldDone || job.toldCancelled:
+		delete(c.executions, job.id)
+	case job.cancelRequested:
+		delete(c.executions, job.id)
+		m.checkToldCancelled(job)
+		m.recordEndAtHome(c, job)
 	case exec != nil:
-		exec.aliveUntil = m.now + 1<<50 // ordinary scheduling within a cell is not modelled
-		m.progress(exec)
+		exec.leaseExpires = m.now + 1<<50 // ordinary scheduling within a cell is not modelled
+		m.completeTasks(exec)
 		c.done[job.id] = c.done[job.id].Union(exec.done)
 		if complete(c.done[job.id]) {
-			m.tellDone(job, c.done[job.id])
-			m.endedHere(c, job)
+			m.checkToldDone(job, c.done[job.id])
+			m.recordEndAtHome(c, job)
 		}
-	case m.calm || rapid.IntRange(0, 3).Draw(m.t, "run here") == 0:
-		m.begin(c, job, fmt.Sprintf("at home after transfer %d", c.out[job.id].Transfer.Incarnation+job.incarnation), 1<<50)
+	case m.healed || rapid.IntRange(0, 3).Draw(m.t, "run here") == 0:
+		m.beginRun(c, job, fmt.Sprintf("at home after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), 1<<50)
 	}
 }
 
 // endedHere stores, together with a job's end, that its transfer matters no more.
-func (m *model) endedHere(c *modelCell, job *userJob) {
-	if r, moved := c.out[job.id]; moved {
-		c.out[job.id] = r.JobEnded().Record
+func (m *model) recordEndAtHome(c *modelCell, job *userJob) {
+	if r, moved := c.outgoing[job.id]; moved {
+		c.outgoing[job.id] = r.JobEnded().Record
 	}
 }
 
 // tickTarget is what the target does about a transfer.
 func (m *model) tickTarget(c *modelCell, r TargetRecord) {
 	holder := c.leader.holders[r.Transfer]
-	exec := c.execs[r.Transfer.Job]
+	exec := c.executions[r.Transfer.Job]
 	if r.MayRun(holder, m.clock(c)) {
 		if exec == nil {
-			m.begin(c, m.job(r.Transfer.Job), fmt.Sprintf("%v run %d", r.Transfer, r.Run), m.stop(c))
+			m.beginRun(c, m.job(r.Transfer.Job), fmt.Sprintf("%v run %d", r.Transfer, r.Run), m.stopGrace(c))
 		} else {
-			exec.aliveUntil = m.now + m.stop(c) // the workers are answered
-			m.progress(exec)
-			m.targetDecides(c, r.TasksCompleted(exec.done, complete(r.Done.Union(exec.done))))
+			exec.leaseExpires = m.now + m.stopGrace(c) // the workers are answered
+			m.completeTasks(exec)
+			m.applyTarget(c, r.TasksCompleted(exec.done, complete(r.Done.Union(exec.done))))
 		}
 	}
 	if r.Stopping && exec == nil {
-		m.targetDecides(c, r.TasksStopped())
+		m.applyTarget(c, r.TasksStopped())
 	}
-	if r, ok := c.in[r.Transfer]; ok && m.now >= c.up {
-		m.targetDecides(c, r.Resend())
-		m.targetDecides(c, r.RequestRenewal(holder, m.clock(c)))
+	if r, ok := c.incoming[r.Transfer]; ok && m.now >= c.leaderFrom {
+		m.applyTarget(c, r.Resend())
+		m.applyTarget(c, r.RequestRenewal(holder, m.clock(c)))
 	}
 }
 
 // stop is, in real time, how long a cell's workers go on without an answer.
-func (m *model) stop(c *modelCell) units.Micros {
-	return units.Micros(float64(modelTerms.StopGrace) / c.rate)
+func (m *model) stopGrace(c *modelCell) units.Micros {
+	return units.Micros(float64(modelTiming.StopGrace) / c.clockRate)
 }
 
 // begin starts a job's tasks. That a cell starts tasks of a run once more that were lost
 // with their machines is ordinary scheduling, and no other run.
-func (m *model) begin(c *modelCell, job *userJob, run string, alive units.Micros) {
-	job.begun[run] = true
-	if len(job.begun) > 1+job.allowance {
-		m.t.Fatalf("%s is begun as %v, its class allows %d reruns", job.id, job.begun, job.allowance)
+func (m *model) beginRun(c *modelCell, job *userJob, run string, alive units.Micros) {
+	job.runsBegun[run] = true
+	if len(job.runsBegun) > 1+job.maxRestarts {
+		m.t.Fatalf("%s is begun as %v, its class allows %d reruns", job.id, job.runsBegun, job.maxRestarts)
 	}
-	c.execs[job.id] = &execution{aliveUntil: m.now + alive}
+	c.executions[job.id] = &execution{leaseExpires: m.now + alive}
 }
 
-func (m *model) progress(exec *execution) {
+func (m *model) completeTasks(exec *execution) {
 	for task := range modelTasks {
-		if m.calm || rapid.IntRange(0, 5).Draw(m.t, "ends") == 0 {
+		if m.healed || rapid.IntRange(0, 5).Draw(m.t, "ends") == 0 {
 			exec.done.Add(task)
 		}
 	}
@@ -147,24 +147,24 @@
 
 func complete(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<modelTasks - 1}) }
 
-func (m *model) tellDone(job *userJob, done TaskSet) {
+func (m *model) checkToldDone(job *userJob, done TaskSet) {
 	if !complete(done) {
 		m.t.Fatalf("%s is called done with tasks %v", job.id, done)
 	}
-	if job.cancelled {
+	if job.toldCancelled {
 		m.t.Fatalf("%s was called cancelled and is called done", job.id)
 	}
-	job.done = true
+	job.toldDone = true
 }
 
-func (m *model) tellCancelled(job *userJob) {
-	if job.done {
+func (m *model) checkToldCancelled(job *userJob) {
+	if job.toldDone {
 		return // it was done before
 	}
 	for _, c := range m.cells {
-		if exec := c.execs[job.id]; exec != nil && m.now < exec.aliveUntil && c != job.home {
+		if exec := c.executions[job.id]; exec != nil && m.now < exec.leaseExpires && c != job.home {
 			m.t.Fatalf("%s is called cancelled while it runs in %s", job.id, c.name)
 		}
 	}
-	job.cancelled = true
+	job.toldCancelled = true
 }
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -12,7 +12,7 @@
 
 // pair is an origin and a target of one transfer with messages that arrive at once, in
 // the same time.
-type pair struct {
+type transferPair struct {
 	t        *testing.T
 	origin   OriginRecord
 	target   *TargetRecord
@@ -23,13 +23,13 @@
 	writes   int
 }
 
-func newPair(t *testing.T, allowance int) *pair {
-	p := &pair{t: t, holder: NewLeaseHolder(1)}
+func newTransferPair(t *testing.T, allowance int) *transferPair {
+	p := &transferPair{t: t, holder: NewLeaseHolder(1)}
 	p.fromOrigin(BeginTransfer(transfer, HandOverRequest{Target: "dye", Description: []byte("job"), Work: 10}, allowance))
 	return p
 }
 
-func (p *pair) fromOrigin(d Decision[OriginRecord]) {
+func (p *transferPair) fromOrigin(d Decision[OriginRecord]) {
 	p.origin = d.Record
 	if d.Write {
 		p.writes++
@@ -39,16 +39,16 @@
 	}
 }
 
-func (p *pair) toTarget(m *Message) {
+func (p *transferPair) toTarget(m *Message) {
 	p.messages++
 	if p.target == nil {
 		p.fromTarget(ReceiveNew(m, true))
 		return
 	}
-	p.fromTarget(p.target.Receive(m, &p.holder, modelTerms.Lease, p.now))
+	p.fromTarget(p.target.Receive(m, &p.holder, modelTiming.Lease, p.now))
 }
 
-func (p *pair) fromTarget(d Decision[TargetRecord]) {
+func (p *transferPair) fromTarget(d Decision[TargetRecord]) {
 	if d.Write || d.Remove {
 		p.writes++
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-func (p *pair) want(phase OriginPhase, mayRun bool) {
+func (p *transferPair) check(phase OriginPhase, mayRun bool) {
 	p.t.Helper()
 	if p.origin.Phase != phase {
 		p.t.Fatalf("the origin is in phase %d, want %d", p.origin.Phase, phase)
@@ -74,28 +74,28 @@
 
 // A hand-over without trouble, and what it costs: docs/federation.md gives these figures.
 func TestHandOverCosts(t *testing.T) {
-	p := newPair(t, 1)
-	p.want(Committed, false)
+	p := newTransferPair(t, 1)
+	p.check(Committed, false)
 	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
-	p.want(Committed, true)
+	p.check(Committed, true)
 	if p.messages != 6 || p.writes != 6 {
 		t.Errorf("until the first task: %d messages and %d writes, want 6 and 6", p.messages, p.writes)
 	}
-	p.now += modelTerms.Lease / 2
+	p.now += modelTiming.Lease / 2
 	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
 	if p.messages != 8 || p.writes != 6 {
 		t.Errorf("after a renewal: %d messages and %d writes, want 2 more and none", p.messages, p.writes)
 	}
 	p.fromTarget(p.target.TasksCompleted(TaskSet{1}, true))
-	p.want(OriginFinished, false)
+	p.check(OriginFinished, false)
 	if p.target != nil || p.messages != 10 || p.writes != 9 {
 		t.Errorf("in all: %d messages and %d writes, want 10 and 9", p.messages, p.writes)
 	}
 }
 
 // A refusal or a result of an earlier transfer says nothing of the next one.
-func TestMessagesOfAnEarlierTransferChangeNothing(t *testing.T) {
-	p := newPair(t, 3)
+func TestMessageOfEarlierIncarnationChangesNothing(t *testing.T) {
+	p := newTransferPair(t, 3)
 	p.origin.Transfer.Incarnation = 2
 	for _, kind := range []MessageKind{MessageRefused, MessageNoCapacity, MessageReserved, MessageAccepted} {
 		d := p.origin.Receive(&Message{Kind: kind, Transfer: transfer}, &p.grantor, p.now)
@@ -118,7 +118,7 @@
 		}
 		for _, late := range []MessageKind{MessageReserve, MessageCommit, MessageReserve, MessageCommit, MessageRevoke} {
 			holder := NewLeaseHolder(1)
-			d = d.Record.Receive(&Message{Kind: late, Transfer: transfer, Work: 1}, &holder, modelTerms.Lease, 0)
+			d = d.Record.Receive(&Message{Kind: late, Transfer: transfer, Work: 1}, &holder, modelTiming.Lease, 0)
 			if d.Record.Phase != TargetRefused || len(d.Send) != 1 || d.Send[0].Kind != MessageRefused {
 				t.Errorf("a late %v after the refusal: %+v", late, d)
 			}
@@ -128,11 +128,11 @@
 
 // That there is no room now settles nothing: a copy of that answer may come after a later
 // one that promised room.
-func TestNoRoomIsNoRefusal(t *testing.T) {
+func TestNoCapacityIsNoRefusal(t *testing.T) {
 	if d := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, false); d.Write || d.Send[0].Kind != MessageNoCapacity {
 		t.Fatalf("without room: %+v", d)
 	}
-	p := newPair(t, 1)
+	p := newTransferPair(t, 1)
 	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
 	d := p.origin.Receive(&Message{Kind: MessageNoCapacity, Transfer: transfer}, &p.grantor, p.now)
 	if d.Write || d.Record.Phase != Committed {
@@ -142,26 +142,26 @@
 
 // A grant that comes after the lease has lapsed does not let the run go on: its tasks are
 // being stopped, and starting them again is another run.
-func TestLapsedRunDoesNotGoOn(t *testing.T) {
-	p := newPair(t, 1)
+func TestExpiredRunIsNotResumed(t *testing.T) {
+	p := newTransferPair(t, 1)
 	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
-	p.now += modelTerms.Lease - 1
+	p.now += modelTiming.Lease - 1
 	asked := p.target.RequestRenewal(&p.holder, p.now)
 	grant := p.origin.Receive(&asked.Send[0], &p.grantor, p.now)
 	p.now += 1
-	p.want(Committed, false)
+	p.check(Committed, false)
 	p.toTarget(&grant.Send[0])
-	p.want(Committed, false)
+	p.check(Committed, false)
 	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
-	p.want(Committed, true)
+	p.check(Committed, true)
 	if p.origin.Run != 2 || p.target.Run != 2 || !p.target.Unbounded {
 		t.Errorf("origin's run %d, target's %d, unbounded %v; want the second and last", p.origin.Run, p.target.Run, p.target.Unbounded)
 	}
 }
 
 // The wait covers clocks that drift apart by the bound, and more.
-func TestCertainTimeCoversDrift(t *testing.T) {
-	for _, terms := range []Timing{modelTerms, {Lease: units.Second, StopGrace: 600 * units.Second}} {
+func TestReclaimDelayCoversDrift(t *testing.T) {
+	for _, terms := range []Timing{modelTiming, {Lease: units.Second, StopGrace: 600 * units.Second}} {
 		slowest := (terms.Lease + terms.StopGrace).Share(1_000_000+maxDriftPPM, 1_000_000)
 		if terms.ReclaimDelay() <= slowest {
 			t.Errorf("%+v: certain after %d, a slow clock may take %d", terms, terms.ReclaimDelay(), slowest)
@@ -176,18 +176,18 @@
 
 // A job of a class without reruns is begun once; its target goes on without the origin,
 // which waits for it, also when the job is cancelled.
-func TestClassWithoutRerunsWaitsForItsTarget(t *testing.T) {
-	p := newPair(t, 0)
+func TestClassWithoutRestartsWaitsForTarget(t *testing.T) {
+	p := newTransferPair(t, 0)
 	p.fromTarget(p.target.RequestRenewal(&p.holder, p.now))
-	p.now += 1000 * modelTerms.ReclaimDelay()
-	p.want(Committed, true)
+	p.now += 1000 * modelTiming.ReclaimDelay()
+	p.check(Committed, true)
 	if p.fromOrigin(p.origin.Reclaim()); p.origin.Phase != Committed {
 		t.Fatal("it is taken back")
 	}
 	d := p.origin.Cancel()
 	p.origin = d.Record // the target is cut off
-	p.now += 1000 * modelTerms.ReclaimDelay()
-	if p.fromOrigin(p.origin.Tick(&p.grantor, p.now, modelTerms)); p.origin.Phase != OriginRevoking {
+	p.now += 1000 * modelTiming.ReclaimDelay()
+	if p.fromOrigin(p.origin.Tick(&p.grantor, p.now, modelTiming)); p.origin.Phase != OriginRevoking {
 		t.Fatal("its end is taken for certain")
 	}
 	p.toTarget(&d.Send[0])
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestMalformedMessagesAreRefused(t *testing.T) {
+func TestMalformedMessageIsRejected(t *testing.T) {
 	good := Message{Kind: MessageRenew, Transfer: transfer, Run: 1}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 }
 
 // A record that cannot be read is told with its key, and never taken for another.
-func TestUnreadableRecords(t *testing.T) {
+func TestUnreadableRecordNamesItsKey(t *testing.T) {
 	origin := BeginTransfer(transfer, HandOverRequest{Target: "dye", Work: 1}, 0).Record
 	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
 	bad := origin
