--- a/internal/federation/cellstandin_test.go
+++ b/internal/federation/fakecell_test.go
@@ -3,141 +3,12 @@
 import (
 	"context"
 	"maps"
-	"math/rand/v2"
 	"slices"
 	"sync"
-	"testing"
-	"time"
 
-	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// memoryStore keeps records with versions, as the state service does.
-type fakeStore struct {
-	mu       sync.Mutex
-	records  map[string]protocol.Item
-	revision uint64
-	down     bool
-}
-
-func (s *fakeStore) List(_ context.Context, prefix string) ([]protocol.Item, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var out []protocol.Item
-	for key, item := range s.records {
-		if len(key) > len(prefix) && key[:len(prefix)] == prefix {
-			out = append(out, item)
-		}
-	}
-	return out, nil
-}
-
-func (s *fakeStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
-	time.Sleep(6 * time.Millisecond)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.down {
-		return 0, context.DeadlineExceeded
-	}
-	if s.records[key].Version != version {
-		return 0, ErrConflict
-	}
-	s.revision++
-	if value == nil {
-		delete(s.records, key)
-	} else {
-		s.records[key] = protocol.Item{Key: key, Value: value, Version: s.revision}
-	}
-	return s.revision, nil
-}
-
-// region is three cells on one network, and an observer of all their machines.
-type fakeRegion struct {
-	t      *testing.T
-	clock  units.Clock
-	random *rand.Rand
-	cells  map[string]*fakeCell
-	config *Config
-
-	mu          sync.Mutex
-	partitioned map[string]bool
-	answers     map[string]string // by job: what its user was told at last
-	runningIn   map[string]map[string]bool
-}
-
-// bubbleClock is the time of a synctest bubble.
-type bubbleClock struct{ began time.Time }
-
-func (c bubbleClock) Steady() units.Micros {
-	return units.Micros(time.Since(c.began) / time.Microsecond)
-}
-
-func (c bubbleClock) Wall() units.Micros { return units.Micros(time.Now().UnixMicro()) }
-
-// link loses, doubles and delays messages.
-type fakeTransport struct {
-	region *fakeRegion
-	from   string
-}
-
-func (l fakeTransport) Send(cell string, m Message) {
-	r := l.region
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	copies := 1
-	switch r.random.IntN(10) {
-	case 0:
-		copies = 0
-	case 1:
-		copies = 2
-	}
-	for range copies {
-		delay := time.Duration(1+r.random.IntN(40)) * time.Millisecond
-		if r.random.IntN(20) == 0 {
-			delay = time.Duration(r.random.IntN(60_000)) * time.Millisecond
-		}
-		time.AfterFunc(delay, func() { r.deliver(l.from, cell, m) })
-	}
-}
-
-func (r *fakeRegion) deliver(from, to string, m Message) {
-	r.mu.Lock()
-	lost := r.partitioned[from] || r.partitioned[to]
-	manager := r.cells[to].manager
-	r.mu.Unlock()
-	if !lost && manager != nil {
-		manager.Receive(context.Background(), from, m)
-	}
-}
-
-// answer notes what a job's user is told, which must not change once it is final.
-func (r *fakeRegion) recordAnswer(job, what string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if told := r.answers[job]; told != "" && told != what {
-		r.t.Errorf("%s was called %s and is called %s", job, told, what)
-	}
-	r.answers[job] = what
-}
-
-// runs notes that a cell's machine begins or ends a task.
-func (r *fakeRegion) recordRun(cell, job string, begins bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.runningIn[job] == nil {
-		r.runningIn[job] = map[string]bool{}
-	}
-	if begins {
-		r.runningIn[job][cell] = true
-	} else {
-		delete(r.runningIn[job], cell)
-	}
-	if len(r.runningIn[job]) > 1 {
-		r.t.Errorf("%s runs in two cells: %v", job, r.runningIn[job])
-	}
-}
-
 // machineTask is a task on a machine of a stand-in cell.
 type machineTask struct {
 	job          string
@@ -179,62 +50,6 @@
 	fakeTaskRunTime = 5 * units.Second
 )
 
-func (c *fakeCell) Run(id TransferID, _ []byte, done TaskSet) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.guestDone[id] = c.guestDone[id].Union(done)
-	c.guestWanted[id] = true
-}
-
-func (c *fakeCell) Stop(id TransferID) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.guestWanted[id] = false
-}
-
-func (c *fakeCell) Progress(id TransferID) Progress {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	present := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.guest == id })
-	return Progress{Done: c.guestDone[id], Complete: allDone(c.guestDone[id]), Running: present}
-}
-
-func allDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<fakeJobTasks - 1}) }
-
-func (c *fakeCell) job(id string) *fakeJob {
-	i := slices.IndexFunc(c.jobs, func(j *fakeJob) bool { return j.id == id })
-	return c.jobs[i]
-}
-
-func (c *fakeCell) Returned(id string, done TaskSet, reruns int) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := c.job(id)
-	j.handedOver, j.done, j.restarts = false, j.done.Union(done), reruns
-	return j.ended
-}
-
-func (c *fakeCell) Finished(id string, done TaskSet) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := c.job(id)
-	j.done = j.done.Union(done)
-	if !allDone(j.done) {
-		c.region.t.Errorf("%s is finished with tasks %v", id, j.done)
-	}
-	j.ended = true
-	c.region.recordAnswer(id, "done")
-	return true
-}
-
-func (c *fakeCell) Withdrawn(id string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.job(id).ended = true
-	c.region.recordAnswer(id, "cancelled")
-	return true
-}
-
 // lead begins a new leader.
 func (c *fakeCell) startLeader() {
 	c.fencingToken++
@@ -256,12 +71,6 @@
 	c.region.mu.Unlock()
 }
 
-func (r *fakeRegion) configFor(self string) *Config {
-	cells := *r.config
-	cells.Self = self
-	return &cells
-}
-
 // end ends the leader; its machines go on until their leases end.
 func (c *fakeCell) stopLeader() {
 	c.region.mu.Lock()
--- /dev/null
+++ b/internal/federation/fakescheduler_test.go
@@ -0,0 +1,59 @@
+package federation
+
+import "slices"
+
+func (c *fakeCell) Run(id TransferID, _ []byte, done TaskSet) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.guestDone[id] = c.guestDone[id].Union(done)
+	c.guestWanted[id] = true
+}
+
+func (c *fakeCell) Stop(id TransferID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.guestWanted[id] = false
+}
+
+func (c *fakeCell) Progress(id TransferID) Progress {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	present := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.guest == id })
+	return Progress{Done: c.guestDone[id], Complete: allDone(c.guestDone[id]), Running: present}
+}
+
+func allDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<fakeJobTasks - 1}) }
+
+func (c *fakeCell) job(id string) *fakeJob {
+	i := slices.IndexFunc(c.jobs, func(j *fakeJob) bool { return j.id == id })
+	return c.jobs[i]
+}
+
+func (c *fakeCell) Returned(id string, done TaskSet, reruns int) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	j := c.job(id)
+	j.handedOver, j.done, j.restarts = false, j.done.Union(done), reruns
+	return j.ended
+}
+
+func (c *fakeCell) Finished(id string, done TaskSet) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	j := c.job(id)
+	j.done = j.done.Union(done)
+	if !allDone(j.done) {
+		c.region.t.Errorf("%s is finished with tasks %v", id, j.done)
+	}
+	j.ended = true
+	c.region.recordAnswer(id, "done")
+	return true
+}
+
+func (c *fakeCell) Withdrawn(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.job(id).ended = true
+	c.region.recordAnswer(id, "cancelled")
+	return true
+}
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -7,7 +7,6 @@
 
 	"pgregory.net/rapid"
 
-	"dunestand/internal/protocol"
 	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
@@ -137,119 +136,10 @@
 	c.leaderFrom = m.now + rapid.SampledFrom([]units.Micros{0, 1, 5, 40}).Draw(m.t, "away")*units.Second
 }
 
-func (m *model) send(from *modelCell, to string, messages []Message) {
-	for _, msg := range messages {
-		if err := msg.Check(); err != nil {
-			m.t.Fatalf("a cell sends %+v: %v", msg, err)
-		}
-		i := slices.IndexFunc(m.cells, func(c *modelCell) bool { return c.name == to })
-		m.network = append(m.network, envelope{from, m.cells[i], msg})
-	}
-}
-
-// originDecides carries a decision out: stored first, then sent.
-func (m *model) applyOrigin(c *modelCell, d Decision[OriginRecord]) {
-	if m.maybeCrash(c) {
-		return
-	}
-	job := d.Record.Transfer.Job
-	if d.Write {
-		c.outgoing[job] = roundTripOrigin(m.t, d.Record)
-		if c.leader.grantors[job] == nil {
-			grantor := NewLeaseGrantor(m.clock(c))
-			c.leader.grantors[job] = &grantor
-		}
-		if m.maybeCrash(c) {
-			return
-		}
-	}
-	m.send(c, d.Record.Target, d.Send)
-}
-
-func (m *model) applyTarget(c *modelCell, d Decision[TargetRecord]) {
-	if m.maybeCrash(c) {
-		return
-	}
-	id := d.Record.Transfer
-	switch {
-	case d.Remove:
-		delete(c.incoming, id)
-	case d.Write:
-		c.incoming[id] = roundTripTarget(m.t, d.Record)
-		if c.leader.holders[id] == nil {
-			holder := NewLeaseHolder(c.fencingToken)
-			c.leader.holders[id] = &holder
-		}
-		switch d.Record.Phase {
-		case TargetAccepted:
-			c.leader.reservations.Commit(id)
-		case TargetFinished, TargetRefused:
-			c.leader.reservations.Release(id)
-		}
-		if m.maybeCrash(c) {
-			return
-		}
-	}
-	m.send(c, id.Origin, d.Send)
-}
-
-func (m *model) deliver(e envelope) {
-	c, msg := e.to, &e.message
-	if m.now < c.leaderFrom || m.partitions[[2]string{e.from.name, c.name}] {
-		return // lost
-	}
-	if msg.Kind.toTarget() {
-		r, known := c.incoming[msg.Transfer]
-		if known {
-			m.applyTarget(c, r.Receive(msg, c.leader.holders[msg.Transfer], modelTiming.Lease, m.clock(c)))
-			return
-		}
-		room := msg.Kind == MessageReserve && c.leader.reservations.Reserve(msg.Transfer, msg.Work, m.clock(c))
-		m.applyTarget(c, ReceiveNew(msg, room))
-		return
-	}
-	r, known := c.outgoing[msg.Transfer.Job]
-	if !known {
-		m.send(c, e.from.name, ReplyToUnknown(msg))
-		return
-	}
-	d := r.Receive(msg, c.leader.grantors[r.Transfer.Job], m.clock(c))
-	if msg.Transfer != r.Transfer {
-		m.send(c, e.from.name, d.Send)
-		return
-	}
-	m.applyOrigin(c, d)
-}
-
 func (m *model) job(id string) *userJob {
 	return m.jobs[slices.IndexFunc(m.jobs, func(j *userJob) bool { return j.id == id })]
 }
 
-// check looks at the machines of all cells.
-func (m *model) checkInvariants() {
-	for _, job := range m.jobs {
-		var in []string
-		for _, c := range m.cells {
-			exec := c.executions[job.id]
-			if exec != nil && m.now >= exec.leaseExpires {
-				delete(c.executions, job.id)
-				exec = nil
-			}
-			if exec != nil {
-				in = append(in, c.name)
-			}
-		}
-		if len(in) > 1 {
-			m.t.Fatalf("%s runs in %v at once", job.id, in)
-		}
-	}
-	for _, c := range m.cells {
-		if c.leader.reservations.reserved() > modelCapacity {
-			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.reservations.reserved(), modelCapacity)
-		}
-	}
-}
-
 // spill begins a transfer of a job that does not run.
 func (m *model) maybeHandOver(job *userJob) {
 	c := job.home
@@ -304,48 +194,6 @@
 	}
 }
 
-// deliverAny delivers any message that is on its way, however old. A copy may stay.
-func (m *model) deliverAny() {
-	i := rapid.IntRange(0, len(m.network)-1).Draw(m.t, "message")
-	e := m.network[i]
-	if len(m.network) > 60 || rapid.IntRange(0, 4).Draw(m.t, "copy stays") != 0 {
-		m.network = slices.Delete(m.network, i, i+1)
-	}
-	m.deliver(e)
-	m.checkInvariants()
-}
-
-// settle heals everything and waits until every job is over and no record is left.
-func (m *model) healAndFinish() {
-	m.healed = true
-	clear(m.partitions)
-	for range 400 {
-		m.now += units.Second
-		m.checkInvariants()
-		for _, c := range m.cells {
-			m.tick(c)
-		}
-		for range 4 {
-			pending := m.network
-			m.network = nil
-			for _, e := range pending {
-				m.deliver(e)
-			}
-		}
-		m.checkInvariants()
-	}
-	for _, job := range m.jobs {
-		if !job.toldDone && !job.toldCancelled {
-			m.t.Fatalf("%s is lost: %+v", job.id, job.home.outgoing[job.id])
-		}
-	}
-	for _, c := range m.cells {
-		if len(c.outgoing)+len(c.incoming) != 0 {
-			m.t.Fatalf("%s keeps records: %+v %+v", c.name, c.outgoing, c.incoming)
-		}
-	}
-}
-
 func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -356,19 +204,3 @@
 		m.healAndFinish()
 	})
 }
-
-func roundTripOrigin(t *rapid.T, r OriginRecord) OriginRecord {
-	back, err := ParseOrigin(protocol.Item{Key: r.Key(), Value: r.Encode("1-1")})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return back
-}
-
-func roundTripTarget(t *rapid.T, r TargetRecord) TargetRecord {
-	back, err := DecodeTargetRecord(protocol.Item{Key: r.Key(), Value: r.Encode("1-1")})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return back
-}
--- a/internal/federation/modelcell_test.go
+++ b/internal/federation/modelleader_test.go
@@ -144,27 +144,3 @@
 		}
 	}
 }
-
-func complete(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<modelTasks - 1}) }
-
-func (m *model) checkToldDone(job *userJob, done TaskSet) {
-	if !complete(done) {
-		m.t.Fatalf("%s is called done with tasks %v", job.id, done)
-	}
-	if job.toldCancelled {
-		m.t.Fatalf("%s was called cancelled and is called done", job.id)
-	}
-	job.toldDone = true
-}
-
-func (m *model) checkToldCancelled(job *userJob) {
-	if job.toldDone {
-		return // it was done before
-	}
-	for _, c := range m.cells {
-		if exec := c.executions[job.id]; exec != nil && m.now < exec.leaseExpires && c != job.home {
-			m.t.Fatalf("%s is called cancelled while it runs in %s", job.id, c.name)
-		}
-	}
-	job.toldCancelled = true
-}
--- a/internal/federation/encoding_test.go
+++ b/internal/federation/recordcodec_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/hex"
+	"errors"
 	"testing"
 
 	"dunestand/internal/protocol"
@@ -74,3 +75,40 @@
 		}
 	}
 }
+
+// A record that cannot be read is told with its key, and never taken for another.
+func TestUnreadableRecordNamesItsKey(t *testing.T) {
+	origin := BeginTransfer(transfer, HandOverRequest{Target: "dye", Work: 1}, 0).Record
+	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
+	bad := origin
+	bad.Phase = originPhaseCount
+	own := origin
+	own.Target = "mill"
+	negative := target
+	negative.Run = -1
+	later := protocol.Encode(storedRecord[OriginRecord]{Format: recordFormat + 1, Record: origin})
+	for what, item := range map[string]protocol.Item{
+		"no value":        {Key: origin.Key()},
+		"other key":       {Key: PrefixOut + "j-000002", Value: origin.Encode("")},
+		"unknown phase":   {Key: origin.Key(), Value: bad.Encode("")},
+		"to itself":       {Key: origin.Key(), Value: own.Encode("")},
+		"a later format":  {Key: origin.Key(), Value: later},
+		"target's record": {Key: origin.Key(), Value: target.Encode("")},
+	} {
+		if r, err := ParseOrigin(item); !errors.Is(err, ErrUnreadableRecord) {
+			t.Errorf("origin, %s: %+v, %v", what, r, err)
+		}
+	}
+	for what, item := range map[string]protocol.Item{
+		"no value":     {Key: target.Key()},
+		"other key":    {Key: origin.Key(), Value: target.Encode("")},
+		"negative run": {Key: negative.Key(), Value: negative.Encode("")},
+	} {
+		if r, err := DecodeTargetRecord(item); !errors.Is(err, ErrUnreadableRecord) {
+			t.Errorf("target, %s: %+v, %v", what, r, err)
+		}
+	}
+	if job, ok := JobFromKey(origin.Key()); !ok || job != "j-000001" {
+		t.Errorf("the job of %s: %q", origin.Key(), job)
+	}
+}
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -1,10 +1,8 @@
 package federation
 
 import (
-	"errors"
 	"testing"
 
-	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
@@ -159,21 +157,6 @@
 	}
 }
 
-// The wait covers clocks that drift apart by the bound, and more.
-func TestReclaimDelayCoversDrift(t *testing.T) {
-	for _, terms := range []Timing{modelTiming, {Lease: units.Second, StopGrace: 600 * units.Second}} {
-		slowest := (terms.Lease + terms.StopGrace).Share(1_000_000+maxDriftPPM, 1_000_000)
-		if terms.ReclaimDelay() <= slowest {
-			t.Errorf("%+v: certain after %d, a slow clock may take %d", terms, terms.ReclaimDelay(), slowest)
-		}
-		grantor := NewLeaseGrantor(5)
-		grantor.recordGrant(7)
-		if grantor.Expired(7+slowest, terms) || !grantor.Expired(8+terms.ReclaimDelay(), terms) {
-			t.Errorf("%+v: lapsed at the wrong time", terms)
-		}
-	}
-}
-
 // A job of a class without reruns is begun once; its target goes on without the origin,
 // which waits for it, also when the job is cancelled.
 func TestClassWithoutRestartsWaitsForTarget(t *testing.T) {
@@ -208,109 +191,3 @@
 		t.Errorf("a result after the job ended: %+v", d)
 	}
 }
-
-func TestMalformedMessageIsRejected(t *testing.T) {
-	good := Message{Kind: MessageRenew, Transfer: transfer, Run: 1}
-	if err := good.Check(); err != nil {
-		t.Fatal(err)
-	}
-	for what, spoil := range map[string]func(*Message){
-		"kind 0":           func(m *Message) { m.Kind = 0 },
-		"kind of a later":  func(m *Message) { m.Kind = messageKindCount },
-		"no origin":        func(m *Message) { m.Transfer.Origin = "" },
-		"slash in origin":  func(m *Message) { m.Transfer.Origin = "a/b" },
-		"bad job":          func(m *Message) { m.Transfer.Job = "x" },
-		"no incarnation":   func(m *Message) { m.Transfer.Incarnation = 0 },
-		"negative work":    func(m *Message) { m.Work = -1 },
-		"renew of no run":  func(m *Message) { m.Run = 0 },
-		"runs beyond all":  func(m *Message) { m.Run = maxRun + 1 },
-		"runs below zero":  func(m *Message) { m.Run = -1 },
-		"grant of no run":  func(m *Message) { m.Kind, m.Run = MessageGrant, 0 },
-		"name with spaces": func(m *Message) { m.Transfer.Origin = "the mill" },
-	} {
-		m := good
-		spoil(&m)
-		if err := m.Check(); !errors.Is(err, ErrMalformedMessage) {
-			t.Errorf("%s: %v", what, err)
-		}
-	}
-}
-
-// A record that cannot be read is told with its key, and never taken for another.
-func TestUnreadableRecordNamesItsKey(t *testing.T) {
-	origin := BeginTransfer(transfer, HandOverRequest{Target: "dye", Work: 1}, 0).Record
-	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
-	bad := origin
-	bad.Phase = originPhaseCount
-	own := origin
-	own.Target = "mill"
-	negative := target
-	negative.Run = -1
-	later := protocol.Encode(storedRecord[OriginRecord]{Format: recordFormat + 1, Record: origin})
-	for what, item := range map[string]protocol.Item{
-		"no value":        {Key: origin.Key()},
-		"other key":       {Key: PrefixOut + "j-000002", Value: origin.Encode("")},
-		"unknown phase":   {Key: origin.Key(), Value: bad.Encode("")},
-		"to itself":       {Key: origin.Key(), Value: own.Encode("")},
-		"a later format":  {Key: origin.Key(), Value: later},
-		"target's record": {Key: origin.Key(), Value: target.Encode("")},
-	} {
-		if r, err := ParseOrigin(item); !errors.Is(err, ErrUnreadableRecord) {
-			t.Errorf("origin, %s: %+v, %v", what, r, err)
-		}
-	}
-	for what, item := range map[string]protocol.Item{
-		"no value":     {Key: target.Key()},
-		"other key":    {Key: origin.Key(), Value: target.Encode("")},
-		"negative run": {Key: negative.Key(), Value: negative.Encode("")},
-	} {
-		if r, err := DecodeTargetRecord(item); !errors.Is(err, ErrUnreadableRecord) {
-			t.Errorf("target, %s: %+v, %v", what, r, err)
-		}
-	}
-	if job, ok := JobFromKey(origin.Key()); !ok || job != "j-000001" {
-		t.Errorf("the job of %s: %q", origin.Key(), job)
-	}
-}
-
-// Two cells that ask at the same moment share what there is; one that asks alone may have
-// it all, and what it has is not taken from it.
-func TestReservationsAreSharedFairly(t *testing.T) {
-	id := func(origin string, n uint64) TransferID {
-		return TransferID{Origin: origin, Job: "j-000001", Incarnation: n}
-	}
-	r := NewReservations(5 * units.Second)
-	if r.Reserve(id("mill", 1), 1, 0) {
-		t.Fatal("something is promised before the capacity is known")
-	}
-	r.SetCapacity(10)
-	r.Reserve(id("dye", 1), 1, 0)
-	for n := range uint64(10) {
-		r.Reserve(id("mill", 10+n), 1, 0)
-	}
-	if mill := r.reservedBy("mill"); mill != 5 {
-		t.Errorf("mill has %d of 10 while dye asks, want 5", mill)
-	}
-	for n := range uint64(10) {
-		r.Reserve(id("dye", 10+n), 1, 0)
-	}
-	if r.Free() != 0 || r.reservedBy("dye") != 5 {
-		t.Errorf("dye has %d, %d are free", r.reservedBy("dye"), r.Free())
-	}
-	r.Commit(id("mill", 10))
-	later := 6 * units.Second
-	if expired := r.Expired(later); len(expired) != 9 {
-		t.Errorf("%d reservations have expired, want all but the committed one", len(expired))
-	}
-	for _, e := range r.Expired(later) {
-		r.Release(e)
-	}
-	alone := later + requestWindow + 1
-	if !r.Reserve(id("dye", 99), 9, alone) || r.Reserve(id("dye", 100), 1, alone) {
-		t.Error("a cell that asks alone gets less or more than what is left")
-	}
-	r.SetCapacity(1) // machines are lost: promises hold, nothing new is promised
-	if r.Free() != 0 || r.reserved() != 10 || r.Reserve(id("mill", 200), 1, alone) {
-		t.Errorf("after machines were lost: %d promised, %d free", r.reserved(), r.Free())
-	}
-}
