--- a/internal/federation/fakecell_test.go
+++ b/internal/federation/fakecell_test.go
@@ -9,16 +9,16 @@
 	"dunestand/internal/units"
 )
 
-// machineTask is a task on a machine of a stand-in cell.
+// machineTask is a task on a machine of a fake cell.
 type machineTask struct {
 	job          string
-	guest        TransferID // of another cell's job, else zero
+	guest        TransferID // zero for a job of the cell's own
 	task         int
 	completesAt  units.Micros
-	leaseExpires units.Micros // the worker's lease, prolonged by the leader
+	leaseExpires units.Micros // the worker's lease, extended by the leader
 }
 
-// cellJob is a job as a stand-in cell's scheduler keeps it, durably.
+// fakeJob is a job as a fake cell's scheduler keeps it, durably.
 type fakeJob struct {
 	id, class       string
 	handedOver      bool // handed over, or being handed over
@@ -28,8 +28,8 @@
 	restarts        int
 }
 
-// standInCell is a cell: a leader that may be gone, machines that go on without it, and
-// records.
+// fakeCell is a cell: a leader that may be away, machines that go on without it, and a
+// store. It is the Scheduler of its leader's Manager.
 type fakeCell struct {
 	name         string
 	region       *fakeRegion
@@ -40,17 +40,21 @@
 
 	mu          sync.Mutex
 	jobs        []*fakeJob
-	guestDone   map[TransferID]TaskSet // other cells' jobs that are to run, and what is done
-	guestWanted map[TransferID]bool
+	guestDone   map[TransferID]TaskSet // of other cells' jobs
+	guestWanted map[TransferID]bool    // which of them are to run
 	tasks       []machineTask
 }
 
 const (
 	fakeJobTasks    = 4
 	fakeTaskRunTime = 5 * units.Second
+	// fakeJobWork is the work of a job, four tasks of a CPU; fakeSlotCapacity is what a
+	// cell offers for each of its slots.
+	fakeJobWork      = Work(fakeJobTasks * 5 * 1000)
+	fakeSlotCapacity = Work(100_000)
 )
 
-// lead begins a new leader.
+// startLeader starts a leader with the next fencing token.
 func (c *fakeCell) startLeader() {
 	c.fencingToken++
 	m := NewManager(Options{
@@ -65,20 +69,20 @@
 	if err := m.Restore(context.Background()); err != nil {
 		c.region.t.Error(err)
 	}
-	m.SetCapacity(Work(c.slots) * 100_000)
+	m.SetCapacity(Work(c.slots) * fakeSlotCapacity)
 	c.region.mu.Lock()
 	c.manager = m
 	c.region.mu.Unlock()
 }
 
-// end ends the leader; its machines go on until their leases end.
+// stopLeader stops the leader. The machines go on until their leases expire.
 func (c *fakeCell) stopLeader() {
 	c.region.mu.Lock()
 	defer c.region.mu.Unlock()
 	c.manager = nil
 }
 
-// work is what machines and leader do in a quarter of a second.
+// stepMachines completes tasks, extends the leases of workers and starts tasks.
 func (c *fakeCell) stepMachines() {
 	now := c.region.clock.Steady()
 	manager := c.manager
@@ -112,6 +116,7 @@
 	}
 }
 
+// jobsOnMachines returns the jobs that have a task on a machine.
 func (c *fakeCell) jobsOnMachines() map[string]bool {
 	jobs := map[string]bool{}
 	for _, t := range c.tasks {
@@ -120,7 +125,7 @@
 	return jobs
 }
 
-// forget tells the observer which jobs have left the cell's machines.
+// recordJobsGone records which jobs are no longer on the cell's machines.
 func (c *fakeCell) recordJobsGone() {
 	present := c.jobsOnMachines()
 	c.region.mu.Lock()
@@ -136,7 +141,8 @@
 	}
 }
 
-// schedule starts tasks where there is room: its own jobs first, in their order.
+// schedule starts tasks while there are free slots: of the cell's own jobs first, in their
+// order.
 func (c *fakeCell) schedule(manager *Manager, now units.Micros) {
 	for _, j := range c.jobs {
 		if !j.handedOver && !j.ended && !j.cancelRequested {
@@ -150,15 +156,16 @@
 	}
 }
 
-func (c *fakeCell) startTasks(job string, foreign TransferID, done TaskSet, now units.Micros) {
+// startTasks starts the tasks of a job that are neither done nor running.
+func (c *fakeCell) startTasks(job string, guest TransferID, done TaskSet, now units.Micros) {
 	for task := range fakeJobTasks {
-		there := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.job == job && t.task == task })
-		if done.Has(task) || there || len(c.tasks) >= c.slots {
+		running := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.job == job && t.task == task })
+		if done.Has(task) || running || len(c.tasks) >= c.slots {
 			continue
 		}
 		c.tasks = append(c.tasks, machineTask{
 			job:          job,
-			guest:        foreign,
+			guest:        guest,
 			task:         task,
 			completesAt:  now + fakeTaskRunTime,
 			leaseExpires: now + c.region.config.Timing.StopGrace,
@@ -167,7 +174,8 @@
 	}
 }
 
-// finish tells the users of jobs that ended here, and hands over jobs that wait.
+// stepLeader has the Manager look at its transfers, ends jobs that are done or cancelled
+// here, and hands over jobs that wait.
 func (c *fakeCell) stepLeader(ctx context.Context) {
 	manager := c.manager
 	if manager == nil {
@@ -179,13 +187,13 @@
 	c.mu.Unlock()
 	for _, j := range jobs {
 		c.mu.Lock()
-		cancel, complete, held, over := j.cancelRequested, allDone(j.done), j.handedOver, j.ended
+		cancelRequested, complete, handedOver, ended := j.cancelRequested, fakeJobDone(j.done), j.handedOver, j.ended
 		c.mu.Unlock()
 		switch {
-		case over:
-		case held && cancel:
+		case ended:
+		case handedOver && cancelRequested:
 			manager.Cancel(ctx, j.id)
-		case !held && (cancel || complete) && manager.JobEnded(ctx, j.id):
+		case !handedOver && (cancelRequested || complete) && manager.JobEnded(ctx, j.id):
 			c.mu.Lock()
 			j.ended = true
 			c.mu.Unlock()
@@ -199,7 +207,7 @@
 	c.handOverWaiting(ctx, manager)
 }
 
-// spill hands jobs that wait over to the cells with most room.
+// handOverWaiting hands up to three jobs that wait to the first cell that has capacity.
 func (c *fakeCell) handOverWaiting(ctx context.Context, manager *Manager) {
 	c.mu.Lock()
 	var waiting []*fakeJob
@@ -215,13 +223,21 @@
 	}
 	for _, j := range waiting[2:min(len(waiting), 5)] {
 		for _, name := range []string{"dye", "recipes", "mill"} {
-			if other := c.region.cells[name]; name == c.name || other.manager == nil || other.manager.FreeCapacity() < 20_000 {
+			if other := c.region.cells[name]; name == c.name || other.manager == nil || other.manager.FreeCapacity() < fakeJobWork {
 				continue
 			}
 			c.mu.Lock()
 			j.handedOver = true
 			c.mu.Unlock()
-			if err := manager.HandOver(ctx, HandOverRequest{Job: j.id, Class: j.class, Target: name, Description: []byte(j.id), Work: 20_000, Restarts: j.restarts}); err != nil {
+			request := HandOverRequest{
+				Job:         j.id,
+				Class:       j.class,
+				Target:      name,
+				Description: []byte(j.id),
+				Work:        fakeJobWork,
+				Restarts:    j.restarts,
+			}
+			if err := manager.HandOver(ctx, request); err != nil {
 				c.mu.Lock()
 				j.handedOver = manager.Owner(j.id) != OwnerOrigin
 				c.mu.Unlock()
--- a/internal/federation/fakeregion_test.go
+++ b/internal/federation/fakeregion_test.go
@@ -13,7 +13,8 @@
 	"dunestand/internal/units"
 )
 
-// region is three cells on one network, and an observer of all their machines.
+// fakeRegion is three cells on one network, and an observer of all their machines and
+// answers, in the time of a synctest bubble.
 type fakeRegion struct {
 	t      *testing.T
 	clock  units.Clock
@@ -22,9 +23,9 @@
 	config *Config
 
 	mu          sync.Mutex
-	partitioned map[string]bool
-	answers     map[string]string // by job: what its user was told at last
-	runningIn   map[string]map[string]bool
+	partitioned map[string]bool            // cells that are cut off
+	answers     map[string]string          // by job, the last that its user got
+	runningIn   map[string]map[string]bool // by job, then by cell
 }
 
 // bubbleClock is the time of a synctest bubble.
@@ -36,14 +37,14 @@
 
 func (c bubbleClock) Wall() units.Micros { return units.Micros(time.Now().UnixMicro()) }
 
-// link loses, doubles and delays messages.
+// fakeTransport loses, duplicates and delays messages.
 type fakeTransport struct {
 	region *fakeRegion
 	from   string
 }
 
-func (l fakeTransport) Send(cell string, m Message) {
-	r := l.region
+func (transport fakeTransport) Send(cell string, message Message) {
+	r := transport.region
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	copies := 1
@@ -58,31 +59,33 @@
 		if r.random.IntN(20) == 0 {
 			delay = time.Duration(r.random.IntN(60_000)) * time.Millisecond
 		}
-		time.AfterFunc(delay, func() { r.deliver(l.from, cell, m) })
+		time.AfterFunc(delay, func() { r.deliver(transport.from, cell, message) })
 	}
 }
 
-func (r *fakeRegion) deliver(from, to string, m Message) {
+// deliver delivers a message, unless one of the cells is partitioned or has no leader.
+func (r *fakeRegion) deliver(from, to string, message Message) {
 	r.mu.Lock()
 	lost := r.partitioned[from] || r.partitioned[to]
 	manager := r.cells[to].manager
 	r.mu.Unlock()
 	if !lost && manager != nil {
-		manager.Receive(context.Background(), from, m)
+		manager.Receive(context.Background(), from, message)
 	}
 }
 
-// answer notes what a job's user is told, which must not change once it is final.
-func (r *fakeRegion) recordAnswer(job, what string) {
+// recordAnswer records that a job's user is told that it is done or cancelled, which must not
+// change any more.
+func (r *fakeRegion) recordAnswer(job, answer string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told := r.answers[job]; told != "" && told != what {
-		r.t.Errorf("%s was called %s and is called %s", job, told, what)
+	if before := r.answers[job]; before != "" && before != answer {
+		r.t.Errorf("the user of %s was told that it is %s, and now that it is %s", job, before, answer)
 	}
-	r.answers[job] = what
+	r.answers[job] = answer
 }
 
-// runs notes that a cell's machine begins or ends a task.
+// recordRun records that a job begins to run, or ends, on the machines of a cell.
 func (r *fakeRegion) recordRun(cell, job string, begins bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,21 +102,24 @@
 	}
 }
 
+// configFor returns the cells file of a cell.
 func (r *fakeRegion) configFor(self string) *Config {
-	cells := *r.config
-	cells.Self = self
-	return &cells
+	config := *r.config
+	config.Self = self
+	return &config
 }
 
+// newFakeRegion returns a region in which every cell has a leader and no job.
 func newFakeRegion(t *testing.T, seed uint64) *fakeRegion {
-	cells := loadExampleConfig(t)
-	cells.Timing = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
+	t.Helper()
+	config := loadExampleConfig(t)
+	config.Timing = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
 	r := &fakeRegion{
 		t:           t,
 		clock:       bubbleClock{time.Now()},
 		random:      rand.New(rand.NewPCG(seed, 1)),
 		cells:       map[string]*fakeCell{},
-		config:      cells,
+		config:      config,
 		partitioned: map[string]bool{},
 		answers:     map[string]string{},
 		runningIn:   map[string]map[string]bool{},
@@ -134,10 +140,14 @@
 	return r
 }
 
-// pass lets the cells work for a time.
+// fakeStep is how often the machines of all cells do something; the leaders do so at every
+// fourth step.
+const fakeStep = 250 * time.Millisecond
+
+// advance lets the cells work for a time.
 func (r *fakeRegion) advance(length time.Duration) {
-	for step := range int(length / (250 * time.Millisecond)) {
-		time.Sleep(250 * time.Millisecond)
+	for step := range int(length / fakeStep) {
+		time.Sleep(fakeStep)
 		synctest.Wait()
 		for _, name := range []string{"mill", "dye", "recipes"} {
 			r.cells[name].stepMachines()
@@ -148,6 +158,7 @@
 	}
 }
 
+// submit submits n jobs of a class to a cell.
 func (r *fakeRegion) submit(cell string, n int, class string) {
 	c := r.cells[cell]
 	c.mu.Lock()
@@ -157,13 +168,14 @@
 	}
 }
 
-func (r *fakeRegion) setPartitioned(cell string, cut bool) {
+// setPartitioned cuts a cell off from all others, or ends that.
+func (r *fakeRegion) setPartitioned(cell string, partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.partitioned[cell] = cut
+	r.partitioned[cell] = partitioned
 }
 
-// cancelSome cancels every sixth job.
+// cancelSome cancels every sixth job of the mill.
 func (r *fakeRegion) cancelSome() {
 	c := r.cells["mill"]
 	c.mu.Lock()
@@ -173,13 +185,14 @@
 	}
 }
 
-func (r *fakeRegion) restartLeader(cell string, away time.Duration) {
+// restartLeader stops a cell's leader, and starts another after a downtime.
+func (r *fakeRegion) restartLeader(cell string, downtime time.Duration) {
 	r.cells[cell].stopLeader()
-	r.advance(away)
+	r.advance(downtime)
 	r.cells[cell].startLeader()
 }
 
-// outage has a cell's state service refuse for a while.
+// failStore has a cell's store refuse all writes for a time.
 func (r *fakeRegion) failStore(cell string, length time.Duration) {
 	s := r.cells[cell].store
 	set := func(down bool) {
--- a/internal/federation/fakescheduler_test.go
+++ b/internal/federation/fakescheduler_test.go
@@ -2,6 +2,8 @@
 
 import "slices"
 
+// This file is the Scheduler of a fakeCell.
+
 func (c *fakeCell) Run(id TransferID, _ []byte, done TaskSet) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,22 +20,23 @@
 func (c *fakeCell) Progress(id TransferID) Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	present := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.guest == id })
-	return Progress{Done: c.guestDone[id], Complete: allDone(c.guestDone[id]), Running: present}
+	running := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.guest == id })
+	return Progress{Done: c.guestDone[id], Complete: fakeJobDone(c.guestDone[id]), Running: running}
 }
 
-func allDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<fakeJobTasks - 1}) }
+func fakeJobDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<fakeJobTasks - 1}) }
 
+// job returns a job of the cell's own.
 func (c *fakeCell) job(id string) *fakeJob {
 	i := slices.IndexFunc(c.jobs, func(j *fakeJob) bool { return j.id == id })
 	return c.jobs[i]
 }
 
-func (c *fakeCell) Returned(id string, done TaskSet, reruns int) bool {
+func (c *fakeCell) Returned(id string, done TaskSet, restarts int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.job(id)
-	j.handedOver, j.done, j.restarts = false, j.done.Union(done), reruns
+	j.handedOver, j.done, j.restarts = false, j.done.Union(done), restarts
 	return j.ended
 }
 
@@ -42,8 +45,8 @@
 	defer c.mu.Unlock()
 	j := c.job(id)
 	j.done = j.done.Union(done)
-	if !allDone(j.done) {
-		c.region.t.Errorf("%s is finished with tasks %v", id, j.done)
+	if !fakeJobDone(j.done) {
+		c.region.t.Errorf("%s is finished with tasks %v done", id, j.done)
 	}
 	j.ended = true
 	c.region.recordAnswer(id, "done")
--- a/internal/federation/fakestore_test.go
+++ b/internal/federation/fakestore_test.go
@@ -2,13 +2,17 @@
 
 import (
 	"context"
+	"strings"
 	"sync"
 	"time"
 
 	"dunestand/internal/protocol"
 )
 
-// memoryStore keeps records with versions, as the state service does.
+// fakeWriteTime is how long a write takes.
+const fakeWriteTime = 6 * time.Millisecond
+
+// fakeStore is a key-value store in memory. While it is down it refuses all writes.
 type fakeStore struct {
 	mu       sync.Mutex
 	records  map[string]protocol.Item
@@ -19,17 +23,17 @@
 func (s *fakeStore) List(_ context.Context, prefix string) ([]protocol.Item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []protocol.Item
+	var found []protocol.Item
 	for key, item := range s.records {
-		if len(key) > len(prefix) && key[:len(prefix)] == prefix {
-			out = append(out, item)
+		if len(key) > len(prefix) && strings.HasPrefix(key, prefix) {
+			found = append(found, item)
 		}
 	}
-	return out, nil
+	return found, nil
 }
 
 func (s *fakeStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
-	time.Sleep(6 * time.Millisecond)
+	time.Sleep(fakeWriteTime)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -8,14 +8,14 @@
 	"dunestand/internal/protocol"
 )
 
-// A leader that was replaced stores nothing, stops, and says so once.
+// A leader that was replaced writes nothing, stops, and reports that once.
 func TestSupersededLeaderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegion(t, 1)
 		r.submit("mill", 2, "loomplan")
 		c := r.cells["mill"]
-		old, lost := c.manager, 0
-		old.OnSuperseded = func() { lost++ }
+		old, calls := c.manager, 0
+		old.OnSuperseded = func() { calls++ }
 		ctx := t.Context()
 		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
@@ -29,13 +29,13 @@
 		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000002", Class: "loomplan", Target: "dye", Work: 10}); !errors.Is(err, ErrNotHandedOver) {
 			t.Errorf("it begins a transfer: %v", err)
 		}
-		if lost != 1 {
-			t.Errorf("it says %d times that it was replaced", lost)
+		if calls != 1 {
+			t.Errorf("it reports %d times that it was replaced", calls)
 		}
 	})
 }
 
-// What may not be handed over is refused with the reason, and stays where it is.
+// A job that may not be handed over stays where it is, and the error gives the reason.
 func TestIneligibleJobIsNotHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegion(t, 1)
@@ -64,7 +64,7 @@
 		c := r.cells["mill"]
 		raw := protocol.Encode("damaged")
 		in := TransferID{Origin: "dye", Job: "j-000009", Incarnation: 7}
-		for _, key := range []string{PrefixOut + "j-000001", incomingKey(in)} {
+		for _, key := range []string{outgoingKey("j-000001"), incomingKey(in)} {
 			c.store.records[key] = protocol.Item{Key: key, Value: raw, Version: 5}
 		}
 		c.startLeader()
@@ -78,26 +78,26 @@
 		c.manager.Receive(t.Context(), "dye", Message{Kind: MessageRefused, Transfer: out})
 		c.manager.Receive(t.Context(), "dye", Message{Kind: MessageCommit, Transfer: in})
 		c.manager.Tick(t.Context())
-		if sent, saves := c.manager.Stats.Sent.Load(), c.manager.Stats.Writes.Load(); sent != 0 || saves != 0 {
-			t.Errorf("%d messages and %d saves about what cannot be read", sent, saves)
+		if sent, writes := c.manager.Stats.Sent.Load(), c.manager.Stats.Writes.Load(); sent != 0 || writes != 0 {
+			t.Errorf("%d messages and %d writes about what cannot be read", sent, writes)
 		}
 	})
 }
 
-// A cell may speak only for its own transfers, and only cells of the file are heard.
+// Only cells of the cells file are heard, and each only about its own transfers.
 func TestForbiddenMessageIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newFakeRegion(t, 1).cells["mill"].manager
-		of := func(cell string) TransferID { return TransferID{Origin: cell, Job: "j-000001", Incarnation: 1} }
+		idOf := func(cell string) TransferID { return TransferID{Origin: cell, Job: "j-000001", Incarnation: 1} }
 		for n, c := range []struct {
 			from string
 			m    Message
 		}{
-			{"recipes", Message{Kind: MessageReserve, Transfer: of("dye"), Work: 1}},
-			{"dye", Message{Kind: MessageRefused, Transfer: of("dye")}},
-			{"mill", Message{Kind: MessageReserve, Transfer: of("mill"), Work: 1}},
-			{"loom", Message{Kind: MessageReserve, Transfer: of("loom"), Work: 1}},
-			{"dye", Message{Kind: messageKindCount, Transfer: of("dye")}},
+			{"recipes", Message{Kind: MessageReserve, Transfer: idOf("dye"), Work: 1}},
+			{"dye", Message{Kind: MessageRefused, Transfer: idOf("dye")}},
+			{"mill", Message{Kind: MessageReserve, Transfer: idOf("mill"), Work: 1}},
+			{"loom", Message{Kind: MessageReserve, Transfer: idOf("loom"), Work: 1}},
+			{"dye", Message{Kind: messageKindCount, Transfer: idOf("dye")}},
 		} {
 			m.Receive(t.Context(), c.from, c.m)
 			if got := m.Stats.Rejected.Load(); got != int64(n+1) || m.Stats.Sent.Load() != 0 {
--- a/internal/federation/managercells_test.go
+++ b/internal/federation/managercells_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Three stand-in cells, the mill overloaded, the dyehouse cut off and later without half
-// of its machines, leaders ending all the while: every job gets exactly one final answer.
+// Three fake cells: one that is overloaded, and one that is partitioned and later loses half
+// of its machines; all leaders are replaced. Every job gets exactly one final answer.
 func TestThreeFakeCellsGiveOneFinalAnswerPerJob(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -35,17 +35,17 @@
 	r.advance(10 * time.Second)
 	r.failStore("mill", 15*time.Second)
 	r.advance(10 * time.Minute)
-	count := map[string]int{}
+	answers := map[string]int{}
 	for _, j := range r.cells["mill"].jobs {
-		count[r.answers[j.id]]++
+		answers[r.answers[j.id]]++
 	}
-	if count["done"]+count["cancelled"] != 36 || count["done"] < 30 {
-		t.Errorf("36 jobs ended as %v", count)
+	if answers["done"]+answers["cancelled"] != 36 || answers["done"] < 30 {
+		t.Errorf("36 jobs ended as %v", answers)
 	}
-	moved, messages, saves := 0, int64(0), int64(0)
+	moved, messages, writes := 0, int64(0), int64(0)
 	for name, c := range r.cells {
 		messages += c.manager.Stats.Sent.Load()
-		saves += c.manager.Stats.Writes.Load()
+		writes += c.manager.Stats.Writes.Load()
 		if len(c.store.records) != 0 {
 			t.Errorf("%s keeps %d records", name, len(c.store.records))
 		}
@@ -54,9 +54,9 @@
 	if moved == 0 {
 		t.Error("no job was handed over")
 	}
-	t.Logf("%v; %d transfers began to run; of the last leaders %d messages, %d saves", count, moved, messages, saves)
+	t.Logf("%v; %d transfers began to run; of the last leaders %d messages, %d writes", answers, moved, messages, writes)
 	for _, c := range r.cells {
 		c.stopLeader()
 	}
-	time.Sleep(2 * time.Minute) // late messages
+	time.Sleep(2 * time.Minute) // until the late messages have been delivered
 }
--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -8,8 +8,10 @@
 	"dunestand/internal/units"
 )
 
-// delegated is a region in which the dyehouse runs a job of the mill.
+// newDelegatedRegion returns a region in which the dyehouse runs a job of the mill, and the
+// transfer of that job.
 func newDelegatedRegion(t *testing.T, class string) (*fakeRegion, TransferID) {
+	t.Helper()
 	r := newFakeRegion(t, 3)
 	r.submit("mill", 1, class)
 	c := r.cells["mill"]
@@ -27,25 +29,26 @@
 	return nil, id
 }
 
-// A job whose target is cut off for ever is taken back once the lease, the time to stop
-// and the drift have passed; one that may not be begun again waits.
+// A job whose target is partitioned for ever is reclaimed once lease, grace period and drift
+// have passed; one that may not be restarted waits.
 func TestJobIsReclaimedFromPartitionedCell(t *testing.T) {
 	for class, want := range map[string]Owner{"loomplan": OwnerOrigin, "rushorder": OwnerTarget} {
 		synctest.Test(t, func(t *testing.T) {
 			r, _ := newDelegatedRegion(t, class)
-			r.cells["dye"].slots = 0 // it gets no further
+			r.cells["dye"].slots = 0 // so that the job gets no further
 			r.setPartitioned("dye", true)
 			m := r.cells["mill"].manager
 			r.advance((reclaimAfterLeases*r.config.Timing.Lease + r.config.Timing.ReclaimDelay() + 3*units.Second).Duration())
 			if got := m.Owner("j-000001"); got != want && !(want == OwnerOrigin && got == OwnerEnded) {
-				t.Errorf("%s: owner %d, want %d", class, got, want)
+				t.Errorf("%s: owner %v, want %v", class, got, want)
 			}
 		})
 	}
 }
 
-// A leader that begins while a job is elsewhere does not know of its predecessor's last
-// grant: it takes its own claim for it, also when the job is cancelled at once.
+// A leader that takes over while a job is elsewhere does not know when its predecessor
+// granted a lease last: it counts from its own election, also when the job is cancelled at
+// once.
 func TestNewLeaderWaitsForPredecessorsGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, id := newDelegatedRegion(t, "loomplan")
@@ -56,11 +59,11 @@
 		c.manager.Cancel(t.Context(), "j-000001")
 		r.advance((r.config.Timing.ReclaimDelay() - 2*units.Second).Duration())
 		if got := c.manager.Owner("j-000001"); got != OwnerNone {
-			t.Errorf("before the time has passed: owner %d", got)
+			t.Errorf("before the reclaim delay: owner %v", got)
 		}
 		r.advance(4 * time.Second)
 		if got := c.manager.Owner("j-000001"); got != OwnerEnded || r.answers["j-000001"] != "cancelled" {
-			t.Errorf("after it: owner %d, answer %q", got, r.answers["j-000001"])
+			t.Errorf("after the reclaim delay: owner %v, answer %q", got, r.answers["j-000001"])
 		}
 		if d := r.cells["dye"]; d.manager.MayRun(id) || d.guestWanted[id] {
 			t.Error("the target goes on")
@@ -68,8 +71,7 @@
 	})
 }
 
-// While the state service is down nothing is decided and nothing is sent that rests on a
-// decision.
+// While the store is down no record changes, and nothing is sent that rests on a change.
 func TestNothingIsSentBeforeItIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegion(t, 1)
@@ -83,15 +85,15 @@
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserved, Transfer: id})
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserve, Transfer: TransferID{"dye", "j-000002", 1}, Work: 1})
 		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.outgoing["j-000001"].record.Phase != Intended {
-			t.Errorf("%d messages, phase %d", sent, m.outgoing["j-000001"].record.Phase)
+			t.Errorf("%d messages, phase %v", sent, m.outgoing["j-000001"].record.Phase)
 		}
-		if free := m.FreeCapacity(); free != Work(r.cells["mill"].slots)*100_000 {
+		if free := m.FreeCapacity(); free != Work(r.cells["mill"].slots)*fakeSlotCapacity {
 			t.Errorf("%d free: a reservation that is not stored is kept", free)
 		}
 	})
 }
 
-// Only its target may tell how a job ended, and nobody once its user was told.
+// Only the target's result counts, and none once the job's user was told of its end.
 func TestLateOrForbiddenResultChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, id := newDelegatedRegion(t, "loomplan")
@@ -99,19 +101,19 @@
 		result := Message{Kind: MessageResult, Transfer: id, Done: TaskSet{15}, Run: 1}
 		m.Receive(t.Context(), "recipes", result)
 		if got := m.Owner("j-000001"); got != OwnerTarget {
-			t.Errorf("another cell tells of the end: owner %d", got)
+			t.Errorf("after a result of another cell: owner %v", got)
 		}
 		if m.JobEnded(t.Context(), "j-000001") {
 			t.Error("a job that is elsewhere may end here")
 		}
-		o := m.outgoing["j-000001"]
-		o.record.Phase = OriginReturned
+		transfer := m.outgoing["j-000001"]
+		transfer.record.Phase = OriginReturned
 		if !m.JobEnded(t.Context(), "j-000001") {
 			t.Fatal("a job that is back may not end")
 		}
 		m.Receive(t.Context(), "dye", result)
-		if o.record.Phase != OriginWithdrawn {
-			t.Errorf("a result after the job's end: phase %d", o.record.Phase)
+		if transfer.record.Phase != OriginWithdrawn {
+			t.Errorf("a result after the job's end: phase %v", transfer.record.Phase)
 		}
 	})
 }
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -11,39 +11,42 @@
 	"dunestand/internal/units"
 )
 
-// This file plays random histories of three cells: messages that are lost, doubled and
-// late by any time, cuts in one direction, leaders that end before and after a save,
-// clocks that drift. What must hold is checked on the tasks themselves, from outside.
+// The model plays random histories of three cells: messages that are lost, duplicated and
+// delayed by any time, partitions in one direction, leaders that crash before and after a
+// write, clocks that drift. The invariants are checked on the tasks themselves, from outside.
 
 const (
 	modelTasks        = 4
 	modelCapacity     = Work(5)
 	modelReclaimAfter = 20 * units.Second
+	// modelForever is the lease of a task at home, whose scheduling is not modelled.
+	modelForever units.Micros = 1 << 50
 )
 
 var modelTiming = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
 
 // execution is a job's tasks on the machines of one cell.
 type execution struct {
-	leaseExpires units.Micros // real time at which the workers' leases end
+	leaseExpires units.Micros // real time of the workers' leases
 	done         TaskSet
 }
 
 // userJob is a job as its user and an observer of all machines see it.
 type userJob struct {
-	id                      string
-	home                    *modelCell
-	maxRestarts             int
-	runsBegun               map[string]bool // the runs of its tasks, in whichever cell
-	cancelRequested         bool
-	toldDone, toldCancelled bool // the user was told
-	incarnation             uint64
-	restarts                int
+	id                              string
+	home                            *modelCell
+	maxRestarts                     int
+	runs                            map[string]bool // of its tasks, in whichever cell
+	cancelRequested                 bool
+	answeredDone, answeredCancelled bool // what the user was told
+	incarnation                     uint64
+	restarts                        int
 }
 
+// modelCell is a cell: what is stored, what its machines do, and its leader.
 type modelCell struct {
 	name         string
-	clockRate    float64 // of its steady clock
+	clockRate    float64 // of its steady clock, against real time
 	fencingToken uint64
 	leaderFrom   units.Micros // real time from which a leader is there
 	outgoing     map[string]OriginRecord
@@ -53,26 +56,28 @@
 	leader       modelLeader
 }
 
-// modelLeader is what a leader keeps in memory alone.
+// modelLeader is what a leader keeps in memory only.
 type modelLeader struct {
 	grantors     map[string]*LeaseGrantor
 	holders      map[TransferID]*LeaseHolder
 	reservations *Reservations
 }
 
+// envelope is a message that was sent.
 type envelope struct {
 	from, to *modelCell
 	message  Message
 }
 
+// model is three cells, their network and their users.
 type model struct {
 	t          *rapid.T
 	now        units.Micros
 	cells      []*modelCell
 	jobs       []*userJob
 	network    []envelope
-	partitions map[[2]string]bool
-	healed     bool
+	partitions map[[2]string]bool // by sender and receiver
+	healed     bool               // no faults any more
 }
 
 func newModel(t *rapid.T) *model {
@@ -92,7 +97,7 @@
 			m.jobs = append(m.jobs, &userJob{
 				id:          fmt.Sprintf("j-%06d", 10*i+k),
 				home:        c,
-				runsBegun:   map[string]bool{},
+				runs:        map[string]bool{},
 				maxRestarts: rapid.IntRange(0, 2).Draw(t, "allowance"),
 			})
 		}
@@ -100,9 +105,10 @@
 	return m
 }
 
+// clock returns the steady time of a cell.
 func (m *model) clock(c *modelCell) units.Micros { return units.Micros(float64(m.now) * c.clockRate) }
 
-// claim begins a new leader, which knows what is stored and nothing else.
+// startLeader starts a leader, which knows what is stored and nothing else.
 func (m *model) startLeader(c *modelCell) {
 	c.fencingToken++
 	c.leader = modelLeader{
@@ -122,8 +128,8 @@
 	}
 }
 
-// ends has a cell's leader end, and tells so.
-func (m *model) maybeCrash(c *modelCell) bool {
+// mayCrash may crash a cell's leader, and reports whether it did.
+func (m *model) mayCrash(c *modelCell) bool {
 	if m.healed || rapid.IntRange(0, 99).Draw(m.t, "leader ends") != 50 {
 		return false
 	}
@@ -131,6 +137,7 @@
 	return true
 }
 
+// crash replaces a cell's leader, after a time without one.
 func (m *model) crash(c *modelCell) {
 	m.startLeader(c)
 	c.leaderFrom = m.now + rapid.SampledFrom([]units.Micros{0, 1, 5, 40}).Draw(m.t, "away")*units.Second
@@ -140,14 +147,14 @@
 	return m.jobs[slices.IndexFunc(m.jobs, func(j *userJob) bool { return j.id == id })]
 }
 
-// spill begins a transfer of a job that does not run.
+// maybeHandOver begins a transfer of a job that does not run.
 func (m *model) maybeHandOver(job *userJob) {
 	c := job.home
-	if _, moved := c.outgoing[job.id]; moved || m.now < c.leaderFrom || c.executions[job.id] != nil || job.toldDone || job.cancelRequested {
+	if _, moved := c.outgoing[job.id]; moved || m.now < c.leaderFrom || c.executions[job.id] != nil || job.answeredDone || job.cancelRequested {
 		return
 	}
-	reruns := job.restarts
-	if reruns > job.maxRestarts {
+	restarts := job.restarts
+	if restarts > job.maxRestarts {
 		return
 	}
 	to := m.cells[rapid.IntRange(0, len(m.cells)-1).Draw(m.t, "target")]
@@ -155,10 +162,11 @@
 		return
 	}
 	id := TransferID{Origin: c.name, Job: job.id, Incarnation: job.incarnation + 1}
-	request := HandOverRequest{Target: to.name, Description: []byte("job"), Work: 2, Restarts: reruns}
+	request := HandOverRequest{Target: to.name, Description: []byte("job"), Work: 2, Restarts: restarts}
 	m.applyOrigin(c, BeginTransfer(id, request, job.maxRestarts))
 }
 
+// step is one event of a history.
 func (m *model) step() {
 	c := m.cells[rapid.IntRange(0, len(m.cells)-1).Draw(m.t, "cell")]
 	job := m.jobs[rapid.IntRange(0, len(m.jobs)-1).Draw(m.t, "job")]
@@ -184,7 +192,7 @@
 	}
 }
 
-// pass lets time go by, and then every leader look at its records.
+// advance lets time pass, and then every leader look at its records.
 func (m *model) advance(time units.Micros) {
 	m.now += time
 	m.checkInvariants()
@@ -194,6 +202,9 @@
 	}
 }
 
+// Tasks of a job run in one cell at a time and no more often than its class allows; users get
+// one final answer, and a true one; promises stay within what is offered; and once all is
+// healed every job ends and no record is left.
 func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
--- a/internal/federation/modelcheck_test.go
+++ b/internal/federation/modelcheck_test.go
@@ -2,7 +2,7 @@
 
 import "dunestand/internal/units"
 
-// check looks at the machines of all cells.
+// checkInvariants looks at the machines and the reservations of all cells.
 func (m *model) checkInvariants() {
 	for _, job := range m.jobs {
 		var in []string
@@ -22,12 +22,12 @@
 	}
 	for _, c := range m.cells {
 		if c.leader.reservations.reserved() > modelCapacity {
-			m.t.Fatalf("%s has promised %d of %d", c.name, c.leader.reservations.reserved(), modelCapacity)
+			m.t.Fatalf("%s has reserved %d of %d", c.name, c.leader.reservations.reserved(), modelCapacity)
 		}
 	}
 }
 
-// settle heals everything and waits until every job is over and no record is left.
+// healAndFinish ends all faults, after which every job must end and no record be left.
 func (m *model) healAndFinish() {
 	m.healed = true
 	clear(m.partitions)
@@ -47,8 +47,8 @@
 		m.checkInvariants()
 	}
 	for _, job := range m.jobs {
-		if !job.toldDone && !job.toldCancelled {
-			m.t.Fatalf("%s is lost: %+v", job.id, job.home.outgoing[job.id])
+		if !job.answeredDone && !job.answeredCancelled {
+			m.t.Fatalf("%s has not ended: %+v", job.id, job.home.outgoing[job.id])
 		}
 	}
 	for _, c := range m.cells {
@@ -58,26 +58,29 @@
 	}
 }
 
-func (m *model) checkToldDone(job *userJob, done TaskSet) {
-	if !complete(done) {
-		m.t.Fatalf("%s is called done with tasks %v", job.id, done)
+// answerDone tells a job's user that it is done, which must be true.
+func (m *model) answerDone(job *userJob, done TaskSet) {
+	if !modelJobDone(done) {
+		m.t.Fatalf("the user of %s is told that it is done, with tasks %v done", job.id, done)
 	}
-	if job.toldCancelled {
-		m.t.Fatalf("%s was called cancelled and is called done", job.id)
+	if job.answeredCancelled {
+		m.t.Fatalf("the user of %s is told that it is done, and was told that it is cancelled", job.id)
 	}
-	job.toldDone = true
+	job.answeredDone = true
 }
 
-func (m *model) checkToldCancelled(job *userJob) {
-	if job.toldDone {
-		return // it was done before
+// answerCancelled tells a job's user that it is cancelled, unless it was done before: no task
+// of it may run elsewhere.
+func (m *model) answerCancelled(job *userJob) {
+	if job.answeredDone {
+		return // the job was done before it could be cancelled
 	}
 	for _, c := range m.cells {
 		if exec := c.executions[job.id]; exec != nil && m.now < exec.leaseExpires && c != job.home {
-			m.t.Fatalf("%s is called cancelled while it runs in %s", job.id, c.name)
+			m.t.Fatalf("the user of %s is told that it is cancelled while it runs in %s", job.id, c.name)
 		}
 	}
-	job.toldCancelled = true
+	job.answeredCancelled = true
 }
 
-func complete(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<modelTasks - 1}) }
+func modelJobDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<modelTasks - 1}) }
--- a/internal/federation/modeldelivery_test.go
+++ b/internal/federation/modeldelivery_test.go
@@ -8,113 +8,118 @@
 	"dunestand/internal/protocol"
 )
 
+// send sends messages, which must be well-formed.
 func (m *model) send(from *modelCell, to string, messages []Message) {
-	for _, msg := range messages {
-		if err := msg.Check(); err != nil {
-			m.t.Fatalf("a cell sends %+v: %v", msg, err)
+	for _, message := range messages {
+		if err := message.Check(); err != nil {
+			m.t.Fatalf("%s sends %+v: %v", from.name, message, err)
 		}
 		i := slices.IndexFunc(m.cells, func(c *modelCell) bool { return c.name == to })
-		m.network = append(m.network, envelope{from, m.cells[i], msg})
+		m.network = append(m.network, envelope{from, m.cells[i], message})
 	}
 }
 
-// originDecides carries a decision out: stored first, then sent.
-func (m *model) applyOrigin(c *modelCell, d Decision[OriginRecord]) {
-	if m.maybeCrash(c) {
+// applyOrigin carries out a decision: first the record is written, then messages are sent.
+func (m *model) applyOrigin(c *modelCell, decision Decision[OriginRecord]) {
+	if m.mayCrash(c) {
 		return
 	}
-	job := d.Record.Transfer.Job
-	if d.Write {
-		c.outgoing[job] = roundTripOrigin(m.t, d.Record)
+	job := decision.Record.Transfer.Job
+	if decision.Write {
+		c.outgoing[job] = roundTripOrigin(m.t, decision.Record)
 		if c.leader.grantors[job] == nil {
 			grantor := NewLeaseGrantor(m.clock(c))
 			c.leader.grantors[job] = &grantor
 		}
-		if m.maybeCrash(c) {
+		if m.mayCrash(c) {
 			return
 		}
 	}
-	m.send(c, d.Record.Target, d.Send)
+	m.send(c, decision.Record.Target, decision.Send)
 }
 
-func (m *model) applyTarget(c *modelCell, d Decision[TargetRecord]) {
-	if m.maybeCrash(c) {
+// applyTarget does the same for the target.
+func (m *model) applyTarget(c *modelCell, decision Decision[TargetRecord]) {
+	if m.mayCrash(c) {
 		return
 	}
-	id := d.Record.Transfer
+	id := decision.Record.Transfer
 	switch {
-	case d.Remove:
+	case decision.Remove:
 		delete(c.incoming, id)
-	case d.Write:
-		c.incoming[id] = roundTripTarget(m.t, d.Record)
+	case decision.Write:
+		c.incoming[id] = roundTripTarget(m.t, decision.Record)
 		if c.leader.holders[id] == nil {
 			holder := NewLeaseHolder(c.fencingToken)
 			c.leader.holders[id] = &holder
 		}
-		switch d.Record.Phase {
+		switch decision.Record.Phase {
 		case TargetAccepted:
 			c.leader.reservations.Commit(id)
 		case TargetFinished, TargetRefused:
 			c.leader.reservations.Release(id)
 		}
-		if m.maybeCrash(c) {
+		if m.mayCrash(c) {
 			return
 		}
 	}
-	m.send(c, id.Origin, d.Send)
+	m.send(c, id.Origin, decision.Send)
 }
 
-func (m *model) deliver(e envelope) {
-	c, msg := e.to, &e.message
-	if m.now < c.leaderFrom || m.partitions[[2]string{e.from.name, c.name}] {
-		return // lost
+// deliver delivers a message, unless the receiver has no leader or is partitioned.
+func (m *model) deliver(sent envelope) {
+	c, message := sent.to, &sent.message
+	if m.now < c.leaderFrom || m.partitions[[2]string{sent.from.name, c.name}] {
+		return // the message is lost
 	}
-	if msg.Kind.toTarget() {
-		r, known := c.incoming[msg.Transfer]
+	if message.Kind.toTarget() {
+		r, known := c.incoming[message.Transfer]
 		if known {
-			m.applyTarget(c, r.Receive(msg, c.leader.holders[msg.Transfer], modelTiming.Lease, m.clock(c)))
+			m.applyTarget(c, r.Receive(message, c.leader.holders[message.Transfer], modelTiming.Lease, m.clock(c)))
 			return
 		}
-		room := msg.Kind == MessageReserve && c.leader.reservations.Reserve(msg.Transfer, msg.Work, m.clock(c))
-		m.applyTarget(c, ReceiveNew(msg, room))
+		hasCapacity := message.Kind == MessageReserve && c.leader.reservations.Reserve(message.Transfer, message.Work, m.clock(c))
+		m.applyTarget(c, ReceiveNew(message, hasCapacity))
 		return
 	}
-	r, known := c.outgoing[msg.Transfer.Job]
+	r, known := c.outgoing[message.Transfer.Job]
 	if !known {
-		m.send(c, e.from.name, ReplyToUnknown(msg))
+		m.send(c, sent.from.name, ReplyToUnknown(message))
 		return
 	}
-	d := r.Receive(msg, c.leader.grantors[r.Transfer.Job], m.clock(c))
-	if msg.Transfer != r.Transfer {
-		m.send(c, e.from.name, d.Send)
+	decision := r.Receive(message, c.leader.grantors[r.Transfer.Job], m.clock(c))
+	if message.Transfer != r.Transfer {
+		m.send(c, sent.from.name, decision.Send)
 		return
 	}
-	m.applyOrigin(c, d)
+	m.applyOrigin(c, decision)
 }
 
-// deliverAny delivers any message that is on its way, however old. A copy may stay.
+// deliverAny delivers any message that was sent, however long ago. A copy may stay.
 func (m *model) deliverAny() {
 	i := rapid.IntRange(0, len(m.network)-1).Draw(m.t, "message")
-	e := m.network[i]
+	sent := m.network[i]
 	if len(m.network) > 60 || rapid.IntRange(0, 4).Draw(m.t, "copy stays") != 0 {
 		m.network = slices.Delete(m.network, i, i+1)
 	}
-	m.deliver(e)
+	m.deliver(sent)
 	m.checkInvariants()
 }
 
-func roundTripOrigin(t *rapid.T, r OriginRecord) OriginRecord {
-	back, err := ParseOrigin(protocol.Item{Key: r.Key(), Value: r.Encode("1-1")})
+// roundTripOrigin returns a record as it is read after it was stored.
+func roundTripOrigin(t *rapid.T, record OriginRecord) OriginRecord {
+	read, err := ParseOrigin(protocol.Item{Key: record.Key(), Value: record.Encode("1-1")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return back
+	return read
 }
 
-func roundTripTarget(t *rapid.T, r TargetRecord) TargetRecord {
-	back, err := DecodeTargetRecord(protocol.Item{Key: r.Key(), Value: r.Encode("1-1")})
+// roundTripTarget returns a record as it is read after it was stored.
+func roundTripTarget(t *rapid.T, record TargetRecord) TargetRecord {
+	read, err := DecodeTargetRecord(protocol.Item{Key: record.Key(), Value: record.Encode("1-1")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return back
+	return read
 }
--- a/internal/federation/modelleader_test.go
+++ b/internal/federation/modelleader_test.go
@@ -10,8 +10,9 @@
 	"dunestand/internal/units"
 )
 
-// This file is what the leaders of the model's cells do when they look at their records.
+// This file is what the leaders of the model do when they look at their records.
 
+// tick has a cell's leader look at all of its records.
 func (m *model) tick(c *modelCell) {
 	if m.now < c.leaderFrom {
 		return
@@ -46,11 +47,11 @@
 	}
 	switch r.Phase {
 	case OriginFinished:
-		m.checkToldDone(job, c.done[job.id].Union(r.Done))
+		m.answerDone(job, c.done[job.id].Union(r.Done))
 	case OriginWithdrawn:
-		m.checkToldCancelled(job)
+		m.answerCancelled(job)
 	}
-	if r.Removable() && (r.Phase != OriginReturned || job.toldDone || job.toldCancelled || rapid.Bool().Draw(m.t, "remove")) {
+	if r.Removable() && (r.Phase != OriginReturned || job.answeredDone || job.answeredCancelled || rapid.Bool().Draw(m.t, "remove")) {
 		c.done[job.id] = c.done[job.id].Union(r.Done)
 		job.incarnation, job.restarts = r.Transfer.Incarnation, r.NextRestarts()
 		delete(c.outgoing, job.id)
@@ -71,29 +72,30 @@
 	}
 }
 
-// runHere is what a cell does with a job that is its own.
+// runAtHome is what a cell does with a job that it owns.
 func (m *model) runAtHome(c *modelCell, job *userJob) {
 	switch exec := c.executions[job.id]; {
-	case job.toldDone || job.toldCancelled:
+	case job.answeredDone || job.answeredCancelled:
 		delete(c.executions, job.id)
 	case job.cancelRequested:
 		delete(c.executions, job.id)
-		m.checkToldCancelled(job)
+		m.answerCancelled(job)
 		m.recordEndAtHome(c, job)
 	case exec != nil:
-		exec.leaseExpires = m.now + 1<<50 // ordinary scheduling within a cell is not modelled
+		exec.leaseExpires = m.now + modelForever
 		m.completeTasks(exec)
 		c.done[job.id] = c.done[job.id].Union(exec.done)
-		if complete(c.done[job.id]) {
-			m.checkToldDone(job, c.done[job.id])
+		if modelJobDone(c.done[job.id]) {
+			m.answerDone(job, c.done[job.id])
 			m.recordEndAtHome(c, job)
 		}
 	case m.healed || rapid.IntRange(0, 3).Draw(m.t, "run here") == 0:
-		m.beginRun(c, job, fmt.Sprintf("at home after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), 1<<50)
+		m.beginRun(c, job, fmt.Sprintf("at home after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), modelForever)
 	}
 }
 
-// endedHere stores, together with a job's end, that its transfer matters no more.
+// recordEndAtHome stores, together with the end of a job, that its transfer no longer
+// matters.
 func (m *model) recordEndAtHome(c *modelCell, job *userJob) {
 	if r, moved := c.outgoing[job.id]; moved {
 		c.outgoing[job.id] = r.JobEnded().Record
@@ -108,9 +110,9 @@
 		if exec == nil {
 			m.beginRun(c, m.job(r.Transfer.Job), fmt.Sprintf("%v run %d", r.Transfer, r.Run), m.stopGrace(c))
 		} else {
-			exec.leaseExpires = m.now + m.stopGrace(c) // the workers are answered
+			exec.leaseExpires = m.now + m.stopGrace(c) // the leader extends the leases of its workers
 			m.completeTasks(exec)
-			m.applyTarget(c, r.TasksCompleted(exec.done, complete(r.Done.Union(exec.done))))
+			m.applyTarget(c, r.TasksCompleted(exec.done, modelJobDone(r.Done.Union(exec.done))))
 		}
 	}
 	if r.Stopping && exec == nil {
@@ -122,21 +124,22 @@
 	}
 }
 
-// stop is, in real time, how long a cell's workers go on without an answer.
+// stopGrace is, in real time, how long a cell's workers go on without their leader.
 func (m *model) stopGrace(c *modelCell) units.Micros {
 	return units.Micros(float64(modelTiming.StopGrace) / c.clockRate)
 }
 
-// begin starts a job's tasks. That a cell starts tasks of a run once more that were lost
-// with their machines is ordinary scheduling, and no other run.
-func (m *model) beginRun(c *modelCell, job *userJob, run string, alive units.Micros) {
-	job.runsBegun[run] = true
-	if len(job.runsBegun) > 1+job.maxRestarts {
-		m.t.Fatalf("%s is begun as %v, its class allows %d reruns", job.id, job.runsBegun, job.maxRestarts)
-	}
-	c.executions[job.id] = &execution{leaseExpires: m.now + alive}
+// beginRun starts the tasks of a job. Where a cell starts tasks of the same run once more, as
+// after the loss of machines, that is ordinary scheduling and no other run.
+func (m *model) beginRun(c *modelCell, job *userJob, run string, lease units.Micros) {
+	job.runs[run] = true
+	if len(job.runs) > 1+job.maxRestarts {
+		m.t.Fatalf("%s has the runs %v, its class allows %d restarts", job.id, job.runs, job.maxRestarts)
+	}
+	c.executions[job.id] = &execution{leaseExpires: m.now + lease}
 }
 
+// completeTasks completes some tasks, or all once faults are healed.
 func (m *model) completeTasks(exec *execution) {
 	for task := range modelTasks {
 		if m.healed || rapid.IntRange(0, 5).Draw(m.t, "ends") == 0 {
