--- a/internal/federation/config_test.go
+++ b/internal/federation/config_test.go
@@ -1,6 +1,7 @@
 package federation
 
 import (
+	"errors"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -11,15 +12,16 @@
 	"dunestand/internal/units"
 )
 
+// exampleConfigPath is the cells file that is delivered as an example.
 const exampleConfigPath = "../../deploy/cells.toml"
 
 func loadExampleConfig(t *testing.T) *Config {
 	t.Helper()
-	cells, err := LoadCells(exampleConfigPath)
+	c, err := LoadCells(exampleConfigPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return cells
+	return c
 }
 
 func TestExampleConfigIsRead(t *testing.T) {
@@ -74,14 +76,16 @@
 		{`restarts = 2`, ``, "class[2].restarts: missing"},
 		{`restarts = 2`, `restarts = "some"`, "restarts"},
 	} {
-		path := filepath.Join(t.TempDir(), "cells.toml")
-		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := LoadCells(path)
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v, want one line with %q", c.new, c.old, err, c.want)
-		}
+		t.Run(c.old+" as "+c.new, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "cells.toml")
+			if err := os.WriteFile(path, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := LoadCells(path)
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line with %q", err, c.want)
+			}
+		})
 	}
 }
 
@@ -98,10 +102,14 @@
 		"lease_s":       func(c *Config) { c.Timing.Lease = 16 * units.Second },
 		"class[3].name": func(c *Config) { c.Classes = append(c.Classes, ClassPolicy{Name: "reindex"}) },
 	} {
-		c := loadExampleConfig(t)
-		spoil(c)
-		if err := c.CheckSettings(settings); err == nil || !strings.HasPrefix(err.Error(), want+":") {
-			t.Errorf("%v, want an error about %s", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			c := loadExampleConfig(t)
+			spoil(c)
+			err := c.CheckSettings(settings)
+			var field *FieldError
+			if !errors.As(err, &field) || field.Field != want || !strings.HasPrefix(err.Error(), want+":") {
+				t.Errorf("%v, want an error about %s", err, want)
+			}
+		})
 	}
 }
--- a/internal/federation/forecast_test.go
+++ b/internal/federation/forecast_test.go
@@ -13,28 +13,30 @@
 func work(cpuSeconds float64) Work { return Work(cpuSeconds * 1000) }
 
 func TestTimeToComplete(t *testing.T) {
-	job := Demand{Tasks: 20, CPUs: cpus(1), RunTime: 10 * units.Second} // 200 processor seconds
+	job := Demand{Tasks: 20, CPUs: cpus(1), RunTime: 10 * units.Second} // 200 CPU seconds
 	idle := Load{CPUs: cpus(10), QuotaFree: cpus(100)}
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		change func(*Load)
 		want   units.Micros
 	}{
 		"idle":                 {func(*Load) {}, 20 * units.Second},
 		"after a queue":        {func(l *Load) { l.Queued = work(300) }, 50 * units.Second},
 		"image first":          {func(l *Load) { l.ImageFetch = 7 * units.Second }, 27 * units.Second},
-		"team's limit":         {func(l *Load) { l.QuotaFree = cpus(4) }, 50 * units.Second},
-		"no limit left":        {func(l *Load) { l.QuotaFree = 0 }, Never},
+		"team's quota":         {func(l *Load) { l.QuotaFree = cpus(4) }, 50 * units.Second},
+		"no quota left":        {func(l *Load) { l.QuotaFree = 0 }, Never},
 		"no less than a task":  {func(l *Load) { l.CPUs = cpus(1000) }, 10 * units.Second},
 		"no machine":           {func(l *Load) { l.CPUs = 0 }, Never},
 		"machines to come":     {func(l *Load) { l.CPUs, l.Provisioning = 0, coming(30, 20) }, 40 * units.Second},
 		"more machines join":   {func(l *Load) { l.Provisioning = coming(10, 10) }, 15 * units.Second},
 		"queue, then machines": {func(l *Load) { l.Queued, l.Provisioning = work(200), coming(10, 10) }, 25 * units.Second},
 	} {
-		load := idle
-		c.change(&load)
-		if got := load.TimeToComplete(job); got != c.want {
-			t.Errorf("%s: %v s, want %v s", what, got.Seconds(), c.want.Seconds())
-		}
+		t.Run(name, func(t *testing.T) {
+			load := idle
+			c.change(&load)
+			if got := load.TimeToComplete(job); got != c.want {
+				t.Errorf("%v s, want %v s", got.Seconds(), c.want.Seconds())
+			}
+		})
 	}
 }
 
--- a/internal/federation/placement_test.go
+++ b/internal/federation/placement_test.go
@@ -1,22 +1,23 @@
 package federation
 
 import (
+	"slices"
 	"testing"
 
 	"dunestand/internal/units"
 )
 
 func TestChooseTarget(t *testing.T) {
-	c := loadExampleConfig(t)
+	config := loadExampleConfig(t)
 	fast := Load{CPUs: cpus(100), QuotaFree: cpus(100)}
 	slow := Load{CPUs: cpus(10), QuotaFree: cpus(100)}
 	job := Candidate{
-		Demand:          Demand{Tasks: 100, CPUs: cpus(1), RunTime: 10 * units.Second}, // 1000 processor seconds
+		Demand:          Demand{Tasks: 100, CPUs: cpus(1), RunTime: 10 * units.Second}, // 1000 CPU seconds
 		LocalCompletion: 300 * units.Second,
 		TimeToDeadline:  200 * units.Second,
 	}
 	offers := []Offer{{Cell: "dye", Load: slow, Free: work(1000)}, {Cell: "recipes", Load: fast, Free: work(1000)}}
-	for what, spoil := range map[string]struct {
+	for name, c := range map[string]struct {
 		change func(*Candidate, []Offer)
 		want   string
 	}{
@@ -24,34 +25,35 @@
 		"in time here":          {func(j *Candidate, _ []Offer) { j.LocalCompletion = j.TimeToDeadline }, ""},
 		"moved enough":          {func(j *Candidate, _ []Offer) { j.Moves = 2 }, ""},
 		"was there before":      {func(j *Candidate, _ []Offer) { j.Visited = []string{"recipes"} }, "dye"},
-		"no room to promise":    {func(_ *Candidate, o []Offer) { o[1].Free-- }, "dye"},
+		"no free capacity":      {func(_ *Candidate, o []Offer) { o[1].Free-- }, "dye"},
 		"an old offer":          {func(_ *Candidate, o []Offer) { o[1].Age = maxOfferAge + 1 }, "dye"},
 		"itself":                {func(_ *Candidate, o []Offer) { o[1].Cell = "mill" }, "dye"},
 		"not in time either":    {func(j *Candidate, _ []Offer) { j.TimeToDeadline = 9 * units.Second }, ""},
 		"not sooner by so much": {func(j *Candidate, _ []Offer) { j.LocalCompletion, j.TimeToDeadline = 69*units.Second, 20*units.Second }, ""},
 		"alike, by name":        {func(_ *Candidate, o []Offer) { o[0].Load = fast }, "dye"},
 	} {
-		changed := append([]Offer(nil), offers...)
-		candidate := job
-		spoil.change(&candidate, changed)
-		if got := c.ChooseTarget(candidate, changed); got != spoil.want {
-			t.Errorf("%s: %q, want %q", what, got, spoil.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			candidate, offers := job, slices.Clone(offers)
+			c.change(&candidate, offers)
+			if got := config.ChooseTarget(candidate, offers); got != c.want {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
 	}
 }
 
 func TestTimeToDeadline(t *testing.T) {
-	c := loadExampleConfig(t) // six in the morning
+	config := loadExampleConfig(t) // complete by six
 	hour := 3600 * units.Second
-	for _, w := range []struct{ now, deadline, want units.Micros }{
+	for _, c := range []struct{ now, untilDeadline, want units.Micros }{
 		{5 * hour, 0, hour},
 		{6 * hour, 0, 24 * hour},
 		{24*hour*20_000 + 22*hour, 0, 8 * hour},
 		{22 * hour, 2 * hour, 2 * hour},
 		{5 * hour, 2 * hour, hour},
 	} {
-		if got := c.TimeToDeadline(w.now, w.deadline); got != w.want {
-			t.Errorf("at %v h with %v h: %v h, want %v h", w.now/hour, w.deadline/hour, got/hour, w.want/hour)
+		if got := config.TimeToDeadline(c.now, c.untilDeadline); got != c.want {
+			t.Errorf("at %v h with %v h: %v h, want %v h", c.now/hour, c.untilDeadline/hour, got/hour, c.want/hour)
 		}
 	}
 }
--- a/internal/federation/recordcodec_test.go
+++ b/internal/federation/recordcodec_test.go
@@ -76,39 +76,56 @@
 	}
 }
 
-// A record that cannot be read is told with its key, and never taken for another.
+// A record that cannot be read is never taken for another, and its error has the key.
 func TestUnreadableRecordNamesItsKey(t *testing.T) {
 	origin := BeginTransfer(transfer, HandOverRequest{Target: "dye", Work: 1}, 0).Record
 	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
-	bad := origin
-	bad.Phase = originPhaseCount
-	own := origin
-	own.Target = "mill"
+	unknownPhase := origin
+	unknownPhase.Phase = originPhaseCount
+	toItself := origin
+	toItself.Target = "mill"
 	negative := target
 	negative.Run = -1
 	later := protocol.Encode(storedRecord[OriginRecord]{Format: recordFormat + 1, Record: origin})
-	for what, item := range map[string]protocol.Item{
+	check := func(t *testing.T, item protocol.Item, record any, err error) {
+		t.Helper()
+		var unreadable *RecordError
+		if !errors.Is(err, ErrUnreadableRecord) || !errors.As(err, &unreadable) || unreadable.Key != item.Key {
+			t.Errorf("read as %+v with error %v, want an error with the key %q", record, err, item.Key)
+		}
+	}
+	for name, item := range map[string]protocol.Item{
 		"no value":        {Key: origin.Key()},
-		"other key":       {Key: PrefixOut + "j-000002", Value: origin.Encode("")},
-		"unknown phase":   {Key: origin.Key(), Value: bad.Encode("")},
-		"to itself":       {Key: origin.Key(), Value: own.Encode("")},
+		"other key":       {Key: outgoingKey("j-000002"), Value: origin.Encode("")},
+		"unknown phase":   {Key: origin.Key(), Value: unknownPhase.Encode("")},
+		"to itself":       {Key: origin.Key(), Value: toItself.Encode("")},
 		"a later format":  {Key: origin.Key(), Value: later},
 		"target's record": {Key: origin.Key(), Value: target.Encode("")},
 	} {
-		if r, err := ParseOrigin(item); !errors.Is(err, ErrUnreadableRecord) {
-			t.Errorf("origin, %s: %+v, %v", what, r, err)
-		}
+		t.Run("origin: "+name, func(t *testing.T) {
+			record, err := ParseOrigin(item)
+			check(t, item, record, err)
+		})
 	}
-	for what, item := range map[string]protocol.Item{
+	for name, item := range map[string]protocol.Item{
 		"no value":     {Key: target.Key()},
 		"other key":    {Key: origin.Key(), Value: target.Encode("")},
 		"negative run": {Key: negative.Key(), Value: negative.Encode("")},
 	} {
-		if r, err := DecodeTargetRecord(item); !errors.Is(err, ErrUnreadableRecord) {
-			t.Errorf("target, %s: %+v, %v", what, r, err)
-		}
+		t.Run("target: "+name, func(t *testing.T) {
+			record, err := DecodeTargetRecord(item)
+			check(t, item, record, err)
+		})
+	}
+}
+
+func TestJobFromKey(t *testing.T) {
+	key := outgoingKey("j-000001")
+	if job, ok := JobFromKey(key); !ok || job != "j-000001" {
+		t.Errorf("the job of %s: %q", key, job)
 	}
-	if job, ok := JobFromKey(origin.Key()); !ok || job != "j-000001" {
-		t.Errorf("the job of %s: %q", origin.Key(), job)
+	key = incomingKey(transfer)
+	if job, ok := JobFromKey(key); ok {
+		t.Errorf("%s is the key of a target's record, not of a transfer of %q", key, job)
 	}
 }
--- a/internal/federation/reservation_test.go
+++ b/internal/federation/reservation_test.go
@@ -6,15 +6,15 @@
 	"dunestand/internal/units"
 )
 
-// Two cells that ask at the same moment share what there is; one that asks alone may have
-// it all, and what it has is not taken from it.
+// Two cells that ask at the same time share the capacity; one that asks alone may have all
+// of it, and what is reserved stays reserved.
 func TestReservationsAreSharedFairly(t *testing.T) {
 	id := func(origin string, n uint64) TransferID {
 		return TransferID{Origin: origin, Job: "j-000001", Incarnation: n}
 	}
 	r := NewReservations(5 * units.Second)
 	if r.Reserve(id("mill", 1), 1, 0) {
-		t.Fatal("something is promised before the capacity is known")
+		t.Fatal("something is reserved before the capacity is known")
 	}
 	r.SetCapacity(10)
 	r.Reserve(id("dye", 1), 1, 0)
@@ -35,15 +35,15 @@
 	if expired := r.Expired(later); len(expired) != 9 {
 		t.Errorf("%d reservations have expired, want all but the committed one", len(expired))
 	}
-	for _, e := range r.Expired(later) {
-		r.Release(e)
+	for _, expired := range r.Expired(later) {
+		r.Release(expired)
 	}
 	alone := later + requestWindow + 1
 	if !r.Reserve(id("dye", 99), 9, alone) || r.Reserve(id("dye", 100), 1, alone) {
 		t.Error("a cell that asks alone gets less or more than what is left")
 	}
-	r.SetCapacity(1) // machines are lost: promises hold, nothing new is promised
+	r.SetCapacity(1) // machines are lost: what is reserved stays, nothing new is reserved
 	if r.Free() != 0 || r.reserved() != 10 || r.Reserve(id("mill", 200), 1, alone) {
-		t.Errorf("after machines were lost: %d promised, %d free", r.reserved(), r.Free())
+		t.Errorf("after machines were lost: %d reserved, %d free", r.reserved(), r.Free())
 	}
 }
