--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// Only cells of the cells file are heard, and each only about its own transfers.
+// Messages are accepted only from cells of the cells file, and only about their transfers.
 func TestForbiddenMessageIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newFakeRegion(t, 1).cells["mill"].manager
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -203,7 +203,7 @@
 }
 
 // Tasks of a job run in one cell at a time and no more often than its class allows; users get
-// one final answer, and a true one; promises stay within what is offered; and once all is
+// one final answer, and a true one; reservations stay within what is offered; and once all is
 // healed every job ends and no record is left.
 func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/federation/originrecord.go
+++ b/internal/federation/originrecord.go
@@ -5,9 +5,9 @@
 
 // The phases at the origin. docs/federation.md has the table of all steps.
 const (
-	// Intended: the origin starts no task of the job, and asks the target for a reservation.
+	// OriginIntended: the origin starts no task of the job, and asks the target for a reservation.
 	Intended OriginPhase = iota + 1
-	// Committed: the target may accept the job, and run it while it holds a lease.
+	// OriginCommitted: the target may accept the job, and run it while it holds a lease.
 	Committed
 	// OriginRevoking: no lease is granted any more; the origin waits for the target's
 	// refusal, or for the time after which nothing of the job can run there.
--- a/internal/federation/recordcodec.go
+++ b/internal/federation/recordcodec.go
@@ -10,7 +10,7 @@
 
 // Prefixes of the keys of transfer records in the key-value store.
 const (
-	// PrefixOut is followed by a job's id: a transfer of a job of this cell.
+	// OutgoingPrefix is followed by a job's id: a transfer of a job of this cell.
 	PrefixOut = "transfer/out/"
 	// IncomingPrefix is followed by origin, job and incarnation: a transfer of another
 	// cell's job.
