--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -117,3 +117,31 @@
 		}
 	})
 }
+
+// undurableScheduler is a cell that cannot store the end of its jobs.
+type undurableScheduler struct{ *fakeCell }
+
+func (undurableScheduler) Finished(string, TaskSet) bool { return false }
+
+// The record of a transfer is what is known of the job's end until that is durable in the
+// cell itself.
+func TestRecordStaysUntilTheJobsEndIsDurable(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r, id := newDelegatedRegion(t, "loomplan")
+		c := r.cells["mill"]
+		c.manager.Scheduler = undurableScheduler{c}
+		r.advance(time.Minute)
+		key := outgoingKey(id.Job)
+		if _, stored := c.store.records[key]; !stored {
+			t.Fatal("the record is gone before the job's end is durable")
+		}
+		if got := c.manager.Owner(id.Job); got != OwnerEnded {
+			t.Errorf("owner %v, want %v", got, OwnerEnded)
+		}
+		c.manager.Scheduler = c
+		r.advance(10 * time.Second)
+		if _, stored := c.store.records[key]; stored {
+			t.Error("the record stays though the job's end is durable")
+		}
+	})
+}
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -184,6 +184,36 @@
 	}
 }
 
+// A target that asks for more runs than the class allows gets no grant, and nothing is
+// written.
+func TestRunBeyondAllowedRestartsIsNotGranted(t *testing.T) {
+	for name, c := range map[string]struct {
+		maxRestarts, restarts, run int
+		granted                    bool
+	}{
+		"first run":                    {0, 0, 1, true},
+		"last run":                     {2, 1, 2, true},
+		"run beyond the class":         {0, 0, 2, false},
+		"run beyond what is left":      {2, 1, 3, false},
+		"first run, nothing else left": {1, 1, 1, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			record := OriginRecord{
+				Transfer:    transfer,
+				Target:      "dye",
+				Phase:       Committed,
+				MaxRestarts: c.maxRestarts,
+				Restarts:    c.restarts,
+				Run:         c.run - 1,
+			}
+			decision := record.Receive(&Message{Kind: MessageRenew, Transfer: transfer, Run: c.run}, &LeaseGrantor{}, 0)
+			if granted := len(decision.Send) == 1; granted != c.granted || decision.Write != c.granted {
+				t.Errorf("granted %v, written %v, want %v", granted, decision.Write, c.granted)
+			}
+		})
+	}
+}
+
 // A result counts even if the job was reclaimed, unless its user was told of its end.
 func TestLateResultCounts(t *testing.T) {
 	result := &Message{Kind: MessageResult, Transfer: transfer, Done: TaskSet{3}, Run: 1}
