--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -8,6 +8,13 @@
 	"dunestand/internal/units"
 )
 
+// originRecord returns the record of a transfer of a job of this cell.
+func (m *Manager) originRecord(job string) OriginRecord {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.outgoing[job].record
+}
+
 // newDelegatedRegion returns a region in which the dyehouse runs a job of the mill, and the
 // transfer of that job.
 func newDelegatedRegion(t *testing.T, class string) (*fakeRegion, TransferID) {
@@ -19,7 +26,7 @@
 	if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: class, Target: "dye", Work: 10}); err != nil {
 		t.Fatal(err)
 	}
-	id := c.manager.outgoing["j-000001"].record.Transfer
+	id := c.manager.originRecord("j-000001").Transfer
 	for range 20 {
 		if r.advance(time.Second); r.cells["dye"].manager.MayRun(id) {
 			return r, id
@@ -79,13 +86,13 @@
 		if err := m.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
 		}
-		id := m.outgoing["j-000001"].record.Transfer
+		id := m.originRecord("j-000001").Transfer
 		r.cells["mill"].store.down = true
 		before := m.Stats.Sent.Load()
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserved, Transfer: id})
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserve, Transfer: TransferID{"dye", "j-000002", 1}, Work: 1})
-		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.outgoing["j-000001"].record.Phase != Intended {
-			t.Errorf("%d messages, phase %v", sent, m.outgoing["j-000001"].record.Phase)
+		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.originRecord("j-000001").Phase != Intended {
+			t.Errorf("%d messages, phase %v", sent, m.originRecord("j-000001").Phase)
 		}
 		if free := m.FreeCapacity(); free != Work(r.cells["mill"].slots)*fakeSlotCapacity {
 			t.Errorf("%d free: a reservation that is not stored is kept", free)
@@ -106,14 +113,15 @@
 		if m.JobEnded(t.Context(), "j-000001") {
 			t.Error("a job that is elsewhere may end here")
 		}
-		transfer := m.outgoing["j-000001"]
-		transfer.record.Phase = OriginReturned
+		m.mu.Lock()
+		m.outgoing["j-000001"].record.Phase = OriginReturned
+		m.mu.Unlock()
 		if !m.JobEnded(t.Context(), "j-000001") {
 			t.Fatal("a job that is back may not end")
 		}
 		m.Receive(t.Context(), "dye", result)
-		if transfer.record.Phase != OriginWithdrawn {
-			t.Errorf("a result after the job's end: phase %v", transfer.record.Phase)
+		if phase := m.originRecord("j-000001").Phase; phase != OriginWithdrawn {
+			t.Errorf("a result after the job's end: phase %v", phase)
 		}
 	})
 }
