--- a/internal/federation/target.go
+++ b/internal/federation/target.go
@@ -2,206 +2,195 @@
 
 import "dunestand/internal/units"
 
-// TargetPhase is how far a transfer is, as the target's record tells.
+// TargetPhase is the state of a transfer at its target.
 type TargetPhase uint8
 
-// The phases at the target.
+// The phases at the target. docs/federation.md has the table of all steps.
 const (
-	// ReservedHere: room is kept for the job, for a while.
-	ReservedHere TargetPhase = iota + 1
-	// AcceptedHere: the job is the target's to run, under grants.
-	AcceptedHere
-	// FinishedHere: all tasks are done; the origin is told until it settles.
-	FinishedHere
-	// RefusedHere: nothing of the job is here, and the transfer is never taken.
-	RefusedHere
-	targetPhases
+	// TargetReserved: capacity is reserved for the job, for a while.
+	TargetReserved TargetPhase = iota + 1
+	// TargetAccepted: the target runs the job, while it holds a lease.
+	TargetAccepted
+	// TargetFinished: all tasks are done; the result is sent until the origin settles.
+	TargetFinished
+	// TargetRefused: nothing of the job is here, and the transfer will never be accepted.
+	TargetRefused
+	targetPhaseCount
 )
 
-// TargetRecord is what the target stores of a transfer.
+var targetPhaseNames = [targetPhaseCount]string{
+	TargetReserved: "reserved",
+	TargetAccepted: "accepted",
+	TargetFinished: "finished",
+	TargetRefused:  "refused",
+}
+
+// String returns the name of the phase, as docs/federation.md has it.
+func (p TargetPhase) String() string { return enumName(targetPhaseNames[:], "phase", uint8(p)) }
+
+// TargetRecord is what the target stores of a transfer, and its state machine: each event
+// is a method that returns a Decision and leaves the record as it is.
 type TargetRecord struct {
 	Transfer TransferID  `cbor:"transfer"`
 	Phase    TargetPhase `cbor:"phase"`
-	// Run is the last run that was begun here, 0: none.
+	// Run is the last run that began here, 0: none.
 	Run int `cbor:"run"`
-	// Unbounded: the run goes on without renewals.
+	// Unbounded is set if the lease on the run never expires.
 	Unbounded bool `cbor:"unbounded,omitempty"`
-	// Stopping: the transfer is revoked; the tasks are being stopped.
-	Stopping bool    `cbor:"stopping,omitempty"`
-	Job      []byte  `cbor:"job,omitempty"`
-	Work     Work    `cbor:"work,omitempty"`
-	Done     TaskSet `cbor:"done,omitempty"`
+	// Stopping is set once the transfer is revoked, while the tasks are being stopped.
+	Stopping bool `cbor:"stopping,omitempty"`
+	// Job is the job's description as its user sent it, Work the capacity it takes.
+	Job  []byte  `cbor:"job,omitempty"`
+	Work Work    `cbor:"work,omitempty"`
+	Done TaskSet `cbor:"done,omitempty"` // tasks that were completed here
 }
 
-// MayRun tells whether tasks of the job may be started, and may go on, at the target.
-func (r *TargetRecord) MayRun(holder *Holder, now units.Micros) bool {
-	return r.Phase == AcceptedHere && r.Run > 0 && !r.Stopping && (r.Unbounded || holder.Valid(now, r.Run))
-}
-
-// TargetDecision is what follows at the target. Where Save is set, the record is stored
-// first; where Remove is set, it is removed.
-type TargetDecision struct {
-	Record TargetRecord
-	Save   bool
-	Remove bool
-	Send   []Message
-}
-
-func (r TargetRecord) keep(send ...MessageKind) TargetDecision {
-	d := TargetDecision{Record: r}
-	for _, kind := range send {
-		d.Send = append(d.Send, r.message(kind))
-	}
-	return d
-}
-
-func (r TargetRecord) save(send ...MessageKind) TargetDecision {
-	d := r.keep(send...)
-	d.Save = true
-	return d
-}
-
-func (r *TargetRecord) message(kind MessageKind) Message {
-	m := Message{Kind: kind, Transfer: r.Transfer}
-	if kind == Refused || kind == Result {
-		m.Done, m.Run = r.Done, r.Run
-	}
-	return m
+// MayRun reports whether tasks of the job may be started, and may go on, at the target.
+func (r TargetRecord) MayRun(holder *LeaseHolder, now units.Micros) bool {
+	return r.Phase == TargetAccepted && r.Run > 0 && !r.Stopping && (r.Unbounded || holder.Valid(now, r.Run))
 }
 
 // ReceiveNew decides on a message about a transfer that the target has no record of.
-// hasRoom tells whether there is room for a reservation. Whatever is not a reservation is
-// refused for good: what was refused or settled before may be met by late copies.
-func ReceiveNew(m *Message, hasRoom bool) TargetDecision {
-	r := TargetRecord{Transfer: m.Transfer}
-	switch m.Kind {
-	case Reserve:
-		if !hasRoom {
-			return r.keep(NoRoom)
+// hasCapacity is whether capacity for it was reserved. A commitment or a revocation is
+// refused durably: either may be a late copy, of a transfer that was refused or settled.
+func ReceiveNew(message *Message, hasCapacity bool) Decision[TargetRecord] {
+	r := TargetRecord{Transfer: message.Transfer}
+	switch message.Kind {
+	case MessageReserve:
+		if !hasCapacity {
+			return unchanged(r, MessageNoCapacity)
 		}
-		r.Phase, r.Work = ReservedHere, m.Work
-		return r.save(Reserved)
-	case Commit, Revoke:
-		r.Phase = RefusedHere
-		return r.save(Refused)
+		r.Phase, r.Work = TargetReserved, message.Work
+		return changed(r, MessageReserved)
+	case MessageCommit, MessageRevoke:
+		return r.refuse()
 	}
-	return r.keep() // a late grant, or a repeated settlement
+	return unchanged(r) // a late grant, or a repeated settlement
 }
 
-// Receive decides on a message of the origin. lease is the length of a grant.
-func (r TargetRecord) Receive(m *Message, holder *Holder, lease, now units.Micros) TargetDecision {
-	switch m.Kind {
-	case Reserve:
-		return r.Repeat()
-	case Commit:
-		if r.Phase != ReservedHere {
-			return r.Repeat()
+// Receive decides on a message of the origin. lease is the length of the lease that a grant
+// is for.
+func (r TargetRecord) Receive(message *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
+	switch message.Kind {
+	case MessageReserve:
+		return r.Resend()
+	case MessageCommit:
+		if r.Phase != TargetReserved {
+			return r.Resend()
 		}
-		r.Phase, r.Job = AcceptedHere, m.Job
-		return r.save(Accepted)
-	case Grant:
-		return r.grant(m, holder, lease, now)
-	case Revoke:
-		return r.revoke()
-	case Settle:
-		if r.Phase == FinishedHere || r.Phase == RefusedHere {
-			return TargetDecision{Record: r, Remove: true}
+		r.Phase, r.Job = TargetAccepted, message.Job
+		return changed(r, MessageAccepted)
+	case MessageGrant:
+		return r.onGrant(message, holder, lease, now)
+	case MessageRevoke:
+		return r.onRevoke()
+	case MessageSettle:
+		if r.Phase == TargetFinished || r.Phase == TargetRefused {
+			return Decision[TargetRecord]{Record: r, Remove: true}
 		}
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
-// Repeat gives what is sent again while no answer comes.
-func (r TargetRecord) Repeat() TargetDecision {
+// Resend decides to send again what the origin has not answered yet.
+func (r TargetRecord) Resend() Decision[TargetRecord] {
 	switch r.Phase {
-	case ReservedHere:
-		return r.keep(Reserved)
-	case AcceptedHere:
-		return r.keep(Accepted)
-	case FinishedHere:
-		return r.keep(Result)
-	case RefusedHere:
-		return r.keep(Refused)
+	case TargetReserved:
+		return unchanged(r, MessageReserved)
+	case TargetAccepted:
+		return unchanged(r, MessageAccepted)
+	case TargetFinished:
+		return unchanged(r, MessageResult)
+	case TargetRefused:
+		return unchanged(r, MessageRefused)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
-// grant lets the job run. That a run begins, and that it needs no renewals, is stored
-// before any task is started by it.
-func (r TargetRecord) grant(m *Message, holder *Holder, lease, now units.Micros) TargetDecision {
-	if r.Phase != AcceptedHere || r.Stopping || m.Run < r.Run || !holder.take(m, lease, now) {
-		return r.keep()
+// onGrant extends the lease. That a run begins, and that its lease never expires, is stored
+// before any task is started on account of it.
+func (r TargetRecord) onGrant(grant *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
+	if r.Phase != TargetAccepted || r.Stopping || grant.Run < r.Run || !holder.acceptGrant(grant, lease, now) {
+		return unchanged(r)
 	}
-	if m.Run == r.Run && m.Unbounded == r.Unbounded {
-		return r.keep()
+	if grant.Run == r.Run && grant.Unbounded == r.Unbounded {
+		return unchanged(r)
 	}
-	r.Run, r.Unbounded = m.Run, m.Unbounded
-	return r.save()
+	r.Run, r.Unbounded = grant.Run, grant.Unbounded
+	return changed(r)
 }
 
-// revoke ends the transfer, once what runs is stopped.
-func (r TargetRecord) revoke() TargetDecision {
-	switch r.Phase {
-	case ReservedHere:
-		r.Phase = RefusedHere
-		return r.save(Refused)
-	case AcceptedHere:
-		if r.Run == 0 {
-			r.Phase = RefusedHere
-			return r.save(Refused)
-		}
-		if !r.Stopping {
-			r.Stopping = true
-			return r.save()
-		}
-		return r.keep()
+// onRevoke refuses the transfer, once what runs has been stopped.
+func (r TargetRecord) onRevoke() Decision[TargetRecord] {
+	switch {
+	case r.Phase == TargetReserved, r.Phase == TargetAccepted && r.Run == 0:
+		return r.refuse()
+	case r.Phase != TargetAccepted:
+		return r.Resend()
+	case r.Stopping:
+		return unchanged(r)
 	}
-	return r.Repeat()
+	r.Stopping = true
+	return changed(r)
 }
 
-// Expire ends a reservation that was not used.
-func (r TargetRecord) Expire() TargetDecision {
-	if r.Phase != ReservedHere {
-		return r.keep()
+// refuse ends the transfer for good.
+func (r TargetRecord) refuse() Decision[TargetRecord] {
+	r.Phase = TargetRefused
+	return changed(r, MessageRefused)
+}
+
+// ExpireReservation ends a reservation that no commitment has followed in time.
+func (r TargetRecord) ExpireReservation() Decision[TargetRecord] {
+	if r.Phase != TargetReserved {
+		return unchanged(r)
 	}
-	r.Phase = RefusedHere
-	return r.save(Refused)
+	return r.refuse()
 }
 
-// Renew asks for the next grant. Where this leader holds no lease on the run, what runs
-// next is a new one: its predecessor may have stopped the tasks.
-func (r TargetRecord) Renew(holder *Holder, now units.Micros) TargetDecision {
-	if r.Phase != AcceptedHere || r.Stopping || r.Unbounded {
-		return r.keep()
+// RequestRenewal asks for the next grant. Where this leader holds no lease on the run, it
+// asks for a new run: its predecessor may have stopped the tasks.
+func (r TargetRecord) RequestRenewal(holder *LeaseHolder, now units.Micros) Decision[TargetRecord] {
+	if r.Phase != TargetAccepted || r.Stopping || r.Unbounded {
+		return unchanged(r)
 	}
 	run := r.Run
 	if run == 0 || !holder.Valid(now, run) {
 		run++
 	}
-	m := r.message(Renew)
-	m.Run, m.Done = run, r.Done
-	m.Renewal = holder.ask(now, run)
-	return TargetDecision{Record: r, Send: []Message{m}}
+	renew := r.message(MessageRenew)
+	renew.Run, renew.Done = run, r.Done
+	renew.Renewal = holder.newRenewal(now, run)
+	return Decision[TargetRecord]{Record: r, Send: []Message{renew}}
 }
 
-// Complete is called when tasks are done here, durably. all tells that none is left.
-func (r TargetRecord) Complete(done TaskSet, all bool) TargetDecision {
-	if r.Phase != AcceptedHere {
-		return r.keep()
+// TasksCompleted records tasks that were completed here, durably; all is whether no task of
+// the job is left to be done.
+func (r TargetRecord) TasksCompleted(done TaskSet, all bool) Decision[TargetRecord] {
+	if r.Phase != TargetAccepted {
+		return unchanged(r)
 	}
 	r.Done = r.Done.Union(done)
 	if !all {
-		return r.save()
+		return changed(r)
+	}
+	r.Phase = TargetFinished
+	return changed(r, MessageResult)
+}
+
+// TasksStopped records that, after a revocation, no task of the job is on any machine.
+func (r TargetRecord) TasksStopped() Decision[TargetRecord] {
+	if r.Phase != TargetAccepted || !r.Stopping {
+		return unchanged(r)
 	}
-	r.Phase = FinishedHere
-	return r.save(Result)
+	return r.refuse()
 }
 
-// Stopped is called when nothing of a job whose transfer is revoked is left on any machine.
-func (r TargetRecord) Stopped() TargetDecision {
-	if r.Phase != AcceptedHere || !r.Stopping {
-		return r.keep()
+// message implements transferRecord.
+func (r TargetRecord) message(kind MessageKind) Message {
+	message := Message{Kind: kind, Transfer: r.Transfer}
+	if kind == MessageRefused || kind == MessageResult {
+		message.Done, message.Run = r.Done, r.Run
 	}
-	r.Phase = RefusedHere
-	return r.save(Refused)
+	return message
 }
