--- a/internal/federation/cells_test.go
+++ b/internal/federation/config_test.go
@@ -1,6 +1,7 @@
 package federation
 
 import (
+	"errors"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -11,24 +12,25 @@
 	"dunestand/internal/units"
 )
 
-const deployedCells = "../../deploy/cells.toml"
+// exampleConfigPath is the cells file that is delivered as an example.
+const exampleConfigPath = "../../deploy/cells.toml"
 
-func deployed(t *testing.T) *Cells {
+func loadExampleConfig(t *testing.T) *Config {
 	t.Helper()
-	cells, err := LoadCells(deployedCells)
+	c, err := LoadCells(exampleConfigPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return cells
+	return c
 }
 
-func TestDeployedCells(t *testing.T) {
-	c := deployed(t)
-	if c.Self != "mill" || len(c.Cells) != 3 || c.CompleteBy != 6 || c.Moves != 2 || c.Margin != 60*units.Second {
+func TestExampleConfigIsRead(t *testing.T) {
+	c := loadExampleConfig(t)
+	if c.Self != "mill" || len(c.Cells) != 3 || c.CompleteByHour != 6 || c.MaxMoves != 2 || c.Margin != 60*units.Second {
 		t.Errorf("read as %+v", c)
 	}
-	for class, want := range map[string]int{"loomplan": AnyRestarts, "rushorder": 0, "yarnrecount": 2} {
-		if got := c.Class(class); got == nil || got.Restarts != want {
+	for class, want := range map[string]int{"loomplan": UnlimitedRestarts, "rushorder": 0, "yarnrecount": 2} {
+		if got := c.Class(class); got == nil || got.MaxRestarts != want {
 			t.Errorf("%s: %+v, want %d restarts", class, got, want)
 		}
 	}
@@ -37,7 +39,7 @@
 	}
 	for address, want := range map[string]string{"10.0.1.77": "dye", "::ffff:10.0.2.1": "recipes", "10.0.3.1": "", "::1": ""} {
 		addr := netip.MustParseAddr(address)
-		if got := c.CellAt(addr); got != want {
+		if got := c.CellByAddress(addr); got != want {
 			t.Errorf("%s is in %q, want %q", address, got, want)
 		}
 		if c.Permits(addr, "mill") || c.Permits(addr, "") {
@@ -46,8 +48,8 @@
 	}
 }
 
-func TestBadCellsNameTheField(t *testing.T) {
-	raw, err := os.ReadFile(deployedCells)
+func TestInvalidConfigNamesTheField(t *testing.T) {
+	raw, err := os.ReadFile(exampleConfigPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,34 +76,40 @@
 		{`restarts = 2`, ``, "class[2].restarts: missing"},
 		{`restarts = 2`, `restarts = "some"`, "restarts"},
 	} {
-		path := filepath.Join(t.TempDir(), "cells.toml")
-		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := LoadCells(path)
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v, want one line with %q", c.new, c.old, err, c.want)
-		}
+		t.Run(c.old+" as "+c.new, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "cells.toml")
+			if err := os.WriteFile(path, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := LoadCells(path)
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line with %q", err, c.want)
+			}
+		})
 	}
 }
 
-func TestCellsFitTheSettings(t *testing.T) {
+func TestConfigMustAgreeWithSettings(t *testing.T) {
 	settings := &config.Settings{Fleet: config.Fleet{
 		Workers:    config.Workers{LeaseS: 26, CancelS: 46},
 		Objectives: []config.Objective{{Class: "loomplan"}, {Class: "rushorder"}, {Class: "yarnrecount"}},
 	}}
-	if err := deployed(t).CheckSettings(settings); err != nil {
+	if err := loadExampleConfig(t).CheckSettings(settings); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*Cells){
-		"stop_s":        func(c *Cells) { c.Terms.Stop = 26 * units.Second }, // not with drift
-		"lease_s":       func(c *Cells) { c.Terms.Lease = 16 * units.Second },
-		"class[3].name": func(c *Cells) { c.Classes = append(c.Classes, Class{Name: "reindex"}) },
+	for want, spoil := range map[string]func(*Config){
+		"stop_s":        func(c *Config) { c.Timing.StopGrace = 26 * units.Second }, // not with drift
+		"lease_s":       func(c *Config) { c.Timing.Lease = 16 * units.Second },
+		"class[3].name": func(c *Config) { c.Classes = append(c.Classes, ClassPolicy{Name: "reindex"}) },
 	} {
-		c := deployed(t)
-		spoil(c)
-		if err := c.CheckSettings(settings); err == nil || !strings.HasPrefix(err.Error(), want+":") {
-			t.Errorf("%v, want an error about %s", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			c := loadExampleConfig(t)
+			spoil(c)
+			err := c.CheckSettings(settings)
+			var field *FieldError
+			if !errors.As(err, &field) || field.Field != want || !strings.HasPrefix(err.Error(), want+":") {
+				t.Errorf("%v, want an error about %s", err, want)
+			}
+		})
 	}
 }
--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -2,275 +2,153 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
 
-	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// ErrConflict says that a record was not stored, as another leader has written since.
-var ErrConflict = errors.New("another leader has written the record")
-
-// Store keeps the records of a cell's transfers.
-type Store interface {
-	// List gives all records under a prefix.
-	List(ctx context.Context, prefix string) ([]protocol.Item, error)
-	// Save puts a value, or deletes the key if it is nil, on condition of the version
-	// that the record has, 0: none. It gives the new version. It returns an error other
-	// than ErrConflict only if the save is certain not to be carried out.
-	Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error)
-}
-
-// Link sends messages to other cells. They may be lost, doubled or late.
-type Link interface {
-	Send(cell string, m Message)
-}
+// Manager carries out the transfers of a cell during one term of its leader: it writes
+// records, sends messages, sends again what is not answered, and calls the scheduler. It is
+// safe for concurrent use. It starts no goroutine; what it does waits for the store.
+type Manager struct {
+	Options
+	Stats Stats
 
-// Scheduler runs jobs in this cell. Its methods are called again and again for the same
-// transfer; they return at once and do not call the Manager.
-type Scheduler interface {
-	// Run has the tasks of another cell's job run that are not done. The scheduler asks
-	// Manager.MayRun before each start, and before each answer to a machine that holds one.
-	Run(id TransferID, job []byte, done TaskSet)
-	// Stop has them stopped.
-	Stop(id TransferID)
-	// Progress tells how far the tasks are.
-	Progress(id TransferID) Progress
-	// Returned gives a job of this cell back to it, Finished and Withdrawn tell that one is
-	// over. They tell whether that is durable here; until then the transfer's record stays.
-	Returned(job string, done TaskSet, reruns int) bool
-	Finished(job string, done TaskSet) bool
-	Withdrawn(job string) bool
+	// mu guards what follows. It is released while a record is being written.
+	mu            sync.Mutex
+	outgoing      map[string]*outgoingTransfer // by job
+	incoming      map[TransferID]*incomingTransfer
+	unreadable    map[string]error // by key, of records that cannot be read
+	reservations  *Reservations
+	transferCount uint64 // of transfers that began in this term
+	superseded    bool   // another leader has written a record: nothing more is decided
 }
 
-// Progress is how far the tasks of another cell's job are.
-type Progress struct {
-	// Done are the tasks that are done, durably.
-	Done TaskSet
-	// Complete: none is left to be done.
-	Complete bool
-	// Present: some may be on a machine.
-	Present bool
+// Stats counts what a Manager did.
+type Stats struct {
+	Sent     atomic.Int64 // messages
+	Received atomic.Int64 // messages, rejected ones included
+	Rejected atomic.Int64 // messages that are malformed, or that their sender may not send
+	Writes   atomic.Int64 // of records, failed ones and deletions included
 }
 
-// Options are what a Manager needs.
-type Options struct {
-	Cells     *Cells
-	Store     Store
-	Link      Link
-	Scheduler Scheduler
-	Clock     units.Clock
-	Log       *slog.Logger
-	// Term is the incarnation of the fleet lease, ClaimedAt the steady time of its claim.
-	Term      uint64
-	ClaimedAt units.Micros
-	// Lost is called once when another leader has written a record.
-	Lost func()
+// versionedRecord is a record with the version that the store has of it. While it is being
+// written, messages about its transfer are dropped, as they are sent again.
+type versionedRecord[R transferRecord] struct {
+	record  R
+	version uint64 // 0: it is not stored
+	writing bool
 }
 
-// Stats count what a Manager did.
-type Stats struct{ Sent, Received, Rejected, Saves atomic.Int64 }
-
-// Manager carries out the transfers of a cell during one term of its leader: it stores
-// records, sends messages, repeats what is not answered and tells the scheduler. It is
-// safe for concurrent use.
-type Manager struct {
-	Options
-	Stats Stats
+func (v *versionedRecord[R]) stored() bool { return v.version != 0 }
 
-	mu       sync.Mutex
-	out      map[string]*outgoing
-	in       map[TransferID]*incoming
-	blocked  map[string]error // keys of records that cannot be read
-	rooms    *Reservations
-	transfer uint64 // begun in this term
-	lost     bool
+// outgoingTransfer is a transfer of a job of this cell.
+type outgoingTransfer struct {
+	versionedRecord[OriginRecord]
+	grantor LeaseGrantor
 }
 
-// outgoing is a transfer of a job of this cell. While its record is being stored it is
-// busy, and messages about it are dropped: they are repeated.
-type outgoing struct {
-	record  OriginRecord
-	version uint64
-	grantor Grantor
-	busy    bool
-}
-
-// incoming is a transfer of another cell's job.
-type incoming struct {
-	record  TargetRecord
-	version uint64
-	holder  Holder
-	busy    bool
-	asked   units.Micros // when the last Renew was sent
+// incomingTransfer is a transfer of another cell's job.
+type incomingTransfer struct {
+	versionedRecord[TargetRecord]
+	holder      LeaseHolder
+	lastRenewal units.Micros // when the last MessageRenew was sent, 0: never
 }
 
 const (
 	// reservationHold is for how long a reservation lasts that no commitment follows.
 	reservationHold = 10 * units.Second
-	// renewShare is how many times within a lease the target asks for the next grant.
-	renewShare = 3
-	// takeBackAfter is for how many leases a target may be silent until the job is taken
-	// back.
-	takeBackAfter = 3
-	// incarnationBits leaves room for so many transfers in one term.
+	// renewalsPerLease is how often within a lease the target asks for the next grant, so
+	// that one lost message does not let the lease expire.
+	renewalsPerLease = 3
+	// reclaimAfterLeases is for how many lengths of the lease a target may be silent until
+	// the job is reclaimed.
+	reclaimAfterLeases = 3
+	// incarnationBits is how many bits of an incarnation count the transfers of one term;
+	// the fencing token is above them.
 	incarnationBits = 24
 )
 
-// NewManager begins a term. Restore has to be called before anything else.
-func NewManager(o Options) *Manager {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+// NewManager returns the Manager of a term. Restore is to be called before anything else.
+func NewManager(options Options) *Manager {
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
 	return &Manager{
-		Options: o,
-		out:     map[string]*outgoing{},
-		in:      map[TransferID]*incoming{},
-		blocked: map[string]error{},
-		rooms:   NewReservations(reservationHold),
+		Options:      options,
+		outgoing:     map[string]*outgoingTransfer{},
+		incoming:     map[TransferID]*incomingTransfer{},
+		unreadable:   map[string]error{},
+		reservations: NewReservations(reservationHold),
 	}
 }
 
-// Restore reads the records. One that cannot be read is told, and its transfer stands
-// still; it is neither replaced nor answered for.
+// Restore reads the records that former leaders wrote. One that cannot be read is logged and
+// blocks its transfer: it is not replaced, and messages about it are not answered.
 func (m *Manager) Restore(ctx context.Context) error {
-	sent, err := m.Store.List(ctx, PrefixOut)
+	outgoing, err := m.Store.List(ctx, PrefixOut)
 	if err != nil {
 		return fmt.Errorf("transfers of this cell's jobs: %w", err)
 	}
-	taken, err := m.Store.List(ctx, PrefixIn)
+	incoming, err := m.Store.List(ctx, IncomingPrefix)
 	if err != nil {
 		return fmt.Errorf("transfers of other cells' jobs: %w", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, item := range sent {
-		r, err := ParseOrigin(item)
+	for _, item := range outgoing {
+		record, err := ParseOrigin(item)
 		if err != nil {
-			m.block(item.Key, err)
+			m.markUnreadable(item.Key, err)
 			continue
 		}
-		m.out[r.Transfer.Job] = &outgoing{record: *r, version: item.Version, grantor: NewGrantor(m.ClaimedAt)}
+		m.outgoing[record.Transfer.Job] = &outgoingTransfer{
+			versionedRecord: versionedRecord[OriginRecord]{record: record, version: item.Version},
+			grantor:         NewLeaseGrantor(m.LeaseAcquiredAt),
+		}
 	}
-	for _, item := range taken {
-		r, err := ParseTarget(item)
+	for _, item := range incoming {
+		record, err := DecodeTargetRecord(item)
 		if err != nil {
-			m.block(item.Key, err)
+			m.markUnreadable(item.Key, err)
 			continue
 		}
-		m.in[r.Transfer] = &incoming{record: *r, version: item.Version, holder: NewHolder(m.Term)}
-		m.rooms.Restore(r, m.Clock.Steady())
+		m.incoming[record.Transfer] = &incomingTransfer{
+			versionedRecord: versionedRecord[TargetRecord]{record: record, version: item.Version},
+			holder:          NewLeaseHolder(m.FencingToken),
+		}
+		m.reservations.Restore(record, m.Clock.Steady())
 	}
 	return nil
 }
 
-func (m *Manager) block(key string, err error) {
-	m.blocked[key] = err
+func (m *Manager) markUnreadable(key string, err error) {
+	m.unreadable[key] = err
 	m.Log.Error("the record of a transfer cannot be read; it is left alone", "key", key, "error", err)
 }
 
-// Blocked gives the error of the record that keeps a job's transfer from being restored.
-func (m *Manager) Blocked(job string) error {
+// ReadError returns why the record of a job's transfer could not be read, nil if there is
+// none or it could. Such a job has no owner.
+func (m *Manager) ReadError(job string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.blocked[PrefixOut+job]
+	return m.unreadable[outgoingKey(job)]
 }
 
-// Offer tells how much work of other cells this one can take over beside its own.
-func (m *Manager) Offer(work Work) {
+// SetCapacity sets how much work of other cells' jobs this cell accepts beside its own. What
+// is reserved already stays reserved.
+func (m *Manager) SetCapacity(work Work) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rooms.SetCapacity(work)
-}
-
-// Free is how much of that is not promised.
-func (m *Manager) Free() Work {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.rooms.Free()
-}
-
-// ErrNotMoved says that a job is not handed over.
-var ErrNotMoved = errors.New("the job is not handed over")
-
-// HandOver begins to hand a job over that has no task on a machine. reruns is how often it
-// was begun anew. The scheduler starts nothing of it until Returned is called.
-func (m *Manager) HandOver(ctx context.Context, job, class string, description []byte, work Work, reruns int, target string) error {
-	rules := m.Cells.Class(class)
-	switch {
-	case rules == nil:
-		return fmt.Errorf("%w: class %q stays where it is", ErrNotMoved, class)
-	case reruns > rules.Restarts:
-		return fmt.Errorf("%w: its class allows no further run", ErrNotMoved)
-	case target == m.Cells.Self || m.Cells.Cell(target) == nil:
-		return fmt.Errorf("%w: %q is no other cell", ErrNotMoved, target)
-	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.out[job] != nil || m.blocked[PrefixOut+job] != nil {
-		return fmt.Errorf("%w: it has a transfer", ErrNotMoved)
-	}
-	m.transfer++
-	id := TransferID{Origin: m.Cells.Self, Job: job, Incarnation: m.Term<<incarnationBits | m.transfer}
-	if err := id.check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotMoved, err)
-	}
-	o := &outgoing{grantor: NewGrantor(m.ClaimedAt)}
-	m.out[job] = o
-	if m.originDecided(ctx, o, Begin(id, target, description, work, rules.Restarts, reruns)); o.version == 0 {
-		delete(m.out, job)
-		return fmt.Errorf("%w: its transfer was not stored", ErrNotMoved)
-	}
-	return nil
-}
-
-// Cancel begins to cancel a job that was handed over. It is called until the scheduler was
-// told, by Withdrawn, or has the job back by Returned; then its user may be told.
-func (m *Manager) Cancel(ctx context.Context, job string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if o := m.out[job]; o != nil && !o.busy {
-		m.originDecided(ctx, o, o.record.Cancel())
-	}
-}
-
-// Ended is called before the end of a job is stored that had returned. It tells whether
-// the end may be stored.
-func (m *Manager) Ended(ctx context.Context, job string) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	o := m.out[job]
-	switch {
-	case o == nil:
-		return true
-	case o.busy:
-		return false
-	}
-	m.originDecided(ctx, o, o.record.Ended())
-	return o.record.Phase == Withdrawn && !m.lost
-}
-
-// Owner tells who may start tasks of a job of this cell.
-func (m *Manager) Owner(job string) Owner {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if o := m.out[job]; o != nil {
-		return o.record.Owner()
-	}
-	if m.blocked[PrefixOut+job] != nil {
-		return Nobody
-	}
-	return HereAgain
+	m.reservations.SetCapacity(work)
 }
 
-// MayRun tells whether tasks of another cell's job may be started, and may go on.
-func (m *Manager) MayRun(id TransferID) bool {
+// FreeCapacity returns how much of that is not reserved.
+func (m *Manager) FreeCapacity() Work {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	i := m.in[id]
-	return i != nil && !m.lost && i.record.MayRun(&i.holder, m.Clock.Steady())
+	return m.reservations.Free()
 }
