--- a/internal/storage/catalog.go
+++ b/internal/storage/catalog.go
@@ -9,69 +9,82 @@
 	"dunestand/internal/protocol"
 )
 
-// The catalog grows with the machine types, so in the new form it is divided
+// The catalog grows with the instance types, so in the new format it is divided
 // into records that each hold some of them.
 
-// keyCatalogPart is the key of a part of the catalog.
+// keyCatalogPart returns the key of a part of the catalog.
 func keyCatalogPart(n int) string { return fmt.Sprintf("%s/%d", KeyCatalog, n) }
 
-// CatalogChanges gives what is to be written so that the state service holds a
-// catalog in a format: sets first, so that no type is missing meanwhile. stored
-// tells what it holds now, by key. A type that fits no record is left out.
+// Bounds of what a catalog takes beside the types as JSONSize counts them, in bytes.
+const (
+	catalogFrame = 16 // around the types
+	typeOverhead = 32 // of a type: the names on the wire are a little longer
+)
+
+// CatalogChanges returns what is to be written so that the key-value store holds a
+// catalog in a format: sets first, so that no type is missing meanwhile. stored holds the
+// versions of what is there now, by key. valueBytes bounds a record in the new format, as
+// bytes of JSON; a type that fits no record is left out.
 func CatalogChanges(types []protocol.InstanceType, format, valueBytes int, stored map[string]uint64) []protocol.Change {
 	if format == FormatOld {
 		return []protocol.Change{{Set: KeyCatalog, Value: protocol.Encode(protocol.Catalog{Types: types})}}
 	}
-	var out []protocol.Change
+	var changes []protocol.Change
 	kept := map[string]bool{}
-	var part []protocol.InstanceType
-	flush := func() {
-		if len(part) > 0 {
-			key := keyCatalogPart(len(out))
-			kept[key] = true
-			out = append(out, protocol.Change{
-				Set:   key,
-				Value: protocol.Encode(protocol.Catalog{Types: part}),
-			})
-			part = nil
+	for _, part := range divideCatalog(types, valueBytes) {
+		key := keyCatalogPart(len(changes))
+		kept[key] = true
+		changes = append(changes, protocol.Change{
+			Set:   key,
+			Value: protocol.Encode(protocol.Catalog{Types: part}),
+		})
+	}
+	for _, key := range slices.Sorted(maps.Keys(stored)) {
+		if !kept[key] {
+			changes = append(changes, protocol.Change{Delete: key})
 		}
 	}
-	const frame = 16 // what is around the types
-	size := frame
+	return changes
+}
+
+// divideCatalog divides the types among records of a size, in their order. A type that fits
+// no record is left out.
+func divideCatalog(types []protocol.InstanceType, valueBytes int) [][]protocol.InstanceType {
+	var parts [][]protocol.InstanceType
+	var part []protocol.InstanceType
+	size := catalogFrame
 	for _, t := range types {
-		add := JSONSize(t) + 32 // the names on the wire are a little longer
-		if frame+add > valueBytes {
+		add := JSONSize(t) + typeOverhead
+		if catalogFrame+add > valueBytes {
 			continue
 		}
 		if size+add > valueBytes {
-			flush()
-			size = frame
+			parts = append(parts, part)
+			part, size = nil, catalogFrame
 		}
 		part = append(part, t)
 		size += add
 	}
-	flush()
-	for _, key := range slices.Sorted(maps.Keys(stored)) {
-		if !kept[key] {
-			out = append(out, protocol.Change{Delete: key})
-		}
+	if len(part) > 0 {
+		parts = append(parts, part)
 	}
-	return out
+	return parts
 }
 
-// ParseCatalog reads the rows under the catalog's key, in either form, and gives
-// their versions. What cannot be read is left out and told as an error.
-func ParseCatalog(rows []protocol.Item) (catalog protocol.Catalog, stored map[string]uint64, err error) {
+// ParseCatalog decodes the records under the catalog's key, in either format, and returns
+// their versions by key. A record that cannot be decoded is left out and reported as a
+// *RecordError, the first of the keys if there are several.
+func ParseCatalog(items []protocol.Item) (catalog protocol.Catalog, stored map[string]uint64, err error) {
 	stored = map[string]uint64{}
 	seen := map[string]bool{}
-	for _, row := range slices.Backward(rows) { // the old record, which comes first, may be older
-		if row.Key != KeyCatalog && !strings.HasPrefix(row.Key, KeyCatalog+"/") {
+	for _, item := range slices.Backward(items) { // the old record, which comes first, may be older
+		if item.Key != KeyCatalog && !strings.HasPrefix(item.Key, KeyCatalog+"/") {
 			continue
 		}
-		stored[row.Key] = row.Version
+		stored[item.Key] = item.Version
 		var c protocol.Catalog
-		if e := protocol.Decode(row.Value, &c); e != nil {
-			err = &RecordError{Key: row.Key, Err: e}
+		if e := protocol.Decode(item.Value, &c); e != nil {
+			err = &RecordError{Key: item.Key, Err: e}
 			continue
 		}
 		for _, t := range c.Types {
--- a/internal/storage/jsonsize.go
+++ b/internal/storage/jsonsize.go
@@ -5,17 +5,22 @@
 	"unicode/utf8"
 )
 
-// JSONSize is the size in bytes of a record as the key-value store counts it, at most: how the
-// store writes what is not ASCII is not specified.
+// escapeBytes is what a character beyond ASCII takes more, at most, as a pair of escapes in
+// place of its UTF-8 bytes.
+const escapeBytes = 8
+
+// JSONSize returns the size in bytes of a record as the key-value store counts it, at most: how
+// the store writes what is not ASCII is not specified. The record is a struct of texts and
+// numbers; it panics on what JSON cannot hold.
 func JSONSize(r any) int {
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a struct of texts and numbers
+		panic(err)
 	}
 	size := len(raw)
 	for _, c := range string(raw) {
 		if c >= utf8.RuneSelf {
-			size += 8 // as a pair of escapes
+			size += escapeBytes
 		}
 	}
 	return size
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -1,6 +1,7 @@
 // Package storage holds the names and formats of the records in the key-value store that
 // every controller of every version must agree on: keys, the leader lease, bucket heads,
-// terminal states of jobs, the format of the fleet and the catalog of instance types.
+// terminal states of jobs, the format of the fleet and the catalog of instance types. The
+// names on the wire that differ from the field's terms stay in the cbor tags and keys here.
 package storage
 
 import (
@@ -10,13 +11,10 @@
 	"net/url"
 	"strconv"
 	"strings"
-
-	"dunestand/internal/protocol"
-	"dunestand/internal/units"
 )
 
-// Keys of the records. Jobs live in buckets under their bucket's head; final
-// states live apart, so that a restore does not grow with them.
+// Keys of the records. Jobs are kept in buckets under their bucket's head; terminal
+// states are kept apart, so that a restore does not grow with them.
 const (
 	KeyLeaderLease = "fleet"
 	KeyCatalog     = "catalog" // and what begins with it
@@ -26,38 +24,45 @@
 	KeyFleetFormat    = "format/fleet"
 	PrefixBucketHeads = "bucket/"
 	PrefixJobs        = "job/"
-	prefixTerminal    = "final/"
+	// PrefixPending holds the queue of pending submissions: jobs that a controller accepted
+	// while it could not reach a leader. Only the leader writes jobs' own records; it
+	// ingests the queue.
+	PrefixPending  = "inbox/"
+	prefixTerminal = "final/"
 )
 
-// Buckets is the number of buckets (DESIGN).
+// Buckets is the number of buckets, see docs/design.md.
 const Buckets = 16
 
-// BucketOf gives the bucket of a job.
+// BucketOf returns the bucket of a job.
 func BucketOf(job string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(job))
 	return int(h.Sum32() % Buckets)
 }
 
-// KeyFormat is the key of the format that a controller reads.
+// KeyFormat returns the key of the format that a controller reads.
 func KeyFormat(node string) string { return PrefixFormats + "node/" + url.PathEscape(node) }
 
-// FormatRecord is a format, of a controller or of the fleet.
-type FormatRecord struct {
-	Format    int    `cbor:"format"`
-	WrittenBy string `cbor:"by"` // the controller that wrote it
-}
-
-// KeyBucketHead is the key of a bucket's head.
+// KeyBucketHead returns the key of a bucket's head.
 func KeyBucketHead(bucket int) string { return fmt.Sprintf("%s%02d", PrefixBucketHeads, bucket) }
 
-// KeyJob is the key of a live job's record.
+// KeyJob returns the key of a live job's record.
 func KeyJob(job string) string { return fmt.Sprintf("%s%02d/%s", PrefixJobs, BucketOf(job), job) }
 
-// KeyTerminal is the key of a finished job's final state.
+// KeyPending returns the key of a pending submission.
+func KeyPending(job string) string { return PrefixPending + job }
+
+// KeyTerminal returns the key of a finished job's terminal state.
 func KeyTerminal(job string) string { return prefixTerminal + job }
 
-// The kinds of a job's further records, which lie below its own: parts of the names of
+// JobOfTerminalKey returns the job whose terminal state a key holds, and whether it is such a
+// key.
+func JobOfTerminalKey(key string) (job string, ok bool) {
+	return strings.CutPrefix(key, prefixTerminal)
+}
+
+// The kinds of a job's further records, which are kept below its own: parts of the names of
 // machines, pages of the set of completed tasks, and such pages in the old format.
 const (
 	PartMachineNames = 'm'
@@ -68,7 +73,7 @@
 // partKinds are all kinds of further records.
 var partKinds = string([]rune{PartMachineNames, PartDonePage, PartOldDonePage})
 
-// KeyJobPart is the key of a job's further record: the n-th of a kind.
+// KeyJobPart returns the key of a job's further record: the n-th of a kind.
 func KeyJobPart(job string, kind byte, n int) string {
 	return fmt.Sprintf("%s/%c%d", KeyJob(job), kind, n)
 }
@@ -80,7 +85,7 @@
 	Number int    // 0 or above
 }
 
-// ParseJobPart parses a key below a job's. It fails with a RecordError if the key is not one
+// ParseJobPart parses a key below a job's. It fails with a *RecordError if the key is not one
 // that KeyJobPart makes.
 func ParseJobPart(key string) (JobPart, error) {
 	cut := strings.LastIndexByte(key, '/')
@@ -95,53 +100,3 @@
 	}
 	return JobPart{}, &RecordError{Key: key, Err: errors.New("not of a known kind")}
 }
-
-// LeaseRecord is a leased record: the fleet's, which names the leader and whose
-// incarnation is the workers' term, or a bucket's.
-type LeaseRecord struct {
-	Holder      string `cbor:"holder"`
-	Incarnation uint64 `cbor:"incarnation"`
-	WriteID     string `cbor:"save"`               // names the save, so that its author knows it again
-	Resigned    bool   `cbor:"resigned,omitempty"` // the holder gave it up: no need to wait
-	// HandedOverAt is the time of day when a holder that had fallen behind last gave
-	// it up.
-	HandedOverAt units.Micros `cbor:"handed,omitempty"`
-}
-
-// TerminalRecord is the record of a finished job.
-type TerminalRecord struct {
-	Stage   protocol.JobStage `cbor:"stage"`
-	Tasks   int               `cbor:"tasks"`
-	Done    int               `cbor:"done"`
-	WriteID string            `cbor:"save"`
-}
-
-// StoredTerminalRecord is a Final as it was read or stored.
-type StoredTerminalRecord struct {
-	TerminalRecord
-	Version uint64
-}
-
-// Formats of a job's records. In the old one a single record names all
-// machines, and the pages of a large done set follow it. Controllers that know
-// no other may lead until the fleet's format is raised. In the new one every
-// record has a bounded size, however large the job is and whatever it is on.
-const (
-	FormatOld = 1
-	FormatNew = 2
-	// FormatAdmission has the records of FormatNew. All controllers of such a fleet
-	// admit jobs by the admission plan; one that does not know it must not lead.
-	FormatAdmission = 3
-	// NewestFormat is the newest that this version reads and writes.
-	NewestFormat = FormatAdmission
-)
-
-// PrefixPending holds jobs that a controller accepted while it could not reach a
-// leader. Only the leader writes jobs' own records; it takes the inbox in.
-const PrefixPending = "inbox/"
-
-// KeyPending is the key of a job that no leader has taken in yet.
-func KeyPending(job string) string { return PrefixPending + job }
-
-// JobOfTerminalKey gives the job whose final state a key holds.
-func JobOfTerminalKey(key string) (string, bool) { return strings.CutPrefix(key, prefixTerminal) }
