--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -20,6 +20,7 @@
 	"dunestand/internal/protocol"
 	"dunestand/internal/recordformat"
 	"dunestand/internal/scheduler"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -64,7 +65,7 @@
 type provisioningState struct {
 	catalog        protocol.Catalog
 	catalogStored  map[string]uint64 // versions, by key
-	catalogFormat  int               // in which it was stored last
+	catalogFormat  storage.Format    // in which it was stored last
 	catalogReadAt  units.Micros
 	listReadAt     units.Micros
 	listedMachines int // machines in the last list
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -29,7 +29,7 @@
 
 // storeCatalog keeps the catalog for a leader that begins during an outage of
 // the cloud. Whether it succeeds matters to nobody now.
-func (as *Autoscaler) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
+func (as *Autoscaler) storeCatalog(ctx context.Context, c protocol.Catalog, format storage.Format) {
 	state := as.Settings.Fleet.State.Both()
 	versions := as.provisioning.catalogStored
 	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -45,7 +45,7 @@
 	shortRuns    map[int]int // by replica of a service: runs in a row that ended soon
 }
 
-func newJob(spec protocol.JobSpec, submitted units.Micros, format int) *Job {
+func newJob(spec protocol.JobSpec, submitted units.Micros, format storage.Format) *Job {
 	j := &Job{
 		Spec:                 spec,
 		Submitted:            submitted,
--- a/internal/cluster/jobrecord.go
+++ b/internal/cluster/jobrecord.go
@@ -4,53 +4,54 @@
 	"encoding/base64"
 	"errors"
 
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // jobRecord is a live job as it is stored. Durations are in microseconds. The sizes as JSON
 // decide how a job is divided into records, so the json names stay as the cbor names do.
 type jobRecord struct {
-	Format             int          `cbor:"v" json:"v"`
-	WriteID            string       `cbor:"save" json:"save"`
-	ID                 string       `cbor:"id" json:"id"`
-	Class              string       `cbor:"class" json:"class"`
-	Team               string       `cbor:"team" json:"team"`
-	Kind               uint8        `cbor:"shape" json:"shape"`
-	Priority           uint8        `cbor:"priority" json:"priority"`
-	Tasks              int          `cbor:"tasks" json:"tasks"`
-	CPU                units.Amount `cbor:"cpu" json:"cpu"`
-	GPU                units.Amount `cbor:"gpu" json:"gpu"`
-	Memory             units.Amount `cbor:"memory" json:"memory"`
-	InstanceTypes      []string     `cbor:"types" json:"types"`
-	Zone               string       `cbor:"zone" json:"zone"`
-	ZoneAffinity       bool         `cbor:"one_zone" json:"one_zone"`
-	ZoneSpread         bool         `cbor:"spread" json:"spread"`
-	AllowSpot          bool         `cbor:"spot" json:"spot"`
-	Image              string       `cbor:"image" json:"image"`
-	ImageSize          units.Amount `cbor:"image_size" json:"image_size"`
-	Estimate           units.Micros `cbor:"estimate" json:"estimate"`
-	CheckpointInterval units.Micros `cbor:"checkpoint" json:"checkpoint"`
-	CheckpointDuration units.Micros `cbor:"save_time" json:"save_time"`
-	Deadline           units.Micros `cbor:"deadline" json:"deadline"`
-	Submitted          units.Micros `cbor:"submitted" json:"submitted"` // time of day
-	Cancelled          bool         `cbor:"cancelled" json:"cancelled"`
-	Machines           []string     `cbor:"machines" json:"machines"` // may hold tasks of the job
-	Done               string       `cbor:"done" json:"done"`         // the done set, or the first page of it in the old format
-	Pages              int          `cbor:"pages" json:"pages"`       // further pages, in the old format
+	Format             storage.Format `cbor:"v" json:"v"`
+	WriteID            string         `cbor:"save" json:"save"`
+	ID                 string         `cbor:"id" json:"id"`
+	Class              string         `cbor:"class" json:"class"`
+	Team               string         `cbor:"team" json:"team"`
+	Kind               uint8          `cbor:"shape" json:"shape"`
+	Priority           uint8          `cbor:"priority" json:"priority"`
+	Tasks              int            `cbor:"tasks" json:"tasks"`
+	CPU                units.Amount   `cbor:"cpu" json:"cpu"`
+	GPU                units.Amount   `cbor:"gpu" json:"gpu"`
+	Memory             units.Amount   `cbor:"memory" json:"memory"`
+	InstanceTypes      []string       `cbor:"types" json:"types"`
+	Zone               string         `cbor:"zone" json:"zone"`
+	ZoneAffinity       bool           `cbor:"one_zone" json:"one_zone"`
+	ZoneSpread         bool           `cbor:"spread" json:"spread"`
+	AllowSpot          bool           `cbor:"spot" json:"spot"`
+	Image              string         `cbor:"image" json:"image"`
+	ImageSize          units.Amount   `cbor:"image_size" json:"image_size"`
+	Estimate           units.Micros   `cbor:"estimate" json:"estimate"`
+	CheckpointInterval units.Micros   `cbor:"checkpoint" json:"checkpoint"`
+	CheckpointDuration units.Micros   `cbor:"save_time" json:"save_time"`
+	Deadline           units.Micros   `cbor:"deadline" json:"deadline"`
+	Submitted          units.Micros   `cbor:"submitted" json:"submitted"` // time of day
+	Cancelled          bool           `cbor:"cancelled" json:"cancelled"`
+	Machines           []string       `cbor:"machines" json:"machines"` // may hold tasks of the job
+	Done               string         `cbor:"done" json:"done"`         // the done set, or the first page of it in the old format
+	Pages              int            `cbor:"pages" json:"pages"`       // further pages, in the old format
 }
 
 // machineNamesRecord is a further part of the names of machines.
 type machineNamesRecord struct {
-	Format   int      `cbor:"v" json:"v"`
-	WriteID  string   `cbor:"save" json:"save"`
-	Machines []string `cbor:"machines" json:"machines"`
+	Format   storage.Format `cbor:"v" json:"v"`
+	WriteID  string         `cbor:"save" json:"save"`
+	Machines []string       `cbor:"machines" json:"machines"`
 }
 
 // donePageRecord is a part of a large array's done set.
 type donePageRecord struct {
-	Format  int    `cbor:"v,omitempty" json:"v"` // not in the old format
-	WriteID string `cbor:"save,omitempty" json:"save"`
-	Done    string `cbor:"done" json:"done"`
+	Format  storage.Format `cbor:"v,omitempty" json:"v"` // not in the old format
+	WriteID string         `cbor:"save,omitempty" json:"save"`
+	Done    string         `cbor:"done" json:"done"`
 }
 
 const (
--- a/internal/cluster/namespace.go
+++ b/internal/cluster/namespace.go
@@ -30,13 +30,13 @@
 type nameSpace struct{ main, part int }
 
 // nameSpaceFunc returns the space for names in the records of a job in a format.
-type nameSpaceFunc func(spec *protocol.JobSpec, format int) nameSpace
+type nameSpaceFunc func(spec *protocol.JobSpec, format storage.Format) nameSpace
 
 // newNameSpace returns the function for a store that takes values of so many bytes now, and
 // of so many both now and under the announced next limits. Records in the old format, which
 // are not divided, may fill what the store takes now.
 func newNameSpace(valueNow, valueBoth int) nameSpaceFunc {
-	return func(spec *protocol.JobSpec, format int) nameSpace {
+	return func(spec *protocol.JobSpec, format storage.Format) nameSpace {
 		j := &Job{Spec: *spec, records: jobRecords{spec: spec, format: format}}
 		value, inlineDone := valueNow, min(spec.Tasks, oldPageTasks)
 		if format != storage.FormatOld {
@@ -59,7 +59,7 @@
 
 // FitsRecords reports whether a job can be kept in records of a format, however far the
 // job gets.
-func FitsRecords(spec *protocol.JobSpec, format int, limits config.State) bool {
+func FitsRecords(spec *protocol.JobSpec, format storage.Format, limits config.State) bool {
 	both := limits.Both()
 	space := newNameSpace(limits.ValueBytes(), both.ValueBytes())(spec, format)
 	if format != storage.FormatOld {
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -142,7 +142,7 @@
 	}
 	items := map[string]protocol.Item{}
 	stored := map[string]uint64{}
-	write := func(types []protocol.InstanceType, format int) {
+	write := func(types []protocol.InstanceType, format storage.Format) {
 		for i, c := range storage.CatalogChanges(types, format, 2048, stored) {
 			if c.Delete != "" {
 				delete(items, c.Delete)
@@ -154,7 +154,10 @@
 			items[c.Set] = protocol.Item{Key: c.Set, Value: c.Value, Version: uint64(i + 1)}
 		}
 	}
-	for step, want := range []struct{ types, format int }{{40, storage.FormatOld}, {40, storage.FormatNew}, {3, storage.FormatNew}} {
+	for step, want := range []struct {
+		types  int
+		format storage.Format
+	}{{40, storage.FormatOld}, {40, storage.FormatNew}, {3, storage.FormatNew}} {
 		write(types[:want.types], want.format)
 		var rows []protocol.Item
 		for _, key := range slices.Sorted(maps.Keys(items)) {
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -55,7 +55,7 @@
 	store          *store
 	bucketVersions []uint64
 	limits         config.State // that hold now
-	format         int
+	format         storage.Format
 	batches        int
 	attempts       uint64
 }
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -10,8 +10,8 @@
 type recordRules struct {
 	limits            config.State // of the key-value store
 	nameSpace         nameSpaceFunc
-	format            int  // of the fleet: the newest that every leader reads
-	nextLimitsApplied bool // the announced limits are known to be in force
+	format            storage.Format // of the fleet: the newest that every leader reads
+	nextLimitsApplied bool           // the announced limits are known to be in force
 }
 
 func newRecordRules(limits config.State) recordRules {
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -29,7 +29,7 @@
 	unreconciled map[string]bool // machines that may hold tasks no heartbeat has shown
 	attempts     map[string]int  // number of attempts by machine
 
-	format       int
+	format       storage.Format
 	migrating    bool           // into the new format: its own record is still in the old one
 	main         *shard         // the job's own
 	nameParts    map[int]*shard // further names
@@ -46,7 +46,7 @@
 // as many machines at most.
 const maxParts = protocol.MaxTasks
 
-func newJobRecords(spec *protocol.JobSpec, unreconciled map[string]bool, format int) jobRecords {
+func newJobRecords(spec *protocol.JobSpec, unreconciled map[string]bool, format storage.Format) jobRecords {
 	main := &shard{key: storage.KeyJob(spec.ID), dirty: true, machines: map[string]bool{}}
 	return jobRecords{
 		spec:         spec,
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -73,7 +73,7 @@
 // UpgradeFormat raises the format of records to one that every leader, now and later, reads.
 // Records in the old format are migrated as they are written, and all of them in time. A
 // lower format than the present one has no effect.
-func (s *State) UpgradeFormat(format int, now units.Micros) {
+func (s *State) UpgradeFormat(format storage.Format, now units.Micros) {
 	format = min(format, storage.FormatNew) // jobs' records are the same in later ones
 	if format <= s.rules.format {
 		return
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -323,14 +323,14 @@
 		}
 	}
 	// A controller that has just started does not know that the fleet admits by a plan.
-	format.Level.Store(storage.FormatOld)
+	format.Level.Store(int64(storage.FormatOld))
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
 	if _, stored := s.Get(storage.KeyPending("j-000001")); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
-	format.Level.Store(storage.FormatAdmission)
+	format.Level.Store(int64(storage.FormatAdmission))
 	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: %d", status)
 	}
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -25,7 +25,7 @@
 }
 
 // checkFeasible tells why a job could never run, or why that is not known yet.
-func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format int) (int, string) {
+func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format storage.Format) (int, string) {
 	i := slices.IndexFunc(s.Fleet.Teams, func(t config.Team) bool { return t.Name == spec.Team })
 	if i < 0 {
 		return http.StatusUnprocessableEntity, "crew: unknown team"
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -60,7 +60,8 @@
 	service := *modelSpec("j-000001")
 	service.Kind, service.Tasks = protocol.Service, modelLimit
 	for _, c := range []struct {
-		level, tasks, want int
+		level       storage.Format
+		tasks, want int
 	}{
 		{storage.FormatOld, modelLimit, http.StatusServiceUnavailable},
 		{storage.FormatOld, modelLimit + 1, http.StatusUnprocessableEntity},
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -105,7 +105,9 @@
 	}}}
 
 // setFormat sets the fleet's format as the leader knows it.
-func (l *Leader) setFormat(level int) { l.Format.(*standin.RecordFormat).Level.Store(int64(level)) }
+func (l *Leader) setFormat(level storage.Format) {
+	l.Format.(*standin.RecordFormat).Level.Store(int64(level))
+}
 
 // lease is the leader's leadership, for tests that take it away or look at it.
 func (l *Leader) lease() *standin.Leadership { return l.leadership.(*standin.Leadership) }
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func (m *model) learn(level int) {
+func (m *model) learn(level storage.Format) {
 	if level > m.leader.Format.Current() {
 		m.leader.setFormat(level)
 	}
--- a/internal/recordformat/negotiator.go
+++ b/internal/recordformat/negotiator.go
@@ -20,7 +20,7 @@
 // of a controller. Its methods may be called concurrently.
 type Source interface {
 	// Current is the format that may be written.
-	Current() int
+	Current() storage.Format
 	// TooNew reports whether records may have a format that this version does not know.
 	TooNew() bool
 	// Refresh reads from the key-value store what the fleet's format is now.
@@ -39,7 +39,7 @@
 	nodes     []string // all that are configured
 	kvClient  *kv.Client
 	log       *slog.Logger
-	supported int // the format that this node tells the others
+	supported storage.Format // the format that this node tells the others
 
 	current    atomic.Int64
 	tooNew     atomic.Bool // the fleet has a format that this version does not know
@@ -50,14 +50,14 @@
 
 // NewNegotiator makes the fleet's format as a controller knows it. The controller tells
 // the others that it reads the format given, and all before it.
-func NewNegotiator(node string, others []string, reads int, store *kv.Client, log *slog.Logger) *Negotiator {
+func NewNegotiator(node string, others []string, reads storage.Format, store *kv.Client, log *slog.Logger) *Negotiator {
 	f := &Negotiator{node: node, nodes: append([]string{node}, others...), supported: reads, kvClient: store, log: log}
-	f.current.Store(storage.FormatOld)
+	f.current.Store(int64(storage.FormatOld))
 	return f
 }
 
 // Current is the format that may be written.
-func (f *Negotiator) Current() int { return int(f.current.Load()) }
+func (f *Negotiator) Current() storage.Format { return storage.Format(f.current.Load()) }
 
 // TooNew tells whether records may have a format that this version does not
 // know. It then must not lead: what it cannot read it would forget.
@@ -102,11 +102,11 @@
 
 // StoredFormat is a format as a record has it.
 type StoredFormat struct {
-	Format  int
+	Format  storage.Format
 	Version uint64
 }
 
-func (f *Negotiator) adopt(level int) {
+func (f *Negotiator) adopt(level storage.Format) {
 	if level > storage.NewestFormat && !f.tooNew.Swap(true) {
 		f.log.Error("the fleet's records have a format of a later version; this node does not lead", "format", level, "known", storage.NewestFormat)
 	}
@@ -141,7 +141,7 @@
 }
 
 // SupportedByAll gives the newest format that every controller reads.
-func SupportedByAll(nodes []string, known map[string]StoredFormat) int {
+func SupportedByAll(nodes []string, known map[string]StoredFormat) storage.Format {
 	level := storage.NewestFormat
 	for _, node := range nodes {
 		level = min(level, max(known[storage.KeyFormat(node)].Format, storage.FormatOld))
@@ -149,7 +149,7 @@
 	return level
 }
 
-func (f *Negotiator) write(ctx context.Context, key string, format int, on uint64) error {
+func (f *Negotiator) write(ctx context.Context, key string, format storage.Format, on uint64) error {
 	_, err := f.kvClient.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{{Key: key, Version: on}},
 		Then: []protocol.Change{{
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -37,7 +37,7 @@
 func TestFormatIsRaisedOnceAllAreUpgraded(t *testing.T) {
 	s := standin.NewState()
 	f := formatsOn(t, s, "a", "b", "c")
-	step := func(node string, leads bool, want int) {
+	step := func(node string, leads bool, want storage.Format) {
 		t.Helper()
 		if err := f[node].step(t.Context(), leads); err != nil {
 			t.Fatal(err)
--- a/internal/storage/catalog.go
+++ b/internal/storage/catalog.go
@@ -25,7 +25,7 @@
 // catalog in a format: sets first, so that no type is missing meanwhile. stored holds the
 // versions of what is there now, by key. valueBytes bounds a record in the new format, as
 // bytes of JSON; a type that fits no record is left out.
-func CatalogChanges(types []protocol.InstanceType, format, valueBytes int, stored map[string]uint64) []protocol.Change {
+func CatalogChanges(types []protocol.InstanceType, format Format, valueBytes int, stored map[string]uint64) []protocol.Change {
 	if format == FormatOld {
 		return []protocol.Change{{Set: KeyCatalog, Value: protocol.Encode(protocol.Catalog{Types: types})}}
 	}
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -16,6 +16,6 @@
 
 // UnknownFormatError is the format of a record that this version does not know: a later
 // version may have written it.
-type UnknownFormatError int
+type UnknownFormatError Format
 
 func (e UnknownFormatError) Error() string { return fmt.Sprintf("format %d is not known", int(e)) }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -7,7 +7,7 @@
 
 // FormatRecord is a format, of a controller or of the fleet.
 type FormatRecord struct {
-	Format    int    `cbor:"format"`
+	Format    Format `cbor:"format"`
 	WrittenBy string `cbor:"by"` // the controller that wrote it
 }
 
