--- a/cmd/dunestand/cells.go
+++ b/cmd/dunestand/cells.go
@@ -30,7 +30,7 @@
 cell. Prints nothing but what is wrong, and then exits with status 2.`,
 		Args: oneArgument,
 		RunE: func(_ *cobra.Command, args []string) error {
-			cells, err := federation.LoadCells(args[0])
+			cells, err := federation.LoadConfig(args[0])
 			if err != nil {
 				return badInput{err}
 			}
--- a/internal/federation/apply.go
+++ b/internal/federation/apply.go
@@ -88,10 +88,10 @@
 	*writing = true
 	m.mu.Unlock()
 	m.Stats.Writes.Add(1)
-	stored, err := m.Store.Save(ctx, key, value, version)
+	stored, err := m.Store.CompareAndSwap(ctx, key, value, version)
 	m.mu.Lock()
 	*writing = false
-	if errors.Is(err, ErrConflict) && !m.superseded {
+	if errors.Is(err, ErrVersionConflict) && !m.superseded {
 		m.superseded = true
 		m.Log.Error("the record of a transfer was written by another leader", "key", key)
 		if m.OnSuperseded != nil {
--- a/internal/federation/config_test.go
+++ b/internal/federation/config_test.go
@@ -17,7 +17,7 @@
 
 func loadExampleConfig(t *testing.T) *Config {
 	t.Helper()
-	c, err := LoadCells(exampleConfigPath)
+	c, err := LoadConfig(exampleConfigPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 			if err := os.WriteFile(path, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			_, err := LoadCells(path)
+			_, err := LoadConfig(path)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%v, want one line with %q", err, c.want)
 			}
--- a/internal/federation/configfile.go
+++ b/internal/federation/configfile.go
@@ -72,9 +72,9 @@
 	maxMarginS = 86400
 )
 
-// LoadCells reads and checks a cells file. Its error is one line that begins with the path.
+// LoadConfig reads and checks a cells file. Its error is one line that begins with the path.
 // It wraps a *FieldError for a field that is unknown, out of range or contradicts another.
-func LoadCells(path string) (*Config, error) {
+func LoadConfig(path string) (*Config, error) {
 	var file configFile
 	meta, err := toml.DecodeFile(path, &file)
 	if err != nil {
--- a/internal/federation/dependencies.go
+++ b/internal/federation/dependencies.go
@@ -9,18 +9,18 @@
 	"dunestand/internal/units"
 )
 
-// ErrConflict reports that a record was not written, as another leader has written it since,
+// ErrVersionConflict reports that a record was not written, as another leader has written it since,
 // or may have.
-var ErrConflict = errors.New("another leader has written the record")
+var ErrVersionConflict = errors.New("another leader has written the record")
 
 // Store keeps the records of a cell's transfers in its key-value store.
 type Store interface {
 	// List returns all records whose keys begin with a prefix.
 	List(ctx context.Context, prefix string) ([]protocol.Item, error)
-	// Save writes a value, or deletes the key if it is nil, by a compare-and-swap on the
+	// CompareAndSwap writes a value, or deletes the key if it is nil, by a compare-and-swap on the
 	// record's version, 0: the key does not exist. It returns the new version. It returns
-	// an error other than ErrConflict only if the write is certain not to be carried out.
-	Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error)
+	// an error other than ErrVersionConflict only if the write is certain not to be carried out.
+	CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, error)
 }
 
 // Transport sends messages to other cells. They may be lost, duplicated or delayed.
--- a/internal/federation/fakestore_test.go
+++ b/internal/federation/fakestore_test.go
@@ -32,7 +32,7 @@
 	return found, nil
 }
 
-func (s *fakeStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
+func (s *fakeStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
 	time.Sleep(fakeWriteTime)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 		return 0, context.DeadlineExceeded
 	}
 	if s.records[key].Version != version {
-		return 0, ErrConflict
+		return 0, ErrVersionConflict
 	}
 	s.revision++
 	if value == nil {
--- a/internal/federation/lease_test.go
+++ b/internal/federation/lease_test.go
@@ -50,7 +50,7 @@
 	if got := grantor.SinceLastGrant(granted); got != granted-elected {
 		t.Errorf("%v s since the election, want %v s", got.Seconds(), (granted - elected).Seconds())
 	}
-	record := OriginRecord{Transfer: transfer, Target: "dye", Phase: Committed, MaxRestarts: 2}
+	record := OriginRecord{Transfer: transfer, Target: "dye", Phase: OriginCommitted, MaxRestarts: 2}
 	renew := Message{Kind: MessageRenew, Transfer: transfer, Run: 1}
 	if decision := record.Receive(&renew, &grantor, granted); len(decision.Send) != 1 || decision.Send[0].Kind != MessageGrant {
 		t.Fatalf("no grant: %+v", decision)
--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -89,7 +89,7 @@
 // Restore reads the records that former leaders wrote. One that cannot be read is logged and
 // blocks its transfer: it is not replaced, and messages about it are not answered.
 func (m *Manager) Restore(ctx context.Context) error {
-	outgoing, err := m.Store.List(ctx, PrefixOut)
+	outgoing, err := m.Store.List(ctx, OutgoingPrefix)
 	if err != nil {
 		return fmt.Errorf("transfers of this cell's jobs: %w", err)
 	}
@@ -100,7 +100,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, item := range outgoing {
-		record, err := ParseOrigin(item)
+		record, err := DecodeOriginRecord(item)
 		if err != nil {
 			m.markUnreadable(item.Key, err)
 			continue
--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -91,7 +91,7 @@
 		before := m.Stats.Sent.Load()
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserved, Transfer: id})
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserve, Transfer: TransferID{"dye", "j-000002", 1}, Work: 1})
-		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.originRecord("j-000001").Phase != Intended {
+		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.originRecord("j-000001").Phase != OriginIntended {
 			t.Errorf("%d messages, phase %v", sent, m.originRecord("j-000001").Phase)
 		}
 		if free := m.FreeCapacity(); free != Work(r.cells["mill"].slots)*fakeSlotCapacity {
--- a/internal/federation/modeldelivery_test.go
+++ b/internal/federation/modeldelivery_test.go
@@ -108,7 +108,7 @@
 
 // roundTripOrigin returns a record as it is read after it was stored.
 func roundTripOrigin(t *rapid.T, record OriginRecord) OriginRecord {
-	read, err := ParseOrigin(protocol.Item{Key: record.Key(), Value: record.Encode("1-1")})
+	read, err := DecodeOriginRecord(protocol.Item{Key: record.Key(), Value: record.Encode("1-1")})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -8,7 +8,7 @@
 	r := OriginRecord{
 		Transfer:    id,
 		Target:      request.Target,
-		Phase:       Intended,
+		Phase:       OriginIntended,
 		MaxRestarts: maxRestarts,
 		Restarts:    request.Restarts,
 		Job:         request.Description,
@@ -20,9 +20,9 @@
 // Resend decides to send again what the target has not answered yet.
 func (r OriginRecord) Resend() Decision[OriginRecord] {
 	switch {
-	case r.Phase == Intended:
+	case r.Phase == OriginIntended:
 		return unchanged(r, MessageReserve)
-	case r.Phase == Committed && r.Run == 0:
+	case r.Phase == OriginCommitted && r.Run == 0:
 		return unchanged(r, MessageCommit)
 	case r.Phase == OriginRevoking, r.Phase == OriginReturned && !r.Confirmed, r.Phase == OriginWithdrawn && !r.Confirmed:
 		return unchanged(r, MessageRevoke)
@@ -42,11 +42,11 @@
 	case MessageReserved:
 		return r.onReserved()
 	case MessageNoCapacity:
-		if r.Phase == Intended {
+		if r.Phase == OriginIntended {
 			return r.detach(OriginReturned, true)
 		}
 	case MessageAccepted:
-		if r.Phase != Committed {
+		if r.Phase != OriginCommitted {
 			return r.Resend()
 		}
 	case MessageRenew:
@@ -61,17 +61,17 @@
 
 // onReserved commits the job. A reservation for a transfer that was given up is released.
 func (r OriginRecord) onReserved() Decision[OriginRecord] {
-	if r.Phase != Intended {
+	if r.Phase != OriginIntended {
 		return r.Resend()
 	}
-	r.Phase = Committed
+	r.Phase = OriginCommitted
 	return changed(r, MessageCommit)
 }
 
 // onRenew grants a lease on a run of the job. That a run may begin is stored before the
 // grant is sent, so that runs are counted before they begin.
 func (r OriginRecord) onRenew(renew *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
-	if r.Phase != Committed {
+	if r.Phase != OriginCommitted {
 		return r.Resend()
 	}
 	if renew.Run < r.Run || renew.Run > r.Run+1 || r.Restarts+renew.Run-1 > max(r.MaxRestarts, r.Restarts) {
@@ -95,7 +95,7 @@
 	r.Done = r.Done.Union(refused.Done)
 	r.Run = min(r.Run, refused.Run) // a run that was granted and never began does not count
 	switch r.Phase {
-	case Intended, Committed:
+	case OriginIntended, OriginCommitted:
 		return r.detach(OriginReturned, true)
 	case OriginRevoking:
 		return r.finishRevocation(true)
@@ -147,9 +147,9 @@
 // is OriginWithdrawn, or once it is OriginReturned and the origin has cancelled the job.
 func (r OriginRecord) Cancel() Decision[OriginRecord] {
 	switch r.Phase {
-	case Intended:
+	case OriginIntended:
 		return r.detach(OriginReturned, false)
-	case Committed:
+	case OriginCommitted:
 		if r.Run == 0 {
 			return r.detach(OriginReturned, false) // no lease was ever granted
 		}
@@ -179,7 +179,7 @@
 // changes nothing if the class does not allow another restart.
 func (r OriginRecord) Reclaim() Decision[OriginRecord] {
 	switch {
-	case r.Phase == Intended:
+	case r.Phase == OriginIntended:
 		return r.detach(OriginReturned, false)
 	case !r.canReclaim():
 		return unchanged(r)
--- a/internal/federation/originrecord.go
+++ b/internal/federation/originrecord.go
@@ -6,9 +6,9 @@
 // The phases at the origin. docs/federation.md has the table of all steps.
 const (
 	// OriginIntended: the origin starts no task of the job, and asks the target for a reservation.
-	Intended OriginPhase = iota + 1
+	OriginIntended OriginPhase = iota + 1
 	// OriginCommitted: the target may accept the job, and run it while it holds a lease.
-	Committed
+	OriginCommitted
 	// OriginRevoking: no lease is granted any more; the origin waits for the target's
 	// refusal, or for the time after which nothing of the job can run there.
 	OriginRevoking
@@ -24,8 +24,8 @@
 )
 
 var originPhaseNames = [originPhaseCount]string{
-	Intended:        "intended",
-	Committed:       "committed",
+	OriginIntended:  "intended",
+	OriginCommitted: "committed",
 	OriginRevoking:  "revoking",
 	OriginReturned:  "returned",
 	OriginFinished:  "finished",
@@ -107,7 +107,7 @@
 // Owner returns which cell may start tasks of the job.
 func (r OriginRecord) Owner() Owner {
 	switch r.Phase {
-	case Committed:
+	case OriginCommitted:
 		return OwnerTarget
 	case OriginReturned:
 		return OwnerOrigin
@@ -129,7 +129,7 @@
 
 // canReclaim reports whether the class allows the origin to restart the job.
 func (r OriginRecord) canReclaim() bool {
-	return r.Phase == Committed && (r.Run == 0 || r.Restarts+r.Run <= r.MaxRestarts)
+	return r.Phase == OriginCommitted && (r.Run == 0 || r.Restarts+r.Run <= r.MaxRestarts)
 }
 
 // NextRestarts returns how often the job has been restarted once the origin starts it
--- a/internal/federation/recordcodec.go
+++ b/internal/federation/recordcodec.go
@@ -11,7 +11,7 @@
 // Prefixes of the keys of transfer records in the key-value store.
 const (
 	// OutgoingPrefix is followed by a job's id: a transfer of a job of this cell.
-	PrefixOut = "transfer/out/"
+	OutgoingPrefix = "transfer/out/"
 	// IncomingPrefix is followed by origin, job and incarnation: a transfer of another
 	// cell's job.
 	IncomingPrefix = "transfer/in/"
@@ -53,7 +53,7 @@
 // Key returns the key of the target's record.
 func (r TargetRecord) Key() string { return incomingKey(r.Transfer) }
 
-func outgoingKey(job string) string { return PrefixOut + job }
+func outgoingKey(job string) string { return OutgoingPrefix + job }
 
 func incomingKey(id TransferID) string {
 	return fmt.Sprintf("%s%s/%s/%d", IncomingPrefix, id.Origin, id.Job, id.Incarnation)
@@ -61,7 +61,7 @@
 
 // JobFromKey returns the job of an origin's record by the record's key, and whether it is
 // the key of such a record.
-func JobFromKey(key string) (string, bool) { return strings.CutPrefix(key, PrefixOut) }
+func JobFromKey(key string) (string, bool) { return strings.CutPrefix(key, OutgoingPrefix) }
 
 // storedRecord is the envelope in which both records are stored.
 type storedRecord[R transferRecord] struct {
@@ -82,8 +82,8 @@
 	return protocol.Encode(storedRecord[R]{Format: recordFormat, WriteID: writeID, Record: record})
 }
 
-// ParseOrigin reads an origin's record. Its error is a *RecordError.
-func ParseOrigin(item protocol.Item) (OriginRecord, error) {
+// DecodeOriginRecord reads an origin's record. Its error is a *RecordError.
+func DecodeOriginRecord(item protocol.Item) (OriginRecord, error) {
 	return decodeRecord[OriginRecord](item)
 }
 
--- a/internal/federation/recordcodec_test.go
+++ b/internal/federation/recordcodec_test.go
@@ -103,7 +103,7 @@
 		"target's record": {Key: origin.Key(), Value: target.Encode("")},
 	} {
 		t.Run("origin: "+name, func(t *testing.T) {
-			record, err := ParseOrigin(item)
+			record, err := DecodeOriginRecord(item)
 			check(t, item, record, err)
 		})
 	}
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -77,9 +77,9 @@
 // A hand-over without faults, and what it costs: docs/federation.md gives these figures.
 func TestHandOverCosts(t *testing.T) {
 	p := newTransferPair(t, 1)
-	p.check(Committed, false)
+	p.check(OriginCommitted, false)
 	p.applyTarget(p.target.RequestRenewal(&p.holder, p.now))
-	p.check(Committed, true)
+	p.check(OriginCommitted, true)
 	if p.messages != 6 || p.writes != 6 {
 		t.Errorf("until the first task: %d messages and %d writes, want 6 and 6", p.messages, p.writes)
 	}
@@ -101,7 +101,7 @@
 	p.origin.Transfer.Incarnation = 2
 	for _, kind := range []MessageKind{MessageRefused, MessageNoCapacity, MessageReserved, MessageAccepted} {
 		d := p.origin.Receive(&Message{Kind: kind, Transfer: transfer}, &p.grantor, p.now)
-		if d.Write || d.Record.Phase != Committed {
+		if d.Write || d.Record.Phase != OriginCommitted {
 			t.Errorf("%v of an earlier transfer: phase %v", kind, d.Record.Phase)
 		}
 		if len(d.Send) != 1 || d.Send[0].Transfer != transfer {
@@ -137,7 +137,7 @@
 	p := newTransferPair(t, 1)
 	p.applyTarget(p.target.RequestRenewal(&p.holder, p.now))
 	d := p.origin.Receive(&Message{Kind: MessageNoCapacity, Transfer: transfer}, &p.grantor, p.now)
-	if d.Write || d.Record.Phase != Committed {
+	if d.Write || d.Record.Phase != OriginCommitted {
 		t.Errorf("a late answer ends the transfer: %+v", d.Record)
 	}
 }
@@ -151,11 +151,11 @@
 	renewal := p.target.RequestRenewal(&p.holder, p.now)
 	grant := p.origin.Receive(&renewal.Send[0], &p.grantor, p.now)
 	p.now += 1
-	p.check(Committed, false)
+	p.check(OriginCommitted, false)
 	p.deliverToTarget(&grant.Send[0])
-	p.check(Committed, false)
+	p.check(OriginCommitted, false)
 	p.applyTarget(p.target.RequestRenewal(&p.holder, p.now))
-	p.check(Committed, true)
+	p.check(OriginCommitted, true)
 	if p.origin.Run != 2 || p.target.Run != 2 || !p.target.Unbounded {
 		t.Errorf("origin's run %d, target's %d, unbounded %v; want the second and last", p.origin.Run, p.target.Run, p.target.Unbounded)
 	}
@@ -167,8 +167,8 @@
 	p := newTransferPair(t, 0)
 	p.applyTarget(p.target.RequestRenewal(&p.holder, p.now))
 	p.now += 1000 * modelTiming.ReclaimDelay()
-	p.check(Committed, true)
-	if p.applyOrigin(p.origin.Reclaim()); p.origin.Phase != Committed {
+	p.check(OriginCommitted, true)
+	if p.applyOrigin(p.origin.Reclaim()); p.origin.Phase != OriginCommitted {
 		t.Fatal("the job is reclaimed")
 	}
 	d := p.origin.Cancel()
@@ -201,7 +201,7 @@
 			record := OriginRecord{
 				Transfer:    transfer,
 				Target:      "dye",
-				Phase:       Committed,
+				Phase:       OriginCommitted,
 				MaxRestarts: c.maxRestarts,
 				Restarts:    c.restarts,
 				Run:         c.run - 1,
--- a/internal/persister/transferstore.go
+++ b/internal/persister/transferstore.go
@@ -43,10 +43,10 @@
 	return items, err
 }
 
-// Save implements federation.Store. A save without an answer may be carried out at any
+// CompareAndSwap implements federation.Store. A save without an answer may be carried out at any
 // later time, so the very same one is sent until its outcome is known: its conditions see
 // to it that it happens once.
-func (s *TransferStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
+func (s *TransferStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
 	txn := s.transaction(key, value, version)
 	uncertain := false
 	for {
@@ -59,7 +59,7 @@
 			if uncertain {
 				return s.outcome(ctx, key, value)
 			}
-			return 0, fmt.Errorf("%w: %v", federation.ErrConflict, conflict.Keys)
+			return 0, fmt.Errorf("%w: %v", federation.ErrVersionConflict, conflict.Keys)
 		case errors.Is(err, kv.ErrOutcomeUnknown):
 			uncertain = true
 		case !uncertain:
@@ -67,7 +67,7 @@
 		}
 		if !loop.Sleep(ctx, transferRetryDelay) {
 			// Nobody knows. Whoever goes on from here must read the record first.
-			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
+			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrVersionConflict)
 		}
 	}
 }
@@ -95,10 +95,10 @@
 			if asWritten(item, found, value) {
 				return item.Version, nil
 			}
-			return 0, fmt.Errorf("%w: %s", federation.ErrConflict, key)
+			return 0, fmt.Errorf("%w: %s", federation.ErrVersionConflict, key)
 		}
 		if !loop.Sleep(ctx, transferRetryDelay) {
-			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
+			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrVersionConflict)
 		}
 	}
 }
