--- a/internal/kv/revisions.go
+++ b/internal/kv/revisions.go
@@ -6,15 +6,16 @@
 	"dunestand/internal/units"
 )
 
-// RevisionHistory remembers when this controller first knew of revisions of the state
-// service. Revisions count all changes there, so a record is at least as old as any
-// revision from its own version on. That tells for how long a record has surely been
-// durable, without comparing clocks of two machines, whoever wrote it.
+// RevisionHistory remembers when this controller first knew of revisions of the key-value
+// store. Revisions count all changes there, so a record is at least as old as any
+// revision from its own version on. That shows for how long a record has surely been
+// durable, without comparing clocks of two machines, whoever wrote it. It may be used
+// concurrently.
 type RevisionHistory struct {
 	clock units.Clock
 	keep  units.Micros
 
-	mu           sync.Mutex
+	mu           sync.Mutex    // guards observations
 	observations []observation // both fields rise
 }
 
@@ -23,7 +24,7 @@
 	at       units.Micros
 }
 
-// NewRevisionHistory makes a history that tells ages up to keep.
+// NewRevisionHistory returns an empty history that tells ages up to keep apart.
 func NewRevisionHistory(clock units.Clock, keep units.Micros) *RevisionHistory {
 	return &RevisionHistory{clock: clock, keep: keep}
 }
@@ -45,13 +46,13 @@
 	h.observations = append(h.observations[:0], h.observations[old:]...)
 }
 
-// Age is for how long a revision has surely existed, at least; 0 if it was never seen.
+// Age returns for how long a revision has surely existed, at least; 0 if it was never seen.
 func (h *RevisionHistory) Age(revision uint64) units.Micros {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range h.observations {
-		if s.revision >= revision {
-			return h.clock.Steady() - s.at
+	for _, o := range h.observations {
+		if o.revision >= revision {
+			return h.clock.Steady() - o.at
 		}
 	}
 	return 0
