--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -21,85 +21,103 @@
 
 // Outcomes of a request to the cloud that are not success.
 var (
-	// ErrNoCapacity: nothing of the kind asked for is to be had.
+	// ErrNoCapacity: no instance of the offering asked for is available.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrCallFailed: the request was refused, or may or may not be carried out.
 	ErrCallFailed = errors.New("cloud did not serve the request")
 )
 
-const callTimeout = 4 * units.Second
+// noCapacityMessage is the cloud's message with a status 503 that says ErrNoCapacity.
+const noCapacityMessage = "no capacity"
 
-// Client is the cloud's interface, within its limit.
+const (
+	// callTimeout is how long the client waits for one response.
+	callTimeout = 4 * units.Second
+	// maxConns is the number of connections to the cloud.
+	maxConns = 3
+	// maxResponse is the most that is read of a response, in bytes.
+	maxResponse = 1 << 20
+	// requestShare is the part of the cloud's rate that a controller uses, and requestBurst
+	// the seconds of that rate that it may use at once.
+	requestShare = 0.8
+	requestBurst = 1.6
+)
+
+// Client is the cloud's interface, within its rate of requests. It may be used concurrently.
 type Client struct {
 	client  *transport.Client
 	limiter *rate.Limiter
 }
 
-// NewClient makes a client of the cloud.
+// NewClient returns a client of the cloud at an address.
 func NewClient(dial transport.DialFunc, addr string, limits config.Cloud) *Client {
 	return &Client{
-		client:  transport.NewClient(dial, addr, 3, 1<<20),
-		limiter: rate.NewLimiter(rate.Limit(limits.RPS*0.8), max(int(limits.RPS*1.6), 1)),
+		client:  transport.NewClient(dial, addr, maxConns, maxResponse),
+		limiter: rate.NewLimiter(rate.Limit(limits.RPS*requestShare), max(int(limits.RPS*requestBurst), 1)),
 	}
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body, answer any) (int, error) {
+// call sends a request, once the rate allows it, and decodes its response. Any status but 200
+// is an error. A nil body or response is none.
+func (c *Client) call(ctx context.Context, method, path string, body, response any) error {
 	if err := c.limiter.WaitN(ctx, 1); err != nil {
-		return 0, ErrCallFailed
+		return ErrCallFailed
 	}
 	var raw []byte
 	if body != nil {
 		raw = protocol.Encode(body)
 	}
 	status, raw, err := c.client.Do(ctx, method, path, raw, callTimeout)
-	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrCallFailed, err)
-	}
-	if status == http.StatusOK && answer != nil {
-		if err := protocol.Decode(raw, answer); err != nil {
-			return 0, fmt.Errorf("%w: %w", ErrCallFailed, err)
-		}
+	switch {
+	case err != nil:
+		return fmt.Errorf("%w: %w", ErrCallFailed, err)
+	case status == http.StatusServiceUnavailable && saysNoCapacity(raw):
+		return ErrNoCapacity
+	case status != http.StatusOK:
+		return fmt.Errorf("%w: status %d", ErrCallFailed, status)
+	case response == nil:
+		return nil
 	}
-	if status == http.StatusServiceUnavailable {
-		var p protocol.ErrorResponse
-		if protocol.Decode(raw, &p) == nil && p.Message == "no capacity" {
-			return status, ErrNoCapacity
-		}
-	}
-	if status != http.StatusOK {
-		return status, fmt.Errorf("%w: status %d", ErrCallFailed, status)
+	if err := protocol.Decode(raw, response); err != nil {
+		return fmt.Errorf("%w: %w", ErrCallFailed, err)
 	}
-	return status, nil
+	return nil
+}
+
+// saysNoCapacity reports whether an error response says that there is no capacity.
+func saysNoCapacity(raw []byte) bool {
+	var e protocol.ErrorResponse
+	return protocol.Decode(raw, &e) == nil && e.Message == noCapacityMessage
 }
 
-// Catalog reads the machine types.
+// Catalog reads the instance types.
 func (c *Client) Catalog(ctx context.Context) (protocol.Catalog, error) {
-	var out protocol.Catalog
-	_, err := c.call(ctx, http.MethodGet, protocol.PathCatalog, nil, &out)
-	return out, err
+	var catalog protocol.Catalog
+	err := c.call(ctx, http.MethodGet, protocol.PathCatalog, nil, &catalog)
+	return catalog, err
 }
 
-// ScaleOut rents machines and gives their names.
+// ScaleOut rents machines and returns their IDs. It fails with ErrNoCapacity, or with
+// ErrCallFailed, after which machines may have been rented or may be still.
 func (c *Client) ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
-	var out protocol.MachineIDs
-	_, err := c.call(ctx, http.MethodPost, protocol.PathMachines, r, &out)
-	return out.Machines, err
+	var rented protocol.MachineIDs
+	err := c.call(ctx, http.MethodPost, protocol.PathMachines, r, &rented)
+	return rented.Machines, err
 }
 
-// ScaleIn returns machines. Without an error they are gone, with all that was
+// ScaleIn releases machines. Without an error they are gone, with all that was
 // on them.
-func (c *Client) ScaleIn(ctx context.Context, names []string) error {
-	_, err := c.call(ctx, http.MethodPost, protocol.PathScaleIn, protocol.MachineIDs{Machines: names}, nil)
-	return err
+func (c *Client) ScaleIn(ctx context.Context, ids []string) error {
+	return c.call(ctx, http.MethodPost, protocol.PathScaleIn, protocol.MachineIDs{Machines: ids}, nil)
 }
 
-// ListMachines reads the whole machine list, page by page.
+// ListMachines reads the whole list of rented machines, page by page.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	q := url.Values{"limit": {strconv.Itoa(protocol.MaxListPage)}}
 	for {
 		var page protocol.MachineList
-		if _, err := c.call(ctx, http.MethodGet, protocol.PathMachines+"?"+q.Encode(), nil, &page); err != nil {
+		if err := c.call(ctx, http.MethodGet, protocol.PathMachines+"?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
