--- /dev/null
+++ b/internal/cluster/outcomes_test.go
@@ -0,0 +1,106 @@
+package cluster
+
+import (
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/units"
+	"fmt"
+	"testing"
+)
+
+// A machine that runs its tasks slower than their siblings elsewhere is detected,
+// and does not distort what is known of the job.
+func TestSlowMachineIsDetected(t *testing.T) {
+	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
+	run := func(machine string, length units.Micros) {
+		a := state.Assign(j, state.EnsureMachine(machine, "m", "a", true, 0), 1, 0)
+		a.Stage, a.RunningSince = Running, units.Second
+		state.Outcomes.AttemptCompleted(a, units.Second+length)
+		state.TaskDone(j, a.Index, 0)
+		state.AttemptGone(a, 0)
+	}
+	for range 8 {
+		run("i-1", 10*units.Second)
+	}
+	for range 4 {
+		run("i-2", 30*units.Second)
+	}
+	if state.Machines["i-2"].Slow {
+		t.Fatal("called slow after four tasks: tasks of one job differ by as much")
+	}
+	for range 8 {
+		run("i-2", 30*units.Second)
+	}
+	if state.Machines["i-1"].Slow || !state.Machines["i-2"].Slow {
+		t.Fatalf("slow: %v %v", state.Machines["i-1"].Slow, state.Machines["i-2"].Slow)
+	}
+}
+
+// failAttempt assigns a task of the job to a machine, where it fails.
+func failAttempt(state *State, j *Job, machine string, now units.Micros) *Machine {
+	m := state.EnsureMachine(machine, "m", "a", true, now)
+	a := state.Assign(j, m, 1, now)
+	state.Outcomes.AttemptFailed(a, now)
+	state.AttemptGone(a, now)
+	return m
+}
+
+// A machine on which several jobs fail is faulty; one on which one job fails is not.
+func TestMachineOnWhichSeveralJobsFailIsQuarantined(t *testing.T) {
+	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	first := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 10}, 0, 0)
+	second := state.NewJob(protocol.JobSpec{ID: "j-000002", Tasks: 10}, 0, 0)
+	failAttempt(state, first, "i-1", 0)
+	if m := failAttempt(state, first, "i-1", 0); m.Quarantined {
+		t.Error("quarantined though only one job failed there")
+	}
+	if m := failAttempt(state, second, "i-1", 0); !m.Quarantined {
+		t.Error("not quarantined though two jobs failed there")
+	}
+}
+
+// A job that fails wherever it runs is tried again ever more slowly, within a bound, and no
+// machine is blamed for it.
+func TestJobThatFailsEverywhereIsDelayed(t *testing.T) {
+	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 100}, 0, 0)
+	last := units.Micros(0)
+	for i := range 40 {
+		if m := failAttempt(state, j, fmt.Sprintf("i-%d", i), 0); m.Quarantined || i >= blameJobAfterMachines && len(m.failedJobs) > 0 {
+			t.Fatalf("machine %d is blamed", i)
+		}
+		if j.RetryAt < last || j.RetryAt > maxErrorBackoff {
+			t.Fatalf("retried at %d after %d", j.RetryAt, last)
+		}
+		last = j.RetryAt
+	}
+	if last != maxErrorBackoff {
+		t.Errorf("retried at %d in the end, want %d", last, maxErrorBackoff)
+	}
+}
+
+// A replica that keeps ending soon is started ever more slowly, until it has run for long.
+func TestReplicaThatKeepsEndingIsDelayed(t *testing.T) {
+	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 1, Kind: protocol.Service}, 0, 0)
+	run := func(from, length units.Micros) {
+		a := state.Assign(j, state.EnsureMachine("i-1", "m", "a", true, 0), 1, from)
+		a.Stage, a.RunningSince = Running, from
+		state.Outcomes.ReplicaEnded(a, false, from+length)
+		state.AttemptGone(a, from+length)
+	}
+	run(units.Second, units.Second)
+	if j.RetryAt != 0 {
+		t.Errorf("delayed until %d after the first end", j.RetryAt)
+	}
+	run(2*units.Second, units.Second)
+	run(4*units.Second, units.Second)
+	if want := 5*units.Second + 2*replicaBackoff; j.RetryAt != want {
+		t.Errorf("delayed until %d after the third end, want %d", j.RetryAt, want)
+	}
+	run(10*units.Second, steadyRuntime)
+	if len(j.shortRuns) != 0 || !j.Succeeded {
+		t.Errorf("after a long run %v short ones are counted", j.shortRuns)
+	}
+}
--- a/internal/cluster/restore_test.go
+++ b/internal/cluster/restore_test.go
@@ -3,6 +3,7 @@
 import (
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
+	"errors"
 	"testing"
 )
 
@@ -24,9 +25,16 @@
 		},
 		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(donePageRecord{})},
 	} {
-		if jobs, _, err := ParseJobs([]protocol.Item{row}); err == nil {
-			t.Errorf("%s: read as %v", name, jobs)
-		}
+		t.Run(name, func(t *testing.T) {
+			jobs, _, err := ParseJobs([]protocol.Item{row})
+			if err == nil {
+				t.Errorf("read as %v", jobs)
+			}
+			var record *storage.RecordError
+			if !errors.As(err, &record) || record.Key != row.Key {
+				t.Errorf("%v, want a RecordError with the key %s", err, row.Key)
+			}
+		})
 	}
 }
 
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -53,68 +53,38 @@
 					state.RemoveMachine(m, 0)
 				}
 			}
-			var team units.Resources
-			for _, m := range state.Machines {
-				var used units.Resources
-				for _, a := range m.Attempts {
-					used = used.Plus(a.Job.Spec.Request, 1)
-					if a.Job.LiveAttempts[a.Index] != a || a.Job.IsDone(a.Index) {
-						t.Fatalf("%s is on %s but not live", a.TaskName(), m.ID)
-					}
-				}
-				if used != m.Used {
-					t.Fatalf("%s uses %v, counted %v", m.ID, used, m.Used)
-				}
-				team = team.Plus(used, 1)
-			}
-			if team != state.Teams["team"].Used {
-				t.Fatalf("team uses %v, counted %v", team, state.Teams["team"].Used)
-			}
-			for _, j := range jobs {
-				if j.Pending() < 0 || j.Pending()+len(j.LiveAttempts)+j.DoneCount() != j.Spec.Tasks {
-					t.Fatalf("%s: %d pending, %d live, %d done of %d", j.Spec.ID, j.Pending(), len(j.LiveAttempts), j.DoneCount(), j.Spec.Tasks)
-				}
-			}
+			checkUsage(t, state)
+			checkTasks(t, jobs)
 		}
 	})
 }
 
-func TestImagesAreForgottenAsTheCacheDoes(t *testing.T) {
-	m := &Machine{ImageCache: 10}
-	m.touchImage("a", 4)
-	m.touchImage("b", 4)
-	m.touchImage("a", 4)
-	m.touchImage("c", 4) // b is the one not used for longest
-	if !m.HasImage("a") || m.HasImage("b") || !m.HasImage("c") {
-		t.Fatalf("holds %v", m.images)
+// checkUsage checks that the usage of each machine and of the team is that of the attempts.
+func checkUsage(t *rapid.T, state *State) {
+	var team units.Resources
+	for _, m := range state.Machines {
+		var used units.Resources
+		for _, a := range m.Attempts {
+			used = used.Plus(a.Job.Spec.Request, 1)
+			if a.Job.LiveAttempts[a.Index] != a || a.Job.IsDone(a.Index) {
+				t.Fatalf("%s is on %s but not live", a.TaskName(), m.ID)
+			}
+		}
+		if used != m.Used {
+			t.Fatalf("%s uses %v, counted %v", m.ID, used, m.Used)
+		}
+		team = team.Plus(used, 1)
+	}
+	if team != state.Teams["team"].Used {
+		t.Fatalf("team uses %v, counted %v", team, state.Teams["team"].Used)
 	}
 }
 
-// A machine that runs its tasks slower than their siblings elsewhere is detected,
-// and does not distort what is known of the job.
-func TestSlowMachineIsDetected(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
-	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
-	run := func(machine string, length units.Micros) {
-		a := state.Assign(j, state.EnsureMachine(machine, "m", "a", true, 0), 1, 0)
-		a.Stage, a.RunningSince = Running, units.Second
-		state.Outcomes.AttemptCompleted(a, units.Second+length)
-		state.TaskDone(j, a.Index, 0)
-		state.AttemptGone(a, 0)
-	}
-	for range 8 {
-		run("i-1", 10*units.Second)
-	}
-	for range 4 {
-		run("i-2", 30*units.Second)
-	}
-	if state.Machines["i-2"].Slow {
-		t.Fatal("called slow after four tasks: tasks of one job differ by as much")
-	}
-	for range 8 {
-		run("i-2", 30*units.Second)
-	}
-	if state.Machines["i-1"].Slow || !state.Machines["i-2"].Slow {
-		t.Fatalf("slow: %v %v", state.Machines["i-1"].Slow, state.Machines["i-2"].Slow)
+// checkTasks checks that each task is either pending, live or done.
+func checkTasks(t *rapid.T, jobs []*Job) {
+	for _, j := range jobs {
+		if j.Pending() < 0 || j.Pending()+len(j.LiveAttempts)+j.DoneCount() != j.Spec.Tasks {
+			t.Fatalf("%s: %d pending, %d live, %d done of %d", j.Spec.ID, j.Pending(), len(j.LiveAttempts), j.DoneCount(), j.Spec.Tasks)
+		}
 	}
 }
