--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -1,10 +1,11 @@
 package cluster
 
 import (
+	"testing"
+
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
-	"testing"
 )
 
 // A machine stays named as long as it may hold a task, and a start may follow
--- a/internal/cluster/outcomes_test.go
+++ b/internal/cluster/outcomes_test.go
@@ -1,11 +1,12 @@
 package cluster
 
 import (
+	"fmt"
+	"testing"
+
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
-	"fmt"
-	"testing"
 )
 
 // A machine that runs its tasks slower than their siblings elsewhere is detected,
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -1,12 +1,6 @@
 package cluster
 
 import (
-	"dunestand/internal/config"
-	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	_ "dunestand/internal/standin/fixedseed"
-	"dunestand/internal/storage"
-	"dunestand/internal/units"
 	"fmt"
 	"maps"
 	"reflect"
@@ -15,6 +9,13 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	_ "dunestand/internal/standin/fixedseed"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
 )
 
 func drawSpec(t *rapid.T) protocol.JobSpec {
--- a/internal/cluster/restore_test.go
+++ b/internal/cluster/restore_test.go
@@ -1,10 +1,11 @@
 package cluster
 
 import (
-	"dunestand/internal/protocol"
-	"dunestand/internal/storage"
 	"errors"
 	"testing"
+
+	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 func TestUnreadableRecordFailsTheRestore(t *testing.T) {
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -1,14 +1,15 @@
 package cluster
 
 import (
-	"dunestand/internal/config"
-	"dunestand/internal/protocol"
-	"dunestand/internal/storage"
 	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
 	"strings"
+
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 // store applies write batches as the key-value store would.
