--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -24,45 +24,45 @@
 }
 
 // restoreNames adds the names that were read from a record.
-func (r *jobRecords) restoreNames(c *shard, machines []string) {
-	if c.machines == nil {
-		c.machines = map[string]bool{}
+func (r *jobRecords) restoreNames(sh *shard, machines []string) {
+	if sh.machines == nil {
+		sh.machines = map[string]bool{}
 	}
 	for _, m := range machines {
 		r.unreconciled[m] = true
 		if r.shardOf[m] == nil {
-			r.addName(c, m, true)
+			r.addName(sh, m, true)
 		}
 	}
 }
 
-// setNameSpace sets the space for names in each record.
-func (r *jobRecords) setNameSpace(space nameSpaceFunc) {
-	available := space(r.spec, r.format)
-	r.main.nameSpace, r.partNameSpace = available.main, available.part
-	for _, c := range r.nameParts {
-		c.nameSpace = r.partNameSpace
+// setNameLimits sets the space for names in each record.
+func (r *jobRecords) setNameLimits(budget nameBudgetFunc) {
+	available := budget(r.spec, r.format)
+	r.main.nameLimit, r.partNameLimit = available.main, available.part
+	for _, sh := range r.nameParts {
+		sh.nameLimit = r.partNameLimit
 	}
 }
 
-func (r *jobRecords) addName(c *shard, machine string, durable bool) {
-	c.machines[machine] = durable
-	c.nameBytes += nameSize(machine)
-	c.dirty = true
-	r.shardOf[machine] = c
+func (r *jobRecords) addName(sh *shard, machine string, durable bool) {
+	sh.machines[machine] = durable
+	sh.nameBytes += nameSize(machine)
+	sh.dirty = true
+	r.shardOf[machine] = sh
 }
 
 // dropName removes a name. The record that holds it need not be written for that.
 func (r *jobRecords) dropName(machine string) {
-	c := r.shardOf[machine]
-	delete(c.machines, machine)
-	c.nameBytes -= nameSize(machine)
+	sh := r.shardOf[machine]
+	delete(sh.machines, machine)
+	sh.nameBytes -= nameSize(machine)
 	delete(r.shardOf, machine)
 }
 
 // dropUnused removes the names in a record that are not in use any more.
-func (r *jobRecords) dropUnused(c *shard) {
-	for _, m := range sortedNames(c.machines) {
+func (r *jobRecords) dropUnused(sh *shard) {
+	for _, m := range sortedNames(sh.machines) {
 		if !r.inUse(m) {
 			r.dropName(m)
 		}
@@ -83,11 +83,11 @@
 // in which names that are not needed any more leave space, else a new part.
 func (r *jobRecords) shardFor(machine string) *shard {
 	size := nameSize(machine)
-	if r.format == storage.FormatOld || r.openShard.nameBytes+size <= r.openShard.nameSpace {
+	if r.format == storage.FormatOld || r.openShard.nameBytes+size <= r.openShard.nameLimit {
 		return r.openShard
 	}
 	best := r.emptiestShard()
-	if free := best.nameSpace - best.nameBytes; free < size || free < best.nameSpace/4 {
+	if free := best.nameLimit - best.nameBytes; free < size || free < best.nameLimit/4 {
 		best = r.newNamePart()
 	}
 	r.openShard = best
@@ -99,16 +99,16 @@
 func (r *jobRecords) emptiestShard() *shard {
 	best := r.main
 	for n := 0; n <= len(r.nameParts); n++ {
-		c := r.main
+		sh := r.main
 		if n > 0 {
-			c = r.nameParts[n]
+			sh = r.nameParts[n]
 		}
-		if c == nil {
+		if sh == nil {
 			continue
 		}
-		r.dropUnused(c)
-		if c.nameSpace-c.nameBytes > best.nameSpace-best.nameBytes {
-			best = c
+		r.dropUnused(sh)
+		if sh.nameLimit-sh.nameBytes > best.nameLimit-best.nameBytes {
+			best = sh
 		}
 	}
 	return best
@@ -120,13 +120,13 @@
 	for r.nameParts[n] != nil {
 		n++
 	}
-	c := &shard{
+	sh := &shard{
 		key:       storage.KeyJobPart(r.spec.ID, storage.PartMachineNames, n),
 		machines:  map[string]bool{},
-		nameSpace: r.partNameSpace,
+		nameLimit: r.partNameLimit,
 	}
-	r.nameParts[n] = c
-	return c
+	r.nameParts[n] = sh
+	return sh
 }
 
 // moveExcessNames moves the names that the job's own record has no space for to others.
@@ -136,7 +136,7 @@
 	for _, m := range sortedNames(r.main.machines) {
 		if !r.inUse(m) {
 			r.dropName(m)
-		} else if kept += nameSize(m); kept > r.main.nameSpace {
+		} else if kept += nameSize(m); kept > r.main.nameLimit {
 			excess = append(excess, m)
 		}
 	}
@@ -150,19 +150,19 @@
 // hasSpaceFor reports whether a machine is named, or can be. In the new format there is
 // always space, in a new part if need be.
 func (r *jobRecords) hasSpaceFor(machine string) bool {
-	return r.format != storage.FormatOld || r.main.nameBytes+nameSize(machine) <= r.main.nameSpace || r.shardOf[machine] != nil
+	return r.format != storage.FormatOld || r.main.nameBytes+nameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
 }
 
 // isDurable reports whether a stored record names the machine and goes on to.
 func (r *jobRecords) isDurable(machine string) bool {
-	c := r.shardOf[machine]
-	return c != nil && c.machines[machine]
+	sh := r.shardOf[machine]
+	return sh != nil && sh.machines[machine]
 }
 
 // namesToWrite returns the machines that a record is to name.
-func (r *jobRecords) namesToWrite(c *shard) []string {
+func (r *jobRecords) namesToWrite(sh *shard) []string {
 	var out []string
-	for m := range c.machines {
+	for m := range sh.machines {
 		if r.inUse(m) {
 			out = append(out, m)
 		}
--- a/internal/cluster/namespace.go
+++ b/internal/cluster/namebudget.go
@@ -24,19 +24,19 @@
 // longestWriteID is as long as the ID of any write batch.
 const longestWriteID = "00000000000000000000-00000000000000000000"
 
-// nameSpace is the space left for the names of machines, in bytes of JSON: in a job's own
+// nameBudget is the space left for the names of machines, in bytes of JSON: in a job's own
 // record, however far the job gets, and in a further part. It is negative where the record
 // does not fit even without names.
-type nameSpace struct{ main, part int }
+type nameBudget struct{ main, part int }
 
-// nameSpaceFunc returns the space for names in the records of a job in a format.
-type nameSpaceFunc func(spec *protocol.JobSpec, format storage.Format) nameSpace
+// nameBudgetFunc returns the space for names in the records of a job in a format.
+type nameBudgetFunc func(spec *protocol.JobSpec, format storage.Format) nameBudget
 
-// newNameSpace returns the function for a store that takes values of so many bytes now, and
+// newNameBudgetFunc returns the function for a store that takes values of so many bytes now, and
 // of so many both now and under the announced next limits. Records in the old format, which
 // are not divided, may fill what the store takes now.
-func newNameSpace(valueNow, valueBoth int) nameSpaceFunc {
-	return func(spec *protocol.JobSpec, format storage.Format) nameSpace {
+func newNameBudgetFunc(valueNow, valueBoth int) nameBudgetFunc {
+	return func(spec *protocol.JobSpec, format storage.Format) nameBudget {
 		j := &Job{Spec: *spec, records: jobRecords{spec: spec, format: format}}
 		value, inlineDone := valueNow, min(spec.Tasks, oldPageTasks)
 		if format != storage.FormatOld {
@@ -50,7 +50,7 @@
 			WriteID:  longestWriteID,
 			Machines: []string{},
 		})
-		return nameSpace{
+		return nameBudget{
 			main: min(value, maxRecordBytes) - main - (inlineDone/8+1)*4/3 - recordMargin,
 			part: min(value, maxPartBytes) - part,
 		}
@@ -60,13 +60,12 @@
 // FitsRecords reports whether a job can be kept in records of a format, however far the
 // job gets.
 func FitsRecords(spec *protocol.JobSpec, format storage.Format, limits config.State) bool {
-	both := limits.Both()
-	space := newNameSpace(limits.ValueBytes(), both.ValueBytes())(spec, format)
+	budget := newNameBudgetFunc(limits.ValueBytes(), limits.Both().ValueBytes())(spec, format)
 	if format != storage.FormatOld {
-		return space.main >= 0
+		return budget.main >= 0
 	}
 	// The end of a job deletes all its pages in one transaction.
-	return space.main >= minNameBytes && 3+(spec.Tasks-1)/oldPageTasks <= limits.TxnOps
+	return budget.main >= minNameBytes && 3+(spec.Tasks-1)/oldPageTasks <= limits.TxnOps
 }
 
 // nameSize is what a name takes in JSON, with its quotes and comma.
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -9,16 +9,16 @@
 // them.
 type recordRules struct {
 	limits            config.State // of the key-value store
-	nameSpace         nameSpaceFunc
+	nameBudget        nameBudgetFunc
 	format            storage.Format // of the fleet: the newest that every leader reads
 	nextLimitsApplied bool           // the announced limits are known to be in force
 }
 
 func newRecordRules(limits config.State) recordRules {
 	return recordRules{
-		limits:    limits,
-		nameSpace: newNameSpace(limits.ValueBytes(), limits.Both().ValueBytes()),
-		format:    storage.FormatOld,
+		limits:     limits,
+		nameBudget: newNameBudgetFunc(limits.ValueBytes(), limits.Both().ValueBytes()),
+		format:     storage.FormatOld,
 	}
 }
 
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -151,12 +151,12 @@
 	if r.Format != storage.FormatNew {
 		return storage.UnknownFormatError(r.Format)
 	}
-	n, c := part.Number, &shard{key: item.Key, version: item.Version}
+	n, sh := part.Number, &shard{key: item.Key, version: item.Version}
 	if j.records.nameParts[n] != nil || n > maxParts {
 		return errOutOfRange
 	}
-	j.records.nameParts[n] = c
-	j.records.restoreNames(c, r.Machines)
+	j.records.nameParts[n] = sh
+	j.records.restoreNames(sh, r.Machines)
 	return nil
 }
 
@@ -166,13 +166,13 @@
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return err
 	}
-	c := &shard{key: item.Key, version: item.Version}
+	sh := &shard{key: item.Key, version: item.Version}
 	n, last := part.Number, j.Spec.Tasks-1
 	if part.Kind == storage.PartOldDonePage {
 		if n < 1 || n > last/oldPageTasks {
 			return errOutOfRange
 		}
-		j.records.oldDonePages[n] = c
+		j.records.oldDonePages[n] = sh
 		return decodePage(r.Done, j.done.set.page(n, oldPageTasks))
 	}
 	if r.Format != storage.FormatNew {
@@ -181,7 +181,7 @@
 	if n > last/pageTasks {
 		return errOutOfRange
 	}
-	j.records.donePages[n] = c
+	j.records.donePages[n] = sh
 	return decodePage(r.Done, j.done.set.page(n, pageTasks))
 }
 
@@ -189,8 +189,8 @@
 func (j *Job) finishRestore() {
 	r := &j.records
 	r.main.dirty = false
-	for _, c := range r.nameParts {
-		c.dirty = false
+	for _, sh := range r.nameParts {
+		sh.dirty = false
 	}
 	if j.IsService() {
 		clear(j.done.set) // an older version may have treated it as an array
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -20,7 +20,7 @@
 	dirty     bool            // it is to be written
 	machines  map[string]bool // those that it names; true: durably
 	nameBytes int             // bytes of JSON that these take
-	nameSpace int             // and may take
+	nameLimit int             // and may take
 }
 
 // jobRecords are a live job's records. spec and unreconciled are the job's own.
@@ -39,7 +39,7 @@
 
 	shardOf       map[string]*shard // where a machine is named
 	openShard     *shard            // where the last new name went
-	partNameSpace int               // for names, in a part
+	partNameLimit int               // for names, in a part
 }
 
 // maxParts bounds the number of parts. The largest array has as many tasks, so
@@ -64,9 +64,9 @@
 
 // forgetOldPages leaves the stored pages in the old format to be deleted.
 func (r *jobRecords) forgetOldPages() {
-	for n, c := range r.oldDonePages {
-		if c.version != 0 {
-			r.obsolete = append(r.obsolete, c.key)
+	for n, sh := range r.oldDonePages {
+		if sh.version != 0 {
+			r.obsolete = append(r.obsolete, sh.key)
 		}
 		delete(r.oldDonePages, n)
 	}
@@ -113,7 +113,7 @@
 
 // migrate begins to migrate a job into the new format. Its own record is written only
 // after all else: until then it is the old one that names all machines.
-func (r *jobRecords) migrate(done bitset, stored bool, space nameSpaceFunc) {
+func (r *jobRecords) migrate(done bitset, stored bool, budget nameBudgetFunc) {
 	r.format, r.migrating = storage.FormatNew, stored
 	r.main.dirty = true
 	for p := 0; p*pageTasks < r.spec.Tasks && r.spec.Tasks > inlineTasks; p++ {
@@ -122,7 +122,7 @@
 		}
 	}
 	r.forgetOldPages()
-	r.setNameSpace(space)
+	r.setNameLimits(budget)
 	r.moveExcessNames()
 }
 
@@ -132,16 +132,16 @@
 	if r.format != storage.FormatOld {
 		return
 	}
-	for _, c := range r.oldDonePages {
-		r.main.dirty = r.main.dirty || c.dirty
+	for _, sh := range r.oldDonePages {
+		r.main.dirty = r.main.dirty || sh.dirty
 	}
 }
 
 // deleted notes that the record of a key was deleted.
 func (r *jobRecords) deleted(key string) {
 	r.obsolete = slices.DeleteFunc(r.obsolete, func(o string) bool { return o == key })
-	for n, c := range r.oldDonePages {
-		if c.key == key {
+	for n, sh := range r.oldDonePages {
+		if sh.key == key {
 			delete(r.oldDonePages, n)
 		}
 	}
@@ -152,8 +152,8 @@
 	keys := r.obsolete
 	for _, shards := range []map[int]*shard{r.nameParts, r.donePages, r.oldDonePages} {
 		for _, n := range slices.Sorted(maps.Keys(shards)) {
-			if c := shards[n]; c.version != 0 {
-				keys = append(keys, c.key)
+			if sh := shards[n]; sh.version != 0 {
+				keys = append(keys, sh.key)
 			}
 		}
 	}
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -101,7 +101,7 @@
 		j.records.main.dirty, j.write.due = true, true // to be migrated to the new format
 	}
 	j.write.due = j.write.due || len(j.records.obsolete) > 0 // a leader died before they were deleted
-	j.records.setNameSpace(s.rules.nameSpace)
+	j.records.setNameLimits(s.rules.nameBudget)
 	if s.Jobs[j.Spec.ID] == nil {
 		s.memory += JobMemory(&j.Spec)
 	}
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -36,7 +36,7 @@
 func (w *jobWrites) live(rules *recordRules) {
 	j, r := w.job, w.records
 	if !rules.oldLeadersPossible() && r.format == storage.FormatOld {
-		r.migrate(j.done.set, j.stored, rules.nameSpace)
+		r.migrate(j.done.set, j.stored, rules.nameBudget)
 	}
 	r.main.dirty = r.main.dirty || j.Cancelled && !j.CancelDurable
 	r.markMainDirty()
@@ -57,11 +57,11 @@
 }
 
 // set writes a shard's record.
-func (w *jobWrites) set(c *shard, machines []string, record any) {
+func (w *jobWrites) set(sh *shard, machines []string, record any) {
 	w.writes = append(w.writes, write{
-		shard:    c,
+		shard:    sh,
 		machines: machines,
-		change:   protocol.Change{Set: c.key, Value: protocol.Encode(record)},
+		change:   protocol.Change{Set: sh.key, Value: protocol.Encode(record)},
 	})
 }
 
@@ -90,29 +90,29 @@
 // format refuses pages without their job.
 func (w *jobWrites) removeOldPages() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.oldDonePages)) {
-		if c := w.records.oldDonePages[n]; c.version != 0 {
-			w.remove(c.key, true)
+		if sh := w.records.oldDonePages[n]; sh.version != 0 {
+			w.remove(sh.key, true)
 		}
 	}
 }
 
 // main writes the job's own record, if it has changed.
 func (w *jobWrites) main() {
-	c := w.records.main
-	if !c.dirty {
+	sh := w.records.main
+	if !sh.dirty {
 		return
 	}
-	machines := w.records.namesToWrite(c)
-	w.set(c, machines, w.job.record(w.writeID, machines))
+	machines := w.records.namesToWrite(sh)
+	w.set(sh, machines, w.job.record(w.writeID, machines))
 	w.removePending()
 }
 
 // names writes the further names of machines that have changed.
 func (w *jobWrites) names() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.nameParts)) {
-		if c := w.records.nameParts[n]; c.dirty {
-			machines := w.records.namesToWrite(c)
-			w.set(c, machines, machineNamesRecord{storage.FormatNew, w.writeID, machines})
+		if sh := w.records.nameParts[n]; sh.dirty {
+			machines := w.records.namesToWrite(sh)
+			w.set(sh, machines, machineNamesRecord{storage.FormatNew, w.writeID, machines})
 		}
 	}
 }
@@ -124,9 +124,9 @@
 		pages, size, format, writeID = w.records.oldDonePages, oldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
-		if c := pages[n]; c.dirty {
+		if sh := pages[n]; sh.dirty {
 			done := encodePage(w.job.done.set.page(n, size))
-			w.set(c, nil, donePageRecord{Format: format, WriteID: writeID, Done: done})
+			w.set(sh, nil, donePageRecord{Format: format, WriteID: writeID, Done: done})
 		}
 	}
 }
