--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -89,17 +89,6 @@
 	return byZone, fleet
 }
 
-// compareBools orders false before true.
-func compareBools(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case b:
-		return -1
-	}
-	return 1
-}
-
 // HeadroomReplica gives the urgent service whose replicas take most, nil if there is
 // none.
 func (sc *Scheduler) HeadroomReplica() *protocol.JobSpec {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,19 +1,10 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
-
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// machineVictim is a victim and its machine.
-type machineVictim struct {
-	machine int
-	victim  *Victim
-}
-
 // preempt chooses tasks to be stopped for what place found no room for: first
 // of the job's own team, as far as the team's limit is what lacks, then on the
 // machines. Room that stopped tasks are about to leave is reckoned with first,
@@ -64,24 +55,6 @@
 	return false
 }
 
-// victimsOn gives the tasks on a machine that could be stopped, the one to be
-// stopped first first.
-func (p *planner) victimsOn(k int) []Victim {
-	if p.victimsByMachine == nil {
-		p.victimsByMachine = make([][]Victim, len(p.snapshot.Machines))
-	}
-	if p.victimsByMachine[k] == nil {
-		if list := p.snapshot.Machines[k].Victims; list != nil {
-			p.victimsByMachine[k] = list()
-			slices.SortFunc(p.victimsByMachine[k], compareVictims)
-		}
-		if p.victimsByMachine[k] == nil {
-			p.victimsByMachine[k] = []Victim{} // asked, and none
-		}
-	}
-	return p.victimsByMachine[k]
-}
-
 // preemptInTeam stops tasks of the job's own team until its limit has room for
 // the job, and gives how many of the job's tasks it then has room for.
 func (p *planner) preemptInTeam(i int, j *JobView) int {
@@ -103,29 +76,6 @@
 	return room()
 }
 
-// victimsOf gives a team's tasks that could be stopped, the one to be stopped
-// first first.
-func (p *planner) victimsOf(team int) []machineVictim {
-	if p.victimsByTeam == nil {
-		p.victimsByTeam = map[int][]machineVictim{}
-		for k := range p.snapshot.Machines {
-			on := p.victimsOn(k)
-			for n := range on {
-				p.victimsByTeam[on[n].Team] = append(p.victimsByTeam[on[n].Team], machineVictim{k, &on[n]})
-			}
-		}
-		for _, list := range p.victimsByTeam {
-			slices.SortFunc(list, func(a, b machineVictim) int { return compareVictims(*a.victim, *b.victim) })
-		}
-	}
-	return p.victimsByTeam[team]
-}
-
-// compareVictims orders victims, the one to be stopped first first.
-func compareVictims(a, b Victim) int {
-	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.Ref, b.Ref))
-}
-
 // preemptVictim chooses a victim. It counts against its team's limit and on its machine
 // until it is gone.
 func (p *planner) preemptVictim(m *MachineView, v Victim, i int) {
