--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -7,7 +7,7 @@
 
 const (
 	MinCycleInterval   = 25 * units.Millisecond // the least time between rounds
-	cycleCostFactor    = 8                      // a round's cost, this many times over, until the next
+	cycleSpacingFactor = 8                      // a round's cost, this many times over, until the next
 	minCyclePlacements = 48                     // starts in a round while little waits
 	maxCyclePlacements = 512
 )
@@ -15,7 +15,7 @@
 // CycleDue spaces rounds by what they cost, so that under load they come less
 // often and decide more each.
 func (sc *Scheduler) CycleDue(now units.Micros) bool {
-	return now-sc.lastCycle >= max(MinCycleInterval, min(sc.CycleCost*cycleCostFactor, units.Second))
+	return now-sc.lastCycle >= max(MinCycleInterval, min(sc.CycleCost*cycleSpacingFactor, units.Second))
 }
 
 // RunCycle plans on a snapshot and takes the outcome over into the ledger.
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -14,16 +14,16 @@
 		now >= m.BlockedUntil && now-m.LastHeartbeat < sc.Detector.SuspectAfter()
 }
 
-// schedulable tells whether tasks of a job may be placed now.
-func (sc *Scheduler) schedulable(j *cluster.Job, now units.Micros) bool {
+// jobSchedulable tells whether tasks of a job may be placed now.
+func (sc *Scheduler) jobSchedulable(j *cluster.Job, now units.Micros) bool {
 	return j.HasTasksToPlace() && now >= j.RetryAt && len(j.UnreconciledMachines) == 0
 }
 
-// usable tells whether a job may be started on a machine, room aside. A slow
+// feasible tells whether a job may be started on a machine, room aside. A slow
 // machine gets no urgent work.
-func (p *planner) usable(i int, j *JobView) bool {
+func (p *planner) feasible(i int, j *JobView) bool {
 	m := &p.snapshot.Machines[i]
-	return m.Schedulable && !(m.Slow && j.Spec.Priority >= protocol.High) && PlacementAllowed(j.Spec, m.InstanceType, m.Zone, m.Spot) && zoneCapacity(j, m.Zone) > 0 && !j.Avoid(m.ID)
+	return m.Schedulable && !(m.Slow && j.Spec.Priority >= protocol.High) && PlacementAllowed(j.Spec, m.InstanceType, m.Zone, m.Spot) && tasksWithinZone(j, m.Zone) > 0 && !j.Avoid(m.ID)
 }
 
 // PlacementAllowed tells whether a job's tasks may be on machines of this kind.
@@ -32,8 +32,8 @@
 		(spec.Zone == "" || spec.Zone == zone) && (spec.AllowSpot || !spot)
 }
 
-// quotaRoom is how many more tasks of the job its team's limit allows.
-func (p *planner) quotaRoom(j *JobView) int {
+// tasksWithinQuota is how many more tasks of the job its team's limit allows.
+func (p *planner) tasksWithinQuota(j *JobView) int {
 	t := &p.snapshot.Teams[j.Team]
 	return t.QuotaLimit.Plus(t.Used, -1).Fits(j.Spec.Request)
 }
@@ -46,9 +46,9 @@
 	return m.Free.Plus(m.Headroom, -1)
 }
 
-// zoneCapacity is how many more tasks of the job may be in a zone, and whether
+// tasksWithinZone is how many more tasks of the job may be in a zone, and whether
 // the zone is allowed at all.
-func zoneCapacity(j *JobView, zone string) int {
+func tasksWithinZone(j *JobView, zone string) int {
 	if j.Spec.Zone != "" && j.Spec.Zone != zone {
 		return 0
 	}
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -16,8 +16,8 @@
 // replicas in each zone: little next to the fleet.
 
 const (
-	headroomPerZone    = 2  // in each zone
-	headroomFleetShare = 32 // of the fleet at most
+	headroomReplicasPerZone = 2  // in each zone
+	headroomFleetShare      = 32 // of the fleet at most
 	// In the fleet as a whole room is rented for one replica more in so many that
 	// there are.
 	headroomServiceShare = 3
@@ -32,9 +32,9 @@
 	if like == nil {
 		return nil
 	}
-	needed := typesNeededWhole(machines, jobs, like)
+	needed := instanceTypesNeededWhole(machines, jobs, like)
 	byZone, fleet := headroomCandidates(machines, like)
-	each := headroomPerZone
+	each := headroomReplicasPerZone
 	if all := like.Request.CPU * headroomFleetShare * units.Amount(len(byZone)); all > 0 {
 		each = int(min(units.Amount(each), fleet/all))
 	}
@@ -55,9 +55,9 @@
 	return out
 }
 
-// typesNeededWhole gives the types of which some waiting task needs so much of a machine
+// instanceTypesNeededWhole gives the types of which some waiting task needs so much of a machine
 // that a replica does not fit beside it.
-func typesNeededWhole(machines []MachineView, jobs []JobView, like *protocol.JobSpec) map[string]bool {
+func instanceTypesNeededWhole(machines []MachineView, jobs []JobView, like *protocol.JobSpec) map[string]bool {
 	needed := map[string]bool{}
 	for k := range machines {
 		m := &machines[k]
@@ -113,7 +113,7 @@
 			used += j.Spec.Request.CPU * units.Amount(j.Spec.Tasks)
 		}
 	}
-	n := headroomPerZone * len(sc.Settings.Fleet.Zones)
+	n := headroomReplicasPerZone * len(sc.Settings.Fleet.Zones)
 	if like.Request.CPU > 0 {
 		n = max(n, int(used/like.Request.CPU/headroomServiceShare))
 	}
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -11,7 +11,7 @@
 // Room for replicas is kept in each zone that may be used, little next to the
 // fleet, on the machines that were chosen before where it still has to come, and
 // nothing but replicas is planned there.
-func TestHeadroomIsKeptForReplicas(t *testing.T) {
+func TestHeadroomIsReservedForReplicas(t *testing.T) {
 	like := arraySpec("j-000001")
 	like.AllowSpot, like.Request = false, standin.CPUs(2)
 	var machines []MachineView
--- a/internal/scheduler/onemachine.go
+++ b/internal/scheduler/onemachine.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/units"
 )
 
-const jobsPerPlacement = 12
+const jobsPerPlan = 12
 
 // PlaceOnMachine plans for one machine between two rounds, in the order of the last one.
 // Every other machine with room was offered then, or when it reported itself,
@@ -24,14 +24,14 @@
 	s.Machines[0].Headroom = sc.headroom[m]
 	// A few jobs at a time: the first ones mostly take all the room.
 	queue := sc.queue
-	if held := sc.reservations[m]; held != nil && sc.schedulable(held, now) {
+	if held := sc.reservations[m]; held != nil && sc.jobSchedulable(held, now) {
 		// The room is kept together for this job: none that comes later gets any.
 		if i := slices.IndexFunc(queue, func(q queuedJob) bool { return q.job == held }); i >= 0 {
 			queue = queue[:i+1]
 		}
 	}
 	for len(queue) > 0 && s.Machines[0].Free.CPU > 0 {
-		n := min(len(queue), jobsPerPlacement)
+		n := min(len(queue), jobsPerPlan)
 		sc.placeJobsOnMachine(queue[:n], m, &s, teams, now)
 		queue = queue[n:]
 	}
@@ -42,7 +42,7 @@
 	refs := &snapshotIndex{machines: []*cluster.Machine{m}}
 	for _, q := range queue {
 		j := q.job
-		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !sc.schedulable(j, now) {
+		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !sc.jobSchedulable(j, now) {
 			continue
 		}
 		view := q.view
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -47,7 +47,7 @@
 // A job that is late only if its estimate is right is not called late: on a day
 // of the grown mills a job of 97 s by its estimate, due after 120 s, was put
 // behind everything once it had waited 23 s.
-func TestALittleLateByTheEstimateIsNotLate(t *testing.T) {
+func TestJobALittleLateByItsEstimateIsNotLate(t *testing.T) {
 	sc, clock, j := newTestScheduler(1)
 	sc.Settings.Fleet.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 120}}
 	j.Spec.Estimate = 97 * units.Second
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -15,12 +15,12 @@
 	oneByOne := j.Spec.Kind == protocol.Service
 	for again := true; again; {
 		again = false
-		if min(j.Pending, p.placementsLeft, p.quotaRoom(j)) <= 0 {
+		if min(j.Pending, p.placementsLeft, p.tasksWithinQuota(j)) <= 0 {
 			return
 		}
 		for _, c := range p.rankCandidates(j) {
 			m := &p.snapshot.Machines[c.machine]
-			n := min(j.Pending, p.placementsLeft, p.quotaRoom(j), m.freeFor(j).Fits(j.Spec.Request), zoneCapacity(j, m.Zone))
+			n := min(j.Pending, p.placementsLeft, p.tasksWithinQuota(j), m.freeFor(j).Fits(j.Spec.Request), tasksWithinZone(j, m.Zone))
 			if n <= 0 {
 				continue
 			}
@@ -37,7 +37,7 @@
 // placeGang starts all of a gang's tasks or none. While some of its tasks may
 // still be on machines, the rest waits for them to end.
 func (p *planner) placeGang(i int, j *JobView) {
-	if j.LiveTasks > 0 || p.quotaRoom(j) < j.Pending {
+	if j.LiveTasks > 0 || p.tasksWithinQuota(j) < j.Pending {
 		return
 	}
 	machines, pending, batch, starts := slices.Clone(p.snapshot.Machines), j.Pending, p.placementsLeft, len(p.decisions.Placements)
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -34,7 +34,7 @@
 	candidates       []candidate
 	victimsByMachine [][]Victim              // by machine, once asked
 	victimsByTeam    map[int][]machineVictim // by team, once asked
-	anyFreeing       bool                    // some machine has room coming
+	capacityFreeing  bool                    // some machine has room coming
 }
 
 // Plan decides what to start and what to stop. The first task of a job that has
@@ -68,7 +68,7 @@
 		p.usageAfterPreemption[i] = s.Teams[i].Used
 	}
 	for k := range s.Machines {
-		p.anyFreeing = p.anyFreeing || s.Machines[k].Freeing != units.Resources{}
+		p.capacityFreeing = p.capacityFreeing || s.Machines[k].Freeing != units.Resources{}
 	}
 	return p
 }
@@ -90,7 +90,7 @@
 	p.blockFullTeam(j)
 	p.preempt(i, j)
 	if j.AwaitsCompletions && j.Spec.Priority >= protocol.High {
-		p.reserveMachines(i, j, j.Pending)
+		p.reserve(i, j, j.Pending)
 	}
 }
 
@@ -103,11 +103,13 @@
 	p.blockFullTeam(j)
 	if j.Pending > 0 {
 		p.preempt(i, j)
-		p.reserveMachines(i, j, 1)
+		p.reserve(i, j, 1)
 	}
 	j.Pending += rest
 }
 
 // blockFullTeam keeps the jobs that come after one whose team's limit has no room for it
 // from taking what is left of the limit bit by bit: a larger task would wait for ever.
-func (p *planner) blockFullTeam(j *JobView) { p.snapshot.Teams[j.Team].Blocked = p.quotaRoom(j) == 0 }
+func (p *planner) blockFullTeam(j *JobView) {
+	p.snapshot.Teams[j.Team].Blocked = p.tasksWithinQuota(j) == 0
+}
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -82,8 +82,8 @@
 	return s
 }
 
-// clone copies what Plan changes.
-func clone(s Snapshot) Snapshot {
+// cloneSnapshot copies what Plan changes.
+func cloneSnapshot(s Snapshot) Snapshot {
 	s.Teams = append([]TeamView(nil), s.Teams...)
 	s.Machines = append([]MachineView(nil), s.Machines...)
 	s.Jobs = append([]JobView(nil), s.Jobs...)
@@ -101,10 +101,10 @@
 // the victims still counted (they run until they are gone; this was broken
 // once), no machine beyond its free room, no task where its job does not
 // allow it, nobody stopped without the right.
-func TestPlanKeepsTheInvariants(t *testing.T) {
+func TestPlanKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
-		before := clone(s)
+		before := cloneSnapshot(s)
 		w := Plan(&s)
 		used := make([]units.Resources, len(before.Teams))
 		free := make([]units.Resources, len(before.Machines))
@@ -158,11 +158,11 @@
 		if total > before.MaxPlacements {
 			t.Fatalf("%d starts in a batch of %d", total, before.MaxPlacements)
 		}
-		checkStops(t, before, w)
+		checkPreemptions(t, before, w)
 	})
 }
 
-func checkStops(t *rapid.T, s Snapshot, w Decisions) {
+func checkPreemptions(t *rapid.T, s Snapshot, w Decisions) {
 	stopped := map[int]bool{}
 	for _, stop := range w.Preemptions {
 		ref, j := stop.Victim, s.Jobs[stop.Job]
@@ -199,14 +199,14 @@
 func TestPlanIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
-		a, b := clone(s), clone(s)
+		a, b := cloneSnapshot(s), cloneSnapshot(s)
 		if x, y := Plan(&a), Plan(&b); !reflect.DeepEqual(x, y) {
 			t.Fatalf("%+v and then %+v", x, y)
 		}
 	})
 }
 
-func TestPlanPrefersTheMachineWithTheImage(t *testing.T) {
+func TestPlanPrefersMachineWithImage(t *testing.T) {
 	holds := func(yes bool) func(string) bool { return func(string) bool { return yes } }
 	s := Snapshot{
 		MaxPlacements: 10,
@@ -260,7 +260,7 @@
 // machines hold an image, and the one with most room may report seconds later
 // than others: half of all starts on a calm day of the fleet's waited for that.
 // An image still goes before a report.
-func TestPlanPrefersTheMachineWithTheNextHeartbeat(t *testing.T) {
+func TestPlanPrefersMachineWithNextHeartbeat(t *testing.T) {
 	machine := func(id string, image bool, free, reports int) MachineView {
 		return MachineView{
 			ID:                     id,
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -10,11 +10,11 @@
 // machines. Room that stopped tasks are about to leave is reckoned with first,
 // so that no round stops again for the same need.
 func (p *planner) preempt(i int, j *JobView) {
-	mayStop := !j.AwaitsCompletions && p.mayPreemptAny(j)
-	if !mayStop && !p.anyFreeing {
+	mayStop := !j.AwaitsCompletions && p.mayPreemptSome(j)
+	if !mayStop && !p.capacityFreeing {
 		return
 	}
-	want := p.preemptInTeam(i, j)
+	want := p.preemptWithinTeam(i, j)
 	p.snapshot.Teams[j.Team].Freeing = p.snapshot.Teams[j.Team].Freeing.Plus(j.Spec.Request, -want)
 	for k := range p.snapshot.Machines {
 		if want <= 0 {
@@ -22,8 +22,8 @@
 		}
 		m := &p.snapshot.Machines[k]
 		coming := min(m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request), want)
-		if coming > 0 && p.usable(k, j) {
-			p.claimRoom(m, j.Spec.Request, coming)
+		if coming > 0 && p.feasible(k, j) {
+			p.claimCapacity(m, j.Spec.Request, coming)
 			want -= coming
 		}
 	}
@@ -32,15 +32,15 @@
 		if want <= 0 || !mayStop {
 			return
 		}
-		if !p.usable(k, j) || m.Slow {
+		if !p.feasible(k, j) || m.Slow {
 			continue
 		}
-		want -= p.preemptOn(k, i, j, want)
+		want -= p.preemptOnMachine(k, i, j, want)
 	}
 }
 
-// mayPreemptAny tells whether any task at all could be stopped for the job.
-func (p *planner) mayPreemptAny(j *JobView) bool {
+// mayPreemptSome tells whether any task at all could be stopped for the job.
+func (p *planner) mayPreemptSome(j *JobView) bool {
 	if j.Spec.Priority >= protocol.High {
 		return true
 	}
@@ -55,9 +55,9 @@
 	return false
 }
 
-// preemptInTeam stops tasks of the job's own team until its limit has room for
+// preemptWithinTeam stops tasks of the job's own team until its limit has room for
 // the job, and gives how many of the job's tasks it then has room for.
-func (p *planner) preemptInTeam(i int, j *JobView) int {
+func (p *planner) preemptWithinTeam(i int, j *JobView) int {
 	t := &p.snapshot.Teams[j.Team]
 	room := func() int {
 		return min(j.Pending, t.QuotaLimit.Plus(t.Used, -1).Plus(t.Freeing, 1).Fits(j.Spec.Request))
@@ -65,11 +65,11 @@
 	if room() == j.Pending || j.Spec.Priority < protocol.High || j.AwaitsCompletions {
 		return room()
 	}
-	for _, c := range p.victimsOf(j.Team) {
+	for _, c := range p.victimsInTeam(j.Team) {
 		if c.victim.Priority >= j.Spec.Priority || room() >= j.Pending {
 			break
 		}
-		if !p.preempted[c.victim.Ref] && p.usable(c.machine, j) && p.mayPreempt(j, *c.victim) {
+		if !p.preempted[c.victim.Ref] && p.feasible(c.machine, j) && p.mayPreempt(j, *c.victim) {
 			p.preemptVictim(&p.snapshot.Machines[c.machine], *c.victim, i)
 		}
 	}
@@ -82,14 +82,14 @@
 	p.preempted[v.Ref] = true
 	p.decisions.Preemptions = append(p.decisions.Preemptions, Preemption{Victim: v.Ref, Job: i})
 	m.Freeing = m.Freeing.Plus(v.Request, 1)
-	p.anyFreeing = true
+	p.capacityFreeing = true
 	t := &p.snapshot.Teams[v.Team]
 	t.Freeing = t.Freeing.Plus(v.Request, 1)
 	p.usageAfterPreemption[v.Team] = p.usageAfterPreemption[v.Team].Plus(v.Request, -1)
 }
 
-// claimRoom takes room that is free or about to be from the machine's views.
-func (p *planner) claimRoom(m *MachineView, need units.Resources, n int) {
+// claimCapacity takes room that is free or about to be from the machine's views.
+func (p *planner) claimCapacity(m *MachineView, need units.Resources, n int) {
 	total := m.Free.Plus(m.Freeing, 1).Plus(need, -n)
 	m.Freeing = units.Resources{
 		CPU:    min(m.Freeing.CPU, total.CPU),
@@ -99,12 +99,12 @@
 	m.Free = total.Plus(m.Freeing, -1)
 }
 
-func (p *planner) preemptOn(k, i int, j *JobView, want int) int {
+func (p *planner) preemptOnMachine(k, i int, j *JobView, want int) int {
 	m := &p.snapshot.Machines[k]
 	made := 0
 	room := m.freeFor(j).Plus(m.Freeing, 1)
 	var chosen []Victim
-	for _, v := range p.victimsOn(k) {
+	for _, v := range p.victimsOnMachine(k) {
 		if made >= want {
 			break
 		}
@@ -122,7 +122,7 @@
 		}
 	}
 	if made > 0 {
-		p.claimRoom(m, j.Spec.Request, made)
+		p.claimCapacity(m, j.Spec.Request, made)
 	}
 	return made
 }
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -5,10 +5,10 @@
 	"dunestand/internal/config"
 )
 
-// estimateTrust is the part of an estimate that is relied on to call a job late:
+// trustedEstimateShare is the part of an estimate that is relied on to call a job late:
 // estimates are often wrong by half, and what is called late waits behind all
 // the rest, though it might have been in time.
-const estimateTrust = 2.0 / 3
+const trustedEstimateShare = 2.0 / 3
 
 func (sc *Scheduler) rankInput(j *cluster.Job) config.RankInput {
 	waited := max(0, sc.Clock.Wall()-j.Submitted)
@@ -26,7 +26,7 @@
 	}
 	for _, due := range sc.Settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
 		in.DueS = (due - waited).Seconds()
-		in.Late = in.DueS < in.FinishS*estimateTrust
+		in.Late = in.DueS < in.FinishS*trustedEstimateShare
 		if !in.Late {
 			break
 		}
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -58,7 +58,7 @@
 	p.candidates = p.candidates[:0]
 	for k := range p.snapshot.Machines {
 		m := &p.snapshot.Machines[k]
-		if m.Reserved || m.freeFor(j).Fits(j.Spec.Request) == 0 || !p.usable(k, j) {
+		if m.Reserved || m.freeFor(j).Fits(j.Spec.Request) == 0 || !p.feasible(k, j) {
 			continue
 		}
 		p.candidates = append(p.candidates, candidate{machine: k, score: scoreMachine(j, k, m)})
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		sc.queue = append(sc.queue, queuedJob{j, *view})
-		if !sc.schedulable(j, now) {
+		if !sc.jobSchedulable(j, now) {
 			continue
 		}
 		sc.fillTopology(view, j)
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -51,9 +51,9 @@
 	victim  *Victim
 }
 
-// victimsOn gives the tasks on a machine that could be stopped, the one to be
+// victimsOnMachine gives the tasks on a machine that could be stopped, the one to be
 // stopped first first.
-func (p *planner) victimsOn(k int) []Victim {
+func (p *planner) victimsOnMachine(k int) []Victim {
 	if p.victimsByMachine == nil {
 		p.victimsByMachine = make([][]Victim, len(p.snapshot.Machines))
 	}
@@ -69,13 +69,13 @@
 	return p.victimsByMachine[k]
 }
 
-// victimsOf gives a team's tasks that could be stopped, the one to be stopped
+// victimsInTeam gives a team's tasks that could be stopped, the one to be stopped
 // first first.
-func (p *planner) victimsOf(team int) []machineVictim {
+func (p *planner) victimsInTeam(team int) []machineVictim {
 	if p.victimsByTeam == nil {
 		p.victimsByTeam = map[int][]machineVictim{}
 		for k := range p.snapshot.Machines {
-			on := p.victimsOn(k)
+			on := p.victimsOnMachine(k)
 			for n := range on {
 				p.victimsByTeam[on[n].Team] = append(p.victimsByTeam[on[n].Team], machineVictim{k, &on[n]})
 			}
