--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -5,40 +5,49 @@
 	"dunestand/internal/units"
 )
 
-// checkpointMargin is what a task that is stopped gets to save beyond what its owner states.
+// checkpointMargin is the grace period of a task that is preempted, beyond the time that its
+// owner states for a checkpoint.
 const checkpointMargin = 2 * units.Second
 
-// apply takes a plan over into the ledger.
-func (sc *Scheduler) apply(wanted Decisions, refs *snapshotIndex, now units.Micros) {
-	gangs := map[int]bool{}
+// apply applies a plan to the state.
+func (sc *Scheduler) apply(decisions Decisions, index *snapshotIndex, now units.Micros) {
+	sc.applyPlacements(decisions.Placements, index, now)
+	sc.applyPreemptions(decisions.Preemptions, index, now)
+}
+
+func (sc *Scheduler) applyPlacements(placements []Placement, index *snapshotIndex, now units.Micros) {
+	gangsStarted := map[int]bool{}
 	var number uint64
-	for _, w := range wanted.Placements {
-		j, m := refs.jobs[w.Job], refs.machines[w.Machine]
-		for range w.Count {
-			// A gang's tasks find each other by the attempt they share.
-			if j.Spec.Kind != protocol.Gang || !gangs[w.Job] {
+	for _, placement := range placements {
+		job, machine := index.jobs[placement.Job], index.machines[placement.Machine]
+		for range placement.Count {
+			// A gang's tasks find each other by the attempt number they share.
+			if job.Spec.Kind != protocol.Gang || !gangsStarted[placement.Job] {
 				number = sc.State.NextAttempt(sc.Token)
-				gangs[w.Job] = true
+				gangsStarted[placement.Job] = true
 			}
-			a := sc.State.Assign(j, m, number, now)
-			if a == nil {
+			attempt := sc.State.Assign(job, machine, number, now)
+			if attempt == nil {
 				break
 			}
-			sc.Tracer.Trace("task placed", a)
-			sc.Metrics.Placed(now - j.LearnedAt)
+			sc.Tracer.Trace("task placed", attempt)
+			sc.Metrics.Placed(now - job.LearnedAt)
 		}
-		if !j.MachineIsDurable(m.ID) {
+		if !job.MachineIsDurable(machine.ID) {
 			sc.WriteSignal.Raise()
 		}
-		if j.IsService() {
-			sc.Pusher.RequestPush(m, j, now)
+		if job.IsService() {
+			sc.Pusher.RequestPush(machine, job, now)
 		}
 	}
-	for _, p := range wanted.Preemptions {
-		a := refs.victims[p.Victim]
-		sc.State.StopAttempt(a, a.Job.Spec.CheckpointDuration+checkpointMargin)
-		sc.Pusher.RequestPush(a.Machine, nil, now)
-		sc.Log.Info("task preempted", "task", a.TaskName(), "attempt", a.Number, "machine", a.Machine.ID,
-			"class", a.Job.Spec.Class, "for", refs.jobs[p.Job].Spec.ID, "for_class", refs.jobs[p.Job].Spec.Class)
+}
+
+func (sc *Scheduler) applyPreemptions(preemptions []Preemption, index *snapshotIndex, now units.Micros) {
+	for _, preemption := range preemptions {
+		attempt, job := index.victims[preemption.Victim], index.jobs[preemption.Job]
+		sc.State.StopAttempt(attempt, attempt.Job.Spec.CheckpointDuration+checkpointMargin)
+		sc.Pusher.RequestPush(attempt.Machine, nil, now)
+		sc.Log.Info("task preempted", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", attempt.Machine.ID,
+			"class", attempt.Job.Spec.Class, "for", job.Spec.ID, "for_class", job.Spec.Class)
 	}
 }
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -8,60 +8,73 @@
 	"dunestand/internal/units"
 )
 
-// MachineSchedulable tells whether a machine may be given work.
-func (sc *Scheduler) MachineSchedulable(m *cluster.Machine, now units.Micros) bool {
-	return m.Registered && m.FencingToken == sc.Token && !m.IgnoresCommands() && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
-		now >= m.BlockedUntil && now-m.LastHeartbeat < sc.Detector.SuspectAfter()
+// Why a job is not placed: jobSchedulable says whether it is considered at all,
+// MachineSchedulable whether a machine is, feasible whether the two go together,
+// tasksWithinQuota what its team's limit leaves, and freeFor what the machine has free for it.
+// A job of a team that is blocked by another of its jobs (planner.blockFullTeam) waits, too.
+
+// jobSchedulable reports whether tasks of a job may be placed now.
+func jobSchedulable(job *cluster.Job, now units.Micros) bool {
+	return job.HasTasksToPlace() && now >= job.RetryAt && len(job.UnreconciledMachines) == 0
 }
 
-// jobSchedulable tells whether tasks of a job may be placed now.
-func (sc *Scheduler) jobSchedulable(j *cluster.Job, now units.Micros) bool {
-	return j.HasTasksToPlace() && now >= j.RetryAt && len(j.UnreconciledMachines) == 0
+// MachineSchedulable reports whether a machine may be given work.
+func (sc *Scheduler) MachineSchedulable(m *cluster.Machine, now units.Micros) bool {
+	return m.Registered && m.FencingToken == sc.Token && m.Capacity.CPU > 0 &&
+		!m.Quarantined && !m.Releasing && m.TerminatesAt == 0 &&
+		!m.IgnoresCommands() && now >= m.BlockedUntil &&
+		now-m.LastHeartbeat < sc.Detector.SuspectAfter()
 }
 
-// feasible tells whether a job may be started on a machine, room aside. A slow
-// machine gets no urgent work.
-func (p *planner) feasible(i int, j *JobView) bool {
-	m := &p.snapshot.Machines[i]
-	return m.Schedulable && !(m.Slow && j.Spec.Priority >= protocol.High) && PlacementAllowed(j.Spec, m.InstanceType, m.Zone, m.Spot) && tasksWithinZone(j, m.Zone) > 0 && !j.Avoid(m.ID)
+// feasible reports whether a job may be placed on a machine of the snapshot, free capacity
+// and quota aside. A slow machine gets no urgent work.
+func (p *planner) feasible(machine int, job *JobView) bool {
+	m := &p.snapshot.Machines[machine]
+	return m.Schedulable &&
+		!(m.Slow && job.urgent()) &&
+		PlacementAllowed(job.Spec, m.InstanceType, m.Zone, m.Spot) &&
+		tasksWithinZone(job, m.Zone) > 0 &&
+		!job.Avoid(m.ID)
 }
 
-// PlacementAllowed tells whether a job's tasks may be on machines of this kind.
-func PlacementAllowed(spec *protocol.JobSpec, typ, zone string, spot bool) bool {
-	return (spec.InstanceTypes == nil || slices.Contains(spec.InstanceTypes, typ)) &&
+// PlacementAllowed reports whether a job's tasks may be on machines of an offering: an
+// instance type in a zone, as a spot instance or not.
+func PlacementAllowed(spec *protocol.JobSpec, instanceType, zone string, spot bool) bool {
+	return (spec.InstanceTypes == nil || slices.Contains(spec.InstanceTypes, instanceType)) &&
 		(spec.Zone == "" || spec.Zone == zone) && (spec.AllowSpot || !spot)
 }
 
-// tasksWithinQuota is how many more tasks of the job its team's limit allows.
-func (p *planner) tasksWithinQuota(j *JobView) int {
-	t := &p.snapshot.Teams[j.Team]
-	return t.QuotaLimit.Plus(t.Used, -1).Fits(j.Spec.Request)
+// tasksWithinQuota returns how many more tasks of the job its team's quota limit allows.
+func (p *planner) tasksWithinQuota(job *JobView) int {
+	team := &p.snapshot.Teams[job.Team]
+	return team.QuotaLimit.Plus(team.Used, -1).Fits(job.Spec.Request)
 }
 
-// freeFor is a machine's room for a job.
-func (m *MachineView) freeFor(j *JobView) units.Resources {
-	if j.Spec.Kind == protocol.Service || j.Starved {
-		return m.Free
-	}
-	return m.Free.Plus(m.Headroom, -1)
-}
-
-// tasksWithinZone is how many more tasks of the job may be in a zone, and whether
-// the zone is allowed at all.
-func tasksWithinZone(j *JobView, zone string) int {
-	if j.Spec.Zone != "" && j.Spec.Zone != zone {
+// tasksWithinZone returns how many more tasks of the job may be in a zone; none where the
+// zone is not allowed at all.
+func tasksWithinZone(job *JobView, zone string) int {
+	if job.Spec.Zone != "" && job.Spec.Zone != zone {
 		return 0
 	}
-	room := j.Spec.Tasks
-	if j.Spec.ZoneSpread {
-		room = (j.Spec.Tasks+1)/2 - j.LiveByZone[zone]
+	allowed := job.Spec.Tasks
+	if job.Spec.ZoneSpread {
+		allowed = (job.Spec.Tasks+1)/2 - job.LiveByZone[zone]
 	}
-	if j.Spec.ZoneAffinity {
-		for other, n := range j.LiveByZone {
-			if n > 0 && other != zone {
+	if job.Spec.ZoneAffinity {
+		for other, live := range job.LiveByZone {
+			if live > 0 && other != zone {
 				return 0
 			}
 		}
 	}
-	return room
+	return allowed
+}
+
+// freeFor returns the free capacity of a machine that a job may use: the headroom is for
+// replicas of services, and for jobs that have waited too long.
+func (m *MachineView) freeFor(job *JobView) units.Resources {
+	if job.Spec.Kind == protocol.Service || job.Starved {
+		return m.Free
+	}
+	return m.Free.Plus(m.Headroom, -1)
 }
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -11,122 +11,132 @@
 )
 
 // A replica that is lost with its machine, or that is new, is to be up within
-// seconds. In a full fleet room for it would first have to be made, by stopping
-// something. So where there are urgent services, some room is kept free for
+// seconds. In a full fleet capacity for it would first have to be made, by stopping
+// something. So where there are urgent services, some free capacity is reserved for
 // replicas in each zone: little next to the fleet.
 
 const (
-	headroomReplicasPerZone = 2  // in each zone
-	headroomFleetShare      = 32 // of the fleet at most
-	// In the fleet as a whole room is rented for one replica more in so many that
-	// there are.
+	headroomReplicasPerZone = 2 // replicas in each zone that capacity is reserved for
+	// headroomFleetShare bounds the headroom to one processor in so many of the fleet.
+	headroomFleetShare = 32
+	// headroomServiceShare: the fleet as a whole is scaled out for one replica more in so
+	// many that there are.
 	headroomServiceShare = 3
 )
 
-// reserveHeadroom chooses the machines on which room for one more replica like a given
-// one is kept from everything else: in each zone those that have it already, else
-// those where it comes soonest, among them the ones that were chosen before. Types
-// of which a waiting task needs nearly a whole machine are left to such tasks, where
-// there are others.
-func reserveHeadroom(machines []MachineView, jobs []JobView, like *protocol.JobSpec, before func(k int) bool) []int {
-	if like == nil {
+// reserveHeadroom chooses the machines on which capacity for one more replica is reserved,
+// by their places in machines: in each zone those that have it free already, else
+// those where it becomes free soonest, among them the ones that were chosen before. Instance
+// types of which a waiting task needs nearly a whole machine are left to such tasks, where
+// there are others. replica is a service whose replicas are as large as any; nil reserves
+// nothing.
+func reserveHeadroom(machines []MachineView, jobs []JobView, replica *protocol.JobSpec, chosenBefore func(machine int) bool) []int {
+	if replica == nil {
 		return nil
 	}
-	needed := instanceTypesNeededWhole(machines, jobs, like)
-	byZone, fleet := headroomCandidates(machines, like)
-	each := headroomReplicasPerZone
-	if all := like.Request.CPU * headroomFleetShare * units.Amount(len(byZone)); all > 0 {
-		each = int(min(units.Amount(each), fleet/all))
+	neededWhole := instanceTypesNeededWhole(machines, jobs, replica)
+	byZone, fleetCPU := headroomCandidates(machines, replica)
+	perZone := headroomReplicasPerZone
+	if bound := replica.Request.CPU * headroomFleetShare * units.Amount(len(byZone)); bound > 0 {
+		perZone = int(min(units.Amount(perZone), fleetCPU/bound))
 	}
-	var out []int
+	var chosen []int
 	for _, zone := range sorted.Keys(byZone) {
-		list := byZone[zone]
-		slices.SortStableFunc(list, func(a, b int) int {
+		candidates := byZone[zone]
+		slices.SortStableFunc(candidates, func(a, b int) int {
 			x, y := &machines[a], &machines[b]
 			return cmp.Or(
-				compareBools(needed[x.InstanceType], needed[y.InstanceType]),
-				-compareBools(x.Free.Fits(like.Request) > 0, y.Free.Fits(like.Request) > 0),
-				-compareBools(before(a), before(b)),
-				-compareBools(x.HasImage(like.Image), y.HasImage(like.Image)),
+				compareBools(neededWhole[x.InstanceType], neededWhole[y.InstanceType]),
+				-compareBools(x.Free.Fits(replica.Request) > 0, y.Free.Fits(replica.Request) > 0),
+				-compareBools(chosenBefore(a), chosenBefore(b)),
+				-compareBools(x.HasImage(replica.Image), y.HasImage(replica.Image)),
 				-cmp.Compare(x.Capacity.CPU, y.Capacity.CPU))
 		})
-		out = append(out, list[:min(each, len(list))]...)
+		chosen = append(chosen, candidates[:min(perZone, len(candidates))]...)
 	}
-	return out
+	return chosen
 }
 
-// instanceTypesNeededWhole gives the types of which some waiting task needs so much of a machine
-// that a replica does not fit beside it.
-func instanceTypesNeededWhole(machines []MachineView, jobs []JobView, like *protocol.JobSpec) map[string]bool {
-	needed := map[string]bool{}
-	for k := range machines {
-		m := &machines[k]
-		if _, seen := needed[m.InstanceType]; seen {
+// instanceTypesNeededWhole returns the instance types of which some waiting task needs so much
+// of a machine that a replica does not fit beside it.
+func instanceTypesNeededWhole(machines []MachineView, jobs []JobView, replica *protocol.JobSpec) map[string]bool {
+	neededWhole := map[string]bool{}
+	for i := range machines {
+		m := &machines[i]
+		if _, seen := neededWhole[m.InstanceType]; seen {
 			continue
 		}
-		rest := m.Capacity.Plus(like.Request, -1)
-		needed[m.InstanceType] = slices.ContainsFunc(jobs, func(j JobView) bool {
-			return m.Capacity.Fits(j.Spec.Request) > 0 && rest.Fits(j.Spec.Request) == 0
+		besideReplica := m.Capacity.Plus(replica.Request, -1)
+		neededWhole[m.InstanceType] = slices.ContainsFunc(jobs, func(job JobView) bool {
+			return m.Capacity.Fits(job.Spec.Request) > 0 && besideReplica.Fits(job.Spec.Request) == 0
 		})
 	}
-	return needed
+	return neededWhole
 }
 
-// headroomCandidates gives by zone the machines on which room for a replica may be kept,
-// and the processors of all machines that may be given work.
-func headroomCandidates(machines []MachineView, like *protocol.JobSpec) (byZone map[string][]int, fleet units.Amount) {
+// headroomCandidates returns by zone the machines on which capacity for a replica may be
+// reserved, and the processors of all machines that may be given work.
+func headroomCandidates(machines []MachineView, replica *protocol.JobSpec) (byZone map[string][]int, fleetCPU units.Amount) {
 	byZone = map[string][]int{}
-	for k := range machines {
-		m := &machines[k]
+	for i := range machines {
+		m := &machines[i]
 		if !m.Schedulable {
 			continue
 		}
-		fleet += m.Capacity.CPU
-		if !m.Slow && m.Capacity.Fits(like.Request) > 0 && PlacementAllowed(like, m.InstanceType, m.Zone, m.Spot) {
-			byZone[m.Zone] = append(byZone[m.Zone], k)
+		fleetCPU += m.Capacity.CPU
+		if !m.Slow && m.Capacity.Fits(replica.Request) > 0 && PlacementAllowed(replica, m.InstanceType, m.Zone, m.Spot) {
+			byZone[m.Zone] = append(byZone[m.Zone], i)
 		}
 	}
-	return byZone, fleet
+	return byZone, fleetCPU
 }
 
-// HeadroomReplica gives the urgent service whose replicas take most, nil if there is
+// HeadroomReplica returns the urgent service whose replicas request most, nil if there is
 // none.
 func (sc *Scheduler) HeadroomReplica() *protocol.JobSpec {
-	var like *protocol.JobSpec
-	for _, j := range sc.State.Jobs {
-		s := &j.Spec
-		if j.IsService() && !j.Cancelled && s.Priority >= protocol.High && (like == nil ||
-			cmp.Or(cmp.Compare(s.Request.CPU, like.Request.CPU), cmp.Compare(s.Request.Memory, like.Request.Memory), -cmp.Compare(s.ID, like.ID)) > 0) {
-			like = s
+	var largest *protocol.JobSpec
+	for _, job := range sc.State.Jobs {
+		spec := &job.Spec
+		if !job.IsService() || job.Cancelled || spec.Priority < protocol.High {
+			continue
+		}
+		if largest == nil || cmp.Or(
+			cmp.Compare(spec.Request.CPU, largest.Request.CPU),
+			cmp.Compare(spec.Request.Memory, largest.Request.Memory),
+			-cmp.Compare(spec.ID, largest.ID)) > 0 {
+			largest = spec
 		}
 	}
-	return like
+	return largest
 }
 
-// HeadroomReplicaCount is how many replicas more than there are the fleet is to have room
-// for: enough in each zone for a new service, and for the loss of some machines
-// together, since renting others takes a boot.
-func (sc *Scheduler) HeadroomReplicaCount(like *protocol.JobSpec) int {
-	var used units.Amount
-	for _, j := range sc.State.Jobs {
-		if j.IsService() && !j.Cancelled {
-			used += j.Spec.Request.CPU * units.Amount(j.Spec.Tasks)
+// HeadroomReplicaCount returns how many replicas more than there are the fleet is to have
+// capacity for: enough in each zone for a new service, and for the loss of some machines
+// together, since scaling out takes a boot.
+func (sc *Scheduler) HeadroomReplicaCount(replica *protocol.JobSpec) int {
+	var servicesCPU units.Amount
+	for _, job := range sc.State.Jobs {
+		if job.IsService() && !job.Cancelled {
+			servicesCPU += job.Spec.Request.CPU * units.Amount(job.Spec.Tasks)
 		}
 	}
-	n := headroomReplicasPerZone * len(sc.Settings.Fleet.Zones)
-	if like.Request.CPU > 0 {
-		n = max(n, int(used/like.Request.CPU/headroomServiceShare))
+	count := headroomReplicasPerZone * len(sc.Settings.Fleet.Zones)
+	if replica.Request.CPU > 0 {
+		count = max(count, int(servicesCPU/replica.Request.CPU/headroomServiceShare))
 	}
-	return n
+	return count
 }
 
-// updateHeadroom notes on the machines of a snapshot what room is kept on them.
-func (sc *Scheduler) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
-	like := sc.HeadroomReplica()
-	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return sc.headroom[machines[k]] != units.Resources{} })
+// updateHeadroom reserves the headroom on the machines of a snapshot. machines are the same
+// ones in the state.
+func (sc *Scheduler) updateHeadroom(snapshot *Snapshot, machines []*cluster.Machine) {
+	replica := sc.HeadroomReplica()
+	chosen := reserveHeadroom(snapshot.Machines, snapshot.Jobs, replica, func(machine int) bool {
+		return sc.headroom[machines[machine]] != units.Resources{}
+	})
 	clear(sc.headroom)
-	for _, k := range kept {
-		s.Machines[k].Headroom = like.Request
-		sc.headroom[machines[k]] = like.Request
+	for _, i := range chosen {
+		snapshot.Machines[i].Headroom = replica.Request
+		sc.headroom[machines[i]] = replica.Request
 	}
 }
--- a/internal/scheduler/onemachine.go
+++ b/internal/scheduler/onemachine.go
@@ -7,57 +7,69 @@
 	"dunestand/internal/units"
 )
 
+// jobsPerPlan is how many jobs of the queue are planned for one machine at a time: the first
+// few mostly use up its free capacity.
 const jobsPerPlan = 12
 
-// PlaceOnMachine plans for one machine between two rounds, in the order of the last one.
-// Every other machine with room was offered then, or when it reported itself,
-// so that this one is the companion whatever image it holds. It costs little
-// next to a round: a machine that reports the end of a task has the next one
-// in the answer, however large the fleet is.
+// PlaceOnMachine plans for one machine between two cycles, in the order of the last one.
+// Every other machine with free capacity was considered then, or when it sent its own
+// heartbeat, so that this one is the best candidate whatever image it holds. It costs little
+// next to a cycle: a machine whose heartbeat reports the end of a task has the next one
+// in the response, however large the fleet is.
 func (sc *Scheduler) PlaceOnMachine(m *cluster.Machine, now units.Micros) {
 	if !sc.allMachinesConsidered || len(sc.queue) == 0 || m.Free().CPU <= 0 || !sc.MachineSchedulable(m, now) {
 		return
 	}
-	s := Snapshot{MaxPlacements: maxCyclePlacements, Partial: true}
-	teams := sc.snapshotTeams(&s)
-	s.Machines = []MachineView{sc.machineView(m, now, true)}
-	s.Machines[0].Headroom = sc.headroom[m]
-	// A few jobs at a time: the first ones mostly take all the room.
-	queue := sc.queue
-	if held := sc.reservations[m]; held != nil && sc.jobSchedulable(held, now) {
-		// The room is kept together for this job: none that comes later gets any.
-		if i := slices.IndexFunc(queue, func(q queuedJob) bool { return q.job == held }); i >= 0 {
-			queue = queue[:i+1]
-		}
-	}
-	for len(queue) > 0 && s.Machines[0].Free.CPU > 0 {
+	snapshot := Snapshot{MaxPlacements: maxCyclePlacements, Partial: true}
+	teams := sc.snapshotTeams(&snapshot)
+	snapshot.Machines = []MachineView{sc.machineView(m, now, true)}
+	view := &snapshot.Machines[0]
+	view.Headroom = sc.headroom[m]
+	queue := sc.queueFor(m, now)
+	for len(queue) > 0 && view.Free.CPU > 0 {
 		n := min(len(queue), jobsPerPlan)
-		sc.placeJobsOnMachine(queue[:n], m, &s, teams, now)
+		sc.placeJobsOnMachine(queue[:n], m, &snapshot, teams, now)
 		queue = queue[n:]
 	}
 }
 
-func (sc *Scheduler) placeJobsOnMachine(queue []queuedJob, m *cluster.Machine, s *Snapshot, teams map[string]int, now units.Micros) {
-	s.Jobs = s.Jobs[:0]
-	refs := &snapshotIndex{machines: []*cluster.Machine{m}}
-	for _, q := range queue {
-		j := q.job
-		if s.Machines[0].Free.Fits(j.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !sc.jobSchedulable(j, now) {
+// queueFor returns the part of the queue that may be placed on a machine: where its free
+// capacity is reserved for a job, none that comes after that job.
+func (sc *Scheduler) queueFor(m *cluster.Machine, now units.Micros) []queuedJob {
+	reservedFor := sc.reservations[m]
+	if reservedFor == nil || !jobSchedulable(reservedFor, now) {
+		return sc.queue
+	}
+	i := slices.IndexFunc(sc.queue, func(q queuedJob) bool { return q.job == reservedFor })
+	if i < 0 {
+		return sc.queue
+	}
+	return sc.queue[:i+1]
+}
+
+// placeJobsOnMachine plans a part of the queue for the one machine of a snapshot, and applies
+// the decisions. teams holds the teams' places in the snapshot.
+func (sc *Scheduler) placeJobsOnMachine(queue []queuedJob, m *cluster.Machine, snapshot *Snapshot, teams map[string]int, now units.Micros) {
+	snapshot.Jobs = snapshot.Jobs[:0]
+	index := &snapshotIndex{machines: []*cluster.Machine{m}}
+	for _, queued := range queue {
+		job := queued.job
+		if snapshot.Machines[0].Free.Fits(job.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !jobSchedulable(job, now) {
 			continue
 		}
-		view := q.view
-		if view.Starved && len(j.LiveAttempts) > 0 {
-			continue // it has begun; its turn for the rest is found by the next round
+		view := queued.view
+		if view.Starved && len(job.LiveAttempts) > 0 {
+			continue // it has begun; the next cycle finds the place of the rest
 		}
-		view.Pending, view.LiveTasks, view.Team = j.Pending(), len(j.LiveAttempts), teams[j.Spec.Team]
-		sc.fillTopology(&view, j)
+		view.Pending, view.LiveTasks, view.Team = job.Pending(), len(job.LiveAttempts), teams[job.Spec.Team]
+		fillTopology(&view, job)
 		if view.LiveByMachine != nil {
 			continue // replicas are placed with all machines in view
 		}
-		s.Jobs = append(s.Jobs, view)
-		refs.jobs = append(refs.jobs, j)
+		snapshot.Jobs = append(snapshot.Jobs, view)
+		index.jobs = append(index.jobs, job)
 	}
-	if len(s.Jobs) > 0 {
-		sc.apply(Plan(s), refs, now)
+	if len(snapshot.Jobs) > 0 {
+		sc.apply(Plan(snapshot), index, now)
 	}
 }
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/protocol"
 )
 
-// jobOrder gives the places of the jobs in the snapshot, the one that goes first first.
+// jobOrder returns the places of the jobs in the snapshot, the one that goes first first.
 func (p *planner) jobOrder() []int {
 	order := make([]int, len(p.snapshot.Jobs))
 	for i := range order {
@@ -17,26 +17,43 @@
 	return order
 }
 
+// compareJobs orders jobs, the one that goes first first. The first task of a job that has
+// waited too long goes before everything: under a long overload the order alone
+// would leave some jobs waiting for ever. The urgent priorities go first then.
+// Of the others, what can still be in time goes before what is late anyway,
+// whatever their priority; then jobs within their team's guarantee, then by
+// priority, then by rank.
 func compareJobs(a, b *JobView) int {
-	urgent := func(j *JobView) int {
-		if j.Spec.Priority >= protocol.High {
-			return int(j.Spec.Priority)
-		}
-		return 0
-	}
 	if a.Starved && b.Starved {
-		return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
+		return compareSubmissions(a, b)
 	}
-	return cmp.Or(
+	if c := cmp.Or(
 		-compareBools(a.Starved, b.Starved),
-		-cmp.Compare(urgent(a), urgent(b)),
+		-cmp.Compare(a.urgency(), b.urgency()),
 		compareBools(a.MissesDeadline, b.MissesDeadline),
 		-compareBools(a.WithinGuarantee, b.WithinGuarantee),
 		-cmp.Compare(a.Spec.Priority, b.Spec.Priority),
 		cmp.Compare(a.Rank, b.Rank),
-		cmp.Compare(a.SubmittedAt, b.SubmittedAt),
-		cmp.Compare(a.Spec.ID, b.Spec.ID),
-	)
+	); c != 0 {
+		return c
+	}
+	return compareSubmissions(a, b)
+}
+
+// compareSubmissions orders jobs by when they were submitted, and by ID.
+func compareSubmissions(a, b *JobView) int {
+	return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
+}
+
+// urgent reports whether a job has one of the urgent priorities.
+func (j *JobView) urgent() bool { return j.Spec.Priority >= protocol.High }
+
+// urgency is the priority of an urgent job, and 0 for all others.
+func (j *JobView) urgency() protocol.Priority {
+	if j.urgent() {
+		return j.Spec.Priority
+	}
+	return 0
 }
 
 // compareBools orders false before true.
--- a/internal/scheduler/patience.go
+++ b/internal/scheduler/patience.go
@@ -11,27 +11,41 @@
 // begin.
 const starvationAge = 120 * units.Second
 
-// starved tells whether a job has waited too long and has nothing done yet.
-func (sc *Scheduler) starved(j *cluster.Job) bool {
-	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && sc.Clock.Wall()-j.Submitted > starvationAge && j.Spec.Kind != protocol.Gang
+// starved reports whether a job has waited too long and has nothing done yet. Services that
+// have started are never starved, nor are gangs.
+func (sc *Scheduler) starved(job *cluster.Job) bool {
+	return job.DoneCount() == 0 && !(job.IsService() && job.Started) &&
+		sc.Clock.Wall()-job.Submitted > starvationAge && job.Spec.Kind != protocol.Gang
 }
 
-// defaultPatience is how long a job waits for room where no aim says how soon it is to
-// start.
-const defaultPatience = 2 * units.Second
+const (
+	// defaultPatience is how long a job waits for free capacity where no service-level
+	// objective says how soon it is to start.
+	defaultPatience = 2 * units.Second
+	// The parts of the objectives' times, of a team's guarantee and of an urgent job's start,
+	// that a job may spend waiting.
+	guaranteePatienceShare = 4
+	startPatienceShare     = 8
+)
+
+// awaitsCompletions reports whether a job waits before tasks of others are preempted for it.
+// What is preempted has to be done again, and in a large fleet tasks end all the
+// time: where they free enough capacity for the job in a part of what the users'
+// objectives allow, it waits that long.
+func (sc *Scheduler) awaitsCompletions(job *cluster.Job, now units.Micros) bool {
+	patience := sc.patience(job)
+	return now-job.LearnedAt < patience &&
+		sc.State.Completions.Within(patience) >= job.Spec.Request.CPU*units.Amount(job.Pending())
+}
 
-// awaitsCompletions tells whether a job waits before tasks of others are stopped for it.
-// What is stopped has to be done again, and in a large fleet tasks end all the
-// time: where they leave room enough for the job in a part of what the users'
-// aims allow, it waits that long.
-func (sc *Scheduler) awaitsCompletions(j *cluster.Job, now units.Micros) bool {
-	patience := defaultPatience
-	if j.Spec.Priority < protocol.High {
+// patience returns how long a job waits for others to end by themselves.
+func (sc *Scheduler) patience(job *cluster.Job) units.Micros {
+	if job.Spec.Priority < protocol.High {
 		if due := sc.Settings.Fleet.GuaranteeDue(); due > 0 {
-			patience = due / 4
+			return due / guaranteePatienceShare
 		}
-	} else if due := sc.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
-		patience = due / 8
+	} else if due := sc.Settings.Fleet.StartDue(job.Spec.Class); due > 0 {
+		return due / startPatienceShare
 	}
-	return now-j.LearnedAt < patience && sc.State.Completions.Within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
+	return defaultPatience
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,66 +6,88 @@
 	"dunestand/internal/protocol"
 )
 
-// place starts as many of the job's tasks as there is room for. The companion
-// is the machine with room that holds the image, else the one with most room
-// (DESIGN); among several that hold it, the one that reports soonest, since starts
-// travel with the answers, and then the one with most room. A slow machine comes
-// last.
-func (p *planner) place(i int, j *JobView) {
-	oneByOne := j.Spec.Kind == protocol.Service
-	for again := true; again; {
-		again = false
-		if min(j.Pending, p.placementsLeft, p.tasksWithinQuota(j)) <= 0 {
-			return
+// place places as many of the job's tasks as there is room for, on the candidates in their
+// order. Each replica of a service changes the order for the next one.
+func (p *planner) place(jobIndex int, job *JobView) {
+	if job.Spec.Kind == protocol.Service {
+		for p.placeReplica(jobIndex, job) {
 		}
-		for _, c := range p.rankCandidates(j) {
-			m := &p.snapshot.Machines[c.machine]
-			n := min(j.Pending, p.placementsLeft, p.tasksWithinQuota(j), m.freeFor(j).Fits(j.Spec.Request), tasksWithinZone(j, m.Zone))
-			if n <= 0 {
-				continue
-			}
-			if oneByOne { // each start changes the order of the rest
-				p.placeTasks(i, j, c.machine, 1)
-				again = true
-				break
-			}
-			p.placeTasks(i, j, c.machine, n)
+		return
+	}
+	if p.placeableTasks(job) <= 0 {
+		return
+	}
+	for _, c := range p.rankCandidates(job) {
+		if n := p.placeableOn(job, c.machine); n > 0 {
+			p.placeTasks(jobIndex, job, c.machine, n)
+		}
+	}
+}
+
+// placeReplica places one replica of a service and reports whether it could.
+func (p *planner) placeReplica(jobIndex int, job *JobView) bool {
+	if p.placeableTasks(job) <= 0 {
+		return false
+	}
+	for _, c := range p.rankCandidates(job) {
+		if p.placeableOn(job, c.machine) > 0 {
+			p.placeTasks(jobIndex, job, c.machine, 1)
+			return true
 		}
 	}
+	return false
+}
+
+// placeableTasks returns how many of the job's tasks may be placed, wherever there is room.
+func (p *planner) placeableTasks(job *JobView) int {
+	return min(job.Pending, p.placementsLeft, p.tasksWithinQuota(job))
+}
+
+// placeableOn returns how many of the job's tasks may be placed on a feasible machine.
+func (p *planner) placeableOn(job *JobView, machine int) int {
+	m := &p.snapshot.Machines[machine]
+	return min(p.placeableTasks(job), m.freeFor(job).Fits(job.Spec.Request), tasksWithinZone(job, m.Zone))
 }
 
-// placeGang starts all of a gang's tasks or none. While some of its tasks may
+// placeGang places all of a gang's tasks or none. While some of its tasks may
 // still be on machines, the rest waits for them to end.
-func (p *planner) placeGang(i int, j *JobView) {
-	if j.LiveTasks > 0 || p.tasksWithinQuota(j) < j.Pending {
+func (p *planner) placeGang(jobIndex int, job *JobView) {
+	if job.LiveTasks > 0 || p.tasksWithinQuota(job) < job.Pending {
 		return
 	}
-	machines, pending, batch, starts := slices.Clone(p.snapshot.Machines), j.Pending, p.placementsLeft, len(p.decisions.Placements)
-	used, leave := p.snapshot.Teams[j.Team].Used, p.usageAfterPreemption[j.Team]
+	team := &p.snapshot.Teams[job.Team]
+	machines, pending := slices.Clone(p.snapshot.Machines), job.Pending
+	placementsLeft, placements := p.placementsLeft, len(p.decisions.Placements)
+	used, usageAfterPreemption := team.Used, p.usageAfterPreemption[job.Team]
+
+	// A gang may be larger than what is left of the cycle, or it would never start.
 	p.placementsLeft = max(p.placementsLeft, pending)
-	p.place(i, j)
-	if j.Pending == 0 {
+	p.place(jobIndex, job)
+	if job.Pending == 0 {
 		return
 	}
+
 	copy(p.snapshot.Machines, machines)
-	j.Pending, p.placementsLeft, p.decisions.Placements = pending, batch, p.decisions.Placements[:starts]
-	p.snapshot.Teams[j.Team].Used, p.usageAfterPreemption[j.Team] = used, leave
-	clear(j.LiveByZone)
+	job.Pending = pending
+	p.placementsLeft, p.decisions.Placements = placementsLeft, p.decisions.Placements[:placements]
+	team.Used, p.usageAfterPreemption[job.Team] = used, usageAfterPreemption
+	clear(job.LiveByZone)
 }
 
-func (p *planner) placeTasks(i int, j *JobView, machine, n int) {
+// placeTasks places n of a job's tasks on a machine.
+func (p *planner) placeTasks(jobIndex int, job *JobView, machine, n int) {
 	m := &p.snapshot.Machines[machine]
-	m.Free = m.Free.Plus(j.Spec.Request, -n)
-	t := &p.snapshot.Teams[j.Team]
-	t.Used = t.Used.Plus(j.Spec.Request, n)
-	p.usageAfterPreemption[j.Team] = p.usageAfterPreemption[j.Team].Plus(j.Spec.Request, n)
-	if j.LiveByZone != nil {
-		j.LiveByZone[m.Zone] += n
+	m.Free = m.Free.Plus(job.Spec.Request, -n)
+	team := &p.snapshot.Teams[job.Team]
+	team.Used = team.Used.Plus(job.Spec.Request, n)
+	p.usageAfterPreemption[job.Team] = p.usageAfterPreemption[job.Team].Plus(job.Spec.Request, n)
+	if job.LiveByZone != nil {
+		job.LiveByZone[m.Zone] += n
 	}
-	if j.LiveByMachine != nil {
-		j.LiveByMachine[machine] += n
+	if job.LiveByMachine != nil {
+		job.LiveByMachine[machine] += n
 	}
-	j.Pending -= n
+	job.Pending -= n
 	p.placementsLeft -= n
-	p.decisions.Placements = append(p.decisions.Placements, Placement{Job: i, Machine: machine, Count: n})
+	p.decisions.Placements = append(p.decisions.Placements, Placement{Job: jobIndex, Machine: machine, Count: n})
 }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -5,111 +5,110 @@
 	"dunestand/internal/units"
 )
 
-// Placement is a number of a job's tasks to be started on a machine.
+// Placement starts Count of a job's tasks on a machine. Job and Machine are places in the
+// snapshot, here and in the other decisions.
 type Placement struct{ Job, Machine, Count int }
 
-// Preemption stops a victim (Victim.Ref) to make room for a job.
+// Preemption stops a victim, by its Victim.Ref, to make room for a job.
 type Preemption struct{ Victim, Job int }
 
-// Reservation keeps a machine's free room together for a job, until a task of the job
+// Reservation keeps a machine's free capacity together for a job, until a task of the job
 // fits.
 type Reservation struct{ Machine, Job int }
 
-// Decisions is the outcome of a round.
+// Decisions is the outcome of a cycle.
 type Decisions struct {
 	Placements   []Placement
 	Preemptions  []Preemption
 	Reservations []Reservation
-	Truncated    bool // the batch ended the round: more might have been started
+	Truncated    bool // the cycle ended at MaxPlacements: more might have been placed
 }
 
-// planner is a round in the making. It changes its copies of the views.
+// planner is a plan in the making. It changes the views of its snapshot.
 type planner struct {
 	snapshot             *Snapshot
 	decisions            Decisions
 	placementsLeft       int
-	preempted            map[int]bool      // victims chosen
+	preempted            map[int]bool      // victims chosen, by Ref
 	usageAfterPreemption []units.Resources // what each team has left once its victims are gone
 
-	candidates       []candidate
+	candidates       []candidate             // reused from job to job
 	victimsByMachine [][]Victim              // by machine, once asked
 	victimsByTeam    map[int][]machineVictim // by team, once asked
-	capacityFreeing  bool                    // some machine has room coming
+	capacityFreeing  bool                    // some machine has capacity that is about to be free
 }
 
-// Plan decides what to start and what to stop. The first task of a job that has
-// waited too long goes before everything: under a long overload the order alone
-// would leave some jobs waiting for ever. The urgent priorities go first then.
-// Of the others, what can still be in time goes before what is late anyway,
-// whatever their priority; then jobs inside their team's guarantee, then by
-// priority, then by rank.
-func Plan(s *Snapshot) Decisions {
-	p := newPlanner(s)
+// Plan decides what to start and what to stop: it takes the jobs in their order, places what
+// it can of each, preempts for the rest where that is allowed, and reserves machines for what
+// must not wait longer.
+func Plan(snapshot *Snapshot) Decisions {
+	p := newPlanner(snapshot)
 	for _, i := range p.jobOrder() {
 		if p.placementsLeft <= 0 {
 			p.decisions.Truncated = true
 			break
 		}
-		if j := &s.Jobs[i]; !s.Teams[j.Team].Blocked {
-			p.planJob(i, j)
+		if job := &snapshot.Jobs[i]; !snapshot.Teams[job.Team].Blocked {
+			p.planJob(i, job)
 		}
 	}
 	return p.decisions
 }
 
-func newPlanner(s *Snapshot) *planner {
+func newPlanner(snapshot *Snapshot) *planner {
 	p := &planner{
-		snapshot:             s,
-		placementsLeft:       s.MaxPlacements,
+		snapshot:             snapshot,
+		placementsLeft:       snapshot.MaxPlacements,
 		preempted:            map[int]bool{},
-		usageAfterPreemption: make([]units.Resources, len(s.Teams)),
+		usageAfterPreemption: make([]units.Resources, len(snapshot.Teams)),
 	}
-	for i := range s.Teams {
-		p.usageAfterPreemption[i] = s.Teams[i].Used
+	for i := range snapshot.Teams {
+		p.usageAfterPreemption[i] = snapshot.Teams[i].Used
 	}
-	for k := range s.Machines {
-		p.capacityFreeing = p.capacityFreeing || s.Machines[k].Freeing != units.Resources{}
+	for i := range snapshot.Machines {
+		p.capacityFreeing = p.capacityFreeing || snapshot.Machines[i].Freeing != units.Resources{}
 	}
 	return p
 }
 
-// planJob starts what it can of a job, and makes room for the rest where that is allowed.
-func (p *planner) planJob(i int, j *JobView) {
+// planJob places what it can of a job, and makes room for the rest where that is allowed.
+// jobIndex is the job's place in the snapshot, here and below.
+func (p *planner) planJob(jobIndex int, job *JobView) {
 	switch {
-	case j.Spec.Kind == protocol.Gang:
-		p.placeGang(i, j)
+	case job.Spec.Kind == protocol.Gang:
+		p.placeGang(jobIndex, job)
 		return
-	case j.Starved:
-		p.planStarved(i, j)
+	case job.Starved:
+		p.planStarved(jobIndex, job)
 		return
 	}
-	p.place(i, j)
-	if j.Pending == 0 {
+	p.place(jobIndex, job)
+	if job.Pending == 0 {
 		return
 	}
-	p.blockFullTeam(j)
-	p.preempt(i, j)
-	if j.AwaitsCompletions && j.Spec.Priority >= protocol.High {
-		p.reserve(i, j, j.Pending)
+	p.blockFullTeam(job)
+	p.preempt(jobIndex, job)
+	if job.AwaitsCompletions && job.urgent() {
+		p.reserve(jobIndex, job, job.Pending)
 	}
 }
 
 // planStarved has one task of a job that has waited too long go before everything; the
-// rest goes in its turn.
-func (p *planner) planStarved(i int, j *JobView) {
-	rest := j.Pending - 1
-	j.Pending = 1
-	p.place(i, j)
-	p.blockFullTeam(j)
-	if j.Pending > 0 {
-		p.preempt(i, j)
-		p.reserve(i, j, 1)
+// rest goes in its turn, in later cycles.
+func (p *planner) planStarved(jobIndex int, job *JobView) {
+	rest := job.Pending - 1
+	job.Pending = 1
+	p.place(jobIndex, job)
+	p.blockFullTeam(job)
+	if job.Pending > 0 {
+		p.preempt(jobIndex, job)
+		p.reserve(jobIndex, job, 1)
 	}
-	j.Pending += rest
+	job.Pending += rest
 }
 
 // blockFullTeam keeps the jobs that come after one whose team's limit has no room for it
 // from taking what is left of the limit bit by bit: a larger task would wait for ever.
-func (p *planner) blockFullTeam(j *JobView) {
-	p.snapshot.Teams[j.Team].Blocked = p.tasksWithinQuota(j) == 0
+func (p *planner) blockFullTeam(job *JobView) {
+	p.snapshot.Teams[job.Team].Blocked = p.tasksWithinQuota(job) == 0
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -7,140 +7,164 @@
 
 // preempt chooses tasks to be stopped for what place found no room for: first
 // of the job's own team, as far as the team's limit is what lacks, then on the
-// machines. Room that stopped tasks are about to leave is reckoned with first,
-// so that no round stops again for the same need.
-func (p *planner) preempt(i int, j *JobView) {
-	mayStop := !j.AwaitsCompletions && p.mayPreemptSome(j)
-	if !mayStop && !p.capacityFreeing {
+// machines. Capacity that stopped tasks are about to free is used first,
+// so that no cycle stops tasks again for the same request.
+func (p *planner) preempt(jobIndex int, job *JobView) {
+	mayPreempt := !job.AwaitsCompletions && p.mayPreemptSome(job)
+	if !mayPreempt && !p.capacityFreeing {
 		return
 	}
-	want := p.preemptWithinTeam(i, j)
-	p.snapshot.Teams[j.Team].Freeing = p.snapshot.Teams[j.Team].Freeing.Plus(j.Spec.Request, -want)
-	for k := range p.snapshot.Machines {
-		if want <= 0 {
-			return
-		}
-		m := &p.snapshot.Machines[k]
-		coming := min(m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request), want)
-		if coming > 0 && p.feasible(k, j) {
-			p.claimCapacity(m, j.Spec.Request, coming)
-			want -= coming
-		}
-	}
-	for k := range p.snapshot.Machines {
-		m := &p.snapshot.Machines[k]
-		if want <= 0 || !mayStop {
-			return
-		}
-		if !p.feasible(k, j) || m.Slow {
-			continue
-		}
-		want -= p.preemptOnMachine(k, i, j, want)
+	wanted := p.preemptWithinTeam(jobIndex, job)
+	team := &p.snapshot.Teams[job.Team]
+	team.Freeing = team.Freeing.Plus(job.Spec.Request, -wanted)
+	wanted -= p.claimFreeing(job, wanted)
+	if mayPreempt {
+		p.preemptOnMachines(jobIndex, job, wanted)
 	}
 }
 
-// mayPreemptSome tells whether any task at all could be stopped for the job.
-func (p *planner) mayPreemptSome(j *JobView) bool {
-	if j.Spec.Priority >= protocol.High {
+// mayPreemptSome reports whether any task at all could be stopped for the job.
+func (p *planner) mayPreemptSome(job *JobView) bool {
+	if job.urgent() {
 		return true
 	}
-	if !j.WithinGuarantee {
+	if !job.WithinGuarantee {
 		return false
 	}
 	for i := range p.snapshot.Teams {
-		if g := p.snapshot.Teams[i].GuaranteedQuota; i != j.Team && (p.usageAfterPreemption[i].CPU > g.CPU || p.usageAfterPreemption[i].GPU > g.GPU) {
+		guarantee, usage := p.snapshot.Teams[i].GuaranteedQuota, p.usageAfterPreemption[i]
+		if i != job.Team && (usage.CPU > guarantee.CPU || usage.GPU > guarantee.GPU) {
 			return true
 		}
 	}
 	return false
 }
 
+// mayPreempt reports whether a task may be stopped to make room for a job: one of
+// lower priority, or one that its team runs beyond its guarantee while the
+// job is within its own. The victim waits again once it is stopped, so it must
+// come after the job in the order: else the next cycle would give it the capacity
+// again, and the two would go on taking turns.
+func (p *planner) mayPreempt(job *JobView, victim Victim) bool {
+	outranked := job.urgent() && victim.Priority < job.Spec.Priority
+	return (outranked || p.mayReclaimGuarantee(job, victim)) && compareJobs(job, victim.Job) < 0
+}
+
+// mayReclaimGuarantee reports whether a job within its team's guarantee may have the capacity
+// of a task that another team runs beyond its own. Urgent tasks of a higher priority are
+// spared.
+func (p *planner) mayReclaimGuarantee(job *JobView, victim Victim) bool {
+	spared := victim.Priority > job.Spec.Priority && victim.Priority >= protocol.High
+	if !job.WithinGuarantee || victim.Team == job.Team || spared {
+		return false
+	}
+	guarantee := p.snapshot.Teams[victim.Team].GuaranteedQuota
+	rest := p.usageAfterPreemption[victim.Team].Plus(victim.Request, -1)
+	return rest.CPU >= guarantee.CPU && rest.GPU >= guarantee.GPU
+}
+
 // preemptWithinTeam stops tasks of the job's own team until its limit has room for
-// the job, and gives how many of the job's tasks it then has room for.
-func (p *planner) preemptWithinTeam(i int, j *JobView) int {
-	t := &p.snapshot.Teams[j.Team]
-	room := func() int {
-		return min(j.Pending, t.QuotaLimit.Plus(t.Used, -1).Plus(t.Freeing, 1).Fits(j.Spec.Request))
+// the job, and returns how many of the job's tasks it then has room for.
+func (p *planner) preemptWithinTeam(jobIndex int, job *JobView) int {
+	team := &p.snapshot.Teams[job.Team]
+	allowed := func() int {
+		return min(job.Pending, team.QuotaLimit.Plus(team.Used, -1).Plus(team.Freeing, 1).Fits(job.Spec.Request))
 	}
-	if room() == j.Pending || j.Spec.Priority < protocol.High || j.AwaitsCompletions {
-		return room()
+	if allowed() == job.Pending || !job.urgent() || job.AwaitsCompletions {
+		return allowed()
 	}
-	for _, c := range p.victimsInTeam(j.Team) {
-		if c.victim.Priority >= j.Spec.Priority || room() >= j.Pending {
+	for _, c := range p.victimsInTeam(job.Team) {
+		if c.victim.Priority >= job.Spec.Priority || allowed() >= job.Pending {
 			break
 		}
-		if !p.preempted[c.victim.Ref] && p.feasible(c.machine, j) && p.mayPreempt(j, *c.victim) {
-			p.preemptVictim(&p.snapshot.Machines[c.machine], *c.victim, i)
+		if !p.preempted[c.victim.Ref] && p.feasible(c.machine, job) && p.mayPreempt(job, *c.victim) {
+			p.preemptVictim(&p.snapshot.Machines[c.machine], *c.victim, jobIndex)
 		}
 	}
-	return room()
+	return allowed()
 }
 
-// preemptVictim chooses a victim. It counts against its team's limit and on its machine
-// until it is gone.
-func (p *planner) preemptVictim(m *MachineView, v Victim, i int) {
-	p.preempted[v.Ref] = true
-	p.decisions.Preemptions = append(p.decisions.Preemptions, Preemption{Victim: v.Ref, Job: i})
-	m.Freeing = m.Freeing.Plus(v.Request, 1)
-	p.capacityFreeing = true
-	t := &p.snapshot.Teams[v.Team]
-	t.Freeing = t.Freeing.Plus(v.Request, 1)
-	p.usageAfterPreemption[v.Team] = p.usageAfterPreemption[v.Team].Plus(v.Request, -1)
+// claimFreeing claims capacity that is free or about to be for up to n of the job's tasks,
+// and returns for how many it found some.
+func (p *planner) claimFreeing(job *JobView, n int) int {
+	claimed := 0
+	for i := range p.snapshot.Machines {
+		if claimed >= n {
+			break
+		}
+		m := &p.snapshot.Machines[i]
+		fit := min(m.freeFor(job).Plus(m.Freeing, 1).Fits(job.Spec.Request), n-claimed)
+		if fit > 0 && p.feasible(i, job) {
+			p.claimCapacity(m, job.Spec.Request, fit)
+			claimed += fit
+		}
+	}
+	return claimed
 }
 
-// claimCapacity takes room that is free or about to be from the machine's views.
-func (p *planner) claimCapacity(m *MachineView, need units.Resources, n int) {
-	total := m.Free.Plus(m.Freeing, 1).Plus(need, -n)
-	m.Freeing = units.Resources{
-		CPU:    min(m.Freeing.CPU, total.CPU),
-		GPU:    min(m.Freeing.GPU, total.GPU),
-		Memory: min(m.Freeing.Memory, total.Memory),
+// preemptOnMachines stops tasks on one machine after the other until n of the job's tasks
+// have room.
+func (p *planner) preemptOnMachines(jobIndex int, job *JobView, n int) {
+	for i := range p.snapshot.Machines {
+		if n <= 0 {
+			return
+		}
+		if p.feasible(i, job) && !p.snapshot.Machines[i].Slow {
+			n -= p.preemptOnMachine(i, jobIndex, job, n)
+		}
 	}
-	m.Free = total.Plus(m.Freeing, -1)
 }
 
-func (p *planner) preemptOnMachine(k, i int, j *JobView, want int) int {
-	m := &p.snapshot.Machines[k]
-	made := 0
-	room := m.freeFor(j).Plus(m.Freeing, 1)
+// preemptOnMachine stops tasks on a machine to make room for up to n of the job's tasks, and
+// returns for how many it made some. It stops none whose capacity makes no room.
+func (p *planner) preemptOnMachine(machine, jobIndex int, job *JobView, n int) int {
+	m := &p.snapshot.Machines[machine]
+	fitting := 0
+	free := m.freeFor(job).Plus(m.Freeing, 1)
 	var chosen []Victim
-	for _, v := range p.victimsOnMachine(k) {
-		if made >= want {
+	for _, victim := range p.victimsOnMachine(machine) {
+		if fitting >= n {
 			break
 		}
-		if p.preempted[v.Ref] || !p.mayPreempt(j, v) {
+		if p.preempted[victim.Ref] || !p.mayPreempt(job, victim) {
 			continue
 		}
-		room = room.Plus(v.Request, 1)
-		chosen = append(chosen, v)
-		if n := min(room.Fits(j.Spec.Request), want); n > made {
-			for _, c := range chosen {
-				p.preemptVictim(m, c, i)
+		free = free.Plus(victim.Request, 1)
+		chosen = append(chosen, victim)
+		if fit := min(free.Fits(job.Spec.Request), n); fit > fitting {
+			for _, victim := range chosen {
+				p.preemptVictim(m, victim, jobIndex)
 			}
 			chosen = nil
-			made = n
+			fitting = fit
 		}
 	}
-	if made > 0 {
-		p.claimCapacity(m, j.Spec.Request, made)
+	if fitting > 0 {
+		p.claimCapacity(m, job.Spec.Request, fitting)
 	}
-	return made
+	return fitting
 }
 
-// mayPreempt tells whether a task may be stopped to make room for a job: one of
-// lower priority, or one that its team runs beyond its guarantee while the
-// job is within its own. The victim waits again once it is stopped, so it must
-// come after the job in the order: else the next round would give it the room
-// again, and the two would go on taking turns.
-func (p *planner) mayPreempt(j *JobView, v Victim) bool {
-	if v.Priority >= j.Spec.Priority || j.Spec.Priority < protocol.High {
-		if !j.WithinGuarantee || v.Team == j.Team || v.Priority > j.Spec.Priority && v.Priority >= protocol.High {
-			return false
-		}
-		g, rest := p.snapshot.Teams[v.Team].GuaranteedQuota, p.usageAfterPreemption[v.Team].Plus(v.Request, -1)
-		if rest.CPU < g.CPU || rest.GPU < g.GPU {
-			return false
-		}
+// preemptVictim preempts a victim for a job. It counts against its team's limit and on its
+// machine until it is gone.
+func (p *planner) preemptVictim(m *MachineView, victim Victim, jobIndex int) {
+	p.preempted[victim.Ref] = true
+	p.decisions.Preemptions = append(p.decisions.Preemptions, Preemption{Victim: victim.Ref, Job: jobIndex})
+	m.Freeing = m.Freeing.Plus(victim.Request, 1)
+	p.capacityFreeing = true
+	team := &p.snapshot.Teams[victim.Team]
+	team.Freeing = team.Freeing.Plus(victim.Request, 1)
+	p.usageAfterPreemption[victim.Team] = p.usageAfterPreemption[victim.Team].Plus(victim.Request, -1)
+}
+
+// claimCapacity takes the requests of n tasks from the capacity of a machine that is free or
+// about to be: from what is free first.
+func (p *planner) claimCapacity(m *MachineView, request units.Resources, n int) {
+	total := m.Free.Plus(m.Freeing, 1).Plus(request, -n)
+	m.Freeing = units.Resources{
+		CPU:    min(m.Freeing.CPU, total.CPU),
+		GPU:    min(m.Freeing.GPU, total.GPU),
+		Memory: min(m.Freeing.Memory, total.Memory),
 	}
-	return compareJobs(j, v.Job) < 0
+	m.Free = total.Plus(m.Freeing, -1)
 }
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -3,6 +3,7 @@
 import (
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/units"
 )
 
 // trustedEstimateShare is the part of an estimate that is relied on to call a job late:
@@ -10,29 +11,44 @@
 // the rest, though it might have been in time.
 const trustedEstimateShare = 2.0 / 3
 
-func (sc *Scheduler) rankInput(j *cluster.Job) config.RankInput {
-	waited := max(0, sc.Clock.Wall()-j.Submitted)
-	estimate := sc.State.EstimateRuntime(j)
+// rankInput returns what the policy's rank of a job is worked out from.
+func (sc *Scheduler) rankInput(job *cluster.Job) config.RankInput {
+	spec := &job.Spec
+	waited := max(0, sc.Clock.Wall()-job.Submitted)
+	estimate := sc.State.EstimateRuntime(job)
 	in := config.RankInput{
-		Class: j.Spec.Class, Team: j.Spec.Team, Priority: int(j.Spec.Priority),
-		Tasks: j.Spec.Tasks, Unfinished: j.Unfinished(), Pending: j.Pending(),
-		WaitedS: waited.Seconds(), RunS: estimate.Seconds(),
-		WorkS: estimate.Seconds() * float64(j.Unfinished()) * j.Spec.Request.CPU.Float(),
-		DueS:  config.NoDeadline, StartDueS: config.NoDeadline,
+		Class:      spec.Class,
+		Team:       spec.Team,
+		Priority:   int(spec.Priority),
+		Tasks:      spec.Tasks,
+		Unfinished: job.Unfinished(),
+		Pending:    job.Pending(),
+		WaitedS:    waited.Seconds(),
+		RunS:       estimate.Seconds(),
+		WorkS:      estimate.Seconds() * float64(job.Unfinished()) * spec.Request.CPU.Float(),
+		StartDueS:  config.NoDeadline,
 	}
 	in.FinishS = in.RunS
-	if team := sc.State.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
+	if team := sc.State.Teams[spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
 		in.FinishS = max(in.RunS, in.WorkS/team.QuotaLimit.CPU.Float())
 	}
-	for _, due := range sc.Settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
-		in.DueS = (due - waited).Seconds()
-		in.Late = in.DueS < in.FinishS*trustedEstimateShare
-		if !in.Late {
-			break
-		}
-	}
-	if due := sc.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
+	in.DueS, in.Late = sc.nextDue(spec.Class, spec.Deadline, waited, in.FinishS)
+	if due := sc.Settings.Fleet.StartDue(spec.Class); due > 0 {
 		in.StartDueS = (due - waited).Seconds()
 	}
 	return in
 }
+
+// nextDue returns the seconds left until the first deadline that a job can still meet when it
+// takes finishS seconds from now on, else until the last one, which it misses then.
+func (sc *Scheduler) nextDue(class string, deadline, waited units.Micros, finishS float64) (dueS float64, late bool) {
+	dueS = config.NoDeadline
+	for _, due := range sc.Settings.Fleet.Dues(class, deadline) {
+		dueS = (due - waited).Seconds()
+		late = dueS < finishS*trustedEstimateShare
+		if !late {
+			break
+		}
+	}
+	return dueS, late
+}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// reserve keeps the room of some machines together for a job, or small tasks would
+// reserve keeps the free capacity of up to n machines together for a job, or small tasks would
 // go on taking it bit by bit: of the largest, where tasks end most often, those
-// that have most room.
-func (p *planner) reserve(i int, j *JobView, n int) {
+// that have most free.
+func (p *planner) reserve(jobIndex int, job *JobView, n int) {
 	if p.snapshot.Partial {
 		return
 	}
-	var fit []int
-	for k := range p.snapshot.Machines {
-		m := &p.snapshot.Machines[k]
-		if !m.Reserved && m.Capacity.Fits(j.Spec.Request) > 0 && m.freeFor(j).Plus(m.Freeing, 1).Fits(j.Spec.Request) == 0 && p.feasible(k, j) {
-			fit = append(fit, k)
+	var machines []int
+	for i := range p.snapshot.Machines {
+		m := &p.snapshot.Machines[i]
+		fitsNow := m.freeFor(job).Plus(m.Freeing, 1).Fits(job.Spec.Request) > 0
+		if !m.Reserved && m.Capacity.Fits(job.Spec.Request) > 0 && !fitsNow && p.feasible(i, job) {
+			machines = append(machines, i)
 		}
 	}
-	slices.SortStableFunc(fit, func(a, b int) int {
+	slices.SortStableFunc(machines, func(a, b int) int {
 		x, y := &p.snapshot.Machines[a], &p.snapshot.Machines[b]
 		return cmp.Or(-cmp.Compare(x.Capacity.CPU, y.Capacity.CPU), -cmp.Compare(x.Free.CPU, y.Free.CPU))
 	})
-	for _, k := range fit[:min(len(fit), n, p.tasksWithinQuota(j))] {
-		p.snapshot.Machines[k].Reserved = true
-		p.decisions.Reservations = append(p.decisions.Reservations, Reservation{Machine: k, Job: i})
+	for _, i := range machines[:min(len(machines), n, p.tasksWithinQuota(job))] {
+		p.snapshot.Machines[i].Reserved = true
+		p.decisions.Reservations = append(p.decisions.Reservations, Reservation{Machine: i, Job: jobIndex})
 	}
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -52,16 +52,19 @@
 	return cmp.Or(byFreeCPU, byStartDelay)
 }
 
-// rankCandidates lists the machines that have room for the job, the best
-// first.
-func (p *planner) rankCandidates(j *JobView) []candidate {
+// rankCandidates returns the machines that have room for the job, the best one first: the one
+// that holds the image, else the one with most free capacity (docs/design.md); among several
+// that hold it, the one whose heartbeat comes soonest, since starts travel with the responses,
+// and then the one with most free capacity. A slow machine comes last. The slice is valid
+// until the next call.
+func (p *planner) rankCandidates(job *JobView) []candidate {
 	p.candidates = p.candidates[:0]
-	for k := range p.snapshot.Machines {
-		m := &p.snapshot.Machines[k]
-		if m.Reserved || m.freeFor(j).Fits(j.Spec.Request) == 0 || !p.feasible(k, j) {
+	for i := range p.snapshot.Machines {
+		m := &p.snapshot.Machines[i]
+		if m.Reserved || m.freeFor(job).Fits(job.Spec.Request) == 0 || !p.feasible(i, job) {
 			continue
 		}
-		p.candidates = append(p.candidates, candidate{machine: k, score: scoreMachine(j, k, m)})
+		p.candidates = append(p.candidates, candidate{machine: i, score: scoreMachine(job, i, m)})
 	}
 	slices.SortFunc(p.candidates, func(a, b candidate) int {
 		return cmp.Or(a.score.compare(&b.score), cmp.Compare(a.machine, b.machine))
@@ -69,37 +72,41 @@
 	return p.candidates
 }
 
-// scoreMachine scores machine k of the snapshot for a job.
-func scoreMachine(j *JobView, k int, m *MachineView) score {
+// scoreMachine scores a machine of the snapshot for a job.
+func scoreMachine(job *JobView, machine int, m *MachineView) score {
 	s := score{
 		slow:             m.Slow,
-		hasImage:         m.HasImage(j.Spec.Image),
+		hasImage:         m.HasImage(job.Spec.Image),
 		heartbeatPending: m.HeartbeatPending,
 		freeCPU:          m.Free.CPU,
 		startDelay:       int64(m.HalfSecondsToHeartbeat),
 	}
-	service := j.Spec.Kind == protocol.Service
+	service := job.Spec.Kind == protocol.Service
 	if service {
 		// Replicas go to different zones, then to different machines.
-		s.liveInZone, s.liveOnMachine = j.LiveByZone[m.Zone], j.LiveByMachine[k]
+		s.liveInZone, s.liveOnMachine = job.LiveByZone[m.Zone], job.LiveByMachine[machine]
 	}
 	switch {
 	case s.hasImage:
-		// Many may hold it, in a large fleet with room: the soonest reached.
+		// Many may hold it, in a large fleet with free capacity: the soonest reached.
 		s.startDelayFirst = true
 	case service:
 		// Each second counts: the one on which the replica is up soonest.
-		s.startDelayFirst, s.startDelay = true, m.startDelay(j.Spec.ImageSize)
+		s.startDelayFirst, s.startDelay = true, m.startDelay(job.Spec.ImageSize)
 	}
 	return s
 }
 
-// startDelay is when a task with an image of that size would run on the machine, in
-// half seconds, image fetch included.
+// maxPushDelay is how long a replica's start takes to reach its machine, in half seconds: a
+// push makes the machine send a heartbeat (package push).
+const maxPushDelay = 1
+
+// startDelay returns when a replica with an image of that size would run on the machine, in
+// half seconds from now, image fetch included.
 func (m *MachineView) startDelay(image units.Amount) int64 {
-	wait := min(int64(m.HalfSecondsToHeartbeat), 1) // it is woken
+	delay := min(int64(m.HalfSecondsToHeartbeat), maxPushDelay)
 	if m.FetchRate <= 0 {
-		return wait
+		return delay
 	}
-	return wait + int64(2*image/m.FetchRate)
+	return delay + int64(2*image/m.FetchRate) // half seconds
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -4,52 +4,53 @@
 	"slices"
 
 	"dunestand/internal/cluster"
-	"dunestand/internal/protocol"
 	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
 
+// snapshotIndex leads from the places in a snapshot back to the state, and the other way.
 type snapshotIndex struct {
 	jobs     []*cluster.Job
 	machines []*cluster.Machine
-	victims  []*cluster.Attempt // grows as machines are asked for theirs
+	victims  []*cluster.Attempt // by Victim.Ref; grows as machines are asked for theirs
+	teams    map[string]int     // places of the teams, by name
+	// views are all jobs of known teams, whether they wait or not.
+	views map[*cluster.Job]*JobView
 }
 
-// queuedJob is a waiting job as the last round saw it.
+// queuedJob is a waiting job as the last cycle saw it.
 type queuedJob struct {
 	job  *cluster.Job
 	view JobView
 }
 
-// jobViews are all jobs of known teams as a round sees them, whether they wait or not.
-type jobViews map[*cluster.Job]*JobView
-
-// TakeSnapshot takes down what a round decides on. answering is the machine whose report is
-// being answered, nil if none is.
+// TakeSnapshot returns a snapshot of what a cycle decides on. answering is the machine whose
+// heartbeat is being answered, nil if none is. It also updates the queue and the headroom,
+// and evicts tasks from machines that are to be taken away.
 func (sc *Scheduler) TakeSnapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
-	var s Snapshot
-	refs := new(snapshotIndex)
+	var snapshot Snapshot
+	index := new(snapshotIndex)
 	sc.State.Completions.Advance(now)
-	teams := sc.snapshotTeams(&s)
-	views := sc.snapshotJobs(&s, refs, teams, now)
-	sc.snapshotMachines(&s, refs, teams, views, now, answering)
-	sc.updateHeadroom(&s, refs.machines)
-	waiting := 0
-	for k := range s.Jobs {
-		waiting += s.Jobs[k].Pending
+	index.teams = sc.snapshotTeams(&snapshot)
+	sc.snapshotJobs(&snapshot, index, now)
+	sc.snapshotMachines(&snapshot, index, now, answering)
+	sc.updateHeadroom(&snapshot, index.machines)
+	pending := 0
+	for i := range snapshot.Jobs {
+		pending += snapshot.Jobs[i].Pending
 	}
-	s.MaxPlacements = min(minCyclePlacements+waiting/8, maxCyclePlacements)
-	return s, refs
+	snapshot.MaxPlacements = min(minCyclePlacements+pending/pendingPerPlacement, maxCyclePlacements)
+	return snapshot, index
 }
 
-// snapshotTeams adds the teams to a snapshot and gives their places in it. Tasks
-// that unsettled machines may hold count as used.
-func (sc *Scheduler) snapshotTeams(s *Snapshot) map[string]int {
-	teams := make(map[string]int, len(sc.State.Teams))
+// snapshotTeams adds the teams to a snapshot and returns their places in it, by name. Tasks
+// that unreconciled machines may hold count as used.
+func (sc *Scheduler) snapshotTeams(snapshot *Snapshot) map[string]int {
+	places := make(map[string]int, len(sc.State.Teams))
 	for _, name := range sorted.Keys(sc.State.Teams) {
 		team := sc.State.Teams[name]
-		teams[name] = len(s.Teams)
-		s.Teams = append(s.Teams, TeamView{
+		places[name] = len(snapshot.Teams)
+		snapshot.Teams = append(snapshot.Teams, TeamView{
 			GuaranteedQuota: team.GuaranteedQuota,
 			QuotaLimit:      team.QuotaLimit,
 			Used:            team.Used,
@@ -57,112 +58,126 @@
 		})
 	}
 	if sc.Detector.AllReconciled() {
-		return teams
+		return places
 	}
-	for j := range sc.State.UnreconciledJobs() {
-		if i, ok := teams[j.Spec.Team]; ok {
-			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Request, j.UnreconciledTasks())
+	for job := range sc.State.UnreconciledJobs() {
+		if i, ok := places[job.Spec.Team]; ok {
+			team := &snapshot.Teams[i]
+			team.Used = team.Used.Plus(job.Spec.Request, job.UnreconciledTasks())
 		}
 	}
-	return teams
+	return places
 }
 
-// snapshotJobs adds the jobs that wait and may be placed, and notes the queue of all that
+// snapshotJobs adds the jobs that wait and may be placed, and updates the queue of all that
 // wait.
-func (sc *Scheduler) snapshotJobs(s *Snapshot, refs *snapshotIndex, teams map[string]int, now units.Micros) jobViews {
+func (sc *Scheduler) snapshotJobs(snapshot *Snapshot, index *snapshotIndex, now units.Micros) {
 	jobs := sc.State.JobsBySubmission()
-	s.Jobs = make([]JobView, 0, len(jobs))
-	refs.jobs = make([]*cluster.Job, 0, len(jobs))
-	views := make(jobViews, len(jobs))
-	committed := make([]units.Resources, len(s.Teams))
+	snapshot.Jobs = make([]JobView, 0, len(jobs))
+	index.jobs = make([]*cluster.Job, 0, len(jobs))
+	index.views = make(map[*cluster.Job]*JobView, len(jobs))
+	committed := make([]units.Resources, len(snapshot.Teams)) // by the jobs so far, by team
 	sc.queue = sc.queue[:0]
-	for _, j := range jobs {
-		team, ok := teams[j.Spec.Team]
+	for _, job := range jobs {
+		team, ok := index.teams[job.Spec.Team]
 		if !ok {
 			continue
 		}
-		committed[team] = committed[team].Plus(j.Spec.Request, j.Spec.Tasks)
-		guarantee := s.Teams[team].GuaranteedQuota
-		guaranteed := committed[team].CPU <= guarantee.CPU && committed[team].GPU <= guarantee.GPU
-		view := sc.jobView(j, team, guaranteed, now)
-		views[j] = view
-		if j.Cancelled || !j.Accepted() {
+		committed[team] = committed[team].Plus(job.Spec.Request, job.Spec.Tasks)
+		guarantee := snapshot.Teams[team].GuaranteedQuota
+		withinGuarantee := committed[team].CPU <= guarantee.CPU && committed[team].GPU <= guarantee.GPU
+		view := sc.jobView(job, team, withinGuarantee, now)
+		index.views[job] = view
+		if job.Cancelled || !job.Accepted() {
 			continue
 		}
-		sc.queue = append(sc.queue, queuedJob{j, *view})
-		if !sc.jobSchedulable(j, now) {
+		sc.queue = append(sc.queue, queuedJob{job, *view})
+		if !jobSchedulable(job, now) {
 			continue
 		}
-		sc.fillTopology(view, j)
-		s.Jobs = append(s.Jobs, *view)
-		refs.jobs = append(refs.jobs, j)
+		fillTopology(view, job)
+		snapshot.Jobs = append(snapshot.Jobs, *view)
+		index.jobs = append(index.jobs, job)
 	}
 	slices.SortFunc(sc.queue, func(a, b queuedJob) int { return compareJobs(&a.view, &b.view) })
-	return views
 }
 
-func (sc *Scheduler) jobView(j *cluster.Job, team int, guaranteed bool, now units.Micros) *JobView {
-	in := sc.rankInput(j)
+// maxAvoidedMachines is how many machines a job avoids because its tasks failed there. Where
+// they fail on more, the job is to blame.
+const maxAvoidedMachines = 2
+
+// jobView returns a view of a job without its topology.
+func (sc *Scheduler) jobView(job *cluster.Job, team int, withinGuarantee bool, now units.Micros) *JobView {
+	in := sc.rankInput(job)
 	return &JobView{
-		Spec:              &j.Spec,
+		Spec:              &job.Spec,
 		Team:              team,
-		SubmittedAt:       int64(j.Submitted),
-		Pending:           j.Pending(),
-		LiveTasks:         len(j.LiveAttempts),
-		WithinGuarantee:   guaranteed,
-		AwaitsCompletions: sc.awaitsCompletions(j, now),
+		SubmittedAt:       int64(job.Submitted),
+		Pending:           job.Pending(),
+		LiveTasks:         len(job.LiveAttempts),
+		WithinGuarantee:   withinGuarantee,
+		AwaitsCompletions: sc.awaitsCompletions(job, now),
 		MissesDeadline:    in.Late,
 		Rank:              sc.Policy.Rank(in),
-		Starved:           sc.starved(j) && len(j.LiveAttempts) == 0,
+		Starved:           sc.starved(job) && len(job.LiveAttempts) == 0,
 		Avoid: func(machine string) bool {
-			return j.FailedMachines[machine] && len(j.FailedMachines) < 3 || !j.CanRecordMachine(machine)
+			return job.FailedMachines[machine] && len(job.FailedMachines) <= maxAvoidedMachines || !job.CanRecordMachine(machine)
 		},
 	}
 }
 
-// fillTopology fills in where a job's tasks are, for jobs that care.
-func (sc *Scheduler) fillTopology(view *JobView, j *cluster.Job) {
+// fillTopology fills in where a job's tasks are, for jobs whose placement depends on it.
+func fillTopology(view *JobView, job *cluster.Job) {
 	view.LiveByZone, view.LiveByMachine = nil, nil
-	if j.Spec.ZoneAffinity || j.Spec.ZoneSpread || j.Spec.Kind == protocol.Service {
+	if job.Spec.ZoneAffinity || job.Spec.ZoneSpread || job.IsService() {
 		view.LiveByZone = map[string]int{}
-		for _, a := range j.LiveAttempts {
-			view.LiveByZone[a.Machine.Zone]++
+		for _, attempt := range job.LiveAttempts {
+			view.LiveByZone[attempt.Machine.Zone]++
 		}
 	}
-	if j.Spec.Kind == protocol.Service {
-		view.LiveByMachine = map[int]int{} // filled by the machines' numbers
+	if job.IsService() {
+		view.LiveByMachine = map[int]int{} // snapshotMachines fills it
 	}
 }
 
-// snapshotMachines adds the machines that have reported, and what of services is on each.
-func (sc *Scheduler) snapshotMachines(s *Snapshot, refs *snapshotIndex, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
+// snapshotMachines adds the machines that have sent a heartbeat, and counts the replicas on
+// each.
+func (sc *Scheduler) snapshotMachines(snapshot *Snapshot, index *snapshotIndex, now units.Micros, answering *cluster.Machine) {
 	machines := sc.State.SortedMachines()
-	s.Machines = make([]MachineView, 0, len(machines))
-	refs.machines = make([]*cluster.Machine, 0, len(machines))
-	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveByMachine != nil })
+	snapshot.Machines = make([]MachineView, 0, len(machines))
+	index.machines = make([]*cluster.Machine, 0, len(machines))
+	servicesWait := slices.ContainsFunc(snapshot.Jobs, func(view JobView) bool { return view.LiveByMachine != nil })
 	for _, m := range machines {
 		if !m.Registered {
 			continue
 		}
 		sc.evictBeforeTermination(m, now)
 		view := sc.machineView(m, now, m == answering)
-		if services {
-			for _, a := range m.Attempts {
-				if v := views[a.Job]; v != nil && v.LiveByMachine != nil {
-					v.LiveByMachine[len(refs.machines)]++
-				}
-			}
+		if servicesWait {
+			index.countReplicas(m, len(index.machines))
 		}
 		if view.Schedulable {
-			view.Victims = func() []Victim { return sc.preemptionVictims(m, teams, views, refs, now) }
+			view.Victims = func() []Victim { return sc.preemptionVictims(m, index, now) }
 		}
-		s.Machines = append(s.Machines, view)
-		refs.machines = append(refs.machines, m)
+		snapshot.Machines = append(snapshot.Machines, view)
+		index.machines = append(index.machines, m)
 	}
 }
 
+// countReplicas counts a machine's tasks in the views of their jobs, under the machine's
+// place in the snapshot.
+func (x *snapshotIndex) countReplicas(m *cluster.Machine, place int) {
+	for _, attempt := range m.Attempts {
+		if view := x.views[attempt.Job]; view != nil && view.LiveByMachine != nil {
+			view.LiveByMachine[place]++
+		}
+	}
+}
+
+// machineView returns a view of a machine. answering reports whether its heartbeat is being
+// answered.
 func (sc *Scheduler) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
-	next := max(0, m.LastHeartbeat+sc.Settings.Fleet.Workers.Report()-now)
+	untilHeartbeat := max(0, m.LastHeartbeat+sc.Settings.Fleet.Workers.Report()-now)
 	return MachineView{
 		ID:                     m.ID,
 		InstanceType:           m.InstanceType,
@@ -176,6 +191,10 @@
 		Freeing:                m.Freeing,
 		HasImage:               m.HasImage,
 		HeartbeatPending:       answering,
-		HalfSecondsToHeartbeat: int(next / (units.Second / 2)),
+		HalfSecondsToHeartbeat: int(untilHeartbeat / halfSecond),
 	}
 }
+
+// halfSecond is the unit of delays that candidate machines are compared by. Shorter
+// differences do not matter next to the free capacity.
+const halfSecond = units.Second / 2
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -9,40 +9,49 @@
 )
 
 // replicaLostWork puts replicas of services last among the tasks of their priority
-// that could be stopped: what they lose is not work that can be done again.
+// that could be preempted: what they lose is not work that can be done again.
 const replicaLostWork = 1_000_000 * units.Second
 
-// preemptionVictims lists the tasks on a machine that could be stopped.
-func (sc *Scheduler) preemptionVictims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotIndex, now units.Micros) []Victim {
-	out := make([]Victim, 0, len(m.Attempts))
-	for _, a := range m.SortedAttempts() {
-		team, ok := teams[a.Job.Spec.Team]
-		if !ok || views[a.Job] == nil || a.Stopping || a.Stage != cluster.Running && a.Stage != cluster.Fetching {
+// preemptionVictims lists the tasks on a machine that could be preempted. It fills in
+// index.victims.
+func (sc *Scheduler) preemptionVictims(m *cluster.Machine, index *snapshotIndex, now units.Micros) []Victim {
+	victims := make([]Victim, 0, len(m.Attempts))
+	for _, attempt := range m.SortedAttempts() {
+		job := attempt.Job
+		team, known := index.teams[job.Spec.Team]
+		started := attempt.Stage == cluster.Running || attempt.Stage == cluster.Fetching
+		if !known || index.views[job] == nil || attempt.Stopping || !started {
 			continue
 		}
-		if sc.starved(a.Job) && len(a.Job.LiveAttempts) == 1 {
+		if sc.starved(job) && len(job.LiveAttempts) == 1 {
 			continue // all that its job has, after a long wait
 		}
-		v := Victim{
-			Ref:      len(refs.victims),
+		victims = append(victims, Victim{
+			Ref:      len(index.victims),
 			Team:     team,
-			Priority: a.Job.Spec.Priority,
-			Request:  a.Job.Spec.Request,
-			Job:      views[a.Job],
-		}
-		if a.Stage == cluster.Running {
-			v.LostWork = now - a.RunningSince
-		}
-		if a.Job.Spec.CheckpointInterval > 0 {
-			v.LostWork = a.Job.Spec.CheckpointDuration
-		}
-		if a.Job.IsService() {
-			v.LostWork += replicaLostWork
-		}
-		refs.victims = append(refs.victims, a)
-		out = append(out, v)
+			Priority: job.Spec.Priority,
+			Request:  job.Spec.Request,
+			LostWork: lostWork(attempt, now),
+			Job:      index.views[job],
+		})
+		index.victims = append(index.victims, attempt)
 	}
-	return out
+	return victims
+}
+
+// lostWork returns the work that is lost when an attempt is stopped.
+func lostWork(attempt *cluster.Attempt, now units.Micros) units.Micros {
+	var lost units.Micros
+	if attempt.Stage == cluster.Running {
+		lost = now - attempt.RunningSince
+	}
+	if attempt.Job.Spec.CheckpointInterval > 0 {
+		lost = attempt.Job.Spec.CheckpointDuration
+	}
+	if attempt.Job.IsService() {
+		lost += replicaLostWork
+	}
+	return lost
 }
 
 // machineVictim is a victim and its machine.
@@ -51,43 +60,45 @@
 	victim  *Victim
 }
 
-// victimsOnMachine gives the tasks on a machine that could be stopped, the one to be
-// stopped first first.
-func (p *planner) victimsOnMachine(k int) []Victim {
+// victimsOnMachine returns the tasks on a machine that could be preempted, the one to be
+// preempted first first.
+func (p *planner) victimsOnMachine(machine int) []Victim {
 	if p.victimsByMachine == nil {
 		p.victimsByMachine = make([][]Victim, len(p.snapshot.Machines))
 	}
-	if p.victimsByMachine[k] == nil {
-		if list := p.snapshot.Machines[k].Victims; list != nil {
-			p.victimsByMachine[k] = list()
-			slices.SortFunc(p.victimsByMachine[k], compareVictims)
-		}
-		if p.victimsByMachine[k] == nil {
-			p.victimsByMachine[k] = []Victim{} // asked, and none
+	if p.victimsByMachine[machine] == nil {
+		victims := []Victim{} // asked, and none
+		if list := p.snapshot.Machines[machine].Victims; list != nil {
+			if listed := list(); listed != nil {
+				victims = listed
+			}
+			slices.SortFunc(victims, compareVictims)
 		}
+		p.victimsByMachine[machine] = victims
 	}
-	return p.victimsByMachine[k]
+	return p.victimsByMachine[machine]
 }
 
-// victimsInTeam gives a team's tasks that could be stopped, the one to be stopped
+// victimsInTeam returns a team's tasks that could be preempted, the one to be preempted
 // first first.
 func (p *planner) victimsInTeam(team int) []machineVictim {
 	if p.victimsByTeam == nil {
 		p.victimsByTeam = map[int][]machineVictim{}
-		for k := range p.snapshot.Machines {
-			on := p.victimsOnMachine(k)
-			for n := range on {
-				p.victimsByTeam[on[n].Team] = append(p.victimsByTeam[on[n].Team], machineVictim{k, &on[n]})
+		for machine := range p.snapshot.Machines {
+			victims := p.victimsOnMachine(machine)
+			for i := range victims {
+				victim := &victims[i]
+				p.victimsByTeam[victim.Team] = append(p.victimsByTeam[victim.Team], machineVictim{machine, victim})
 			}
 		}
-		for _, list := range p.victimsByTeam {
-			slices.SortFunc(list, func(a, b machineVictim) int { return compareVictims(*a.victim, *b.victim) })
+		for _, victims := range p.victimsByTeam {
+			slices.SortFunc(victims, func(a, b machineVictim) int { return compareVictims(*a.victim, *b.victim) })
 		}
 	}
 	return p.victimsByTeam[team]
 }
 
-// compareVictims orders victims, the one to be stopped first first.
+// compareVictims orders victims, the one to be preempted first first.
 func compareVictims(a, b Victim) int {
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.Ref, b.Ref))
 }
