--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -8,12 +8,9 @@
 	"dunestand/internal/standin"
 )
 
-// Room for replicas is kept in each zone that may be used, little next to the
-// fleet, on the machines that were chosen before where it still has to come, and
-// nothing but replicas is planned there.
-func TestHeadroomIsReservedForReplicas(t *testing.T) {
-	like := arraySpec("j-000001")
-	like.AllowSpot, like.Request = false, standin.CPUs(2)
+// headroomFleet returns forty machines in two zones, half of them spot instances, of which
+// i-000004 and i-000009 have room for a replica and i-000007 has the image.
+func headroomFleet() []MachineView {
 	var machines []MachineView
 	for i := range 40 {
 		m := MachineView{
@@ -31,48 +28,81 @@
 		}
 		machines = append(machines, m)
 	}
-	got := reserveHeadroom(machines, nil, like, func(k int) bool { return k == 11 })
-	if fmt.Sprint(got) != "[4 0 9 11]" {
-		t.Errorf("kept on %v", got)
-	}
-	if got := reserveHeadroom(machines[:6], nil, like, func(int) bool { return false }); len(got) != 0 {
-		t.Errorf("kept on %v of a small fleet", got)
-	}
-	if got := reserveHeadroom(machines, nil, nil, func(int) bool { return true }); len(got) != 0 {
-		t.Errorf("kept on %v without a service", got)
-	}
-	// A task that needs a whole machine of some type finds one.
-	whole := arraySpec("j-000003")
-	whole.Request = standin.CPUs(8)
-	for _, k := range []int{1, 3, 5} {
-		machines[k].InstanceType, machines[k].Capacity = "large", standin.CPUs(16)
-	}
-	if got := reserveHeadroom(machines, []JobView{{Spec: whole}}, like, func(int) bool { return false }); fmt.Sprint(got) != "[4 0 1 3]" {
-		t.Errorf("kept on %v, where a task needs a whole machine", got)
-	}
-	machines[4].Headroom = like.Request
-	array, service := arraySpec("j-000002"), *like
+	return machines
+}
+
+// headroomReplica returns a job like the replicas that capacity is reserved for.
+func headroomReplica() *protocol.JobSpec {
+	replica := arraySpec("j-000001")
+	replica.AllowSpot, replica.Request = false, standin.CPUs(2)
+	return replica
+}
+
+// Capacity for replicas is reserved in each zone that may be used, little next to the
+// fleet, and on the machines that were chosen before where it still has to become free.
+func TestHeadroomIsReservedForReplicas(t *testing.T) {
+	machines, replica := headroomFleet(), headroomReplica()
+	never := func(int) bool { return false }
+	t.Run("in each zone", func(t *testing.T) {
+		if got := reserveHeadroom(machines, nil, replica, func(i int) bool { return i == 11 }); fmt.Sprint(got) != "[4 0 9 11]" {
+			t.Errorf("reserved on %v", got)
+		}
+	})
+	t.Run("not in a small fleet", func(t *testing.T) {
+		if got := reserveHeadroom(machines[:6], nil, replica, never); len(got) != 0 {
+			t.Errorf("reserved on %v of a small fleet", got)
+		}
+	})
+	t.Run("not without a service", func(t *testing.T) {
+		if got := reserveHeadroom(machines, nil, nil, func(int) bool { return true }); len(got) != 0 {
+			t.Errorf("reserved on %v without a service", got)
+		}
+	})
+	t.Run("not on whole machines that a task needs", func(t *testing.T) {
+		machines, whole := headroomFleet(), arraySpec("j-000003")
+		whole.Request = standin.CPUs(8)
+		for _, i := range []int{1, 3, 5} {
+			machines[i].InstanceType, machines[i].Capacity = "large", standin.CPUs(16)
+		}
+		if got := reserveHeadroom(machines, []JobView{{Spec: whole}}, replica, never); fmt.Sprint(got) != "[4 0 1 3]" {
+			t.Errorf("reserved on %v, where a task needs a whole machine", got)
+		}
+	})
+}
+
+// Nothing is placed on the headroom but replicas and jobs that have waited too long.
+func TestHeadroomIsUsedByReplicasAndStarvedJobs(t *testing.T) {
+	machine, replica := headroomFleet()[4], headroomReplica()
+	machine.Headroom = replica.Request
+	array, service := arraySpec("j-000002"), *replica
 	array.Request, service.Kind = standin.CPUs(2), protocol.Service
 	for _, c := range []struct {
+		name    string
 		spec    *protocol.JobSpec
-		overdue bool
+		starved bool
 		want    int
-	}{{array, false, 0}, {array, true, 1}, {&service, false, 1}} {
-		s := Snapshot{
-			Teams:         []TeamView{{QuotaLimit: standin.CPUs(100)}},
-			Machines:      []MachineView{machines[4]},
-			MaxPlacements: 10,
-			Jobs: []JobView{{
-				Spec:          c.spec,
-				Starved:       c.overdue,
-				Pending:       1,
-				LiveByZone:    map[string]int{},
-				LiveByMachine: map[int]int{},
-				Avoid:         func(string) bool { return false },
-			}},
-		}
-		if got := len(Plan(&s).Placements); got != c.want {
-			t.Errorf("%d starts of a job of shape %d", got, c.spec.Kind)
-		}
+	}{
+		{"array", array, false, 0},
+		{"starved array", array, true, 1},
+		{"service", &service, false, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := Snapshot{
+				Teams:         []TeamView{{QuotaLimit: standin.CPUs(100)}},
+				Machines:      []MachineView{machine},
+				MaxPlacements: 10,
+				Jobs: []JobView{{
+					Spec:          c.spec,
+					Starved:       c.starved,
+					Pending:       1,
+					LiveByZone:    map[string]int{},
+					LiveByMachine: map[int]int{},
+					Avoid:         func(string) bool { return false },
+				}},
+			}
+			if got := len(Plan(&s).Placements); got != c.want {
+				t.Errorf("%d placements of a job of kind %d, want %d", got, c.spec.Kind, c.want)
+			}
+		})
 	}
 }
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -39,7 +39,7 @@
 	return scheduler, clock, job
 }
 
-// arraySpec is an array of two tasks of a processor.
+// arraySpec returns a job array of two tasks of a processor.
 func arraySpec(id string) *protocol.JobSpec {
 	return &protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
 }
@@ -48,12 +48,12 @@
 // of the grown mills a job of 97 s by its estimate, due after 120 s, was put
 // behind everything once it had waited 23 s.
 func TestJobALittleLateByItsEstimateIsNotLate(t *testing.T) {
-	sc, clock, j := newTestScheduler(1)
+	sc, clock, job := newTestScheduler(1)
 	sc.Settings.Fleet.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 120}}
-	j.Spec.Estimate = 97 * units.Second
+	job.Spec.Estimate = 97 * units.Second
 	for waited, late := range map[units.Micros]bool{10: false, 40: false, 70: true} {
-		j.Submitted = clock.Now - waited*units.Second
-		if in := sc.rankInput(j); in.Late != late {
+		job.Submitted = clock.Now - waited*units.Second
+		if in := sc.rankInput(job); in.Late != late {
 			t.Errorf("after %d s: late %v", waited, in.Late)
 		}
 	}
@@ -62,22 +62,22 @@
 // A job waits for tasks to end by themselves only where enough of them do: in a
 // small fleet its tasks would start late for nothing.
 func TestAwaitingCompletionsNeedsCompletions(t *testing.T) {
-	sc, clock, j := newTestScheduler(10)
-	j.Spec.Priority = protocol.High
+	sc, clock, job := newTestScheduler(10)
+	job.Spec.Priority = protocol.High
 	for range 20 {
 		sc.State.Completions.Advance(clock.Now)
 		clock.Now += units.Second
 		sc.State.Completions.Freed(standin.CPUs(4).CPU) // a second, 8 in the patience of 2 s
 	}
-	j.LearnedAt = clock.Now
-	if sc.awaitsCompletions(j, clock.Now) {
+	job.LearnedAt = clock.Now
+	if sc.awaitsCompletions(job, clock.Now) {
 		t.Error("a job of ten processors waits for eight")
 	}
-	j.Spec.Tasks = 7
-	if !sc.awaitsCompletions(j, clock.Now) {
+	job.Spec.Tasks = 7
+	if !sc.awaitsCompletions(job, clock.Now) {
 		t.Error("a job of seven processors does not wait for eight")
 	}
-	if sc.awaitsCompletions(j, clock.Now+2*units.Second) {
+	if sc.awaitsCompletions(job, clock.Now+2*units.Second) {
 		t.Error("it waits for ever")
 	}
 }
--- /dev/null
+++ b/internal/scheduler/score_test.go
@@ -0,0 +1,66 @@
+package scheduler
+
+import (
+	"reflect"
+	"testing"
+
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+)
+
+// Of two machines with free capacity, the one that holds the image goes first, though the other
+// has more.
+func TestPlanPrefersMachineWithImage(t *testing.T) {
+	hasImage := func(yes bool) func(string) bool { return func(string) bool { return yes } }
+	s := Snapshot{
+		MaxPlacements: 10,
+		Teams:         []TeamView{{QuotaLimit: standin.CPUs(100)}},
+		Machines: []MachineView{
+			{Schedulable: true, Free: standin.CPUs(16), HasImage: hasImage(false)},
+			{Schedulable: true, Free: standin.CPUs(2), HasImage: hasImage(true)},
+		},
+		Jobs: []JobView{{
+			Spec:       &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: standin.CPUs(1)},
+			Pending:    3,
+			LiveByZone: map[string]int{},
+			Avoid:      func(string) bool { return false },
+		}},
+	}
+	got := Plan(&s).Placements
+	want := []Placement{{Job: 0, Machine: 1, Count: 2}, {Job: 0, Machine: 0, Count: 1}}
+	if !reflect.DeepEqual(got, want) {
+		t.Fatalf("got %+v, want %+v", got, want)
+	}
+}
+
+// Placements travel with the responses to heartbeats. In a large fleet with free capacity many
+// machines hold an image, and the one with most of it may send its heartbeat seconds later
+// than others: half of all starts on a calm day of the fleet's waited for that.
+// An image still goes before a heartbeat.
+func TestPlanPrefersMachineWithNextHeartbeat(t *testing.T) {
+	machine := func(id string, image bool, free, halfSeconds int) MachineView {
+		return MachineView{
+			ID:                     id,
+			InstanceType:           "m",
+			Zone:                   "a",
+			Schedulable:            true,
+			Capacity:               standin.CPUs(32),
+			Free:                   standin.CPUs(free),
+			HalfSecondsToHeartbeat: halfSeconds,
+			HasImage:               func(string) bool { return image },
+		}
+	}
+	s := Snapshot{
+		MaxPlacements: 10,
+		Teams:         []TeamView{{GuaranteedQuota: standin.CPUs(100), QuotaLimit: standin.CPUs(100)}},
+		Machines:      []MachineView{machine("now", false, 32, 0), machine("late", true, 32, 9), machine("soon", true, 4, 1)},
+		Jobs: []JobView{{
+			Spec:    arraySpec("j-000001"),
+			Pending: 2,
+			Avoid:   func(string) bool { return false },
+		}},
+	}
+	if got := Plan(&s).Placements; len(got) != 1 || got[0].Machine != 2 || got[0].Count != 2 {
+		t.Errorf("placements: %+v", got)
+	}
+}
