--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -8,13 +8,6 @@
 	"dunestand/internal/units"
 )
 
-// recordSentCommand notes the first command of an answer, for heard.
-func recordSentCommand(m *cluster.Machine, out []protocol.Command, key cluster.AttemptKey) {
-	if len(out) == 1 {
-		m.LastCommand = cluster.SentCommand{Pending: true, Verb: string(out[0].Verb), Key: key}
-	}
-}
-
 // UnwrittenStart gives a channel to wait on when some start for the machine lacks
 // the save that must come first.
 func (rc *Reconciler) UnwrittenStart(m *cluster.Machine) <-chan struct{} {
