--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -1,5 +1,8 @@
-// Package reconciler compares machines' heartbeats with the leader's state and works out the
-// commands that each machine needs.
+// Package reconciler compares machines' heartbeats with the leader's state, corrects the
+// state, and works out the commands that each machine needs.
+//
+// Reconcile reads a heartbeat: first what it says of the commands sent before (delivery.go),
+// then of the machine, then of each task (tasks.go). Commands answers it (commands.go).
 package reconciler
 
 import (
@@ -14,101 +17,111 @@
 
 // Deps is what a Reconciler works with.
 type Deps struct {
-	State       *cluster.State
-	Detector    *failuredetector.Detector
-	Log         *slog.Logger
-	Tracer      cluster.AttemptTracer
+	State    *cluster.State
+	Detector *failuredetector.Detector
+	Log      *slog.Logger
+	Tracer   cluster.AttemptTracer
+	// Token is the leader's fencing token. Only a heartbeat that shows it reconciles a
+	// machine, and only a machine that has shown it is sent starts.
 	Token       uint64
-	WriteSignal loop.Signal
-	CycleSignal loop.Signal
+	WriteSignal loop.Signal // wakes the persister
+	CycleSignal loop.Signal // wakes the scheduler
 }
 
 // Reconciler compares what machines say in their heartbeats with the state, corrects the
-// state, and works out the commands that a machine still needs. Its methods need the lock
-// of state held.
+// state, and works out the commands that a machine still needs. It has no state of its own;
+// its methods need the lock of State held. Make it with New.
 type Reconciler struct {
 	Deps
 }
 
+// New returns a reconciler.
 func New(deps Deps) *Reconciler {
 	return &Reconciler{
 		Deps: deps,
 	}
 }
 
-func isNewer(r *protocol.Heartbeat, session, seq uint64) bool {
-	return r.Incarnation > session || r.Incarnation == session && r.Sequence > seq
-}
-
-// Reconcile works out the difference between what a machine reports and what
-// the ledger says of it. Old reports, and those of machines that were
-// released, have no effect and give nil.
-func (rc *Reconciler) Reconcile(r *protocol.Heartbeat, now units.Micros) *cluster.Machine {
-	if rc.State.Released.Has(r.Machine) {
+// Reconcile applies a heartbeat to the state and returns its machine. Old heartbeats, and
+// those of machines that were released, have no effect and give nil.
+func (rc *Reconciler) Reconcile(heartbeat *protocol.Heartbeat, now units.Micros) *cluster.Machine {
+	if rc.State.Released.Has(heartbeat.Machine) {
 		return nil
 	}
-	m := rc.State.EnsureMachine(r.Machine, r.InstanceType, r.Zone, r.Spot, now)
-	if m.Registered && !isNewer(r, m.Incarnation, m.Sequence) {
+	m := rc.State.EnsureMachine(heartbeat.Machine, heartbeat.InstanceType, heartbeat.Zone, heartbeat.Spot, now)
+	if m.Registered && !isNewer(heartbeat, m) {
 		return nil
 	}
-	rc.checkDelivery(m, r, now)
-	rc.reconcileMachine(m, r, now)
-	for i := range r.Tasks {
-		task := &r.Tasks[i]
-		key := cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
-		if task.Stage == protocol.TaskExited {
-			rc.taskExited(m, key, task, now)
-		} else {
-			rc.taskAlive(m, key, task, now)
-		}
-	}
-	rc.dropMissingAttempts(m, r, now)
-	// Only a report that shows our term was sent after an answer of ours was
+	rc.checkDelivery(m, heartbeat, now)
+	rc.reconcileMachine(m, heartbeat, now)
+	rc.reconcileTasks(m, heartbeat, now)
+	// Only a heartbeat that shows our token was sent after a response of ours was
 	// received. Any other may be a copy that comes late, of a machine that is
-	// gone by now, and an answer of a former leader may still be on its way.
-	if m.FencingToken != r.FencingToken && r.FencingToken == rc.Token {
+	// gone by now, and a response of a former leader may still be on its way.
+	if m.FencingToken != heartbeat.FencingToken && heartbeat.FencingToken == rc.Token {
 		rc.State.MarkReconciled(m.ID)
 		rc.CycleSignal.Raise()
 	}
-	m.FencingToken, m.MayHoldCancelled = r.FencingToken, false
+	m.FencingToken, m.MayHoldCancelled = heartbeat.FencingToken, false
 	return m
 }
 
-// reconcileMachine takes over what a report tells of the machine itself.
-func (rc *Reconciler) reconcileMachine(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
-	if m.Registered && r.Incarnation > m.Incarnation {
-		rc.Log.Info("machine began a new session", "machine", m.ID, "session", r.Incarnation, "lost", len(m.Attempts))
+// isNewer reports whether a heartbeat was sent after the last one of its machine that was
+// applied.
+func isNewer(heartbeat *protocol.Heartbeat, m *cluster.Machine) bool {
+	return heartbeat.Incarnation > m.Incarnation ||
+		heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence > m.Sequence
+}
+
+// reconcileMachine applies what a heartbeat says of the machine itself.
+func (rc *Reconciler) reconcileMachine(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
+	if m.Registered && heartbeat.Incarnation > m.Incarnation {
+		rc.Log.Info("machine began a new incarnation", "machine", m.ID, "incarnation", heartbeat.Incarnation, "lost", len(m.Attempts))
 		rc.State.MachineEmptied(m, now)
 	}
 	if !m.Registered {
-		rc.Log.Info("machine reports", "machine", m.ID, "type", m.InstanceType, "zone", m.Zone, "spot", m.Spot, "tasks", len(r.Tasks))
+		rc.Log.Info("machine registered", "machine", m.ID, "type", m.InstanceType, "zone", m.Zone, "spot", m.Spot, "tasks", len(heartbeat.Tasks))
 	}
 	m.Registered = true
-	m.Incarnation, m.Sequence = r.Incarnation, r.Sequence
+	m.Incarnation, m.Sequence = heartbeat.Incarnation, heartbeat.Sequence
 	m.LastHeartbeat = now
 	m.Stage = protocol.MachineRunning
-	if r.Endpoint != "" {
-		m.Endpoint = r.Endpoint
+	if heartbeat.Endpoint != "" {
+		m.Endpoint = heartbeat.Endpoint
 	}
-	if r.TerminationNoticed {
+	if heartbeat.TerminationNoticed {
 		if m.TerminatesAt == 0 {
-			rc.Log.Info("machine is to be taken", "machine", m.ID, "in_ms", r.TerminationIn/units.Millisecond)
+			rc.Log.Info("termination notice", "machine", m.ID, "in_ms", heartbeat.TerminationIn/units.Millisecond)
+		}
+		m.TerminatesAt = now + heartbeat.TerminationIn
+	}
+}
+
+// reconcileTasks applies what a heartbeat says of the machine's tasks, and drops the attempts
+// that it proves not to be there.
+func (rc *Reconciler) reconcileTasks(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
+	for i := range heartbeat.Tasks {
+		task := &heartbeat.Tasks[i]
+		if task.Stage == protocol.TaskExited {
+			rc.taskExited(m, task, now)
+		} else {
+			rc.taskLive(m, task, now)
 		}
-		m.TerminatesAt = now + r.TerminationIn
 	}
+	rc.dropMissingAttempts(m, heartbeat, now)
 }
 
-// dropMissingAttempts drops the attempts that a report, whose tasks were taken over, proves not to
-// be on the machine: they were sent with an earlier answer that never arrived, or the
+// dropMissingAttempts drops the attempts that a heartbeat, whose tasks were applied, proves not
+// to be on the machine: they were sent with an earlier response that never arrived, or the
 // worker has forgotten them.
-func (rc *Reconciler) dropMissingAttempts(m *cluster.Machine, r *protocol.Heartbeat, now units.Micros) {
-	for _, a := range m.Attempts {
+func (rc *Reconciler) dropMissingAttempts(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
+	for _, attempt := range m.Attempts {
 		switch {
-		case a.SeenSequence == r.Sequence, a.Stage == cluster.Assigned:
-		case a.Stage == cluster.Sent && r.Sequence <= a.SentSequence:
+		case attempt.SeenSequence == heartbeat.Sequence, attempt.Stage == cluster.Assigned:
+		case attempt.Stage == cluster.Sent && heartbeat.Sequence <= attempt.SentSequence:
 		default:
-			rc.Tracer.Trace("attempt is not there", a)
-			rc.State.AttemptGone(a, now)
+			rc.Tracer.Trace("attempt missing", attempt)
+			rc.State.AttemptGone(attempt, now)
 		}
 	}
 }
--- a/internal/reconciler/tasks.go
+++ b/internal/reconciler/tasks.go
@@ -6,84 +6,126 @@
 	"dunestand/internal/units"
 )
 
-// noCapacityPause is how long a machine that refused a start for want of room gets none.
-const noCapacityPause = 2 * units.Second
+// How long starts wait after a refusal, for the state to be corrected by other heartbeats.
+const (
+	noCapacityPause = 2 * units.Second // for the machine that refused for want of capacity
+	retryPause      = units.Second     // for the job, whose task the machine does not know or runs already
+)
 
-func (rc *Reconciler) taskExited(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
-	j, a := rc.State.Jobs[key.Job], m.Attempts[key]
-	if a == nil {
-		if j != nil && task.Cause == protocol.CauseDone && key.Index < j.Spec.Tasks && !j.IsDone(key.Index) {
-			rc.State.TaskDone(j, key.Index, now)
-			if other := j.LiveAttempts[key.Index]; other != nil {
-				rc.State.StopAttempt(other, 0)
-			}
-		}
+// attemptKey returns the key of the attempt that a task's status is about.
+func attemptKey(task *protocol.TaskStatus) cluster.AttemptKey {
+	return cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
+}
+
+// taskExited applies the status of a task that has ended.
+func (rc *Reconciler) taskExited(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) {
+	attempt := m.Attempts[attemptKey(task)]
+	if attempt == nil {
+		rc.unknownTaskExited(task, now)
 		return
 	}
-	// The job may have ended and left the ledger while an attempt of a task
+	// The job may have ended and left the state while an attempt of a task
 	// that was done elsewhere was still on its way out.
-	j = a.Job
+	job := attempt.Job
 	if rc.Tracer.Enabled() {
-		rc.Log.Debug("task ended", "task", a.TaskName(), "attempt", a.Number, "machine", m.ID, "cause", task.Cause, "saved", task.Checkpointed)
+		rc.Log.Debug("task exited", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", m.ID,
+			"cause", task.Cause, "checkpointed", task.Checkpointed)
 	}
 	switch task.Cause {
 	case protocol.CauseDone:
-		if j.IsService() {
-			rc.State.ReplicaEnded(a, false, now)
-			break
-		}
-		rc.State.Completions.Freed(j.Spec.Request.CPU)
-		rc.State.AttemptCompleted(a, now)
-		rc.State.TaskDone(j, key.Index, now)
-		if j.Complete() {
-			rc.WriteSignal.Raise()
-		}
+		rc.attemptCompleted(attempt, now)
 	case protocol.CauseError:
-		if j.IsService() {
-			rc.State.ReplicaEnded(a, true, now)
-		} else {
-			rc.State.AttemptFailed(a, now)
-		}
-		if m.Quarantined {
-			rc.Log.Info("machine set aside as faulty", "machine", m.ID, "task", a.TaskName())
-		}
+		rc.attemptFailed(attempt, now)
 	case protocol.CauseNoCapacity:
 		m.BlockedUntil = now + noCapacityPause
 	case protocol.CauseNoSuchTask, protocol.CauseInUse:
-		j.RetryAt = now + units.Second
+		job.RetryAt = now + retryPause
+	}
+	rc.State.AttemptGone(attempt, now)
+	if job.Cancelled && len(job.LiveAttempts) == 0 {
+		job.MarkChanged(now, true)
+		rc.WriteSignal.Raise()
+	}
+}
+
+// unknownTaskExited applies the end of an attempt that the state does not have on its machine.
+// If it completed its task, another attempt of the task is stopped.
+func (rc *Reconciler) unknownTaskExited(task *protocol.TaskStatus, now units.Micros) {
+	job := rc.State.Jobs[task.Job]
+	if job == nil || task.Cause != protocol.CauseDone || task.Index >= job.Spec.Tasks || job.IsDone(task.Index) {
+		return
+	}
+	rc.State.TaskDone(job, task.Index, now)
+	if other := job.LiveAttempts[task.Index]; other != nil {
+		rc.State.StopAttempt(other, 0)
+	}
+}
+
+func (rc *Reconciler) attemptCompleted(attempt *cluster.Attempt, now units.Micros) {
+	job := attempt.Job
+	if job.IsService() {
+		rc.State.ReplicaEnded(attempt, false, now)
+		return
 	}
-	rc.State.AttemptGone(a, now)
-	if j.Cancelled && len(j.LiveAttempts) == 0 {
-		j.MarkChanged(now, true)
+	rc.State.Completions.Freed(job.Spec.Request.CPU)
+	rc.State.AttemptCompleted(attempt, now)
+	rc.State.TaskDone(job, attempt.Index, now)
+	if job.Complete() {
 		rc.WriteSignal.Raise()
 	}
 }
 
-func (rc *Reconciler) taskAlive(m *cluster.Machine, key cluster.AttemptKey, task *protocol.TaskStatus, now units.Micros) {
-	j, a := rc.State.Jobs[key.Job], m.Attempts[key]
-	if a == nil {
-		if j == nil || key.Index >= j.Spec.Tasks || j.IsDone(key.Index) || j.LiveAttempts[key.Index] != nil {
-			return // commands will stop it
+func (rc *Reconciler) attemptFailed(attempt *cluster.Attempt, now units.Micros) {
+	if attempt.Job.IsService() {
+		rc.State.ReplicaEnded(attempt, true, now)
+	} else {
+		rc.State.AttemptFailed(attempt, now)
+	}
+	if attempt.Machine.Quarantined {
+		rc.Log.Info("machine quarantined", "machine", attempt.Machine.ID, "task", attempt.TaskName())
+	}
+}
+
+// taskLive applies the status of a task that has not ended.
+func (rc *Reconciler) taskLive(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) {
+	attempt := m.Attempts[attemptKey(task)]
+	if attempt == nil {
+		if attempt = rc.adopt(m, task, now); attempt == nil {
+			return // Commands stops it
 		}
-		a = rc.State.Adopt(j, key.Index, key.Number, m, now)
-		rc.Tracer.Trace("attempt adopted", a)
 	}
-	j = a.Job
-	a.SeenSequence = m.Sequence
+	attempt.SeenSequence = m.Sequence
 	switch task.Stage {
 	case protocol.TaskFetching:
-		a.Stage = cluster.Fetching
+		attempt.Stage = cluster.Fetching
 	case protocol.TaskRunning:
-		if a.Stage != cluster.Running {
-			a.Stage, a.RunningSince = cluster.Running, now
-			j.Started = true
-			rc.Tracer.Trace("task runs", a)
-			rc.State.RecordImage(m, j)
-		}
-		if j.IsService() {
-			rc.State.ReplicaSteady(a, now)
-		}
+		rc.attemptRunning(attempt, now)
 	case protocol.TaskCheckpointing:
-		a.Stage = cluster.Checkpointing
+		attempt.Stage = cluster.Checkpointing
+	}
+}
+
+// adopt adds an attempt that a former leader started to the state. It returns nil if its task
+// is not wanted there.
+func (rc *Reconciler) adopt(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) *cluster.Attempt {
+	job := rc.State.Jobs[task.Job]
+	if job == nil || task.Index >= job.Spec.Tasks || job.IsDone(task.Index) || job.LiveAttempts[task.Index] != nil {
+		return nil
+	}
+	attempt := rc.State.Adopt(job, task.Index, task.Attempt, m, now)
+	rc.Tracer.Trace("attempt adopted", attempt)
+	return attempt
+}
+
+func (rc *Reconciler) attemptRunning(attempt *cluster.Attempt, now units.Micros) {
+	job := attempt.Job
+	if attempt.Stage != cluster.Running {
+		attempt.Stage, attempt.RunningSince = cluster.Running, now
+		job.Started = true
+		rc.Tracer.Trace("task running", attempt)
+		rc.State.RecordImage(attempt.Machine, job)
+	}
+	if job.IsService() {
+		rc.State.ReplicaSteady(attempt, now)
 	}
 }
