--- a/internal/failuredetector/delay.go
+++ b/internal/failuredetector/delay.go
@@ -7,6 +7,14 @@
 	"dunestand/internal/units"
 )
 
+const (
+	delayTick        = 250 * units.Millisecond // between two looks at the clock
+	maxDelay         = 400 * units.Millisecond // mean delay that is too much
+	delayPatience    = 3 * units.Second        // how long it may be too much
+	minLeadership    = 20 * units.Second       // a leadership begins with more work than usual
+	delayMeanSamples = 8                       // a tick counts one part in so many in the mean delay
+)
+
 // delayMonitor notices that this process falls behind: its timers fire late. A
 // leader that computes too slowly makes everybody wait, and there are others.
 type delayMonitor struct {
@@ -14,17 +22,10 @@
 	behindSince units.Micros // since when it has been too late; 0: it is not
 }
 
-const (
-	delayTick     = 250 * units.Millisecond
-	maxDelay      = 400 * units.Millisecond // mean lateness that is too much
-	delayPatience = 3 * units.Second        // for so long
-	minLeadership = 20 * units.Second       // a term begins with more work than usual
-)
-
-// late takes in how late the timer fired and tells whether it has been too late
+// observe adds how late the timer fired and reports whether it has been too late
 // for too long.
-func (w *delayMonitor) observe(by, now units.Micros) bool {
-	w.mean = (7*w.mean + max(0, by)) / 8
+func (w *delayMonitor) observe(late, now units.Micros) bool {
+	w.mean = ((delayMeanSamples-1)*w.mean + max(0, late)) / delayMeanSamples
 	switch {
 	case w.mean < maxDelay:
 		w.behindSince = 0
@@ -34,27 +35,27 @@
 	return w.behindSince != 0 && now-w.behindSince >= delayPatience
 }
 
-// MonitorDelay hands the lease over when this node has fallen behind and another one
-// is there to take it.
+// MonitorDelay hands the leader lease over when this controller has fallen behind and another
+// one is there to take it. It returns when ctx ends.
 func (d *Detector) MonitorDelay(ctx context.Context) {
-	var w delayMonitor
+	var monitor delayMonitor
 	for last := d.Clock.Steady(); loop.Sleep(ctx, delayTick); {
 		now := d.Clock.Steady()
-		behind := w.observe(now-last-delayTick, now)
-		if w.mean >= maxDelay {
+		behind := monitor.observe(now-last-delayTick, now)
+		if monitor.mean >= maxDelay {
 			d.NoteDelay(now)
 		}
 		last = now
 		if behind && now-d.ElectedAt > minLeadership && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
-			d.Log.Info("this node has fallen behind; the lease is handed over", "late_ms", w.mean/units.Millisecond)
-			w = delayMonitor{}
+			d.Log.Info("controller has fallen behind; leader lease handed over", "late_ms", monitor.mean/units.Millisecond)
+			monitor = delayMonitor{}
 		}
 	}
 }
 
-// NoteDelay notes that this node has been late: reports may have waited for it, or
+// NoteDelay notes that this controller has been late: heartbeats may have waited for it, or
 // have been given up by their workers. Each machine then has the time for another
-// one before its silence is judged.
+// one before its silence is judged. It takes the lock of State.
 func (d *Detector) NoteDelay(now units.Micros) {
 	d.State.Lock()
 	defer d.State.Unlock()
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,5 +1,9 @@
 // Package failuredetector judges by missed heartbeats which machines are lost, and whether
 // this controller itself is cut off or falls behind.
+//
+// lostmachines.go judges machines by the heartbeats that are missing, leases.go drops what
+// they held once their leases have expired, isolation.go judges whether this controller is cut
+// off, and delay.go whether it falls behind.
 package failuredetector
 
 import (
@@ -14,20 +18,23 @@
 
 // Deps is what a Detector works with.
 type Deps struct {
-	State            *cluster.State
-	Leadership       election.Leadership
-	Settings         *config.Settings
-	Clock            units.Clock
-	Log              *slog.Logger
-	ElectedAt        units.Micros
+	State      *cluster.State
+	Leadership election.Leadership
+	Settings   *config.Settings
+	Clock      units.Clock
+	Log        *slog.Logger
+	ElectedAt  units.Micros // steady time at which this leader was elected
+	// UnreachablePeers counts the other controllers that cannot be reached.
 	UnreachablePeers func() int
-	PeerReachable    func() bool
-	WriteSignal      loop.Signal
+	// PeerReachable reports whether any other controller can be reached.
+	PeerReachable func() bool
+	WriteSignal   loop.Signal // wakes the persister
 }
 
 // Detector judges by their heartbeats which machines are lost, and by the heartbeats of all
 // of them whether this controller itself is cut off or too slow to lead. Its fields are
-// guarded by the lock of state, and its methods need that lock held.
+// guarded by the lock of State. Its methods need that lock held, but for MonitorDelay and
+// NoteDelay, which take it. Make it with New.
 type Detector struct {
 	Deps
 
@@ -36,32 +43,36 @@
 	allReconciled       bool         // it is known what every machine holds
 }
 
+// New returns a detector that has judged nothing yet.
 func New(deps Deps) *Detector {
 	return &Detector{
 		Deps: deps,
 	}
 }
 
-// What the silence of machines is measured by. Reports come a quarter of their interval
-// early or late.
+// What the silence of machines is measured by.
 const (
 	reconnectTime           = 1500 * units.Millisecond // what a lost connection costs a worker
-	unansweredHeartbeatTime = 5 * units.Second         // what a report without an answer does
-	heartbeatLossMargin     = 1200 * units.Millisecond // beyond one and a half reports
-	workerReturnTime        = 4 * units.Second         // for workers to find a new leader
+	unansweredHeartbeatTime = 5 * units.Second         // what a heartbeat without a response costs it
 )
 
-// SuspectAfter is how long a machine may be silent before it is thought to be
-// in trouble: two reports and what a lost connection costs, or, where reports
-// come seldom, one report and what one costs that gets no answer (the worker
-// waits 4 s and turns to the next node a second later).
+// latestHeartbeat returns the longest time between two heartbeats of a machine: they come up
+// to a quarter of their interval early or late.
+func (d *Detector) latestHeartbeat() units.Micros {
+	return d.Settings.Fleet.Workers.Report().Share(5, 4)
+}
+
+// SuspectAfter returns how long a machine may be silent before it is suspected to be
+// lost: two heartbeats and what a lost connection costs, or, where heartbeats
+// come seldom, one heartbeat and what one costs that gets no response (the worker
+// waits 4 s and turns to the next controller a second later).
 func (d *Detector) SuspectAfter() units.Micros {
-	report := d.Settings.Fleet.Workers.Report()
-	return min(report.Share(5, 2)+reconnectTime, report.Share(5, 4)+unansweredHeartbeatTime)
+	twoHeartbeats := d.Settings.Fleet.Workers.Report().Share(5, 2)
+	return min(twoHeartbeats+reconnectTime, d.latestHeartbeat()+unansweredHeartbeatTime)
 }
 
-// WorkerLease is how long a machine may go on after its last answered report came
-// in, by this node's clock.
+// WorkerLease returns how long a machine may go on after its last answered heartbeat came
+// in, by this controller's clock.
 func (d *Detector) WorkerLease() units.Micros {
 	return election.WorkerLeaseBound(d.Settings.Fleet.Workers)
 }
