--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -1,6 +1,10 @@
 package autoscaler
 
 import (
+	"io"
+	"log/slog"
+	"testing"
+
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
@@ -8,9 +12,6 @@
 	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
-	"io"
-	"log/slog"
-	"testing"
 )
 
 // newTestAutoscaler returns an autoscaler of a leader with one job that is stored and waits.
@@ -35,12 +36,10 @@
 		Zones:     []string{"a"},
 	}})
 	policy := config.DefaultPolicy()
-	leadership := &standin.Leadership{Number: 7}
-	scheduler := scheduler.New(scheduler.Deps{State: state, Settings: settings, Policy: policy, Clock: clock, Log: log, Token: 7})
 	as := New(Deps{
 		State:      state,
-		Leadership: leadership,
-		Scheduler:  scheduler,
+		Leadership: &standin.Leadership{Number: 7},
+		Scheduler:  scheduler.New(scheduler.Deps{State: state, Settings: settings, Policy: policy, Clock: clock, Log: log, Token: 7}),
 		Settings:   settings,
 		Policy:     policy,
 		Clock:      clock,
@@ -55,8 +54,8 @@
 	return as, clock
 }
 
-// A kind that was refused rests, the longer the more often. Once a machine of it
-// is gone, there may be room for another at once.
+// An offering that was refused is left alone, the longer the more often. Once a machine of it
+// is gone, there may be capacity for another at once.
 func TestLostMachineIsReplacedAtOnce(t *testing.T) {
 	as, clock := newTestAutoscaler(40)
 	as.provisioning.listReadAt = clock.Now
@@ -84,12 +83,12 @@
 	cloud := config.Cloud{RPS: 6, ListLagS: 4}
 	for _, machines := range []int{0, 400, 1700, largestFleet, 3 * largestFleet} {
 		pages := float64(1 + machines/protocol.MaxListPage)
-		every := listInterval(cloud, machines)
-		if rate := pages / every.Seconds(); rate > cloud.RPS/3 {
+		interval := listInterval(cloud, machines)
+		if rate := pages / interval.Seconds(); rate > cloud.RPS/3 {
 			t.Errorf("%d machines: the list takes %.2f requests a second of %.0f", machines, rate, cloud.RPS)
 		}
-		if machines <= 1499 && every != minListInterval {
-			t.Errorf("%d machines are listed every %v", machines, every.Duration())
+		if machines <= 1499 && interval != minListInterval {
+			t.Errorf("%d machines are listed every %v", machines, interval.Duration())
 		}
 	}
 }
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -10,32 +10,35 @@
 	"dunestand/internal/storage"
 )
 
+// refreshCatalog reads the cloud's catalog of instance types, applies it to the state, and
+// stores it if it has changed.
 func (as *Autoscaler) refreshCatalog(ctx context.Context) {
-	c, err := as.Cloud.Catalog(ctx)
-	if err != nil || len(c.Types) == 0 {
+	catalog, err := as.Cloud.Catalog(ctx)
+	if err != nil || len(catalog.Types) == 0 {
 		as.Log.Info("catalog not read", "error", err)
 		return
 	}
 	as.State.Lock()
-	as.State.SetInstanceTypes(c.Types)
-	changed := !sameTypes(c, as.provisioning.catalog)
-	as.provisioning.catalog, as.provisioning.catalogReadAt = c, as.Clock.Steady()
+	as.State.SetInstanceTypes(catalog.Types)
+	changed := !equalInstanceTypes(catalog, as.provisioning.catalog)
+	as.provisioning.catalog, as.provisioning.catalogReadAt = catalog, as.Clock.Steady()
 	as.State.Unlock()
 	as.CycleSignal.Raise()
 	if format := as.Format.Current(); changed || format != as.provisioning.catalogFormat {
-		as.storeCatalog(ctx, c, format)
+		as.storeCatalog(ctx, catalog, format)
 	}
 }
 
-// storeCatalog keeps the catalog for a leader that begins during an outage of
+// storeCatalog stores the catalog for a leader that begins during an outage of
 // the cloud. Whether it succeeds matters to nobody now.
-func (as *Autoscaler) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
-	state := as.Settings.Fleet.State.Both()
+func (as *Autoscaler) storeCatalog(ctx context.Context, catalog protocol.Catalog, format int) {
+	bounds := as.Settings.Fleet.State.Both()
 	versions := as.provisioning.catalogStored
-	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
-		txn := protocol.Txn{Then: changes}
-		for _, ch := range changes {
-			key := ch.Set + ch.Delete // one of them
+	changes := storage.CatalogChanges(catalog.Types, format, bounds.ValueBytes(), versions)
+	for part := range slices.Chunk(changes, bounds.TxnOps) {
+		txn := protocol.Txn{Then: part}
+		for _, change := range part {
+			key := change.Set + change.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
 		version, err := as.KV.CompareAndSwap(ctx, txn, kv.Paced, kv.CallTimeout)
@@ -43,19 +46,19 @@
 			as.Log.Info("catalog not stored", "error", err)
 			return
 		}
-		for _, ch := range changes {
-			if ch.Set != "" {
-				versions[ch.Set] = version
+		for _, change := range part {
+			if change.Set != "" {
+				versions[change.Set] = version
 			} else {
-				delete(versions, ch.Delete)
+				delete(versions, change.Delete)
 			}
 		}
 	}
 	as.provisioning.catalogFormat = format
 }
 
-// sameTypes compares catalogs but for the spot prices, which move all the time.
-func sameTypes(a, b protocol.Catalog) bool {
+// equalInstanceTypes compares catalogs but for the spot prices, which move all the time.
+func equalInstanceTypes(a, b protocol.Catalog) bool {
 	return slices.EqualFunc(a.Types, b.Types, func(x, y protocol.InstanceType) bool {
 		x.SpotPrice, y.SpotPrice = 0, 0
 		zones := slices.Equal(x.Zones, y.Zones)
@@ -64,8 +67,8 @@
 	})
 }
 
-// CatalogRestored tells which records hold the stored catalog, by key, with their versions. It
-// needs the lock of state held.
+// CatalogRestored notes which records hold the stored catalog, by key, with their versions. It
+// is called before Run, with the lock of State held.
 func (as *Autoscaler) CatalogRestored(versions map[string]uint64) {
 	as.provisioning.catalogStored = versions
 }
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -2,13 +2,45 @@
 
 import (
 	"dunestand/internal/config"
+	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
+// TaskDemand is a number of tasks that request the same.
+type TaskDemand struct {
+	Spec  *protocol.JobSpec
+	Count int
+}
+
+// Demand returns the tasks that are not done, as far as their teams' quota limits let
+// them run, and the replicas that headroom is wanted for.
+func (as *Autoscaler) Demand() []TaskDemand {
+	quotaLeft := map[string]units.Resources{}
+	for name, team := range as.State.Teams {
+		quotaLeft[name] = team.QuotaLimit
+	}
+	var demand []TaskDemand
+	for _, job := range as.State.JobsBySubmission() {
+		if job.Cancelled || !job.Accepted() {
+			continue
+		}
+		left := quotaLeft[job.Spec.Team]
+		if count := min(job.Unfinished(), left.Fits(job.Spec.Request)); count > 0 {
+			quotaLeft[job.Spec.Team] = left.Plus(job.Spec.Request, -count)
+			demand = append(demand, TaskDemand{&job.Spec, count})
+		}
+	}
+	if replica := as.Scheduler.HeadroomReplica(); replica != nil {
+		demand = append(demand, TaskDemand{replica, as.Scheduler.HeadroomReplicaCount(replica)})
+	}
+	return demand
+}
+
+// PolicyInput returns what the policy's settings of the fleet are worked out from.
 func (as *Autoscaler) PolicyInput() config.FleetInput {
 	in := config.FleetInput{Hour: int(as.Clock.Wall() / units.Second / 3600 % 24)}
-	for _, j := range as.State.Jobs {
-		if !j.IsService() {
+	for _, job := range as.State.Jobs {
+		if !job.IsService() {
 			as.lastFiniteJobAt = as.Clock.Steady()
 			break
 		}
@@ -18,8 +50,8 @@
 		in.GuaranteedCPUs += team.GuaranteedQuota.CPU.Float()
 		in.LimitCPUs += team.QuotaLimit.CPU.Float()
 	}
-	for _, n := range as.Demand() {
-		in.DemandCPUs += n.Spec.Request.CPU.Float() * float64(n.Count)
+	for _, demand := range as.Demand() {
+		in.DemandCPUs += demand.Spec.Request.CPU.Float() * float64(demand.Count)
 	}
 	for _, m := range as.State.Machines {
 		if !m.Releasing {
@@ -29,41 +61,29 @@
 	return in
 }
 
-// Demand lists the tasks that are not done, as far as their teams' limits let
-// them run, and the replicas that room is kept for.
-func (as *Autoscaler) Demand() []TaskDemand {
-	left := map[string]units.Resources{}
-	for name, team := range as.State.Teams {
-		left[name] = team.QuotaLimit
-	}
-	var out []TaskDemand
-	for _, j := range as.State.JobsBySubmission() {
-		if j.Cancelled || !j.Accepted() {
-			continue
-		}
-		room := left[j.Spec.Team]
-		if n := min(j.Unfinished(), room.Fits(j.Spec.Request)); n > 0 {
-			left[j.Spec.Team] = room.Plus(j.Spec.Request, -n)
-			out = append(out, TaskDemand{&j.Spec, n})
-		}
-	}
-	if like := as.Scheduler.HeadroomReplica(); like != nil {
-		out = append(out, TaskDemand{like, as.Scheduler.HeadroomReplicaCount(like)})
-	}
-	return out
-}
+// How long a machine that is not up yet counts as capacity.
+const (
+	bootGraceFactor = 3 // times its instance type's boot time
+	bootGraceMargin = 10 * units.Second
+)
 
-// capacityView is what the renting decision looks at.
+// capacityView returns what a scale-out is planned on, but for the offerings that are
+// unavailable.
 func (as *Autoscaler) capacityView(in config.FleetInput) CapacityView {
-	v := CapacityView{InstanceTypes: as.State.InstanceTypes, Machines: map[Offering]int{}, Demand: as.Demand(),
-		ReserveCPUs: as.Policy.ReserveCPUs(in), SpotPreference: as.Policy.SpotPreference(in)}
+	view := CapacityView{
+		InstanceTypes:  as.State.InstanceTypes,
+		Machines:       map[Offering]int{},
+		Demand:         as.Demand(),
+		ReserveCPUs:    as.Policy.ReserveCPUs(in),
+		SpotPreference: as.Policy.SpotPreference(in),
+	}
 	now := as.Clock.Steady()
 	for _, m := range as.State.Machines {
-		boot := units.Seconds(as.State.InstanceTypes[m.InstanceType].BootS)
-		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.RentedAt > bootGraceFactor*boot+10*units.Second {
+		bootGrace := bootGraceFactor*as.bootTime(m) + bootGraceMargin
+		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.RentedAt > bootGrace {
 			continue
 		}
-		v.Machines[Offering{m.InstanceType, m.Zone, m.Spot}]++
+		view.Machines[offeringOf(m)]++
 	}
-	return v
+	return view
 }
--- a/internal/autoscaler/idle.go
+++ b/internal/autoscaler/idle.go
@@ -1,67 +1,67 @@
 package autoscaler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/units"
 )
 
-// IdleMachines chooses machines that nothing has needed for a while, the dearest
-// first, as long as what is left covers the need and the reserve.
+// maxIdleCandidates bounds the machines that are considered in one go: for each of them a
+// scale-out is planned.
+const maxIdleCandidates = 50
+
+// IdleMachines returns machines that nothing has needed for a while, the most expensive ones
+// first, as long as what is left covers the demand and the reserve.
 func (as *Autoscaler) IdleMachines(now units.Micros) []*cluster.Machine {
 	in := as.PolicyInput()
-	wait := as.Policy.IdleReturn(in)
-	keep := max(units.AmountOf(in.DemandCPUs), as.Policy.ReserveCPUs(in))
-	have := units.AmountOf(in.FleetCPUs)
-	var out []*cluster.Machine
-	for _, m := range as.State.Machines {
-		if m.Registered && !m.Releasing && m.FencingToken == as.Token && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-as.ElectedAt > wait {
-			out = append(out, m)
-		}
-	}
-	sort.Slice(out, func(i, k int) bool {
-		a, b := out[i], out[k]
-		if pa, pb := as.machinePrice(a), as.machinePrice(b); pa != pb {
-			return pa > pb
-		}
-		return a.ID < b.ID
-	})
-	// What is left must be of the right kinds: services may not be allowed on
+	candidates := as.idleCandidates(as.Policy.IdleReturn(in), now)
+	keepCPU := max(units.AmountOf(in.DemandCPUs), as.Policy.ReserveCPUs(in))
+	fleetCPU := units.AmountOf(in.FleetCPUs)
+	// What is left must be of the right offerings: services may not be allowed on
 	// those that are cheapest.
 	view := as.capacityView(in)
 	view.ReserveCPUs, view.Unavailable = 0, func(Offering) bool { return false }
-	lacking := func() int {
-		count := 0
-		for _, o := range PlanScaleOut(&view) {
-			count += o.Count
-		}
-		return count
-	}
-	n, lacks := 0, lacking()
-	for _, m := range out[:min(len(out), maxIdleCandidates)] {
-		if have-m.Capacity.CPU < keep {
+	lacking := lackingMachines(&view)
+	idle := candidates[:0]
+	for _, m := range candidates[:min(len(candidates), maxIdleCandidates)] {
+		if fleetCPU-m.Capacity.CPU < keepCPU {
 			continue
 		}
-		kind := Offering{m.InstanceType, m.Zone, m.Spot}
-		if view.Machines[kind]--; lacking() > lacks {
-			view.Machines[kind]++
+		offering := offeringOf(m)
+		if view.Machines[offering]--; lackingMachines(&view) > lacking {
+			view.Machines[offering]++
 			continue
 		}
-		have -= m.Capacity.CPU
-		out[n] = m
-		n++
+		fleetCPU -= m.Capacity.CPU
+		idle = append(idle, m)
 	}
-	return out[:n]
+	return idle
 }
 
-// maxIdleCandidates bounds the machines that are looked at in one go.
-const maxIdleCandidates = 50
+// idleCandidates returns the machines that have been idle for longer than a time, the most
+// expensive ones first.
+func (as *Autoscaler) idleCandidates(longerThan, now units.Micros) []*cluster.Machine {
+	var candidates []*cluster.Machine
+	for _, m := range as.State.Machines {
+		reconciled := m.Registered && m.FencingToken == as.Token
+		idle := len(m.Attempts) == 0 && now-m.IdleSince > longerThan && now-as.ElectedAt > longerThan
+		if reconciled && idle && !m.Releasing {
+			candidates = append(candidates, m)
+		}
+	}
+	slices.SortFunc(candidates, func(a, b *cluster.Machine) int {
+		return cmp.Or(-cmp.Compare(as.price(a), as.price(b)), cmp.Compare(a.ID, b.ID))
+	})
+	return candidates
+}
 
-func (as *Autoscaler) machinePrice(m *cluster.Machine) float64 {
-	typ := as.State.InstanceTypes[m.InstanceType]
-	if m.Spot {
-		return typ.SpotPrice
+// lackingMachines returns how many machines the demand of a view lacks.
+func lackingMachines(view *CapacityView) int {
+	count := 0
+	for _, order := range PlanScaleOut(view) {
+		count += order.Count
 	}
-	return typ.Price
+	return count
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -8,120 +8,113 @@
 	"dunestand/internal/units"
 )
 
-// Offering is a kind of machine as the cloud rents it.
-type Offering struct {
-	InstanceType, Zone string
-	Spot               bool
-}
-
-// CapacityView is what the renting decision looks at.
+// CapacityView is what a scale-out is planned on.
 type CapacityView struct {
-	InstanceTypes  map[string]protocol.InstanceType
-	Machines       map[Offering]int // machines that work or are thought to come up
-	Demand         []TaskDemand     // tasks that are not done, within their teams' limits
-	ReserveCPUs    units.Amount     // processors to keep whatever is needed
-	SpotPreference float64
-	Unavailable    func(Offering) bool // asked lately and refused
+	InstanceTypes  map[string]protocol.InstanceType // by name
+	Machines       map[Offering]int                 // machines that work or are thought to come up
+	Demand         []TaskDemand
+	ReserveCPUs    units.Amount // processors to keep whatever the demand is
+	SpotPreference float64      // weight of a spot instance's price
+	// Unavailable reports whether the cloud refused machines of an offering a short time ago.
+	Unavailable func(Offering) bool
 }
 
-// TaskDemand is a number of tasks alike.
-type TaskDemand struct {
-	Spec  *protocol.JobSpec
-	Count int
-}
-
-// Order is a number of machines to rent.
+// Order is a number of machines of an offering to rent.
 type Order struct {
 	Offering Offering
 	Count    int
 }
 
-// PlanScaleOut works out what to rent: what the tasks need beyond what there
-// is, on the cheapest kinds that they allow and that were not refused lately,
-// and then the reserve. Room is reckoned as one pool a kind.
-func PlanScaleOut(v *CapacityView) []Order {
-	p := newScaleOutPlan(v)
-	needs := slices.Clone(v.Demand)
-	// What has the fewest kinds to choose from chooses first.
-	slices.SortStableFunc(needs, func(a, b TaskDemand) int { return cmp.Compare(p.choices(a), p.choices(b)) })
-	for _, n := range needs {
-		if left := p.useFreeCapacity(n); left > 0 {
-			p.orderFor(n, left)
+// PlanScaleOut returns what to rent: what the tasks need beyond what there
+// is, of the cheapest offerings that they allow and that were not refused lately,
+// and then the reserve. The free capacity of an offering's machines is reckoned as one pool.
+func PlanScaleOut(view *CapacityView) []Order {
+	p := newScaleOutPlan(view)
+	demands := slices.Clone(view.Demand)
+	// What has the fewest offerings to choose from chooses first.
+	slices.SortStableFunc(demands, func(a, b TaskDemand) int { return cmp.Compare(p.choices(a), p.choices(b)) })
+	for _, demand := range demands {
+		if left := p.useFreeCapacity(demand); left > 0 {
+			p.orderFor(demand, left)
 		}
 	}
 	p.orderReserve()
 	return p.result()
 }
 
-// scaleOutPlan is a renting decision in the making.
+// scaleOutPlan is a scale-out in the making.
 type scaleOutPlan struct {
 	view         *CapacityView
 	offerings    []pricedOffering
-	freeCapacity map[Offering]units.Resources // room left, of what there is and what is to be rented
-	orders       map[Offering]int
-	total        units.Amount // processors of both
+	freeCapacity map[Offering]units.Resources // left, of what there is and what is ordered
+	orders       map[Offering]int             // machines
+	totalCPU     units.Amount                 // of what there is and what is ordered
 }
 
-func newScaleOutPlan(v *CapacityView) *scaleOutPlan {
+func newScaleOutPlan(view *CapacityView) *scaleOutPlan {
 	p := &scaleOutPlan{
-		view:         v,
-		offerings:    pricedOfferings(v),
+		view:         view,
+		offerings:    pricedOfferings(view),
 		freeCapacity: map[Offering]units.Resources{},
 		orders:       map[Offering]int{},
 	}
 	for _, o := range p.offerings {
-		p.addMachines(o, v.Machines[o.offering])
+		p.addMachines(o, view.Machines[o.offering])
 	}
 	return p
 }
 
-// addMachines adds the room of some machines.
-func (p *scaleOutPlan) addMachines(o pricedOffering, n int) {
-	p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(o.capacity, n)
-	p.total += o.capacity.CPU * units.Amount(n)
+// addMachines adds the capacity of some machines.
+func (p *scaleOutPlan) addMachines(o pricedOffering, count int) {
+	p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(o.capacity, count)
+	p.totalCPU += o.capacity.CPU * units.Amount(count)
 }
 
-func (p *scaleOutPlan) order(o pricedOffering, n int) {
-	p.orders[o.offering] += n
-	p.addMachines(o, n)
+// order orders some machines.
+func (p *scaleOutPlan) order(o pricedOffering, count int) {
+	p.orders[o.offering] += count
+	p.addMachines(o, count)
 }
 
-// choices counts the kinds that a need's tasks may be on.
-func (p *scaleOutPlan) choices(n TaskDemand) int {
+// choices counts the offerings that tasks may be on.
+func (p *scaleOutPlan) choices(demand TaskDemand) int {
 	count := 0
 	for i := range p.offerings {
-		if p.offerings[i].allows(n) {
+		if p.offerings[i].allows(demand) {
 			count++
 		}
 	}
 	return count
 }
 
-// useFreeCapacity takes room for a need's tasks and gives how many of them find none.
-func (p *scaleOutPlan) useFreeCapacity(n TaskDemand) int {
-	left := n.Count
+// useFreeCapacity claims free capacity for tasks and returns how many of them find none.
+func (p *scaleOutPlan) useFreeCapacity(demand TaskDemand) int {
+	left := demand.Count
 	for i := range p.offerings {
 		o := &p.offerings[i]
-		if k := min(left, p.freeCapacity[o.offering].Fits(n.Spec.Request)); k > 0 && o.allows(n) {
-			p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(n.Spec.Request, -k)
-			left -= k
+		free := p.freeCapacity[o.offering]
+		if fit := min(left, free.Fits(demand.Spec.Request)); fit > 0 && o.allows(demand) {
+			p.freeCapacity[o.offering] = free.Plus(demand.Spec.Request, -fit)
+			left -= fit
 		}
 	}
 	return left
 }
 
-// planned is how many machines of a kind there are and are to be rented.
-func (p *scaleOutPlan) planned(kind Offering) int { return p.view.Machines[kind] + p.orders[kind] }
+// planned returns how many machines of an offering there are and are ordered.
+func (p *scaleOutPlan) planned(offering Offering) int {
+	return p.view.Machines[offering] + p.orders[offering]
+}
 
-// orderFor rents machines of the kind that is cheapest for each of a need's tasks. Of
-// those alike it is the one with fewer machines.
-func (p *scaleOutPlan) orderFor(n TaskDemand, tasks int) {
+// orderFor orders machines for a number of tasks, of the offering that is cheapest for each
+// task. Of those alike it is the one with fewer machines.
+func (p *scaleOutPlan) orderFor(demand TaskDemand, tasks int) {
 	var best *pricedOffering
 	bestCost, bestFits := 0.0, 0
 	for i := range p.offerings {
 		o := &p.offerings[i]
-		fits := o.capacity.Fits(n.Spec.Request)
-		if fits == 0 || p.view.Unavailable(o.offering) || !o.allows(n) {
+		fits := o.capacity.Fits(demand.Spec.Request)
+		if fits == 0 || p.view.Unavailable(o.offering) || !o.allows(demand) {
 			continue
 		}
 		cost := o.cost / float64(fits)
@@ -133,12 +126,12 @@
 		return
 	}
 	p.order(*best, (tasks+bestFits-1)/bestFits)
-	p.freeCapacity[best.offering] = p.freeCapacity[best.offering].Plus(n.Spec.Request, -tasks)
+	p.freeCapacity[best.offering] = p.freeCapacity[best.offering].Plus(demand.Spec.Request, -tasks)
 }
 
-// orderReserve rents what lacks to the reserve, machine by machine.
+// orderReserve orders what lacks to the reserve, machine by machine.
 func (p *scaleOutPlan) orderReserve() {
-	for p.total < p.view.ReserveCPUs {
+	for p.totalCPU < p.view.ReserveCPUs {
 		best := p.cheapestPerCPU()
 		if best == nil {
 			return
@@ -147,8 +140,8 @@
 	}
 }
 
-// cheapestPerCPU gives the kind that may still be rented whose processors cost least; of
-// those alike, the one with fewer machines.
+// cheapestPerCPU returns the offering of which more may be ordered whose processors cost
+// least; of those alike, the one with fewer machines. It returns nil if there is none.
 func (p *scaleOutPlan) cheapestPerCPU() *pricedOffering {
 	var best *pricedOffering
 	for i := range p.offerings {
@@ -160,6 +153,7 @@
 			best = o
 			continue
 		}
+		// Multiplied out, since quotients of equal costs may differ in their last digit.
 		cost, bestCost := o.cost*best.capacity.CPU.Float(), best.cost*o.capacity.CPU.Float()
 		if o.costPerCPU() < best.costPerCPU() || cost == bestCost && p.planned(o.offering) < p.planned(best.offering) {
 			best = o
@@ -168,13 +162,13 @@
 	return best
 }
 
-// result gives the orders, in the order of the offers.
+// result returns the orders, in the order of the offerings.
 func (p *scaleOutPlan) result() []Order {
-	var out []Order
+	var orders []Order
 	for _, o := range p.offerings {
-		if n := p.orders[o.offering]; n > 0 {
-			out = append(out, Order{o.offering, min(n, protocol.MaxScaleOut)})
+		if count := p.orders[o.offering]; count > 0 {
+			orders = append(orders, Order{o.offering, min(count, protocol.MaxScaleOut)})
 		}
 	}
-	return out
+	return orders
 }
--- /dev/null
+++ b/internal/autoscaler/plan_test.go
@@ -0,0 +1,95 @@
+package autoscaler
+
+import (
+	"reflect"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	_ "dunestand/internal/standin/fixedseed"
+	"dunestand/internal/units"
+)
+
+var testInstanceTypes = map[string]protocol.InstanceType{
+	"small": {Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.3, Zones: []string{"a", "b"}},
+	"big":   {Name: "big", CPUs: 32, MemoryGB: 128, Price: 7, SpotPrice: 2, Zones: []string{"a"}},
+}
+
+// drawCapacityView draws a view of an empty fleet. At least one offering that every task
+// allows is never refused.
+func drawCapacityView(t *rapid.T) *CapacityView {
+	refused := map[Offering]bool{}
+	for _, offering := range []Offering{{"small", "a", true}, {"small", "a", false}, {"big", "a", true}} {
+		refused[offering] = rapid.Bool().Draw(t, "refused")
+	}
+	view := &CapacityView{
+		InstanceTypes:  testInstanceTypes,
+		Machines:       map[Offering]int{},
+		SpotPreference: 1,
+		ReserveCPUs:    units.Amount(rapid.IntRange(0, 100).Draw(t, "reserve")) * 1_000_000,
+		Unavailable:    func(offering Offering) bool { return refused[offering] },
+	}
+	for range rapid.IntRange(0, 4).Draw(t, "demands") {
+		spec := &protocol.JobSpec{
+			Request:   standin.CPUs(rapid.IntRange(1, 4).Draw(t, "cpus")),
+			AllowSpot: rapid.Bool().Draw(t, "spot"),
+			Zone:      rapid.SampledFrom([]string{"", "b"}).Draw(t, "zone"),
+		}
+		view.Demand = append(view.Demand, TaskDemand{spec, rapid.IntRange(1, 30).Draw(t, "count")})
+	}
+	return view
+}
+
+// What is ordered covers the demand and the reserve, of offerings that were not
+// refused lately, and ordering comes to an end.
+func TestScaleOutCoversTheDemand(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		view := drawCapacityView(t)
+		for _, order := range PlanScaleOut(view) {
+			if view.Unavailable(order.Offering) || order.Count <= 0 || order.Count > protocol.MaxScaleOut {
+				t.Fatalf("order %+v", order)
+			}
+			view.Machines[order.Offering] += order.Count
+		}
+		// The free capacity of an offering is reckoned as one pool, so a later pass may find
+		// that tasks pack worse than thought; but it must come to an end.
+		for pass := 0; ; pass++ {
+			again := PlanScaleOut(view)
+			if len(again) == 0 {
+				break
+			}
+			if pass == 5 {
+				t.Fatalf("still ordering: %+v", again)
+			}
+			for _, order := range again {
+				view.Machines[order.Offering] += order.Count
+			}
+		}
+		var wanted, have units.Amount
+		for _, demand := range view.Demand {
+			wanted += demand.Spec.Request.CPU * units.Amount(demand.Count)
+		}
+		for offering, count := range view.Machines {
+			have += units.AmountOf(testInstanceTypes[offering.InstanceType].CPUs) * units.Amount(count)
+		}
+		if have < max(wanted, view.ReserveCPUs) {
+			t.Fatalf("%v processors for a demand of %v and a reserve of %v", have, wanted, view.ReserveCPUs)
+		}
+	})
+}
+
+func TestScaleOutOrdersTheCheapestOffering(t *testing.T) {
+	view := CapacityView{
+		InstanceTypes:  testInstanceTypes,
+		Machines:       map[Offering]int{},
+		SpotPreference: 1,
+		Unavailable:    func(Offering) bool { return false },
+		Demand:         []TaskDemand{{&protocol.JobSpec{Request: standin.CPUs(4), AllowSpot: true}, 8}},
+	}
+	want := []Order{{Offering{"big", "a", true}, 1}}
+	if got := PlanScaleOut(&view); !reflect.DeepEqual(got, want) {
+		t.Fatalf("got %+v, want %+v", got, want)
+	}
+}
