--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"log/slog"
+	"net/http"
 	"sync"
 
 	"dunestand/internal/cluster"
@@ -25,15 +26,17 @@
 	Clock      units.Clock
 	Log        *slog.Logger
 	Dial       transport.DialFunc
-	Token      uint64
+	Token      uint64 // the leader's fencing token
 }
 
 // TokenBroadcaster makes a new leader's fencing token known to machines that the records
-// name and that have not sent a heartbeat yet.
+// name and that have not sent a heartbeat yet. Make it with NewTokenBroadcaster. Its methods
+// take the lock of State.
 type TokenBroadcaster struct {
 	TokenBroadcasterDeps
 }
 
+// NewTokenBroadcaster returns a broadcaster.
 func NewTokenBroadcaster(deps TokenBroadcasterDeps) *TokenBroadcaster {
 	return &TokenBroadcaster{
 		TokenBroadcasterDeps: deps,
@@ -41,11 +44,9 @@
 }
 
 const (
-	broadcastInterval   = 500 * units.Millisecond // between looks for machines that are still to be told
-	broadcastDelay      = units.Second            // workers that report often have come by then
+	broadcastInterval   = 500 * units.Millisecond // between looks for machines that are still to be called
+	broadcastDelay      = units.Second            // workers with a short heartbeat interval have come by then
 	broadcastRetryDelay = 4 * units.Second
-	minBroadcastCalls   = 4  // at once, in a small fleet
-	broadcastShare      = 32 // of the unconfirmed machines are told at once
 )
 
 // broadcastTimeouts is how long each try waits. In a large fleet hundreds may be
@@ -53,52 +54,58 @@
 // answer takes some milliseconds, so the first try is short.
 var broadcastTimeouts = []units.Micros{300 * units.Millisecond, 1500 * units.Millisecond}
 
-// Run tells the machines that records name, and that have not reported
-// yet, which term it is: by an empty list of direct commands, which has no
-// effect at any later time but to show the worker our term. The answer is a
-// report that tells what the machine holds, and the worker looks for the new
-// leader at once instead of when its next report is due.
+// broadcastTries is how often a machine was called, and when last.
+type broadcastTries struct {
+	count int
+	last  units.Micros
+}
+
+// mayRepeat reports whether a machine may be called (again).
+func (t broadcastTries) mayRepeat(now units.Micros) bool {
+	return t.count < len(broadcastTimeouts) && (t.count == 0 || now-t.last >= broadcastRetryDelay)
+}
+
+// Run sends the fencing token to the machines that the records name, and that have sent no
+// heartbeat yet: by an empty list of direct commands, which has no
+// effect at any later time but to show the worker our token. The answer is a
+// heartbeat that tells what the machine holds, and the worker looks for the new
+// leader at once instead of when its next heartbeat is due. Run returns when ctx ends or all
+// machines are reconciled, after the calls that are on their way.
 func (b *TokenBroadcaster) Run(ctx context.Context) {
 	caller := transport.NewCaller(b.Dial, protocol.MaxBody)
-	at := map[string]units.Micros{}
-	tries := map[string]int{}
-	var wg sync.WaitGroup
-	defer wg.Wait()
+	tries := map[string]broadcastTries{}
+	var calls sync.WaitGroup
+	defer calls.Wait()
 	for wait := broadcastDelay; loop.Sleep(ctx, wait); wait = broadcastInterval {
 		if !b.Leadership.Valid() {
 			continue
 		}
-		open, endpoints := b.broadcastTargets()
-		if !open {
+		endpoints, unreconciled := b.broadcastTargets()
+		if unreconciled == 0 {
 			return
 		}
 		now := b.Clock.Steady()
 		slots := make(chan struct{}, BroadcastSlots(len(endpoints), b.Settings.Fleet.Resources.MaxConnections))
 		for _, id := range sorted.Keys(endpoints) {
-			if tries[id] >= len(broadcastTimeouts) || tries[id] > 0 && now-at[id] < broadcastRetryDelay {
+			if !tries[id].mayRepeat(now) {
 				continue
 			}
-			limit := broadcastTimeouts[tries[id]]
-			tries[id]++
-			at[id] = now
-			select {
-			case slots <- struct{}{}:
-			case <-ctx.Done():
+			timeout := broadcastTimeouts[tries[id].count]
+			tries[id] = broadcastTries{count: tries[id].count + 1, last: now}
+			if !acquireSlot(ctx, slots) {
 				return
 			}
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				b.broadcastTo(ctx, caller, id, endpoints[id], limit)
+			calls.Go(func() {
+				b.broadcastTo(ctx, caller, id, endpoints[id], timeout)
 				<-slots
-			}()
+			})
 		}
 	}
 }
 
-// broadcastTargets gives the endpoints of machines that are unconfirmed and have not
-// reported in this term, and whether any machine is unconfirmed at all.
-func (b *TokenBroadcaster) broadcastTargets() (open bool, endpoints map[string]string) {
+// broadcastTargets returns the endpoints of the unreconciled machines that have sent this
+// leader no heartbeat, by ID, and how many unreconciled machines there are in all.
+func (b *TokenBroadcaster) broadcastTargets() (endpoints map[string]string, unreconciled int) {
 	b.State.Lock()
 	defer b.State.Unlock()
 	endpoints = map[string]string{}
@@ -107,41 +114,47 @@
 			endpoints[id] = m.Endpoint
 		}
 	}
-	return b.State.UnreconciledCount() > 0, endpoints
+	return endpoints, b.State.UnreconciledCount()
 }
 
-func (b *TokenBroadcaster) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, limit units.Micros) {
-	session := uint64(1) // of most machines; else the answer tells
+// firstIncarnation is the agent incarnation of most machines.
+const firstIncarnation = 1
+
+// broadcastTo sends the fencing token to a machine and reconciles the heartbeat that it
+// answers with. A machine of another incarnation refuses the first call, and its answer tells
+// which one to send the second for.
+func (b *TokenBroadcaster) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, timeout units.Micros) {
+	incarnation := uint64(firstIncarnation)
 	for range 2 {
 		body := protocol.Encode(protocol.DirectCommands{
 			FencingToken: b.Token,
-			Incarnation:  session,
+			Incarnation:  incarnation,
 			Commands:     []protocol.Command{},
 		})
-		status, raw, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, limit)
+		status, answer, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, timeout)
 		if err != nil {
-			b.Log.Debug("machine not told of the term", "machine", id, "error", err)
+			b.Log.Debug("fencing token not broadcast", "machine", id, "error", err)
 			return
 		}
-		r, err := protocol.ParseHeartbeat(raw)
-		if err != nil || r.Machine != id {
+		heartbeat, err := protocol.ParseHeartbeat(answer)
+		if err != nil || heartbeat.Machine != id {
 			return
 		}
-		if status == 200 {
-			b.Answered(r)
+		if status == http.StatusOK {
+			b.Answered(heartbeat)
 			return
 		}
-		session = r.Incarnation
+		incarnation = heartbeat.Incarnation
 	}
 }
 
-// Answered takes in the report that a machine sent for direct commands. Only
-// the first word of a machine may come this way: once it has reported by
-// itself, an answer may be on its way to it that this report does not show.
-func (b *TokenBroadcaster) Answered(r *protocol.Heartbeat) {
+// Answered reconciles the heartbeat that a machine sent as the answer to a broadcast. Only
+// the first word of a machine may come this way: once it has sent a heartbeat by
+// itself, a response may be on its way to it that this one does not show.
+func (b *TokenBroadcaster) Answered(heartbeat *protocol.Heartbeat) {
 	b.State.Lock()
 	defer b.State.Unlock()
-	if m := b.State.Machines[r.Machine]; m != nil && !m.Registered && b.Leadership.Valid() {
-		b.Reconciler.Reconcile(r, b.Clock.Steady())
+	if m := b.State.Machines[heartbeat.Machine]; m != nil && !m.Registered && b.Leadership.Valid() {
+		b.Reconciler.Reconcile(heartbeat, b.Clock.Steady())
 	}
 }
--- a/internal/push/pusher.go
+++ b/internal/push/pusher.go
@@ -1,10 +1,21 @@
-// Package push sends machines what cannot wait for their next heartbeat: commands, and a new
-// leader's fencing token.
+// Package push sends machines what cannot wait for their next heartbeat: commands
+// (CommandPusher), and a new leader's fencing token (TokenBroadcaster).
+//
+// Placements travel only in responses to heartbeats, since a command that is sent straight
+// to a worker may be carried out minutes later. But a heartbeat may be seconds away,
+// and what is urgent need not wait for it:
+//
+//   - A stop may come late, or twice: its attempt was to be stopped for good. The
+//     end of the task makes the worker send a heartbeat.
+//   - To have a machine send a heartbeat that is to start something, it is woken by the start
+//     of a task that its job does not have. It refuses that, whenever it comes, and
+//     the refusal makes it send one; the response brings the real start.
 package push
 
 import (
 	"context"
 	"log/slog"
+	"net/http"
 	"sync"
 
 	"dunestand/internal/cluster"
@@ -24,20 +35,23 @@
 	Settings   *config.Settings
 	Log        *slog.Logger
 	Dial       transport.DialFunc
-	Token      uint64
+	Token      uint64 // the leader's fencing token
 }
 
 // CommandPusher sends commands straight to machines whose next heartbeat is too far away.
+// Make it with NewCommandPusher. RequestPush needs the lock of State held; the other methods
+// take it.
 type CommandPusher struct {
 	CommandPusherDeps
 
-	// requests names the machines that are to be told something before their next
+	// requests names the machines that are to be sent something before their next
 	// heartbeat, each with a job of which a task waits to be started there, or nil. The
 	// lock of State guards it.
 	requests   map[string]*cluster.Job
 	pushSignal loop.Signal
 }
 
+// NewCommandPusher returns a pusher without requests.
 func NewCommandPusher(deps CommandPusherDeps) *CommandPusher {
 	return &CommandPusher{
 		CommandPusherDeps: deps,
@@ -46,24 +60,14 @@
 	}
 }
 
-// Placements travel only in answers to reports, since a command that is sent straight
-// to a worker may be carried out minutes later. But a report may be seconds away,
-// and what is urgent need not wait for it:
-//
-//   - A stop may come late, or twice: its attempt was to be stopped for good. The
-//     end of the task makes the worker report.
-//   - To have a machine report that is to start something, it is woken by the start
-//     of a task that its job does not have. It refuses that, whenever it comes, and
-//     the refusal makes it report; the answer brings the real start.
-
 const (
 	pushTimeout = units.Second
-	minPushLead = units.Second // a report that is due sooner is waited for
+	minPushLead = units.Second // a heartbeat that is due sooner is waited for
 )
 
-// RequestPush notes that a machine is to be told something before its next report:
-// which tasks to stop, and, if a task of a job waits to be started there, to
-// report.
+// RequestPush requests that a machine be sent commands before its next heartbeat:
+// which tasks to stop, and, if a task of the job starts waits to be started there, to
+// send a heartbeat. starts is nil if none does.
 func (p *CommandPusher) RequestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
 	if m.Endpoint == "" || m.LastHeartbeat+p.Settings.Fleet.Workers.Report()-now <= minPushLead {
 		return
@@ -84,43 +88,57 @@
 	return requests
 }
 
-// Run tells machines what cannot wait.
+// Run pushes commands as they are requested. It returns when ctx ends, after the calls that
+// are on their way.
 func (p *CommandPusher) Run(ctx context.Context) {
 	caller := transport.NewCaller(p.Dial, protocol.MaxBody)
 	slots := make(chan struct{}, pushSlots(p.Settings.Fleet.Resources.MaxConnections))
-	var wg sync.WaitGroup
-	defer wg.Wait()
+	var calls sync.WaitGroup
+	defer calls.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.pushSignal:
 		}
-		machines := p.TakeRequests()
-		for _, id := range sorted.Keys(machines) {
-			select {
-			case slots <- struct{}{}:
-			case <-ctx.Done():
+		requests := p.TakeRequests()
+		for _, id := range sorted.Keys(requests) {
+			if !acquireSlot(ctx, slots) {
 				return
 			}
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
+			calls.Go(func() {
 				defer func() { <-slots }()
-				endpoint, body := p.Commands(id, machines[id])
-				if body == nil {
-					return
-				}
-				if status, _, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, pushTimeout); err != nil || status != 200 {
-					p.Log.Debug("direct commands not taken", "machine", id, "status", status, "error", err)
-				}
-			}()
+				p.push(ctx, caller, id, requests[id])
+			})
 		}
 	}
 }
 
-// Commands gives the commands for a machine that cannot wait, and where to send
-// them.
+// acquireSlot waits for a slot and reports whether it has one: not if ctx ends first.
+func acquireSlot(ctx context.Context, slots chan<- struct{}) bool {
+	select {
+	case slots <- struct{}{}:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// push sends a machine the commands that cannot wait, if there are any.
+func (p *CommandPusher) push(ctx context.Context, caller *transport.Caller, id string, starts *cluster.Job) {
+	endpoint, body := p.Commands(id, starts)
+	if body == nil {
+		return
+	}
+	status, _, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, pushTimeout)
+	if err != nil || status != http.StatusOK {
+		p.Log.Debug("pushed commands not accepted", "machine", id, "status", status, "error", err)
+	}
+}
+
+// Commands returns the commands for a machine that cannot wait, encoded, and where to send
+// them; nil if there are none. starts is a job of which a task waits to be started there, or
+// nil.
 func (p *CommandPusher) Commands(id string, starts *cluster.Job) (endpoint string, body []byte) {
 	p.State.Lock()
 	defer p.State.Unlock()
@@ -128,31 +146,42 @@
 	if m == nil || m.FencingToken != p.Token || !p.Leadership.Valid() {
 		return "", nil
 	}
-	var out []protocol.Command
-	for _, a := range m.SortedAttempts() {
-		if len(out) == protocol.MaxCommands {
-			break
-		}
-		switch {
-		case a.Job.Cancelled && a.Stage != cluster.Assigned:
-			out = append(out, protocol.StopCommand(a.TaskName(), a.Number, 0))
-		case a.Stopping && (a.Stage == cluster.Running || a.Stage == cluster.Fetching):
-			out = append(out, protocol.StopCommand(a.TaskName(), a.Number, a.GracePeriod))
-		}
-	}
+	commands := stopCommands(m)
 	if starts != nil && starts.Spec.Tasks < protocol.MaxTasks {
-		out = append(out, protocol.Command{
-			Verb:    protocol.VerbStart,
-			Task:    protocol.TaskName(starts.Spec.ID, starts.Spec.Tasks),
-			Attempt: p.State.NextAttempt(p.Token),
-		})
+		commands = append(commands, p.wakeCommand(starts))
 	}
-	if len(out) == 0 {
+	if len(commands) == 0 {
 		return "", nil
 	}
 	return m.Endpoint, protocol.Encode(protocol.DirectCommands{
 		FencingToken: p.Token,
 		Incarnation:  m.Incarnation,
-		Commands:     out,
+		Commands:     commands,
 	})
 }
+
+// stopCommands returns the stops for the tasks on a machine that are not wanted any more.
+func stopCommands(m *cluster.Machine) []protocol.Command {
+	var stops []protocol.Command
+	for _, attempt := range m.SortedAttempts() {
+		if len(stops) == protocol.MaxCommands {
+			break
+		}
+		switch {
+		case attempt.Job.Cancelled && attempt.Stage != cluster.Assigned:
+			stops = append(stops, protocol.StopCommand(attempt.TaskName(), attempt.Number, 0))
+		case attempt.Stopping && (attempt.Stage == cluster.Running || attempt.Stage == cluster.Fetching):
+			stops = append(stops, protocol.StopCommand(attempt.TaskName(), attempt.Number, attempt.GracePeriod))
+		}
+	}
+	return stops
+}
+
+// wakeCommand returns the start of a task that a job does not have: one beyond its last.
+func (p *CommandPusher) wakeCommand(job *cluster.Job) protocol.Command {
+	return protocol.Command{
+		Verb:    protocol.VerbStart,
+		Task:    protocol.TaskName(job.Spec.ID, job.Spec.Tasks),
+		Attempt: p.State.NextAttempt(p.Token),
+	}
+}
--- a/internal/push/sockets.go
+++ b/internal/push/sockets.go
@@ -1,36 +1,36 @@
 package push
 
-import (
-	"math"
-)
+import "math"
 
-// Bounds on the machines that are told something at once. They grow with the sockets that
-// a node has, so that telling a fleet of 4,000 takes no longer than telling one of 800.
+// Bounds on the machines that are called at once. They grow with the sockets that
+// a controller has, so that calling a fleet of 4,000 takes no longer than calling one of 800.
 const (
-	broadcastSocketShare   = 64
-	maxBroadcastCalls      = 24
-	maxBroadcastCallsLarge = 128
+	minBroadcastCalls      = 4   // in a small fleet
+	broadcastShare         = 32  // one unreconciled machine in so many is called at once
+	broadcastSocketShare   = 64  // one socket in so many
+	maxBroadcastCalls      = 24  // where the sockets are few
+	maxBroadcastCallsLarge = 128 // however many sockets there are
 	pushSocketShare        = 128
 	maxPushCalls           = 16
 	maxPushCallsLarge      = 64
 )
 
-// BroadcastSlots is how many machines are told of the term at once.
-func BroadcastSlots(unconfirmed, maxConnections int) int {
+// otherSockets are for links between controllers, the key-value store and the cloud.
+const otherSockets = 24
+
+// BroadcastSlots returns how many machines are sent the fencing token at once.
+func BroadcastSlots(unreconciled, maxConnections int) int {
 	most := min(max(maxConnections/broadcastSocketShare, maxBroadcastCalls), maxBroadcastCallsLarge)
-	return min(max(unconfirmed/broadcastShare, minBroadcastCalls), most)
+	return min(max(unreconciled/broadcastShare, minBroadcastCalls), most)
 }
 
-// pushSlots is how many machines are sent direct commands at once.
+// pushSlots returns how many machines are sent commands at once.
 func pushSlots(maxConnections int) int {
 	return min(max(maxConnections/pushSocketShare, maxPushCalls), maxPushCallsLarge)
 }
 
-// otherSockets are for links, the state service and the cloud.
-const otherSockets = 24
-
-// ReservedSockets are left for these and for direct commands of both sorts; the others are
-// for users and workers.
+// ReservedSockets returns how many sockets are kept for the controller's own calls; the others
+// are for users and workers.
 func ReservedSockets(maxConnections int) int {
 	return otherSockets + BroadcastSlots(math.MaxInt32, maxConnections) + pushSlots(maxConnections)
 }
