--- /dev/null
+++ b/internal/admission/builder.go
@@ -0,0 +1,133 @@
+package admission
+
+import (
+	"cmp"
+
+	"dunestand/internal/units"
+)
+
+// planBuilder makes one plan.
+type planBuilder struct {
+	planner      *Planner
+	plan         *Plan
+	measurement  Measurement
+	restrictions map[Cell]CellRestriction
+	credits      map[Cell]Work // of restricted cells of large jobs; nil: none
+	next         plannerState
+
+	usages []Usage
+}
+
+// cellDemand is the demand of a cell.
+type cellDemand struct {
+	backlog Work // of unfinished jobs
+	waiting Work // of jobs on the waiting list
+}
+
+// total returns the demand of the cell, at most MaxWork.
+func (d cellDemand) total() Work { return d.backlog.Plus(d.waiting) }
+
+// plus returns the demand of two cells together.
+func (d cellDemand) plus(other cellDemand) cellDemand {
+	return cellDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
+}
+
+// sharePool divides the capacity of one pool among the teams.
+func (b *planBuilder) sharePool(pool Pool) {
+	total := b.workWithinHorizon(b.plan.Capacity[pool])
+	if total == 0 {
+		return
+	}
+	cells := b.demands(pool)
+	requests := make([]ShareRequest, len(b.planner.teams))
+	demands := make([]cellDemand, len(b.planner.teams))
+	weights := 0.0
+	for i, team := range b.planner.teams {
+		for _, demand := range cells[team.Name] {
+			demands[i] = demands[i].plus(demand)
+		}
+		requests[i] = ShareRequest{
+			Demand:   min(demands[i].total(), b.workWithinHorizon(team.QuotaLimit[pool])),
+			Weight:   b.planner.options.teamWeight(team, pool),
+			MinShare: b.workWithinHorizon(team.GuaranteedQuota[pool]),
+		}
+		weights += requests[i].Weight
+	}
+	shares := FairShares(total, requests)
+	unrequested := total
+	for _, share := range shares {
+		unrequested -= share
+	}
+	for i, team := range b.planner.teams {
+		b.setTeam(team, pool, teamShare{
+			granted:     shares[i],
+			guaranteed:  requests[i].MinShare,
+			weighted:    Work(float64(total) * requests[i].Weight / weights),
+			unrequested: Work(float64(unrequested) * requests[i].Weight / weights),
+			limit:       b.workWithinHorizon(team.QuotaLimit[pool]),
+			demand:      demands[i],
+			cells:       cells[team.Name],
+		})
+	}
+}
+
+// workWithinHorizon returns the work that an amount of a resource does within the horizon.
+func (b *planBuilder) workWithinHorizon(amount units.Amount) Work {
+	return WorkOf(1, amount, b.plan.Horizon)
+}
+
+// demands returns the demand of the cells of a pool, by team.
+func (b *planBuilder) demands(pool Pool) map[string]map[Cell]cellDemand {
+	teams := map[string]map[Cell]cellDemand{}
+	add := func(cell Cell, demand cellDemand) {
+		if cell.Pool != pool {
+			return
+		}
+		if teams[cell.Team] == nil {
+			teams[cell.Team] = map[Cell]cellDemand{}
+		}
+		teams[cell.Team][cell] = teams[cell.Team][cell].plus(demand)
+	}
+	for _, backlog := range b.measurement.Backlog {
+		add(backlog.Cell, cellDemand{backlog: backlog.Work})
+	}
+	for cell, work := range b.measurement.Waiting.Work {
+		add(cell, cellDemand{waiting: work})
+	}
+	return teams
+}
+
+// teamShare is what a team gets in a pool.
+type teamShare struct {
+	granted     Work // its max-min share
+	guaranteed  Work // by its guaranteed quota, within the horizon
+	weighted    Work // the part of the capacity by its weight alone
+	unrequested Work // the part of the unrequested capacity by its weight
+	limit       Work // by its quota limit, within the horizon
+	demand      cellDemand
+	cells       map[Cell]cellDemand
+}
+
+// contested reports whether the demand of the team exceeds its share.
+func (s teamShare) contested() bool { return s.granted < s.demand.total() }
+
+// largeDivisor divides a team's share of the horizon; a job with more work than the quotient
+// is large.
+const largeDivisor = 8
+
+// setTeam sets a team's entry in the plan. A team whose demand is met is not restricted, and
+// its version quota is what it may admit until the next version: at least the unused part of
+// its guaranteed quota, whatever other teams do.
+func (b *planBuilder) setTeam(team Team, pool Pool, share teamShare) {
+	entry := TeamEntry{
+		LargeThreshold:     max(share.weighted, share.guaranteed)/largeDivisor + 1,
+		EstimateCorrection: cmp.Or(b.measurement.EstimateCorrections[team.Name], exactEstimates),
+	}
+	if share.contested() {
+		entry.VersionQuota = b.restrictTeam(share)
+	} else {
+		entry.VersionQuota = max(min(share.unrequested, share.limit-share.demand.backlog), share.guaranteed-share.demand.backlog, 0)
+	}
+	b.plan.setTeam(teamKey{Team: team.Name, Pool: pool}, entry)
+	b.usages = append(b.usages, share.usage(team.Name, pool))
+}
--- /dev/null
+++ b/internal/federation/message_test.go
@@ -0,0 +1,35 @@
+package federation
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestMalformedMessageIsRejected(t *testing.T) {
+	good := Message{Kind: MessageRenew, Transfer: transfer, Run: 1}
+	if err := good.Check(); err != nil {
+		t.Fatal(err)
+	}
+	for name, spoil := range map[string]func(*Message){
+		"kind 0":           func(m *Message) { m.Kind = 0 },
+		"unknown kind":     func(m *Message) { m.Kind = messageKindCount },
+		"no origin":        func(m *Message) { m.Transfer.Origin = "" },
+		"slash in origin":  func(m *Message) { m.Transfer.Origin = "a/b" },
+		"bad job":          func(m *Message) { m.Transfer.Job = "x" },
+		"no incarnation":   func(m *Message) { m.Transfer.Incarnation = 0 },
+		"negative work":    func(m *Message) { m.Work = -1 },
+		"renew of no run":  func(m *Message) { m.Run = 0 },
+		"run above bound":  func(m *Message) { m.Run = maxRun + 1 },
+		"negative run":     func(m *Message) { m.Run = -1 },
+		"grant of no run":  func(m *Message) { m.Kind, m.Run = MessageGrant, 0 },
+		"name with spaces": func(m *Message) { m.Transfer.Origin = "the mill" },
+	} {
+		t.Run(name, func(t *testing.T) {
+			message := good
+			spoil(&message)
+			if err := message.Check(); !errors.Is(err, ErrMalformedMessage) {
+				t.Errorf("%v, want %v", err, ErrMalformedMessage)
+			}
+		})
+	}
+}
