--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -43,7 +43,7 @@
 }
 
 // Reconcile applies a heartbeat to the state and returns its machine. Old heartbeats, and
-// those of machines that were released, have no effect and give nil.
+// those of machines that were released, have no effect; it returns nil for them.
 func (rc *Reconciler) Reconcile(heartbeat *protocol.Heartbeat, now units.Micros) *cluster.Machine {
 	if rc.State.Released.Has(heartbeat.Machine) {
 		return nil
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -18,54 +18,73 @@
 // drawSnapshot draws a snapshot of a few teams, machines and jobs.
 func drawSnapshot(t *rapid.T) Snapshot {
 	s := Snapshot{MaxPlacements: rapid.IntRange(1, 60).Draw(t, "max placements")}
-	teams := rapid.IntRange(1, 3).Draw(t, "teams")
-	for range teams {
-		g := rapid.IntRange(0, 20).Draw(t, "guarantee")
+	for range rapid.IntRange(1, 3).Draw(t, "teams") {
+		guarantee := rapid.IntRange(0, 20).Draw(t, "guarantee")
 		s.Teams = append(s.Teams, TeamView{
-			GuaranteedQuota: standin.CPUs(g),
-			QuotaLimit:      standin.CPUs(g + rapid.IntRange(0, 30).Draw(t, "beyond")),
+			GuaranteedQuota: standin.CPUs(guarantee),
+			QuotaLimit:      standin.CPUs(guarantee + rapid.IntRange(0, 30).Draw(t, "beyond")),
 		})
 	}
-	ref := 0
+	victims := 0
 	for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-		m := MachineView{
-			InstanceType: rapid.SampledFrom([]string{"small", "big"}).Draw(t, "type"),
-			Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
-			Spot:         rapid.Bool().Draw(t, "spot"),
-			Schedulable:  rapid.Bool().Draw(t, "schedulable"),
-			Slow:         i == 3,
-			Free:         standin.CPUs(rapid.IntRange(0, 16).Draw(t, "free")),
-			Freeing:      standin.CPUs(rapid.IntRange(0, 4).Draw(t, "freeing")),
-		}
-		image := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image")
-		m.HasImage = func(name string) bool { return name == image }
-		var victims []Victim
+		m := drawMachine(t)
+		m.Slow = i == 3
+		var onMachine []Victim
 		for range rapid.IntRange(0, 4).Draw(t, "victims") {
-			v := Victim{
-				Ref:      ref,
-				Team:     rapid.IntRange(0, teams-1).Draw(t, "victim team"),
-				Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "victim priority")),
-				Request:  standin.CPUs(rapid.IntRange(1, 4).Draw(t, "victim request")),
-			}
-			v.Job = &JobView{
-				Spec:            &protocol.JobSpec{ID: fmt.Sprintf("j-9%05d", ref), Priority: v.Priority},
-				Team:            v.Team,
-				MissesDeadline:  rapid.Bool().Draw(t, "victim late"),
-				WithinGuarantee: rapid.Bool().Draw(t, "victim guaranteed"),
-				Rank:            float64(rapid.IntRange(0, 3).Draw(t, "victim rank")),
-			}
-			ref++
+			v := drawVictim(t, victims, len(s.Teams))
+			victims++
 			s.Teams[v.Team].Used = s.Teams[v.Team].Used.Plus(v.Request, 1)
-			victims = append(victims, v)
+			onMachine = append(onMachine, v)
 		}
-		m.Victims = func() []Victim { return victims }
+		m.Victims = func() []Victim { return onMachine }
 		s.Machines = append(s.Machines, m)
 	}
 	for i := range rapid.IntRange(0, 6).Draw(t, "jobs") {
-		n := rapid.IntRange(1, 12).Draw(t, "tasks")
-		spec := &protocol.JobSpec{
-			ID:            fmt.Sprintf("j-%06d", i),
-			Tasks:         n,
+		s.Jobs = append(s.Jobs, drawJob(t, i, len(s.Teams)))
+	}
+	return s
+}
+
+// drawMachine draws a machine without victims.
+func drawMachine(t *rapid.T) MachineView {
+	m := MachineView{
+		InstanceType: rapid.SampledFrom([]string{"small", "big"}).Draw(t, "type"),
+		Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
+		Spot:         rapid.Bool().Draw(t, "spot"),
+		Schedulable:  rapid.Bool().Draw(t, "schedulable"),
+		Free:         standin.CPUs(rapid.IntRange(0, 16).Draw(t, "free")),
+		Freeing:      standin.CPUs(rapid.IntRange(0, 4).Draw(t, "freeing")),
+	}
+	image := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image")
+	m.HasImage = func(name string) bool { return name == image }
+	return m
+}
+
+// drawVictim draws a task that could be preempted, of one of some teams.
+func drawVictim(t *rapid.T, ref, teams int) Victim {
+	v := Victim{
+		Ref:      ref,
+		Team:     rapid.IntRange(0, teams-1).Draw(t, "victim team"),
+		Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "victim priority")),
+		Request:  standin.CPUs(rapid.IntRange(1, 4).Draw(t, "victim request")),
+	}
+	v.Job = &JobView{
+		Spec:            &protocol.JobSpec{ID: fmt.Sprintf("j-9%05d", ref), Priority: v.Priority},
+		Team:            v.Team,
+		MissesDeadline:  rapid.Bool().Draw(t, "victim late"),
+		WithinGuarantee: rapid.Bool().Draw(t, "victim guaranteed"),
+		Rank:            float64(rapid.IntRange(0, 3).Draw(t, "victim rank")),
+	}
+	return v
+}
+
+// drawJob draws a job array of which nothing runs, of one of some teams.
+func drawJob(t *rapid.T, index, teams int) JobView {
+	tasks := rapid.IntRange(1, 12).Draw(t, "tasks")
+	return JobView{
+		Spec: &protocol.JobSpec{
+			ID:            fmt.Sprintf("j-%06d", index),
+			Tasks:         tasks,
 			Request:       standin.CPUs(rapid.IntRange(1, 5).Draw(t, "request")),
 			Priority:      protocol.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 			AllowSpot:     rapid.Bool().Draw(t, "allow spot"),
@@ -74,18 +93,14 @@
 			ZoneSpread:    rapid.Bool().Draw(t, "spread"),
 			InstanceTypes: rapid.SampledFrom([][]string{nil, {"small"}}).Draw(t, "types"),
 			Zone:          rapid.SampledFrom([]string{"", "a"}).Draw(t, "in zone"),
-		}
-		s.Jobs = append(s.Jobs, JobView{
-			Spec:            spec,
-			Team:            rapid.IntRange(0, teams-1).Draw(t, "team"),
-			WithinGuarantee: rapid.Bool().Draw(t, "guaranteed"),
-			Rank:            float64(rapid.IntRange(0, 3).Draw(t, "rank")),
-			Pending:         n,
-			LiveByZone:      map[string]int{},
-			Avoid:           func(string) bool { return false },
-		})
+		},
+		Team:            rapid.IntRange(0, teams-1).Draw(t, "team"),
+		WithinGuarantee: rapid.Bool().Draw(t, "guaranteed"),
+		Rank:            float64(rapid.IntRange(0, 3).Draw(t, "rank")),
+		Pending:         tasks,
+		LiveByZone:      map[string]int{},
+		Avoid:           func(string) bool { return false },
 	}
-	return s
 }
 
 // cloneSnapshot copies what Plan changes.
