--- /dev/null
+++ b/internal/push/pusher_test.go
@@ -0,0 +1,104 @@
+package push
+
+import (
+	"testing"
+
+	"dunestand/internal/cluster"
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	"dunestand/internal/units"
+)
+
+const (
+	testToken = 7
+	testNow   = 100 * units.Second
+)
+
+// newTestPusher returns a pusher of a leader with one machine, whose last heartbeat just came,
+// and one job of two tasks, of which one is assigned to the machine.
+func newTestPusher(t *testing.T) (*CommandPusher, *cluster.Machine, *cluster.Attempt) {
+	t.Helper()
+	settings := &config.Settings{Fleet: config.Fleet{
+		Workers: config.Workers{ReportS: 4, LeaseS: 20, CancelS: 21},
+		State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+	}}
+	state := cluster.NewState(nil, settings.Fleet.State)
+	m := state.EnsureMachine("i-000001", "m", "a", false, testNow)
+	m.Endpoint, m.FencingToken, m.LastHeartbeat = "10.0.0.1:80", testToken, testNow
+	job := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2, Request: standin.CPUs(1)}, testNow, testNow)
+	attempt := state.Assign(job, m, state.NextAttempt(testToken), testNow)
+	return NewCommandPusher(CommandPusherDeps{
+		State:      state,
+		Leadership: &standin.Leadership{Number: testToken},
+		Settings:   settings,
+		Token:      testToken,
+	}), m, attempt
+}
+
+// A push is requested only of a machine that can be called, and whose next heartbeat is not
+// due at once.
+func TestPushIsRequestedWhereTheHeartbeatIsFar(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		endpoint string
+		since    units.Micros // the last heartbeat
+		want     int
+	}{
+		{"far", "10.0.0.1:80", 0, 1},
+		{"near", "10.0.0.1:80", 3 * units.Second, 0},
+		{"unknown endpoint", "", 0, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p, m, _ := newTestPusher(t)
+			m.Endpoint = c.endpoint
+			p.RequestPush(m, nil, testNow+c.since)
+			if got := p.TakeRequests(); len(got) != c.want {
+				t.Errorf("%d requests, want %d", len(got), c.want)
+			}
+			if got := p.TakeRequests(); len(got) != 0 {
+				t.Errorf("%d requests are there again", len(got))
+			}
+		})
+	}
+}
+
+// Tasks that run and are not wanted any more are stopped; a machine that is to start one is
+// woken by a start that its job does not have. Placements themselves are never pushed.
+func TestPushedCommands(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		stage             cluster.AttemptStage
+		stopping, cancel  bool
+		wake, otherLeader bool
+		want              bool
+	}{
+		{name: "assigned", stage: cluster.Assigned},
+		{name: "running", stage: cluster.Running},
+		{name: "stopping", stage: cluster.Running, stopping: true, want: true},
+		{name: "stopping and checkpointing", stage: cluster.Checkpointing, stopping: true},
+		{name: "cancelled", stage: cluster.Sent, cancel: true, want: true},
+		{name: "cancelled and assigned", stage: cluster.Assigned, cancel: true},
+		{name: "waiting start", stage: cluster.Assigned, wake: true, want: true},
+		{name: "machine of another leader", stage: cluster.Running, stopping: true, otherLeader: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p, m, attempt := newTestPusher(t)
+			attempt.Stage, attempt.Stopping, attempt.Job.Cancelled = c.stage, c.stopping, c.cancel
+			if c.otherLeader {
+				m.FencingToken--
+			}
+			var starts *cluster.Job
+			if c.wake {
+				starts = attempt.Job
+			}
+			endpoint, body := p.Commands(m.ID, starts)
+			if (body != nil) != c.want {
+				t.Fatalf("commands: %v, want %v", body != nil, c.want)
+			}
+			if c.want && endpoint != m.Endpoint {
+				t.Errorf("sent to %q", endpoint)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/reconciler/reconciler_test.go
@@ -0,0 +1,205 @@
+package reconciler
+
+import (
+	"io"
+	"log/slog"
+	"testing"
+
+	"dunestand/internal/cluster"
+	"dunestand/internal/config"
+	"dunestand/internal/failuredetector"
+	"dunestand/internal/loop"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
+)
+
+const (
+	testToken   = 7
+	testMachine = "i-000001"
+	testNow     = 100 * units.Second
+)
+
+// newTestReconciler returns a reconciler of a leader with one job of two tasks that is stored
+// and waits.
+func newTestReconciler(t *testing.T) (*Reconciler, *cluster.Job) {
+	t.Helper()
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
+		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: 9}},
+		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 11},
+		State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+	}}
+	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
+	rc := New(Deps{
+		State:       state,
+		Detector:    failuredetector.New(failuredetector.Deps{State: state, Settings: settings, Log: log}),
+		Log:         log,
+		Token:       testToken,
+		WriteSignal: loop.NewSignal(),
+		CycleSignal: loop.NewSignal(),
+	})
+	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: 2, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
+	job := state.NewJob(spec, testNow, testNow)
+	commit(state)
+	return rc, job
+}
+
+// commit makes all that has changed durable.
+func commit(state *cluster.State) {
+	batch := state.BuildWriteBatch("7-1", make([]uint64, storage.Buckets), cluster.BatchLimits{Background: true}, testNow)
+	if batch != nil {
+		state.BatchCommitted(batch, 1)
+	}
+}
+
+// heartbeat returns a heartbeat of the test machine that shows the leader's token.
+func heartbeat(incarnation, sequence uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine:      testMachine,
+		InstanceType: "m",
+		Zone:         "a",
+		Incarnation:  incarnation,
+		Sequence:     sequence,
+		FencingToken: testToken,
+		Tasks:        tasks,
+	}
+}
+
+func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
+	for _, c := range []struct {
+		name                  string
+		incarnation, sequence uint64
+		applied               bool
+	}{
+		{"repeated", 2, 5, false},
+		{"earlier", 2, 4, false},
+		{"of an earlier incarnation", 1, 9, false},
+		{"next", 2, 6, true},
+		{"of a new incarnation", 3, 1, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			rc, _ := newTestReconciler(t)
+			rc.Reconcile(heartbeat(2, 5), testNow)
+			if m := rc.Reconcile(heartbeat(c.incarnation, c.sequence), testNow+units.Second); (m != nil) != c.applied {
+				t.Errorf("applied: %v, want %v", m != nil, c.applied)
+			}
+		})
+	}
+}
+
+// A machine is reconciled by a heartbeat that shows the leader's token: any other may be a
+// copy that comes late.
+func TestMachineIsReconciledByTheLeadersToken(t *testing.T) {
+	rc, job := newTestReconciler(t)
+	rc.State.MarkUnreconciled(job, testMachine)
+	earlier := heartbeat(1, 1)
+	earlier.FencingToken = testToken - 1
+	if rc.Reconcile(earlier, testNow); !rc.State.IsUnreconciled(testMachine) {
+		t.Fatal("reconciled by a former leader's token")
+	}
+	if rc.Reconcile(heartbeat(1, 2), testNow); rc.State.IsUnreconciled(testMachine) {
+		t.Error("not reconciled by the leader's token")
+	}
+}
+
+// A start is sent once a record that names its machine is durable, and not twice.
+func TestStartIsSentOnceItsMachineIsDurable(t *testing.T) {
+	rc, job := newTestReconciler(t)
+	m := rc.Reconcile(heartbeat(1, 1), testNow)
+	attempt := rc.State.Assign(job, m, rc.State.NextAttempt(testToken), testNow)
+	if commands := rc.Commands(m, heartbeat(1, 1), testNow); len(commands) != 0 {
+		t.Fatalf("sent before the write: %+v", commands)
+	}
+	if rc.UnwrittenStart(m) == nil {
+		t.Error("nothing to wait for before the write")
+	}
+	commit(rc.State)
+	commands := rc.Commands(m, heartbeat(1, 1), testNow)
+	if len(commands) != 1 || commands[0].Verb != protocol.VerbStart || commands[0].Attempt != attempt.Number {
+		t.Fatalf("sent after the write: %+v", commands)
+	}
+	if rc.UnwrittenStart(m) != nil {
+		t.Error("something to wait for after the write")
+	}
+	if commands := rc.Commands(m, heartbeat(1, 1), testNow); len(commands) != 0 {
+		t.Errorf("sent again: %+v", commands)
+	}
+}
+
+// What a machine is to do about a task that it reports.
+func TestCommandsForReportedTasks(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		task    protocol.TaskStatus
+		durable bool
+		want    protocol.Verb // "": nothing
+	}{
+		{"unknown job", protocol.TaskStatus{Job: "j-000009", Attempt: 1, Stage: protocol.TaskRunning}, false, protocol.VerbStop},
+		{"adopted", protocol.TaskStatus{Job: "j-000001", Attempt: 1, Stage: protocol.TaskRunning}, false, ""},
+		{"failed", protocol.TaskStatus{Job: "j-000001", Attempt: 1, Stage: protocol.TaskExited, Cause: protocol.CauseError}, false, protocol.VerbForget},
+		{"done", protocol.TaskStatus{Job: "j-000001", Attempt: 1, Stage: protocol.TaskExited, Cause: protocol.CauseDone}, false, ""},
+		{"done durably", protocol.TaskStatus{Job: "j-000001", Attempt: 1, Stage: protocol.TaskExited, Cause: protocol.CauseDone}, true, protocol.VerbForget},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			rc, _ := newTestReconciler(t)
+			h := heartbeat(1, 1, c.task)
+			m := rc.Reconcile(h, testNow)
+			if c.durable {
+				commit(rc.State)
+			}
+			commands := rc.Commands(m, h, testNow)
+			if c.want == "" {
+				if len(commands) != 0 {
+					t.Errorf("commands %+v, want none", commands)
+				}
+				return
+			}
+			if len(commands) != 1 || commands[0].Verb != c.want {
+				t.Errorf("commands %+v, want %s", commands, c.want)
+			}
+		})
+	}
+}
+
+// A machine that reports the end of an attempt for want of capacity gets no work for a while,
+// and the task waits again.
+func TestRefusedStartBlocksTheMachine(t *testing.T) {
+	rc, job := newTestReconciler(t)
+	m := rc.Reconcile(heartbeat(1, 1), testNow)
+	attempt := rc.State.Assign(job, m, rc.State.NextAttempt(testToken), testNow)
+	refused := protocol.TaskStatus{Job: job.Spec.ID, Index: attempt.Index, Attempt: attempt.Number, Stage: protocol.TaskExited, Cause: protocol.CauseNoCapacity}
+	rc.Reconcile(heartbeat(1, 2, refused), testNow)
+	if m.BlockedUntil != testNow+noCapacityPause {
+		t.Errorf("blocked until %d", m.BlockedUntil)
+	}
+	if len(m.Attempts) != 0 || job.Pending() != 2 {
+		t.Errorf("%d attempts, %d pending", len(m.Attempts), job.Pending())
+	}
+}
+
+// Two responses in a row without effect show that commands do not reach a machine.
+func TestMachineThatIgnoresStartsIsUnresponsive(t *testing.T) {
+	rc, job := newTestReconciler(t)
+	m := rc.Reconcile(heartbeat(1, 1), testNow)
+	sequence := uint64(1)
+	for range cluster.MaxUndeliveredCommands {
+		if m.IgnoresCommands() {
+			t.Fatal("unresponsive too soon")
+		}
+		rc.State.Assign(job, m, rc.State.NextAttempt(testToken), testNow)
+		commit(rc.State)
+		rc.Commands(m, heartbeat(1, sequence), testNow)
+		sequence++
+		rc.Reconcile(heartbeat(1, sequence), testNow)
+	}
+	if !m.IgnoresCommands() {
+		t.Fatal("not unresponsive")
+	}
+	// It keeps its incarnation beyond its lease: it receives responses.
+	sequence++
+	if rc.Reconcile(heartbeat(1, sequence), testNow+20*units.Second); m.IgnoresCommands() {
+		t.Error("unresponsive for ever")
+	}
+}
--- /dev/null
+++ b/internal/scheduler/preemption_test.go
@@ -0,0 +1,60 @@
+package scheduler
+
+import (
+	"testing"
+
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+)
+
+// A task may be preempted for an urgent job of a higher priority, or for one within its team's
+// guarantee if its own team is beyond its own; and only if it comes after that job in the
+// order, or the two would take turns.
+func TestMayPreempt(t *testing.T) {
+	const ownTeam, beyondGuarantee, withinGuarantee = 0, 1, 2
+	snapshot := Snapshot{Teams: []TeamView{
+		ownTeam:         {GuaranteedQuota: standin.CPUs(4), Used: standin.CPUs(8)},
+		beyondGuarantee: {GuaranteedQuota: standin.CPUs(4), Used: standin.CPUs(8)},
+		withinGuarantee: {GuaranteedQuota: standin.CPUs(8), Used: standin.CPUs(8)},
+	}}
+	for _, c := range []struct {
+		name           string
+		priority       protocol.Priority
+		guaranteed     bool
+		victimTeam     int
+		victimPriority protocol.Priority
+		victimStarved  bool
+		want           bool
+	}{
+		{"urgent for lower priority", protocol.High, false, withinGuarantee, protocol.Normal, false, true},
+		{"urgent for its own team's lower priority", protocol.High, false, ownTeam, protocol.Low, false, true},
+		{"urgent for equal priority", protocol.High, false, beyondGuarantee, protocol.High, false, false},
+		{"urgent for a task that goes first", protocol.High, false, withinGuarantee, protocol.Low, true, false},
+		{"normal for lower priority", protocol.Normal, false, beyondGuarantee, protocol.Low, false, false},
+		{"guaranteed for a team beyond its guarantee", protocol.Normal, true, beyondGuarantee, protocol.Normal, false, true},
+		{"guaranteed for a team within its guarantee", protocol.Normal, true, withinGuarantee, protocol.Low, false, false},
+		{"guaranteed for its own team", protocol.Normal, true, ownTeam, protocol.Low, false, false},
+		{"guaranteed for an urgent task", protocol.Normal, true, beyondGuarantee, protocol.High, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			job := JobView{
+				Spec:            &protocol.JobSpec{ID: "j-000001", Priority: c.priority},
+				Team:            ownTeam,
+				WithinGuarantee: c.guaranteed,
+			}
+			victim := Victim{
+				Team:     c.victimTeam,
+				Priority: c.victimPriority,
+				Request:  standin.CPUs(1),
+				Job: &JobView{
+					Spec:    &protocol.JobSpec{ID: "j-000002", Priority: c.victimPriority},
+					Team:    c.victimTeam,
+					Starved: c.victimStarved,
+				},
+			}
+			if got := newPlanner(&snapshot).mayPreempt(&job, victim); got != c.want {
+				t.Errorf("may preempt: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/scheduler/score_test.go
+++ b/internal/scheduler/score_test.go
@@ -64,3 +64,30 @@
 		t.Errorf("placements: %+v", got)
 	}
 }
+
+// Each field of a score goes before those that follow it.
+func TestScoresCompareInTheOrderOfTheirFields(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		better, worse score
+	}{
+		{"replicas in the zone", score{liveOnMachine: 1}, score{liveInZone: 1}},
+		{"replicas on the machine", score{slow: true}, score{liveOnMachine: 1}},
+		{"slow machine", score{}, score{slow: true, hasImage: true}},
+		{"image", score{hasImage: true}, score{heartbeatPending: true}},
+		{"heartbeat pending", score{heartbeatPending: true}, score{freeCPU: 1}},
+		{"free capacity", score{freeCPU: 2, startDelay: 1}, score{freeCPU: 1}},
+		{"start delay", score{freeCPU: 1}, score{freeCPU: 1, startDelay: 1}},
+		{"start delay first", score{startDelayFirst: true, freeCPU: 1}, score{startDelayFirst: true, freeCPU: 2, startDelay: 1}},
+		{"free capacity then", score{startDelayFirst: true, freeCPU: 2}, score{startDelayFirst: true, freeCPU: 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if c.better.compare(&c.worse) >= 0 || c.worse.compare(&c.better) <= 0 {
+				t.Errorf("%+v does not go before %+v", c.better, c.worse)
+			}
+			if c.better.compare(&c.better) != 0 {
+				t.Errorf("%+v differs from itself", c.better)
+			}
+		})
+	}
+}
