--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -21,6 +21,7 @@
 	"dunestand/internal/protocol"
 	"dunestand/internal/recordformat"
 	"dunestand/internal/scheduler"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -70,7 +71,7 @@
 type provisioningState struct {
 	catalog        protocol.Catalog
 	catalogStored  map[string]uint64 // versions of its records, by key
-	catalogFormat  int               // format in which it was stored last
+	catalogFormat  storage.Format    // format in which it was stored last
 	catalogReadAt  units.Micros      // 0: not read yet
 	listReadAt     units.Micros      // 0: not read yet
 	listedMachines int               // machines in the last list
--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -72,7 +72,7 @@
 func (as *Autoscaler) machineFailed(m *cluster.Machine, now units.Micros) {
 	as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
 	as.State.MachineEmptied(m, now)
-	as.State.MarkReconciled(m.ID)
+	as.State.Unreconciled.Resolve(m.ID)
 	m.Releasing = true
 	as.CycleSignal.Raise()
 }
@@ -82,7 +82,7 @@
 func (as *Autoscaler) removeUnlisted(present map[string]bool, now units.Micros) {
 	unlistedAfter := unlistedLagFactor*units.Seconds(as.Settings.Fleet.Cloud.ListLagS) + unlistedMargin
 	for _, m := range as.State.Machines {
-		if !m.Registered && !present[m.ID] && now-m.RentedAt > unlistedAfter && !as.State.IsUnreconciled(m.ID) {
+		if !m.Registered && !present[m.ID] && now-m.RentedAt > unlistedAfter && !as.State.Unreconciled.Contains(m.ID) {
 			as.removeMachine(m, now)
 		}
 	}
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -60,7 +60,7 @@
 		if m := as.State.Machines[id]; m != nil {
 			as.removeMachine(m, now)
 		} else {
-			as.State.MarkReconciled(id)
+			as.State.Unreconciled.Resolve(id)
 		}
 	}
 	as.Log.Info("scaled in", "machines", ids)
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if expected == 0 {
-		expected = d.State.UnreconciledCount()
+		expected = d.State.Unreconciled.Len()
 	}
 	silence := now - lastHeartbeat
 	if d.State.Restored && expected >= minIsolationMachines && silence > quiet && silence < isolationWindow*quiet {
--- a/internal/failuredetector/leases.go
+++ b/internal/failuredetector/leases.go
@@ -33,11 +33,11 @@
 		// accepted a response of this one since: and these have told what they hold,
 		// as a response is accepted only to the newest heartbeat. A machine that receives
 		// no response would otherwise stay unreconciled for as long as it sends heartbeats.
-		for _, id := range d.State.UnreconciledMachines() {
-			d.State.MarkReconciled(id)
+		for _, id := range d.State.Unreconciled.Machines() {
+			d.State.Unreconciled.Resolve(id)
 		}
 	}
-	if d.State.UnreconciledCount() == 0 {
+	if d.State.Unreconciled.Len() == 0 {
 		d.allReconciled = true
 		d.Log.Info("all machines reconciled", "after_ms", (now-d.ElectedAt)/units.Millisecond)
 	}
--- a/internal/failuredetector/lostmachines.go
+++ b/internal/failuredetector/lostmachines.go
@@ -112,7 +112,7 @@
 // addUnreconciled counts as lost the machines that the records name and that have sent this
 // leader no heartbeat.
 func (d *Detector) addUnreconciled(survey *heartbeatSurvey) {
-	for _, id := range d.State.UnreconciledMachines() {
+	for _, id := range d.State.Unreconciled.Machines() {
 		m := d.State.Machines[id]
 		if m != nil && m.Registered {
 			continue
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -109,12 +109,12 @@
 	b.State.Lock()
 	defer b.State.Unlock()
 	endpoints = map[string]string{}
-	for _, id := range b.State.UnreconciledMachines() {
+	for _, id := range b.State.Unreconciled.Machines() {
 		if m := b.State.Machines[id]; m != nil && !m.Registered && !m.Releasing && m.Endpoint != "" {
 			endpoints[id] = m.Endpoint
 		}
 	}
-	return endpoints, b.State.UnreconciledCount()
+	return endpoints, b.State.Unreconciled.Len()
 }
 
 // firstIncarnation is the agent incarnation of most machines.
--- a/internal/reconciler/delivery.go
+++ b/internal/reconciler/delivery.go
@@ -9,7 +9,7 @@
 // recordSentCommand notes the first command of a response, for checkDelivery.
 func recordSentCommand(m *cluster.Machine, commands []protocol.Command, key cluster.AttemptKey) {
 	if len(commands) == 1 {
-		m.LastCommand = cluster.SentCommand{Pending: true, Verb: string(commands[0].Verb), Key: key}
+		m.LastCommand = cluster.SentCommand{Pending: true, Verb: commands[0].Verb, Key: key}
 	}
 }
 
@@ -50,7 +50,7 @@
 			present, live = true, task.Stage == protocol.TaskFetching || task.Stage == protocol.TaskRunning
 		}
 	}
-	switch protocol.Verb(m.LastCommand.Verb) {
+	switch m.LastCommand.Verb {
 	case protocol.VerbStart:
 		return present
 	case protocol.VerbStop:
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -59,7 +59,7 @@
 	// received. Any other may be a copy that comes late, of a machine that is
 	// gone by now, and a response of a former leader may still be on its way.
 	if m.FencingToken != heartbeat.FencingToken && heartbeat.FencingToken == rc.Token {
-		rc.State.MarkReconciled(m.ID)
+		rc.State.Unreconciled.Resolve(m.ID)
 		rc.CycleSignal.Raise()
 	}
 	m.FencingToken, m.MayHoldCancelled = heartbeat.FencingToken, false
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -93,13 +93,13 @@
 // copy that comes late.
 func TestMachineIsReconciledByTheLeadersToken(t *testing.T) {
 	rc, job := newTestReconciler(t)
-	rc.State.MarkUnreconciled(job, testMachine)
+	rc.State.Unreconciled.Mark(job, testMachine)
 	earlier := heartbeat(1, 1)
 	earlier.FencingToken = testToken - 1
-	if rc.Reconcile(earlier, testNow); !rc.State.IsUnreconciled(testMachine) {
+	if rc.Reconcile(earlier, testNow); !rc.State.Unreconciled.Contains(testMachine) {
 		t.Fatal("reconciled by a former leader's token")
 	}
-	if rc.Reconcile(heartbeat(1, 2), testNow); rc.State.IsUnreconciled(testMachine) {
+	if rc.Reconcile(heartbeat(1, 2), testNow); rc.State.Unreconciled.Contains(testMachine) {
 		t.Error("not reconciled by the leader's token")
 	}
 }
--- a/internal/reconciler/tasks.go
+++ b/internal/reconciler/tasks.go
@@ -64,11 +64,11 @@
 func (rc *Reconciler) attemptCompleted(attempt *cluster.Attempt, now units.Micros) {
 	job := attempt.Job
 	if job.IsService() {
-		rc.State.ReplicaEnded(attempt, false, now)
+		rc.State.Outcomes.ReplicaEnded(attempt, false, now)
 		return
 	}
 	rc.State.Completions.Freed(job.Spec.Request.CPU)
-	rc.State.AttemptCompleted(attempt, now)
+	rc.State.Outcomes.AttemptCompleted(attempt, now)
 	rc.State.TaskDone(job, attempt.Index, now)
 	if job.Complete() {
 		rc.WriteSignal.Raise()
@@ -77,9 +77,9 @@
 
 func (rc *Reconciler) attemptFailed(attempt *cluster.Attempt, now units.Micros) {
 	if attempt.Job.IsService() {
-		rc.State.ReplicaEnded(attempt, true, now)
+		rc.State.Outcomes.ReplicaEnded(attempt, true, now)
 	} else {
-		rc.State.AttemptFailed(attempt, now)
+		rc.State.Outcomes.AttemptFailed(attempt, now)
 	}
 	if attempt.Machine.Quarantined {
 		rc.Log.Info("machine quarantined", "machine", attempt.Machine.ID, "task", attempt.TaskName())
@@ -123,9 +123,9 @@
 		attempt.Stage, attempt.RunningSince = cluster.Running, now
 		job.Started = true
 		rc.Tracer.Trace("task running", attempt)
-		rc.State.RecordImage(attempt.Machine, job)
+		attempt.Machine.RecordImage(job)
 	}
 	if job.IsService() {
-		rc.State.ReplicaSteady(attempt, now)
+		rc.State.Outcomes.ReplicaSteady(attempt, now)
 	}
 }
--- a/internal/scheduler/eviction.go
+++ b/internal/scheduler/eviction.go
@@ -37,7 +37,7 @@
 		return false
 	}
 	timeLeft := attempt.Machine.TerminatesAt - now
-	remaining := sc.State.EstimateRuntime(attempt.Job)
+	remaining := sc.State.Outcomes.EstimateRuntime(attempt.Job)
 	if attempt.RunningSince > 0 {
 		remaining -= now - attempt.RunningSince
 	}
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -15,7 +15,7 @@
 func (sc *Scheduler) rankInput(job *cluster.Job) config.RankInput {
 	spec := &job.Spec
 	waited := max(0, sc.Clock.Wall()-job.Submitted)
-	estimate := sc.State.EstimateRuntime(job)
+	estimate := sc.State.Outcomes.EstimateRuntime(job)
 	in := config.RankInput{
 		Class:      spec.Class,
 		Team:       spec.Team,
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -60,7 +60,7 @@
 	if sc.Detector.AllReconciled() {
 		return places
 	}
-	for job := range sc.State.UnreconciledJobs() {
+	for job := range sc.State.Unreconciled.Jobs() {
 		if i, ok := places[job.Spec.Team]; ok {
 			team := &snapshot.Teams[i]
 			team.Used = team.Used.Plus(job.Spec.Request, job.UnreconciledTasks())
