--- /dev/null
+++ b/internal/reconciler/delivery.go
@@ -0,0 +1,60 @@
+package reconciler
+
+import (
+	"dunestand/internal/cluster"
+	"dunestand/internal/protocol"
+	"dunestand/internal/units"
+)
+
+// recordSentCommand notes the first command of a response, for checkDelivery.
+func recordSentCommand(m *cluster.Machine, commands []protocol.Command, key cluster.AttemptKey) {
+	if len(commands) == 1 {
+		m.LastCommand = cluster.SentCommand{Pending: true, Verb: commands[0].Verb, Key: key}
+	}
+}
+
+// checkDelivery works out from a newer heartbeat whether the last response with commands
+// reached the machine: all of a response's commands are carried out, or none. A machine that
+// received no response shows it by its incarnation: without one within its lease it would
+// have begun another.
+func (rc *Reconciler) checkDelivery(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
+	if m.UndeliveredCommands > 0 && heartbeat.Incarnation == m.Incarnation && now-m.UndeliveredAt > rc.Detector.WorkerLease() {
+		rc.Log.Info("machine reachable again", "machine", m.ID)
+		m.UndeliveredCommands = 0
+	}
+	if heartbeat.Incarnation != m.Incarnation {
+		m.UndeliveredAt = now
+	}
+	if !m.LastCommand.Pending {
+		return
+	}
+	m.LastCommand.Pending = false
+	if lastCommandCarriedOut(m, heartbeat) && heartbeat.Incarnation == m.Incarnation {
+		m.UndeliveredCommands = 0
+		return
+	}
+	m.UndeliveredAt = now
+	if m.UndeliveredCommands++; m.UndeliveredCommands == cluster.MaxUndeliveredCommands {
+		key := m.LastCommand.Key
+		rc.Log.Info("machine unresponsive to commands", "machine", m.ID, "task", protocol.TaskName(key.Job, key.Index),
+			"attempt", key.Number, "verb", m.LastCommand.Verb)
+	}
+}
+
+// lastCommandCarriedOut reports whether a heartbeat shows the effect of the last command that
+// was sent to its machine.
+func lastCommandCarriedOut(m *cluster.Machine, heartbeat *protocol.Heartbeat) bool {
+	present, live := false, false
+	for i := range heartbeat.Tasks {
+		if task := &heartbeat.Tasks[i]; attemptKey(task) == m.LastCommand.Key {
+			present, live = true, task.Stage == protocol.TaskFetching || task.Stage == protocol.TaskRunning
+		}
+	}
+	switch m.LastCommand.Verb {
+	case protocol.VerbStart:
+		return present
+	case protocol.VerbStop:
+		return !live
+	}
+	return !present
+}
