--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -151,7 +151,7 @@
 // CancellationConfirmed tells whether the user of a job may be told that it is cancelled, though
 // it is not over.
 func CancellationConfirmed(j *cluster.Job, w config.Workers) bool {
-	return j.CancelDurable && election.ConfirmsCancellationAtOnce(w)
+	return j.CancelDurable && election.ConfirmsCancellationWhenDurable(w)
 }
 
 // LiveJob tells a live job's state as it was read at readAt or later.
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -21,7 +21,7 @@
 // Elector holds or watches the fleet lease record.
 type Elector struct {
 	node   string
-	store  *kv.Client
+	client *kv.Client
 	clock  units.Clock
 	timing LeaseTiming
 	random *rand.Rand
@@ -36,7 +36,7 @@
 	mu            sync.Mutex
 	monitor       leaseMonitor
 	leading       bool
-	version       uint64
+	recordVersion uint64
 	token         uint64
 	validUntil    units.Micros
 	steppingDown  bool
@@ -51,7 +51,7 @@
 func NewElector(node string, store *kv.Client, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *Elector {
 	return &Elector{
 		node:       node,
-		store:      store,
+		client:     store,
 		clock:      clock,
 		timing:     timing,
 		random:     random,
@@ -133,7 +133,7 @@
 func (f *Elector) HandOver(wall units.Micros) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.leading || f.steppingDown || wall-f.handedOverAt < handOverInterval {
+	if !f.leading || f.steppingDown || wall-f.handedOverAt < minHandOverInterval {
 		return false
 	}
 	f.handedOverAt, f.steppingDown = wall, true
@@ -155,7 +155,7 @@
 			end = func() {}
 			pause = f.watch(ctx)
 			if f.holdsLease() {
-				end = startLeading(ctx, f.Token(), lead)
+				end = startLeader(ctx, f.Token(), lead)
 			}
 		}
 		select {
@@ -165,8 +165,8 @@
 	}
 }
 
-// startLeading runs lead and gives a function that ends it and waits for it.
-func startLeading(ctx context.Context, term uint64, lead func(ctx context.Context, term uint64)) func() {
+// startLeader runs lead and gives a function that ends it and waits for it.
+func startLeader(ctx context.Context, term uint64, lead func(ctx context.Context, term uint64)) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -206,7 +206,7 @@
 // it if no answer comes. It gives the version that now stands and whether the
 // record is the one written.
 func (f *Elector) compareAndSwap(ctx context.Context, rec storage.LeaseRecord, on uint64) (uint64, bool, error) {
-	rev, err := f.store.CompareAndSwap(ctx, protocol.Txn{
+	rev, err := f.client.CompareAndSwap(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.KeyLeaderLease, Version: on}},
 		Then: []protocol.Change{{Set: storage.KeyLeaderLease, Value: protocol.Encode(rec)}},
 	}, kv.Urgent, leaseCallTimeout)
@@ -217,7 +217,7 @@
 	case errors.As(err, &conflict), errors.Is(err, kv.ErrOutcomeUnknown):
 		// Either another node was faster, or an earlier save of ours that got
 		// no answer was carried out after all. The record tells.
-		now, version, rerr := f.read(ctx)
+		now, version, rerr := f.readRecord(ctx)
 		if rerr != nil {
 			return 0, false, rerr
 		}
@@ -226,9 +226,9 @@
 	return 0, false, err
 }
 
-func (f *Elector) read(ctx context.Context) (storage.LeaseRecord, uint64, error) {
+func (f *Elector) readRecord(ctx context.Context) (storage.LeaseRecord, uint64, error) {
 	var rec storage.LeaseRecord
-	item, ok, err := f.store.Get(ctx, storage.KeyLeaderLease, leaseCallTimeout)
+	item, ok, err := f.client.Get(ctx, storage.KeyLeaderLease, leaseCallTimeout)
 	if err != nil || !ok {
 		return rec, 0, err
 	}
@@ -249,7 +249,7 @@
 		Resigned:     f.steppingDown,
 		HandedOverAt: f.handedOverAt,
 	}
-	on, sent := f.version, f.clock.Steady()
+	on, sent := f.recordVersion, f.clock.Steady()
 	f.mu.Unlock()
 	version, ours, err := f.compareAndSwap(ctx, rec, on)
 	if err != nil {
@@ -262,9 +262,9 @@
 	defer f.mu.Unlock()
 	f.answeredAt = f.clock.Steady()
 	if ours {
-		f.version = version
+		f.recordVersion = version
 		if rec.Resigned {
-			f.leaseLost("resigned")
+			f.loseLease("resigned")
 			f.campaignAfter = f.clock.Steady() + max(2*f.timing.Duration, f.abstainFor)
 			f.abstainFor = 0
 			return f.timing.RenewEvery
@@ -272,26 +272,26 @@
 		f.validUntil = sent + f.timing.Duration
 		return f.timing.RenewEvery
 	}
-	return f.resolveOutcome(ctx, on, version)
+	return f.resolveConflict(ctx, on, version)
 }
 
-// resolveOutcome is called, locked, after a save that was not carried out or whose
+// resolveConflict is called, locked, after a save that was not carried out or whose
 // outcome is open.
-func (f *Elector) resolveOutcome(ctx context.Context, on, version uint64) units.Micros {
+func (f *Elector) resolveConflict(ctx context.Context, on, version uint64) units.Micros {
 	if version == on {
 		return leaseRetryDelay // not carried out yet; the next save decides
 	}
 	f.mu.Unlock()
-	rec, v, err := f.read(ctx)
+	rec, v, err := f.readRecord(ctx)
 	f.mu.Lock()
 	if err != nil {
 		return leaseRetryDelay
 	}
 	if rec.Holder == f.node && rec.Incarnation == f.token && f.isOwnWrite(rec.WriteID) {
-		f.version = v // an earlier save of ours, carried out late
+		f.recordVersion = v // an earlier save of ours, carried out late
 		return 0
 	}
-	f.leaseLost("claimed by " + rec.Holder)
+	f.loseLease("claimed by " + rec.Holder)
 	f.monitor.observe(rec, v, f.clock.Steady())
 	return 0
 }
@@ -300,7 +300,7 @@
 	return len(save) > len(f.nonce) && save[:len(f.nonce)] == f.nonce
 }
 
-func (f *Elector) leaseLost(why string) {
+func (f *Elector) loseLease(why string) {
 	f.log.Info("fleet lease lost", "term", f.token, "why", why)
 	f.leading, f.steppingDown, f.validUntil = false, false, 0
 	f.monitor = leaseMonitor{timing: f.timing}
@@ -308,7 +308,7 @@
 
 // watch reads the record once and claims it when that is due.
 func (f *Elector) watch(ctx context.Context) units.Micros {
-	rec, version, err := f.read(ctx)
+	rec, version, err := f.readRecord(ctx)
 	f.mu.Lock()
 	now := f.clock.Steady()
 	if err != nil {
@@ -321,12 +321,12 @@
 	}
 	f.answeredAt = now
 	f.monitor.observe(rec, version, now)
-	due := f.monitor.claimable(f.node, now) && now >= f.campaignAfter && (f.Eligible == nil || f.Eligible())
+	due := f.monitor.mayCampaign(f.node, now) && now >= f.campaignAfter && (f.Eligible == nil || f.Eligible())
 	rec, version, since := f.monitor.record, f.monitor.version, f.monitor.unchangedSince
 	f.mu.Unlock()
 	if !due {
 		// PollEvery more closely near the end, spread so that nodes do not race.
-		left := WithDrift(f.timing.Duration, f.timing.ClaimMargin) - (now - since)
+		left := WithDrift(f.timing.Duration, f.timing.CampaignMargin) - (now - since)
 		jitter := units.Micros(f.random.Int64N(int64(leasePollJitter)))
 		return max(minLeasePollInterval, min(f.timing.PollEvery, left)) + jitter
 	}
@@ -368,11 +368,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leading, f.steppingDown, f.token, f.version, f.handedOverAt = true, false, rec.Incarnation, now, rec.HandedOverAt
+	f.leading, f.steppingDown, f.token, f.recordVersion, f.handedOverAt = true, false, rec.Incarnation, now, rec.HandedOverAt
 	f.validUntil = sent + f.timing.Duration
 	f.log.Info("fleet lease claimed", "term", f.token, "from", old.Holder)
 	return f.timing.RenewEvery
 }
 
-// handOverInterval is the least time between two hand-overs, or the lease would be handed around in circles.
-const handOverInterval = 120 * units.Second
+// minHandOverInterval is the least time between two hand-overs, or the lease would be handed around in circles.
+const minHandOverInterval = 120 * units.Second
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -20,11 +20,11 @@
 	"dunestand/internal/units"
 )
 
-// leaseNode is one node's lease with a clock of its own, which starts
+// testController is one node's lease with a clock of its own, which starts
 // anywhere and runs up to 0.05% off.
-type leaseNode struct {
-	lease *Elector
-	clock *driftingClock
+type testController struct {
+	elector *Elector
+	clock   *driftingClock
 }
 
 type driftingClock struct {
@@ -38,7 +38,7 @@
 }
 func (c *driftingClock) Wall() units.Micros { return c.Steady() }
 
-func newLeaseNode(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
+func newTestElector(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
 	store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e6,
 		WriteRPS: 1e6,
@@ -47,11 +47,11 @@
 }
 
 // Step does what Run does between two pauses.
-func (n *leaseNode) step(ctx context.Context) {
-	if n.lease.holdsLease() {
-		n.lease.renew(ctx)
+func (n *testController) step(ctx context.Context) {
+	if n.elector.holdsLease() {
+		n.elector.renew(ctx)
 	} else {
-		n.lease.watch(ctx)
+		n.elector.watch(ctx)
 	}
 }
 
@@ -60,7 +60,7 @@
 // come late; and terms only go up. A process that is back at once, between its
 // claim and the outcome too, never goes on in a term of its former self: the
 // term must tell a worker's report to it from one to the other.
-func TestNeverTwoHolders(t *testing.T) {
+func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
 		state := standin.NewState()
@@ -72,11 +72,11 @@
 		server := httptest.NewServer(state)
 		defer server.Close()
 		truth := units.Second
-		var nodes []*leaseNode
+		var nodes []*testController
 		for i, name := range []string{"a", "b", "c"} {
 			clock := &driftingClock{truth: &truth, offset: units.Micros(i) * 1000 * units.Second,
 				rate: rapid.Int64Range(0, 500).Draw(t, "rate")}
-			nodes = append(nodes, &leaseNode{newLeaseNode(name, server, clock, uint64(i)), clock})
+			nodes = append(nodes, &testController{newTestElector(name, server, clock, uint64(i)), clock})
 		}
 		late := rapid.SliceOfN(rapid.IntRange(0, 3), 13, 13).Draw(t, "late")
 		state.Late = func(n int) bool { return late[n%13] == 0 }
@@ -88,7 +88,7 @@
 			truth += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
 			i := rapid.IntRange(0, 2).Draw(t, "node")
 			if rapid.IntRange(0, 7).Draw(t, "restart") == 0 {
-				nodes[i].lease = newLeaseNode(nodes[i].lease.node, server, nodes[i].clock, uint64(100+calls))
+				nodes[i].elector = newTestElector(nodes[i].elector.node, server, nodes[i].clock, uint64(100+calls))
 			}
 			nodes[i].step(ctx)
 			if step++; flush[step%17] == 0 {
@@ -96,16 +96,16 @@
 			}
 			holders := 0
 			for _, n := range nodes {
-				if term := n.lease.Token(); n.lease.Valid(term) {
+				if term := n.elector.Token(); n.elector.Valid(term) {
 					holders++
 					if term < top {
 						t.Fatalf("term %d holds after term %d", term, top)
 					}
 					top = term
-					if owner := owners[term]; owner != nil && owner != n.lease {
+					if owner := owners[term]; owner != nil && owner != n.elector {
 						t.Fatalf("term %d was another process's", term)
 					}
-					owners[term] = n.lease
+					owners[term] = n.elector
 				}
 			}
 			if holders > 1 {
@@ -115,44 +115,44 @@
 	})
 }
 
-func TestLeaseRules(t *testing.T) {
+func TestLeaseMonitorAllowsCampaign(t *testing.T) {
 	w := leaseMonitor{timing: TimingFor(10 * units.Second)}
-	due := WithDrift(w.timing.Duration, w.timing.ClaimMargin)
-	if w.claimable("me", 0) {
+	due := WithDrift(w.timing.Duration, w.timing.CampaignMargin)
+	if w.mayCampaign("me", 0) {
 		t.Fatal("claimable before anything was read")
 	}
 	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 5, 100)
-	if w.claimable("me", 100+due-1) || !w.claimable("me", 100+due) {
+	if w.mayCampaign("me", 100+due-1) || !w.mayCampaign("me", 100+due) {
 		t.Fatal("a foreign record is claimable when it was seen unchanged for the lease and its margin, and no sooner")
 	}
 	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 6, 100+due)
-	if w.claimable("me", 100+due) {
+	if w.mayCampaign("me", 100+due) {
 		t.Fatal("a renewal starts the wait anew")
 	}
 	// After an outage the holder goes first: it keeps its term, and nothing
 	// has to be settled anew.
 	w.observeFailure()
 	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 6, 100+3*due)
-	if w.claimable("me", 100+3*due) || !w.claimable("me", 100+3*due+units.Second) {
+	if w.mayCampaign("me", 100+3*due) || !w.mayCampaign("me", 100+3*due+units.Second) {
 		t.Fatal("no grace for the holder after an outage")
 	}
 	own := leaseMonitor{timing: w.timing}
 	own.observe(storage.LeaseRecord{Holder: "me", Incarnation: 4}, 9, 0)
-	if !own.claimable("me", 0) {
+	if !own.mayCampaign("me", 0) {
 		t.Fatal("a node's former process is dead; its lease is claimable at once")
 	}
 }
 
 // A lease that lapsed in an outage is renewed in the same term, if nobody
 // claimed it meanwhile.
-func TestExpiredLeaseIsRenewed(t *testing.T) {
+func TestExpiredLeaseIsRenewedWithSameToken(t *testing.T) {
 	state := standin.NewState()
 	down := false
 	state.Refuse = func(string, string) bool { return down }
 	server := httptest.NewServer(state)
 	defer server.Close()
 	truth := units.Second
-	f := newLeaseNode("a", server, &driftingClock{truth: &truth}, 1)
+	f := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
 	f.watch(t.Context())
 	term := f.Token()
 	if !f.Valid(term) {
@@ -183,14 +183,14 @@
 
 // A node that was cut off, ended, and came back still cut off must not take its
 // own lease again at once: it would hold it without hearing a worker.
-func TestUnconnectedNodeWaits(t *testing.T) {
+func TestDisconnectedControllerWaitsBeforeCampaign(t *testing.T) {
 	state := standin.NewState()
 	server := httptest.NewServer(state)
 	defer server.Close()
 	truth := units.Second
-	first := newLeaseNode("a", server, &driftingClock{truth: &truth}, 1)
+	first := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
 	first.watch(t.Context())
-	again := newLeaseNode("a", server, &driftingClock{truth: &truth}, 2)
+	again := newTestElector("a", server, &driftingClock{truth: &truth}, 2)
 	connected := false
 	again.Connected = func() bool { return connected }
 	again.watch(t.Context())
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -20,7 +20,7 @@
 
 // The lease is handed over once in a while at most, whoever holds it: the time
 // of the last hand-over goes with the record.
-func TestLeaseIsNotHandedOverRepeatedly(t *testing.T) {
+func TestHandOversAreSpaced(t *testing.T) {
 	clock := &standin.Clock{Now: 1000 * units.Second}
 	lease := holdingElector(1, clock)
 	if !lease.HandOver(clock.Now) || lease.Valid(1) {
@@ -28,7 +28,7 @@
 	}
 	next := holdingElector(2, clock)
 	next.handedOverAt = lease.handedOverAt // as read from the record
-	clock.Now += handOverInterval - units.Second
+	clock.Now += minHandOverInterval - units.Second
 	if next.HandOver(clock.Now) || !next.Valid(2) {
 		t.Error("handed over again at once")
 	}
--- a/internal/election/monitor.go
+++ b/internal/election/monitor.go
@@ -8,10 +8,10 @@
 
 // LeaseTiming is the pace of the fleet lease.
 type LeaseTiming struct {
-	Duration    units.Micros // counted by the holder from when a renewal was sent
-	RenewEvery  units.Micros
-	PollEvery   units.Micros
-	ClaimMargin units.Micros // a claimer waits this much longer than the length
+	Duration       units.Micros // counted by the holder from when a renewal was sent
+	RenewEvery     units.Micros
+	PollEvery      units.Micros
+	CampaignMargin units.Micros // a claimer waits this much longer than the length
 }
 
 // clockDriftPPM is how far apart two steady clocks can run, in millionths: each is
@@ -31,20 +31,20 @@
 // came in here, by any clock.
 func WorkerLeaseBound(w config.Workers) units.Micros { return WithDrift(w.Lease(), workerLeaseMargin) }
 
-// ConfirmsCancellationAtOnce tells whether a user may be told of a cancellation as soon as it is
+// ConfirmsCancellationWhenDurable tells whether a user may be told of a cancellation as soon as it is
 // durable. From then on every controller that prolongs a worker's lease knows of it:
 // the leader that stored it had noted it before, former ones have no lease any more,
 // and later ones answer no worker before they have read the records. So what no
 // command reaches ends with the worker's lease, and that must be within cancel_s.
 // Otherwise the user is told once nothing of the job is left on any machine.
-func ConfirmsCancellationAtOnce(w config.Workers) bool { return WorkerLeaseBound(w) <= w.Cancel() }
+func ConfirmsCancellationWhenDurable(w config.Workers) bool { return WorkerLeaseBound(w) <= w.Cancel() }
 
 // The pace of the fleet lease: its length is a share of the workers' lease within bounds.
 const (
 	minLeaseDuration  = 3 * units.Second
 	maxLeaseDuration  = 5 * units.Second
 	leasePollInterval = 400 * units.Millisecond
-	claimMargin       = 300 * units.Millisecond
+	campaignMargin    = 300 * units.Millisecond
 	// outageGrace is the time that a holder has to renew once an outage is over.
 	outageGrace = 800 * units.Millisecond
 	// A follower reads the record more often as its end comes near, no sooner than
@@ -60,10 +60,10 @@
 func TimingFor(workerLease units.Micros) LeaseTiming {
 	length := min(max(workerLease.Share(3, 10), minLeaseDuration), maxLeaseDuration)
 	return LeaseTiming{
-		Duration:    length,
-		RenewEvery:  length / 5,
-		PollEvery:   leasePollInterval,
-		ClaimMargin: claimMargin,
+		Duration:       length,
+		RenewEvery:     length / 5,
+		PollEvery:      leasePollInterval,
+		CampaignMargin: campaignMargin,
 	}
 }
 
@@ -93,15 +93,15 @@
 // observeFailure takes in a read that was not answered.
 func (w *leaseMonitor) observeFailure() { w.readFailed = true }
 
-// claimable tells whether the record may be claimed: there is none, its
+// mayCampaign tells whether the record may be claimed: there is none, its
 // holder gave it up or was this node's former process, or it has not changed
 // for the whole lease.
-func (w *leaseMonitor) claimable(self string, now units.Micros) bool {
+func (w *leaseMonitor) mayCampaign(self string, now units.Micros) bool {
 	switch {
 	case !w.seen || w.readFailed || now < w.graceUntil:
 		return false
 	case w.version == 0 || w.record.Resigned || w.record.Holder == self:
 		return true
 	}
-	return now-w.unchangedSince >= WithDrift(w.timing.Duration, w.timing.ClaimMargin)
+	return now-w.unchangedSince >= WithDrift(w.timing.Duration, w.timing.CampaignMargin)
 }
