--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,57 +1,68 @@
-// Package election decides who leads: it campaigns for the leader lease, a record in the
-// key-value store, by a compare-and-swap that raises its incarnation, and watches the lease
-// while another controller holds it. The incarnation is the fencing token of the leader.
+// Package election decides which controller leads. A controller campaigns for the leader
+// lease, a record in the key-value store, by a compare-and-swap that raises the record's
+// incarnation; the winner renews the record until it steps down or another controller has
+// won, and the others watch it. The incarnation is the leader's fencing token.
+//
+// No clocks of different machines are compared: a holder counts its lease from when it sent
+// the last renewal, and a follower campaigns only once it has itself seen the record unchanged
+// for the whole lease, a margin and the drift between two clocks.
 package election
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
-	"time"
 
 	"dunestand/internal/kv"
-	"dunestand/internal/protocol"
-	"dunestand/internal/storage"
+	"dunestand/internal/loop"
 	"dunestand/internal/units"
 )
 
-// Elector holds or watches the fleet lease record.
+// Elector holds the leader lease, or watches it and campaigns for it. Run does the work;
+// the other methods may be called concurrently with it and with each other.
 type Elector struct {
 	node   string
 	client *kv.Client
 	clock  units.Clock
 	timing LeaseTiming
-	random *rand.Rand
+	random *rand.Rand // used by Run alone
 	log    *slog.Logger
-	nonce  string
-	// Connected tells whether this node hears workers or other controllers.
-	// One that hears nobody lets the others claim first.
+	// nonce begins the id of every write of this process, so that it knows its own writes
+	// from those of a former process of the same controller.
+	nonce string
+
+	// Connected reports whether this controller hears workers or other controllers. One that
+	// hears nobody lets the others campaign first. It is set before Run, and must be safe for
+	// concurrent use.
 	Connected func() bool
-	// Eligible tells whether this node could lead at all.
+	// Eligible reports whether this controller could lead at all; nil means that it always
+	// could. It is set before Run, is called with the elector's lock held, and must not call
+	// the elector.
 	Eligible func() bool
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards what follows
 	monitor       leaseMonitor
 	leading       bool
-	recordVersion uint64
+	recordVersion uint64 // of the lease record, as this leader last wrote it
 	token         uint64
-	validUntil    units.Micros
-	steppingDown  bool
-	campaignAfter units.Micros
-	writes        uint64
+	validUntil    units.Micros // on this controller's steady clock
+	steppingDown  bool         // the next renewal resigns
+	campaignAfter units.Micros // steady time before which this controller does not campaign
 	abstainFor    units.Micros // once resigned, longer than usual
-	handedOverAt  units.Micros // as in the record
-	answeredAt    units.Micros // when the state service last answered a read or a renewal
+	handedOverAt  units.Micros // time of day of the last hand-over by any holder, as in the record
+	writes        uint64       // numbers the writes of this process
+	answeredAt    units.Micros // when the key-value store last answered a read or a renewal
 }
 
-// NewElector makes the lease of a node.
-func NewElector(node string, store *kv.Client, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *Elector {
+// NewElector returns the elector of a controller, which begins as a follower. node is the
+// controller's name; client should have connections of its own, so that a renewal does not
+// wait behind other requests.
+func NewElector(node string, client *kv.Client, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *Elector {
 	return &Elector{
 		node:       node,
-		client:     store,
+		client:     client,
 		clock:      clock,
 		timing:     timing,
 		random:     random,
@@ -63,115 +74,38 @@
 	}
 }
 
-// Valid tells whether this node surely holds the lease now, for the term.
-func (f *Elector) Valid(term uint64) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.leading && !f.steppingDown && f.token == term && f.clock.Steady() < f.validUntil
-}
-
-// LeaseDuration is for how long a renewal of the lease holds.
-func (f *Elector) LeaseDuration() units.Micros { return f.timing.Duration }
-
-// Remaining is how long the lease still holds, 0 if it does not.
-func (f *Elector) Remaining() units.Micros {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.leading || f.steppingDown {
-		return 0
-	}
-	return max(0, f.validUntil-f.clock.Steady())
-}
-
-// Leader names the node that holds the lease as far as this one knows.
-func (f *Elector) Leader() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.leading {
-		return f.node
-	}
-	if !f.monitor.seen || f.monitor.record.Resigned {
-		return ""
-	}
-	return f.monitor.record.Holder
-}
-
-// SeesRenewals tells whether another node surely led a moment ago: this node has
-// itself seen the holder renew the record within the lease.
-func (f *Elector) SeesRenewals() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return !f.leading && f.monitor.seen && !f.monitor.readFailed && !f.monitor.record.Resigned && f.monitor.version != 0 &&
-		f.clock.Steady()-f.monitor.unchangedSince < f.timing.Duration
-}
-
-// UnansweredFor is for how long the state service has answered neither a read nor
-// a renewal of the record.
-func (f *Elector) UnansweredFor() units.Micros {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.clock.Steady() - f.answeredAt
-}
-
-// StepDown gives the lease up, for a leader that could not do its work.
-func (f *Elector) StepDown() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.steppingDown = true
-}
-
-// Abstain gives the lease up for a node that cannot lead, and leaves it to the
-// others for a while.
-func (f *Elector) Abstain(d units.Micros) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.steppingDown, f.abstainFor = true, d
-}
-
-// HandOver gives the lease up for a node that has fallen behind, and tells
-// whether it did: not if any holder did so a short time ago.
-func (f *Elector) HandOver(wall units.Micros) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.leading || f.steppingDown || wall-f.handedOverAt < minHandOverInterval {
-		return false
-	}
-	f.handedOverAt, f.steppingDown = wall, true
-	return true
-}
-
-// Run keeps the lease or waits for it, until ctx ends. While a term lasts,
-// lead runs with a context that ends when the term is lost for good. A lease
-// that merely lapsed, with the record unchanged, is renewed in the same term.
-func (f *Elector) Run(ctx context.Context, lead func(ctx context.Context, term uint64)) {
-	end := func() {}
-	defer func() { end() }()
+// Run renews the lease while this controller leads, and watches it and campaigns while it
+// does not, until ctx ends. After each election won, lead runs with the fencing token and a
+// context that ends once the lease is lost for good; Run waits for it to return before it
+// campaigns again, and before it returns itself. A lease that only expired, with the record
+// unchanged, is renewed with the same token, and lead runs on.
+func (e *Elector) Run(ctx context.Context, lead func(ctx context.Context, token uint64)) {
+	stopLeader := func() {}
+	defer func() { stopLeader() }()
 	for ctx.Err() == nil {
 		var pause units.Micros
-		if f.holdsLease() {
-			pause = f.renew(ctx)
+		if e.holdsLease() {
+			pause = e.renew(ctx)
 		} else {
-			end()
-			end = func() {}
-			pause = f.watch(ctx)
-			if f.holdsLease() {
-				end = startLeader(ctx, f.Token(), lead)
+			stopLeader()
+			stopLeader = func() {}
+			pause = e.watch(ctx)
+			if e.holdsLease() {
+				stopLeader = startLeader(ctx, e.Token(), lead)
 			}
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(pause.Duration()):
-		}
+		loop.Sleep(ctx, pause)
 	}
 }
 
-// startLeader runs lead and gives a function that ends it and waits for it.
-func startLeader(ctx context.Context, term uint64, lead func(ctx context.Context, term uint64)) func() {
+// startLeader runs lead in a goroutine and returns a function that cancels it and waits for
+// it.
+func startLeader(ctx context.Context, token uint64, lead func(ctx context.Context, token uint64)) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		lead(ctx, term)
+		lead(ctx, token)
 	}()
 	return func() {
 		cancel()
@@ -179,200 +113,10 @@
 	}
 }
 
-// Token is the term that this node holds, if it does.
-func (f *Elector) Token() uint64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.token
-}
-
-func (f *Elector) holdsLease() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.leading
+// holdsLease reports whether this controller has won the last election, as far as it knows.
+// Its lease may have expired; Valid tells that.
+func (e *Elector) holdsLease() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.leading
 }
-
-func (f *Elector) nextWriteID() string {
-	f.writes++
-	return fmt.Sprintf("%s-%d", f.nonce, f.writes)
-}
-
-const (
-	leaseCallTimeout = 900 * units.Millisecond
-	leaseRetryDelay  = 150 * units.Millisecond
-)
-
-// compareAndSwap commits the lease record on a version, and finds out what became of
-// it if no answer comes. It gives the version that now stands and whether the
-// record is the one written.
-func (f *Elector) compareAndSwap(ctx context.Context, rec storage.LeaseRecord, on uint64) (uint64, bool, error) {
-	rev, err := f.client.CompareAndSwap(ctx, protocol.Txn{
-		If:   []protocol.Condition{{Key: storage.KeyLeaderLease, Version: on}},
-		Then: []protocol.Change{{Set: storage.KeyLeaderLease, Value: protocol.Encode(rec)}},
-	}, kv.Urgent, leaseCallTimeout)
-	var conflict *kv.VersionConflictError
-	switch {
-	case err == nil:
-		return rev, true, nil
-	case errors.As(err, &conflict), errors.Is(err, kv.ErrOutcomeUnknown):
-		// Either another node was faster, or an earlier save of ours that got
-		// no answer was carried out after all. The record tells.
-		now, version, rerr := f.readRecord(ctx)
-		if rerr != nil {
-			return 0, false, rerr
-		}
-		return version, now.WriteID == rec.WriteID, nil
-	}
-	return 0, false, err
-}
-
-func (f *Elector) readRecord(ctx context.Context) (storage.LeaseRecord, uint64, error) {
-	var rec storage.LeaseRecord
-	item, ok, err := f.client.Get(ctx, storage.KeyLeaderLease, leaseCallTimeout)
-	if err != nil || !ok {
-		return rec, 0, err
-	}
-	if err := protocol.Decode(item.Value, &rec); err != nil {
-		return rec, 0, fmt.Errorf("record %s: %w", storage.KeyLeaderLease, err)
-	}
-	return rec, item.Version, nil
-}
-
-// renew prolongs the lease by one save. The lease counts from when the save
-// was sent, since nobody can have seen it earlier.
-func (f *Elector) renew(ctx context.Context) units.Micros {
-	f.mu.Lock()
-	rec := storage.LeaseRecord{
-		Holder:       f.node,
-		Incarnation:  f.token,
-		WriteID:      f.nextWriteID(),
-		Resigned:     f.steppingDown,
-		HandedOverAt: f.handedOverAt,
-	}
-	on, sent := f.recordVersion, f.clock.Steady()
-	f.mu.Unlock()
-	version, ours, err := f.compareAndSwap(ctx, rec, on)
-	if err != nil {
-		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrOutcomeUnknown) {
-			f.log.Error("fleet lease not renewed", "term", rec.Incarnation, "error", err)
-		}
-		return leaseRetryDelay
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.answeredAt = f.clock.Steady()
-	if ours {
-		f.recordVersion = version
-		if rec.Resigned {
-			f.loseLease("resigned")
-			f.campaignAfter = f.clock.Steady() + max(2*f.timing.Duration, f.abstainFor)
-			f.abstainFor = 0
-			return f.timing.RenewEvery
-		}
-		f.validUntil = sent + f.timing.Duration
-		return f.timing.RenewEvery
-	}
-	return f.resolveConflict(ctx, on, version)
-}
-
-// resolveConflict is called, locked, after a save that was not carried out or whose
-// outcome is open.
-func (f *Elector) resolveConflict(ctx context.Context, on, version uint64) units.Micros {
-	if version == on {
-		return leaseRetryDelay // not carried out yet; the next save decides
-	}
-	f.mu.Unlock()
-	rec, v, err := f.readRecord(ctx)
-	f.mu.Lock()
-	if err != nil {
-		return leaseRetryDelay
-	}
-	if rec.Holder == f.node && rec.Incarnation == f.token && f.isOwnWrite(rec.WriteID) {
-		f.recordVersion = v // an earlier save of ours, carried out late
-		return 0
-	}
-	f.loseLease("claimed by " + rec.Holder)
-	f.monitor.observe(rec, v, f.clock.Steady())
-	return 0
-}
-
-func (f *Elector) isOwnWrite(save string) bool {
-	return len(save) > len(f.nonce) && save[:len(f.nonce)] == f.nonce
-}
-
-func (f *Elector) loseLease(why string) {
-	f.log.Info("fleet lease lost", "term", f.token, "why", why)
-	f.leading, f.steppingDown, f.validUntil = false, false, 0
-	f.monitor = leaseMonitor{timing: f.timing}
-}
-
-// watch reads the record once and claims it when that is due.
-func (f *Elector) watch(ctx context.Context) units.Micros {
-	rec, version, err := f.readRecord(ctx)
-	f.mu.Lock()
-	now := f.clock.Steady()
-	if err != nil {
-		f.monitor.observeFailure()
-		f.mu.Unlock()
-		if !errors.Is(err, kv.ErrRefused) && !errors.Is(err, kv.ErrOutcomeUnknown) {
-			f.log.Error("fleet lease not readable", "error", err)
-		}
-		return f.timing.PollEvery
-	}
-	f.answeredAt = now
-	f.monitor.observe(rec, version, now)
-	due := f.monitor.mayCampaign(f.node, now) && now >= f.campaignAfter && (f.Eligible == nil || f.Eligible())
-	rec, version, since := f.monitor.record, f.monitor.version, f.monitor.unchangedSince
-	f.mu.Unlock()
-	if !due {
-		// PollEvery more closely near the end, spread so that nodes do not race.
-		left := WithDrift(f.timing.Duration, f.timing.CampaignMargin) - (now - since)
-		jitter := units.Micros(f.random.Int64N(int64(leasePollJitter)))
-		return max(minLeasePollInterval, min(f.timing.PollEvery, left)) + jitter
-	}
-	// A node that hears nobody leaves the lease to the others for a while: it
-	// may be cut off, and could do nothing with it.
-	patience := 3 * f.timing.Duration
-	if rec.Holder == f.node {
-		patience = f.timing.Duration
-	}
-	if version != 0 && !f.Connected() && now-since < patience {
-		return leasePollJitter
-	}
-	return f.campaign(ctx, rec, version)
-}
-
-// ObserveRecord notes what a read of the lease record showed just now.
-func (f *Elector) ObserveRecord(record storage.LeaseRecord, version uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.answeredAt = f.clock.Steady()
-	f.monitor.observe(record, version, f.answeredAt)
-}
-
-// campaign takes the record over by a conditional save that raises the
-// incarnation by one.
-func (f *Elector) campaign(ctx context.Context, old storage.LeaseRecord, version uint64) units.Micros {
-	f.mu.Lock()
-	rec := storage.LeaseRecord{
-		Holder:       f.node,
-		Incarnation:  old.Incarnation + 1,
-		WriteID:      f.nextWriteID(),
-		HandedOverAt: old.HandedOverAt,
-	}
-	sent := f.clock.Steady()
-	f.mu.Unlock()
-	now, ours, err := f.compareAndSwap(ctx, rec, version)
-	if err != nil || !ours {
-		return leaseRetryDelay
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.leading, f.steppingDown, f.token, f.recordVersion, f.handedOverAt = true, false, rec.Incarnation, now, rec.HandedOverAt
-	f.validUntil = sent + f.timing.Duration
-	f.log.Info("fleet lease claimed", "term", f.token, "from", old.Holder)
-	return f.timing.RenewEvery
-}
-
-// minHandOverInterval is the least time between two hand-overs, or the lease would be handed around in circles.
-const minHandOverInterval = 120 * units.Second
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -20,13 +20,14 @@
 	"dunestand/internal/units"
 )
 
-// testController is one node's lease with a clock of its own, which starts
-// anywhere and runs up to 0.05% off.
+// testController is one controller's elector with a clock of its own, which starts anywhere
+// and runs up to 0.05% off.
 type testController struct {
 	elector *Elector
 	clock   *driftingClock
 }
 
+// driftingClock follows the true time at an offset and a rate of its own.
 type driftingClock struct {
 	truth  *units.Micros
 	offset units.Micros
@@ -38,6 +39,8 @@
 }
 func (c *driftingClock) Wall() units.Micros { return c.Steady() }
 
+// newTestElector returns the elector of a controller, or of a further process of it with
+// another seed, on a fake key-value store.
 func newTestElector(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
 	store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e6,
@@ -46,23 +49,23 @@
 	return NewElector(name, store, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(7, seed)), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// Step does what Run does between two pauses.
-func (n *testController) step(ctx context.Context) {
-	if n.elector.holdsLease() {
-		n.elector.renew(ctx)
+// step does what Run does between two pauses.
+func (c *testController) step(ctx context.Context) {
+	if c.elector.holdsLease() {
+		c.elector.renew(ctx)
 	} else {
-		n.elector.watch(ctx)
+		c.elector.watch(ctx)
 	}
 }
 
-// At no moment do two nodes hold the lease, whatever the nodes' clocks, their
-// pauses, the state service's outages, and commits without an answer or that
-// come late; and terms only go up. A process that is back at once, between its
-// claim and the outcome too, never goes on in a term of its former self: the
-// term must tell a worker's report to it from one to the other.
+// At no moment do two controllers hold the lease, whatever their clocks, their pauses, the
+// key-value store's outages, and writes without an answer or that are carried out late; and
+// fencing tokens only rise. A process that is back at once, also between its campaign and the
+// outcome, never goes on with a token of its former process: the token must tell a worker's
+// heartbeat to the one from a heartbeat to the other.
 func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ctx := context.Background()
+		ctx := t.Context()
 		state := standin.NewState()
 		refuse := rapid.SliceOfN(rapid.Bool(), 7, 7).Draw(t, "refuse")
 		silent := rapid.SliceOfN(rapid.Bool(), 11, 11).Draw(t, "silent")
@@ -72,11 +75,11 @@
 		server := httptest.NewServer(state)
 		defer server.Close()
 		truth := units.Second
-		var nodes []*testController
+		var controllers []*testController
 		for i, name := range []string{"a", "b", "c"} {
 			clock := &driftingClock{truth: &truth, offset: units.Micros(i) * 1000 * units.Second,
 				rate: rapid.Int64Range(0, 500).Draw(t, "rate")}
-			nodes = append(nodes, &testController{newTestElector(name, server, clock, uint64(i)), clock})
+			controllers = append(controllers, &testController{newTestElector(name, server, clock, uint64(i)), clock})
 		}
 		late := rapid.SliceOfN(rapid.IntRange(0, 3), 13, 13).Draw(t, "late")
 		state.Late = func(n int) bool { return late[n%13] == 0 }
@@ -88,63 +91,35 @@
 			truth += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
 			i := rapid.IntRange(0, 2).Draw(t, "node")
 			if rapid.IntRange(0, 7).Draw(t, "restart") == 0 {
-				nodes[i].elector = newTestElector(nodes[i].elector.node, server, nodes[i].clock, uint64(100+calls))
+				controllers[i].elector = newTestElector(controllers[i].elector.node, server, controllers[i].clock, uint64(100+calls))
 			}
-			nodes[i].step(ctx)
+			controllers[i].step(ctx)
 			if step++; flush[step%17] == 0 {
 				state.Flush()
 			}
 			holders := 0
-			for _, n := range nodes {
-				if term := n.elector.Token(); n.elector.Valid(term) {
+			for _, c := range controllers {
+				if token := c.elector.Token(); c.elector.Valid(token) {
 					holders++
-					if term < top {
-						t.Fatalf("term %d holds after term %d", term, top)
+					if token < top {
+						t.Fatalf("token %d is valid after token %d", token, top)
 					}
-					top = term
-					if owner := owners[term]; owner != nil && owner != n.elector {
-						t.Fatalf("term %d was another process's", term)
+					top = token
+					if owner := owners[token]; owner != nil && owner != c.elector {
+						t.Fatalf("token %d was another process's", token)
 					}
-					owners[term] = n.elector
+					owners[token] = c.elector
 				}
 			}
 			if holders > 1 {
-				t.Fatal("two nodes hold the lease")
+				t.Fatal("two controllers hold the lease")
 			}
 		}
 	})
 }
 
-func TestLeaseMonitorAllowsCampaign(t *testing.T) {
-	w := leaseMonitor{timing: TimingFor(10 * units.Second)}
-	due := WithDrift(w.timing.Duration, w.timing.CampaignMargin)
-	if w.mayCampaign("me", 0) {
-		t.Fatal("claimable before anything was read")
-	}
-	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 5, 100)
-	if w.mayCampaign("me", 100+due-1) || !w.mayCampaign("me", 100+due) {
-		t.Fatal("a foreign record is claimable when it was seen unchanged for the lease and its margin, and no sooner")
-	}
-	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 6, 100+due)
-	if w.mayCampaign("me", 100+due) {
-		t.Fatal("a renewal starts the wait anew")
-	}
-	// After an outage the holder goes first: it keeps its term, and nothing
-	// has to be settled anew.
-	w.observeFailure()
-	w.observe(storage.LeaseRecord{Holder: "other", Incarnation: 1}, 6, 100+3*due)
-	if w.mayCampaign("me", 100+3*due) || !w.mayCampaign("me", 100+3*due+units.Second) {
-		t.Fatal("no grace for the holder after an outage")
-	}
-	own := leaseMonitor{timing: w.timing}
-	own.observe(storage.LeaseRecord{Holder: "me", Incarnation: 4}, 9, 0)
-	if !own.mayCampaign("me", 0) {
-		t.Fatal("a node's former process is dead; its lease is claimable at once")
-	}
-}
-
-// A lease that lapsed in an outage is renewed in the same term, if nobody
-// claimed it meanwhile.
+// A lease that expired in an outage is renewed with the same token, if nobody else acquired
+// it meanwhile.
 func TestExpiredLeaseIsRenewedWithSameToken(t *testing.T) {
 	state := standin.NewState()
 	down := false
@@ -152,37 +127,37 @@
 	server := httptest.NewServer(state)
 	defer server.Close()
 	truth := units.Second
-	f := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
-	f.watch(t.Context())
-	term := f.Token()
-	if !f.Valid(term) {
-		t.Fatal("not claimed")
+	elector := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
+	elector.watch(t.Context())
+	token := elector.Token()
+	if !elector.Valid(token) {
+		t.Fatal("not acquired")
 	}
 	down = true
 	truth += 20 * units.Second
-	f.renew(t.Context())
-	if f.Valid(term) {
+	elector.renew(t.Context())
+	if elector.Valid(token) {
 		t.Fatal("still valid after the outage outlasted it")
 	}
 	down = false
-	f.renew(t.Context())
-	if !f.Valid(term) {
-		t.Fatal("not renewed in its term")
+	elector.renew(t.Context())
+	if !elector.Valid(token) {
+		t.Fatal("not renewed with its token")
 	}
-	f.StepDown()
-	if f.Valid(term) {
-		t.Fatal("valid though it is being given up")
+	elector.StepDown()
+	if elector.Valid(token) {
+		t.Fatal("valid though the leader steps down")
 	}
-	f.renew(t.Context())
-	var rec storage.LeaseRecord
+	elector.renew(t.Context())
+	var record storage.LeaseRecord
 	item, _ := state.Get(storage.KeyLeaderLease)
-	if err := protocol.Decode(item.Value, &rec); err != nil || !rec.Resigned {
-		t.Fatalf("record %+v, %v: not given up", rec, err)
+	if err := protocol.Decode(item.Value, &record); err != nil || !record.Resigned {
+		t.Fatalf("record %+v, %v: not resigned", record, err)
 	}
 }
 
-// A node that was cut off, ended, and came back still cut off must not take its
-// own lease again at once: it would hold it without hearing a worker.
+// A controller that was cut off, ended, and came back still cut off must not acquire its own
+// lease again at once: it would hold it without hearing a worker.
 func TestDisconnectedControllerWaitsBeforeCampaign(t *testing.T) {
 	state := standin.NewState()
 	server := httptest.NewServer(state)
@@ -195,11 +170,11 @@
 	again.Connected = func() bool { return connected }
 	again.watch(t.Context())
 	if again.holdsLease() {
-		t.Fatal("claimed while it hears nobody")
+		t.Fatal("acquired while it hears nobody")
 	}
 	connected = true
 	again.watch(t.Context())
 	if !again.holdsLease() || again.Token() != 2 {
-		t.Fatal("not claimed though it hears others")
+		t.Fatal("not acquired though it hears others")
 	}
 }
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-// holdingElector is an elector that holds the lease.
+// holdingElector returns an elector that holds the lease.
 func holdingElector(token uint64, clock units.Clock) *Elector {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	e := NewElector("n", nil, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(1, token)), log)
@@ -18,8 +18,8 @@
 	return e
 }
 
-// The lease is handed over once in a while at most, whoever holds it: the time
-// of the last hand-over goes with the record.
+// The lease is handed over at most once in minHandOverInterval, whoever holds it: the time of
+// the last hand-over goes with the record.
 func TestHandOversAreSpaced(t *testing.T) {
 	clock := &standin.Clock{Now: 1000 * units.Second}
 	lease := holdingElector(1, clock)
--- a/internal/election/monitor.go
+++ b/internal/election/monitor.go
@@ -1,107 +1,45 @@
 package election
 
 import (
-	"dunestand/internal/config"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// LeaseTiming is the pace of the fleet lease.
-type LeaseTiming struct {
-	Duration       units.Micros // counted by the holder from when a renewal was sent
-	RenewEvery     units.Micros
-	PollEvery      units.Micros
-	CampaignMargin units.Micros // a claimer waits this much longer than the length
-}
-
-// clockDriftPPM is how far apart two steady clocks can run, in millionths: each is
-// off by up to 0.05%.
-const clockDriftPPM = 1000
-
-// WithDrift is how long to wait by our clock so that a length has passed by
-// any other.
-func WithDrift(length, margin units.Micros) units.Micros {
-	return length + length*clockDriftPPM/1_000_000 + margin
-}
-
-// workerLeaseMargin covers what a report and its answer take on their way.
-const workerLeaseMargin = 500 * units.Millisecond
-
-// WorkerLeaseBound is how long a machine's tasks may go on after its last answered report
-// came in here, by any clock.
-func WorkerLeaseBound(w config.Workers) units.Micros { return WithDrift(w.Lease(), workerLeaseMargin) }
-
-// ConfirmsCancellationWhenDurable tells whether a user may be told of a cancellation as soon as it is
-// durable. From then on every controller that prolongs a worker's lease knows of it:
-// the leader that stored it had noted it before, former ones have no lease any more,
-// and later ones answer no worker before they have read the records. So what no
-// command reaches ends with the worker's lease, and that must be within cancel_s.
-// Otherwise the user is told once nothing of the job is left on any machine.
-func ConfirmsCancellationWhenDurable(w config.Workers) bool { return WorkerLeaseBound(w) <= w.Cancel() }
-
-// The pace of the fleet lease: its length is a share of the workers' lease within bounds.
-const (
-	minLeaseDuration  = 3 * units.Second
-	maxLeaseDuration  = 5 * units.Second
-	leasePollInterval = 400 * units.Millisecond
-	campaignMargin    = 300 * units.Millisecond
-	// outageGrace is the time that a holder has to renew once an outage is over.
-	outageGrace = 800 * units.Millisecond
-	// A follower reads the record more often as its end comes near, no sooner than
-	// minLeasePollInterval, and spread over leasePollJitter so that nodes do not race.
-	minLeasePollInterval = 20 * units.Millisecond
-	leasePollJitter      = 100 * units.Millisecond
-)
-
-// TimingFor chooses the lease's pace. A leader's loss costs the lease and the
-// workers' way to its successor, all within the workers' own lease; a longer
-// fleet lease only helps through outages of the state service, which the
-// workers' lease bridges too.
-func TimingFor(workerLease units.Micros) LeaseTiming {
-	length := min(max(workerLease.Share(3, 10), minLeaseDuration), maxLeaseDuration)
-	return LeaseTiming{
-		Duration:       length,
-		RenewEvery:     length / 5,
-		PollEvery:      leasePollInterval,
-		CampaignMargin: campaignMargin,
-	}
-}
-
-// leaseMonitor is a follower's view of the fleet lease record. It never compares
-// clocks of different machines: what counts is for how long this node itself
-// has seen the record unchanged.
+// leaseMonitor is a follower's view of the leader lease record. It has no clock and does no
+// I/O: reads are passed to it with their times. It never compares clocks of different
+// machines: what counts is for how long this controller itself has seen the record unchanged.
 type leaseMonitor struct {
 	timing         LeaseTiming
 	record         storage.LeaseRecord
 	version        uint64
-	seen           bool
+	seen           bool         // a read was answered
 	unchangedSince units.Micros // when this version was first seen
-	graceUntil     units.Micros // after an outage the holder may go first
+	graceUntil     units.Micros // after an outage the holder may renew first
 	readFailed     bool         // the last read failed
 }
 
-// observe takes in a read that was answered at now.
-func (w *leaseMonitor) observe(record storage.LeaseRecord, version uint64, now units.Micros) {
-	if w.readFailed {
-		w.readFailed, w.graceUntil = false, now+outageGrace
+// observe notes a read of the record that was answered at now.
+func (m *leaseMonitor) observe(record storage.LeaseRecord, version uint64, now units.Micros) {
+	if m.readFailed {
+		m.readFailed, m.graceUntil = false, now+outageGrace
 	}
-	if !w.seen || version != w.version {
-		w.seen, w.record, w.version, w.unchangedSince = true, record, version, now
+	if !m.seen || version != m.version {
+		m.seen, m.record, m.version, m.unchangedSince = true, record, version, now
 	}
 }
 
-// observeFailure takes in a read that was not answered.
-func (w *leaseMonitor) observeFailure() { w.readFailed = true }
+// observeFailure notes a read that failed.
+func (m *leaseMonitor) observeFailure() { m.readFailed = true }
 
-// mayCampaign tells whether the record may be claimed: there is none, its
-// holder gave it up or was this node's former process, or it has not changed
+// mayCampaign reports whether the lease is free for a controller: there is no record, its
+// holder resigned or was a former process of this controller, or the record has not changed
 // for the whole lease.
-func (w *leaseMonitor) mayCampaign(self string, now units.Micros) bool {
+func (m *leaseMonitor) mayCampaign(self string, now units.Micros) bool {
 	switch {
-	case !w.seen || w.readFailed || now < w.graceUntil:
+	case !m.seen || m.readFailed || now < m.graceUntil:
 		return false
-	case w.version == 0 || w.record.Resigned || w.record.Holder == self:
+	case m.version == 0 || m.record.Resigned || m.record.Holder == self:
 		return true
 	}
-	return now-w.unchangedSince >= WithDrift(w.timing.Duration, w.timing.CampaignMargin)
+	return now-m.unchangedSince >= WithDrift(m.timing.Duration, m.timing.CampaignMargin)
 }
