--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// restoredPersister returns a persister that has restored what a fake store holds.
-func restoredPersister(t *testing.T, server *standin.State, token uint64) (*Persister, *standin.Clock) {
+// newRestoredPersister returns a persister that has restored what a fake store holds.
+func newRestoredPersister(t *testing.T, server *standin.State, token uint64) (*Persister, *standin.Clock) {
 	t.Helper()
 	clock := &standin.Clock{Now: units.Second}
 	p := newTestPersister(newTestClient(t, server, clock), clock, token, persisterLimits)
--- a/internal/persister/pendingwatcher_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -12,8 +12,8 @@
 	"dunestand/internal/units"
 )
 
-// arrives puts a job into the inbox, as another controller does.
-func arrives(t *testing.T, s *standin.State, id string) {
+// acceptWithoutLeader puts a job into the inbox, as another controller does.
+func acceptWithoutLeader(t *testing.T, s *standin.State, id string) {
 	t.Helper()
 	if _, ok := s.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: testSpec(id)})); !ok {
 		t.Fatalf("%s is not taken into the inbox", id)
@@ -22,9 +22,9 @@
 
 // After a burst the inbox held hundreds of jobs, and reading them all each second took
 // much of the leader's processor. Each job is read once, unless something went wrong.
-func TestPendingQueueIsReadByItsChanges(t *testing.T) {
+func TestPendingQueueIsReadIncrementally(t *testing.T) {
 	s := standin.NewState()
-	p, clock := restoredPersister(t, s, 1)
+	p, clock := newRestoredPersister(t, s, 1)
 	var watch pendingWatcher
 	expect := func(what string, want ...string) {
 		t.Helper()
@@ -41,11 +41,11 @@
 		}
 	}
 	first, second, third := storage.KeyPending("j-000001"), storage.KeyPending("j-000002"), storage.KeyPending("j-000003")
-	arrives(t, s, "j-000001")
+	acceptWithoutLeader(t, s, "j-000001")
 	expect("at first", first)
 	expect("nothing new")
-	arrives(t, s, "j-000002")
-	arrives(t, s, "j-000003")
+	acceptWithoutLeader(t, s, "j-000002")
+	acceptWithoutLeader(t, s, "j-000003")
 	s.Apply(protocol.Txn{Then: []protocol.Change{{Delete: second}}})
 	expect("one came and went, one came", third)
 	s.Put("other/key", protocol.Encode("x"))
@@ -57,7 +57,7 @@
 	expect("once in a while", first, third)
 	ended, end := context.WithCancel(t.Context())
 	end()
-	arrives(t, s, "j-000004")
+	acceptWithoutLeader(t, s, "j-000004")
 	if items, err := watch.next(ended, p.Ingester); err == nil {
 		t.Fatalf("without an answer: %v", items)
 	}
@@ -66,11 +66,11 @@
 
 // A job that is over is taken out of the inbox, though only the save that would have
 // accepted it once more tells so.
-func TestPendingQueueOfFinishedJobsIsCleared(t *testing.T) {
+func TestFinishedJobIsRemovedFromPendingQueue(t *testing.T) {
 	s := standin.NewState()
-	p, clock := restoredPersister(t, s, 1)
+	p, clock := newRestoredPersister(t, s, 1)
 	over := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
-	arrives(t, s, "j-000001")
+	acceptWithoutLeader(t, s, "j-000001")
 	s.Put(storage.KeyTerminal("j-000001"), protocol.Encode(over))
 	var watch pendingWatcher
 	for range 2 {
--- a/internal/persister/persister.go
+++ b/internal/persister/persister.go
@@ -21,9 +21,9 @@
 	"dunestand/internal/units"
 )
 
-// PlanConflicts is told when a batch met another version of the admission plan than the one
+// PlanConflictHandler is told when a batch met another version of the admission plan than the one
 // that its new jobs were accepted by.
-type PlanConflicts interface {
+type PlanConflictHandler interface {
 	// Reconsider decides again about the jobs that are not accepted yet. It needs the lock
 	// of the state held.
 	Reconsider()
@@ -37,7 +37,7 @@
 	Leadership  election.Leadership
 	Ingester    *Ingester
 	Terminals   *TerminalJobs
-	Admission   PlanConflicts
+	Admission   PlanConflictHandler
 	OnCatalog   func(versions map[string]uint64)
 	Settings    *config.Settings
 	KV          *kv.Client
@@ -84,10 +84,10 @@
 	coalesceBackground      = units.Second            // changes nobody waits for are gathered so long
 	coalesceUrgent          = 2 * units.Millisecond   // submissions that come together are saved together
 	backgroundWriteInterval = 200 * units.Millisecond // for the changes nobody waits for
-	// maxBatchWait bounds for how many changes the rate of writes must have room before a
+	// minChangesPerBatch bounds for how many changes the rate of writes must have room before a
 	// save is built. Fewer would be many small transactions; more would let what comes
 	// meanwhile wait longer.
-	maxBatchWait = 4
+	minChangesPerBatch = 4
 	// writeBudgetRetry is until the rate is looked at again.
 	writeBudgetRetry = 50 * units.Millisecond
 )
@@ -109,7 +109,7 @@
 		}
 		tick = backgroundWriteInterval
 		for {
-			if p.KV.WritesAvailable() < p.minBatchChanges() {
+			if p.KV.WritesAvailable() < p.minChangesPerBatch() {
 				tick = writeBudgetRetry
 				break
 			}
@@ -130,10 +130,10 @@
 	}
 }
 
-// minBatchChanges is for how many changes the rate of writes must have room before a save is
+// minChangesPerBatch is for how many changes the rate of writes must have room before a save is
 // built.
-func (p *Persister) minBatchChanges() int {
-	return min(maxBatchWait, p.Settings.Fleet.State.Both().TxnOps)
+func (p *Persister) minChangesPerBatch() int {
+	return min(minChangesPerBatch, p.Settings.Fleet.State.Both().TxnOps)
 }
 
 // nextBatch builds the next save if one may be sent now, and counts its writes. It is built
@@ -150,7 +150,7 @@
 	s := p.State.BuildWriteBatch(p.NextWriteID(), p.bucketVersions, cluster.BatchLimits{
 		CoalesceFor: coalesceBackground,
 		Background:  p.KV.HasWriteBudget(),
-		MaxChanges:  max(p.minBatchChanges(), p.KV.WritesAvailable()),
+		MaxChanges:  max(p.minChangesPerBatch(), p.KV.WritesAvailable()),
 	}, now)
 	if s == nil {
 		return nil
@@ -293,7 +293,7 @@
 			return
 		}
 		for {
-			f, ok, err := p.Terminals.readTerminal(ctx, id)
+			f, ok, err := p.Terminals.read(ctx, id)
 			if err == nil {
 				if ok {
 					over[id] = f
--- a/internal/persister/persister_test.go
+++ b/internal/persister/persister_test.go
@@ -13,8 +13,8 @@
 	"dunestand/internal/units"
 )
 
-// pacedPersister is a restored persister whose share of the writes is small and used up.
-func pacedPersister(t *testing.T) *Persister {
+// newPacedPersister is a restored persister whose share of the writes is small and used up.
+func newPacedPersister(t *testing.T) *Persister {
 	t.Helper()
 	limits := config.State{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
 	clock := &standin.Clock{Now: units.Second}
@@ -30,8 +30,8 @@
 // Saves that had been built waited for the rate of writes, three in a row, and users whose
 // jobs came meanwhile waited behind them: for 1.3 s, and the controller that had passed the
 // job on accepted it a second time. What waits for the rate is not built yet.
-func TestBatchesAreBuiltOnceTheWriteRateHasRoom(t *testing.T) {
-	p := pacedPersister(t)
+func TestBatchIsBuiltOnceWriteBudgetAllows(t *testing.T) {
+	p := newPacedPersister(t)
 	machine := p.State.EnsureMachine("i-000001", "m", "a", true, 0)
 	for i := range 30 {
 		spec := testSpec("j-0000" + string(rune('0'+i/10)) + string(rune('0'+i%10)))
@@ -40,16 +40,16 @@
 		p.State.BatchCommitted(save, uint64(i+1))
 		p.State.Assign(job, machine, uint64(i+1), units.Second)
 	}
-	awaitWrites(t, p, maxBatchWait)
+	awaitWrites(t, p, minChangesPerBatch)
 	p.State.NewJob(testSpec("j-900001"), p.Clock.Wall(), p.Clock.Steady())
 	save := p.nextBatch()
 	if save == nil {
 		t.Fatal("nothing is saved though there is room")
 	}
-	if jobs := save.JobIDs(); jobs[0] != "j-900001" || len(jobs) > 2*maxBatchWait {
+	if jobs := save.JobIDs(); jobs[0] != "j-900001" || len(jobs) > 2*minChangesPerBatch {
 		t.Errorf("saved %s, want few jobs and the one whose user waits first", strings.Join(jobs, " "))
 	}
-	if left := p.KV.WritesAvailable(); left >= maxBatchWait {
+	if left := p.KV.WritesAvailable(); left >= minChangesPerBatch {
 		t.Errorf("%d writes are still available: the save was not counted", left)
 	}
 }
--- a/internal/persister/restore.go
+++ b/internal/persister/restore.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	jobs, orphans, err := p.readJobs(ctx)
-	if errors.Is(err, errUnreadableRecord) {
+	if errors.Is(err, errJobsUnreadable) {
 		// Leader without such a job would forget it. Another node may be of a
 		// version that reads it; if none is, nobody leads until an operator has
 		// looked.
@@ -57,8 +57,8 @@
 	return true
 }
 
-// errUnreadableRecord says that a record cannot be read by this version.
-var errUnreadableRecord = errors.New("unreadable")
+// errJobsUnreadable says that a record cannot be read by this version.
+var errJobsUnreadable = errors.New("unreadable")
 
 // readJobs reads all live jobs, and what is left over of jobs that are over, by job.
 func (p *Persister) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
@@ -68,15 +68,15 @@
 	}
 	jobs, orphans, err = cluster.ParseJobs(rows)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: %w", errUnreadableRecord, err)
+		return nil, nil, fmt.Errorf("%w: %w", errJobsUnreadable, err)
 	}
 	for _, id := range sorted.Keys(orphans) {
-		_, over, err := p.Terminals.readTerminal(ctx, id)
+		_, over, err := p.Terminals.read(ctx, id)
 		if err != nil {
 			return nil, nil, err
 		}
 		if !over {
-			return nil, nil, fmt.Errorf("%w: record %s: belongs to no job", errUnreadableRecord, orphans[id][0])
+			return nil, nil, fmt.Errorf("%w: record %s: belongs to no job", errJobsUnreadable, orphans[id][0])
 		}
 	}
 	return jobs, orphans, nil
@@ -139,7 +139,7 @@
 				return fmt.Errorf("record %s: %w", key, err)
 			}
 		}
-		if ok && p.isOwn(head) {
+		if ok && p.isOwnClaim(head) {
 			p.bucketVersions[b] = item.Version // by an earlier try that got no answer
 			continue
 		}
@@ -166,6 +166,6 @@
 }
 
 // isOwnWrite tells whether a bucket's head was claimed in this very term.
-func (p *Persister) isOwn(head storage.LeaseRecord) bool {
+func (p *Persister) isOwnClaim(head storage.LeaseRecord) bool {
 	return head.Holder == p.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
 }
--- a/internal/persister/terminal.go
+++ b/internal/persister/terminal.go
@@ -17,18 +17,18 @@
 // TerminalJobs finds the terminal states of jobs: those asked about last in memory, the
 // others in the key-value store.
 type TerminalJobs struct {
-	state *cluster.State
-	kv    *kv.Client
+	state  *cluster.State
+	client *kv.Client
 
 	cache *terminalCache // guarded by the lock of state
 }
 
 func NewTerminalJobs(state *cluster.State, client *kv.Client) *TerminalJobs {
-	return &TerminalJobs{state: state, kv: client, cache: newTerminalCache(terminalCacheSize)}
+	return &TerminalJobs{state: state, client: client, cache: newTerminalCache(terminalCacheSize)}
 }
 
-func (tj *TerminalJobs) readTerminal(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
-	return ReadTerminal(ctx, tj.kv, id)
+func (tj *TerminalJobs) read(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
+	return ReadTerminal(ctx, tj.client, id)
 }
 
 // terminalReadTimeout bounds the read of a final record. A user waits for it, for 2 s in all.
@@ -51,26 +51,26 @@
 // terminalCache keeps the final states of the jobs asked about last, with a
 // bound on their number.
 type terminalCache struct {
-	maxEntries   int
-	older, newer map[string]storage.StoredTerminalRecord
+	maxEntries       int
+	previous, recent map[string]storage.StoredTerminalRecord
 }
 
 func newTerminalCache(most int) *terminalCache {
-	return &terminalCache{maxEntries: most, older: map[string]storage.StoredTerminalRecord{}, newer: map[string]storage.StoredTerminalRecord{}}
+	return &terminalCache{maxEntries: most, previous: map[string]storage.StoredTerminalRecord{}, recent: map[string]storage.StoredTerminalRecord{}}
 }
 
 func (c *terminalCache) put(id string, f storage.StoredTerminalRecord) {
-	if len(c.newer) >= c.maxEntries/2 {
-		c.older, c.newer = c.newer, map[string]storage.StoredTerminalRecord{}
+	if len(c.recent) >= c.maxEntries/2 {
+		c.previous, c.recent = c.recent, map[string]storage.StoredTerminalRecord{}
 	}
-	c.newer[id] = f
+	c.recent[id] = f
 }
 
 func (c *terminalCache) get(id string) (storage.StoredTerminalRecord, bool) {
-	if f, ok := c.newer[id]; ok {
+	if f, ok := c.recent[id]; ok {
 		return f, true
 	}
-	f, ok := c.older[id]
+	f, ok := c.previous[id]
 	if ok {
 		c.put(id, f)
 	}
@@ -85,10 +85,10 @@
 	if ok {
 		return f, true, nil
 	}
-	if !tj.kv.HasRequestBudget() {
+	if !tj.client.HasRequestBudget() {
 		return f, false, kv.ErrRefused // questions about unknown jobs must not crowd out the rest
 	}
-	f, ok, err := tj.readTerminal(ctx, id)
+	f, ok, err := tj.read(ctx, id)
 	if ok {
 		tj.state.Lock()
 		tj.cache.put(id, f)
--- a/internal/persister/transferstore.go
+++ b/internal/persister/transferstore.go
@@ -17,7 +17,7 @@
 // conditional on the record's version and on a bucket's head, so that a former leader
 // stores nothing. It implements federation.Store.
 type TransferStore struct {
-	store *kv.Client
+	client *kv.Client
 	// head gives the bucket whose head fences a key, and that head's version.
 	head func(key string) (bucketKey string, version uint64)
 }
@@ -26,7 +26,7 @@
 // bucket's head as the leader claimed it.
 func NewTransferStore(client *kv.Client, bucketVersion func(bucket int) uint64) *TransferStore {
 	return &TransferStore{
-		store: client,
+		client: client,
 		head: func(key string) (string, uint64) {
 			bucket := storage.BucketOf(key)
 			return storage.KeyBucketHead(bucket), bucketVersion(bucket)
@@ -39,7 +39,7 @@
 
 // List implements federation.Store.
 func (s *TransferStore) List(ctx context.Context, prefix string) ([]protocol.Item, error) {
-	items, _, err := s.store.ListAll(ctx, prefix)
+	items, _, err := s.client.ListAll(ctx, prefix)
 	return items, err
 }
 
@@ -47,17 +47,17 @@
 // later time, so the very same one is sent until its outcome is known: its conditions see
 // to it that it happens once.
 func (s *TransferStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
-	txn := s.transaction(key, value, version)
+	txn := s.newTxn(key, value, version)
 	uncertain := false
 	for {
-		revision, err := s.store.CompareAndSwap(ctx, txn, kv.Paced, kv.CallTimeout)
+		revision, err := s.client.CompareAndSwap(ctx, txn, kv.Paced, kv.CallTimeout)
 		var conflict *kv.VersionConflictError
 		switch {
 		case err == nil:
 			return revision, nil
 		case errors.As(err, &conflict):
 			if uncertain {
-				return s.outcome(ctx, key, value)
+				return s.resolveConflict(ctx, key, value)
 			}
 			return 0, fmt.Errorf("%w: %v", federation.ErrConflict, conflict.Keys)
 		case errors.Is(err, kv.ErrOutcomeUnknown):
@@ -72,7 +72,7 @@
 	}
 }
 
-func (s *TransferStore) transaction(key string, value []byte, version uint64) protocol.Txn {
+func (s *TransferStore) newTxn(key string, value []byte, version uint64) protocol.Txn {
 	head, headVersion := s.head(key)
 	txn := protocol.Txn{If: []protocol.Condition{
 		{Key: key, Version: version},
@@ -86,13 +86,13 @@
 	return txn
 }
 
-// outcome tells, of a save that met a conflict after a try without an answer, whether that
+// resolveConflict tells, of a save that met a conflict after a try without an answer, whether that
 // try was carried out: the record is then as it was to be.
-func (s *TransferStore) outcome(ctx context.Context, key string, value []byte) (uint64, error) {
+func (s *TransferStore) resolveConflict(ctx context.Context, key string, value []byte) (uint64, error) {
 	for {
-		item, found, err := s.store.Get(ctx, key, kv.CallTimeout)
+		item, found, err := s.client.Get(ctx, key, kv.CallTimeout)
 		if err == nil {
-			if asWritten(item, found, value) {
+			if matchesWrite(item, found, value) {
 				return item.Version, nil
 			}
 			return 0, fmt.Errorf("%w: %s", federation.ErrConflict, key)
@@ -103,8 +103,8 @@
 	}
 }
 
-// asWritten tells whether a record is as a save of a value, or of its deletion, left it.
-func asWritten(item protocol.Item, found bool, value []byte) bool {
+// matchesWrite tells whether a record is as a save of a value, or of its deletion, left it.
+func matchesWrite(item protocol.Item, found bool, value []byte) bool {
 	if value == nil || !found {
 		return value == nil && !found
 	}
--- a/internal/persister/transferstore_test.go
+++ b/internal/persister/transferstore_test.go
@@ -20,16 +20,16 @@
 
 // A transfer's record is stored, replaced, listed and deleted; a former leader does nothing
 // of that, and a save without an answer is found out about.
-func TestTransferRecordsAreFenced(t *testing.T) {
+func TestFormerLeaderCannotWriteTransferRecords(t *testing.T) {
 	s := standin.NewState()
-	former, _ := restoredPersister(t, s, 1)
+	former, _ := newRestoredPersister(t, s, 1)
 	old := NewTransferStore(former.KV, former.BucketVersion)
 	intended, committed := transferRecord(federation.Intended), transferRecord(federation.Committed)
 	version, err := old.Save(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leader, _ := restoredPersister(t, s, 2)
+	leader, _ := newRestoredPersister(t, s, 2)
 	if _, err := old.Save(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrConflict) {
 		t.Fatalf("a former leader's save: %v", err)
 	}
@@ -57,9 +57,9 @@
 
 // Where the outcome of a save cannot be found out, it is not taken for one that was not
 // carried out.
-func TestTransferWriteOfUnknownOutcome(t *testing.T) {
+func TestTransferWriteOfUnknownOutcomeIsConflict(t *testing.T) {
 	s := standin.NewState()
-	leader, _ := restoredPersister(t, s, 1)
+	leader, _ := newRestoredPersister(t, s, 1)
 	s.Silent = func(int) bool { return true }
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
@@ -73,7 +73,7 @@
 }
 
 // A record is as a save left it if it has that save's id, or is gone as it was to be.
-func TestTransferRecordAsWritten(t *testing.T) {
+func TestTransferRecordMatchesWrite(t *testing.T) {
 	written := transferRecord(federation.Intended).Encode("1-1")
 	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyLeaderLease, Value: value} }
 	for n, c := range []struct {
@@ -87,7 +87,7 @@
 		{written, nil, false},
 		{nil, nil, true},
 	} {
-		if got := asWritten(item(c.there), c.there != nil, c.value); got != c.want {
+		if got := matchesWrite(item(c.there), c.there != nil, c.value); got != c.want {
 			t.Errorf("case %d: %v, want %v", n, got, c.want)
 		}
 	}
