--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -17,7 +17,7 @@
 	"dunestand/internal/units"
 )
 
-// persisterLimits are far away from what the tests write.
+// persisterLimits are far above what the tests write.
 var persisterLimits = config.State{RPS: 1e4, WriteRPS: 1e4, ValueKB: 8, TxnOps: 12}
 
 // newTestClient returns a client of a fake key-value store.
@@ -67,7 +67,8 @@
 	})
 }
 
-// newRestoredPersister returns a persister that has restored what a fake store holds.
+// newRestoredPersister returns a persister that has restored what a fake store holds, and its
+// clock.
 func newRestoredPersister(t *testing.T, server *standin.State, token uint64) (*Persister, *standin.Clock) {
 	t.Helper()
 	clock := &standin.Clock{Now: units.Second}
@@ -76,7 +77,7 @@
 		t.Fatal("not restored")
 	}
 	if !p.State.Restored {
-		t.Fatal("restored, and the state does not tell so")
+		t.Fatal("restored, and the state does not say so")
 	}
 	select {
 	case <-p.Restored():
@@ -86,7 +87,7 @@
 	return p, clock
 }
 
-// testSpec is a job of two tasks of a processor.
+// testSpec returns a job of two tasks of one processor each.
 func testSpec(id string) protocol.JobSpec {
 	return protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
 }
--- a/internal/persister/ingester.go
+++ b/internal/persister/ingester.go
@@ -22,7 +22,7 @@
 	PendingTimeout = 1200 * units.Millisecond
 )
 
-// IngesterDeps is what a Ingester works with.
+// IngesterDeps is what an Ingester works with.
 type IngesterDeps struct {
 	State       *cluster.State
 	Leadership  election.Leadership
@@ -31,11 +31,12 @@
 	KV          *kv.Client
 	Clock       units.Clock
 	Log         *slog.Logger
-	WriteSignal loop.Signal
+	WriteSignal loop.Signal // raised when ingested jobs are to be written
 }
 
-// Ingester takes the jobs that other controllers accepted without a leader from the queue
-// of pending submissions into the state.
+// Ingester adds the jobs that other controllers accepted without a leader to the state, from the
+// queue of pending submissions. It belongs to one leader. Its methods may be called concurrently,
+// without the lock of the state.
 type Ingester struct {
 	IngesterDeps
 
@@ -43,13 +44,12 @@
 	pendingUncleared atomic.Bool
 }
 
+// NewIngester returns the ingester of a leader.
 func NewIngester(deps IngesterDeps) *Ingester {
-	return &Ingester{
-		IngesterDeps: deps,
-	}
+	return &Ingester{IngesterDeps: deps}
 }
 
-// Run takes in what other controllers accepted.
+// Run follows the queue and ingests what is new in it, until ctx ends.
 func (in *Ingester) Run(ctx context.Context) {
 	var watch pendingWatcher
 	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = ingestInterval {
@@ -58,14 +58,15 @@
 		}
 		items, err := watch.next(ctx, in)
 		if err != nil {
-			in.Log.Debug("inbox not read", "error", err)
+			in.Log.Debug("pending submissions not read", "error", err)
 			continue
 		}
-		in.Ingest(ctx, items)
+		_ = in.Ingest(ctx, items) // what is not readable is logged
 	}
 }
 
-// IngestOne takes a single job in, if it is in the inbox.
+// IngestOne ingests a single job, if it is in the queue. It fails if the queue cannot be read,
+// or the job's record in it is not readable.
 func (in *Ingester) IngestOne(ctx context.Context, id string) error {
 	item, ok, err := in.KV.Get(ctx, storage.KeyPending(id), PendingTimeout)
 	if err == nil && ok {
@@ -74,39 +75,47 @@
 	return err
 }
 
-// Ingest adds jobs from the inbox to the ledger. One that is over has no more
-// use there: its user sent it again, and the leader was in reach then.
-func (in *Ingester) Ingest(ctx context.Context, items []protocol.Item) (unreadable error) {
-	var over protocol.Txn
+// Ingest adds jobs from the queue to the state. A job that is finished is removed from the queue
+// instead: its user sent it again, and the leader was reachable then. Ingest fails if a record is
+// not readable, after it has ingested the others.
+func (in *Ingester) Ingest(ctx context.Context, items []protocol.Item) error {
+	finished, err := in.addToState(items)
+	if len(items) > 0 {
+		in.WriteSignal.Raise()
+	}
+	if len(finished.Then) > 0 {
+		if _, err := in.KV.CompareAndSwap(ctx, finished, kv.Paced, kv.CallTimeout); err != nil {
+			in.Log.Debug("pending submissions not cleared", "error", err)
+			in.pendingUncleared.Store(true)
+		}
+	}
+	return err
+}
+
+// addToState adds jobs from the queue to the state. It returns the transaction that removes the
+// finished ones from the queue, and an error if a record is not readable.
+func (in *Ingester) addToState(items []protocol.Item) (finished protocol.Txn, unreadable error) {
 	in.State.Lock()
+	defer in.State.Unlock()
 	for _, item := range items {
-		a, err := cluster.ParsePendingSubmission(item)
+		pending, err := cluster.ParsePendingSubmission(item)
 		if err != nil {
-			in.Log.Error("a job in the inbox is not readable; it is left there", "error", err)
+			in.Log.Error("pending submission not readable; it is left in the queue", "error", err)
 			unreadable = err
 			continue
 		}
-		if _, final := in.Terminals.Cached(a.Spec.ID); !final {
-			if in.State.Jobs[a.Spec.ID] == nil {
-				in.Log.Info("job taken in", "job", a.Spec.ID, "class", a.Spec.Class, "team", a.Spec.Team, "tasks", a.Spec.Tasks)
+		spec := &pending.Spec
+		if _, terminal := in.Terminals.Cached(spec.ID); !terminal {
+			if in.State.Jobs[spec.ID] == nil {
+				in.Log.Info("pending submission ingested", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 			}
-			in.State.AddPending(a, in.Clock.Steady())
-		} else if len(over.Then) < in.Settings.Fleet.State.Both().TxnOps {
-			over.If = append(over.If, protocol.Condition{Key: item.Key, Version: item.Version})
-			over.Then = append(over.Then, protocol.Change{Delete: item.Key})
+			in.State.AddPending(pending, in.Clock.Steady())
+		} else if len(finished.Then) < in.Settings.Fleet.State.Both().TxnOps {
+			finished.If = append(finished.If, protocol.Condition{Key: item.Key, Version: item.Version})
+			finished.Then = append(finished.Then, protocol.Change{Delete: item.Key})
 		} else {
 			in.pendingUncleared.Store(true)
 		}
 	}
-	in.State.Unlock()
-	if len(items) > 0 {
-		in.WriteSignal.Raise()
-	}
-	if len(over.Then) > 0 {
-		if _, err := in.KV.CompareAndSwap(ctx, over, kv.Paced, kv.CallTimeout); err != nil {
-			in.Log.Debug("inbox not cleared", "error", err)
-			in.pendingUncleared.Store(true)
-		}
-	}
-	return unreadable
+	return finished, unreadable
 }
--- a/internal/persister/pendingwatcher.go
+++ b/internal/persister/pendingwatcher.go
@@ -10,18 +10,19 @@
 	"dunestand/internal/units"
 )
 
-// pendingResyncInterval is how often the whole inbox is read again, whatever the changes told.
+// pendingResyncInterval is how often the whole queue is read again, whatever its changes were.
 const pendingResyncInterval = 30 * units.Second
 
-// pendingWatcher follows the inbox. Hundreds of jobs may be in it for half a minute after a
-// burst, and to read them all each second took much of a leader's processor just then: so
-// the whole is read once in a while, and the changes since in between.
+// pendingWatcher follows the queue of pending submissions. Hundreds of jobs may be in it for
+// half a minute after a burst, and to read them all each second took much of a leader's processor
+// just then: so the whole queue is read once in a while, and its changes in between. Only one
+// goroutine may use it.
 type pendingWatcher struct {
-	revision    uint64 // up to which the inbox is known, 0: it has to be read whole
+	revision    uint64 // up to which the queue is known, 0: it has to be read whole
 	lastReadAll units.Micros
 }
 
-// next gives what is new in the inbox.
+// next returns what is new in the queue; after a read of the whole, all that is in it.
 func (w *pendingWatcher) next(ctx context.Context, in *Ingester) ([]protocol.Item, error) {
 	now := in.Clock.Steady()
 	if w.revision == 0 || now-w.lastReadAll >= pendingResyncInterval || in.pendingUncleared.Swap(false) {
@@ -38,7 +39,7 @@
 	return livingItems(list.Changes), nil
 }
 
-// readAll reads the whole inbox.
+// readAll reads the whole queue.
 func (w *pendingWatcher) readAll(ctx context.Context, in *Ingester, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
 	items, revision, err := in.KV.ListAll(ctx, storage.PrefixPending)
@@ -49,7 +50,7 @@
 	return items, nil
 }
 
-// livingItems gives the records that were put and not deleted since.
+// livingItems returns the records that were set and not deleted since.
 func livingItems(changes []protocol.KeyChange) []protocol.Item {
 	deletedAt := map[string]uint64{}
 	for _, change := range changes {
--- a/internal/persister/pendingwatcher_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -12,19 +12,20 @@
 	"dunestand/internal/units"
 )
 
-// acceptWithoutLeader puts a job into the inbox, as another controller does.
-func acceptWithoutLeader(t *testing.T, s *standin.State, id string) {
+// acceptWithoutLeader puts a job into the queue of pending submissions, as another controller
+// does.
+func acceptWithoutLeader(t *testing.T, server *standin.State, id string) {
 	t.Helper()
-	if _, ok := s.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: testSpec(id)})); !ok {
-		t.Fatalf("%s is not taken into the inbox", id)
+	if _, ok := server.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: testSpec(id)})); !ok {
+		t.Fatalf("%s is not put into the queue", id)
 	}
 }
 
-// After a burst the inbox held hundreds of jobs, and reading them all each second took
-// much of the leader's processor. Each job is read once, unless something went wrong.
+// After a burst the queue held hundreds of jobs, and reading them all each second took much of
+// the leader's processor. Each job is read once, unless something went wrong.
 func TestPendingQueueIsReadIncrementally(t *testing.T) {
-	s := standin.NewState()
-	p, clock := newRestoredPersister(t, s, 1)
+	server := standin.NewState()
+	p, clock := newRestoredPersister(t, server, 1)
 	var watch pendingWatcher
 	expect := func(what string, want ...string) {
 		t.Helper()
@@ -41,14 +42,14 @@
 		}
 	}
 	first, second, third := storage.KeyPending("j-000001"), storage.KeyPending("j-000002"), storage.KeyPending("j-000003")
-	acceptWithoutLeader(t, s, "j-000001")
+	acceptWithoutLeader(t, server, "j-000001")
 	expect("at first", first)
 	expect("nothing new")
-	acceptWithoutLeader(t, s, "j-000002")
-	acceptWithoutLeader(t, s, "j-000003")
-	s.Apply(protocol.Txn{Then: []protocol.Change{{Delete: second}}})
+	acceptWithoutLeader(t, server, "j-000002")
+	acceptWithoutLeader(t, server, "j-000003")
+	server.Apply(protocol.Txn{Then: []protocol.Change{{Delete: second}}})
 	expect("one came and went, one came", third)
-	s.Put("other/key", protocol.Encode("x"))
+	server.Put("other/key", protocol.Encode("x"))
 	expect("a change elsewhere")
 	p.Ingester.pendingUncleared.Store(true)
 	expect("something was not cleared", first, third)
@@ -57,34 +58,36 @@
 	expect("once in a while", first, third)
 	ended, end := context.WithCancel(t.Context())
 	end()
-	acceptWithoutLeader(t, s, "j-000004")
+	acceptWithoutLeader(t, server, "j-000004")
 	if items, err := watch.next(ended, p.Ingester); err == nil {
 		t.Fatalf("without an answer: %v", items)
 	}
 	expect("after an outage", storage.KeyPending("j-000004"))
 }
 
-// A job that is over is taken out of the inbox, though only the save that would have
-// accepted it once more tells so.
+// A finished job is removed from the queue, though only the batch that would have accepted it
+// once more shows that it is finished.
 func TestFinishedJobIsRemovedFromPendingQueue(t *testing.T) {
-	s := standin.NewState()
-	p, clock := newRestoredPersister(t, s, 1)
-	over := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
-	acceptWithoutLeader(t, s, "j-000001")
-	s.Put(storage.KeyTerminal("j-000001"), protocol.Encode(over))
+	server := standin.NewState()
+	p, clock := newRestoredPersister(t, server, 1)
+	terminal := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
+	acceptWithoutLeader(t, server, "j-000001")
+	server.Put(storage.KeyTerminal("j-000001"), protocol.Encode(terminal))
 	var watch pendingWatcher
 	for range 2 {
 		items, err := watch.next(t.Context(), p.Ingester)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Ingester.Ingest(t.Context(), items)
-		if save := p.nextBatch(); save != nil {
-			p.CommitBatch(t.Context(), save)
+		if err := p.Ingester.Ingest(t.Context(), items); err != nil {
+			t.Fatal(err)
+		}
+		if batch := p.nextBatch(); batch != nil {
+			p.CommitBatch(t.Context(), batch)
 		}
 		clock.Now += units.Second
 	}
-	if left := s.Keys(storage.PrefixPending); len(left) != 0 {
-		t.Errorf("left in the inbox: %v", left)
+	if left := server.Keys(storage.PrefixPending); len(left) != 0 {
+		t.Errorf("left in the queue: %v", left)
 	}
 }
--- a/internal/persister/persister.go
+++ b/internal/persister/persister.go
@@ -1,16 +1,16 @@
 // Package persister writes the leader's state to the key-value store in write batches, reads
 // it back after a failover, and ingests jobs that were accepted without a leader.
+//
+// It alone writes the records of jobs and the heads of their buckets. Every batch is
+// conditional on the heads of the buckets that it touches, which a new leader claims before it
+// reads a record; so nothing that a former leader sent is carried out any more.
 package persister
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
-	"sync"
-	"time"
 
-	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/election"
@@ -21,23 +21,27 @@
 	"dunestand/internal/units"
 )
 
-// PlanConflictHandler is told when a batch met another version of the admission plan than the one
-// that its new jobs were accepted by.
+// PlanConflictHandler is notified when a batch met another version of the admission plan than
+// the one that its new jobs were accepted by.
 type PlanConflictHandler interface {
 	// Reconsider decides again about the jobs that are not accepted yet. It needs the lock
 	// of the state held.
 	Reconsider()
-	// RereadPlan finds out which plan is in force.
+	// RereadPlan finds out which plan is in force. It must not be called with the lock of
+	// the state held.
 	RereadPlan(ctx context.Context)
 }
 
-// Deps is what a Persister works with.
+// Deps is what a Persister works with. All fields but Admission are needed before New;
+// Admission before Run.
 type Deps struct {
-	State       *cluster.State
-	Leadership  election.Leadership
-	Ingester    *Ingester
-	Terminals   *TerminalJobs
-	Admission   PlanConflictHandler
+	State      *cluster.State
+	Leadership election.Leadership
+	Ingester   *Ingester
+	Terminals  *TerminalJobs
+	Admission  PlanConflictHandler
+	// OnCatalog is called once by Restore, with the lock of the state held, with the keys and
+	// versions of the records that hold the stored catalog.
 	OnCatalog   func(versions map[string]uint64)
 	Settings    *config.Settings
 	KV          *kv.Client
@@ -45,27 +49,27 @@
 	Clock       units.Clock
 	Log         *slog.Logger
 	Tracer      cluster.AttemptTracer
-	Token       uint64
-	ElectedAt   units.Micros
-	WriteSignal loop.Signal
-	CycleSignal loop.Signal
+	Token       uint64       // the leader's fencing token
+	ElectedAt   units.Micros // steady time
+	WriteSignal loop.Signal  // wakes Run: something is to be written for which somebody waits
+	CycleSignal loop.Signal  // raised once records are restored or written
 }
 
 // Persister writes changed records to the key-value store and reads them back after a
-// failover. Only the leader's persister writes the records of jobs: every batch is
-// conditional on the heads of the jobs' buckets, which this leader has claimed.
+// failover. It belongs to one leader. Its methods may be called concurrently, unless they say
+// that they need the lock of the state held.
 type Persister struct {
 	Deps
-	// onCatalog is told which records hold the stored catalog, under the lock of state.
 
 	restored chan struct{} // closed once the records are restored
 
-	// What follows is guarded by the lock of state.
+	// What follows is guarded by the lock of the state.
 	writes         uint64 // numbers the batches
 	writesInFlight int
 	bucketVersions []uint64 // of the buckets' heads, as this leader claimed them
 }
 
+// New returns the persister of a leader that has restored nothing yet.
 func New(deps Deps) *Persister {
 	return &Persister{
 		Deps:           deps,
@@ -74,265 +78,23 @@
 	}
 }
 
+// NextWriteID returns a new id for a write of this leader, which begins with its fencing
+// token. It needs the lock of the state held once Run has begun.
 func (p *Persister) NextWriteID() string {
 	p.writes++
 	return fmt.Sprintf("%d-%d", p.Token, p.writes)
 }
 
-const (
-	maxWritesInFlight       = 3                       // saves on their way at a time
-	coalesceBackground      = units.Second            // changes nobody waits for are gathered so long
-	coalesceUrgent          = 2 * units.Millisecond   // submissions that come together are saved together
-	backgroundWriteInterval = 200 * units.Millisecond // for the changes nobody waits for
-	// minChangesPerBatch bounds for how many changes the rate of writes must have room before a
-	// save is built. Fewer would be many small transactions; more would let what comes
-	// meanwhile wait longer.
-	minChangesPerBatch = 4
-	// writeBudgetRetry is until the rate is looked at again.
-	writeBudgetRetry = 50 * units.Millisecond
-)
-
-// Run writes changed records.
-func (p *Persister) Run(ctx context.Context) {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	tick := backgroundWriteInterval
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-p.WriteSignal:
-			if !loop.Sleep(ctx, coalesceUrgent) {
-				return
-			}
-		case <-time.After(tick.Duration()):
-		}
-		tick = backgroundWriteInterval
-		for {
-			if p.KV.WritesAvailable() < p.minChangesPerBatch() {
-				tick = writeBudgetRetry
-				break
-			}
-			s := p.nextBatch()
-			if s == nil {
-				break
-			}
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				p.CommitBatch(ctx, s)
-				p.State.Lock()
-				p.writesInFlight--
-				p.State.Unlock()
-				p.WriteSignal.Raise()
-			}()
-		}
-	}
-}
-
-// minChangesPerBatch is for how many changes the rate of writes must have room before a save is
-// built.
-func (p *Persister) minChangesPerBatch() int {
-	return min(minChangesPerBatch, p.Settings.Fleet.State.Both().TxnOps)
-}
-
-// nextBatch builds the next save if one may be sent now, and counts its writes. It is built
-// only once the rate of writes has room for it: what waits for the rate can still be
-// overtaken by what a user waits for, what is built can not.
-func (p *Persister) nextBatch() *cluster.WriteBatch {
-	p.State.Lock()
-	defer p.State.Unlock()
-	if p.writesInFlight >= maxWritesInFlight {
-		return nil
-	}
-	now := p.Clock.Steady()
-	p.State.UpgradeFormat(p.Format.Current(), now)
-	s := p.State.BuildWriteBatch(p.NextWriteID(), p.bucketVersions, cluster.BatchLimits{
-		CoalesceFor: coalesceBackground,
-		Background:  p.KV.HasWriteBudget(),
-		MaxChanges:  max(p.minChangesPerBatch(), p.KV.WritesAvailable()),
-	}, now)
-	if s == nil {
-		return nil
-	}
-	p.writesInFlight++
-	p.KV.ReserveWrites(len(s.Txn.Then))
-	return s
-}
-
-// Backoff of a save whose outcome is open, and of a read that an outcome hangs on.
-const (
-	commitBackoff    = 100 * units.Millisecond
-	maxCommitBackoff = 400 * units.Millisecond
-	ReadRetryDelay   = 200 * units.Millisecond
-)
-
-// CommitBatch carries a save through. A save without an answer may be carried out
-// at any later time, so the very same one is sent until its outcome is known:
-// its conditions see to it that it happens once.
-func (p *Persister) CommitBatch(ctx context.Context, s *cluster.WriteBatch) {
-	uncertain := false
-	began := p.Clock.Steady()
-	pacing := kv.Prepaid
-	for wait := commitBackoff; ; wait = min(2*wait, maxCommitBackoff) {
-		version, err := p.KV.CompareAndSwap(ctx, s.Txn, pacing, kv.CallTimeout)
-		pacing = kv.Paced
-		if err == nil {
-			if p.Tracer.Enabled() {
-				p.Log.Debug("save carried out", "jobs", s.JobIDs(), "changes", len(s.Txn.Then),
-					"took_us", int64(p.Clock.Steady()-began))
-			}
-			p.BatchCommitted(s, version)
-			return
-		}
-		var conflict *kv.VersionConflictError
-		switch {
-		case errors.As(err, &conflict):
-			if uncertain && s.ProbeKey() != "" {
-				version, ours, err := p.probeOutcome(ctx, s)
-				if err != nil {
-					break
-				}
-				if ours {
-					p.BatchCommitted(s, version)
-					return
-				}
-			}
-			p.batchConflicted(ctx, s, conflict)
-			return
-		case errors.Is(err, kv.ErrOutcomeUnknown):
-			uncertain = true
-		case errors.Is(err, kv.ErrInvalidRequest):
-			p.batchRejected(ctx, s, uncertain)
-			return
-		case !errors.Is(err, kv.ErrRefused):
-			p.Log.Error("save not understood", "jobs", s.JobIDs(), "error", err)
-			uncertain = true
-		}
-		if !loop.Sleep(ctx, wait) {
-			return
-		}
-	}
-}
-
-// RejectedRetryDelay spaces saves that the state service does not take.
-const RejectedRetryDelay = 400 * units.Millisecond
-
-// batchRejected handles a save that the state service will not take as it is: it has
-// lower limits now. The save is built anew. But one that was sent before and got
-// no answer may have been carried out, or may be still.
-func (p *Persister) batchRejected(ctx context.Context, s *cluster.WriteBatch, uncertain bool) {
-	for uncertain {
-		version, ours, err := p.probeOutcome(ctx, s)
-		if err == nil && ours {
-			p.BatchCommitted(s, version)
-			return
-		}
-		if err == nil {
-			// Only a new term's claim makes certain that it never is.
-			p.Log.Info("save rejected after a try without an answer; the term is given up", "jobs", s.JobIDs())
-			p.Leadership.StepDown()
-			return
-		}
-		if !loop.Sleep(ctx, RejectedRetryDelay) {
-			return
-		}
-	}
-	p.State.Lock()
-	first := p.State.ApplyNextLimits()
-	p.State.Unlock()
-	p.KV.ApplyNextLimits()
-	p.Log.Error("save rejected; it is built anew", "jobs", s.JobIDs(), "changes", len(s.Txn.Then), "limits_lowered", first)
-	if !first && !loop.Sleep(ctx, RejectedRetryDelay) {
-		return
-	}
-	p.State.Lock()
-	defer p.State.Unlock()
-	p.State.BatchRejected(s, p.Clock.Steady())
-}
-
-func (p *Persister) probeOutcome(ctx context.Context, s *cluster.WriteBatch) (uint64, bool, error) {
-	item, ok, err := p.KV.Get(ctx, s.ProbeKey(), kv.CallTimeout)
-	if err != nil || !ok {
-		return 0, false, err
-	}
-	save, err := writeIDOf(item.Value)
-	if err != nil {
-		return 0, false, err
-	}
-	return item.Version, save == s.ID, nil
-}
-
-func (p *Persister) BatchCommitted(s *cluster.WriteBatch, version uint64) {
-	p.State.Lock()
-	defer p.State.Unlock()
-	for id, f := range p.State.BatchCommitted(s, version) {
-		p.Terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: f, Version: version})
-		p.Log.Info("job over", "job", id, "stage", f.Stage, "done", f.Done)
-	}
-	p.CycleSignal.Raise()
-}
-
-// batchConflicted handles a save that was certainly not carried out: it submits the id of a
-// job that is over, or it accepts a job by an admission plan that has been replaced, or
-// somebody else has claimed our buckets and this term is at its end.
-func (p *Persister) batchConflicted(ctx context.Context, s *cluster.WriteBatch, c *kv.VersionConflictError) {
-	over := map[string]storage.StoredTerminalRecord{}
-	planMet := false
-	for _, key := range c.Keys {
-		if key == admission.KeyPlan {
-			planMet = true
-			continue
-		}
-		id, isFinal := storage.JobOfTerminalKey(key)
-		if !isFinal {
-			if p.Leadership.Valid() {
-				p.Log.Error("save met another writer's version; the term is given up", "keys", c.Keys, "jobs", s.JobIDs())
-			}
-			p.Leadership.StepDown()
-			return
-		}
-		for {
-			f, ok, err := p.Terminals.read(ctx, id)
-			if err == nil {
-				if ok {
-					over[id] = f
-				}
-				break
-			}
-			if !loop.Sleep(ctx, ReadRetryDelay) {
-				return
-			}
-		}
-	}
-	p.State.Lock()
-	p.State.BatchRefused(s, p.Clock.Steady())
-	if planMet {
-		p.Admission.Reconsider()
-	}
-	p.State.Unlock()
-	if planMet {
-		p.Admission.RereadPlan(ctx)
-	}
-	p.State.Lock()
-	defer p.State.Unlock()
-	for id, f := range over {
-		p.Terminals.Remember(id, f)
-		p.State.DropUnaccepted(id)
-		p.Ingester.pendingUncleared.Store(true) // it may have come from there
-	}
-}
-
-// BucketVersion is the version of a bucket's head.
+// BucketVersion returns the version of a bucket's head, as this leader claimed it.
 func (p *Persister) BucketVersion(bucket int) uint64 {
 	p.State.Lock()
 	defer p.State.Unlock()
 	return p.bucketVersions[bucket]
 }
 
-// Restored returns a channel that is closed once the records are restored.
-func (p *Persister) Restored() <-chan struct{} { return p.restored }
-
 // BucketVersions returns the versions of all buckets' heads, as this leader claimed them. It
 // needs the lock of the state held; the slice is the persister's own.
 func (p *Persister) BucketVersions() []uint64 { return p.bucketVersions }
+
+// Restored returns a channel that is closed once the records are restored.
+func (p *Persister) Restored() <-chan struct{} { return p.restored }
--- a/internal/persister/persister_test.go
+++ b/internal/persister/persister_test.go
@@ -13,7 +13,7 @@
 	"dunestand/internal/units"
 )
 
-// newPacedPersister is a restored persister whose share of the writes is small and used up.
+// newPacedPersister returns a restored persister whose write budget is small and used up.
 func newPacedPersister(t *testing.T) *Persister {
 	t.Helper()
 	limits := config.State{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
@@ -27,34 +27,34 @@
 	return p
 }
 
-// Saves that had been built waited for the rate of writes, three in a row, and users whose
-// jobs came meanwhile waited behind them: for 1.3 s, and the controller that had passed the
-// job on accepted it a second time. What waits for the rate is not built yet.
+// Batches that had been built waited for the write budget, three in a row, and users whose jobs
+// came meanwhile waited behind them: for 1.3 s, and the controller that had forwarded the job
+// accepted it a second time. What waits for the budget is not built yet.
 func TestBatchIsBuiltOnceWriteBudgetAllows(t *testing.T) {
 	p := newPacedPersister(t)
 	machine := p.State.EnsureMachine("i-000001", "m", "a", true, 0)
 	for i := range 30 {
 		spec := testSpec("j-0000" + string(rune('0'+i/10)) + string(rune('0'+i%10)))
 		job := p.State.NewJob(spec, 0, 0)
-		save := p.State.BuildWriteBatch("accept", p.BucketVersions(), cluster.BatchLimits{}, 0)
-		p.State.BatchCommitted(save, uint64(i+1))
+		batch := p.State.BuildWriteBatch("accept", p.BucketVersions(), cluster.BatchLimits{}, 0)
+		p.State.BatchCommitted(batch, uint64(i+1))
 		p.State.Assign(job, machine, uint64(i+1), units.Second)
 	}
 	awaitWrites(t, p, minChangesPerBatch)
 	p.State.NewJob(testSpec("j-900001"), p.Clock.Wall(), p.Clock.Steady())
-	save := p.nextBatch()
-	if save == nil {
-		t.Fatal("nothing is saved though there is room")
+	batch := p.nextBatch()
+	if batch == nil {
+		t.Fatal("nothing is written though there is room")
 	}
-	if jobs := save.JobIDs(); jobs[0] != "j-900001" || len(jobs) > 2*minChangesPerBatch {
-		t.Errorf("saved %s, want few jobs and the one whose user waits first", strings.Join(jobs, " "))
+	if jobs := batch.JobIDs(); jobs[0] != "j-900001" || len(jobs) > 2*minChangesPerBatch {
+		t.Errorf("wrote %s, want few jobs and the one whose user waits first", strings.Join(jobs, " "))
 	}
 	if left := p.KV.WritesAvailable(); left >= minChangesPerBatch {
-		t.Errorf("%d writes are still available: the save was not counted", left)
+		t.Errorf("%d writes are still available: the batch was not counted", left)
 	}
 }
 
-// awaitWrites waits until the share has room for some writes.
+// awaitWrites waits until the budget has room for some writes.
 func awaitWrites(t *testing.T, p *Persister, writes int) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
--- a/internal/persister/restore.go
+++ b/internal/persister/restore.go
@@ -4,25 +4,28 @@
 	"context"
 	"errors"
 	"fmt"
-	"strings"
 
 	"dunestand/internal/cluster"
-	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/sorted"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// Restore claims the buckets and reads their jobs. It tells whether it could; if not, it
-// is to be tried again.
+// UnreadableAbstention is for how long a controller that could not read the records leaves the
+// lease to others.
+const UnreadableAbstention = 30 * units.Second
+
+// Restore claims the buckets, reads the records and installs them in the state. It reports
+// whether it did; if not, it is to be tried again, unless the leadership is lost. It must
+// succeed only once, and be called without the lock of the state.
 func (p *Persister) Restore(ctx context.Context) bool {
 	if err := p.claimBuckets(ctx); err != nil {
 		p.Log.Info("buckets not claimed yet", "error", err)
 		return false
 	}
 	if err := p.Format.Refresh(ctx); err != nil {
-		p.Log.Info("the fleet's format is not read yet", "error", err)
+		p.Log.Info("fleet record format not read yet", "error", err)
 		return false
 	}
 	if p.Format.TooNew() {
@@ -31,10 +34,9 @@
 	}
 	jobs, orphans, err := p.readJobs(ctx)
 	if errors.Is(err, errJobsUnreadable) {
-		// Leader without such a job would forget it. Another node may be of a
-		// version that reads it; if none is, nobody leads until an operator has
-		// looked.
-		p.Log.Error("records are not readable; nothing is placed, and this node stands back", "error", err)
+		// A leader without such a job would forget it. Another controller may be of a version
+		// that reads it; if none is, nobody leads until an operator has looked.
+		p.Log.Error("records not readable; abstaining from leadership", "error", err)
 		p.Leadership.Abstain(UnreadableAbstention)
 		return false
 	}
@@ -57,10 +59,8 @@
 	return true
 }
 
-// errJobsUnreadable says that a record cannot be read by this version.
-var errJobsUnreadable = errors.New("unreadable")
-
-// readJobs reads all live jobs, and what is left over of jobs that are over, by job.
+// readJobs reads all live jobs, and the keys of records that are left over of finished jobs, by
+// job. It fails with errJobsUnreadable if a job would be forgotten.
 func (p *Persister) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, err error) {
 	rows, _, err := p.KV.ListAll(ctx, storage.PrefixJobs)
 	if err != nil {
@@ -71,19 +71,19 @@
 		return nil, nil, fmt.Errorf("%w: %w", errJobsUnreadable, err)
 	}
 	for _, id := range sorted.Keys(orphans) {
-		_, over, err := p.Terminals.read(ctx, id)
+		_, finished, err := p.Terminals.read(ctx, id)
 		if err != nil {
 			return nil, nil, err
 		}
-		if !over {
-			return nil, nil, fmt.Errorf("%w: record %s: belongs to no job", errJobsUnreadable, orphans[id][0])
+		if !finished {
+			return nil, nil, fmt.Errorf("%w: %w", errJobsUnreadable, &UnreadableRecordError{orphans[id][0], errNoSuchJob})
 		}
 	}
 	return jobs, orphans, nil
 }
 
 // readStoredCatalog reads the catalog that a former leader stored, and the versions of its
-// records. One that cannot be read is logged, and stands for none.
+// records by key. One that is not readable is logged, and counts as none.
 func (p *Persister) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
 	list, _, err := p.KV.ListAll(ctx, storage.KeyCatalog)
 	if err != nil {
@@ -91,16 +91,13 @@
 	}
 	catalog, stored, err := storage.ParseCatalog(list)
 	if err != nil {
-		p.Log.Error("stored catalog is not readable", "error", err)
+		p.Log.Error("stored catalog not readable", "error", err)
 	}
 	return catalog, stored, nil
 }
 
-// UnreadableAbstention is for how long a node that could not read the records leaves the
-// lease to others.
-const UnreadableAbstention = 30 * units.Second
-
-// InstallRecords takes over what the records say.
+// InstallRecords makes the restored records the leader's state. It must be called once, with
+// the lock of the state held.
 func (p *Persister) InstallRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
 	now := p.Clock.Steady()
 	p.State.SetInstanceTypes(catalog.Types)
@@ -111,61 +108,7 @@
 	}
 	p.State.Restored = true
 	close(p.restored)
-	p.Log.Info("records restored", "jobs", len(jobs), "unconfirmed_machines", p.State.UnreconciledCount(), "took_ms", (now-p.ElectedAt)/units.Millisecond)
+	p.Log.Info("records restored", "jobs", len(jobs), "unreconciled_machines", p.State.UnreconciledCount(),
+		"took_ms", (now-p.ElectedAt)/units.Millisecond)
 	p.CycleSignal.Raise()
 }
-
-// claimBuckets raises every bucket's incarnation, a transaction's worth at a
-// time: from then on, saves of a former leader that are still on their way
-// fail.
-func (p *Persister) claimBuckets(ctx context.Context) error {
-	items, _, err := p.KV.ListAll(ctx, storage.PrefixBucketHeads)
-	if err != nil {
-		return err
-	}
-	byKey := map[string]protocol.Item{}
-	for _, i := range items {
-		byKey[i.Key] = i
-	}
-	save := p.NextWriteID()
-	var txn protocol.Txn
-	var claiming []int
-	for b := range storage.Buckets {
-		key := storage.KeyBucketHead(b)
-		var head storage.LeaseRecord
-		item, ok := byKey[key]
-		if ok {
-			if err := protocol.Decode(item.Value, &head); err != nil {
-				return fmt.Errorf("record %s: %w", key, err)
-			}
-		}
-		if ok && p.isOwnClaim(head) {
-			p.bucketVersions[b] = item.Version // by an earlier try that got no answer
-			continue
-		}
-		head = storage.LeaseRecord{Holder: p.Settings.Node, Incarnation: head.Incarnation + 1, WriteID: save}
-		txn.If = append(txn.If, protocol.Condition{Key: key, Version: item.Version})
-		txn.Then = append(txn.Then, protocol.Change{Set: key, Value: protocol.Encode(head)})
-		claiming = append(claiming, b)
-	}
-	step := p.Settings.Fleet.State.Both().TxnOps
-	for from := 0; from < len(claiming); from += step {
-		to := min(from+step, len(claiming))
-		version, err := p.KV.CompareAndSwap(ctx, protocol.Txn{
-			If:   txn.If[from:to],
-			Then: txn.Then[from:to],
-		}, kv.Urgent, kv.CallTimeout)
-		if err != nil {
-			return err // tried again, with the versions then read
-		}
-		for _, b := range claiming[from:to] {
-			p.bucketVersions[b] = version
-		}
-	}
-	return nil
-}
-
-// isOwnWrite tells whether a bucket's head was claimed in this very term.
-func (p *Persister) isOwnClaim(head storage.LeaseRecord) bool {
-	return head.Holder == p.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
-}
--- a/internal/persister/transferstore.go
+++ b/internal/persister/transferstore.go
@@ -13,28 +13,21 @@
 	"dunestand/internal/units"
 )
 
-// TransferStore keeps the records of transfers in the state service. Every save is
-// conditional on the record's version and on a bucket's head, so that a former leader
-// stores nothing. It implements federation.Store.
+// TransferStore keeps the records of transfers in the key-value store. Every write is
+// conditional on the record's version and on a bucket's head, so that a former leader writes
+// nothing. It implements federation.Store, and may be used concurrently.
 type TransferStore struct {
-	client *kv.Client
-	// head gives the bucket whose head fences a key, and that head's version.
-	head func(key string) (bucketKey string, version uint64)
+	client        *kv.Client
+	bucketVersion func(bucket int) uint64
 }
 
-// NewTransferStore returns the store of a leader. BucketVersion tells the version of a
-// bucket's head as the leader claimed it.
+// NewTransferStore returns the store of a leader. bucketVersion returns the version of a
+// bucket's head as the leader claimed it; it must be safe for concurrent use.
 func NewTransferStore(client *kv.Client, bucketVersion func(bucket int) uint64) *TransferStore {
-	return &TransferStore{
-		client: client,
-		head: func(key string) (string, uint64) {
-			bucket := storage.BucketOf(key)
-			return storage.KeyBucketHead(bucket), bucketVersion(bucket)
-		},
-	}
+	return &TransferStore{client: client, bucketVersion: bucketVersion}
 }
 
-// transferRetryDelay is until a save whose outcome is open is looked at again.
+// transferRetryDelay is until a write whose outcome is not known is looked at again.
 const transferRetryDelay = 200 * units.Millisecond
 
 // List implements federation.Store.
@@ -43,9 +36,9 @@
 	return items, err
 }
 
-// Save implements federation.Store. A save without an answer may be carried out at any
-// later time, so the very same one is sent until its outcome is known: its conditions see
-// to it that it happens once.
+// Save implements federation.Store. A write without an answer may be carried out at any later
+// time, so the very same one is sent until its outcome is known: its conditions ensure that it
+// happens once.
 func (s *TransferStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
 	txn := s.newTxn(key, value, version)
 	uncertain := false
@@ -66,28 +59,33 @@
 			return 0, err // certainly not carried out
 		}
 		if !loop.Sleep(ctx, transferRetryDelay) {
-			// Nobody knows. Whoever goes on from here must read the record first.
-			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
+			return 0, errOutcomeNotFound
 		}
 	}
 }
 
+// errOutcomeNotFound says that ctx ended before the outcome of a write was known. Whoever goes on
+// from there must read the record first, as after a conflict.
+var errOutcomeNotFound = fmt.Errorf("%w: the outcome of a write is not known", federation.ErrConflict)
+
+// newTxn returns the transaction that writes a value, or deletes the key if the value is nil.
 func (s *TransferStore) newTxn(key string, value []byte, version uint64) protocol.Txn {
-	head, headVersion := s.head(key)
-	txn := protocol.Txn{If: []protocol.Condition{
-		{Key: key, Version: version},
-		{Key: head, Version: headVersion},
-	}}
+	bucket := storage.BucketOf(key)
+	change := protocol.Change{Set: key, Value: value}
 	if value == nil {
-		txn.Then = []protocol.Change{{Delete: key}}
-	} else {
-		txn.Then = []protocol.Change{{Set: key, Value: value}}
+		change = protocol.Change{Delete: key}
+	}
+	return protocol.Txn{
+		If: []protocol.Condition{
+			{Key: key, Version: version},
+			{Key: storage.KeyBucketHead(bucket), Version: s.bucketVersion(bucket)},
+		},
+		Then: []protocol.Change{change},
 	}
-	return txn
 }
 
-// resolveConflict tells, of a save that met a conflict after a try without an answer, whether that
-// try was carried out: the record is then as it was to be.
+// resolveConflict finds out, of a write that met a conflict after a try without an answer,
+// whether that try was carried out: the record is then as it was to be.
 func (s *TransferStore) resolveConflict(ctx context.Context, key string, value []byte) (uint64, error) {
 	for {
 		item, found, err := s.client.Get(ctx, key, kv.CallTimeout)
@@ -98,12 +96,12 @@
 			return 0, fmt.Errorf("%w: %s", federation.ErrConflict, key)
 		}
 		if !loop.Sleep(ctx, transferRetryDelay) {
-			return 0, fmt.Errorf("%w: the outcome of a save is not known", federation.ErrConflict)
+			return 0, errOutcomeNotFound
 		}
 	}
 }
 
-// matchesWrite tells whether a record is as a save of a value, or of its deletion, left it.
+// matchesWrite reports whether a record is as a write of a value, or its deletion, left it.
 func matchesWrite(item protocol.Item, found bool, value []byte) bool {
 	if value == nil || !found {
 		return value == nil && !found
@@ -116,11 +114,11 @@
 	return err == nil && ours == theirs
 }
 
-// writeIDOf gives the id of the save that a record was written by.
+// writeIDOf returns the id of the write that a record is from.
 func writeIDOf(value []byte) (string, error) {
 	var record struct {
-		Save string `cbor:"save"`
+		WriteID string `cbor:"save"`
 	}
 	err := protocol.Decode(value, &record)
-	return record.Save, err
+	return record.WriteID, err
 }
--- a/internal/persister/transferstore_test.go
+++ b/internal/persister/transferstore_test.go
@@ -18,20 +18,20 @@
 	return &federation.OriginRecord{Transfer: transferID, Target: "dye", Phase: phase}
 }
 
-// A transfer's record is stored, replaced, listed and deleted; a former leader does nothing
-// of that, and a save without an answer is found out about.
+// A transfer's record is written, replaced, listed and deleted; a former leader can do nothing
+// of that, and the outcome of a write without an answer is found out.
 func TestFormerLeaderCannotWriteTransferRecords(t *testing.T) {
-	s := standin.NewState()
-	former, _ := newRestoredPersister(t, s, 1)
+	server := standin.NewState()
+	former, _ := newRestoredPersister(t, server, 1)
 	old := NewTransferStore(former.KV, former.BucketVersion)
 	intended, committed := transferRecord(federation.Intended), transferRecord(federation.Committed)
 	version, err := old.Save(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leader, _ := newRestoredPersister(t, s, 2)
+	leader, _ := newRestoredPersister(t, server, 2)
 	if _, err := old.Save(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrConflict) {
-		t.Fatalf("a former leader's save: %v", err)
+		t.Fatalf("a former leader's write: %v", err)
 	}
 	store := NewTransferStore(leader.KV, leader.BucketVersion)
 	items, err := store.List(t.Context(), federation.PrefixOut)
@@ -42,53 +42,54 @@
 		t.Fatalf("read: %+v, %v", r, err)
 	}
 	if _, err := store.Save(t.Context(), intended.Key(), committed.Encode("2-1"), 0); !errors.Is(err, federation.ErrConflict) {
-		t.Errorf("a save on another version: %v", err)
+		t.Errorf("a write on another version: %v", err)
 	}
-	s.Silent = func(n int) bool { return n%2 == 0 } // every other answer is lost
+	server.Silent = func(n int) bool { return n%2 == 0 } // every other answer is lost
 	for n, value := range [][]byte{committed.Encode("2-2"), committed.Encode("2-3"), nil} {
 		if version, err = store.Save(t.Context(), intended.Key(), value, version); err != nil {
-			t.Fatalf("save %d: %v", n, err)
+			t.Fatalf("write %d: %v", n, err)
 		}
 	}
-	if left := s.Keys(federation.PrefixOut); len(left) != 0 {
+	if left := server.Keys(federation.PrefixOut); len(left) != 0 {
 		t.Errorf("left: %v", left)
 	}
 }
 
-// Where the outcome of a save cannot be found out, it is not taken for one that was not
-// carried out.
+// A write whose outcome cannot be found out does not count as one that was not carried out.
 func TestTransferWriteOfUnknownOutcomeIsConflict(t *testing.T) {
-	s := standin.NewState()
-	leader, _ := newRestoredPersister(t, s, 1)
-	s.Silent = func(int) bool { return true }
+	server := standin.NewState()
+	leader, _ := newRestoredPersister(t, server, 1)
+	server.Silent = func(int) bool { return true }
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	record := transferRecord(federation.Intended)
 	if _, err := NewTransferStore(leader.KV, leader.BucketVersion).Save(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrConflict) {
-		t.Errorf("the save: %v", err)
+		t.Errorf("the write: %v", err)
 	}
-	if len(s.Keys(federation.PrefixOut)) != 1 {
+	if len(server.Keys(federation.PrefixOut)) != 1 {
 		t.Error("it was not carried out: the test shows nothing")
 	}
 }
 
-// A record is as a save left it if it has that save's id, or is gone as it was to be.
+// A record matches a write if it has that write's id, or is deleted as it was to be.
 func TestTransferRecordMatchesWrite(t *testing.T) {
 	written := transferRecord(federation.Intended).Encode("1-1")
 	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyLeaderLease, Value: value} }
-	for n, c := range []struct {
-		there, value []byte
-		want         bool
+	for name, c := range map[string]struct {
+		stored, value []byte
+		want          bool
 	}{
-		{written, written, true},
-		{transferRecord(federation.Committed).Encode("1-2"), written, false},
-		{protocol.Encode(7), written, false},
-		{nil, written, false},
-		{written, nil, false},
-		{nil, nil, true},
+		"as written":              {written, written, true},
+		"of another write":        {transferRecord(federation.Committed).Encode("1-2"), written, false},
+		"not readable":            {protocol.Encode(7), written, false},
+		"gone, not written":       {nil, written, false},
+		"still there":             {written, nil, false},
+		"deleted as it was to be": {nil, nil, true},
 	} {
-		if got := matchesWrite(item(c.there), c.there != nil, c.value); got != c.want {
-			t.Errorf("case %d: %v, want %v", n, got, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := matchesWrite(item(c.stored), c.stored != nil, c.value); got != c.want {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+		})
 	}
 }
