--- a/internal/recordformat/negotiator.go
+++ b/internal/recordformat/negotiator.go
@@ -4,162 +4,136 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"log/slog"
+	"slices"
 	"sync/atomic"
 
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
-	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
-// Source tells which format of records may be read and written. *Negotiator is the one
-// of a controller. Its methods may be called concurrently.
+// Source says which format of records may be read and written. *Negotiator is the one of a
+// controller. Its methods may be called concurrently.
 type Source interface {
-	// Current is the format that may be written.
+	// Current returns the format that may be written.
 	Current() int
-	// TooNew reports whether records may have a format that this version does not know.
+	// TooNew reports whether records may have a format that this version does not know. Then
+	// this controller must not lead: what it cannot read it would forget.
 	TooNew() bool
-	// Refresh reads from the key-value store what the fleet's format is now.
+	// Refresh reads from the key-value store what the fleet's format is now. It fails if the
+	// store does not answer, or a record of a format is not readable.
 	Refresh(ctx context.Context) error
 }
 
-// Negotiator answers one question, for all that is written: which format of
-// records does every controller read that may ever lead again? During an upgrade
-// controllers of the version before are among them, and any of them may lead at
-// any moment. Each controller says in a record of its own, durably, which format
-// it reads; once all that are configured have said so, the leader raises the
-// fleet's format. It is never lowered, so a leader that comes later decides the
-// same.
+// Negotiator answers one question, for all that is written: which format of records does every
+// controller read that may ever lead again? During an upgrade controllers of the version before
+// are among them, and any of them may lead at any moment. Each controller says in a record of its
+// own, durably, which format it reads; once all that are configured have said so, the leader
+// raises the fleet's format. It is never lowered, so that a later leader decides the same.
+//
+// Run must be called once; the methods of Source may be called concurrently with it.
 type Negotiator struct {
 	node      string
-	nodes     []string // all that are configured
-	kvClient  *kv.Client
+	nodes     []string // all controllers that are configured, this one included
+	client    *kv.Client
 	log       *slog.Logger
-	supported int // the format that this node tells the others
+	supported int // the newest format that this controller announces
 
-	current    atomic.Int64
-	tooNew     atomic.Bool // the fleet has a format that this version does not know
-	registered bool
+	current   atomic.Int64
+	tooNew    atomic.Bool
+	announced bool // supported is durable; used by Run alone
 }
 
-const formatInterval = units.Second
-
-// NewNegotiator makes the fleet's format as a controller knows it. The controller tells
-// the others that it reads the format given, and all before it.
-func NewNegotiator(node string, others []string, reads int, store *kv.Client, log *slog.Logger) *Negotiator {
-	f := &Negotiator{node: node, nodes: append([]string{node}, others...), supported: reads, kvClient: store, log: log}
-	f.current.Store(storage.FormatOld)
-	return f
+// negotiationInterval is the time between two reads of the formats.
+const negotiationInterval = units.Second
+
+// NewNegotiator returns the negotiator of a controller, which knows of the oldest format only.
+// It will announce that the controller reads the supported format and all before it.
+func NewNegotiator(node string, others []string, supported int, client *kv.Client, log *slog.Logger) *Negotiator {
+	n := &Negotiator{
+		node:      node,
+		nodes:     slices.Concat([]string{node}, others),
+		client:    client,
+		log:       log,
+		supported: supported,
+	}
+	n.current.Store(storage.FormatOld)
+	return n
 }
 
-// Current is the format that may be written.
-func (f *Negotiator) Current() int { return int(f.current.Load()) }
+// Current implements Source.
+func (n *Negotiator) Current() int { return int(n.current.Load()) }
 
-// TooNew tells whether records may have a format that this version does not
-// know. It then must not lead: what it cannot read it would forget.
-func (f *Negotiator) TooNew() bool { return f.tooNew.Load() }
+// TooNew implements Source.
+func (n *Negotiator) TooNew() bool { return n.tooNew.Load() }
 
-// Run tells the others which format this node reads, and raises the fleet's
-// while it leads.
-func (f *Negotiator) Run(ctx context.Context, leads func() bool) {
-	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = formatInterval {
-		err := f.step(ctx, leads())
+// Refresh implements Source.
+func (n *Negotiator) Refresh(ctx context.Context) error {
+	_, err := n.readRecords(ctx)
+	return err
+}
+
+// Run announces the format that this controller reads, and raises the fleet's while it leads,
+// until the fleet has reached the announced format or ctx ends. isLeader reports whether this
+// controller leads.
+func (n *Negotiator) Run(ctx context.Context, isLeader func() bool) {
+	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = negotiationInterval {
+		err := n.step(ctx, isLeader())
 		if err != nil {
-			f.log.Debug("the fleet's format is not known for certain", "error", err)
+			n.log.Debug("fleet record format not known for certain", "error", err)
 		}
-		if err == nil && f.registered && f.Current() >= f.supported {
+		if err == nil && n.announced && n.Current() >= n.supported {
 			return
 		}
 	}
 }
 
-// Refresh finds out what the fleet's format is now.
-func (f *Negotiator) Refresh(ctx context.Context) error {
-	_, err := f.readRecords(ctx)
-	return err
-}
-
-func (f *Negotiator) readRecords(ctx context.Context) (map[string]StoredFormat, error) {
-	list, err := f.kvClient.List(ctx, storage.PrefixFormats, "", kv.CallTimeout)
+// step reads all formats and writes what is due: this controller's announcement, and the
+// fleet's format if it leads.
+func (n *Negotiator) step(ctx context.Context, leading bool) error {
+	known, err := n.readRecords(ctx)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	known := map[string]StoredFormat{}
-	for _, item := range list.Items {
-		var r storage.FormatRecord
-		if err := protocol.Decode(item.Value, &r); err != nil {
-			return nil, fmt.Errorf("record %s: %w", item.Key, err)
-		}
-		known[item.Key] = StoredFormat{r.Format, item.Version}
+	if err := n.announce(ctx, known); err != nil {
+		return err
 	}
-	f.adopt(known[storage.KeyFleetFormat].Format)
-	return known, nil
-}
-
-// StoredFormat is a format as a record has it.
-type StoredFormat struct {
-	Format  int
-	Version uint64
-}
-
-func (f *Negotiator) adopt(level int) {
-	if level > storage.NewestFormat && !f.tooNew.Swap(true) {
-		f.log.Error("the fleet's records have a format of a later version; this node does not lead", "format", level, "known", storage.NewestFormat)
+	format := SupportedByAll(n.nodes, known)
+	if !leading || format <= n.Current() {
+		return nil
 	}
-	if level > f.Current() {
-		f.current.Store(int64(level))
-		f.kvClient.ApplyNextLimits()
-		f.log.Info("fleet format", "format", level)
+	if err := n.write(ctx, storage.KeyFleetFormat, format, known[storage.KeyFleetFormat].Version); err != nil {
+		return err
 	}
+	n.adopt(format)
+	return nil
 }
 
-func (f *Negotiator) step(ctx context.Context, leads bool) error {
-	known, err := f.readRecords(ctx)
-	if err != nil {
-		return err
-	}
-	own := storage.KeyFormat(f.node)
-	if known[own].Format < f.supported {
-		if err := f.write(ctx, own, f.supported, known[own].Version); err != nil {
+// announce makes durable which format this controller reads, if it is not yet, and notes it
+// among the known ones.
+func (n *Negotiator) announce(ctx context.Context, known map[string]StoredFormat) error {
+	own := storage.KeyFormat(n.node)
+	if known[own].Format < n.supported {
+		if err := n.write(ctx, own, n.supported, known[own].Version); err != nil {
 			return err
 		}
-		f.log.Info("format told", "node", f.node, "format", f.supported)
-		known[own] = StoredFormat{Format: f.supported}
-	}
-	f.registered = true
-	if level := SupportedByAll(f.nodes, known); leads && level > f.Current() {
-		if err := f.write(ctx, storage.KeyFleetFormat, level, known[storage.KeyFleetFormat].Version); err != nil {
-			return err
-		}
-		f.adopt(level)
+		n.log.Info("record format announced", "node", n.node, "format", n.supported)
+		known[own] = StoredFormat{Format: n.supported}
 	}
+	n.announced = true
 	return nil
 }
 
-// SupportedByAll gives the newest format that every controller reads.
-func SupportedByAll(nodes []string, known map[string]StoredFormat) int {
-	level := storage.NewestFormat
-	for _, node := range nodes {
-		level = min(level, max(known[storage.KeyFormat(node)].Format, storage.FormatOld))
+// adopt makes a format of the fleet the current one, if it is newer.
+func (n *Negotiator) adopt(format int) {
+	if format > storage.NewestFormat && !n.tooNew.Swap(true) {
+		n.log.Error("fleet record format is of a later version; this controller does not lead", "format", format, "known", storage.NewestFormat)
 	}
-	return level
-}
-
-func (f *Negotiator) write(ctx context.Context, key string, format int, on uint64) error {
-	_, err := f.kvClient.CompareAndSwap(ctx, protocol.Txn{
-		If: []protocol.Condition{{Key: key, Version: on}},
-		Then: []protocol.Change{{
-			Set:   key,
-			Value: protocol.Encode(storage.FormatRecord{Format: format, WrittenBy: f.node}),
-		}},
-	}, kv.Urgent, kv.CallTimeout)
-	var conflict *kv.VersionConflictError
-	if errors.As(err, &conflict) {
-		return errors.New("another write came first") // the next look tells
+	if format > n.Current() {
+		n.current.Store(int64(format))
+		n.client.ApplyNextLimits()
+		n.log.Info("fleet record format", "format", format)
 	}
-	return err
 }
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"log/slog"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"testing"
 
@@ -15,35 +16,35 @@
 	"dunestand/internal/units"
 )
 
-// formatsOn makes what each of some controllers knows of the fleet's format.
-func formatsOn(t *testing.T, s *standin.State, nodes ...string) map[string]*Negotiator {
-	server := httptest.NewServer(s)
-	t.Cleanup(server.Close)
-	out := map[string]*Negotiator{}
+// newNegotiators returns the negotiators of some controllers on a fake key-value store, by name.
+func newNegotiators(t *testing.T, server *standin.State, nodes ...string) map[string]*Negotiator {
+	t.Helper()
+	listener := httptest.NewServer(server)
+	t.Cleanup(listener.Close)
+	negotiators := map[string]*Negotiator{}
 	for i, node := range nodes {
-		store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+		client := kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), config.State{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 		}, len(nodes)-1, units.NewSystemClock())
-		others := append(append([]string{}, nodes[:i]...), nodes[i+1:]...)
-		out[node] = NewNegotiator(node, others, storage.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		others := slices.Concat(nodes[:i], nodes[i+1:])
+		negotiators[node] = NewNegotiator(node, others, storage.FormatNew, client, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
-	return out
+	return negotiators
 }
 
-// The fleet's format is raised only once every configured controller has said
-// that it reads the new one, by a leader alone; whoever comes later reads the same,
-// and nothing lowers it.
+// The fleet's format is raised only once every configured controller has announced that it reads
+// the new one, and by a leader alone; whoever comes later reads the same, and nothing lowers it.
 func TestFormatIsRaisedOnceAllAreUpgraded(t *testing.T) {
-	s := standin.NewState()
-	f := formatsOn(t, s, "a", "b", "c")
-	step := func(node string, leads bool, want int) {
+	server := standin.NewState()
+	negotiators := newNegotiators(t, server, "a", "b", "c")
+	step := func(node string, leading bool, want int) {
 		t.Helper()
-		if err := f[node].step(t.Context(), leads); err != nil {
+		if err := negotiators[node].step(t.Context(), leading); err != nil {
 			t.Fatal(err)
 		}
-		if got := f[node].Current(); got != want {
-			t.Errorf("%s goes by format %d, want %d", node, got, want)
+		if got := negotiators[node].Current(); got != want {
+			t.Errorf("%s has format %d, want %d", node, got, want)
 		}
 	}
 	step("a", true, storage.FormatOld)
@@ -53,8 +54,8 @@
 	step("b", false, storage.FormatOld) // only a leader raises it
 	step("a", true, storage.FormatNew)
 	step("b", false, storage.FormatNew)
-	s.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
-	later := formatsOn(t, s, "a", "b", "c")["b"]
+	server.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
+	later := newNegotiators(t, server, "a", "b", "c")["b"]
 	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatNew {
 		t.Errorf("%d, %v", later.Current(), err)
 	}
