--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -50,7 +50,7 @@
 )
 
 // Evidence is what an answer about a job rests on.
-type evidence struct {
+type Evidence struct {
 	kind    evidenceKind
 	readAt  units.Micros // of a provisional answer: its state was read then or later
 	version uint64       // of a final answer: of the record that tells of it
@@ -59,7 +59,7 @@
 // Answer is a response to a user together with its proof.
 type Answer struct {
 	transport.Response
-	Evidence evidence
+	Evidence Evidence
 }
 
 // Plain is an answer that says nothing of a job's state.
@@ -71,13 +71,13 @@
 }
 
 func Provisional(r transport.Response, readAt units.Micros) Answer {
-	return Answer{Response: r, Evidence: evidence{kind: provisional, readAt: readAt}}
+	return Answer{Response: r, Evidence: Evidence{kind: provisional, readAt: readAt}}
 }
 
 func Terminal(id string, f storage.StoredTerminalRecord) Answer {
 	return Answer{
 		Response: StateResponse(http.StatusOK, protocol.JobState{ID: id, Stage: f.Stage, Done: f.Done}),
-		Evidence: evidence{kind: terminal, version: f.Version},
+		Evidence: Evidence{kind: terminal, version: f.Version},
 	}
 }
 
@@ -166,7 +166,7 @@
 		s.Stage = protocol.StageCancelled
 		return Answer{
 			Response: StateResponse(status, s),
-			Evidence: evidence{kind: terminal, version: j.CancelVersion()},
+			Evidence: Evidence{kind: terminal, version: j.CancelVersion()},
 		}
 	}
 	if s.Running > 0 || s.Done > 0 {
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -12,7 +12,7 @@
 	"dunestand/internal/units"
 )
 
-func testGate() (Gate, *standin.Clock) {
+func newTestGate() (Gate, *standin.Clock) {
 	clock := &standin.Clock{Now: 100 * units.Second}
 	return Gate{
 		Clock:     clock,
@@ -20,16 +20,16 @@
 	}, clock
 }
 
-func jobState(stage protocol.JobStage) transport.Response {
+func stateResponse(stage protocol.JobStage) transport.Response {
 	return StateResponse(http.StatusOK, protocol.JobState{ID: "j-000001", Stage: stage})
 }
 
 // An answer that is not final is given for a while after its state was read, whatever
 // it claims; one that claims nothing is given at any time.
-func TestProvisionalAnswersGrowOld(t *testing.T) {
-	gate, clock := testGate()
+func TestProvisionalAnswerExpires(t *testing.T) {
+	gate, clock := newTestGate()
 	for name, r := range map[string]transport.Response{
-		"running":   jobState(protocol.StageRunning),
+		"running":   stateResponse(protocol.StageRunning),
 		"unknown":   ErrorResponse(http.StatusNotFound, "no such job"),
 		"malformed": ErrorResponse(http.StatusBadRequest, "no uid"),
 	} {
@@ -50,11 +50,11 @@
 
 // A final answer is given once its record has been durable for longer than any answer
 // from before it may still be given.
-func TestTerminalAnswersWaitUntilStable(t *testing.T) {
+func TestTerminalAnswerWaitsUntilStable(t *testing.T) {
 	if stableAge <= MaxAnswerAge {
 		t.Fatal("a final answer is given while older ones are")
 	}
-	gate, clock := testGate()
+	gate, clock := newTestGate()
 	a := Terminal("j-000001", storage.StoredTerminalRecord{
 		TerminalRecord: storage.TerminalRecord{Stage: protocol.StageDone},
 		Version:        7,
@@ -77,13 +77,13 @@
 
 // What the leader answered to a request that was passed on counts as read when the
 // request was sent; the leader itself holds final answers back.
-func TestRelayedAnswersCountFromTheRequest(t *testing.T) {
-	gate, clock := testGate()
+func TestForwardedAnswerIsAsOldAsItsRequest(t *testing.T) {
+	gate, clock := newTestGate()
 	sentAt := clock.Now
 	clock.Now += MaxAnswerAge + 1
 	for _, r := range []transport.Response{
-		jobState(protocol.StagePending),
-		jobState(protocol.StageRunning),
+		stateResponse(protocol.StagePending),
+		stateResponse(protocol.StageRunning),
 		ErrorResponse(http.StatusNotFound, "no such job"),
 		ErrorResponse(http.StatusUnprocessableEntity, "crew: unknown team"),
 	} {
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, stage := range []protocol.JobStage{protocol.StageDone, protocol.StageCancelled} {
-		if got := gate.Check(Relayed(jobState(stage), sentAt)); got.Status != http.StatusOK {
+		if got := gate.Check(Relayed(stateResponse(stage), sentAt)); got.Status != http.StatusOK {
 			t.Errorf("%s is not passed on: %d", stage, got.Status)
 		}
 	}
