--- a/internal/answer/answer_test.go
+++ b/internal/answer/gate_test.go
@@ -12,6 +12,7 @@
 	"dunestand/internal/units"
 )
 
+// newTestGate returns a gate and its clock.
 func newTestGate() (Gate, *standin.Clock) {
 	clock := &standin.Clock{Now: 100 * units.Second}
 	return Gate{
@@ -24,8 +25,8 @@
 	return StateResponse(http.StatusOK, protocol.JobState{ID: "j-000001", Stage: stage})
 }
 
-// An answer that is not final is given for a while after its state was read, whatever
-// it claims; one that claims nothing is given at any time.
+// A provisional answer is given for a while after its state was read, whatever it claims; one
+// that claims nothing is given at any time.
 func TestProvisionalAnswerExpires(t *testing.T) {
 	gate, clock := newTestGate()
 	for name, r := range map[string]transport.Response{
@@ -48,11 +49,11 @@
 	}
 }
 
-// A final answer is given once its record has been durable for longer than any answer
-// from before it may still be given.
+// A terminal answer is given once its record has been durable for longer than any answer from
+// before it may still be given.
 func TestTerminalAnswerWaitsUntilStable(t *testing.T) {
 	if stableAge <= MaxAnswerAge {
-		t.Fatal("a final answer is given while older ones are")
+		t.Fatal("a terminal answer is given while older ones are")
 	}
 	gate, clock := newTestGate()
 	a := Terminal("j-000001", storage.StoredTerminalRecord{
@@ -71,12 +72,12 @@
 	}
 	clock.Now++
 	if got := gate.Check(a); got.Status != http.StatusOK {
-		t.Errorf("%d once it is settled", got.Status)
+		t.Errorf("%d once it is stable", got.Status)
 	}
 }
 
-// What the leader answered to a request that was passed on counts as read when the
-// request was sent; the leader itself holds final answers back.
+// What the leader answered to a forwarded request counts as read when the request was sent; the
+// leader itself holds terminal answers back.
 func TestForwardedAnswerIsAsOldAsItsRequest(t *testing.T) {
 	gate, clock := newTestGate()
 	sentAt := clock.Now
@@ -88,7 +89,7 @@
 		ErrorResponse(http.StatusUnprocessableEntity, "crew: unknown team"),
 	} {
 		if got := gate.Check(Relayed(r, sentAt)); got.Status != http.StatusServiceUnavailable {
-			t.Errorf("%d %s is passed on late", got.Status, got.Body)
+			t.Errorf("%d %s is forwarded late", got.Status, got.Body)
 		}
 		if got := gate.Check(Relayed(r, clock.Now)); got.Status != r.Status {
 			t.Errorf("%d in time, of %d", got.Status, r.Status)
@@ -96,7 +97,7 @@
 	}
 	for _, stage := range []protocol.JobStage{protocol.StageDone, protocol.StageCancelled} {
 		if got := gate.Check(Relayed(stateResponse(stage), sentAt)); got.Status != http.StatusOK {
-			t.Errorf("%s is not passed on: %d", stage, got.Status)
+			t.Errorf("%s is not forwarded: %d", stage, got.Status)
 		}
 	}
 }
