--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -27,22 +27,22 @@
 // Admitter is what a controller needs to admit jobs by the fleet's plan. A nil one admits
 // all.
 type Admitter struct {
-	options admission.Options
-	teams   []admission.Team
-	keeper  *admission.Keeper
-	store   *kv.Client // on connections of its own: a watch keeps one
-	format  recordformat.Source
-	clock   units.Clock
-	log     *slog.Logger
-	metrics *telemetry.Metrics
+	options   admission.Options
+	teams     []admission.Team
+	planStore *admission.Keeper
+	client    *kv.Client // on connections of its own: a watch keeps one
+	format    recordformat.Source
+	clock     units.Clock
+	log       *slog.Logger
+	metrics   *telemetry.Metrics
 	// replanSignal asks the leader's loop for a new plan at once.
 	replanSignal loop.Signal
-	// unreadable is the revision of a record that could not be read, 0: none.
-	unreadable atomic.Uint64
+	// unreadableRevision is the revision of a record that could not be read, 0: none.
+	unreadableRevision atomic.Uint64
 }
 
-// admissionTeams gives the teams as package admission knows them.
-func admissionTeams(teams []config.Team) []admission.Team {
+// teamsOf gives the teams as package admission knows them.
+func teamsOf(teams []config.Team) []admission.Team {
 	out := make([]admission.Team, len(teams))
 	for i, t := range teams {
 		out[i] = admission.Team{
@@ -75,12 +75,12 @@
 	if !options.On() {
 		return nil
 	}
-	teams := admissionTeams(s.Fleet.Teams)
+	teams := teamsOf(s.Fleet.Teams)
 	a := &Admitter{
 		options:      options,
 		teams:        teams,
-		keeper:       admission.NewKeeper(options, teams, 1+len(s.Others)),
-		store:        store.WithOwnConnections(),
+		planStore:    admission.NewKeeper(options, teams, 1+len(s.Others)),
+		client:       store.WithOwnConnections(),
 		format:       format,
 		clock:        clock,
 		log:          log,
@@ -101,7 +101,7 @@
 	now := a.State
 	a.metrics.Gauge("dunestand_admission_active", func() float64 { return truth(a.active()) })
 	a.metrics.Gauge("dunestand_admission_held_back", func() float64 { return truth(!a.active()) })
-	a.metrics.Gauge("dunestand_admission_plan_unreadable", func() float64 { return truth(a.unreadable.Load() != 0) })
+	a.metrics.Gauge("dunestand_admission_plan_unreadable", func() float64 { return truth(a.unreadableRevision.Load() != 0) })
 	a.metrics.Gauge("dunestand_admission_at_floor", func() float64 { return truth(now().Force == admission.ByFloor) })
 	a.metrics.Gauge("dunestand_admission_plan_version", func() float64 {
 		if s := now(); s.Force == admission.ByPlan {
@@ -120,7 +120,7 @@
 
 // writeCounts writes what this controller has decided, by team.
 func (a *Admitter) writeCounts(w io.Writer) {
-	for _, c := range a.keeper.CountsByTeam() {
+	for _, c := range a.planStore.CountsByTeam() {
 		fmt.Fprintf(w, "dunestand_admission_admitted_total{team=%q} %d\n", c.Team, c.Admitted)
 		fmt.Fprintf(w, "dunestand_admission_waits_total{team=%q} %d\n", c.Team, c.Waits)
 		fmt.Fprintf(w, "dunestand_admission_undecided_total{team=%q} %d\n", c.Team, c.Undecided)
@@ -134,12 +134,12 @@
 }
 
 // State is what admits jobs now: the plan in force, or the built-in minimum.
-func (a *Admitter) State() admission.State { return a.keeper.Now(a.clock.Steady()) }
+func (a *Admitter) State() admission.State { return a.planStore.Now(a.clock.Steady()) }
 
 // decide decides about a job that is not known. The revision tells on which version of
 // the plan's record its acceptance must be conditional.
 func (a *Admitter) decide(spec *protocol.JobSpec, side admission.Side) (admission.Decision, uint64) {
-	return a.keeper.Decide(spec, side, a.clock.Steady())
+	return a.planStore.Decide(spec, side, a.clock.Steady())
 }
 
 // DecideAlone decides without the leader, and gives what an acceptance is conditional on.
@@ -159,22 +159,22 @@
 	plan, err := admission.Decode(item.Value)
 	held := admission.Held{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
 	if err == nil {
-		err = a.keeper.Adopt(held)
+		err = a.planStore.Adopt(held)
 	}
 	if err != nil {
-		if a.unreadable.Swap(item.Version) != item.Version {
+		if a.unreadableRevision.Swap(item.Version) != item.Version {
 			a.log.Error("the admission plan is not readable; it is not obeyed and not overwritten", "revision", item.Version, "error", err)
 		}
 		held.Plan = nil
-		_ = a.keeper.Adopt(held) // without a plan nothing can be wrong with it
+		_ = a.planStore.Adopt(held) // without a plan nothing can be wrong with it
 		return
 	}
-	a.unreadable.Store(0)
+	a.unreadableRevision.Store(0)
 }
 
 const (
 	planWatchTimeout       = 2 * units.Second // how long a watch of the plan's record stays open
-	planRetryDelay         = units.Second
+	followRetryDelay       = units.Second
 	activationPollInterval = units.Second
 )
 
@@ -187,7 +187,7 @@
 	for ctx.Err() == nil {
 		if err := f.Step(ctx); err != nil {
 			a.log.Debug("the admission plan is not followed", "error", err)
-			if !loop.Sleep(ctx, planRetryDelay) {
+			if !loop.Sleep(ctx, followRetryDelay) {
 				return
 			}
 		}
@@ -208,30 +208,30 @@
 	return true
 }
 
-// planFollower follows the plan's record by a watch.
-type planFollower struct {
+// PlanFollower follows the plan's record by a watch.
+type PlanFollower struct {
 	admitter *Admitter
 	revision uint64       // up to which changes are known; 0: the record has to be read
 	asOf     units.Micros // nothing that is not known was written before
-	began    bool
+	hasRead  bool
 }
 
-func NewPlanFollower(a *Admitter) *planFollower { return &planFollower{admitter: a} }
+func NewPlanFollower(a *Admitter) *PlanFollower { return &PlanFollower{admitter: a} }
 
 // Step reads the record, or waits for its next change.
-func (f *planFollower) Step(ctx context.Context) error {
+func (f *PlanFollower) Step(ctx context.Context) error {
 	a := f.admitter
 	sent := a.clock.Steady()
 	if f.revision == 0 {
-		item, revision, err := a.store.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
+		item, revision, err := a.client.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
 		if err != nil {
 			return err
 		}
-		f.take(item, revision)
-		f.revision, f.asOf, f.began = revision, sent, true
+		f.update(item, revision)
+		f.revision, f.asOf, f.hasRead = revision, sent, true
 		return nil
 	}
-	list, err := a.store.Watch(ctx, admission.Prefix, f.revision, planWatchTimeout)
+	list, err := a.client.Watch(ctx, admission.Prefix, f.revision, planWatchTimeout)
 	if err != nil {
 		f.revision = 0
 		return err
@@ -239,25 +239,25 @@
 	for _, change := range list.Changes {
 		switch {
 		case change.Delete == admission.KeyPlan:
-			a.keeper.Missing(change.Version)
+			a.planStore.Missing(change.Version)
 		case change.Set == admission.KeyPlan:
-			f.take(protocol.Item{Key: change.Set, Value: change.Value, Version: change.Version}, list.Revision)
+			f.update(protocol.Item{Key: change.Set, Value: change.Value, Version: change.Version}, list.Revision)
 		}
 	}
 	f.revision, f.asOf = max(list.Revision, f.revision), sent
 	return nil
 }
 
-// take hands a record on. How old it is at most is told by when a former look did not
+// update hands a record on. How old it is at most is told by when a former look did not
 // show it yet.
-func (f *planFollower) take(item protocol.Item, revision uint64) {
+func (f *PlanFollower) update(item protocol.Item, revision uint64) {
 	a := f.admitter
 	if item.Version == 0 {
-		a.keeper.Missing(revision)
+		a.planStore.Missing(revision)
 		return
 	}
 	after := f.asOf
-	if !f.began {
+	if !f.hasRead {
 		after = a.clock.Steady() - admission.Lifetime // it may be of any age
 	}
 	a.adopt(item, after, a.clock.Steady())
--- a/internal/admissioncontrol/leader.go
+++ b/internal/admissioncontrol/leader.go
@@ -37,9 +37,9 @@
 type LeaderAdmission struct {
 	LeaderAdmissionDeps
 
-	publisher   *planPublisher
-	Waiting     *admission.WaitingList
-	corrections *admission.Corrections
+	publisher           *planPublisher
+	Waiting             *admission.WaitingList
+	estimateCorrections *admission.Corrections
 	// planKnown: the plan's record is known for certain. Until then nobody is told to
 	// wait, and nothing is accepted before it was once.
 	planKnown, planEverKnown bool
@@ -49,29 +49,29 @@
 	la := &LeaderAdmission{
 		LeaderAdmissionDeps: deps,
 		Waiting:             admission.NewWaitingList(),
-		corrections:         admission.NewCorrections(),
+		estimateCorrections: admission.NewCorrections(),
 	}
 	la.publisher = newPlanPublisher(deps, la)
 	return la
 }
 
 // Run publishes plans until ctx ends.
-func (la *LeaderAdmission) Run(ctx context.Context) { la.publisher.loop(ctx) }
+func (la *LeaderAdmission) Run(ctx context.Context) { la.publisher.run(ctx) }
 
 // Publish makes a plan now, and writes it if it is due.
 func (la *LeaderAdmission) Publish(ctx context.Context) error { return la.publisher.step(ctx, true) }
 
 // PlanVersion is the version of the plan that was written last. It must not be called while
 // plans are published.
-func (la *LeaderAdmission) PlanVersion() uint64 { return la.publisher.version }
+func (la *LeaderAdmission) PlanVersion() uint64 { return la.publisher.lastVersion }
 
 // WriteMetrics writes the usage of the teams by the last proposal of a plan.
-func (la *LeaderAdmission) WriteMetrics(w io.Writer) { la.publisher.writeStandings(w) }
+func (la *LeaderAdmission) WriteMetrics(w io.Writer) { la.publisher.writeUsages(w) }
 
 // ObserveRun learns from a task that was seen to run from its start to its end. It needs the
 // lock of the state held.
 func (la *LeaderAdmission) ObserveRun(j *cluster.Job, run units.Micros) {
-	la.corrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
+	la.estimateCorrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
 }
 
 // Admit decides, under the lock, whether a new job may be entered.
@@ -81,7 +81,7 @@
 	}
 	now := la.Clock.Steady()
 	if !la.planEverKnown {
-		return undecided()
+		return undecidedDecision()
 	}
 	d, _ := la.Admitter.decide(spec, admission.Leading)
 	if d.Verdict == admission.Admit {
@@ -98,13 +98,13 @@
 		return d
 	}
 	if !la.planKnown {
-		return undecided()
+		return undecidedDecision()
 	}
 	return d
 }
 
-// undecided is the decision while no plan is known to be in force.
-func undecided() admission.Decision {
+// undecidedDecision is the decision while no plan is known to be in force.
+func undecidedDecision() admission.Decision {
 	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUnclear, RetryAfter: units.Second}
 }
 
@@ -118,16 +118,16 @@
 	return la.Waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
 }
 
-// planUncertain notes that the plan's record may change at any moment.
-func (la *LeaderAdmission) planUncertain() {
+// markPlanUncertain notes that the plan's record may change at any moment.
+func (la *LeaderAdmission) markPlanUncertain() {
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.planKnown = false
 }
 
-// planChanged takes over the revision of the plan's record. New jobs are accepted on that
+// setPlanRevision takes over the revision of the plan's record. New jobs are accepted on that
 // condition, and those whose acceptance is not on its way are decided anew.
-func (la *LeaderAdmission) planChanged(revision uint64) {
+func (la *LeaderAdmission) setPlanRevision(revision uint64) {
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.planKnown, la.planEverKnown = true, true
@@ -156,8 +156,8 @@
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.Waiting.Expire(now)
-	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), Corrections: la.corrections.Snapshot()}
-	reckoning := la.Admitter.keeper.Reckoning()
+	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), Corrections: la.estimateCorrections.Snapshot()}
+	reckoning := la.Admitter.planStore.Reckoning()
 	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
 			cell, work := reckoning.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -25,18 +25,18 @@
 
 	// recordLock holds a token while the record is read or written. What follows is for its
 	// holder alone.
-	recordLock  chan struct{}
-	planner     *admission.Planner
-	revision    uint64 // of the record, as this leader knows it
-	recordKnown bool   // it does
-	version     uint64 // of the last plan
-	written     *admission.Plan
-	sentAt      units.Micros // of the last one that this leader wrote; 0: none yet
-	failed      bool         // it is not known whether that one was written, or it was not
-	tooLarge    bool         // the last plan did not fit, and that was logged
-	limiter     *rate.Limiter
+	recordLock      chan struct{}
+	planner         *admission.Planner
+	revision        uint64 // of the record, as this leader knows it
+	recordKnown     bool   // it does
+	lastVersion     uint64 // of the last plan
+	lastPlan        *admission.Plan
+	lastSentAt      units.Micros // of the last one that this leader wrote; 0: none yet
+	lastWriteFailed bool         // it is not known whether that one was written, or it was not
+	loggedTooLarge  bool         // the last plan did not fit, and that was logged
+	limiter         *rate.Limiter
 
-	standings atomic.Pointer[[]admission.Standing] // of the teams, by the last proposal
+	usages atomic.Pointer[[]admission.Standing] // of the teams, by the last proposal
 }
 
 func newPlanPublisher(deps LeaderAdmissionDeps, la *LeaderAdmission) *planPublisher {
@@ -51,8 +51,8 @@
 // The pace of plans. Exhausted quotas are renewed sooner, what is a matter of course is
 // not written again before it is about to lapse.
 const (
-	recordRetryDelay      = 200 * units.Millisecond // until the plan's record is read again
-	planInterval          = 250 * units.Millisecond
+	recordRereadDelay     = 200 * units.Millisecond // until the plan's record is read again
+	planCheckInterval     = 250 * units.Millisecond
 	minPlanInterval       = 500 * units.Millisecond // between two plans
 	minUrgentPlanInterval = 120 * units.Millisecond // likewise, when a quota is used up
 	renewalsPerLifetime   = 3                       // of an unchanged plan, in its lifetime
@@ -61,9 +61,9 @@
 	planBurst      = 4
 )
 
-// writeStandings writes how the teams stand, for the metrics of the leader.
-func (p *planPublisher) writeStandings(w io.Writer) {
-	standings := p.standings.Load()
+// writeUsages writes how the teams stand, for the metrics of the leader.
+func (p *planPublisher) writeUsages(w io.Writer) {
+	standings := p.usages.Load()
 	if standings == nil {
 		return
 	}
@@ -94,12 +94,12 @@
 
 func (p *planPublisher) release() { <-p.recordLock }
 
-// loop publishes plans until ctx ends.
-func (p *planPublisher) loop(ctx context.Context) {
+// run publishes plans until ctx ends.
+func (p *planPublisher) run(ctx context.Context) {
 	if p.Admitter == nil {
 		return
 	}
-	tick := time.NewTicker(planInterval.Duration())
+	tick := time.NewTicker(planCheckInterval.Duration())
 	defer tick.Stop()
 	for asked := true; ; {
 		if p.Admitter.active() && p.Leadership.Valid() {
@@ -125,45 +125,45 @@
 	}
 	defer p.release()
 	if !p.recordKnown {
-		if err := p.read(ctx); err != nil {
+		if err := p.readRecord(ctx); err != nil {
 			return err
 		}
 	}
-	if p.Admitter.unreadable.Load() != 0 {
+	if p.Admitter.unreadableRevision.Load() != 0 {
 		p.recordKnown = false // an operator may repair or delete the record
 		return ErrPlanUnreadable
 	}
 	now := p.Clock.Steady()
-	if p.sentAt != 0 && now-p.sentAt < planPause(asked) {
+	if p.lastSentAt != 0 && now-p.lastSentAt < minIntervalFor(asked) {
 		return nil
 	}
-	proposal := p.planner.Next(p.version+1, p.Leadership.Token(), p.admission.measure(now))
-	p.standings.Store(&proposal.Standings)
+	proposal := p.planner.Next(p.lastVersion+1, p.Leadership.Token(), p.admission.measure(now))
+	p.usages.Store(&proposal.Standings)
 	if !p.due(proposal.Plan, now, asked) {
 		return nil
 	}
 	raw, held, err := admission.Encode(proposal.Plan, p.Settings.Fleet.State.Both().ValueBytes())
 	if err != nil {
-		if !p.tooLarge {
+		if !p.loggedTooLarge {
 			p.Admitter.log.Error("the admission plan is not written; jobs are admitted by the built-in floor", "error", err)
 		}
-		p.tooLarge = true
+		p.loggedTooLarge = true
 		return err
 	}
-	p.tooLarge = false
-	if err := p.write(ctx, raw, held); err != nil {
-		p.failed = true
+	p.loggedTooLarge = false
+	if err := p.writePlan(ctx, raw, held); err != nil {
+		p.lastWriteFailed = true
 		return err
 	}
-	p.failed = false
+	p.lastWriteFailed = false
 	p.planner.Accept(proposal)
 	return nil
 }
 
 var ErrPlanUnreadable = errors.New("the plan's record is not readable")
 
-// planPause is the time between two plans.
-func planPause(asked bool) units.Micros {
+// minIntervalFor is the time between two plans.
+func minIntervalFor(asked bool) units.Micros {
 	if asked {
 		return minUrgentPlanInterval
 	}
@@ -172,34 +172,34 @@
 
 // due tells whether a plan is to be written now.
 func (p *planPublisher) due(plan *admission.Plan, now units.Micros, asked bool) bool {
-	if p.sentAt == 0 || now-p.sentAt >= admission.Lifetime/renewalsPerLifetime {
+	if p.lastSentAt == 0 || now-p.lastSentAt >= admission.Lifetime/renewalsPerLifetime {
 		return true
 	}
-	if !asked && !p.failed && plan.Like(p.written) {
+	if !asked && !p.lastWriteFailed && plan.Like(p.lastPlan) {
 		return false
 	}
 	return p.KV.HasWriteBudget() && p.limiter.Allow()
 }
 
-// read finds out what the record holds now.
-func (p *planPublisher) read(ctx context.Context) error {
+// readRecord finds out what the record holds now.
+func (p *planPublisher) readRecord(ctx context.Context) error {
 	asked := p.Clock.Steady()
 	item, revision, err := p.KV.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
 	if err != nil {
 		return err
 	}
 	if item.Version == 0 {
-		p.Admitter.keeper.Missing(revision)
-		p.Admitter.unreadable.Store(0)
+		p.Admitter.planStore.Missing(revision)
+		p.Admitter.unreadableRevision.Store(0)
 	} else {
 		after := asked - admission.Lifetime // it may be of any age
-		if p.sentAt != 0 && item.Version > p.revision {
-			after = p.sentAt // it is the one whose answer was lost
+		if p.lastSentAt != 0 && item.Version > p.revision {
+			after = p.lastSentAt // it is the one whose answer was lost
 		}
 		p.Admitter.adopt(item, after, p.Clock.Steady())
 	}
-	if p.Admitter.unreadable.Load() == 0 {
-		if err := p.continueFrom(item); err != nil {
+	if p.Admitter.unreadableRevision.Load() == 0 {
+		if err := p.resumeFrom(item); err != nil {
 			return err
 		}
 	}
@@ -208,12 +208,12 @@
 	}
 	p.recordKnown = true
 	p.revision = item.Version
-	p.admission.planChanged(p.revision)
+	p.admission.setPlanRevision(p.revision)
 	return nil
 }
 
-// continueFrom goes on from the plan in a record.
-func (p *planPublisher) continueFrom(item protocol.Item) error {
+// resumeFrom goes on from the plan in a record.
+func (p *planPublisher) resumeFrom(item protocol.Item) error {
 	var former *admission.Plan
 	if item.Version != 0 {
 		plan, err := admission.Decode(item.Value)
@@ -221,7 +221,7 @@
 			return err
 		}
 		former = plan
-		p.version = plan.Version
+		p.lastVersion = plan.Version
 	}
 	if p.planner == nil {
 		p.planner = admission.NewPlanner(p.Admitter.options, p.Admitter.teams, former, p.Clock.Steady())
@@ -240,18 +240,18 @@
 	return p.Ingester.Ingest(ctx, items)
 }
 
-// write makes a plan durable, on condition that the record is as this leader knows it and
+// writePlan makes a plan durable, on condition that the record is as this leader knows it and
 // that no later leader has claimed the buckets. From before the plan is sent until it is
 // known what became of it, nobody is told to wait by the plan before.
-func (p *planPublisher) write(ctx context.Context, raw []byte, plan *admission.Plan) error {
-	p.admission.planUncertain()
+func (p *planPublisher) writePlan(ctx context.Context, raw []byte, plan *admission.Plan) error {
+	p.admission.markPlanUncertain()
 	head := storage.KeyBucketHead(planFenceBucket)
 	sent := p.Clock.Steady()
 	pacing := kv.Paced
-	if p.sentAt == 0 {
+	if p.lastSentAt == 0 {
 		pacing = kv.Urgent
 	}
-	p.sentAt = sent
+	p.lastSentAt = sent
 	revision, err := p.KV.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{
 			{Key: admission.KeyPlan, Version: p.revision},
@@ -261,29 +261,29 @@
 	}, pacing, kv.CallTimeout)
 	switch {
 	case errors.Is(err, kv.ErrRefused):
-		p.admission.planChanged(p.revision)
+		p.admission.setPlanRevision(p.revision)
 		return err
 	case err != nil:
 		p.recordKnown = false
 		return err
 	}
-	if !plan.Like(p.written) {
+	if !plan.Like(p.lastPlan) {
 		p.Admitter.log.Info("admission plan", "version", plan.Version, "restricted_cells", plan.Gates(),
 			"turns", plan.Turns(), "waiting", p.admission.WaitingCount())
 	}
-	p.written, p.version = plan, plan.Version
+	p.lastPlan, p.lastVersion = plan, plan.Version
 	if err := p.ingestPending(ctx); err != nil {
 		p.recordKnown = false // it is read again, with the inbox
 		p.revision = revision
 		return err
 	}
-	if err := p.Admitter.keeper.Adopt(admission.Held{
+	if err := p.Admitter.planStore.Adopt(admission.Held{
 		Plan: plan, Revision: revision, WrittenAfter: sent, WrittenBefore: p.Clock.Steady(),
 	}); err != nil {
 		return err
 	}
 	p.revision = revision
-	p.admission.planChanged(revision)
+	p.admission.setPlanRevision(revision)
 	return nil
 }
 
@@ -297,7 +297,7 @@
 	}
 	defer p.release()
 	p.recordKnown = false
-	for p.read(ctx) != nil && loop.Sleep(ctx, recordRetryDelay) {
+	for p.readRecord(ctx) != nil && loop.Sleep(ctx, recordRereadDelay) {
 		continue
 	}
 }
