--- /dev/null
+++ b/internal/admissioncontrol/admittermetrics.go
@@ -0,0 +1,60 @@
+package admissioncontrol
+
+import (
+	"fmt"
+	"io"
+
+	"dunestand/internal/admission"
+)
+
+// addMetrics registers the gauges of admission and the counts by team.
+func (a *Admitter) addMetrics() {
+	gauges := []struct {
+		name  string
+		value func() float64
+	}{
+		{"dunestand_admission_active", func() float64 { return gaugeOf(a.active()) }},
+		{"dunestand_admission_held_back", func() float64 { return gaugeOf(!a.active()) }},
+		{"dunestand_admission_plan_unreadable", func() float64 { return gaugeOf(a.unreadableRevision.Load() != 0) }},
+		{"dunestand_admission_at_floor", func() float64 { return gaugeOf(a.State().Force == admission.ByFloor) }},
+		{"dunestand_admission_plan_version", a.planVersion},
+		{"dunestand_admission_restricted_cells", a.restrictedCells},
+	}
+	for _, g := range gauges {
+		a.metrics.Gauge(g.name, g.value)
+	}
+	a.metrics.AddWriter(a.writeCounts)
+}
+
+// gaugeOf returns a condition as the value of a gauge.
+func gaugeOf(b bool) float64 {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+// planVersion returns the version of the plan in force, 0 if none is.
+func (a *Admitter) planVersion() float64 {
+	if s := a.State(); s.Force == admission.ByPlan {
+		return float64(s.Plan.Version)
+	}
+	return 0
+}
+
+// restrictedCells returns how many cells of the plan or its fallback are restricted.
+func (a *Admitter) restrictedCells() float64 {
+	if s := a.State(); s.Plan != nil {
+		return float64(s.Plan.Gates())
+	}
+	return 0
+}
+
+// writeCounts writes how this controller has decided, by team.
+func (a *Admitter) writeCounts(w io.Writer) {
+	for _, c := range a.planStore.CountsByTeam() {
+		fmt.Fprintf(w, "dunestand_admission_admitted_total{team=%q} %d\n", c.Team, c.Admitted)
+		fmt.Fprintf(w, "dunestand_admission_waits_total{team=%q} %d\n", c.Team, c.Waits)
+		fmt.Fprintf(w, "dunestand_admission_undecided_total{team=%q} %d\n", c.Team, c.Undecided)
+	}
+}
--- a/internal/admissioncontrol/leader.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -17,7 +17,8 @@
 	"dunestand/internal/units"
 )
 
-// LeaderAdmissionDeps is what a LeaderAdmission works with.
+// LeaderAdmissionDeps is what a LeaderAdmission works with. Its logger names the leader; the
+// Admitter's does not.
 type LeaderAdmissionDeps struct {
 	State       *cluster.State
 	Admitter    *Admitter // nil: all jobs are admitted
@@ -29,22 +30,26 @@
 	Clock       units.Clock
 	Log         *slog.Logger
 	Metrics     *telemetry.Metrics
-	WriteSignal loop.Signal
+	WriteSignal loop.Signal // raised when jobs can be accepted by a new plan
 }
 
-// LeaderAdmission decides, by the fleet's admission plan, which new jobs the leader accepts.
-// Its fields are guarded by the lock of state.
+// LeaderAdmission decides, by the fleet's admission plan, which new jobs the leader accepts, and
+// publishes the plans. It belongs to one leader. All its own fields but publisher are guarded by
+// the lock of the state; methods that need it held say so, and the others must be called without
+// it.
 type LeaderAdmission struct {
 	LeaderAdmissionDeps
 
-	publisher           *planPublisher
+	publisher *planPublisher
+	// Waiting holds the jobs whose users were told to come back.
 	Waiting             *admission.WaitingList
 	estimateCorrections *admission.Corrections
-	// planKnown: the plan's record is known for certain. Until then nobody is told to
-	// wait, and nothing is accepted before it was once.
+	// planKnown: the plan's record is known for certain. While it is not, nobody is told to
+	// wait; and nothing is accepted before it was known once.
 	planKnown, planEverKnown bool
 }
 
+// NewLeaderAdmission returns the admission of a leader that does not know the plan's record yet.
 func NewLeaderAdmission(deps LeaderAdmissionDeps) *LeaderAdmission {
 	la := &LeaderAdmission{
 		LeaderAdmissionDeps: deps,
@@ -58,23 +63,26 @@
 // Run publishes plans until ctx ends.
 func (la *LeaderAdmission) Run(ctx context.Context) { la.publisher.run(ctx) }
 
-// Publish makes a plan now, and writes it if it is due.
+// Publish makes a plan now, and writes it if it is due. It fails with ErrPlanUnreadable, an
+// error of the client or one of the plan's encoding.
 func (la *LeaderAdmission) Publish(ctx context.Context) error { return la.publisher.step(ctx, true) }
 
-// PlanVersion is the version of the plan that was written last. It must not be called while
+// PlanVersion returns the version of the plan that was written last. It must not be called while
 // plans are published.
 func (la *LeaderAdmission) PlanVersion() uint64 { return la.publisher.lastVersion }
 
-// WriteMetrics writes the usage of the teams by the last proposal of a plan.
+// WriteMetrics writes the usage of the teams by the last proposal of a plan, in the text format of
+// Prometheus.
 func (la *LeaderAdmission) WriteMetrics(w io.Writer) { la.publisher.writeUsages(w) }
 
-// ObserveRun learns from a task that was seen to run from its start to its end. It needs the
-// lock of the state held.
+// ObserveRun learns from a task that was seen to run from its start to its end how far its team's
+// estimates are off. It needs the lock of the state held.
 func (la *LeaderAdmission) ObserveRun(j *cluster.Job, run units.Micros) {
 	la.estimateCorrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
 }
 
-// Admit decides, under the lock, whether a new job may be entered.
+// Admit decides whether a new job may be added to the state. It needs the lock of the state
+// held.
 func (la *LeaderAdmission) Admit(spec *protocol.JobSpec) admission.Decision {
 	if !la.Admitter.active() {
 		return admission.Decision{Verdict: admission.Admit}
@@ -103,14 +111,14 @@
 	return d
 }
 
-// undecidedDecision is the decision while no plan is known to be in force.
+// undecidedDecision returns the decision while no plan is known to be in force.
 func undecidedDecision() admission.Decision {
 	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUnclear, RetryAfter: units.Second}
 }
 
-// IsSurelyUnknown tells whether no record can tell of a job that waits: none did when this
-// leader looked, and since then nobody could accept it. Another controller may, once the
-// plan has lapsed; long before that the records are read each time.
+// IsSurelyUnknown reports whether it is certain that no record names a job that waits: none did
+// when this leader looked, and since then nobody could accept it. Another controller may, once the
+// plan has expired; long before that the records are read each time.
 func (la *LeaderAdmission) IsSurelyUnknown(id string) bool {
 	la.State.Lock()
 	defer la.State.Unlock()
@@ -118,15 +126,15 @@
 	return la.Waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
 }
 
-// markPlanUncertain notes that the plan's record may change at any moment.
+// markPlanUncertain notes that the plan's record may change at any moment from now on.
 func (la *LeaderAdmission) markPlanUncertain() {
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.planKnown = false
 }
 
-// setPlanRevision takes over the revision of the plan's record. New jobs are accepted on that
-// condition, and those whose acceptance is not on its way are decided anew.
+// setPlanRevision notes that the plan's record is known at a revision. New jobs are accepted on
+// that condition, and those whose acceptance is not on its way are decided anew.
 func (la *LeaderAdmission) setPlanRevision(revision uint64) {
 	la.State.Lock()
 	defer la.State.Unlock()
@@ -136,9 +144,10 @@
 	la.WriteSignal.Raise()
 }
 
-// Reconsider decides, under the lock, about the jobs that were entered and whose
-// acceptance is not on its way: it has to be by the plan that it is conditional on. Those
-// that were on their way when the plan changed come back here when their save fails.
+// Reconsider decides again about the jobs that were added to the state and whose acceptance is
+// not on its way: it has to be by the plan that it is conditional on. Those that were on their way
+// when the plan changed are reconsidered when their write batch fails. It needs the lock of the
+// state held.
 func (la *LeaderAdmission) Reconsider() {
 	now := la.Clock.Steady()
 	for _, j := range la.State.UnacceptedJobs() {
@@ -146,21 +155,21 @@
 		if d.Verdict == admission.Wait || d.Reason == admission.PlanUnclear {
 			la.Waiting.Add(j.Spec.ID, d, now)
 			la.State.DropUnaccepted(j.Spec.ID)
-			la.Log.Info("job not admitted after all", "job", j.Spec.ID, "plan", d.Plan)
+			la.Log.Info("unaccepted job no longer admitted", "job", j.Spec.ID, "plan", d.Plan)
 		}
 	}
 }
 
-// measure takes down what the next plan is made from.
+// measure returns what the next plan is made from.
 func (la *LeaderAdmission) measure(now units.Micros) admission.Measurement {
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.Waiting.Expire(now)
 	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), Corrections: la.estimateCorrections.Snapshot()}
-	reckoning := la.Admitter.planStore.Reckoning()
+	plan := la.Admitter.planStore.Reckoning()
 	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
-			cell, work := reckoning.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
+			cell, work := plan.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
 			m.Loads = append(m.Loads, admission.Load{Cell: cell, Work: work})
 		}
 	}
@@ -174,12 +183,13 @@
 	return m
 }
 
-// WaitingCount is the number of jobs that were told to come back.
+// WaitingCount returns the number of jobs whose users were told to come back.
 func (la *LeaderAdmission) WaitingCount() int {
 	la.State.Lock()
 	defer la.State.Unlock()
 	return la.Waiting.Len()
 }
 
-// RereadPlan finds out which plan is in force, after a write met another version of it.
+// RereadPlan finds out which plan is in force, after a write met another version of it. It tries
+// until it succeeds or ctx ends.
 func (la *LeaderAdmission) RereadPlan(ctx context.Context) { la.publisher.rereadRecord(ctx) }
--- /dev/null
+++ b/internal/admissioncontrol/options.go
@@ -0,0 +1,39 @@
+package admissioncontrol
+
+import (
+	"dunestand/internal/admission"
+	"dunestand/internal/cluster"
+	"dunestand/internal/config"
+	"dunestand/internal/units"
+)
+
+// AdmissionOptions returns a policy's choices as package admission has them.
+func AdmissionOptions(p config.AdmissionPolicy) admission.Options {
+	return admission.Options{
+		Horizon:     p.Horizon,
+		TeamShares:  weightsOf(p.TeamShares),
+		ClassShares: weightsOf(p.ClassShares),
+	}
+}
+
+// weightsOf returns the weights of shares by name.
+func weightsOf(shares []config.Share) map[string]float64 {
+	weights := map[string]float64{}
+	for _, share := range shares {
+		weights[share.Name] = share.Weight
+	}
+	return weights
+}
+
+// teamsOf returns the teams as package admission has them.
+func teamsOf(teams []config.Team) []admission.Team {
+	out := make([]admission.Team, len(teams))
+	for i, t := range teams {
+		out[i] = admission.Team{
+			Name:      t.Name,
+			Guarantee: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
+			Limit:     admission.AmountsOf(cluster.QuotaLimitOf(t)),
+		}
+	}
+	return out
+}
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -31,7 +31,7 @@
 	term := storedLeader(t, number, s, func(d *Deps) {
 		d.Format = standin.NewRecordFormat(storage.FormatAdmission)
 		d.Settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
-		d.Admitter = admissioncontrol.NewAdmitter(d.Settings, admission.Options{Horizon: floodHorizon}, d.KV, d.Format, d.Clock, d.Log, d.Metrics)
+		d.Admitter = newTestAdmitter(*d)
 	})
 	if !term.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
@@ -40,6 +40,19 @@
 	return term
 }
 
+// newTestAdmitter returns the admitter of a controller whose policy turns admission on.
+func newTestAdmitter(d Deps) *admissioncontrol.Admitter {
+	return admissioncontrol.NewAdmitter(admissioncontrol.AdmitterDeps{
+		Settings: d.Settings,
+		Options:  admission.Options{Horizon: floodHorizon},
+		KV:       d.KV,
+		Format:   d.Format,
+		Clock:    d.Clock,
+		Log:      d.Log,
+		Metrics:  d.Metrics,
+	})
+}
+
 // renewPlan has the leader write a plan now.
 func (l *Leader) renewPlan(ctx context.Context) error {
 	l.Clock.(*standin.Clock).Now += units.Second
@@ -309,7 +322,9 @@
 	c.deps.Settings, c.deps.KV = term.Settings, term.KV // whose limits are far away
 	format := standin.NewRecordFormat(storage.FormatAdmission)
 	c.deps.Format = format
-	a := admissioncontrol.NewAdmitter(term.Settings, admission.Options{Horizon: floodHorizon}, c.deps.KV, c.deps.Format, c.deps.Clock, c.deps.Log, telemetry.NewMetrics())
+	deps := c.deps
+	deps.Metrics = telemetry.NewMetrics()
+	a := newTestAdmitter(deps)
 	c.deps.Admitter = a
 	submit := func(id, team string) int {
 		spec := admittedSpec(id, team, 1)
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -102,7 +102,15 @@
 		Log:      env.Log,
 		Metrics:  metrics,
 		Format:   format,
-		Admitter: admissioncontrol.NewAdmitter(s, env.admissionOptions(), client, format, env.Clock, env.Log, metrics),
+		Admitter: admissioncontrol.NewAdmitter(admissioncontrol.AdmitterDeps{
+			Settings: s,
+			Options:  env.admissionOptions(),
+			KV:       client,
+			Format:   format,
+			Clock:    env.Clock,
+			Log:      env.Log,
+			Metrics:  metrics,
+		}),
 	}
 }
 
