--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -8,82 +8,86 @@
 	"dunestand/internal/protocol"
 )
 
-// The look of tables for people.
+// Layout of the tables.
 const (
 	columnPadding = 2
 	percent       = 100
 )
 
-// Describe writes a plan for people: its teams, the cells that it restricts and the jobs
-// that it names.
+// Describe writes the teams of a plan, the cells that it restricts and the jobs at the head of
+// the queue as a table for people.
 func (p *Plan) Describe(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintf(t, "plan %d of term %d\n", p.Version, p.Term)
-	fmt.Fprintf(t, "horizon\t%.0f s\n", p.Horizon.Seconds())
+	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
+	fmt.Fprintf(table, "plan %d of term %d\n", p.Version, p.FencingToken)
+	fmt.Fprintf(table, "horizon\t%.0f s\n", p.Horizon.Seconds())
 	for pool, amount := range p.Capacity {
 		if amount > 0 {
-			fmt.Fprintf(t, "%v\t%g\n", Pool(pool), amount.Float())
+			fmt.Fprintf(table, "%v\t%g\n", Pool(pool), amount.Float())
 		}
 	}
-	p.describeTeams(t)
-	p.describeCells(t)
-	p.describeTurns(t)
-	return t.Flush()
+	p.describeTeams(table)
+	p.describeCells(table)
+	p.describeQueueHeads(table)
+	return table.Flush()
 }
 
+// describeTeams writes the entries of teams.
 func (p *Plan) describeTeams(w io.Writer) {
 	fmt.Fprintf(w, "\nteam\tpool\tquota\tlarge above\testimates\n")
-	for key, gate := range p.allTeams() {
-		fmt.Fprintf(w, "%s\t%v\t%.0f\t%.0f\tx %.2f\n", key.Team, key.Pool, gate.Quota.UnitSeconds(),
-			gate.LargeAbove.UnitSeconds(), float64(gate.Correction)/float64(Exact))
+	for key, entry := range p.allTeams() {
+		fmt.Fprintf(w, "%s\t%v\t%.0f\t%.0f\tx %.2f\n", key.Team, key.Pool, entry.VersionQuota.UnitSeconds(),
+			entry.LargeThreshold.UnitSeconds(), float64(entry.EstimateCorrection)/float64(exactEstimates))
 	}
 }
 
+// describeCells writes the restrictions.
 func (p *Plan) describeCells(w io.Writer) {
-	if p.Gates() == 0 {
+	if p.NumRestrictedCells() == 0 {
 		fmt.Fprintf(w, "\nnothing is restricted\n")
 		return
 	}
 	fmt.Fprintf(w, "\nrestricted\tclass\tpool\tjobs\twindow\tquota\n")
-	for cell, gate := range p.allCells() {
+	for cell, restriction := range p.allRestrictions() {
 		class := cell.Class
 		if class == "" {
 			class = "(all others)"
 		}
 		window := "by name"
 		if cell.Band == Small {
-			window = fmt.Sprintf("%.0f%% from %.0f%%", ringPercent(gate.Width), ringPercent(gate.Start))
+			window = fmt.Sprintf("%.0f%% from %.0f%%", ringPercent(restriction.Width), ringPercent(restriction.Start))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", cell.Team, class, cell.Pool, cell.Band, window, gate.Quota.UnitSeconds())
+		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", cell.Team, class, cell.Pool, cell.Band, window, restriction.VersionQuota.UnitSeconds())
 	}
 }
 
-func ringPercent(positions uint32) float64 { return float64(positions) / Ring * percent }
+// ringPercent returns a number of positions as a percentage of the ring.
+func ringPercent(positions uint32) float64 { return float64(positions) / ringSize * percent }
 
-func (p *Plan) describeTurns(w io.Writer) {
-	if p.Turns() == 0 {
+// describeQueueHeads writes the IDs of the jobs at the head of the queue.
+func (p *Plan) describeQueueHeads(w io.Writer) {
+	if p.NumQueueHeads() == 0 {
 		return
 	}
 	fmt.Fprintf(w, "\nlarge jobs whose turn it is\n")
-	for id := range p.allTurns() {
+	for id := range p.allQueueHeads() {
 		fmt.Fprintln(w, id)
 	}
 }
 
-// Explain writes what a plan says about a job, and why.
+// Explain writes the decision of a plan about a job, and the reason, for people.
 func (p *Plan) Explain(w io.Writer, job *protocol.JobSpec) error {
 	d := p.Decide(job)
-	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintf(t, "%s\t%v by plan %d\n", job.ID, d.Verdict, p.Version)
+	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
+	fmt.Fprintf(table, "%s\t%v by plan %d\n", job.ID, d.Verdict, p.Version)
 	if d.Verdict != Admit {
-		fmt.Fprintf(t, "why\t%v\n", d.Reason)
-		fmt.Fprintf(t, "again after\t%.1f s\n", d.RetryAfter.Seconds())
+		fmt.Fprintf(table, "why\t%v\n", d.Reason)
+		fmt.Fprintf(table, "again after\t%.1f s\n", d.RetryAfter.Seconds())
 	}
-	fmt.Fprintf(t, "reckoned as\t%v job of %s, class %s, by %v\n", d.Cell.Band, d.Cell.Team, d.Cell.Class, d.Cell.Pool)
-	fmt.Fprintf(t, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Cell.Pool)
-	if gate, _, gated := p.Gate(d.Cell); gated && d.Cell.Band == Small {
-		fmt.Fprintf(t, "position\t%.0f%%; the window has %.0f%% from %.0f%%\n", ringPercent(position(job.ID)),
-			ringPercent(gate.Width), ringPercent(gate.Start))
+	fmt.Fprintf(table, "reckoned as\t%v job of %s, class %s, by %v\n", d.Cell.Band, d.Cell.Team, d.Cell.Class, d.Cell.Pool)
+	fmt.Fprintf(table, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Cell.Pool)
+	if restriction, _, restricted := p.Restriction(d.Cell); restricted && d.Cell.Band == Small {
+		fmt.Fprintf(table, "position\t%.0f%%; the window has %.0f%% from %.0f%%\n", ringPercent(position(job.ID)),
+			ringPercent(restriction.Width), ringPercent(restriction.Start))
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- /dev/null
+++ b/internal/admission/plantrees.go
@@ -0,0 +1,106 @@
+package admission
+
+import (
+	"iter"
+
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+)
+
+// The functions below alone set the fields of a plan, before anything else sees it. Its
+// trees are persistent (immutable with shared structure): a plan that starts from the trees
+// of the one before shares what does not change, and readers need no lock.
+
+// SameRestrictions reports whether two plans restrict the same cells to the same windows and have the same
+// jobs at the head of the queue. Their version quotas may differ: these change with every task
+// that ends.
+func (p *Plan) SameRestrictions(other *Plan) bool {
+	if other == nil || p.restrictions.Len() != other.restrictions.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
+		return false
+	}
+	for cell, restriction := range p.allRestrictions() {
+		known, _, found := other.Restriction(cell)
+		if !found || known.Start != restriction.Start || known.Width != restriction.Width {
+			return false
+		}
+	}
+	for id := range p.allQueueHeads() {
+		if !other.AtQueueHead(id) {
+			return false
+		}
+	}
+	return true
+}
+
+// setTeam sets a team's entry.
+func (p *Plan) setTeam(key teamKey, entry TeamEntry) {
+	raw := key.appendKey(nil)
+	if known, ok := p.teams.Get(raw); !ok || known != entry {
+		p.teams, _, _ = p.teams.Insert(raw, entry)
+	}
+}
+
+// setRestrictions replaces all restrictions.
+func (p *Plan) setRestrictions(restrictions map[Cell]CellRestriction) {
+	txn := p.restrictions.Txn()
+	for cell := range p.allRestrictions() {
+		if _, kept := restrictions[cell]; !kept {
+			txn.Delete(cell.appendKey(nil))
+		}
+	}
+	for cell, restriction := range restrictions {
+		raw := cell.appendKey(nil)
+		if known, ok := p.restrictions.Get(raw); !ok || known != restriction {
+			txn.Insert(raw, restriction)
+		}
+	}
+	p.restrictions = txn.Commit()
+}
+
+// setQueueHeads replaces the jobs at the head of the queue.
+func (p *Plan) setQueueHeads(ids []string) {
+	txn := iradix.New[struct{}]().Txn()
+	for _, id := range ids {
+		txn.Insert([]byte(id), struct{}{})
+	}
+	p.queueHeads = txn.Commit()
+}
+
+// allTeams iterates over the entries of teams in the order of their keys.
+func (p *Plan) allTeams() iter.Seq2[teamKey, TeamEntry] {
+	return func(yield func(teamKey, TeamEntry) bool) {
+		i := p.teams.Root().Iterator()
+		for raw, entry, ok := i.Next(); ok; raw, entry, ok = i.Next() {
+			team, rest := cutName(raw)
+			if !yield(teamKey{Team: team, Pool: Pool(rest[0])}, entry) {
+				return
+			}
+		}
+	}
+}
+
+// allRestrictions iterates over the restrictions in the order of their cells' keys.
+func (p *Plan) allRestrictions() iter.Seq2[Cell, CellRestriction] {
+	return func(yield func(Cell, CellRestriction) bool) {
+		i := p.restrictions.Root().Iterator()
+		for raw, restriction, ok := i.Next(); ok; raw, restriction, ok = i.Next() {
+			team, rest := cutName(raw)
+			class, _ := cutName(rest[2:])
+			cell := Cell{Team: team, Class: class, Pool: Pool(rest[0]), Band: Band(rest[1])}
+			if !yield(cell, restriction) {
+				return
+			}
+		}
+	}
+}
+
+// allQueueHeads iterates over the IDs of the jobs at the head of the queue, in order.
+func (p *Plan) allQueueHeads() iter.Seq[string] {
+	return func(yield func(string) bool) {
+		i := p.queueHeads.Root().Iterator()
+		for raw, _, ok := i.Next(); ok; raw, _, ok = i.Next() {
+			if !yield(string(raw)) {
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/admission/recordcheck.go
@@ -0,0 +1,128 @@
+package admission
+
+import (
+	"errors"
+	"fmt"
+
+	"dunestand/internal/protocol"
+)
+
+// FieldError reports a field of the plan's record with a value that no leader writes. It
+// wraps the cause.
+type FieldError struct {
+	Field string // path of the field, such as teams[2].quota
+	Err   error
+}
+
+// Error returns the path of the field and the cause.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// Causes of a FieldError.
+var (
+	errUnknownFormat = errors.New("unknown format")
+	errMissing       = errors.New("missing")
+	errOutOfRange    = errors.New("out of range")
+	errDuplicate     = errors.New("duplicate")
+	errUnknownTeam   = errors.New("no such team")
+	errInvalidJobID  = errors.New("invalid job ID")
+)
+
+// maxStored is the most stored work of a field.
+const maxStored = int64(MaxWork/storedUnit) + 1
+
+// validWork reports whether stored work is in range.
+func validWork(work int64) bool { return work >= 0 && work <= maxStored }
+
+// requirement is a condition on a field of the record, and the cause to report if it is
+// not met.
+type requirement struct {
+	met   bool
+	field string
+	cause error
+}
+
+// firstUnmet returns the first requirement that is not met, if there is one.
+func firstUnmet(requirements ...requirement) (unmet requirement, found bool) {
+	for _, r := range requirements {
+		if !r.met {
+			return r, true
+		}
+	}
+	return requirement{}, false
+}
+
+// elementError reports a field of an element of one of the record's lists.
+func elementError(list string, index int, unmet requirement) error {
+	return &FieldError{Field: fmt.Sprintf("%s[%d].%s", list, index, unmet.field), Err: unmet.cause}
+}
+
+// check returns a *FieldError for a record that no leader writes.
+func (r *record) check() error {
+	if unmet, found := firstUnmet(
+		requirement{r.Format == recordFormat, "format", errUnknownFormat},
+		requirement{r.Version > 0, "version", errMissing},
+		requirement{r.FencingToken > 0, "fencing_token", errMissing},
+		requirement{r.Horizon > 0, "horizon", errMissing},
+	); found {
+		return &FieldError{Field: unmet.field, Err: unmet.cause}
+	}
+	for pool, amount := range r.Capacity {
+		if amount < 0 {
+			return &FieldError{Field: fmt.Sprintf("capacity.%v", Pool(pool)), Err: errOutOfRange}
+		}
+	}
+	for i, id := range r.QueueHeads {
+		if !protocol.ValidJobID(id) {
+			return &FieldError{Field: fmt.Sprintf("queue_heads[%d]", i), Err: errInvalidJobID}
+		}
+	}
+	if err := r.checkTeams(); err != nil {
+		return err
+	}
+	return r.checkCells()
+}
+
+// checkTeams checks the entries of teams.
+func (r *record) checkTeams() error {
+	seen := map[teamKey]bool{}
+	for i, t := range r.Teams {
+		key := teamKey{Team: t.Name, Pool: t.Pool}
+		if unmet, found := firstUnmet(
+			requirement{t.Name != "", "name", errMissing},
+			requirement{!seen[key], "name", errDuplicate},
+			requirement{t.Pool < numPools, "pool", errOutOfRange},
+			requirement{validWork(t.VersionQuota), "version_quota", errOutOfRange},
+			requirement{validWork(t.LargeThreshold), "large_threshold", errOutOfRange},
+			requirement{t.EstimateCorrection > 0, "estimate_correction", errOutOfRange},
+		); found {
+			return elementError("teams", i, unmet)
+		}
+		seen[key] = true
+	}
+	return nil
+}
+
+// checkCells checks the restrictions of cells.
+func (r *record) checkCells() error {
+	seen := map[Cell]bool{}
+	for i, c := range r.Cells {
+		if c.TeamIndex < 0 || c.TeamIndex >= len(r.Teams) {
+			return elementError("cells", i, requirement{field: "team", cause: errUnknownTeam})
+		}
+		cell := r.cell(c)
+		if unmet, found := firstUnmet(
+			requirement{!seen[cell], "class", errDuplicate},
+			requirement{c.Band < numBands, "band", errOutOfRange},
+			requirement{c.Start < ringSize, "start", errOutOfRange},
+			requirement{c.Width <= ringSize, "width", errOutOfRange},
+			requirement{validWork(c.VersionQuota), "version_quota", errOutOfRange},
+		); found {
+			return elementError("cells", i, unmet)
+		}
+		seen[cell] = true
+	}
+	return nil
+}
--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -35,7 +35,7 @@
 type Admitter struct {
 	options   admission.Options
 	teams     []admission.Team
-	planStore *admission.Keeper
+	planStore *admission.PlanStore
 	client    *kv.Client // on connections of its own: a watch occupies one
 	format    recordformat.Source
 	clock     units.Clock
@@ -50,14 +50,14 @@
 // NewAdmitter returns a controller's admitter and registers its metrics; nil where admission by a
 // plan is off.
 func NewAdmitter(deps AdmitterDeps) *Admitter {
-	if !deps.Options.On() {
+	if !deps.Options.Enabled() {
 		return nil
 	}
 	teams := teamsOf(deps.Settings.Fleet.Teams)
 	a := &Admitter{
 		options:      deps.Options,
 		teams:        teams,
-		planStore:    admission.NewKeeper(deps.Options, teams, 1+len(deps.Settings.Others)),
+		planStore:    admission.NewPlanStore(deps.Options, teams, 1+len(deps.Settings.Others)),
 		client:       deps.KV.WithOwnConnections(),
 		format:       deps.Format,
 		clock:        deps.Clock,
@@ -76,12 +76,12 @@
 }
 
 // State returns what admits jobs now: the plan in force, or the built-in fallback.
-func (a *Admitter) State() admission.State { return a.planStore.Now(a.clock.Steady()) }
+func (a *Admitter) State() admission.State { return a.planStore.State(a.clock.Steady()) }
 
 // decide decides about a job that is not known. It returns the revision of the plan's record that
 // the acceptance must be conditional on.
-func (a *Admitter) decide(spec *protocol.JobSpec, side admission.Side) (admission.Decision, uint64) {
-	return a.planStore.Decide(spec, side, a.clock.Steady())
+func (a *Admitter) decide(spec *protocol.JobSpec, role admission.Role) (admission.Decision, uint64) {
+	return a.planStore.Decide(spec, role, a.clock.Steady())
 }
 
 // DecideAlone decides without the leader, and returns what an acceptance must be conditional on.
@@ -91,7 +91,7 @@
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
 	}
-	d, revision := a.decide(spec, admission.Alone)
+	d, revision := a.decide(spec, admission.Isolated)
 	return d, protocol.Condition{Key: admission.KeyPlan, Version: revision}
 }
 
@@ -100,16 +100,16 @@
 // applied nor taken for none.
 func (a *Admitter) adopt(item protocol.Item, after, before units.Micros) {
 	plan, err := admission.Decode(item.Value)
-	held := admission.Held{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
+	observed := admission.ObservedPlan{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
 	if err == nil {
-		err = a.planStore.Adopt(held)
+		err = a.planStore.Update(observed)
 	}
 	if err != nil {
 		if a.unreadableRevision.Swap(item.Version) != item.Version {
 			a.log.Error("admission plan not readable; neither applied nor overwritten", "revision", item.Version, "error", err)
 		}
-		held.Plan = nil
-		_ = a.planStore.Adopt(held) // without a plan nothing can be wrong with it
+		observed.Plan = nil
+		_ = a.planStore.Update(observed) // without a plan nothing can be wrong with it
 		return
 	}
 	a.unreadableRevision.Store(0)
--- a/internal/admissioncontrol/admittermetrics.go
+++ b/internal/admissioncontrol/admittermetrics.go
@@ -16,7 +16,7 @@
 		{"dunestand_admission_active", func() float64 { return gaugeOf(a.active()) }},
 		{"dunestand_admission_held_back", func() float64 { return gaugeOf(!a.active()) }},
 		{"dunestand_admission_plan_unreadable", func() float64 { return gaugeOf(a.unreadableRevision.Load() != 0) }},
-		{"dunestand_admission_at_floor", func() float64 { return gaugeOf(a.State().Force == admission.ByFloor) }},
+		{"dunestand_admission_at_floor", func() float64 { return gaugeOf(a.State().Source == admission.SourceFallback) }},
 		{"dunestand_admission_plan_version", a.planVersion},
 		{"dunestand_admission_restricted_cells", a.restrictedCells},
 	}
@@ -36,7 +36,7 @@
 
 // planVersion returns the version of the plan in force, 0 if none is.
 func (a *Admitter) planVersion() float64 {
-	if s := a.State(); s.Force == admission.ByPlan {
+	if s := a.State(); s.Source == admission.SourceRecord {
 		return float64(s.Plan.Version)
 	}
 	return 0
@@ -45,7 +45,7 @@
 // restrictedCells returns how many cells of the plan or its fallback are restricted.
 func (a *Admitter) restrictedCells() float64 {
 	if s := a.State(); s.Plan != nil {
-		return float64(s.Plan.Gates())
+		return float64(s.Plan.NumRestrictedCells())
 	}
 	return 0
 }
--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -43,7 +43,7 @@
 	publisher *planPublisher
 	// Waiting holds the jobs whose users were told to come back.
 	Waiting             *admission.WaitingList
-	estimateCorrections *admission.Corrections
+	estimateCorrections *admission.EstimateCorrections
 	// planKnown: the plan's record is known for certain. While it is not, nobody is told to
 	// wait; and nothing is accepted before it was known once.
 	planKnown, planEverKnown bool
@@ -54,7 +54,7 @@
 	la := &LeaderAdmission{
 		LeaderAdmissionDeps: deps,
 		Waiting:             admission.NewWaitingList(),
-		estimateCorrections: admission.NewCorrections(),
+		estimateCorrections: admission.NewEstimateCorrections(),
 	}
 	la.publisher = newPlanPublisher(deps, la)
 	return la
@@ -78,7 +78,7 @@
 // ObserveRun learns from a task that was seen to run from its start to its end how far its team's
 // estimates are off. It needs the lock of the state held.
 func (la *LeaderAdmission) ObserveRun(j *cluster.Job, run units.Micros) {
-	la.estimateCorrections.Observe(j.Spec.Team, j.Spec.Estimate, run)
+	la.estimateCorrections.RecordRun(j.Spec.Team, j.Spec.Estimate, run)
 }
 
 // Admit decides whether a new job may be added to the state. It needs the lock of the state
@@ -91,7 +91,7 @@
 	if !la.planEverKnown {
 		return undecidedDecision()
 	}
-	d, _ := la.Admitter.decide(spec, admission.Leading)
+	d, _ := la.Admitter.decide(spec, admission.Leader)
 	if d.Verdict == admission.Admit {
 		if since, waited := la.Waiting.Remove(spec.ID); waited {
 			la.Metrics.AdmissionWaited(now - since)
@@ -113,7 +113,7 @@
 
 // undecidedDecision returns the decision while no plan is known to be in force.
 func undecidedDecision() admission.Decision {
-	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUnclear, RetryAfter: units.Second}
+	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUncertain, RetryAfter: units.Second}
 }
 
 // IsSurelyUnknown reports whether it is certain that no record names a job that waits: none did
@@ -123,7 +123,7 @@
 	la.State.Lock()
 	defer la.State.Unlock()
 	state := la.Admitter.State()
-	return la.Waiting.IsUnknown(id) && state.Force == admission.ByPlan && state.Age < admission.Lifetime/2
+	return la.Waiting.Unrecorded(id) && state.Source == admission.SourceRecord && state.Age < admission.PlanLifetime/2
 }
 
 // markPlanUncertain notes that the plan's record may change at any moment from now on.
@@ -151,11 +151,11 @@
 func (la *LeaderAdmission) Reconsider() {
 	now := la.Clock.Steady()
 	for _, j := range la.State.UnacceptedJobs() {
-		d, _ := la.Admitter.decide(&j.Spec, admission.Leading)
-		if d.Verdict == admission.Wait || d.Reason == admission.PlanUnclear {
+		d, _ := la.Admitter.decide(&j.Spec, admission.Leader)
+		if d.Verdict == admission.Wait || d.Reason == admission.PlanUncertain {
 			la.Waiting.Add(j.Spec.ID, d, now)
 			la.State.DropUnaccepted(j.Spec.ID)
-			la.Log.Info("unaccepted job no longer admitted", "job", j.Spec.ID, "plan", d.Plan)
+			la.Log.Info("unaccepted job no longer admitted", "job", j.Spec.ID, "plan", d.PlanVersion)
 		}
 	}
 }
@@ -165,18 +165,18 @@
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.Waiting.Expire(now)
-	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), Corrections: la.estimateCorrections.Snapshot()}
-	plan := la.Admitter.planStore.Reckoning()
+	m := admission.Measurement{Now: now, Waiting: la.Waiting.Demand(), EstimateCorrections: la.estimateCorrections.Snapshot()}
+	plan := la.Admitter.planStore.LatestPlan()
 	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
-			cell, work := plan.Remaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
-			m.Loads = append(m.Loads, admission.Load{Cell: cell, Work: work})
+			cell, work := plan.ClassifyRemaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
+			m.Backlog = append(m.Backlog, admission.CellBacklog{Cell: cell, Work: work})
 		}
 	}
 	for _, machine := range la.State.Machines {
 		if machine.Registered && !machine.Releasing {
 			for pool, amount := range admission.AmountsOf(machine.Capacity) {
-				m.Fleet[pool] += amount
+				m.FleetCapacity[pool] += amount
 			}
 		}
 	}
--- a/internal/admissioncontrol/options.go
+++ b/internal/admissioncontrol/options.go
@@ -30,9 +30,9 @@
 	out := make([]admission.Team, len(teams))
 	for i, t := range teams {
 		out[i] = admission.Team{
-			Name:      t.Name,
-			Guarantee: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
-			Limit:     admission.AmountsOf(cluster.QuotaLimitOf(t)),
+			Name:            t.Name,
+			GuaranteedQuota: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
+			QuotaLimit:      admission.AmountsOf(cluster.QuotaLimitOf(t)),
 		}
 	}
 	return out
--- a/internal/admissioncontrol/planfollower.go
+++ b/internal/admissioncontrol/planfollower.go
@@ -67,7 +67,7 @@
 	if f.revision == 0 {
 		return f.read(ctx, sentAt)
 	}
-	list, err := f.admitter.client.Watch(ctx, admission.Prefix, f.revision, planWatchTimeout)
+	list, err := f.admitter.client.Watch(ctx, admission.KeyPrefix, f.revision, planWatchTimeout)
 	if err != nil {
 		f.revision = 0
 		return err
@@ -75,7 +75,7 @@
 	for _, change := range list.Changes {
 		switch {
 		case change.Delete == admission.KeyPlan:
-			f.admitter.planStore.Missing(change.Version)
+			f.admitter.planStore.Clear(change.Version)
 		case change.Set == admission.KeyPlan:
 			f.update(protocol.Item{Key: change.Set, Value: change.Value, Version: change.Version}, list.Revision)
 		}
@@ -100,12 +100,12 @@
 func (f *PlanFollower) update(item protocol.Item, revision uint64) {
 	a := f.admitter
 	if item.Version == 0 {
-		a.planStore.Missing(revision)
+		a.planStore.Clear(revision)
 		return
 	}
 	after := f.asOf
 	if !f.hasRead {
-		after = a.clock.Steady() - admission.Lifetime // it may be of any age
+		after = a.clock.Steady() - admission.PlanLifetime // it may be of any age
 	}
 	a.adopt(item, after, a.clock.Steady())
 }
--- a/internal/admissioncontrol/planpublisher.go
+++ b/internal/admissioncontrol/planpublisher.go
@@ -47,7 +47,7 @@
 	// limiter bounds the plans that say something new; renewals are not held up by it.
 	limiter *rate.Limiter
 
-	usages atomic.Pointer[[]admission.Standing] // of the teams, by the last proposal
+	usages atomic.Pointer[[]admission.Usage] // of the teams, by the last proposal
 }
 
 func newPlanPublisher(deps LeaderAdmissionDeps, la *LeaderAdmission) *planPublisher {
@@ -103,7 +103,7 @@
 		return nil
 	}
 	proposal := p.planner.Next(p.lastVersion+1, p.Leadership.Token(), p.admission.measure(now))
-	p.usages.Store(&proposal.Standings)
+	p.usages.Store(&proposal.Usages)
 	if !p.due(proposal.Plan, now, urgent) {
 		return nil
 	}
@@ -140,10 +140,10 @@
 
 // due reports whether a plan is to be written now.
 func (p *planPublisher) due(plan *admission.Plan, now units.Micros, urgent bool) bool {
-	if p.lastSentAt == 0 || now-p.lastSentAt >= admission.Lifetime/renewalsPerLifetime {
+	if p.lastSentAt == 0 || now-p.lastSentAt >= admission.PlanLifetime/renewalsPerLifetime {
 		return true
 	}
-	if !urgent && !p.lastWriteFailed && plan.Like(p.lastPlan) {
+	if !urgent && !p.lastWriteFailed && plan.SameRestrictions(p.lastPlan) {
 		return false
 	}
 	return p.KV.HasWriteBudget() && p.limiter.Allow()
--- a/internal/admissioncontrol/planrecord.go
+++ b/internal/admissioncontrol/planrecord.go
@@ -57,11 +57,11 @@
 // adoptRecord passes what was read, by a request sent at sentAt, on to the admitter.
 func (p *planPublisher) adoptRecord(item protocol.Item, revision uint64, sentAt units.Micros) {
 	if item.Version == 0 {
-		p.Admitter.planStore.Missing(revision)
+		p.Admitter.planStore.Clear(revision)
 		p.Admitter.unreadableRevision.Store(0)
 		return
 	}
-	after := sentAt - admission.Lifetime // it may be of any age
+	after := sentAt - admission.PlanLifetime // it may be of any age
 	if p.lastSentAt != 0 && item.Version > p.revision {
 		after = p.lastSentAt // it is the one whose response was lost
 	}
@@ -116,7 +116,7 @@
 		p.recordKnown = false
 		return err
 	}
-	return p.planWritten(ctx, admission.Held{Plan: plan, Revision: revision, WrittenAfter: sentAt})
+	return p.planWritten(ctx, admission.ObservedPlan{Plan: plan, Revision: revision, WrittenAfter: sentAt})
 }
 
 // planTxn returns the transaction that writes an encoded plan.
@@ -131,11 +131,11 @@
 }
 
 // planWritten brings a plan into force that is durable.
-func (p *planPublisher) planWritten(ctx context.Context, written admission.Held) error {
+func (p *planPublisher) planWritten(ctx context.Context, written admission.ObservedPlan) error {
 	plan := written.Plan
-	if !plan.Like(p.lastPlan) {
-		p.Admitter.log.Info("admission plan written", "version", plan.Version, "restricted_cells", plan.Gates(),
-			"queue_heads", plan.Turns(), "waiting", p.admission.WaitingCount())
+	if !plan.SameRestrictions(p.lastPlan) {
+		p.Admitter.log.Info("admission plan written", "version", plan.Version, "restricted_cells", plan.NumRestrictedCells(),
+			"queue_heads", plan.NumQueueHeads(), "waiting", p.admission.WaitingCount())
 	}
 	p.lastPlan, p.lastVersion = plan, plan.Version
 	if err := p.ingestPending(ctx); err != nil {
@@ -144,7 +144,7 @@
 		return err
 	}
 	written.WrittenBefore = p.Clock.Steady()
-	if err := p.Admitter.planStore.Adopt(written); err != nil {
+	if err := p.Admitter.planStore.Update(written); err != nil {
 		return err
 	}
 	p.revision = written.Revision
--- a/internal/admissioncontrol/response.go
+++ b/internal/admissioncontrol/response.go
@@ -13,7 +13,7 @@
 // come back.
 func WaitingAnswer(d admission.Decision) answer.Answer {
 	r := answer.ErrorResponse(http.StatusTooManyRequests, d.Reason.String())
-	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.Plan})
+	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.PlanVersion})
 	r.RetryAfter = int((d.RetryAfter + units.Second - 1) / units.Second) // whole seconds, rounded up
 	return answer.Plain(r)
 }
