--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop has what the controllers' loops wait with: a pause that ends with a context,
+// Package loop has what the controller's loops wait with: a pause that ends early with a context,
 // and a signal that wakes a loop.
 package loop
 
@@ -9,8 +9,9 @@
 	"dunestand/internal/units"
 )
 
-// Signal wakes a loop that receives from it. Raising it again before the loop has seen it
-// changes nothing. It may be raised and received from concurrently; make it with NewSignal.
+// Signal wakes a loop that receives from it. Raising it again before the loop has received it
+// changes nothing. It may be raised and received from concurrently. The zero value blocks its
+// receivers for ever; NewSignal returns a usable one.
 type Signal chan struct{}
 
 // NewSignal returns a signal that is not raised.
@@ -27,10 +28,12 @@
 // Sleep pauses for a duration. It reports whether the whole of it has passed: false means
 // that ctx ended first.
 func Sleep(ctx context.Context, d units.Micros) bool {
+	timer := time.NewTimer(d.Duration())
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(d.Duration()):
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/sorted/sorted.go
+++ b/internal/sorted/sorted.go
@@ -1,4 +1,5 @@
-// Package sorted iterates over maps in a fixed order, so that decisions repeat.
+// Package sorted lists the keys of maps in a fixed order, so that the same state leads to the
+// same decisions.
 package sorted
 
 import "slices"
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -11,36 +11,40 @@
 	"dunestand/internal/units"
 )
 
-// Metrics is what a node counts and shows under /metrics.
+// Metrics is what one controller counts and shows under /metrics. Gauge, AddWriter and AddRuntime
+// are called before the metrics are served; the other methods may be called concurrently.
 type Metrics struct {
-	set       *metrics.Set
-	placement *metrics.Histogram
-	admission *metrics.Histogram
-	writers   []func(io.Writer)
+	set            *metrics.Set
+	placementDelay *metrics.Histogram
+	admissionWait  *metrics.Histogram
+	writers        []func(io.Writer)
 }
 
-// AddWriter adds lines whose labels are known only when they are asked for.
-func (m *Metrics) AddWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
-
-// NewMetrics makes the metrics of one node.
+// NewMetrics returns the metrics of one controller, with the histograms of all controllers.
 func NewMetrics() *Metrics {
 	set := metrics.NewSet()
 	return &Metrics{
-		set:       set,
-		placement: set.NewHistogram("dunestand_placement_delay_seconds"),
-		admission: set.NewHistogram("dunestand_admission_wait_seconds"),
+		set:            set,
+		placementDelay: set.NewHistogram("dunestand_placement_delay_seconds"),
+		admissionWait:  set.NewHistogram("dunestand_admission_wait_seconds"),
 	}
 }
 
-// AdmissionWaited notes how long a job waited until it was admitted.
-func (m *Metrics) AdmissionWaited(wait units.Micros) { m.admission.Update(wait.Seconds()) }
+// Gauge adds a value that is computed when the metrics are shown. value must be safe for
+// concurrent use, and no other gauge may have the name.
+func (m *Metrics) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
+
+// AddWriter adds lines in the text format of Prometheus whose labels are known only when the
+// metrics are shown. write must be safe for concurrent use.
+func (m *Metrics) AddWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
 
-func (m *Metrics) Placed(delay units.Micros) { m.placement.Update(delay.Seconds()) }
+// AdmissionWaited counts a job that was admitted, and how long it had waited.
+func (m *Metrics) AdmissionWaited(wait units.Micros) { m.admissionWait.Update(wait.Seconds()) }
 
-// Gauge adds a value that is worked out when it is asked for.
-func (m *Metrics) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
+// Placed counts a placement, and the time from when the leader learned of the job until then.
+func (m *Metrics) Placed(delay units.Micros) { m.placementDelay.Update(delay.Seconds()) }
 
-// AddRuntime adds the runtime's own figures.
+// AddRuntime adds gauges of the Go runtime, each read when the metrics are shown.
 func (m *Metrics) AddRuntime() {
 	gauges := []struct {
 		name  string
@@ -60,7 +64,8 @@
 	}
 }
 
-// Text returns the metrics in the text format of Prometheus, with what further writers add.
+// Text returns the metrics in the text format of Prometheus, followed by what further writers
+// add.
 func (m *Metrics) Text(further ...func(io.Writer)) []byte {
 	var b bytes.Buffer
 	m.set.WritePrometheus(&b)
