--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -72,8 +72,14 @@
 
 // newElector returns the elector of a controller, over connections of its own.
 func newElector(s *config.Settings, env Environment, client *kv.Client) *election.Elector {
-	timing := election.TimingFor(s.Fleet.Workers.Lease())
-	return election.NewElector(s.Node, client.WithOwnConnections(), env.Clock, timing, env.Random, env.Log)
+	return election.NewElector(election.Deps{
+		Node:   s.Node,
+		KV:     client.WithOwnConnections(),
+		Clock:  env.Clock,
+		Timing: election.TimingFor(s.Fleet.Workers.Lease()),
+		Random: env.Random,
+		Log:    env.Log,
+	})
 }
 
 // newNegotiator returns what finds out which format of records the controllers use.
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -20,6 +20,18 @@
 	"dunestand/internal/units"
 )
 
+// Deps is what an Elector works with.
+type Deps struct {
+	Node string // this controller's name
+	// KV should have connections of its own, so that a renewal does not wait behind other
+	// requests.
+	KV     *kv.Client
+	Clock  units.Clock
+	Timing LeaseTiming
+	Random *rand.Rand // used by NewElector and Run alone
+	Log    *slog.Logger
+}
+
 // Elector holds the leader lease, or watches it and campaigns for it. Run does the work;
 // the other methods may be called concurrently with it and with each other.
 type Elector struct {
@@ -27,7 +39,7 @@
 	client *kv.Client
 	clock  units.Clock
 	timing LeaseTiming
-	random *rand.Rand // used by Run alone
+	random *rand.Rand
 	log    *slog.Logger
 	// nonce begins the id of every write of this process, so that it knows its own writes
 	// from those of a former process of the same controller.
@@ -56,20 +68,18 @@
 	answeredAt    units.Micros // when the key-value store last answered a read or a renewal
 }
 
-// NewElector returns the elector of a controller, which begins as a follower. node is the
-// controller's name; client should have connections of its own, so that a renewal does not
-// wait behind other requests.
-func NewElector(node string, client *kv.Client, clock units.Clock, timing LeaseTiming, random *rand.Rand, log *slog.Logger) *Elector {
+// NewElector returns the elector of a controller, which begins as a follower.
+func NewElector(deps Deps) *Elector {
 	return &Elector{
-		node:       node,
-		client:     client,
-		clock:      clock,
-		timing:     timing,
-		random:     random,
-		log:        log,
-		nonce:      fmt.Sprintf("%s-%016x", node, random.Uint64()),
-		monitor:    leaseMonitor{timing: timing},
-		answeredAt: clock.Steady(),
+		node:       deps.Node,
+		client:     deps.KV,
+		clock:      deps.Clock,
+		timing:     deps.Timing,
+		random:     deps.Random,
+		log:        deps.Log,
+		nonce:      fmt.Sprintf("%s-%016x", deps.Node, deps.Random.Uint64()),
+		monitor:    leaseMonitor{timing: deps.Timing},
+		answeredAt: deps.Clock.Steady(),
 		Connected:  func() bool { return true },
 	}
 }
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -42,11 +42,18 @@
 // newTestElector returns the elector of a controller, or of a further process of it with
 // another seed, on a fake key-value store.
 func newTestElector(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
-	store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e6,
 		WriteRPS: 1e6,
 	}, 0, clock)
-	return NewElector(name, store, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(7, seed)), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return NewElector(Deps{
+		Node:   name,
+		KV:     client,
+		Clock:  clock,
+		Timing: TimingFor(10 * units.Second),
+		Random: rand.New(rand.NewPCG(7, seed)),
+		Log:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
 }
 
 // step does what Run does between two pauses.
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -12,8 +12,13 @@
 
 // holdingElector returns an elector that holds the lease.
 func holdingElector(token uint64, clock units.Clock) *Elector {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	e := NewElector("n", nil, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(1, token)), log)
+	e := NewElector(Deps{
+		Node:   "n",
+		Clock:  clock,
+		Timing: TimingFor(10 * units.Second),
+		Random: rand.New(rand.NewPCG(1, token)),
+		Log:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
 	e.leading, e.token, e.validUntil = true, token, 1<<60
 	return e
 }
