--- a/internal/persister/transferstore.go
+++ b/internal/persister/transferstore.go
@@ -36,10 +36,10 @@
 	return items, err
 }
 
-// Save implements federation.Store. A write without an answer may be carried out at any later
+// CompareAndSwap implements federation.Store. A write without an answer may be carried out at any later
 // time, so the very same one is sent until its outcome is known: its conditions ensure that it
 // happens once.
-func (s *TransferStore) Save(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
+func (s *TransferStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
 	txn := s.newTxn(key, value, version)
 	uncertain := false
 	for {
@@ -52,7 +52,7 @@
 			if uncertain {
 				return s.resolveConflict(ctx, key, value)
 			}
-			return 0, fmt.Errorf("%w: %v", federation.ErrConflict, conflict.Keys)
+			return 0, fmt.Errorf("%w: %v", federation.ErrVersionConflict, conflict.Keys)
 		case errors.Is(err, kv.ErrOutcomeUnknown):
 			uncertain = true
 		case !uncertain:
@@ -66,7 +66,7 @@
 
 // errOutcomeNotFound says that ctx ended before the outcome of a write was known. Whoever goes on
 // from there must read the record first, as after a conflict.
-var errOutcomeNotFound = fmt.Errorf("%w: the outcome of a write is not known", federation.ErrConflict)
+var errOutcomeNotFound = fmt.Errorf("%w: the outcome of a write is not known", federation.ErrVersionConflict)
 
 // newTxn returns the transaction that writes a value, or deletes the key if the value is nil.
 func (s *TransferStore) newTxn(key string, value []byte, version uint64) protocol.Txn {
@@ -93,7 +93,7 @@
 			if matchesWrite(item, found, value) {
 				return item.Version, nil
 			}
-			return 0, fmt.Errorf("%w: %s", federation.ErrConflict, key)
+			return 0, fmt.Errorf("%w: %s", federation.ErrVersionConflict, key)
 		}
 		if !loop.Sleep(ctx, transferRetryDelay) {
 			return 0, errOutcomeNotFound
--- a/internal/persister/transferstore_test.go
+++ b/internal/persister/transferstore_test.go
@@ -24,33 +24,33 @@
 	server := standin.NewState()
 	former, _ := newRestoredPersister(t, server, 1)
 	old := NewTransferStore(former.KV, former.BucketVersion)
-	intended, committed := transferRecord(federation.Intended), transferRecord(federation.Committed)
-	version, err := old.Save(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
+	intended, committed := transferRecord(federation.OriginIntended), transferRecord(federation.OriginCommitted)
+	version, err := old.CompareAndSwap(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	leader, _ := newRestoredPersister(t, server, 2)
-	if _, err := old.Save(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrConflict) {
+	if _, err := old.CompareAndSwap(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrVersionConflict) {
 		t.Fatalf("a former leader's write: %v", err)
 	}
 	store := NewTransferStore(leader.KV, leader.BucketVersion)
-	items, err := store.List(t.Context(), federation.PrefixOut)
+	items, err := store.List(t.Context(), federation.OutgoingPrefix)
 	if err != nil || len(items) != 1 || items[0].Version != version {
 		t.Fatalf("listed: %v, %v", items, err)
 	}
-	if r, err := federation.ParseOrigin(items[0]); err != nil || r.Phase != federation.Intended {
+	if r, err := federation.DecodeOriginRecord(items[0]); err != nil || r.Phase != federation.OriginIntended {
 		t.Fatalf("read: %+v, %v", r, err)
 	}
-	if _, err := store.Save(t.Context(), intended.Key(), committed.Encode("2-1"), 0); !errors.Is(err, federation.ErrConflict) {
+	if _, err := store.CompareAndSwap(t.Context(), intended.Key(), committed.Encode("2-1"), 0); !errors.Is(err, federation.ErrVersionConflict) {
 		t.Errorf("a write on another version: %v", err)
 	}
 	server.Silent = func(n int) bool { return n%2 == 0 } // every other answer is lost
 	for n, value := range [][]byte{committed.Encode("2-2"), committed.Encode("2-3"), nil} {
-		if version, err = store.Save(t.Context(), intended.Key(), value, version); err != nil {
+		if version, err = store.CompareAndSwap(t.Context(), intended.Key(), value, version); err != nil {
 			t.Fatalf("write %d: %v", n, err)
 		}
 	}
-	if left := server.Keys(federation.PrefixOut); len(left) != 0 {
+	if left := server.Keys(federation.OutgoingPrefix); len(left) != 0 {
 		t.Errorf("left: %v", left)
 	}
 }
@@ -62,25 +62,25 @@
 	server.Silent = func(int) bool { return true }
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	record := transferRecord(federation.Intended)
-	if _, err := NewTransferStore(leader.KV, leader.BucketVersion).Save(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrConflict) {
+	record := transferRecord(federation.OriginIntended)
+	if _, err := NewTransferStore(leader.KV, leader.BucketVersion).CompareAndSwap(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrVersionConflict) {
 		t.Errorf("the write: %v", err)
 	}
-	if len(server.Keys(federation.PrefixOut)) != 1 {
+	if len(server.Keys(federation.OutgoingPrefix)) != 1 {
 		t.Error("it was not carried out: the test shows nothing")
 	}
 }
 
 // A record matches a write if it has that write's id, or is deleted as it was to be.
 func TestTransferRecordMatchesWrite(t *testing.T) {
-	written := transferRecord(federation.Intended).Encode("1-1")
+	written := transferRecord(federation.OriginIntended).Encode("1-1")
 	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyLeaderLease, Value: value} }
 	for name, c := range map[string]struct {
 		stored, value []byte
 		want          bool
 	}{
 		"as written":              {written, written, true},
-		"of another write":        {transferRecord(federation.Committed).Encode("1-2"), written, false},
+		"of another write":        {transferRecord(federation.OriginCommitted).Encode("1-2"), written, false},
 		"not readable":            {protocol.Encode(7), written, false},
 		"gone, not written":       {nil, written, false},
 		"still there":             {written, nil, false},
