--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -65,6 +65,37 @@
 	}
 }
 
+// holderCheck fails a test in which two controllers hold the lease at a time, or a fencing token
+// falls or has two owners.
+type holderCheck struct {
+	owners map[uint64]*Elector // by token
+	newest uint64              // token
+}
+
+// observe checks who holds the lease now.
+func (c *holderCheck) observe(t *rapid.T, controllers []*testController) {
+	t.Helper()
+	holders := 0
+	for _, controller := range controllers {
+		token := controller.elector.Token()
+		if !controller.elector.Valid(token) {
+			continue
+		}
+		holders++
+		if token < c.newest {
+			t.Fatalf("token %d is valid after token %d", token, c.newest)
+		}
+		c.newest = token
+		if owner := c.owners[token]; owner != nil && owner != controller.elector {
+			t.Fatalf("token %d was another process's", token)
+		}
+		c.owners[token] = controller.elector
+	}
+	if holders > 1 {
+		t.Fatal("two controllers hold the lease")
+	}
+}
+
 // At no moment do two controllers hold the lease, whatever their clocks, their pauses, the
 // key-value store's outages, and writes without an answer or that are carried out late; and
 // fencing tokens only rise. A process that is back at once, also between its campaign and the
@@ -91,9 +122,8 @@
 		late := rapid.SliceOfN(rapid.IntRange(0, 3), 13, 13).Draw(t, "late")
 		state.Late = func(n int) bool { return late[n%13] == 0 }
 		flush := rapid.SliceOfN(rapid.IntRange(0, 2), 17, 17).Draw(t, "carried out")
-		owners := map[uint64]*Elector{}
+		check := holderCheck{owners: map[uint64]*Elector{}}
 		step := 0
-		top := uint64(0)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
 			truth += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
 			i := rapid.IntRange(0, 2).Draw(t, "node")
@@ -104,23 +134,7 @@
 			if step++; flush[step%17] == 0 {
 				state.Flush()
 			}
-			holders := 0
-			for _, c := range controllers {
-				if token := c.elector.Token(); c.elector.Valid(token) {
-					holders++
-					if token < top {
-						t.Fatalf("token %d is valid after token %d", token, top)
-					}
-					top = token
-					if owner := owners[token]; owner != nil && owner != c.elector {
-						t.Fatalf("token %d was another process's", token)
-					}
-					owners[token] = c.elector
-				}
-			}
-			if holders > 1 {
-				t.Fatal("two controllers hold the lease")
-			}
+			check.observe(t, controllers)
 		}
 	})
 }
