--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -20,6 +20,7 @@
 	"dunestand/internal/protocol"
 	"dunestand/internal/recordformat"
 	"dunestand/internal/scheduler"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -64,7 +65,7 @@
 type provisioningState struct {
 	catalog        protocol.Catalog
 	catalogStored  map[string]uint64 // versions, by key
-	catalogFormat  int               // in which it was stored last
+	catalogFormat  storage.Format    // in which it was stored last
 	catalogReadAt  units.Micros
 	listReadAt     units.Micros
 	listedMachines int // machines in the last list
@@ -155,7 +156,7 @@
 			// release only takes it off the list.
 			as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
 			as.State.MachineEmptied(m, now)
-			as.State.MarkReconciled(m.ID)
+			as.State.Unreconciled.Resolve(m.ID)
 			m.Releasing = true
 			as.CycleSignal.Raise()
 		}
@@ -164,7 +165,7 @@
 	for _, m := range as.State.Machines {
 		// Taken or deleted before it was up. That a machine is not listed proves
 		// nothing about one that may hold tasks: its lease decides.
-		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !as.State.IsUnreconciled(m.ID) {
+		if !m.Registered && !present[m.ID] && now-m.RentedAt > 4*lag+20*units.Second && !as.State.Unreconciled.Contains(m.ID) {
 			as.removeMachine(m, now)
 		}
 	}
--- a/internal/recordformat/negotiator.go
+++ b/internal/recordformat/negotiator.go
@@ -18,7 +18,7 @@
 // controller. Its methods may be called concurrently.
 type Source interface {
 	// Current returns the format that may be written.
-	Current() int
+	Current() storage.Format
 	// TooNew reports whether records may have a format that this version does not know. Then
 	// this controller must not lead: what it cannot read it would forget.
 	TooNew() bool
@@ -39,7 +39,7 @@
 	nodes     []string // all controllers that are configured, this one included
 	client    *kv.Client
 	log       *slog.Logger
-	supported int // the newest format that this controller announces
+	supported storage.Format // the newest format that this controller announces
 
 	current   atomic.Int64
 	tooNew    atomic.Bool
@@ -51,7 +51,7 @@
 
 // NewNegotiator returns the negotiator of a controller, which knows of the oldest format only.
 // It will announce that the controller reads the supported format and all before it.
-func NewNegotiator(node string, others []string, supported int, client *kv.Client, log *slog.Logger) *Negotiator {
+func NewNegotiator(node string, others []string, supported storage.Format, client *kv.Client, log *slog.Logger) *Negotiator {
 	n := &Negotiator{
 		node:      node,
 		nodes:     slices.Concat([]string{node}, others),
@@ -59,12 +59,12 @@
 		log:       log,
 		supported: supported,
 	}
-	n.current.Store(storage.FormatOld)
+	n.current.Store(int64(storage.FormatOld))
 	return n
 }
 
 // Current implements Source.
-func (n *Negotiator) Current() int { return int(n.current.Load()) }
+func (n *Negotiator) Current() storage.Format { return storage.Format(n.current.Load()) }
 
 // TooNew implements Source.
 func (n *Negotiator) TooNew() bool { return n.tooNew.Load() }
@@ -127,7 +127,7 @@
 }
 
 // adopt makes a format of the fleet the current one, if it is newer.
-func (n *Negotiator) adopt(format int) {
+func (n *Negotiator) adopt(format storage.Format) {
 	if format > storage.NewestFormat && !n.tooNew.Swap(true) {
 		n.log.Error("fleet record format is of a later version; this controller does not lead", "format", format, "known", storage.NewestFormat)
 	}
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -38,7 +38,7 @@
 func TestFormatIsRaisedOnceAllAreUpgraded(t *testing.T) {
 	server := standin.NewState()
 	negotiators := newNegotiators(t, server, "a", "b", "c")
-	step := func(node string, leading bool, want int) {
+	step := func(node string, leading bool, want storage.Format) {
 		t.Helper()
 		if err := negotiators[node].step(t.Context(), leading); err != nil {
 			t.Fatal(err)
--- a/internal/recordformat/records.go
+++ b/internal/recordformat/records.go
@@ -11,13 +11,13 @@
 
 // StoredFormat is a format as a record has it: the one that a controller reads, or the fleet's.
 type StoredFormat struct {
-	Format  int
+	Format  storage.Format
 	Version uint64 // of the record
 }
 
 // SupportedByAll returns the newest format that every controller reads, given the formats in
 // the store by key. A controller without a record reads the oldest only.
-func SupportedByAll(nodes []string, known map[string]StoredFormat) int {
+func SupportedByAll(nodes []string, known map[string]StoredFormat) storage.Format {
 	format := storage.NewestFormat
 	for _, node := range nodes {
 		format = min(format, max(known[storage.KeyFormat(node)].Format, storage.FormatOld))
@@ -46,7 +46,7 @@
 
 // write writes a record of a format if its version is still the given one. After a
 // kv.VersionConflictError the next step reads what another controller wrote.
-func (n *Negotiator) write(ctx context.Context, key string, format int, version uint64) error {
+func (n *Negotiator) write(ctx context.Context, key string, format storage.Format, version uint64) error {
 	_, err := n.client.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{{Key: key, Version: version}},
 		Then: []protocol.Change{{
