--- a/internal/election/record.go
+++ b/internal/election/record.go
@@ -27,7 +27,7 @@
 		return record, 0, err
 	}
 	if err := protocol.Decode(item.Value, &record); err != nil {
-		return record, 0, fmt.Errorf("record %s: %w", storage.KeyLeaderLease, err)
+		return record, 0, &storage.RecordError{Key: storage.KeyLeaderLease, Err: err}
 	}
 	return record, item.Version, nil
 }
--- a/internal/persister/claim.go
+++ b/internal/persister/claim.go
@@ -54,7 +54,7 @@
 		item, ok := byKey[key]
 		if ok {
 			if err := protocol.Decode(item.Value, &head); err != nil {
-				return nil, &UnreadableRecordError{key, err}
+				return nil, &storage.RecordError{Key: key, Err: err}
 			}
 		}
 		if ok && p.isOwnClaim(head) {
--- a/internal/persister/claim_test.go
+++ b/internal/persister/claim_test.go
@@ -63,7 +63,7 @@
 	server.Put(key, protocol.Encode("x"))
 	clock := &standin.Clock{Now: units.Second}
 	p := newTestPersister(newTestClient(t, server, clock), clock, 1, persisterLimits)
-	var unreadable *UnreadableRecordError
+	var unreadable *storage.RecordError
 	if err := p.claimBuckets(t.Context()); !errors.As(err, &unreadable) || unreadable.Key != key {
 		t.Errorf("error: %v", err)
 	}
--- a/internal/persister/errors.go
+++ b/internal/persister/errors.go
@@ -1,23 +1,6 @@
 package persister
 
-import (
-	"errors"
-	"fmt"
-)
-
-// UnreadableRecordError says that this version cannot read a record.
-type UnreadableRecordError struct {
-	Key string
-	Err error
-}
-
-// Error implements error.
-func (e *UnreadableRecordError) Error() string {
-	return fmt.Sprintf("record %s is not readable: %v", e.Key, e.Err)
-}
-
-// Unwrap returns why the record is not readable.
-func (e *UnreadableRecordError) Unwrap() error { return e.Err }
+import "errors"
 
 var (
 	// errJobsUnreadable says that some record of the jobs cannot be read by this version, so
--- a/internal/persister/restore.go
+++ b/internal/persister/restore.go
@@ -76,7 +76,7 @@
 			return nil, nil, err
 		}
 		if !finished {
-			return nil, nil, fmt.Errorf("%w: %w", errJobsUnreadable, &UnreadableRecordError{orphans[id][0], errNoSuchJob})
+			return nil, nil, fmt.Errorf("%w: %w", errJobsUnreadable, &storage.RecordError{Key: orphans[id][0], Err: errNoSuchJob})
 		}
 	}
 	return jobs, orphans, nil
--- a/internal/persister/terminaljobs.go
+++ b/internal/persister/terminaljobs.go
@@ -65,7 +65,7 @@
 }
 
 // ReadTerminal reads the terminal record of a job, and reports whether there is one. It fails
-// with an UnreadableRecordError, or with an error of the client.
+// with a storage.RecordError, or with an error of the client.
 func ReadTerminal(ctx context.Context, client *kv.Client, id string) (storage.StoredTerminalRecord, bool, error) {
 	var record storage.StoredTerminalRecord
 	item, ok, err := client.Get(ctx, storage.KeyTerminal(id), terminalReadTimeout)
@@ -77,7 +77,7 @@
 		err = errNotTerminal
 	}
 	if err != nil {
-		return record, false, &UnreadableRecordError{item.Key, err}
+		return record, false, &storage.RecordError{Key: item.Key, Err: err}
 	}
 	record.Version = item.Version
 	return record, true, nil
--- a/internal/persister/terminaljobs_test.go
+++ b/internal/persister/terminaljobs_test.go
@@ -52,7 +52,7 @@
 			if found != c.found || found && (record.TerminalRecord != done || record.Version == 0) {
 				t.Errorf("%+v, %v", record, found)
 			}
-			var unreadable *UnreadableRecordError
+			var unreadable *storage.RecordError
 			if errors.As(err, &unreadable) != c.unreadable || err != nil && !c.unreadable {
 				t.Fatalf("error: %v", err)
 			}
--- a/internal/recordformat/records.go
+++ b/internal/recordformat/records.go
@@ -36,7 +36,7 @@
 	for _, item := range list.Items {
 		var record storage.FormatRecord
 		if err := protocol.Decode(item.Value, &record); err != nil {
-			return nil, fmt.Errorf("record %s: %w", item.Key, err)
+			return nil, &storage.RecordError{Key: item.Key, Err: err}
 		}
 		known[item.Key] = StoredFormat{record.Format, item.Version}
 	}
