--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/standin/admissioncheck/checker.go
@@ -24,49 +24,49 @@
 //   - Once a job is accepted no later answer tells it to wait: the answers about each job
 //     are linearizable.
 type Checker struct {
-	mu        sync.Mutex
-	began     time.Time
-	plans     map[uint64]*admission.Plan // by version
-	plan      *admission.Plan            // that is stored
-	writtenAt time.Time
-	jobs      map[string]protocol.JobSpec
-	accepted  map[string]acceptance
-	history   []porcupine.Operation
-	waits     int
-	broken    []string
+	mu           sync.Mutex
+	startedAt    time.Time
+	plans        map[uint64]*admission.Plan // by version
+	current      *admission.Plan            // that is stored
+	currentSince time.Time
+	jobs         map[string]protocol.JobSpec
+	durable      map[string]acceptance
+	history      []porcupine.Operation
+	deferred     int
+	violations   []string
 }
 
 // acceptance is when and by which plan a job became durable.
 type acceptance struct {
-	plan   uint64
-	lapsed bool
+	plan    uint64
+	expired bool
 }
 
 // New makes a checker that watches a state service.
 func New(state *standin.State) *Checker {
 	c := &Checker{
-		began:    time.Now(),
-		plans:    map[uint64]*admission.Plan{},
-		jobs:     map[string]protocol.JobSpec{},
-		accepted: map[string]acceptance{},
+		startedAt: time.Now(),
+		plans:     map[uint64]*admission.Plan{},
+		jobs:      map[string]protocol.JobSpec{},
+		durable:   map[string]acceptance{},
 	}
-	state.Applied = c.applied
+	state.OnApply = c.txnApplied
 	return c
 }
 
 // Submitted notes a job that a user is about to submit.
-func (c *Checker) Submitted(job protocol.JobSpec) {
+func (c *Checker) JobSubmitted(job protocol.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[job.ID] = job
 }
 
-func (c *Checker) breaks(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *Checker) violated(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // applied sees each transaction as it is carried out.
-func (c *Checker) applied(txn protocol.Txn, get func(string) (protocol.Item, bool)) {
+func (c *Checker) txnApplied(txn protocol.Txn, get func(string) (protocol.Item, bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range txn.Then {
@@ -98,38 +98,38 @@
 func (c *Checker) planStored(raw []byte) {
 	plan, err := admission.Decode(raw)
 	if err != nil {
-		c.breaks("a plan is stored that is not readable: %v", err)
+		c.violated("a plan is stored that is not readable: %v", err)
 		return
 	}
-	if c.plan != nil && (plan.Version <= c.plan.Version || plan.Term < c.plan.Term) {
-		c.breaks("plan %d of term %d replaces plan %d of term %d", plan.Version, plan.Term, c.plan.Version, c.plan.Term)
+	if c.current != nil && (plan.Version <= c.current.Version || plan.Term < c.current.Term) {
+		c.violated("plan %d of term %d replaces plan %d of term %d", plan.Version, plan.Term, c.current.Version, c.current.Term)
 	}
-	c.plans[plan.Version], c.plan, c.writtenAt = plan, plan, time.Now()
+	c.plans[plan.Version], c.current, c.currentSince = plan, plan, time.Now()
 }
 
 // lapseMargin is how far the checker's reading of a plan's age may be off.
-const lapseMargin = 50 * time.Millisecond
+const ageTolerance = 50 * time.Millisecond
 
 func (c *Checker) jobStored(id string) {
-	if _, twice := c.accepted[id]; twice {
-		c.breaks("%s is accepted twice", id)
+	if _, twice := c.durable[id]; twice {
+		c.violated("%s is accepted twice", id)
 	}
 	job, submitted := c.jobs[id]
 	if !submitted {
-		c.breaks("%s is accepted, which nobody submitted", id)
+		c.violated("%s is accepted, which nobody submitted", id)
 		return
 	}
-	at := time.Since(c.began).Nanoseconds()
-	c.history = append(c.history, porcupine.Operation{Input: id, Output: becomesDurable, Call: at, Return: at + 1})
-	if c.plan == nil {
-		c.accepted[id] = acceptance{lapsed: true}
+	at := time.Since(c.startedAt).Nanoseconds()
+	c.history = append(c.history, porcupine.Operation{Input: id, Output: becameDurable, Call: at, Return: at + 1})
+	if c.current == nil {
+		c.durable[id] = acceptance{expired: true}
 		return
 	}
-	lapsed := time.Since(c.writtenAt) > admission.Lifetime.Duration()-lapseMargin
-	if d := c.plan.Decide(&job); d.Verdict != admission.Admit && !lapsed {
-		c.breaks("%s is accepted while plan %d says %v", id, c.plan.Version, d.Verdict)
+	expired := time.Since(c.currentSince) > admission.Lifetime.Duration()-ageTolerance
+	if d := c.current.Decide(&job); d.Verdict != admission.Admit && !expired {
+		c.violated("%s is accepted while plan %d says %v", id, c.current.Version, d.Verdict)
 	}
-	c.accepted[id] = acceptance{plan: c.plan.Version, lapsed: lapsed}
+	c.durable[id] = acceptance{plan: c.current.Version, expired: expired}
 }
 
 // AnswerKind is what an answer to a submission says.
@@ -137,14 +137,14 @@
 
 // The kinds of answers.
 const (
-	SaysNothing AnswerKind = iota
+	Indefinite AnswerKind = iota
 	SaysAccepted
 	SaysWait
-	becomesDurable // not an answer: the job's record was stored
+	becameDurable // not an answer: the job's record was stored
 )
 
 // Read tells what an answer to a submission says, and by which plan a job has to wait.
-func Read(status int, body []byte) (kind AnswerKind, plan uint64) {
+func ClassifyResponse(status int, body []byte) (kind AnswerKind, plan uint64) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
 		return SaysAccepted, 0
@@ -154,29 +154,29 @@
 			return SaysWait, p.Plan
 		}
 	}
-	return SaysNothing, 0
+	return Indefinite, 0
 }
 
 // Answered notes an answer to a submission, and when it was asked for.
-func (c *Checker) Answered(user int, id string, asked time.Time, kind AnswerKind, plan uint64) {
+func (c *Checker) ResponseReceived(user int, id string, sent time.Time, kind AnswerKind, plan uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.history = append(c.history, porcupine.Operation{
 		ClientId: user,
 		Input:    id,
 		Output:   kind,
-		Call:     asked.Sub(c.began).Nanoseconds(),
-		Return:   time.Since(c.began).Nanoseconds(),
+		Call:     sent.Sub(c.startedAt).Nanoseconds(),
+		Return:   time.Since(c.startedAt).Nanoseconds(),
 	})
 	if kind != SaysWait {
 		return
 	}
-	c.waits++
+	c.deferred++
 	job := c.jobs[id]
-	if made := c.plans[plan]; made == nil {
-		c.breaks("%s waits by plan %d, which was never stored", id, plan)
-	} else if d := made.Decide(&job); d.Verdict != admission.Wait {
-		c.breaks("%s waits by plan %d, which says %v", id, plan, d.Verdict)
+	if stored := c.plans[plan]; stored == nil {
+		c.violated("%s waits by plan %d, which was never stored", id, plan)
+	} else if d := stored.Decide(&job); d.Verdict != admission.Wait {
+		c.violated("%s waits by plan %d, which says %v", id, plan, d.Verdict)
 	}
 }
 
@@ -187,7 +187,7 @@
 	Step: func(state, _, output any) (bool, any) {
 		accepted := state.(bool)
 		switch output.(AnswerKind) {
-		case becomesDurable:
+		case becameDurable:
 			return true, true
 		case SaysAccepted:
 			return accepted, accepted
@@ -215,7 +215,7 @@
 func (c *Checker) Verdicts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.broken
+	out := c.violations
 	for _, operations := range partitionByJob(c.history) {
 		if !porcupine.CheckOperations(jobModel, operations) {
 			out = append(out, fmt.Sprintf("the answers about %v agree with no order: it waits after it was accepted, or is accepted without being durable", operations[0].Input))
@@ -229,7 +229,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]uint64{}
-	for id, a := range c.accepted {
+	for id, a := range c.durable {
 		out[id] = a.plan
 	}
 	return out
@@ -239,7 +239,7 @@
 func (c *Checker) Waits() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.waits
+	return c.deferred
 }
 
 // Plans counts the versions of the plan that were stored.
--- a/internal/standin/admissioncheck/user.go
+++ b/internal/standin/admissioncheck/user.go
@@ -12,7 +12,7 @@
 )
 
 // userWaits is how long a user waits for an answer to a submission.
-const userWaits = 5 * time.Second
+const submitTimeout = 5 * time.Second
 
 // Reply is what a controller answered to a submission.
 type Reply struct {
@@ -24,9 +24,9 @@
 // Submit sends a submission to the controller at an address (IP:port), as a user does, and
 // hears the answer.
 func (c *Checker) Submit(ctx context.Context, user int, address string, job map[string]any) Reply {
-	ctx, cancel := context.WithTimeout(ctx, userWaits)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	asked := time.Now()
+	sent := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+protocol.PathSubmit,
 		bytes.NewReader(protocol.Encode(job)))
 	if err != nil {
@@ -41,8 +41,8 @@
 	if err != nil {
 		return Reply{}
 	}
-	kind, plan := Read(response.StatusCode, body)
-	c.Answered(user, job["uid"].(string), asked, kind, plan)
+	kind, plan := ClassifyResponse(response.StatusCode, body)
+	c.ResponseReceived(user, job["uid"].(string), sent, kind, plan)
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 if it is missing
 	return Reply{Kind: kind, Status: response.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
 }
@@ -51,7 +51,7 @@
 func (c *Checker) Announce(job map[string]any) error {
 	spec, err := protocol.ParseSubmission(protocol.Encode(job))
 	if err == nil {
-		c.Submitted(*spec)
+		c.JobSubmitted(*spec)
 	}
 	return err
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -11,25 +11,25 @@
 
 // Cloud is a cloud in memory whose machines are up at once.
 type Cloud struct {
-	mu       sync.Mutex
-	catalog  protocol.Catalog
-	capacity int
-	hires    map[string][]string
-	machines map[string]protocol.ListedMachine
-	made     int
+	mu          sync.Mutex
+	catalog     protocol.Catalog
+	capacity    int
+	provisioned map[string][]string
+	machines    map[string]protocol.ListedMachine
+	created     int
 
 	// Rented and Released are told of machines, if set.
-	Rented   func(protocol.ListedMachine)
-	Released func(id string)
+	OnProvision func(protocol.ListedMachine)
+	OnRelease   func(id string)
 }
 
 // NewCloud makes a cloud with room for so many machines in each zone.
 func NewCloud(catalog protocol.Catalog, capacity int) *Cloud {
 	return &Cloud{
-		catalog:  catalog,
-		capacity: capacity,
-		hires:    map[string][]string{},
-		machines: map[string]protocol.ListedMachine{},
+		catalog:     catalog,
+		capacity:    capacity,
+		provisioned: map[string][]string{},
+		machines:    map[string]protocol.ListedMachine{},
 	}
 }
 
@@ -48,57 +48,57 @@
 		}
 		reply(w, http.StatusOK, list)
 	case r.URL.Path == protocol.PathHosts:
-		var rent protocol.Rent
-		if protocol.Decode(body, &rent) != nil {
+		var request protocol.Rent
+		if protocol.Decode(body, &request) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		c.rent(w, rent)
+		c.provision(w, request)
 	case r.URL.Path == protocol.PathRelease:
 		var names protocol.MachineNames
 		_ = protocol.Decode(body, &names)
 		for _, id := range names.Machines {
 			delete(c.machines, id)
-			if c.Released != nil {
-				c.Released(id)
+			if c.OnRelease != nil {
+				c.OnRelease(id)
 			}
 		}
 		reply(w, http.StatusOK, struct{}{})
 	}
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, rent protocol.Rent) {
-	if names, again := c.hires[rent.Request]; again {
-		reply(w, http.StatusOK, protocol.MachineNames{Machines: names})
+func (c *Cloud) provision(w http.ResponseWriter, request protocol.Rent) {
+	if ids, again := c.provisioned[request.Request]; again {
+		reply(w, http.StatusOK, protocol.MachineNames{Machines: ids})
 		return
 	}
-	var names []string
-	there := 0
+	var ids []string
+	inZone := 0
 	for _, m := range c.machines {
-		if m.Zone == rent.Zone {
-			there++
+		if m.Zone == request.Zone {
+			inZone++
 		}
 	}
-	for ; len(names) < rent.Count && there < c.capacity; there++ {
+	for ; len(ids) < request.Count && inZone < c.capacity; inZone++ {
 		m := protocol.ListedMachine{
-			ID:       fmt.Sprintf("i-%06d", c.made),
-			Endpoint: fmt.Sprintf("i-%06d:9000", c.made),
-			Type:     rent.Type,
-			Zone:     rent.Zone,
-			Spot:     rent.Spot,
+			ID:       fmt.Sprintf("i-%06d", c.created),
+			Endpoint: fmt.Sprintf("i-%06d:9000", c.created),
+			Type:     request.Type,
+			Zone:     request.Zone,
+			Spot:     request.Spot,
 			Stage:    protocol.MachineRunning,
 		}
-		c.made++
+		c.created++
 		c.machines[m.ID] = m
-		names = append(names, m.ID)
-		if c.Rented != nil {
-			c.Rented(m)
+		ids = append(ids, m.ID)
+		if c.OnProvision != nil {
+			c.OnProvision(m)
 		}
 	}
-	if len(names) == 0 {
+	if len(ids) == 0 {
 		reply(w, http.StatusServiceUnavailable, protocol.Problem{Error: "no capacity"})
 		return
 	}
-	c.hires[rent.Request] = names
-	reply(w, http.StatusOK, protocol.MachineNames{Machines: names})
+	c.provisioned[request.Request] = ids
+	reply(w, http.StatusOK, protocol.MachineNames{Machines: ids})
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -13,14 +13,14 @@
 
 // Request is one request about a job, from its sending to its answer.
 type Request struct {
-	Job    string
-	Node   string // the controller that it was sent to
-	Began  time.Time
-	Ended  time.Time // when the answer came in
-	Status int       // 0: no answer
-	Stage  protocol.Stage
+	Job        string
+	Controller string // the controller that it was sent to
+	Sent       time.Time
+	Received   time.Time // when the answer came in
+	Status     int       // 0: no answer
+	Stage      protocol.Stage
 	// Abandoned: its user had stopped waiting by the time the answer came in.
-	Abandoned bool
+	TimedOut bool
 }
 
 func (r Request) accepted() bool {
@@ -28,7 +28,7 @@
 }
 
 // denies tells whether the answer says that the job is not known.
-func (r Request) denies() bool {
+func (r Request) denied() bool {
 	return r.Status == http.StatusNotFound || r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity
 }
 
@@ -38,10 +38,10 @@
 		answer = fmt.Sprint(r.Status)
 	}
 	return fmt.Sprintf("%s from %s, asked at %s and answered at %s",
-		answer, r.Node, r.Began.Format(clockFormat), r.Ended.Format(clockFormat))
+		answer, r.Controller, r.Sent.Format(timeFormat), r.Received.Format(timeFormat))
 }
 
-const clockFormat = "04:05.000"
+const timeFormat = "04:05.000"
 
 // RegressionKind tells how an older answer relates to the newer one before it.
 type RegressionKind uint8
@@ -50,12 +50,12 @@
 const (
 	// AskedAfter: the older answer is to a request that began after the newer answer
 	// had come in. No delay on the way explains it.
-	AskedAfter RegressionKind = iota
+	Sequential RegressionKind = iota
 	// AskedBefore: the older answer came in after the newer one, to a request that
 	// began before.
-	AskedBefore
+	Concurrent
 	// AnsweredLate: one of the two answers came in after its user had stopped waiting.
-	AnsweredLate
+	AfterTimeout
 )
 
 func (k RegressionKind) String() string {
@@ -85,7 +85,7 @@
 
 // Record adds a request that was answered.
 func (h *History) Record(r Request) {
-	if !r.accepted() && !r.denies() {
+	if !r.accepted() && !r.denied() {
 		return // it says nothing about the job
 	}
 	h.mu.Lock()
@@ -101,12 +101,12 @@
 }
 
 // Finals counts the jobs that were called done or cancelled in time for their users.
-func (h *History) Finals() int {
+func (h *History) TerminalJobs() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
 	for _, all := range h.requests {
-		if slices.ContainsFunc(all, func(r Request) bool { return r.Stage.Final() && !r.Abandoned }) {
+		if slices.ContainsFunc(all, func(r Request) bool { return r.Stage.Final() && !r.TimedOut }) {
 			n++
 		}
 	}
@@ -121,31 +121,31 @@
 	var out []Regression
 	for _, all := range h.requests {
 		all = slices.Clone(all)
-		slices.SortStableFunc(all, func(a, b Request) int { return a.Ended.Compare(b.Ended) })
+		slices.SortStableFunc(all, func(a, b Request) int { return a.Received.Compare(b.Received) })
 		for i, r := range all {
-			out = append(out, regressionsOf(r, all[:i])...)
+			out = append(out, regressionsTo(r, all[:i])...)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Regression) int {
-		return cmp.Or(cmp.Compare(a.Newer.Job, b.Newer.Job), a.Older.Ended.Compare(b.Older.Ended))
+		return cmp.Or(cmp.Compare(a.Newer.Job, b.Newer.Job), a.Older.Received.Compare(b.Older.Received))
 	})
 	return out
 }
 
 // regressionsOf holds an answer against those that came in before it.
-func regressionsOf(r Request, before []Request) []Regression {
+func regressionsTo(r Request, before []Request) []Regression {
 	var out []Regression
-	var found [AnsweredLate + 1]bool
+	var found [AfterTimeout + 1]bool
 	for _, earlier := range before {
-		if !olderThan(r, earlier) {
+		if !contradicts(r, earlier) {
 			continue
 		}
-		kind := AskedBefore
+		kind := Concurrent
 		switch {
-		case r.Abandoned || earlier.Abandoned:
-			kind = AnsweredLate
-		case r.Began.After(earlier.Ended):
-			kind = AskedAfter
+		case r.TimedOut || earlier.TimedOut:
+			kind = AfterTimeout
+		case r.Sent.After(earlier.Received):
+			kind = Sequential
 		}
 		if !found[kind] {
 			found[kind] = true
@@ -156,11 +156,11 @@
 }
 
 // olderThan tells whether an answer may not follow an earlier one.
-func olderThan(r, earlier Request) bool {
+func contradicts(r, earlier Request) bool {
 	if !earlier.accepted() {
 		return false
 	}
-	if r.denies() {
+	if r.denied() {
 		return true
 	}
 	return earlier.Stage.Final() && r.Stage != earlier.Stage
--- a/internal/standin/history_test.go
+++ b/internal/standin/history_test.go
@@ -29,33 +29,33 @@
 		"no answer and refusals tell nothing": {
 			[]asked{{0, 5, 200, done, false}, {6, 9, 503, "", false}, {6, 9, 0, "", false}, {6, 9, 429, "", false}}, nil},
 		"done, then asked again and running": {
-			[]asked{{0, 5, 200, done, false}, {6, 9, 200, running, false}}, []RegressionKind{AskedAfter}},
+			[]asked{{0, 5, 200, done, false}, {6, 9, 200, running, false}}, []RegressionKind{Sequential}},
 		"cancelled, then done": {
-			[]asked{{0, 5, 200, cancelled, false}, {6, 9, 200, done, false}}, []RegressionKind{AskedAfter}},
+			[]asked{{0, 5, 200, cancelled, false}, {6, 9, 200, done, false}}, []RegressionKind{Sequential}},
 		"asked before, overtaken on the way": {
-			[]asked{{0, 9, 200, running, false}, {3, 5, 200, done, false}}, []RegressionKind{AskedBefore}},
+			[]asked{{0, 9, 200, running, false}, {3, 5, 200, done, false}}, []RegressionKind{Concurrent}},
 		"accepted, then unknown": {
-			[]asked{{0, 5, 201, protocol.StagePending, false}, {6, 9, 404, "", false}}, []RegressionKind{AskedAfter}},
+			[]asked{{0, 5, 201, protocol.StagePending, false}, {6, 9, 404, "", false}}, []RegressionKind{Sequential}},
 		"a repeat is refused as malformed": {
-			[]asked{{0, 5, 201, protocol.StagePending, false}, {4, 9, 400, "", false}}, []RegressionKind{AskedBefore}},
+			[]asked{{0, 5, 201, protocol.StagePending, false}, {4, 9, 400, "", false}}, []RegressionKind{Concurrent}},
 		"its user had given up": {
-			[]asked{{0, 5, 200, done, false}, {1, 9000, 200, running, true}}, []RegressionKind{AnsweredLate}},
+			[]asked{{0, 5, 200, done, false}, {1, 9000, 200, running, true}}, []RegressionKind{AfterTimeout}},
 		"both kinds": {
 			[]asked{{0, 5, 200, done, false}, {1, 7, 200, done, false}, {6, 9, 200, running, false}},
-			[]RegressionKind{AskedAfter, AskedBefore}},
+			[]RegressionKind{Sequential, Concurrent}},
 	} {
 		h := NewHistory()
 		start := time.Unix(0, 0)
 		at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 		for _, a := range c.requests {
 			h.Record(Request{
-				Job:       "j-1",
-				Node:      "n",
-				Began:     at(a.began),
-				Ended:     at(a.ended),
-				Status:    a.status,
-				Stage:     a.stage,
-				Abandoned: a.abandoned,
+				Job:        "j-1",
+				Controller: "n",
+				Sent:       at(a.began),
+				Received:   at(a.ended),
+				Status:     a.status,
+				Stage:      a.stage,
+				TimedOut:   a.abandoned,
 			})
 		}
 		got := h.Regressions()
@@ -75,18 +75,18 @@
 func TestHistoryKeepsJobsApart(t *testing.T) {
 	h := NewHistory()
 	start := time.Unix(0, 0)
-	h.Record(Request{Job: "j-1", Ended: start, Status: http.StatusOK, Stage: protocol.StageDone})
+	h.Record(Request{Job: "j-1", Received: start, Status: http.StatusOK, Stage: protocol.StageDone})
 	h.Record(Request{
-		Job:    "j-2",
-		Began:  start.Add(time.Second),
-		Ended:  start.Add(2 * time.Second),
-		Status: http.StatusOK,
-		Stage:  protocol.StageRunning,
+		Job:      "j-2",
+		Sent:     start.Add(time.Second),
+		Received: start.Add(2 * time.Second),
+		Status:   http.StatusOK,
+		Stage:    protocol.StageRunning,
 	})
 	if got := h.Regressions(); len(got) > 0 {
 		t.Error(got)
 	}
-	if h.Jobs() != 2 || h.Finals() != 1 {
-		t.Errorf("%d jobs, %d of them final", h.Jobs(), h.Finals())
+	if h.Jobs() != 2 || h.TerminalJobs() != 1 {
+		t.Errorf("%d jobs, %d of them final", h.Jobs(), h.TerminalJobs())
 	}
 }
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -18,15 +18,15 @@
 const UsersPort = ":8000"
 
 // Pace is how workers report.
-type Pace struct{ Report, Lease time.Duration }
+type Timing struct{ HeartbeatInterval, LeaseDuration time.Duration }
 
 // The times of the workers' protocol.
 const (
-	workerGivesUp  = 4 * time.Second
-	workerNextNode = time.Second
-	workerLeast    = 500 * time.Millisecond // between two reports
-	machineStep    = 50 * time.Millisecond
-	machineFetch   = 600 * time.Millisecond
+	heartbeatTimeout     = 4 * time.Second
+	retryDelay           = time.Second
+	minHeartbeatInterval = 500 * time.Millisecond // between two reports
+	tickInterval         = 50 * time.Millisecond
+	defaultImageFetch    = 600 * time.Millisecond
 )
 
 // Machine is a machine with a worker that keeps the whole protocol: sessions and
@@ -34,71 +34,71 @@
 // RuleChecker what is on it.
 type Machine struct {
 	MachineInfo
-	Type   string
-	Spot   bool
-	CPUs   float64
-	pace   Pace
-	nodes  []string // names of the controllers, reached at NAME and UsersPort
-	net    *Network
-	rules  *RuleChecker
-	random *rand.Rand
-	client *http.Client
+	Type        string
+	Spot        bool
+	CPUs        float64
+	timing      Timing
+	controllers []string // names of the controllers, reached at NAME and UsersPort
+	network     *Network
+	invariants  *InvariantChecker
+	random      *rand.Rand
+	client      *http.Client
 
-	mu        sync.Mutex
-	gone      bool
-	session   uint64
-	tally     uint64
-	term      uint64
-	termAt    time.Time // when a higher term last counted as a change
-	leaseFrom time.Time
-	changed   bool
-	tasks     map[string]*machineTask
-	trouble   Trouble
-	hungUntil time.Time
+	mu             sync.Mutex
+	killed         bool
+	incarnation    uint64
+	sequence       uint64
+	fencingToken   uint64
+	tokenChangedAt time.Time // when a higher term last counted as a change
+	leaseStart     time.Time
+	changed        bool
+	tasks          map[string]*machineTask
+	fault          Fault
+	hungUntil      time.Time
 }
 
 type machineTask struct {
-	job     JobInfo
-	index   int
-	attempt uint64
-	stage   string
-	cause   protocol.Cause
-	until   time.Time // when the stage ends by itself
-	left    time.Duration
+	job       JobInfo
+	index     int
+	attempt   uint64
+	stage     string
+	exitCause protocol.Cause
+	stageEnd  time.Time // when the stage ends by itself
+	runTime   time.Duration
 }
 
 // Trouble is what befalls a machine.
-type Trouble struct {
-	AnswersLost bool // its reports arrive; answers and direct commands are lost
-	ReportsLost bool // it reaches no controller; direct commands reach it
-	Cut         bool // neither
+type Fault struct {
+	ResponsesLost  bool // its reports arrive; answers and direct commands are lost
+	HeartbeatsLost bool // it reaches no controller; direct commands reach it
+	Partitioned    bool // neither
 	// Copied is the share of reports of which a copy arrives again later.
-	Copied float64
+	DuplicatedShare float64
 	// Held is the share of reports that get no answer and arrive only later.
-	Held float64
+	DelayedShare float64
 	// Slow is for how long direct commands are held up.
-	Slow time.Duration
+	CommandDelay time.Duration
 }
 
 // NewMachine makes a machine; Run starts its worker.
-func NewMachine(info MachineInfo, typ string, spot bool, cpus float64, pace Pace, nodes []string, net *Network, rules *RuleChecker, random *rand.Rand) *Machine {
+func NewMachine(info MachineInfo, instanceType string, spot bool, cpus float64, timing Timing, controllers []string, network *Network, invariants *InvariantChecker, random *rand.Rand) *Machine {
 	return &Machine{
 		MachineInfo: info,
-		Type:        typ,
+		Type:        instanceType,
 		Spot:        spot,
 		CPUs:        cpus,
-		pace:        pace,
-		nodes:       nodes,
-		net:         net,
-		rules:       rules,
+		timing:      timing,
+		controllers: controllers,
+		network:     network,
+		invariants:  invariants,
 		random:      random,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:       net.Dialer(info.ID),
+			DialContext:       network.Dialer(info.ID),
 			DisableKeepAlives: true,
 		}},
-		session:   1,
-		leaseFrom: time.Now(),
-		tasks:     map[string]*machineTask{},
+		incarnation: 1,
+		leaseStart:  time.Now(),
+		tasks:       map[string]*machineTask{},
 	}
 }
 
@@ -106,10 +106,10 @@
 func (m *Machine) Endpoint() string { return m.ID + ":9000" }
 
 // Set puts the machine into a trouble, or ends it.
-func (m *Machine) Set(t Trouble) {
+func (m *Machine) InjectFault(fault Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.trouble = t
+	m.fault = fault
 }
 
 // Hang stops everything on the machine for a while.
@@ -123,17 +123,17 @@
 func (m *Machine) Kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.empty()
-	m.gone = true
+	m.dropTasks()
+	m.killed = true
 }
 
 // Holds counts the tasks that are on the machine.
-func (m *Machine) Holds() int { return m.count("running") + m.count("flushing") }
+func (m *Machine) RunningTasks() int { return m.tasksInStage("running") + m.tasksInStage("flushing") }
 
 // Fetches counts the tasks that wait for their images.
-func (m *Machine) Fetches() int { return m.count("fetching") }
+func (m *Machine) FetchingTasks() int { return m.tasksInStage("fetching") }
 
-func (m *Machine) count(stage string) int {
+func (m *Machine) tasksInStage(stage string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
@@ -145,30 +145,30 @@
 	return n
 }
 
-func (m *Machine) empty() {
+func (m *Machine) dropTasks() {
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[name]
 		if t.stage == "running" || t.stage == "flushing" {
-			m.rules.Ended(t.job.ID, t.index, m.ID, false)
+			m.invariants.TaskEnded(t.job.ID, t.index, m.ID, false)
 		}
 	}
 	clear(m.tasks)
 }
 
-func (m *Machine) hung() bool { return time.Now().Before(m.hungUntil) }
+func (m *Machine) hungLocked() bool { return time.Now().Before(m.hungUntil) }
 
 // Run plays the machine until ctx ends or it is killed.
 func (m *Machine) Run(ctx context.Context) {
-	l := m.net.Listen(m.Endpoint())
-	srv := &http.Server{Handler: http.HandlerFunc(m.serve)}
+	listener := m.network.Listen(m.Endpoint())
+	server := &http.Server{Handler: http.HandlerFunc(m.serveCommands)}
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); _ = srv.Serve(l) }()
-	go func() { defer wg.Done(); m.reportLoop(ctx) }()
-	for ctx.Err() == nil && m.step() {
-		sleep(ctx, machineStep)
+	go func() { defer wg.Done(); _ = server.Serve(listener) }()
+	go func() { defer wg.Done(); m.heartbeatLoop(ctx) }()
+	for ctx.Err() == nil && m.tick() {
+		sleep(ctx, tickInterval)
 	}
-	_ = srv.Close()
+	_ = server.Close()
 	wg.Wait()
 }
 
@@ -180,45 +180,45 @@
 }
 
 // step lets time pass on the machine, and tells whether it is still there.
-func (m *Machine) step() bool {
+func (m *Machine) tick() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone || m.hung() {
-		return !m.gone
+	if m.killed || m.hungLocked() {
+		return !m.killed
 	}
 	now := time.Now()
-	if now.Sub(m.leaseFrom) > m.pace.Lease {
-		m.empty()
-		m.session++
-		m.leaseFrom, m.changed = now, true
+	if now.Sub(m.leaseStart) > m.timing.LeaseDuration {
+		m.dropTasks()
+		m.incarnation++
+		m.leaseStart, m.changed = now, true
 	}
 	for _, t := range m.tasks {
-		if t.until.IsZero() || now.Before(t.until) {
+		if t.stageEnd.IsZero() || now.Before(t.stageEnd) {
 			continue
 		}
 		m.changed = true
 		switch t.stage {
 		case "fetching":
-			t.stage, t.until = "running", now.Add(t.left)
-			m.rules.Started(t.job.ID, t.index, &m.MachineInfo)
+			t.stage, t.stageEnd = "running", now.Add(t.runTime)
+			m.invariants.TaskStarted(t.job.ID, t.index, &m.MachineInfo)
 		case "running":
-			t.stage, t.cause, t.until = "ended", protocol.CauseDone, time.Time{}
-			m.rules.Ended(t.job.ID, t.index, m.ID, true)
+			t.stage, t.exitCause, t.stageEnd = "ended", protocol.CauseDone, time.Time{}
+			m.invariants.TaskEnded(t.job.ID, t.index, m.ID, true)
 		}
 	}
 	return true
 }
 
 // report makes a report of now.
-func (m *Machine) report() []byte {
-	m.tally++
+func (m *Machine) encodeHeartbeat() []byte {
+	m.sequence++
 	m.changed = false
 	bolts := []map[string]any{}
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[name]
 		b := map[string]any{"bolt": name, "try": t.attempt, "stage": t.stage}
 		if t.stage == "ended" {
-			b["cause"] = string(t.cause)
+			b["cause"] = string(t.exitCause)
 		}
 		bolts = append(bolts, b)
 	}
@@ -228,130 +228,130 @@
 		"loom":     m.Type,
 		"yard":     m.Zone,
 		"borrowed": m.Spot,
-		"shift":    m.session,
-		"tally":    m.tally,
-		"baton":    m.term,
+		"shift":    m.incarnation,
+		"tally":    m.sequence,
+		"baton":    m.fencingToken,
 		"recall_s": nil,
 		"bolts":    bolts,
 	})
 }
 
 // reportLoop reports until the machine is gone.
-func (m *Machine) reportLoop(ctx context.Context) {
-	node := m.random.IntN(len(m.nodes))
+func (m *Machine) heartbeatLoop(ctx context.Context) {
+	controller := m.random.IntN(len(m.controllers))
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		if m.gone {
+		if m.killed {
 			m.mu.Unlock()
 			return
 		}
-		if m.hung() {
+		if m.hungLocked() {
 			m.mu.Unlock()
-			sleep(ctx, machineStep)
+			sleep(ctx, tickInterval)
 			continue
 		}
-		body, session, sent, trouble := m.report(), m.session, time.Now(), m.trouble
-		held := m.random.Float64() < trouble.Held
-		if m.random.Float64() < trouble.Copied {
-			go m.later(ctx, body)
+		body, incarnation, sent, fault := m.encodeHeartbeat(), m.incarnation, time.Now(), m.fault
+		delayed := m.random.Float64() < fault.DelayedShare
+		if m.random.Float64() < fault.DuplicatedShare {
+			go m.deliverLater(ctx, body)
 		}
 		m.mu.Unlock()
 		var status int
-		var answer []byte
+		var response []byte
 		switch {
-		case trouble.ReportsLost || trouble.Cut:
-		case held:
-			go m.later(ctx, body)
-			sleep(ctx, workerGivesUp)
+		case fault.HeartbeatsLost || fault.Partitioned:
+		case delayed:
+			go m.deliverLater(ctx, body)
+			sleep(ctx, heartbeatTimeout)
 		default:
-			status, answer = m.post(ctx, m.nodes[node], body)
+			status, response = m.sendHeartbeat(ctx, m.controllers[controller], body)
 		}
-		for ctx.Err() == nil && m.isHung() {
-			sleep(ctx, machineStep)
+		for ctx.Err() == nil && m.hung() {
+			sleep(ctx, tickInterval)
 		}
-		if trouble.AnswersLost && status != 0 {
-			sleep(ctx, workerGivesUp-time.Since(sent))
+		if fault.ResponsesLost && status != 0 {
+			sleep(ctx, heartbeatTimeout-time.Since(sent))
 			status = 0
 		}
-		if time.Since(sent) > workerGivesUp {
+		if time.Since(sent) > heartbeatTimeout {
 			status = 0
 		}
 		switch status {
 		case http.StatusOK:
-			m.take(answer, session, sent)
-			m.waitForNext(ctx, sent)
+			m.handleResponse(response, incarnation, sent)
+			m.waitForNextHeartbeat(ctx, sent)
 		case http.StatusMisdirectedRequest:
-			var r protocol.Redirect
-			_ = protocol.Decode(answer, &r)
-			if next := slices.Index(m.nodes, r.Leader); next >= 0 && next != node {
-				node = next
-				sleep(ctx, time.Duration(m.random.Int64N(int64(workerLeast))))
+			var redirect protocol.Redirect
+			_ = protocol.Decode(response, &redirect)
+			if next := slices.Index(m.controllers, redirect.Leader); next >= 0 && next != controller {
+				controller = next
+				sleep(ctx, time.Duration(m.random.Int64N(int64(minHeartbeatInterval))))
 				continue
 			}
 			fallthrough
 		default:
-			node = (node + 1) % len(m.nodes)
-			sleep(ctx, workerNextNode)
+			controller = (controller + 1) % len(m.controllers)
+			sleep(ctx, retryDelay)
 		}
 	}
 }
 
 // later brings a report to some controller from 2 s to well over a lease later.
-func (m *Machine) later(ctx context.Context, body []byte) {
+func (m *Machine) deliverLater(ctx context.Context, body []byte) {
 	m.mu.Lock()
-	wait := 2*time.Second + time.Duration(m.random.Int64N(int64(m.pace.Lease*3/2)))
-	node := m.nodes[m.random.IntN(len(m.nodes))]
+	delay := 2*time.Second + time.Duration(m.random.Int64N(int64(m.timing.LeaseDuration*3/2)))
+	controller := m.controllers[m.random.IntN(len(m.controllers))]
 	m.mu.Unlock()
-	sleep(ctx, wait)
+	sleep(ctx, delay)
 	if ctx.Err() == nil {
-		m.post(ctx, node, body)
+		m.sendHeartbeat(ctx, controller, body)
 	}
 }
 
 // Hold makes a report of now that the network holds back: what it gives brings it
 // to a controller, whenever that is.
-func (m *Machine) Hold() func(ctx context.Context, node string) {
+func (m *Machine) CaptureHeartbeat() func(ctx context.Context, controller string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	body := m.report()
-	return func(ctx context.Context, node string) { m.post(ctx, node, body) }
+	body := m.encodeHeartbeat()
+	return func(ctx context.Context, controller string) { m.sendHeartbeat(ctx, controller, body) }
 }
 
-func (m *Machine) isHung() bool {
+func (m *Machine) hung() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.hung()
+	return m.hungLocked()
 }
 
-func (m *Machine) post(ctx context.Context, node string, body []byte) (int, []byte) {
-	ctx, cancel := context.WithTimeout(ctx, workerGivesUp)
+func (m *Machine) sendHeartbeat(ctx context.Context, controller string, body []byte) (int, []byte) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+UsersPort+protocol.PathReport, bytes.NewReader(body))
-	resp, err := m.client.Do(req)
+	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+UsersPort+protocol.PathReport, bytes.NewReader(body))
+	response, err := m.client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
-	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	defer response.Body.Close()
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
 	}
-	return resp.StatusCode, answer
+	return response.StatusCode, responseBody
 }
 
 // waitForNext waits until a report is due: at its time, or when something changes.
-func (m *Machine) waitForNext(ctx context.Context, sent time.Time) {
+func (m *Machine) waitForNextHeartbeat(ctx context.Context, sent time.Time) {
 	m.mu.Lock()
-	due := sent.Add(time.Duration(float64(m.pace.Report) * (0.75 + m.random.Float64()/2)))
+	due := sent.Add(time.Duration(float64(m.timing.HeartbeatInterval) * (0.75 + m.random.Float64()/2)))
 	m.mu.Unlock()
-	sleep(ctx, workerLeast-time.Since(sent))
+	sleep(ctx, minHeartbeatInterval-time.Since(sent))
 	for ctx.Err() == nil && time.Now().Before(due) {
 		m.mu.Lock()
-		ready := m.changed || m.gone
+		ready := m.changed || m.killed
 		m.mu.Unlock()
 		if ready {
 			return
 		}
-		sleep(ctx, machineStep)
+		sleep(ctx, tickInterval)
 	}
 }
--- a/internal/standin/machinecommands.go
+++ b/internal/standin/machinecommands.go
@@ -11,59 +11,59 @@
 )
 
 // take carries out the answer to a report.
-func (m *Machine) take(body []byte, session uint64, sent time.Time) {
-	var a protocol.ReportAnswer
-	if protocol.Decode(body, &a) != nil {
+func (m *Machine) handleResponse(body []byte, incarnation uint64, sent time.Time) {
+	var response protocol.ReportAnswer
+	if protocol.Decode(body, &response) != nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone || session != m.session || a.Term < m.term || a.Term == 0 {
+	if m.killed || incarnation != m.incarnation || response.Term < m.fencingToken || response.Term == 0 {
 		return
 	}
-	m.sees(a.Term)
-	m.leaseFrom = sent
-	m.execute(a.Commands)
+	m.observeToken(response.Term)
+	m.leaseStart = sent
+	m.execute(response.Commands)
 }
 
-func (m *Machine) sees(term uint64) {
-	if term > m.term {
-		m.term = term
-		if time.Since(m.termAt) > m.pace.Lease/2 {
-			m.termAt, m.changed = time.Now(), true
+func (m *Machine) observeToken(token uint64) {
+	if token > m.fencingToken {
+		m.fencingToken = token
+		if time.Since(m.tokenChangedAt) > m.timing.LeaseDuration/2 {
+			m.tokenChangedAt, m.changed = time.Now(), true
 		}
 	}
 }
 
 // serve takes direct commands.
-func (m *Machine) serve(w http.ResponseWriter, r *http.Request) {
+func (m *Machine) serveCommands(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
-	var c protocol.DirectCommands
-	if protocol.Decode(raw, &c) != nil || c.Term == 0 {
+	var push protocol.DirectCommands
+	if protocol.Decode(raw, &push) != nil || push.Term == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	m.mu.Lock()
-	trouble := m.trouble
+	fault := m.fault
 	m.mu.Unlock()
-	if trouble.AnswersLost || trouble.Cut {
+	if fault.ResponsesLost || fault.Partitioned {
 		panic(http.ErrAbortHandler)
 	}
-	time.Sleep(trouble.Slow)
-	for m.isHung() {
-		time.Sleep(machineStep)
+	time.Sleep(fault.CommandDelay)
+	for m.hung() {
+		time.Sleep(tickInterval)
 	}
-	m.step()
+	m.tick()
 	m.mu.Lock()
 	status := http.StatusOK
-	if m.gone || c.Term < m.term || c.Session != m.session {
+	if m.killed || push.Term < m.fencingToken || push.Session != m.incarnation {
 		status = http.StatusConflict
 	} else {
-		m.sees(c.Term)
-		m.execute(c.Commands)
+		m.observeToken(push.Term)
+		m.execute(push.Commands)
 	}
 	changed := m.changed
-	body := m.report()
+	body := m.encodeHeartbeat()
 	m.changed = changed
 	m.mu.Unlock()
 	w.WriteHeader(status)
@@ -71,49 +71,49 @@
 }
 
 func (m *Machine) execute(commands []protocol.Command) {
-	for _, c := range commands {
-		t := m.tasks[c.Task]
-		switch c.Verb {
+	for _, command := range commands {
+		task := m.tasks[command.Task]
+		switch command.Verb {
 		case protocol.Start:
-			m.launch(c, t)
+			m.startTask(command, task)
 		case protocol.Stop:
-			if t != nil && t.attempt == c.Attempt && t.stage != "ended" {
-				if t.stage != "fetching" {
-					m.rules.Ended(t.job.ID, t.index, m.ID, false)
+			if task != nil && task.attempt == command.Attempt && task.stage != "ended" {
+				if task.stage != "fetching" {
+					m.invariants.TaskEnded(task.job.ID, task.index, m.ID, false)
 				}
-				t.stage, t.cause, t.until, m.changed = "ended", protocol.CauseStopped, time.Time{}, true
+				task.stage, task.exitCause, task.stageEnd, m.changed = "ended", protocol.CauseStopped, time.Time{}, true
 			}
 		case protocol.Forget:
-			if t != nil && t.attempt == c.Attempt && t.stage == "ended" {
-				delete(m.tasks, c.Task)
+			if task != nil && task.attempt == command.Attempt && task.stage == "ended" {
+				delete(m.tasks, command.Task)
 			}
 		}
 	}
 }
 
-func (m *Machine) launch(c protocol.Command, t *machineTask) {
-	if t != nil && (t.attempt == c.Attempt || t.stage != "ended") {
+func (m *Machine) startTask(command protocol.Command, existing *machineTask) {
+	if existing != nil && (existing.attempt == command.Attempt || existing.stage != "ended") {
 		return
 	}
-	id, num, _ := strings.Cut(c.Task, "/")
+	id, num, _ := strings.Cut(command.Task, "/")
 	index, _ := strconv.Atoi(num)
-	job, known := m.rules.Job(id)
+	job, known := m.invariants.Job(id)
 	used := job.CPUs
-	for _, o := range m.tasks {
-		if o.stage != "ended" {
-			used += o.job.CPUs
+	for _, other := range m.tasks {
+		if other.stage != "ended" {
+			used += other.job.CPUs
 		}
 	}
 	m.changed = true
-	n := &machineTask{job: job, index: index, attempt: c.Attempt}
+	task := &machineTask{job: job, index: index, attempt: command.Attempt}
 	switch {
 	case !known || index >= job.Tasks:
-		n.stage, n.cause = "ended", protocol.CauseUnknown
+		task.stage, task.exitCause = "ended", protocol.CauseUnknown
 	case used > m.CPUs:
-		n.stage, n.cause = "ended", protocol.CauseNoRoom
+		task.stage, task.exitCause = "ended", protocol.CauseNoRoom
 	default:
-		n.stage, n.until = "fetching", time.Now().Add(cmp.Or(job.Fetch, machineFetch))
-		n.left = job.Runs * time.Duration(index+1) / time.Duration(job.Tasks)
+		task.stage, task.stageEnd = "fetching", time.Now().Add(cmp.Or(job.ImageFetch, defaultImageFetch))
+		task.runTime = job.RunTime * time.Duration(index+1) / time.Duration(job.Tasks)
 	}
-	m.tasks[c.Task] = n
+	m.tasks[command.Task] = task
 }
--- a/internal/standin/production.go
+++ b/internal/standin/production.go
@@ -22,7 +22,7 @@
 // ReadAsBefore reads the rows under job/ as the version before services does: it
 // fails the whole on any that it cannot read. While such a version may lead, all
 // that is written must pass here. The rules are restated from that version.
-func ReadAsBefore(rows []protocol.Item) (map[string]*OldJob, error) {
+func ReadAsBefore(items []protocol.Item) (map[string]*OldJob, error) {
 	const pageTasks, shapes, priorities = 16 << 10, 3, 4
 	type record struct {
 		Format   int      `cbor:"v"`
@@ -47,7 +47,7 @@
 		}
 		return err
 	}
-	for _, row := range rows {
+	for _, row := range items {
 		if strings.Count(row.Key, "/") == 3 {
 			continue
 		}
@@ -74,7 +74,7 @@
 		}
 		jobs[r.ID], pages[r.ID] = j, r.Pages
 	}
-	for _, row := range rows {
+	for _, row := range items {
 		parts := strings.Split(row.Key, "/")
 		if len(parts) != 4 {
 			continue
--- a/internal/standin/rulechecker.go
+++ b/internal/standin/rulechecker.go
@@ -12,33 +12,33 @@
 
 // RuleChecker holds the protocol's rules against what machines do and what users
 // are told. It knows nothing of what the controllers think.
-type RuleChecker struct {
-	mu       sync.Mutex
-	cancel   time.Duration
-	limit    float64 // processors of the only team
-	jobs     map[string]*checkedJob
-	on       map[taskName]map[string]*MachineInfo // machines that a task is on
-	broken   []string
-	late     int // starts after a confirmed cancellation
-	attempts int
+type InvariantChecker struct {
+	mu                sync.Mutex
+	cancelTimeout     time.Duration
+	quotaLimit        float64 // processors of the only team
+	jobs              map[string]*checkedJob
+	placements        map[taskID]map[string]*MachineInfo // machines that a task is on
+	violations        []string
+	startsAfterCancel int // starts after a confirmed cancellation
+	starts            int
 }
 
-type taskName struct {
+type taskID struct {
 	job   string
 	index int
 }
 
 // JobInfo is a job as its user describes it.
 type JobInfo struct {
-	ID      string
-	Tasks   int
-	CPUs    float64
-	Runs    time.Duration // of the last task; the others run a part of it
-	OneZone bool
-	Spread  bool
-	Zone    string // the only allowed one; "": any
-	Urgency string
-	Fetch   time.Duration // of its image; 0: the usual
+	ID           string
+	Tasks        int
+	CPUs         float64
+	RunTime      time.Duration // of the last task; the others run a part of it
+	ZoneAffinity bool
+	AntiAffinity bool
+	Zone         string // the only allowed one; "": any
+	Priority     string
+	ImageFetch   time.Duration // of its image; 0: the usual
 }
 
 // MachineInfo is where a task is.
@@ -46,32 +46,32 @@
 
 type checkedJob struct {
 	JobInfo
-	known     bool // its user was told that it is accepted
-	asked     bool // its user wants it cancelled
-	told      protocol.Stage
-	confirmed time.Time
-	answered  time.Time // when its user was last answered
-	done      map[int]bool
+	accepted          bool // its user was told that it is accepted
+	cancelRequested   bool // its user wants it cancelled
+	lastStage         protocol.Stage
+	cancelConfirmedAt time.Time
+	answered          time.Time // when its user was last answered
+	done              map[int]bool
 }
 
 // NewRuleChecker holds a team to a limit of processors, and cancelled tasks to a time.
-func NewRuleChecker(limit float64, cancel time.Duration) *RuleChecker {
-	return &RuleChecker{
-		cancel: cancel,
-		limit:  limit,
-		jobs:   map[string]*checkedJob{},
-		on:     map[taskName]map[string]*MachineInfo{},
+func NewInvariantChecker(quotaLimit float64, cancelTimeout time.Duration) *InvariantChecker {
+	return &InvariantChecker{
+		cancelTimeout: cancelTimeout,
+		quotaLimit:    quotaLimit,
+		jobs:          map[string]*checkedJob{},
+		placements:    map[taskID]map[string]*MachineInfo{},
 	}
 }
 
-func (r *RuleChecker) breach(format string, args ...any) {
-	if len(r.broken) < 20 {
-		r.broken = append(r.broken, fmt.Sprintf(format, args...))
+func (r *InvariantChecker) violated(format string, args ...any) {
+	if len(r.violations) < 20 {
+		r.violations = append(r.violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // Submitted notes that a user sends a job.
-func (r *RuleChecker) Submitted(j JobInfo) {
+func (r *InvariantChecker) JobSubmitted(j JobInfo) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[j.ID] == nil {
@@ -80,14 +80,14 @@
 }
 
 // Asked notes that a user wants a job cancelled.
-func (r *RuleChecker) Asked(id string) {
+func (r *InvariantChecker) CancelRequested(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.jobs[id].asked = true
+	r.jobs[id].cancelRequested = true
 }
 
 // Job describes a job to a worker, and tells whether it was submitted.
-func (r *RuleChecker) Job(id string) (JobInfo, bool) {
+func (r *InvariantChecker) Job(id string) (JobInfo, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if j := r.jobs[id]; j != nil {
@@ -97,55 +97,55 @@
 }
 
 // Answered holds an answer to a user against what was told before.
-func (r *RuleChecker) Answered(id string, repeat bool, status int, stage protocol.Stage) {
+func (r *InvariantChecker) ResponseReceived(id string, duplicate bool, status int, stage protocol.Stage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
 	if j == nil {
 		if status == 200 {
-			r.breach("invented: %s", id)
+			r.violated("invented: %s", id)
 		}
 		return
 	}
 	switch {
-	case status == 404 && j.known, (status == 400 || status == 422) && repeat && j.known:
-		r.breach("forgotten: %s is answered %d", id, status)
+	case status == 404 && j.accepted, (status == 400 || status == 422) && duplicate && j.accepted:
+		r.violated("forgotten: %s is answered %d", id, status)
 	case status != 200 && status != 201:
 		return
 	}
 	j.answered = time.Now()
 	if status == 200 || status == 201 {
-		j.known = true
+		j.accepted = true
 	}
-	if j.told.Final() && stage != j.told {
-		r.breach("went_back: %s was called %s, now %s", id, j.told, stage)
+	if j.lastStage.Final() && stage != j.lastStage {
+		r.violated("went_back: %s was called %s, now %s", id, j.lastStage, stage)
 	}
 	switch {
 	case stage == protocol.StageDone && len(j.done) < j.Tasks:
-		r.breach("not_done: %s is called done with %d of %d tasks", id, len(j.done), j.Tasks)
-	case stage == protocol.StageCancelled && !j.asked:
-		r.breach("went_back: %s is called cancelled, which nobody asked for", id)
-	case stage == protocol.StageCancelled && j.confirmed.IsZero():
-		j.confirmed = time.Now()
+		r.violated("not_done: %s is called done with %d of %d tasks", id, len(j.done), j.Tasks)
+	case stage == protocol.StageCancelled && !j.cancelRequested:
+		r.violated("went_back: %s is called cancelled, which nobody asked for", id)
+	case stage == protocol.StageCancelled && j.cancelConfirmedAt.IsZero():
+		j.cancelConfirmedAt = time.Now()
 	}
-	j.told = stage
+	j.lastStage = stage
 }
 
 // Started holds the start of a task on a machine against the rules.
-func (r *RuleChecker) Started(job string, index int, m *MachineInfo) {
+func (r *InvariantChecker) TaskStarted(job string, index int, m *MachineInfo) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	j, name := r.jobs[job], taskName{job, index}
-	r.attempts++
-	for other := range r.on[name] {
-		r.breach("ran_twice: %s/%d starts on %s while it is on %s", job, index, m.ID, other)
+	j, name := r.jobs[job], taskID{job, index}
+	r.starts++
+	for other := range r.placements[name] {
+		r.violated("ran_twice: %s/%d starts on %s while it is on %s", job, index, m.ID, other)
 	}
-	if !j.confirmed.IsZero() {
-		r.late++
+	if !j.cancelConfirmedAt.IsZero() {
+		r.startsAfterCancel++
 	}
 	zones := map[string]int{}
 	used := j.CPUs
-	for other, machines := range r.on {
+	for other, machines := range r.placements {
 		for _, at := range machines {
 			used += r.jobs[other.job].CPUs
 			if other.job == job {
@@ -153,26 +153,26 @@
 			}
 		}
 	}
-	if used > r.limit {
-		r.breach("quota: %g processors with %s/%d, of %g", used, job, index, r.limit)
+	if used > r.quotaLimit {
+		r.violated("quota: %g processors with %s/%d, of %g", used, job, index, r.quotaLimit)
 	}
-	if j.Zone != "" && j.Zone != m.Zone || j.OneZone && len(zones) > 0 && zones[m.Zone] == 0 || j.Spread && zones[m.Zone]+1 > (j.Tasks+1)/2 {
-		r.breach("wrong_place: %s/%d in zone %s, the others %v", job, index, m.Zone, zones)
+	if j.Zone != "" && j.Zone != m.Zone || j.ZoneAffinity && len(zones) > 0 && zones[m.Zone] == 0 || j.AntiAffinity && zones[m.Zone]+1 > (j.Tasks+1)/2 {
+		r.violated("wrong_place: %s/%d in zone %s, the others %v", job, index, m.Zone, zones)
 	}
-	if r.on[name] == nil {
-		r.on[name] = map[string]*MachineInfo{}
+	if r.placements[name] == nil {
+		r.placements[name] = map[string]*MachineInfo{}
 	}
-	r.on[name][m.ID] = m
+	r.placements[name][m.ID] = m
 }
 
 // Ended notes that a task is not on a machine any more.
-func (r *RuleChecker) Ended(job string, index int, machine string, done bool) {
+func (r *InvariantChecker) TaskEnded(job string, index int, machine string, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name := taskName{job, index}
-	delete(r.on[name], machine)
-	if len(r.on[name]) == 0 {
-		delete(r.on, name)
+	name := taskID{job, index}
+	delete(r.placements[name], machine)
+	if len(r.placements[name]) == 0 {
+		delete(r.placements, name)
 	}
 	if done {
 		r.jobs[job].done[index] = true
@@ -180,46 +180,46 @@
 }
 
 // Look holds what is on machines against the cancellations told to users.
-func (r *RuleChecker) Look() {
+func (r *InvariantChecker) CheckCancellations() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, machines := range r.on {
+	for name, machines := range r.placements {
 		j := r.jobs[name.job]
-		if !j.confirmed.IsZero() && time.Since(j.confirmed) > r.cancel {
+		if !j.cancelConfirmedAt.IsZero() && time.Since(j.cancelConfirmedAt) > r.cancelTimeout {
 			for id := range machines {
-				r.breach("ran_cancelled: %s/%d is on %s %v after its user was told", name.job, name.index, id, time.Since(j.confirmed))
+				r.violated("ran_cancelled: %s/%d is on %s %v after its user was told", name.job, name.index, id, time.Since(j.cancelConfirmedAt))
 			}
 		}
 	}
 }
 
 // Broken lists the rules that were broken.
-func (r *RuleChecker) Broken() []string {
+func (r *InvariantChecker) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.broken)
+	return slices.Clone(r.violations)
 }
 
 // LateStarts counts starts of tasks whose users had been told of the cancellation.
-func (r *RuleChecker) LateStarts() int {
+func (r *InvariantChecker) StartsAfterCancel() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.late
+	return r.startsAfterCancel
 }
 
 // Starts counts all starts.
-func (r *RuleChecker) Starts() int {
+func (r *InvariantChecker) Starts() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.attempts
+	return r.starts
 }
 
 // On counts the tasks of a job that are on machines.
-func (r *RuleChecker) On(job string) int {
+func (r *InvariantChecker) RunningTasks(job string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for name := range r.on {
+	for name := range r.placements {
 		if name.job == job {
 			n++
 		}
@@ -228,19 +228,19 @@
 }
 
 // Told gives what the user of a job was told last.
-func (r *RuleChecker) Told(job string) protocol.Stage {
+func (r *InvariantChecker) LastStage(job string) protocol.Stage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.jobs[job].told
+	return r.jobs[job].lastStage
 }
 
 // Confirmed counts the jobs whose users were told that they are cancelled.
-func (r *RuleChecker) Confirmed() int {
+func (r *InvariantChecker) ConfirmedCancellations() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for _, j := range r.jobs {
-		if !j.confirmed.IsZero() {
+		if !j.cancelConfirmedAt.IsZero() {
 			n++
 		}
 	}
@@ -248,13 +248,13 @@
 }
 
 // Open lists the accepted jobs whose users have not been told of their end.
-func (r *RuleChecker) Open() []string {
+func (r *InvariantChecker) UnfinishedJobs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
-		if j := r.jobs[id]; j.known && !j.told.Final() {
-			out = append(out, fmt.Sprintf("%s: %d of %d done, told %q", id, len(j.done), j.Tasks, j.told))
+		if j := r.jobs[id]; j.accepted && !j.lastStage.Final() {
+			out = append(out, fmt.Sprintf("%s: %d of %d done, told %q", id, len(j.done), j.Tasks, j.lastStage))
 		}
 	}
 	return out
@@ -262,12 +262,12 @@
 
 // Unanswered lists the accepted jobs that are not over and about which no question
 // was answered for a time.
-func (r *RuleChecker) Unanswered(d time.Duration) []string {
+func (r *InvariantChecker) Unanswered(d time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
-		if j := r.jobs[id]; j.known && !j.told.Final() && time.Since(j.answered) > d {
+		if j := r.jobs[id]; j.accepted && !j.lastStage.Final() && time.Since(j.answered) > d {
 			out = append(out, id)
 		}
 	}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -30,26 +30,26 @@
 	// Silent carries a commit out and then does not answer it.
 	Silent func(commit int) bool
 	// Late holds a commit back, unanswered, until Flush carries it out.
-	Late func(commit int) bool
-	held []protocol.Txn
+	Late           func(commit int) bool
+	delayedCommits []protocol.Txn
 
 	// Applied is told of each transaction that is carried out, just before it is; get
 	// reads a key as it was.
-	Applied func(txn protocol.Txn, get func(key string) (protocol.Item, bool))
+	OnApply func(txn protocol.Txn, get func(key string) (protocol.Item, bool))
 
-	limits   *stateLimits
-	rejected int
-	asking   sync.Mutex
+	limits       *kvLimits
+	rejectedTxns int
+	rejectMu     sync.Mutex
 
 	changes []protocol.KeyChange
 	changed chan struct{} // closed at the next change
 }
 
 // changesKept is how many changes are kept for those who watch.
-const changesKept = 10_000
+const maxRetainedChanges = 10_000
 
 // stateLimits is what the service takes.
-type stateLimits struct {
+type kvLimits struct {
 	valueBytes, ops int
 	writes          *rate.Limiter
 }
@@ -59,19 +59,19 @@
 func (s *State) Limit(valueBytes, ops int, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = &stateLimits{valueBytes, ops, rate.NewLimiter(rate.Limit(writes), int(writes))}
+	s.limits = &kvLimits{valueBytes, ops, rate.NewLimiter(rate.Limit(writes), int(writes))}
 }
 
 // Rejected counts the transactions that were beyond the limits.
 func (s *State) Rejected() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rejected
+	return s.rejectedTxns
 }
 
 // refused gives the status of a transaction that is beyond the limits, 0 if it
 // is not.
-func (s *State) refused(txn protocol.Txn) int {
+func (s *State) checkLimits(txn protocol.Txn) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limits == nil {
@@ -80,7 +80,7 @@
 	large := slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return len(c.Value) > s.limits.valueBytes })
 	switch {
 	case large, len(txn.Then) > s.limits.ops, len(txn.If) > 4*s.limits.ops:
-		s.rejected++
+		s.rejectedTxns++
 		return http.StatusBadRequest
 	case !s.limits.writes.AllowN(time.Now(), len(txn.Then)):
 		return http.StatusTooManyRequests
@@ -94,10 +94,10 @@
 }
 
 // note keeps a change for those who watch, under the lock.
-func (s *State) note(change protocol.KeyChange) {
+func (s *State) recordChange(change protocol.KeyChange) {
 	s.changes = append(s.changes, change)
-	if len(s.changes) > 2*changesKept {
-		s.changes = slices.Clone(s.changes[len(s.changes)-changesKept:])
+	if len(s.changes) > 2*maxRetainedChanges {
+		s.changes = slices.Clone(s.changes[len(s.changes)-maxRetainedChanges:])
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -109,7 +109,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := protocol.ChangeList{Revision: s.revision, Changes: []protocol.KeyChange{}}
-	if len(s.changes) >= changesKept && s.changes[0].Version > from+1 {
+	if len(s.changes) >= maxRetainedChanges && s.changes[0].Version > from+1 {
 		return list, nil, false
 	}
 	for _, c := range s.changes {
@@ -122,29 +122,29 @@
 
 // serveChanges answers a watch once something has changed, or its time is over.
 func (s *State) serveChanges(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
-	wait, waitErr := strconv.Atoi(cmp.Or(q.Get("wait_ms"), "0"))
+	query := r.URL.Query()
+	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
+	wait, waitErr := strconv.Atoi(cmp.Or(query.Get("wait_ms"), "0"))
 	if err != nil || waitErr != nil || wait < 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	for over := false; ; {
-		list, changed, kept := s.changesSince(q.Get("prefix"), from)
+	for expired := false; ; {
+		list, changed, kept := s.changesSince(query.Get("prefix"), from)
 		if !kept {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(list.Changes) > 0 || over {
+		if len(list.Changes) > 0 || expired {
 			reply(w, http.StatusOK, list)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
@@ -171,7 +171,7 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.items[key] = protocol.Item{Key: key, Value: value, Version: s.revision}
-	s.note(protocol.KeyChange{Set: key, Value: value, Version: s.revision})
+	s.recordChange(protocol.KeyChange{Set: key, Value: value, Version: s.revision})
 }
 
 // Revision counts the transactions that were carried out.
@@ -193,39 +193,39 @@
 func (s *State) Apply(txn protocol.Txn) (protocol.TxnAnswer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var answer protocol.TxnAnswer
-	for _, c := range txn.If {
-		if s.items[c.Key].Version != c.Version {
-			answer.Failed = append(answer.Failed, c.Key)
+	var response protocol.TxnAnswer
+	for _, condition := range txn.If {
+		if s.items[condition.Key].Version != condition.Version {
+			response.Failed = append(response.Failed, condition.Key)
 		}
 	}
-	if len(answer.Failed) == 0 {
-		if s.Applied != nil {
-			s.Applied(txn, func(key string) (protocol.Item, bool) {
+	if len(response.Failed) == 0 {
+		if s.OnApply != nil {
+			s.OnApply(txn, func(key string) (protocol.Item, bool) {
 				item, ok := s.items[key]
 				return item, ok
 			})
 		}
 		s.revision++
-		for _, c := range txn.Then {
-			if c.Delete != "" {
-				delete(s.items, c.Delete)
-				s.note(protocol.KeyChange{Delete: c.Delete, Version: s.revision})
+		for _, condition := range txn.Then {
+			if condition.Delete != "" {
+				delete(s.items, condition.Delete)
+				s.recordChange(protocol.KeyChange{Delete: condition.Delete, Version: s.revision})
 			} else {
-				s.items[c.Set] = protocol.Item{Key: c.Set, Value: c.Value, Version: s.revision}
-				s.note(protocol.KeyChange{Set: c.Set, Value: c.Value, Version: s.revision})
+				s.items[condition.Set] = protocol.Item{Key: condition.Set, Value: condition.Value, Version: s.revision}
+				s.recordChange(protocol.KeyChange{Set: condition.Set, Value: condition.Value, Version: s.revision})
 			}
 		}
 	}
-	answer.Revision = s.revision
-	return answer, len(answer.Failed) == 0
+	response.Revision = s.revision
+	return response, len(response.Failed) == 0
 }
 
 // Flush carries out the commits that were held back.
 func (s *State) Flush() {
 	s.mu.Lock()
-	held := s.held
-	s.held = nil
+	held := s.delayedCommits
+	s.delayedCommits = nil
 	s.mu.Unlock()
 	for _, txn := range held {
 		s.Apply(txn)
@@ -234,7 +234,7 @@
 
 // ServeHTTP implements the parts of the protocol that controllers use.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.refuses(r) {
+	if s.rejects(r) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -246,26 +246,26 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		if status := s.refused(txn); status != 0 {
+		if status := s.checkLimits(txn); status != 0 {
 			w.WriteHeader(status)
 			return
 		}
 		s.mu.Lock()
 		s.commits++
 		n := s.commits
-		late := s.Late != nil && s.Late(n)
-		if late {
-			s.held = append(s.held, txn)
+		delayed := s.Late != nil && s.Late(n)
+		if delayed {
+			s.delayedCommits = append(s.delayedCommits, txn)
 		}
 		s.mu.Unlock()
-		if late {
+		if delayed {
 			panic(http.ErrAbortHandler)
 		}
-		answer, ok := s.Apply(txn)
+		response, ok := s.Apply(txn)
 		if s.Silent != nil && s.Silent(n) {
 			panic(http.ErrAbortHandler)
 		}
-		reply(w, status(ok, http.StatusConflict), answer)
+		reply(w, status(ok, http.StatusConflict), response)
 	case r.URL.Path == protocol.PathChanges:
 		s.serveChanges(w, r)
 	case r.URL.Path == protocol.PathKeys:
@@ -285,9 +285,9 @@
 }
 
 // refuses asks Refuse, for one request at a time.
-func (s *State) refuses(r *http.Request) bool {
-	s.asking.Lock()
-	defer s.asking.Unlock()
+func (s *State) rejects(r *http.Request) bool {
+	s.rejectMu.Lock()
+	defer s.rejectMu.Unlock()
 	return s.Refuse != nil && s.Refuse(r.Method, r.URL.Path)
 }
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -14,25 +14,25 @@
 // Worker is a machine's worker that reports to any of several controllers and
 // runs its tasks for a fixed time.
 type Worker struct {
-	Machine protocol.ListedMachine
-	Nodes   []string // addresses of the controllers
-	Every   time.Duration
-	Runs    time.Duration
+	Machine           protocol.ListedMachine
+	Controllers       []string // addresses of the controllers
+	HeartbeatInterval time.Duration
+	RunTime           time.Duration
 	// Started is told of every start.
-	Started func(task string, attempt uint64)
+	OnStart func(task string, attempt uint64)
 
 	mu    sync.Mutex
 	tasks map[string]*workerTask
 }
 
 type workerTask struct {
-	attempt uint64
-	began   time.Time
-	ended   bool
-	cause   string
+	attempt   uint64
+	started   time.Time
+	ended     bool
+	exitCause string
 }
 
-type workerReport struct {
+type workerHeartbeat struct {
 	Dune     string       `cbor:"dune"`
 	Endpoint string       `cbor:"endpoint"`
 	Loom     string       `cbor:"loom"`
@@ -56,57 +56,57 @@
 	w.tasks = map[string]*workerTask{}
 	client := &http.Client{Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
-	report := workerReport{
+	heartbeat := workerHeartbeat{
 		Dune:     w.Machine.ID,
 		Loom:     w.Machine.Type,
 		Yard:     w.Machine.Zone,
 		Borrowed: w.Machine.Spot,
 		Shift:    1,
 	}
-	node := 0
+	controller := 0
 	for ctx.Err() == nil {
-		report.Tally++
-		report.Bolts = w.bolts()
-		answer, ok := w.send(ctx, client, w.Nodes[node], report)
+		heartbeat.Tally++
+		heartbeat.Bolts = w.taskStatuses()
+		response, ok := w.sendHeartbeat(ctx, client, w.Controllers[controller], heartbeat)
 		if !ok {
-			node = (node + 1) % len(w.Nodes)
-		} else if answer.Term >= report.Baton {
-			report.Baton = answer.Term
-			w.execute(answer.Commands)
+			controller = (controller + 1) % len(w.Controllers)
+		} else if response.Term >= heartbeat.Baton {
+			heartbeat.Baton = response.Term
+			w.execute(response.Commands)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(w.Every):
+		case <-time.After(w.HeartbeatInterval):
 		}
 	}
 }
 
-func (w *Worker) send(ctx context.Context, client *http.Client, node string, report workerReport) (protocol.ReportAnswer, bool) {
-	var answer protocol.ReportAnswer
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+protocol.PathReport, bytes.NewReader(protocol.Encode(report)))
+func (w *Worker) sendHeartbeat(ctx context.Context, client *http.Client, controller string, heartbeat workerHeartbeat) (protocol.ReportAnswer, bool) {
+	var decoded protocol.ReportAnswer
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+protocol.PathReport, bytes.NewReader(protocol.Encode(heartbeat)))
 	if err != nil {
-		return answer, false
+		return decoded, false
 	}
-	resp, err := client.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
-		return answer, false
+		return decoded, false
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	return answer, err == nil && resp.StatusCode == http.StatusOK && protocol.Decode(body, &answer) == nil
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return decoded, err == nil && response.StatusCode == http.StatusOK && protocol.Decode(body, &decoded) == nil
 }
 
-func (w *Worker) bolts() []workerBolt {
+func (w *Worker) taskStatuses() []workerBolt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := []workerBolt{}
 	for name, t := range w.tasks {
-		if !t.ended && time.Since(t.began) >= w.Runs {
-			t.ended, t.cause = true, string(protocol.CauseDone)
+		if !t.ended && time.Since(t.started) >= w.RunTime {
+			t.ended, t.exitCause = true, string(protocol.CauseDone)
 		}
 		b := workerBolt{Bolt: name, Try: t.attempt, Stage: "running"}
 		if t.ended {
-			b.Stage, b.Cause = "ended", t.cause
+			b.Stage, b.Cause = "ended", t.exitCause
 		}
 		out = append(out, b)
 	}
@@ -116,18 +116,18 @@
 func (w *Worker) execute(commands []protocol.Command) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range commands {
-		t := w.tasks[c.Task]
+	for _, command := range commands {
+		task := w.tasks[command.Task]
 		switch {
-		case c.Verb == protocol.Start && (t == nil || t.ended && t.attempt != c.Attempt):
-			w.tasks[c.Task] = &workerTask{attempt: c.Attempt, began: time.Now()}
-			if w.Started != nil {
-				w.Started(c.Task, c.Attempt)
+		case command.Verb == protocol.Start && (task == nil || task.ended && task.attempt != command.Attempt):
+			w.tasks[command.Task] = &workerTask{attempt: command.Attempt, started: time.Now()}
+			if w.OnStart != nil {
+				w.OnStart(command.Task, command.Attempt)
 			}
-		case c.Verb == protocol.Stop && t != nil && t.attempt == c.Attempt && !t.ended:
-			t.ended, t.cause = true, string(protocol.CauseStopped)
-		case c.Verb == protocol.Forget && t != nil && t.attempt == c.Attempt && t.ended:
-			delete(w.tasks, c.Task)
+		case command.Verb == protocol.Stop && task != nil && task.attempt == command.Attempt && !task.ended:
+			task.ended, task.exitCause = true, string(protocol.CauseStopped)
+		case command.Verb == protocol.Forget && task != nil && task.attempt == command.Attempt && task.ended:
+			delete(w.tasks, command.Task)
 		}
 	}
 }
--- a/node/admissionmeasure_test.go
+++ b/node/admissionmeasure_test.go
@@ -19,28 +19,28 @@
 var measure = flag.Bool("measure", false, "run the measurements that take minutes")
 
 // times is a distribution of times in milliseconds.
-type times struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
+type latencies struct {
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
-func newTimes() *times { return &times{h: hdrhistogram.New(1, 600_000, 3)} }
+func newLatencies() *latencies { return &latencies{histogram: hdrhistogram.New(1, 600_000, 3)} }
 
-func (d *times) add(t time.Duration) {
+func (d *latencies) record(t time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.h.RecordValue(max(t.Milliseconds(), 1)) // within ten minutes
+	_ = d.histogram.RecordValue(max(t.Milliseconds(), 1)) // within ten minutes
 }
 
-func (d *times) String() string {
+func (d *latencies) String() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return fmt.Sprintf("%d: half %d ms, nine in ten %d ms, 99 in 100 %d ms, most %d ms", d.h.TotalCount(),
-		d.h.ValueAtQuantile(50), d.h.ValueAtQuantile(90), d.h.ValueAtQuantile(99), d.h.Max())
+	return fmt.Sprintf("%d: half %d ms, nine in ten %d ms, 99 in 100 %d ms, most %d ms", d.histogram.TotalCount(),
+		d.histogram.ValueAtQuantile(50), d.histogram.ValueAtQuantile(90), d.histogram.ValueAtQuantile(99), d.histogram.Max())
 }
 
 // measuredUser submits one job until it is accepted, and asks until it is done.
-func (b *burst) measuredUser(id int, team string, answers, accepted, done *times) {
+func (b *burst) measuredUser(id int, team string, answers, accepted, done *latencies) {
 	job := burstJob(id, team, "lot")
 	if err := b.checker.Announce(job); err != nil {
 		b.t.Error(err)
@@ -49,8 +49,8 @@
 	began := time.Now()
 	for {
 		asked := time.Now()
-		kind, wait := b.submitOnce(id, b.number(burstNodes), job)
-		answers.add(time.Since(asked))
+		kind, wait := b.submitOnce(id, b.randomBelow(burstNodes), job)
+		answers.record(time.Since(asked))
 		if kind == admissioncheck.SaysAccepted {
 			break
 		}
@@ -59,11 +59,11 @@
 		}
 		time.Sleep(wait)
 	}
-	accepted.add(time.Since(began))
+	accepted.record(time.Since(began))
 	for time.Since(began) < 3*time.Minute {
-		_, state, _ := b.request(b.number(burstNodes), http.MethodGet, fmt.Sprintf("/submissions/j-%06d", id), nil)
+		_, state, _ := b.request(b.randomBelow(burstNodes), http.MethodGet, fmt.Sprintf("/submissions/j-%06d", id), nil)
 		if state.Stage == protocol.StageDone {
-			done.add(time.Since(began))
+			done.record(time.Since(began))
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -96,12 +96,12 @@
 	b := newBurstWith(t, policy, memoryMB)
 	b.leader()
 	if policy != nil {
-		b.waitActive()
+		b.waitUntilActive()
 	}
 	time.Sleep(3 * time.Second) // machines are rented and report
-	answers := newTimes()
-	accepted := map[string]*times{"mill": newTimes(), "dye": newTimes()}
-	done := map[string]*times{"mill": newTimes(), "dye": newTimes()}
+	answers := newLatencies()
+	accepted := map[string]*latencies{"mill": newLatencies(), "dye": newLatencies()}
+	done := map[string]*latencies{"mill": newLatencies(), "dye": newLatencies()}
 	var users sync.WaitGroup
 	offer := func(first int, team string, perSecond float64, lasts time.Duration) {
 		defer users.Done()
@@ -114,12 +114,12 @@
 			time.Sleep(time.Duration(float64(time.Second) / perSecond))
 		}
 	}
-	before, began := b.plan.state.Revision(), time.Now()
+	before, began := b.options.kv.Revision(), time.Now()
 	users.Add(2)
 	go offer(0, "mill", 10*burstRate, lasts)
 	go func() {
 		time.Sleep(second)
-		offer(firstUsual, "dye", 0.8*burstRate, lasts-second)
+		offer(firstSteadyID, "dye", 0.8*burstRate, lasts-second)
 	}()
 	time.Sleep(lasts)
 	ended := time.Now()
@@ -129,7 +129,7 @@
 	t.Logf("nothing is restricted %v after the flood", time.Since(ended).Round(100*time.Millisecond))
 	users.Wait()
 	t.Logf("answers: %v, %.0f a second; transactions %d; plans %d", answers,
-		float64(answers.h.TotalCount())/time.Since(began).Seconds(), b.plan.state.Revision()-before, b.checker.Plans())
+		float64(answers.histogram.TotalCount())/time.Since(began).Seconds(), b.options.kv.Revision()-before, b.checker.Plans())
 	for _, team := range []string{"mill", "dye"} {
 		t.Logf("%s: accepted %v; done %v", team, accepted[team], done[team])
 	}
--- a/node/daytroubles_test.go
+++ b/node/daytroubles_test.go
@@ -5,52 +5,54 @@
 )
 
 // calm ends all troubles.
-func (d *day) calm() {
-	d.set(func() {
-		d.stateDown, d.cloudDown, d.stateSlow, d.listSlow, d.late = false, false, 0, 0, 0
+func (d *deployment) clearFaults() {
+	d.update(func() {
+		d.kvDown, d.cloudDown, d.kvDelay, d.kvListDelay, d.lateCommitShare = false, false, 0, 0, 0
 		for _, n := range d.nodes {
-			n.refused = false
+			n.kvRejects = false
 		}
 	})
 	for i := range d.nodes {
-		d.cutPeers(i, false)
-		d.cutWorkers(i, false, func(*standin.Machine) bool { return true })
+		d.partitionPeers(i, false)
+		d.partitionMachines(i, false, func(*standin.Machine) bool { return true })
 	}
-	for _, m := range d.all() {
-		m.Set(standin.Trouble{})
+	for _, m := range d.allMachines() {
+		m.InjectFault(standin.Fault{})
 		m.Hang(0)
 	}
 }
 
 // refuse has the state service refuse one controller, or serve it again.
-func (d *day) refuse(node int, refused bool) { d.set(func() { d.nodes[node].refused = refused }) }
+func (d *deployment) rejectKV(node int, rejected bool) {
+	d.update(func() { d.nodes[node].kvRejects = rejected })
+}
 
 // outage has the state service refuse everybody, or serve them again.
-func (d *day) outage(down bool) { d.set(func() { d.stateDown = down }) }
+func (d *deployment) setKVOutage(down bool) { d.update(func() { d.kvDown = down }) }
 
 // cutPeers separates a controller from the others, or joins it again.
-func (d *day) cutPeers(node int, cut bool) {
+func (d *deployment) partitionPeers(node int, partitioned bool) {
 	for k := range d.nodes {
 		if k != node {
-			d.net.Cut(d.nodes[node].name, d.nodes[k].name+portMesh, cut)
-			d.net.Cut(d.nodes[k].name, d.nodes[node].name+portMesh, cut)
+			d.network.Partition(d.nodes[node].name, d.nodes[k].name+meshPort, partitioned)
+			d.network.Partition(d.nodes[k].name, d.nodes[node].name+meshPort, partitioned)
 		}
 	}
 }
 
 // cutWorkers separates a controller from some machines, or joins them again.
-func (d *day) cutWorkers(node int, cut bool, which func(m *standin.Machine) bool) {
-	for _, m := range d.all() {
+func (d *deployment) partitionMachines(node int, partitioned bool, which func(m *standin.Machine) bool) {
+	for _, m := range d.allMachines() {
 		if which(m) {
-			d.net.Cut(m.ID, d.nodes[node].name+standin.UsersPort, cut)
-			d.net.Cut(d.nodes[node].name, m.Endpoint(), cut)
+			d.network.Partition(m.ID, d.nodes[node].name+standin.UsersPort, partitioned)
+			d.network.Partition(d.nodes[node].name, m.Endpoint(), partitioned)
 		}
 	}
 }
 
 // trouble puts machines into a trouble.
-func trouble(machines []*standin.Machine, t standin.Trouble) {
+func injectFault(machines []*standin.Machine, fault standin.Fault) {
 	for _, m := range machines {
-		m.Set(t)
+		m.InjectFault(fault)
 	}
 }
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -13,24 +13,24 @@
 
 // Days of the history test, and jobs on each; half of the days have five controllers.
 const (
-	historyDays = 10
+	historyRuns = 10
 	historyJobs = 12
 )
 
 // Users ask all controllers at once, again and again and most densely around the end of
 // a job, repeat its submission and cancel, while answers of the state service and of
 // other controllers are slow or lost, links are cut and leaders end. No answer goes back.
-func TestAnswersNeverGoBack(t *testing.T) {
+func TestResponsesNeverRegress(t *testing.T) {
 	jobs, finals := 0, 0
-	for seed := range uint64(historyDays) {
+	for seed := range uint64(historyRuns) {
 		h := standin.NewHistory()
-		play(t, plan{nodes: 3 + 2*int(seed%2), seed: seed}, func(d *day) {
-			d.impatientUsers(h, rand.New(rand.NewPCG(seed, 11)))
+		simulate(t, deploymentOptions{nodes: 3 + 2*int(seed%2), seed: seed}, func(d *deployment) {
+			d.runConcurrentUsers(h, rand.New(rand.NewPCG(seed, 11)))
 		})
-		jobs, finals = jobs+h.Jobs(), finals+h.Finals()
+		jobs, finals = jobs+h.Jobs(), finals+h.TerminalJobs()
 		late := 0
 		for _, r := range h.Regressions() {
-			if r.Kind == standin.AnsweredLate {
+			if r.Kind == standin.AfterTimeout {
 				late++
 				continue
 			}
@@ -40,100 +40,100 @@
 			t.Logf("seed %d: %d answers went back after their users had given up", seed, late)
 		}
 	}
-	if want := historyDays * historyJobs; jobs < want || finals < want*9/10 {
+	if want := historyRuns * historyJobs; jobs < want || finals < want*9/10 {
 		t.Errorf("%d jobs were asked about and %d of them over, of %d", jobs, finals, want)
 	}
 }
 
 // impatientUsers plays a day's users and troubles.
-func (d *day) impatientUsers(h *standin.History, random *rand.Rand) {
-	d.slowAnswers(rand.New(rand.NewPCG(random.Uint64(), 1)))
-	var jobs []*watchedJob
+func (d *deployment) runConcurrentUsers(h *standin.History, random *rand.Rand) {
+	d.delayResponses(rand.New(rand.NewPCG(random.Uint64(), 1)))
+	var jobs []*trackedJob
 	for range historyJobs {
-		j := d.watch(h, 1+random.IntN(3), time.Duration(1500+random.IntN(4000))*time.Millisecond)
+		j := d.newTrackedJob(h, 1+random.IntN(3), time.Duration(1500+random.IntN(4000))*time.Millisecond)
 		jobs = append(jobs, j)
 		users := rand.New(rand.NewPCG(random.Uint64(), 2))
-		j.later(func() { j.live(users) })
-		d.wait(time.Duration(random.IntN(2500)) * time.Millisecond)
-		d.trouble(random)
+		j.background(func() { j.simulateUsers(users) })
+		d.sleep(time.Duration(random.IntN(2500)) * time.Millisecond)
+		d.injectRandomFault(random)
 	}
-	d.wait(8 * time.Second)
-	d.set(func() { d.answerDelay = nil })
-	d.net.Delay(nil)
-	d.calm()
+	d.sleep(8 * time.Second)
+	d.update(func() { d.kvResponseDelay = nil })
+	d.network.SetDelay(nil)
+	d.clearFaults()
 	for _, j := range jobs {
-		j.asking.Wait()
+		j.pending.Wait()
 	}
 }
 
 // trouble brings about at most one further trouble.
-func (d *day) trouble(random *rand.Rand) {
+func (d *deployment) injectRandomFault(random *rand.Rand) {
 	node := random.IntN(len(d.nodes))
 	switch random.IntN(6) {
 	case 0:
 		d.restart(node, time.Duration(random.IntN(1500))*time.Millisecond)
 	case 1:
-		d.cutPeers(node, true)
+		d.partitionPeers(node, true)
 	case 2:
-		d.cutPeers(node, false)
+		d.partitionPeers(node, false)
 	case 3:
-		d.refuse(node, true)
-		time.AfterFunc(time.Duration(500+random.IntN(5000))*time.Millisecond, func() { d.refuse(node, false) })
+		d.rejectKV(node, true)
+		time.AfterFunc(time.Duration(500+random.IntN(5000))*time.Millisecond, func() { d.rejectKV(node, false) })
 	}
 }
 
 // slowAnswers holds up a share of the answers of the state service, which have been
 // carried out, and of what controllers answer one another and, for less than
 // the time that is left for the way to users, them.
-func (d *day) slowAnswers(random *rand.Rand) {
-	draw := func(share float64, most time.Duration) <-chan time.Time {
+func (d *deployment) delayResponses(random *rand.Rand) {
+	draw := func(share float64, longest time.Duration) <-chan time.Time {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if random.Float64() >= share {
-			return closed()
+			return noDelay()
 		}
-		return time.After(time.Duration(random.Int64N(int64(most))))
+		return time.After(time.Duration(random.Int64N(int64(longest))))
 	}
-	d.set(func() {
-		d.answerDelay = func(_ int, r *http.Request, _ []byte) <-chan time.Time {
+	d.update(func() {
+		d.kvResponseDelay = func(_ int, r *http.Request, _ []byte) <-chan time.Time {
 			if r.URL.Path == protocol.PathCommit {
 				return draw(0.25, 2500*time.Millisecond) // also beyond the leader's patience
 			}
 			return draw(0.15, 1200*time.Millisecond)
 		}
 	})
-	d.net.Delay(func(from, to string) <-chan time.Time {
+	d.network.SetDelay(func(from, to string) <-chan time.Time {
 		switch {
-		case strings.HasSuffix(to, portMesh):
+		case strings.HasSuffix(to, meshPort):
 			return draw(0.15, 1500*time.Millisecond)
 		case from == "user":
 			return draw(0.2, 350*time.Millisecond)
 		}
-		return closed()
+		return noDelay()
 	})
 }
 
 // live plays a job's users until they know of its end, and a little longer.
-func (j *watchedJob) live(random *rand.Rand) {
+func (j *trackedJob) simulateUsers(random *rand.Rand) {
 	j.submitUntilAccepted()
 	cancelAt := time.Now().Add(time.Duration(random.IntN(12_000)) * time.Millisecond) // often after the end
 	started, askedMore := false, 0
 	for range 400 {
-		on, some := j.day.rules.On(j.info.ID), random.IntN(len(j.day.nodes))
+		on, some := j.deployment.invariants.RunningTasks(j.info.ID), random.IntN(len(j.deployment.nodes))
 		started = started || on > 0
 		near := started && on == 0 // its tasks are over, and its users are about to hear
 		switch {
 		case time.Now().After(cancelAt):
 			cancelAt = cancelAt.Add(time.Minute)
-			j.later(func() { j.cancel(some) })
+			j.background(func() { j.cancel(some) })
 			near = true
 		case near && random.IntN(4) == 0:
-			j.later(func() { j.submit(some) })
+			j.background(func() { j.submit(some) })
 		}
-		for node := range j.day.nodes {
-			j.later(func() { j.poll(node) })
+		for node := range j.deployment.nodes {
+			j.background(func() { j.poll(node) })
 		}
-		if j.day.rules.Told(j.info.ID).Final() {
+		if j.deployment.invariants.LastStage(j.info.ID).Final() {
 			if askedMore++; askedMore > 12 {
 				return
 			}
@@ -143,6 +143,6 @@
 		if near {
 			pause = 60 * time.Millisecond
 		}
-		j.day.wait(pause)
+		j.deployment.sleep(pause)
 	}
 }
--- a/node/impatient_test.go
+++ b/node/impatient_test.go
@@ -16,43 +16,43 @@
 // How long users wait for an answer, and how long a test waits for one that its user
 // has stopped waiting for.
 const (
-	pollPatience   = 2 * time.Second
-	submitPatience = 5 * time.Second
-	latestAnswer   = 8 * time.Second
+	pollTimeout     = 2 * time.Second
+	submitTimeout   = 5 * time.Second
+	longestResponse = 8 * time.Second
 )
 
 // watchedJob is a job whose users ask many questions at a time and keep a history of
 // the answers.
-type watchedJob struct {
-	day     *day
-	history *standin.History
-	info    standin.JobInfo
-	asking  sync.WaitGroup
+type trackedJob struct {
+	deployment *deployment
+	history    *standin.History
+	info       standin.JobInfo
+	pending    sync.WaitGroup
 }
 
 // watch makes a job that nobody has submitted yet.
-func (d *day) watch(h *standin.History, tasks int, runs time.Duration) *watchedJob {
-	j := &watchedJob{day: d, history: h, info: d.job(tasks, runs)}
-	d.rules.Submitted(j.info)
+func (d *deployment) newTrackedJob(h *standin.History, tasks int, runs time.Duration) *trackedJob {
+	j := &trackedJob{deployment: d, history: h, info: d.newJob(tasks, runs)}
+	d.invariants.JobSubmitted(j.info)
 	return j
 }
 
 // ask sends one request and waits for its answer, also after its user has given up.
-func (j *watchedJob) ask(node int, method, path string, body any, patience time.Duration) standin.Request {
-	request := standin.Request{Job: j.info.ID, Node: j.day.nodes[node].name, Began: time.Now()}
-	ctx, cancel := context.WithTimeout(j.day.ctx, latestAnswer)
+func (j *trackedJob) request(node int, method, path string, body any, timeout time.Duration) standin.Request {
+	request := standin.Request{Job: j.info.ID, Controller: j.deployment.nodes[node].name, Sent: time.Now()}
+	ctx, cancel := context.WithTimeout(j.deployment.ctx, longestResponse)
 	defer cancel()
-	var content io.Reader
+	var payload io.Reader
 	if body != nil {
-		content = bytes.NewReader(protocol.Encode(body))
+		payload = bytes.NewReader(protocol.Encode(body))
 	}
-	url := fmt.Sprintf("http://%s%s%s", request.Node, standin.UsersPort, path)
-	message, _ := http.NewRequestWithContext(ctx, method, url, content)
+	url := fmt.Sprintf("http://%s%s%s", request.Controller, standin.UsersPort, path)
+	httpRequest, _ := http.NewRequestWithContext(ctx, method, url, payload)
 	client := http.Client{Transport: &http.Transport{
-		DialContext:       j.day.net.Dialer("user"),
+		DialContext:       j.deployment.network.Dialer("user"),
 		DisableKeepAlives: true,
 	}}
-	response, err := client.Do(message)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return request
 	}
@@ -64,52 +64,52 @@
 	var state protocol.JobState
 	_ = protocol.Decode(raw, &state)
 	if response.StatusCode < http.StatusMultipleChoices && state.UID != j.info.ID {
-		j.day.t.Errorf("asked about %s, answered about %q", j.info.ID, state.UID)
+		j.deployment.t.Errorf("asked about %s, answered about %q", j.info.ID, state.UID)
 	}
-	request.Ended, request.Status, request.Stage = time.Now(), response.StatusCode, state.Stage
-	request.Abandoned = request.Ended.Sub(request.Began) > patience
+	request.Received, request.Status, request.Stage = time.Now(), response.StatusCode, state.Stage
+	request.TimedOut = request.Received.Sub(request.Sent) > timeout
 	j.history.Record(request)
-	if !request.Abandoned {
-		j.day.rules.Answered(j.info.ID, false, request.Status, request.Stage)
+	if !request.TimedOut {
+		j.deployment.invariants.ResponseReceived(j.info.ID, false, request.Status, request.Stage)
 	}
 	return request
 }
 
-func (j *watchedJob) submit(node int) standin.Request {
-	return j.ask(node, http.MethodPost, protocol.PathSubmit, described(j.info), submitPatience)
+func (j *trackedJob) submit(node int) standin.Request {
+	return j.request(node, http.MethodPost, protocol.PathSubmit, submissionOf(j.info), submitTimeout)
 }
 
-func (j *watchedJob) poll(node int) standin.Request {
-	return j.ask(node, http.MethodGet, protocol.PathSubmit+"/"+j.info.ID, nil, pollPatience)
+func (j *trackedJob) poll(node int) standin.Request {
+	return j.request(node, http.MethodGet, protocol.PathSubmit+"/"+j.info.ID, nil, pollTimeout)
 }
 
-func (j *watchedJob) cancel(node int) standin.Request {
-	j.day.rules.Asked(j.info.ID)
-	return j.ask(node, http.MethodPost, protocol.PathSubmit+"/"+j.info.ID+"/cancel", nil, submitPatience)
+func (j *trackedJob) cancel(node int) standin.Request {
+	j.deployment.invariants.CancelRequested(j.info.ID)
+	return j.request(node, http.MethodPost, protocol.PathSubmit+"/"+j.info.ID+"/cancel", nil, submitTimeout)
 }
 
 // submitUntilAccepted repeats the submission as a user does.
-func (j *watchedJob) submitUntilAccepted() {
-	for try := 0; j.day.ctx.Err() == nil; try++ {
-		if r := j.submit(try % len(j.day.nodes)); r.Status == http.StatusOK || r.Status == http.StatusCreated {
+func (j *trackedJob) submitUntilAccepted() {
+	for try := 0; j.deployment.ctx.Err() == nil; try++ {
+		if r := j.submit(try % len(j.deployment.nodes)); r.Status == http.StatusOK || r.Status == http.StatusCreated {
 			return
 		}
-		j.day.wait(time.Second)
+		j.deployment.sleep(time.Second)
 	}
 }
 
 // later asks in the background.
-func (j *watchedJob) later(ask func()) {
-	j.asking.Add(1)
+func (j *trackedJob) background(request func()) {
+	j.pending.Add(1)
 	go func() {
-		defer j.asking.Done()
-		ask()
+		defer j.pending.Done()
+		request()
 	}()
 }
 
 // final polls one controller until it calls the job done or cancelled.
-func (j *watchedJob) final(node int, within time.Duration) bool {
-	for end := time.Now().Add(within); time.Now().Before(end); j.day.wait(100 * time.Millisecond) {
+func (j *trackedJob) pollUntilTerminal(node int, within time.Duration) bool {
+	for end := time.Now().Add(within); time.Now().Before(end); j.deployment.sleep(100 * time.Millisecond) {
 		if j.poll(node).Stage.Final() {
 			return true
 		}
@@ -119,10 +119,10 @@
 
 // regressions fails the test for each answer that went back, but for those that came
 // in after their users had given up.
-func (d *day) regressions(h *standin.History) {
+func (d *deployment) expectNoRegressions(h *standin.History) {
 	d.t.Helper()
 	for _, r := range h.Regressions() {
-		if r.Kind != standin.AnsweredLate {
+		if r.Kind != standin.AfterTimeout {
 			d.t.Error(r)
 		}
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -13,7 +13,7 @@
 	"dunestand/internal/standin"
 )
 
-func loopback(t *testing.T) net.Listener {
+func listenLoopback(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	if body != nil {
 		raw = bytes.NewReader(protocol.Encode(body))
 	}
-	req, _ := http.NewRequest(method, "http://"+c.members[node].settings.ClientListen+path, raw)
+	req, _ := http.NewRequest(method, "http://"+c.nodes[node].settings.ClientListen+path, raw)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, protocol.JobState{}, nil
@@ -42,7 +42,7 @@
 func (c *cluster) leader() int {
 	c.t.Helper()
 	for range 100 {
-		for i := range c.members {
+		for i := range c.nodes {
 			if strings.Contains(c.metrics(i), "dunestand_term ") {
 				return i
 			}
@@ -55,7 +55,7 @@
 
 // metrics is what a node shows; "" if it does not answer.
 func (c *cluster) metrics(node int) string {
-	resp, err := http.Get("http://" + c.members[node].settings.ClientListen + "/metrics")
+	resp, err := http.Get("http://" + c.nodes[node].settings.ClientListen + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -65,19 +65,19 @@
 }
 
 // until repeats a request on the nodes in turn until the answer is as wanted.
-func (c *cluster) until(what string, nodes []int, method, path string, body any, good func(int, protocol.JobState) bool) {
+func (c *cluster) requestUntil(description string, nodes []int, method, path string, body any, accepted func(int, protocol.JobState) bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(25 * time.Second)
 	var status int
 	var state protocol.JobState
 	for try := 0; time.Now().Before(deadline); try++ {
 		status, state, _ = c.request(nodes[try%len(nodes)], method, path, body)
-		if good(status, state) {
+		if accepted(status, state) {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("%s: last answer %d %+v", what, status, state)
+	c.t.Fatalf("%s: last answer %d %+v", description, status, state)
 }
 
 // submission is a job of the one team of a small cluster, with two processors a task.
@@ -89,29 +89,29 @@
 
 // The whole service end to end: any node accepts, tasks run once, the leader
 // goes away, and its successor knows every job.
-func TestServiceOutlivesItsLeader(t *testing.T) {
-	c := startCluster(t)
+func TestJobsSurviveLeaderFailover(t *testing.T) {
+	c := newDefaultCluster(t)
 	accepted := func(status int, _ protocol.JobState) bool { return status == 201 || status == 200 }
 	done := func(status int, s protocol.JobState) bool { return status == 200 && s.Stage == protocol.StageDone }
 	all := []int{0, 1, 2}
 	for _, id := range []string{"j-000001", "j-000002"} {
-		c.until("submit", all, "POST", "/submissions", submission(id, 8), accepted)
+		c.requestUntil("submit", all, "POST", "/submissions", submission(id, 8), accepted)
 	}
-	c.until("first job", all, "GET", "/submissions/j-000001", nil, done)
+	c.requestUntil("first job", all, "GET", "/submissions/j-000001", nil, done)
 	leader := c.leader()
-	c.until("submit before the end", all, "POST", "/submissions", submission("j-000003", 8), accepted)
-	c.kill(leader)
+	c.requestUntil("submit before the end", all, "POST", "/submissions", submission("j-000003", 8), accepted)
+	c.stop(leader)
 	rest := []int{(leader + 1) % 3, (leader + 2) % 3}
 	for _, id := range []string{"j-000001", "j-000002", "j-000003"} {
-		c.until("job after failover", rest, "GET", "/submissions/"+id, nil, done)
-		c.until("resubmission", rest, "POST", "/submissions", submission(id, 3), done)
+		c.requestUntil("job after failover", rest, "GET", "/submissions/"+id, nil, done)
+		c.requestUntil("resubmission", rest, "POST", "/submissions", submission(id, 3), done)
 	}
-	c.until("unknown job", rest, "GET", "/submissions/j-999999", nil, func(status int, _ protocol.JobState) bool { return status == 404 })
-	c.until("cancel of a finished job", rest, "POST", "/submissions/j-000001/cancel", nil, done)
+	c.requestUntil("unknown job", rest, "GET", "/submissions/j-999999", nil, func(status int, _ protocol.JobState) bool { return status == 404 })
+	c.requestUntil("cancel of a finished job", rest, "POST", "/submissions/j-000001/cancel", nil, done)
 }
 
-func TestAnswersWhatItCannotTake(t *testing.T) {
-	c := startCluster(t)
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
+	c := newDefaultCluster(t)
 	all := []int{0, 1, 2}
 	with := func(change func(map[string]any)) map[string]any {
 		s := submission("j-000009", 1)
@@ -135,8 +135,8 @@
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
-			c.until(k.name, all, "POST", "/submissions", k.body, func(status int, _ protocol.JobState) bool { return status == k.status })
+			c.requestUntil(k.name, all, "POST", "/submissions", k.body, func(status int, _ protocol.JobState) bool { return status == k.status })
 		})
 	}
-	c.until("nothing was stored", all, "GET", "/submissions/j-000009", nil, func(status int, _ protocol.JobState) bool { return status == 404 })
+	c.requestUntil("nothing was stored", all, "GET", "/submissions/j-000009", nil, func(status int, _ protocol.JobState) bool { return status == 404 })
 }
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -12,13 +12,13 @@
 // Controllers that hold as many jobs as fit into their memory refuse new ones at once,
 // and say when to come back. All that they have accepted goes on, and service is
 // resumed when jobs have ended.
-func TestRefusesJobsBeforeMemoryRunsOut(t *testing.T) {
+func TestNewJobsAreRejectedBeforeMemoryRunsOut(t *testing.T) {
 	const memoryMB = 0.1 // for 8 jobs
-	play(t, plan{memoryMB: memoryMB}, func(d *day) {
+	simulate(t, deploymentOptions{memoryMB: memoryMB}, func(d *deployment) {
 		var accepted []standin.JobInfo
 		for len(accepted) < 100 {
-			job := d.job(1, long)
-			if status, _ := d.ask(d.leader(), http.MethodPost, "/submissions", described(job)); status != http.StatusCreated {
+			job := d.newJob(1, endlessRunTime)
+			if status, _ := d.request(d.leader(), http.MethodPost, "/submissions", submissionOf(job)); status != http.StatusCreated {
 				break
 			}
 			d.submit(job) // known by now
@@ -28,30 +28,30 @@
 			t.Fatalf("%d jobs are accepted", len(accepted))
 		}
 		for node := range d.nodes {
-			expectRefusal(d, node)
+			expectRejection(d, node)
 			for _, job := range accepted {
 				path := "/submissions/" + job.ID
-				if status, _ := d.told(node, job.ID, false, http.MethodGet, path, nil); status != http.StatusOK {
+				if status, _ := d.requestJob(node, job.ID, false, http.MethodGet, path, nil); status != http.StatusOK {
 					t.Errorf("n-%d answers %d about a job that it knows", node, status)
 				}
-				if status, _ := d.told(node, job.ID, true, http.MethodPost, "/submissions", described(job)); status != http.StatusOK {
+				if status, _ := d.requestJob(node, job.ID, true, http.MethodPost, "/submissions", submissionOf(job)); status != http.StatusOK {
 					t.Errorf("n-%d answers %d to a repeat", node, status)
 				}
 			}
 		}
 		for node, job := range accepted[:2] {
-			if !d.confirm(node, job.ID) {
+			if !d.cancelConfirmed(node, job.ID) {
 				t.Errorf("n-%d does not cancel while it is full", node)
 			}
 		}
-		d.until("cancelled jobs have ended", func() bool { return d.on(accepted[:2]) == 0 })
-		d.submit(d.job(1, time.Second)) // until it is accepted
+		d.waitUntil("cancelled jobs have ended", func() bool { return d.runningTasks(accepted[:2]) == 0 })
+		d.submit(d.newJob(1, time.Second)) // until it is accepted
 		for _, job := range accepted[2:] {
 			d.cancel(job.ID)
 		}
-		d.until("all is cancelled", func() bool {
+		d.waitUntil("all is cancelled", func() bool {
 			for _, job := range accepted {
-				if d.rules.Told(job.ID) != protocol.StageCancelled {
+				if d.invariants.LastStage(job.ID) != protocol.StageCancelled {
 					return false
 				}
 			}
@@ -61,11 +61,11 @@
 }
 
 // expectRefusal has a controller refuse a new job in time for the user to come back.
-func expectRefusal(d *day, node int) {
+func expectRejection(d *deployment, node int) {
 	d.t.Helper()
 	const atOnce = 500 * time.Millisecond
 	asked := time.Now()
-	status, _, header := d.askHeader(node, http.MethodPost, "/submissions", described(d.job(1, time.Second)))
+	status, _, header := d.requestWithHeader(node, http.MethodPost, "/submissions", submissionOf(d.newJob(1, time.Second)))
 	if status != http.StatusTooManyRequests || header.Get("Retry-After") == "" {
 		d.t.Errorf("n-%d answers %d to one job too many, Retry-After %q", node, status, header.Get("Retry-After"))
 	}
