--- a/internal/standin/machinecommands.go
+++ b/internal/standin/machinecommands.go
@@ -2,15 +2,18 @@
 
 import (
 	"cmp"
-	"dunestand/internal/protocol"
 	"io"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
+
+	"dunestand/internal/protocol"
 )
 
-// take carries out the answer to a report.
+// handleResponse executes the response to a heartbeat that was sent in an incarnation, and
+// renews the lease from the time of sending. A response of another incarnation or with a
+// lower fencing token is dropped.
 func (m *Machine) handleResponse(body []byte, incarnation uint64, sent time.Time) {
 	var response protocol.ReportAnswer
 	if protocol.Decode(body, &response) != nil {
@@ -21,12 +24,14 @@
 	if m.killed || incarnation != m.incarnation || response.Term < m.fencingToken || response.Term == 0 {
 		return
 	}
-	m.observeToken(response.Term)
+	m.observeTokenLocked(response.Term)
 	m.leaseStart = sent
-	m.execute(response.Commands)
+	m.executeLocked(response.Commands)
 }
 
-func (m *Machine) observeToken(token uint64) {
+// observeTokenLocked raises the highest token seen. It counts as a change, which causes a
+// heartbeat, no more than once in half of a lease.
+func (m *Machine) observeTokenLocked(token uint64) {
 	if token > m.fencingToken {
 		m.fencingToken = token
 		if time.Since(m.tokenChangedAt) > m.timing.LeaseDuration/2 {
@@ -35,7 +40,7 @@
 	}
 }
 
-// serve takes direct commands.
+// serveCommands executes pushed commands and responds with a heartbeat.
 func (m *Machine) serveCommands(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
 	var push protocol.DirectCommands
@@ -59,26 +64,26 @@
 	if m.killed || push.Term < m.fencingToken || push.Session != m.incarnation {
 		status = http.StatusConflict
 	} else {
-		m.observeToken(push.Term)
-		m.execute(push.Commands)
+		m.observeTokenLocked(push.Term)
+		m.executeLocked(push.Commands)
 	}
 	changed := m.changed
-	body := m.encodeHeartbeat()
-	m.changed = changed
+	body := m.encodeHeartbeatLocked()
+	m.changed = changed // the next heartbeat is due all the same
 	m.mu.Unlock()
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-func (m *Machine) execute(commands []protocol.Command) {
+func (m *Machine) executeLocked(commands []protocol.Command) {
 	for _, command := range commands {
 		task := m.tasks[command.Task]
 		switch command.Verb {
 		case protocol.Start:
-			m.startTask(command, task)
+			m.startTaskLocked(command, task)
 		case protocol.Stop:
 			if task != nil && task.attempt == command.Attempt && task.stage != "ended" {
-				if task.stage != "fetching" {
+				if task.stage == "running" {
 					m.invariants.TaskEnded(task.job.ID, task.index, m.ID, false)
 				}
 				task.stage, task.exitCause, task.stageEnd, m.changed = "ended", protocol.CauseStopped, time.Time{}, true
@@ -91,7 +96,9 @@
 	}
 }
 
-func (m *Machine) startTask(command protocol.Command, existing *machineTask) {
+// startTaskLocked begins to fetch a task's image, or refuses the task. existing is the
+// attempt that the machine has already; nil: none.
+func (m *Machine) startTaskLocked(command protocol.Command, existing *machineTask) {
 	if existing != nil && (existing.attempt == command.Attempt || existing.stage != "ended") {
 		return
 	}
