--- /dev/null
+++ b/internal/standin/kvserverhttp.go
@@ -0,0 +1,144 @@
+package standin
+
+import (
+	"cmp"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"dunestand/internal/protocol"
+)
+
+// ServeHTTP implements the parts of the store's protocol that controllers use.
+func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if s.rejects(r) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	switch r.URL.Path {
+	case protocol.PathCommit:
+		s.serveCommit(w, r)
+	case protocol.PathChanges:
+		s.serveChanges(w, r)
+	case protocol.PathKeys:
+		s.serveList(w, r)
+	default:
+		item, ok := s.Get(strings.TrimPrefix(r.URL.Path, protocol.PathKeys+"/"))
+		reply(w, statusOr(ok, http.StatusNotFound), item)
+	}
+}
+
+// rejects consults Refuse, for one request at a time.
+func (s *State) rejects(r *http.Request) bool {
+	s.rejectMu.Lock()
+	defer s.rejectMu.Unlock()
+	return s.Refuse != nil && s.Refuse(r.Method, r.URL.Path)
+}
+
+// serveCommit carries a transaction out. A response that is to be lost closes the
+// connection.
+func (s *State) serveCommit(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	var txn protocol.Txn
+	if protocol.Decode(body, &txn) != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	if status := s.checkLimits(txn); status != 0 {
+		w.WriteHeader(status)
+		return
+	}
+	s.mu.Lock()
+	s.commits++
+	commit := s.commits
+	delayed := s.Late != nil && s.Late(commit)
+	if delayed {
+		s.delayedCommits = append(s.delayedCommits, txn)
+	}
+	s.mu.Unlock()
+	if delayed {
+		panic(http.ErrAbortHandler)
+	}
+	response, ok := s.Apply(txn)
+	if s.Silent != nil && s.Silent(commit) {
+		panic(http.ErrAbortHandler)
+	}
+	reply(w, statusOr(ok, http.StatusConflict), response)
+}
+
+// serveList responds with all items of a prefix, in one page.
+func (s *State) serveList(w http.ResponseWriter, r *http.Request) {
+	revision := s.Revision() // before the keys: a watch from here repeats what changes meanwhile
+	list := protocol.ItemList{Items: []protocol.Item{}}
+	for _, key := range s.Keys(r.URL.Query().Get("prefix")) {
+		if item, ok := s.Get(key); ok && key > r.URL.Query().Get("from") {
+			list.Items = append(list.Items, item)
+		}
+	}
+	list.Revision = revision
+	reply(w, http.StatusOK, list)
+}
+
+// serveChanges responds to a watch when something has changed or its time is over.
+func (s *State) serveChanges(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
+	wait, waitErr := strconv.Atoi(cmp.Or(query.Get("wait_ms"), "0"))
+	if err != nil || waitErr != nil || wait < 0 {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timer.Stop()
+	for expired := false; ; {
+		list, changed, retained := s.changesSince(query.Get("prefix"), from)
+		if !retained {
+			w.WriteHeader(http.StatusGone)
+			return
+		}
+		if len(list.Changes) > 0 || expired {
+			reply(w, http.StatusOK, list)
+			return
+		}
+		select {
+		case <-changed:
+		case <-timer.C:
+			expired = true
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// changesSince returns the changes of keys with a prefix after a revision, and a channel
+// that is closed at the next change. retained is false if some are no longer retained.
+func (s *State) changesSince(prefix string, from uint64) (list protocol.ChangeList, changed <-chan struct{}, retained bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list = protocol.ChangeList{Revision: s.revision, Changes: []protocol.KeyChange{}}
+	if len(s.changes) >= maxRetainedChanges && s.changes[0].Version > from+1 {
+		return list, nil, false
+	}
+	for _, c := range s.changes {
+		if c.Version > from && strings.HasPrefix(c.Set+c.Delete, prefix) {
+			list.Changes = append(list.Changes, c)
+		}
+	}
+	return list, s.changed, true
+}
+
+// statusOr returns 200 if ok, otherwise the other status.
+func statusOr(ok bool, other int) int {
+	if ok {
+		return http.StatusOK
+	}
+	return other
+}
+
+// reply writes a response with a CBOR body.
+func reply(w http.ResponseWriter, status int, body any) {
+	w.WriteHeader(status)
+	_, _ = w.Write(protocol.Encode(body))
+}
