--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/standin/admissioncheck/checker.go
@@ -1,9 +1,12 @@
-// Package admissioncheck checks histories of submissions against the rules of admission.
+// Package admissioncheck checks the admission of jobs under overload from outside: what
+// users are told about their submissions, and which jobs become durable in the key-value
+// store.
 package admissioncheck
 
 import (
 	"fmt"
-	"net/http"
+	"maps"
+	"slices"
 	"sync"
 	"time"
 
@@ -15,71 +18,72 @@
 	"dunestand/internal/standin"
 )
 
-// Checker holds what users are told about their submissions, and what becomes
-// durable, against the rules of admission:
+// Checker checks the invariants of admission:
 //
-//   - A job becomes durable only while the plan that is stored admits it, or after that
-//     plan has lapsed.
-//   - A job waits only by a plan that tells it to.
-//   - Once a job is accepted no later answer tells it to wait: the answers about each job
+//   - A job becomes durable only while the stored plan admits it, or after that plan has
+//     expired.
+//   - A job is deferred only by a plan that was stored and that defers it.
+//   - Once a job is accepted no later response defers it: the responses about each job
 //     are linearizable.
+//
+// It may be used concurrently.
 type Checker struct {
 	mu           sync.Mutex
 	startedAt    time.Time
-	plans        map[uint64]*admission.Plan // by version
-	current      *admission.Plan            // that is stored
+	plans        map[uint64]*admission.Plan // all that were stored, by version
+	current      *admission.Plan            // the stored one; nil: none
 	currentSince time.Time
-	jobs         map[string]protocol.JobSpec
-	durable      map[string]acceptance
+	jobs         map[string]protocol.JobSpec // that users submit, by ID
+	durable      map[string]uint64           // version of the plan by ID; 0: there was none
 	history      []porcupine.Operation
 	deferred     int
 	violations   []string
 }
 
-// acceptance is when and by which plan a job became durable.
-type acceptance struct {
-	plan    uint64
-	expired bool
-}
-
-// New makes a checker that watches a state service.
-func New(state *standin.State) *Checker {
+// New returns a checker that observes a key-value store from now on.
+func New(store *standin.State) *Checker {
 	c := &Checker{
 		startedAt: time.Now(),
 		plans:     map[uint64]*admission.Plan{},
 		jobs:      map[string]protocol.JobSpec{},
-		durable:   map[string]acceptance{},
+		durable:   map[string]uint64{},
 	}
-	state.OnApply = c.txnApplied
+	store.OnApply = c.txnApplied
 	return c
 }
 
-// Submitted notes a job that a user is about to submit.
-func (c *Checker) JobSubmitted(job protocol.JobSpec) {
+// Announce records a job that users are about to submit. It fails if the submission is not
+// valid.
+func (c *Checker) Announce(job map[string]any) error {
+	spec, err := protocol.ParseSubmission(protocol.Encode(job))
+	if err != nil {
+		return err
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.jobs[job.ID] = job
+	c.jobs[spec.ID] = *spec
+	return nil
 }
 
-func (c *Checker) violated(format string, args ...any) {
+func (c *Checker) violatedLocked(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// applied sees each transaction as it is carried out.
+// txnApplied checks each transaction just before it is carried out.
 func (c *Checker) txnApplied(txn protocol.Txn, get func(string) (protocol.Item, bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range txn.Then {
 		if change.Set == admission.KeyPlan {
-			c.planStored(change.Value)
+			c.planStoredLocked(change.Value)
 		}
 		if id, isNew := newJob(change, get); isNew {
-			c.jobStored(id)
+			c.jobStoredLocked(id)
 		}
 	}
 }
 
-// newJob gives the job that a change makes durable for the first time.
+// newJob returns the job that a change makes durable, and whether it is the first to do so.
 func newJob(change protocol.Change, get func(string) (protocol.Item, bool)) (id string, isNew bool) {
 	item := protocol.Item{Key: change.Set, Value: change.Value}
 	if a, err := bookkeeping.ParseArrival(item); err == nil {
@@ -91,151 +95,62 @@
 	}
 	id = jobs[0].Spec.ID
 	_, live := get(bookkeeping.KeyJob(id))
-	_, arrived := get(bookkeeping.KeyInbox(id))
-	return id, !live && !arrived
+	_, pending := get(bookkeeping.KeyInbox(id))
+	return id, !live && !pending
 }
 
-func (c *Checker) planStored(raw []byte) {
+func (c *Checker) planStoredLocked(raw []byte) {
 	plan, err := admission.Decode(raw)
 	if err != nil {
-		c.violated("a plan is stored that is not readable: %v", err)
+		c.violatedLocked("a plan is stored that is not readable: %v", err)
 		return
 	}
 	if c.current != nil && (plan.Version <= c.current.Version || plan.Term < c.current.Term) {
-		c.violated("plan %d of term %d replaces plan %d of term %d", plan.Version, plan.Term, c.current.Version, c.current.Term)
+		c.violatedLocked("plan %d of token %d replaces plan %d of token %d", plan.Version, plan.Term, c.current.Version, c.current.Term)
 	}
 	c.plans[plan.Version], c.current, c.currentSince = plan, plan, time.Now()
 }
 
-// lapseMargin is how far the checker's reading of a plan's age may be off.
+// ageTolerance is the error of a plan's age as the checker measures it.
 const ageTolerance = 50 * time.Millisecond
 
-func (c *Checker) jobStored(id string) {
+func (c *Checker) jobStoredLocked(id string) {
 	if _, twice := c.durable[id]; twice {
-		c.violated("%s is accepted twice", id)
+		c.violatedLocked("%s is accepted twice", id)
 	}
 	job, submitted := c.jobs[id]
 	if !submitted {
-		c.violated("%s is accepted, which nobody submitted", id)
+		c.violatedLocked("%s is accepted, which nobody submitted", id)
 		return
 	}
-	at := time.Since(c.startedAt).Nanoseconds()
-	c.history = append(c.history, porcupine.Operation{Input: id, Output: becameDurable, Call: at, Return: at + 1})
+	c.recordDurableLocked(id)
 	if c.current == nil {
-		c.durable[id] = acceptance{expired: true}
+		c.durable[id] = 0
 		return
 	}
 	expired := time.Since(c.currentSince) > admission.Lifetime.Duration()-ageTolerance
 	if d := c.current.Decide(&job); d.Verdict != admission.Admit && !expired {
-		c.violated("%s is accepted while plan %d says %v", id, c.current.Version, d.Verdict)
+		c.violatedLocked("%s is accepted while plan %d says %v", id, c.current.Version, d.Verdict)
 	}
-	c.durable[id] = acceptance{plan: c.current.Version, expired: expired}
+	c.durable[id] = c.current.Version
 }
 
-// AnswerKind is what an answer to a submission says.
-type AnswerKind uint8
-
-// The kinds of answers.
-const (
-	Indefinite AnswerKind = iota
-	SaysAccepted
-	SaysWait
-	becameDurable // not an answer: the job's record was stored
-)
-
-// Read tells what an answer to a submission says, and by which plan a job has to wait.
-func ClassifyResponse(status int, body []byte) (kind AnswerKind, plan uint64) {
-	switch status {
-	case http.StatusOK, http.StatusCreated:
-		return SaysAccepted, 0
-	case http.StatusTooManyRequests:
-		var p protocol.Problem
-		if protocol.Decode(body, &p) == nil && p.Plan > 0 {
-			return SaysWait, p.Plan
-		}
-	}
-	return Indefinite, 0
-}
-
-// Answered notes an answer to a submission, and when it was asked for.
-func (c *Checker) ResponseReceived(user int, id string, sent time.Time, kind AnswerKind, plan uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.history = append(c.history, porcupine.Operation{
-		ClientId: user,
-		Input:    id,
-		Output:   kind,
-		Call:     sent.Sub(c.startedAt).Nanoseconds(),
-		Return:   time.Since(c.startedAt).Nanoseconds(),
-	})
-	if kind != SaysWait {
-		return
-	}
-	c.deferred++
-	job := c.jobs[id]
-	if stored := c.plans[plan]; stored == nil {
-		c.violated("%s waits by plan %d, which was never stored", id, plan)
-	} else if d := stored.Decide(&job); d.Verdict != admission.Wait {
-		c.violated("%s waits by plan %d, which says %v", id, plan, d.Verdict)
-	}
-}
-
-// jobModel is one job as its users see it: from the moment at which it becomes durable
-// it is accepted, and stays so. Answers that say nothing do not count.
-var jobModel = porcupine.Model{
-	Init: func() any { return false },
-	Step: func(state, _, output any) (bool, any) {
-		accepted := state.(bool)
-		switch output.(AnswerKind) {
-		case becameDurable:
-			return true, true
-		case SaysAccepted:
-			return accepted, accepted
-		case SaysWait:
-			return !accepted, accepted
-		}
-		return true, accepted
-	},
-}
-
-func partitionByJob(history []porcupine.Operation) [][]porcupine.Operation {
-	byJob := map[string][]porcupine.Operation{}
-	for _, operation := range history {
-		id := operation.Input.(string)
-		byJob[id] = append(byJob[id], operation)
-	}
-	out := make([][]porcupine.Operation, 0, len(byJob))
-	for _, operations := range byJob {
-		out = append(out, operations)
-	}
-	return out
-}
-
-// Verdicts tells what was broken, and checks the history of answers.
+// Verdicts returns all violations, those in the history of responses among them.
 func (c *Checker) Verdicts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.violations
-	for _, operations := range partitionByJob(c.history) {
-		if !porcupine.CheckOperations(jobModel, operations) {
-			out = append(out, fmt.Sprintf("the answers about %v agree with no order: it waits after it was accepted, or is accepted without being durable", operations[0].Input))
-		}
-	}
-	return out
+	return slices.Concat(c.violations, nonLinearizable(c.history))
 }
 
-// Accepted lists the jobs that became durable, with the version of the plan.
+// Accepted returns the jobs that became durable, with the version of the plan then stored;
+// 0: none was.
 func (c *Checker) Accepted() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := map[string]uint64{}
-	for id, a := range c.durable {
-		out[id] = a.plan
-	}
-	return out
+	return maps.Clone(c.durable)
 }
 
-// Waits counts the answers that told a job to wait.
+// Waits counts the responses that deferred a job.
 func (c *Checker) Waits() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/admissioncheck/user.go
+++ b/internal/standin/admissioncheck/submit.go
@@ -11,18 +11,18 @@
 	"dunestand/internal/protocol"
 )
 
-// userWaits is how long a user waits for an answer to a submission.
+// submitTimeout is how long a user waits for the response to a submission.
 const submitTimeout = 5 * time.Second
 
-// Reply is what a controller answered to a submission.
+// Reply is a controller's response to a submission. The zero value: none was received.
 type Reply struct {
 	Kind       AnswerKind
-	Status     int // 0: nothing
-	RetryAfter time.Duration
+	Status     int           // of HTTP
+	RetryAfter time.Duration // 0: the controller gave none
 }
 
 // Submit sends a submission to the controller at an address (IP:port), as a user does, and
-// hears the answer.
+// checks the response.
 func (c *Checker) Submit(ctx context.Context, user int, address string, job map[string]any) Reply {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -46,12 +46,3 @@
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 if it is missing
 	return Reply{Kind: kind, Status: response.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
 }
-
-// Announce notes a job that users are about to submit.
-func (c *Checker) Announce(job map[string]any) error {
-	spec, err := protocol.ParseSubmission(protocol.Encode(job))
-	if err == nil {
-		c.JobSubmitted(*spec)
-	}
-	return err
-}
