--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -9,21 +9,23 @@
 	"dunestand/internal/protocol"
 )
 
-// Cloud is a cloud in memory whose machines are up at once.
+// Cloud is a fake of the cloud, in memory. Its instances run as soon as they are
+// provisioned, and its list does not lag.
 type Cloud struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards all but the exported fields
 	catalog     protocol.Catalog
-	capacity    int
-	provisioned map[string][]string
+	capacity    int                 // of each zone, in instances
+	provisioned map[string][]string // instance IDs by request
 	machines    map[string]protocol.ListedMachine
 	created     int
 
-	// Rented and Released are told of machines, if set.
+	// OnProvision and OnRelease, if set, are called with each instance, under the cloud's
+	// lock. They are set before the first request.
 	OnProvision func(protocol.ListedMachine)
 	OnRelease   func(id string)
 }
 
-// NewCloud makes a cloud with room for so many machines in each zone.
+// NewCloud returns a cloud with a capacity of so many instances in each zone.
 func NewCloud(catalog protocol.Catalog, capacity int) *Cloud {
 	return &Cloud{
 		catalog:     catalog,
@@ -53,7 +55,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		c.provision(w, request)
+		c.provisionLocked(w, request)
 	case r.URL.Path == protocol.PathRelease:
 		var names protocol.MachineNames
 		_ = protocol.Decode(body, &names)
@@ -67,8 +69,10 @@
 	}
 }
 
-func (c *Cloud) provision(w http.ResponseWriter, request protocol.Rent) {
-	if ids, again := c.provisioned[request.Request]; again {
+// provisionLocked starts the instances of a request. A request that is repeated gets the
+// same response.
+func (c *Cloud) provisionLocked(w http.ResponseWriter, request protocol.Rent) {
+	if ids, repeated := c.provisioned[request.Request]; repeated {
 		reply(w, http.StatusOK, protocol.MachineNames{Machines: ids})
 		return
 	}
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -11,58 +11,57 @@
 	"dunestand/internal/protocol"
 )
 
-// Request is one request about a job, from its sending to its answer.
+// Request is one request about a job with its response.
 type Request struct {
 	Job        string
-	Controller string // the controller that it was sent to
+	Controller string // that it was sent to
 	Sent       time.Time
-	Received   time.Time // when the answer came in
-	Status     int       // 0: no answer
+	Received   time.Time // of the response
+	Status     int       // of HTTP; 0: no response
 	Stage      protocol.Stage
-	// Abandoned: its user had stopped waiting by the time the answer came in.
-	TimedOut bool
+	TimedOut   bool // its user had given up when the response was received
 }
 
 func (r Request) accepted() bool {
 	return r.Status == http.StatusOK || r.Status == http.StatusCreated
 }
 
-// denies tells whether the answer says that the job is not known.
+// denied reports whether the response says that the job is unknown.
 func (r Request) denied() bool {
 	return r.Status == http.StatusNotFound || r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity
 }
 
 func (r Request) String() string {
-	answer := string(r.Stage)
-	if answer == "" {
-		answer = fmt.Sprint(r.Status)
+	response := string(r.Stage)
+	if response == "" {
+		response = fmt.Sprint(r.Status)
 	}
-	return fmt.Sprintf("%s from %s, asked at %s and answered at %s",
-		answer, r.Controller, r.Sent.Format(timeFormat), r.Received.Format(timeFormat))
+	return fmt.Sprintf("%s from %s, sent at %s and received at %s",
+		response, r.Controller, r.Sent.Format(timeFormat), r.Received.Format(timeFormat))
 }
 
 const timeFormat = "04:05.000"
 
-// RegressionKind tells how an older answer relates to the newer one before it.
+// RegressionKind is how the requests of a regression relate in time.
 type RegressionKind uint8
 
 // The kinds of regression.
 const (
-	// AskedAfter: the older answer is to a request that began after the newer answer
-	// had come in. No delay on the way explains it.
+	// Sequential: the request with the older response was sent after the newer response
+	// had been received. No delay on the way explains it.
 	Sequential RegressionKind = iota
-	// AskedBefore: the older answer came in after the newer one, to a request that
-	// began before.
+	// Concurrent: the request with the older response was sent before the newer response
+	// was received.
 	Concurrent
-	// AnsweredLate: one of the two answers came in after its user had stopped waiting.
+	// AfterTimeout: one of the responses was received after its user had given up.
 	AfterTimeout
 )
 
 func (k RegressionKind) String() string {
-	return [...]string{"asked after", "asked before", "answered late"}[k]
+	return [...]string{"sequential", "concurrent", "after timeout"}[k]
 }
 
-// Regression is a pair of answers about a job of which the later one is older.
+// Regression is a pair of responses about a job of which the one received later is older.
 type Regression struct {
 	Kind         RegressionKind
 	Newer, Older Request
@@ -72,35 +71,34 @@
 	return fmt.Sprintf("%s (%s): %s, then %s", r.Newer.Job, r.Kind, r.Newer, r.Older)
 }
 
-// History records users' concurrent requests and finds answers that went back: a job
-// that was called done or cancelled and later something else, or accepted and later
-// unknown.
+// History records the concurrent requests of users and finds regressions: a job that was
+// called done or cancelled and later something else, or accepted and later unknown.
 type History struct {
 	mu       sync.Mutex
 	requests map[string][]Request // by job
 }
 
-// NewHistory makes an empty history.
+// NewHistory returns an empty history.
 func NewHistory() *History { return &History{requests: map[string][]Request{}} }
 
-// Record adds a request that was answered.
+// Record adds a request. One whose response says nothing about the job is left out.
 func (h *History) Record(r Request) {
 	if !r.accepted() && !r.denied() {
-		return // it says nothing about the job
+		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.requests[r.Job] = append(h.requests[r.Job], r)
 }
 
-// Jobs counts the jobs that were asked about.
+// Jobs counts the jobs with a recorded request.
 func (h *History) Jobs() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.requests)
 }
 
-// Finals counts the jobs that were called done or cancelled in time for their users.
+// TerminalJobs counts the jobs that were called done or cancelled before a user gave up.
 func (h *History) TerminalJobs() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,8 +111,8 @@
 	return n
 }
 
-// Regressions lists every answer that is older than one that came in before it, once
-// for each kind.
+// Regressions returns, ordered by job and time, every response that is older than one
+// received before it, once for each kind.
 func (h *History) Regressions() []Regression {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,7 +130,7 @@
 	return out
 }
 
-// regressionsOf holds an answer against those that came in before it.
+// regressionsTo compares a response to those received before it.
 func regressionsTo(r Request, before []Request) []Regression {
 	var out []Regression
 	var found [AfterTimeout + 1]bool
@@ -155,7 +153,7 @@
 	return out
 }
 
-// olderThan tells whether an answer may not follow an earlier one.
+// contradicts reports whether a response may not follow an earlier one.
 func contradicts(r, earlier Request) bool {
 	if !earlier.accepted() {
 		return false
--- a/internal/standin/submission.go
+++ b/internal/standin/submission.go
@@ -1,6 +1,8 @@
 package standin
 
-// Submission is an array of a team's small tasks as its user submits it.
+// Submission returns, as its user submits it, a job array of small tasks without
+// placement constraints, checkpoints or a deadline. expectSeconds is the estimated run time
+// of a task. Tests change single fields of the result.
 func Submission(id, team, class string, tasks int, expectSeconds float64) map[string]any {
 	return map[string]any{
 		"uid":       id,
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -11,14 +11,14 @@
 	"dunestand/internal/protocol"
 )
 
-// Worker is a machine's worker that reports to any of several controllers and
-// runs its tasks for a fixed time.
+// Worker is a simple worker for tests on real sockets: it sends heartbeats to any of several
+// controllers and runs each task for a fixed time. Its fields are set before Run.
 type Worker struct {
 	Machine           protocol.ListedMachine
-	Controllers       []string // addresses of the controllers
+	Controllers       []string // addresses
 	HeartbeatInterval time.Duration
-	RunTime           time.Duration
-	// Started is told of every start.
+	RunTime           time.Duration // of each task
+	// OnStart, if set, is called with each start of a task, under the worker's lock.
 	OnStart func(task string, attempt uint64)
 
 	mu    sync.Mutex
@@ -51,10 +51,13 @@
 	Cause string `cbor:"cause,omitempty"`
 }
 
-// Run reports until ctx ends.
+// workerTimeout is how long a worker waits for a response.
+const workerTimeout = 2 * time.Second
+
+// Run sends heartbeats until ctx ends.
 func (w *Worker) Run(ctx context.Context) {
 	w.tasks = map[string]*workerTask{}
-	client := &http.Client{Timeout: 2 * time.Second}
+	client := &http.Client{Timeout: workerTimeout}
 	defer client.CloseIdleConnections()
 	heartbeat := workerHeartbeat{
 		Dune:     w.Machine.ID,
@@ -74,13 +77,12 @@
 			heartbeat.Baton = response.Term
 			w.execute(response.Commands)
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(w.HeartbeatInterval):
-		}
+		sleep(ctx, w.HeartbeatInterval)
 	}
 }
 
+// sendHeartbeat returns a controller's response and reports whether the heartbeat was
+// accepted.
 func (w *Worker) sendHeartbeat(ctx context.Context, client *http.Client, controller string, heartbeat workerHeartbeat) (protocol.ReportAnswer, bool) {
 	var decoded protocol.ReportAnswer
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+protocol.PathReport, bytes.NewReader(protocol.Encode(heartbeat)))
@@ -93,24 +95,26 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return decoded, err == nil && response.StatusCode == http.StatusOK && protocol.Decode(body, &decoded) == nil
+	ok := err == nil && response.StatusCode == http.StatusOK && protocol.Decode(body, &decoded) == nil
+	return decoded, ok
 }
 
+// taskStatuses ends the tasks that have run long enough and lists all.
 func (w *Worker) taskStatuses() []workerBolt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := []workerBolt{}
+	statuses := []workerBolt{}
 	for name, t := range w.tasks {
 		if !t.ended && time.Since(t.started) >= w.RunTime {
 			t.ended, t.exitCause = true, string(protocol.CauseDone)
 		}
-		b := workerBolt{Bolt: name, Try: t.attempt, Stage: "running"}
+		status := workerBolt{Bolt: name, Try: t.attempt, Stage: "running"}
 		if t.ended {
-			b.Stage, b.Cause = "ended", t.exitCause
+			status.Stage, status.Cause = "ended", t.exitCause
 		}
-		out = append(out, b)
+		statuses = append(statuses, status)
 	}
-	return out
+	return statuses
 }
 
 func (w *Worker) execute(commands []protocol.Command) {
