--- a/node/inspect.go
+++ b/node/inspect.go
@@ -12,21 +12,23 @@
 	"dunestand/internal/units"
 )
 
-// AdmissionPlan says which jobs are admitted under overload. Its Decide is a pure function
-// of the plan and a job.
+// AdmissionPlan decides which jobs are admitted under overload. Its Decide method depends on
+// nothing but the plan and the job. It is immutable.
 type AdmissionPlan = admission.Plan
 
-// ErrNoPlan says that the state service holds no admission plan.
+// ErrNoPlan is returned by ReadAdmissionPlan if the key-value store holds no admission plan.
 var ErrNoPlan = errors.New("no admission plan is stored: admission by a plan is off, or nobody leads yet")
 
-// inspectCall bounds the read of a record for a person who waits.
-const inspectCall = 3 * units.Second
+// inspectTimeout bounds the read of a record for a person who waits.
+const inspectTimeout = 3 * units.Second
 
-// ReadAdmissionPlan reads the plan that a fleet's controllers go by. It needs the state
-// service alone, no controller. dial opens connections; nil: by the machine's own network.
+// ReadAdmissionPlan reads the plan that a fleet's controllers use, from the key-value store
+// named in the settings; no controller need run. It waits 3 s for a response. dial opens connections;
+// nil: the system's network. The error is ErrNoPlan, that of the store with its address, or
+// that of a plan that cannot be decoded.
 func ReadAdmissionPlan(ctx context.Context, s *config.Settings, dial transport.DialFunc) (*AdmissionPlan, error) {
 	store := bookkeeping.NewStore(dial, s.Services.State, s.Fleet.State, len(s.Others), units.NewSystemClock())
-	item, _, err := store.Current(ctx, admission.KeyPlan, inspectCall)
+	item, _, err := store.Current(ctx, admission.KeyPlan, inspectTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("state service %s: %w", s.Services.State, err)
 	}
