--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -5,8 +5,9 @@
 	"fmt"
 	"slices"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 func (t *Term) readCatalog(ctx context.Context) {
@@ -16,7 +17,7 @@
 		return
 	}
 	t.mu.Lock()
-	t.ledger.SetTypes(c.Types)
+	t.ledger.SetInstanceTypes(c.Types)
 	changed := !sameTypes(c, t.provisioning.catalog)
 	t.provisioning.catalog, t.provisioning.catalogAt = c, t.Clock.Steady()
 	t.mu.Unlock()
@@ -31,13 +32,13 @@
 func (t *Term) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
 	state := t.Settings.Fleet.State.Both()
 	versions := t.provisioning.catalogStored
-	for changes := range slices.Chunk(bookkeeping.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
+	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
 		txn := protocol.Txn{Then: changes}
 		for _, ch := range changes {
 			key := ch.Set + ch.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
-		version, err := t.Store.Commit(ctx, txn, bookkeeping.Paced, stateCall)
+		version, err := t.Store.CompareAndSwap(ctx, txn, kv.Paced, stateCall)
 		if err != nil {
 			t.Log.Info("catalog not stored", "error", err)
 			return
@@ -55,7 +56,7 @@
 
 // sameTypes compares catalogs but for the spot prices, which move all the time.
 func sameTypes(a, b protocol.Catalog) bool {
-	return slices.EqualFunc(a.Types, b.Types, func(x, y protocol.MachineType) bool {
+	return slices.EqualFunc(a.Types, b.Types, func(x, y protocol.InstanceType) bool {
 		x.SpotPrice, y.SpotPrice = 0, 0
 		zones := slices.Equal(x.Zones, y.Zones)
 		x.Zones, y.Zones = nil, nil
--- a/internal/coordination/direct.go
+++ b/internal/coordination/direct.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
@@ -28,8 +28,8 @@
 // requestDirect notes that a machine is to be told something before its next report:
 // which tasks to stop, and, if a task of a job waits to be started there, to
 // report.
-func (t *Term) requestDirect(m *bookkeeping.Machine, starts *bookkeeping.Job, now units.Micros) {
-	if m.Endpoint == "" || m.LastAnswered+t.Settings.Fleet.Workers.Report()-now <= directWorth {
+func (t *Term) requestDirect(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
+	if m.Endpoint == "" || m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now <= directWorth {
 		return
 	}
 	if t.directRequests[m.ID] == nil || starts != nil {
@@ -39,7 +39,7 @@
 }
 
 // directRequest is why a machine is told something before its next report.
-type directRequest struct{ starts *bookkeeping.Job }
+type directRequest struct{ starts *cluster.Job }
 
 // directLoop tells machines what cannot wait.
 func (t *Term) directLoop(ctx context.Context) {
@@ -81,29 +81,29 @@
 
 // direct gives the commands for a machine that cannot wait, and where to send
 // them.
-func (t *Term) direct(id string, starts *bookkeeping.Job) (endpoint string, body []byte) {
+func (t *Term) direct(id string, starts *cluster.Job) (endpoint string, body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.ledger.Machines[id]
-	if m == nil || m.Term != t.number || !t.Lease.Valid(t.number) {
+	if m == nil || m.FencingToken != t.number || !t.Lease.Valid(t.number) {
 		return "", nil
 	}
 	var out []protocol.Command
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		if len(out) == protocol.MaxCommands {
 			break
 		}
 		switch {
-		case a.Job.Cancelled && a.Stage != bookkeeping.Assigned:
-			out = append(out, stopCommand(a.Task(), a.Number, 0))
-		case a.Stop && (a.Stage == bookkeeping.Running || a.Stage == bookkeeping.Fetching):
-			out = append(out, stopCommand(a.Task(), a.Number, a.Grace))
+		case a.Job.Cancelled && a.Stage != cluster.Assigned:
+			out = append(out, stopCommand(a.TaskName(), a.Number, 0))
+		case a.Stopping && (a.Stage == cluster.Running || a.Stage == cluster.Fetching):
+			out = append(out, stopCommand(a.TaskName(), a.Number, a.GracePeriod))
 		}
 	}
 	if starts != nil && starts.Spec.Tasks < protocol.MaxTasks {
 		t.attempts++
 		out = append(out, protocol.Command{
-			Verb:    protocol.Start,
+			Verb:    protocol.VerbStart,
 			Task:    protocol.TaskName(starts.Spec.ID, starts.Spec.Tasks),
 			Attempt: t.number<<32 | t.attempts,
 		})
@@ -112,8 +112,8 @@
 		return "", nil
 	}
 	return m.Endpoint, protocol.Encode(protocol.DirectCommands{
-		Term:     t.number,
-		Session:  m.Session,
-		Commands: out,
+		FencingToken: t.number,
+		Incarnation:  m.Incarnation,
+		Commands:     out,
 	})
 }
--- a/internal/coordination/format_test.go
+++ b/internal/coordination/format_test.go
@@ -11,10 +11,12 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
@@ -24,12 +26,12 @@
 	t.Cleanup(server.Close)
 	out := map[string]*FleetFormat{}
 	for i, node := range nodes {
-		store := bookkeeping.NewStore(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+		store := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 		}, len(nodes)-1, units.NewSystemClock())
 		others := append(append([]string{}, nodes[:i]...), nodes[i+1:]...)
-		out[node] = NewFleetFormat(node, others, bookkeeping.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		out[node] = NewFleetFormat(node, others, storage.FormatNew, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	return out
 }
@@ -49,16 +51,16 @@
 			t.Errorf("%s goes by format %d, want %d", node, got, want)
 		}
 	}
-	step("a", true, bookkeeping.FormatOld)
-	step("b", false, bookkeeping.FormatOld)
-	step("a", true, bookkeeping.FormatOld) // c is not upgraded, or has never been heard of
-	step("c", false, bookkeeping.FormatOld)
-	step("b", false, bookkeeping.FormatOld) // only a leader raises it
-	step("a", true, bookkeeping.FormatNew)
-	step("b", false, bookkeeping.FormatNew)
-	s.Put(bookkeeping.KeyFormat("c"), protocol.Encode(bookkeeping.FormatRecord{Format: bookkeeping.FormatOld}))
+	step("a", true, storage.FormatOld)
+	step("b", false, storage.FormatOld)
+	step("a", true, storage.FormatOld) // c is not upgraded, or has never been heard of
+	step("c", false, storage.FormatOld)
+	step("b", false, storage.FormatOld) // only a leader raises it
+	step("a", true, storage.FormatNew)
+	step("b", false, storage.FormatNew)
+	s.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
 	later := formatsOn(t, s, "a", "b", "c")["b"]
-	if err := later.step(t.Context(), true); err != nil || later.Level() != bookkeeping.FormatNew {
+	if err := later.step(t.Context(), true); err != nil || later.Level() != storage.FormatNew {
 		t.Errorf("%d, %v", later.Level(), err)
 	}
 }
@@ -69,20 +71,20 @@
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
 	for what, put := range map[string]func(s *standin.State){
 		"the fleet's format": func(s *standin.State) {
-			s.Put(bookkeeping.KeyFleetFormat, protocol.Encode(bookkeeping.FormatRecord{Format: bookkeeping.Format + 1}))
+			s.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
 		},
 		"a job's record": func(s *standin.State) {
-			s.Put(bookkeeping.KeyJob("j-000001"), protocol.Encode(map[string]any{
-				"v":     bookkeeping.Format + 1,
+			s.Put(storage.KeyJob("j-000001"), protocol.Encode(map[string]any{
+				"v":     storage.NewestFormat + 1,
 				"id":    "j-000001",
 				"tasks": 1,
 			}))
 		},
 		"a part of a job": func(s *standin.State) {
-			s.Put(bookkeeping.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
+			s.Put(storage.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
 		},
 		"a part without its job, which is not over": func(s *standin.State) {
-			s.Put(bookkeeping.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
+			s.Put(storage.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
 		},
 	} {
 		s := standin.NewState()
@@ -105,16 +107,16 @@
 // back; what can never run is refused for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	term := testTerm(1, &manualClock{})
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	service := *modelSpec("j-000001")
-	service.Shape, service.Tasks = protocol.Service, modelLimit
+	service.Kind, service.Tasks = protocol.Service, modelLimit
 	for _, c := range []struct {
 		level, tasks, want int
 	}{
-		{bookkeeping.FormatOld, modelLimit, http.StatusServiceUnavailable},
-		{bookkeeping.FormatOld, modelLimit + 1, http.StatusUnprocessableEntity},
-		{bookkeeping.FormatNew, modelLimit, 0},
-		{bookkeeping.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
+		{storage.FormatOld, modelLimit, http.StatusServiceUnavailable},
+		{storage.FormatOld, modelLimit + 1, http.StatusUnprocessableEntity},
+		{storage.FormatNew, modelLimit, 0},
+		{storage.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
 	} {
 		term.Format.level.Store(int64(c.level))
 		service.Tasks = c.tasks
@@ -138,13 +140,13 @@
 		TxnOps:   12,
 		Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 	}
-	term.ledger = bookkeeping.NewLedger(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
+	term.ledger = cluster.NewState(term.Settings.Fleet.Teams, term.Settings.Fleet.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if !term.restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.ledger.SetTypes(modelCatalog.Types)
+	term.ledger.SetInstanceTypes(modelCatalog.Types)
 	go term.saveLoop(ctx)
 	submit := func(id string, tasks int) {
 		t.Helper()
@@ -179,12 +181,12 @@
 		term.mu.Lock()
 		defer term.mu.Unlock()
 		for i := from; i < to; i++ {
-			term.ledger.Assign(term.ledger.Jobs[large], term.ledger.Machine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
+			term.ledger.Assign(term.ledger.Jobs[large], term.ledger.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
 		}
 		signal(term.saveSignal)
 	}
 	named := func(to int) func() bool {
-		return func() bool { return term.ledger.Jobs[large].MayStartOn(fmt.Sprintf("i-%06d", to-1)) }
+		return func() bool { return term.ledger.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
 	}
 	name(0, 300)
 	eventually(named(300))
@@ -197,20 +199,20 @@
 	if n := s.Rejected(); n == 0 || n > 3 {
 		t.Errorf("%d saves were rejected", n)
 	}
-	term.Format.level.Store(bookkeeping.FormatNew)
+	term.Format.level.Store(storage.FormatNew)
 	eventually(named(310))
 	name(310, 900)
 	eventually(named(900))
 	term.mu.Lock()
 	for i := range protocol.MaxTasks {
-		term.ledger.Done(term.ledger.Jobs[large], i, 0)
+		term.ledger.TaskDone(term.ledger.Jobs[large], i, 0)
 	}
 	term.mu.Unlock()
 	signal(term.saveSignal)
 	eventually(func() bool { return term.ledger.Jobs[large] == nil })
-	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(bookkeeping.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("left over: %v", s.Keys(bookkeeping.KeyJob(large)))
+			t.Fatalf("left over: %v", s.Keys(storage.KeyJob(large)))
 		}
 	}
 	if f, ok, err := ReadFinal(ctx, term.Store, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
--- a/internal/coordination/release.go
+++ b/internal/coordination/release.go
@@ -4,7 +4,7 @@
 	"context"
 	"sort"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -12,9 +12,9 @@
 // remove drops a machine that is gone. The cloud may have room for another of
 // its kind now, whatever it said before: after a wave of losses, waiting for the
 // refusal to pass once left a quarter of the fleet away for half a minute.
-func (t *Term) remove(m *bookkeeping.Machine, now units.Micros) {
-	t.ledger.Remove(m, now)
-	delete(t.provisioning.refused, Kind{m.Type, m.Zone, m.Spot})
+func (t *Term) remove(m *cluster.Machine, now units.Micros) {
+	t.ledger.RemoveMachine(m, now)
+	delete(t.provisioning.refused, Kind{m.InstanceType, m.Zone, m.Spot})
 }
 
 // releaseUnwanted returns machines that are faulty, lost, never came up, or
@@ -24,8 +24,8 @@
 	names := t.unwanted(t.Clock.Steady())
 	t.mu.Unlock()
 	for len(names) > 0 {
-		n := min(len(names), protocol.MaxRelease)
-		if err := t.Cloud.Release(ctx, names[:n]); err != nil {
+		n := min(len(names), protocol.MaxScaleIn)
+		if err := t.Cloud.ScaleIn(ctx, names[:n]); err != nil {
 			t.Log.Debug("machines not released", "machines", names[:n], "error", err)
 			return
 		}
@@ -36,7 +36,7 @@
 			if m := t.ledger.Machines[id]; m != nil {
 				t.remove(m, now)
 			} else {
-				t.ledger.Confirm(id)
+				t.ledger.MarkReconciled(id)
 			}
 		}
 		t.Log.Info("machines released", "machines", names[:n])
@@ -51,7 +51,7 @@
 // out at any time.
 func (t *Term) unwanted(now units.Micros) []string {
 	chosen := map[string]bool{}
-	mark := func(m *bookkeeping.Machine, why string) {
+	mark := func(m *cluster.Machine, why string) {
 		if !m.Releasing {
 			t.Log.Info("machine is to be released", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
 			m.Releasing = true
@@ -60,13 +60,13 @@
 	silent := t.silentMachines(now)
 	for _, id := range sortedKeys(t.ledger.Machines) {
 		m := t.ledger.Machines[id]
-		boot := units.Seconds(t.ledger.Types[m.Type].BootS)
+		boot := units.Seconds(t.ledger.InstanceTypes[m.InstanceType].BootS)
 		switch {
-		case m.Seen && m.SetAside && len(m.Attempts) == 0:
+		case m.Registered && m.Quarantined && len(m.Attempts) == 0:
 			mark(m, "faulty")
-		case !m.Seen && m.Stage != protocol.MachineRunning && now-m.Rented > bootLimit*boot+30*units.Second && now-t.claimedAt > 30*units.Second:
+		case !m.Registered && m.Stage != protocol.MachineRunning && now-m.RentedAt > bootLimit*boot+30*units.Second && now-t.claimedAt > 30*units.Second:
 			mark(m, "never came up")
-		case !m.Seen && now-max(t.claimedAt, m.Rented) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutMost):
+		case !m.Registered && now-max(t.claimedAt, m.RentedAt) > withDrift(t.Settings.Fleet.Workers.Lease(), zoneCutMost):
 			// It runs, the cloud says, but has not been heard in this term: its
 			// zone may be cut off, for a while.
 			mark(m, "silent")
@@ -93,14 +93,14 @@
 
 // idle chooses machines that nothing has needed for a while, the dearest
 // first, as long as what is left covers the need and the reserve.
-func (t *Term) idle(now units.Micros) []*bookkeeping.Machine {
+func (t *Term) idle(now units.Micros) []*cluster.Machine {
 	in := t.fleetInput()
 	wait := t.Policy.IdleReturn(in)
 	keep := max(units.AmountOf(in.DemandCPUs), t.Policy.ReserveCPUs(in))
 	have := units.AmountOf(in.FleetCPUs)
-	var out []*bookkeeping.Machine
+	var out []*cluster.Machine
 	for _, m := range t.ledger.Machines {
-		if m.Seen && !m.Releasing && m.Term == t.number && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-t.claimedAt > wait {
+		if m.Registered && !m.Releasing && m.FencingToken == t.number && len(m.Attempts) == 0 && now-m.IdleSince > wait && now-t.claimedAt > wait {
 			out = append(out, m)
 		}
 	}
@@ -124,15 +124,15 @@
 	}
 	n, lacks := 0, lacking()
 	for _, m := range out[:min(len(out), idleAtATime)] {
-		if have-m.Size.CPU < keep {
+		if have-m.Capacity.CPU < keep {
 			continue
 		}
-		kind := Kind{m.Type, m.Zone, m.Spot}
+		kind := Kind{m.InstanceType, m.Zone, m.Spot}
 		if view.Have[kind]--; lacking() > lacks {
 			view.Have[kind]++
 			continue
 		}
-		have -= m.Size.CPU
+		have -= m.Capacity.CPU
 		out[n] = m
 		n++
 	}
@@ -142,8 +142,8 @@
 // idleAtATime bounds the machines that are looked at in one go.
 const idleAtATime = 50
 
-func (t *Term) price(m *bookkeeping.Machine) float64 {
-	typ := t.ledger.Types[m.Type]
+func (t *Term) price(m *cluster.Machine) float64 {
+	typ := t.ledger.InstanceTypes[m.InstanceType]
 	if m.Spot {
 		return typ.SpotPrice
 	}
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -4,21 +4,21 @@
 	"slices"
 	"sort"
 
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
 type snapshotRefs struct {
-	jobs     []*bookkeeping.Job
-	machines []*bookkeeping.Machine
-	victims  []*bookkeeping.Attempt // grows as machines are asked for theirs
+	jobs     []*cluster.Job
+	machines []*cluster.Machine
+	victims  []*cluster.Attempt // grows as machines are asked for theirs
 }
 
 // queued is a waiting job as the last round saw it.
 type queued struct {
-	job  *bookkeeping.Job
+	job  *cluster.Job
 	view JobView
 }
 
@@ -30,8 +30,8 @@
 		team := t.ledger.Teams[name]
 		teams[name] = len(s.Teams)
 		s.Teams = append(s.Teams, TeamView{
-			Guarantee: team.Guarantee,
-			Limit:     team.Limit,
+			Guarantee: team.GuaranteedQuota,
+			Limit:     team.QuotaLimit,
 			Used:      team.Used,
 			Freeing:   team.Freeing,
 		})
@@ -39,18 +39,18 @@
 	if t.allConfirmed {
 		return teams
 	}
-	for j := range t.ledger.UnconfirmedJobs() {
+	for j := range t.ledger.UnreconciledJobs() {
 		if i, ok := teams[j.Spec.Team]; ok {
-			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Need, j.UnconfirmedTasks())
+			s.Teams[i].Used = s.Teams[i].Used.Plus(j.Spec.Request, j.UnreconciledTasks())
 		}
 	}
 	return teams
 }
 
 // accepts tells whether a machine may be given work.
-func (t *Term) accepts(m *bookkeeping.Machine, now units.Micros) bool {
-	return m.Seen && m.Term == t.number && m.Undelivered < maxUndelivered && !m.SetAside && !m.Releasing && m.NoticeEnds == 0 && m.Size.CPU > 0 &&
-		now >= m.BlockedUntil && now-m.LastAnswered < t.silentAfter()
+func (t *Term) accepts(m *cluster.Machine, now units.Micros) bool {
+	return m.Registered && m.FencingToken == t.number && m.UndeliveredCommands < maxUndelivered && !m.Quarantined && !m.Releasing && m.TerminatesAt == 0 && m.Capacity.CPU > 0 &&
+		now >= m.BlockedUntil && now-m.LastHeartbeat < t.silentAfter()
 }
 
 // startPatience is how long a job may wait for its first task until that goes
@@ -59,8 +59,8 @@
 const startPatience = 120 * units.Second
 
 // overdue tells whether a job has waited too long and has nothing done yet.
-func (t *Term) overdue(j *bookkeeping.Job) bool {
-	return j.DoneCount() == 0 && !(j.Service() && j.Begun) && t.Clock.Wall()-j.Submitted > startPatience && j.Spec.Shape != protocol.Gang
+func (t *Term) overdue(j *cluster.Job) bool {
+	return j.DoneCount() == 0 && !(j.IsService() && j.Started) && t.Clock.Wall()-j.Submitted > startPatience && j.Spec.Kind != protocol.Gang
 }
 
 // preemptionPause is how long a job waits for room where no aim says how soon it is to
@@ -71,7 +71,7 @@
 // What is stopped has to be done again, and in a large fleet tasks end all the
 // time: where they leave room enough for the job in a part of what the users'
 // aims allow, it waits that long.
-func (t *Term) patient(j *bookkeeping.Job, now units.Micros) bool {
+func (t *Term) patient(j *cluster.Job, now units.Micros) bool {
 	patience := preemptionPause
 	if j.Spec.Priority < protocol.High {
 		if due := t.Settings.Fleet.GuaranteeDue(); due > 0 {
@@ -80,25 +80,25 @@
 	} else if due := t.Settings.Fleet.StartDue(j.Spec.Class); due > 0 {
 		patience = due / 8
 	}
-	return now-j.Since < patience && t.completions.within(patience) >= j.Spec.Need.CPU*units.Amount(j.Pending())
+	return now-j.LearnedAt < patience && t.completions.within(patience) >= j.Spec.Request.CPU*units.Amount(j.Pending())
 }
 
 // placeable tells whether tasks of a job may be placed now.
-func (t *Term) placeable(j *bookkeeping.Job, now units.Micros) bool {
-	return j.Waiting() && now >= j.RetryAt && len(j.Unconfirmed) == 0
+func (t *Term) placeable(j *cluster.Job, now units.Micros) bool {
+	return j.HasTasksToPlace() && now >= j.RetryAt && len(j.UnreconciledMachines) == 0
 }
 
-func (t *Term) machineView(m *bookkeeping.Machine, now units.Micros, answering bool) MachineView {
-	next := max(0, m.LastAnswered+t.Settings.Fleet.Workers.Report()-now)
+func (t *Term) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
+	next := max(0, m.LastHeartbeat+t.Settings.Fleet.Workers.Report()-now)
 	return MachineView{
 		ID:        m.ID,
-		Type:      m.Type,
+		Type:      m.InstanceType,
 		Zone:      m.Zone,
 		Spot:      m.Spot,
 		Slow:      m.Slow,
 		Accepts:   t.accepts(m, now),
-		FetchRate: units.AmountOf(t.ledger.Types[m.Type].FetchRate),
-		Size:      m.Size,
+		FetchRate: units.AmountOf(t.ledger.InstanceTypes[m.InstanceType].FetchRate),
+		Size:      m.Capacity,
 		Free:      m.Free(),
 		Freeing:   m.Freeing,
 		Images:    m.HasImage,
@@ -108,25 +108,25 @@
 }
 
 // spread fills in where a job's tasks are, for jobs that care.
-func (t *Term) spread(view *JobView, j *bookkeeping.Job) {
+func (t *Term) spread(view *JobView, j *cluster.Job) {
 	view.LiveIn, view.LiveOn = nil, nil
-	if j.Spec.OneZone || j.Spec.Spread || j.Spec.Shape == protocol.Service {
+	if j.Spec.ZoneAffinity || j.Spec.ZoneSpread || j.Spec.Kind == protocol.Service {
 		view.LiveIn = map[string]int{}
-		for _, a := range j.Live {
+		for _, a := range j.LiveAttempts {
 			view.LiveIn[a.Machine.Zone]++
 		}
 	}
-	if j.Spec.Shape == protocol.Service {
+	if j.Spec.Kind == protocol.Service {
 		view.LiveOn = map[int]int{} // filled by the machines' numbers
 	}
 }
 
 // jobViews are all jobs of known teams as a round sees them, whether they wait or not.
-type jobViews map[*bookkeeping.Job]*JobView
+type jobViews map[*cluster.Job]*JobView
 
 // snapshot takes down what a round decides on. answering is the machine whose report is
 // being answered, nil if none is.
-func (t *Term) snapshot(now units.Micros, answering *bookkeeping.Machine) (Snapshot, *snapshotRefs) {
+func (t *Term) snapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotRefs) {
 	var s Snapshot
 	refs := new(snapshotRefs)
 	t.completions.pass(now)
@@ -147,7 +147,7 @@
 func (t *Term) snapshotJobs(s *Snapshot, refs *snapshotRefs, teams map[string]int, now units.Micros) jobViews {
 	jobs := t.jobsInOrder()
 	s.Jobs = make([]JobView, 0, len(jobs))
-	refs.jobs = make([]*bookkeeping.Job, 0, len(jobs))
+	refs.jobs = make([]*cluster.Job, 0, len(jobs))
 	views := make(jobViews, len(jobs))
 	committed := make([]units.Resources, len(s.Teams))
 	t.queue = t.queue[:0]
@@ -156,7 +156,7 @@
 		if !ok {
 			continue
 		}
-		committed[team] = committed[team].Plus(j.Spec.Need, j.Spec.Tasks)
+		committed[team] = committed[team].Plus(j.Spec.Request, j.Spec.Tasks)
 		guarantee := s.Teams[team].Guarantee
 		guaranteed := committed[team].CPU <= guarantee.CPU && committed[team].GPU <= guarantee.GPU
 		view := t.jobView(j, team, guaranteed, now)
@@ -176,33 +176,33 @@
 	return views
 }
 
-func (t *Term) jobView(j *bookkeeping.Job, team int, guaranteed bool, now units.Micros) *JobView {
+func (t *Term) jobView(j *cluster.Job, team int, guaranteed bool, now units.Micros) *JobView {
 	in := t.rankInput(j)
 	return &JobView{
 		Spec:       &j.Spec,
 		Team:       team,
 		Order:      int64(j.Submitted),
 		Pending:    j.Pending(),
-		Live:       len(j.Live),
+		Live:       len(j.LiveAttempts),
 		Guaranteed: guaranteed,
 		Patient:    t.patient(j, now),
 		Late:       in.Late,
 		Rank:       t.Policy.Rank(in),
-		Overdue:    t.overdue(j) && len(j.Live) == 0,
+		Overdue:    t.overdue(j) && len(j.LiveAttempts) == 0,
 		Avoid: func(machine string) bool {
-			return j.ErrorsOn[machine] && len(j.ErrorsOn) < 3 || !j.CanName(machine)
+			return j.FailedMachines[machine] && len(j.FailedMachines) < 3 || !j.CanRecordMachine(machine)
 		},
 	}
 }
 
 // snapshotMachines adds the machines that have reported, and what of services is on each.
-func (t *Term) snapshotMachines(s *Snapshot, refs *snapshotRefs, teams map[string]int, views jobViews, now units.Micros, answering *bookkeeping.Machine) {
-	machines := t.ledger.Ordered()
+func (t *Term) snapshotMachines(s *Snapshot, refs *snapshotRefs, teams map[string]int, views jobViews, now units.Micros, answering *cluster.Machine) {
+	machines := t.ledger.SortedMachines()
 	s.Machines = make([]MachineView, 0, len(machines))
-	refs.machines = make([]*bookkeeping.Machine, 0, len(machines))
+	refs.machines = make([]*cluster.Machine, 0, len(machines))
 	services := slices.ContainsFunc(s.Jobs, func(view JobView) bool { return view.LiveOn != nil })
 	for _, m := range machines {
-		if !m.Seen {
+		if !m.Registered {
 			continue
 		}
 		t.drain(m, now)
@@ -223,30 +223,30 @@
 }
 
 // victims lists the tasks on a machine that could be stopped.
-func (t *Term) victims(m *bookkeeping.Machine, teams map[string]int, views jobViews, refs *snapshotRefs, now units.Micros) []Victim {
+func (t *Term) victims(m *cluster.Machine, teams map[string]int, views jobViews, refs *snapshotRefs, now units.Micros) []Victim {
 	out := make([]Victim, 0, len(m.Attempts))
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		team, ok := teams[a.Job.Spec.Team]
-		if !ok || views[a.Job] == nil || a.Stop || a.Stage != bookkeeping.Running && a.Stage != bookkeeping.Fetching {
+		if !ok || views[a.Job] == nil || a.Stopping || a.Stage != cluster.Running && a.Stage != cluster.Fetching {
 			continue
 		}
-		if t.overdue(a.Job) && len(a.Job.Live) == 1 {
+		if t.overdue(a.Job) && len(a.Job.LiveAttempts) == 1 {
 			continue // all that its job has, after a long wait
 		}
 		v := Victim{
 			Ref:      len(refs.victims),
 			Team:     team,
 			Priority: a.Job.Spec.Priority,
-			Need:     a.Job.Spec.Need,
+			Need:     a.Job.Spec.Request,
 			Job:      views[a.Job],
 		}
-		if a.Stage == bookkeeping.Running {
+		if a.Stage == cluster.Running {
 			v.Loses = now - a.RunningSince
 		}
-		if a.Job.Spec.Checkpoint > 0 {
-			v.Loses = a.Job.Spec.Save
+		if a.Job.Spec.CheckpointInterval > 0 {
+			v.Loses = a.Job.Spec.CheckpointDuration
 		}
-		if a.Job.Service() {
+		if a.Job.IsService() {
 			v.Loses += serviceLoss
 		}
 		refs.victims = append(refs.victims, a)
@@ -259,19 +259,19 @@
 // that could be stopped: what they lose is not work that can be done again.
 const serviceLoss = 1_000_000 * units.Second
 
-func (t *Term) rankInput(j *bookkeeping.Job) config.RankInput {
+func (t *Term) rankInput(j *cluster.Job) config.RankInput {
 	waited := max(0, t.Clock.Wall()-j.Submitted)
-	estimate := t.ledger.Estimate(j)
+	estimate := t.ledger.EstimateRuntime(j)
 	in := config.RankInput{
 		Class: j.Spec.Class, Team: j.Spec.Team, Priority: int(j.Spec.Priority),
 		Tasks: j.Spec.Tasks, Unfinished: j.Unfinished(), Pending: j.Pending(),
 		WaitedS: waited.Seconds(), RunS: estimate.Seconds(),
-		WorkS: estimate.Seconds() * float64(j.Unfinished()) * j.Spec.Need.CPU.Float(),
+		WorkS: estimate.Seconds() * float64(j.Unfinished()) * j.Spec.Request.CPU.Float(),
 		DueS:  config.NoDeadline, StartDueS: config.NoDeadline,
 	}
 	in.FinishS = in.RunS
-	if team := t.ledger.Teams[j.Spec.Team]; team != nil && team.Limit.CPU > 0 {
-		in.FinishS = max(in.RunS, in.WorkS/team.Limit.CPU.Float())
+	if team := t.ledger.Teams[j.Spec.Team]; team != nil && team.QuotaLimit.CPU > 0 {
+		in.FinishS = max(in.RunS, in.WorkS/team.QuotaLimit.CPU.Float())
 	}
 	for _, due := range t.Settings.Fleet.Dues(j.Spec.Class, j.Spec.Deadline) {
 		in.DueS = (due - waited).Seconds()
@@ -292,8 +292,8 @@
 const estimateTrust = 2.0 / 3
 
 // jobsInOrder lists the jobs in the order of their submission.
-func (t *Term) jobsInOrder() []*bookkeeping.Job {
-	jobs := make([]*bookkeeping.Job, 0, len(t.ledger.Jobs))
+func (t *Term) jobsInOrder() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(t.ledger.Jobs))
 	for _, j := range t.ledger.Jobs {
 		jobs = append(jobs, j)
 	}
--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/standin/admissioncheck/checker.go
@@ -13,9 +13,10 @@
 	"github.com/anishathalye/porcupine"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
+	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	"dunestand/internal/storage"
 )
 
 // Checker checks the invariants of admission:
@@ -86,16 +87,16 @@
 // newJob returns the job that a change makes durable, and whether it is the first to do so.
 func newJob(change protocol.Change, get func(string) (protocol.Item, bool)) (id string, isNew bool) {
 	item := protocol.Item{Key: change.Set, Value: change.Value}
-	if a, err := bookkeeping.ParseArrival(item); err == nil {
+	if a, err := cluster.ParsePendingSubmission(item); err == nil {
 		return a.Spec.ID, true
 	}
-	jobs, _, err := bookkeeping.ParseJobs([]protocol.Item{item})
+	jobs, _, err := cluster.ParseJobs([]protocol.Item{item})
 	if err != nil || len(jobs) != 1 {
 		return "", false
 	}
 	id = jobs[0].Spec.ID
-	_, live := get(bookkeeping.KeyJob(id))
-	_, pending := get(bookkeeping.KeyInbox(id))
+	_, live := get(storage.KeyJob(id))
+	_, pending := get(storage.KeyPending(id))
 	return id, !live && !pending
 }
 
--- a/internal/standin/admissioncheck/responses.go
+++ b/internal/standin/admissioncheck/responses.go
@@ -34,9 +34,9 @@
 	case http.StatusOK, http.StatusCreated:
 		return SaysAccepted, 0
 	case http.StatusTooManyRequests:
-		var p protocol.Problem
-		if protocol.Decode(body, &p) == nil && p.Plan > 0 {
-			return SaysWait, p.Plan
+		var p protocol.ErrorResponse
+		if protocol.Decode(body, &p) == nil && p.PlanVersion > 0 {
+			return SaysWait, p.PlanVersion
 		}
 	}
 	return Indefinite, 0
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -43,21 +43,21 @@
 	switch {
 	case r.URL.Path == protocol.PathCatalog:
 		reply(w, http.StatusOK, c.catalog)
-	case r.URL.Path == protocol.PathHosts && r.Method == http.MethodGet:
+	case r.URL.Path == protocol.PathMachines && r.Method == http.MethodGet:
 		list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 		for _, m := range c.machines {
 			list.Machines = append(list.Machines, m)
 		}
 		reply(w, http.StatusOK, list)
-	case r.URL.Path == protocol.PathHosts:
-		var request protocol.Rent
+	case r.URL.Path == protocol.PathMachines:
+		var request protocol.ScaleOutRequest
 		if protocol.Decode(body, &request) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		c.provisionLocked(w, request)
-	case r.URL.Path == protocol.PathRelease:
-		var names protocol.MachineNames
+	case r.URL.Path == protocol.PathScaleIn:
+		var names protocol.MachineIDs
 		_ = protocol.Decode(body, &names)
 		for _, id := range names.Machines {
 			delete(c.machines, id)
@@ -71,9 +71,9 @@
 
 // provisionLocked starts the instances of a request. A request that is repeated gets the
 // same response.
-func (c *Cloud) provisionLocked(w http.ResponseWriter, request protocol.Rent) {
-	if ids, repeated := c.provisioned[request.Request]; repeated {
-		reply(w, http.StatusOK, protocol.MachineNames{Machines: ids})
+func (c *Cloud) provisionLocked(w http.ResponseWriter, request protocol.ScaleOutRequest) {
+	if ids, repeated := c.provisioned[request.RequestID]; repeated {
+		reply(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
 		return
 	}
 	var ids []string
@@ -85,12 +85,12 @@
 	}
 	for ; len(ids) < request.Count && inZone < c.capacity; inZone++ {
 		m := protocol.ListedMachine{
-			ID:       fmt.Sprintf("i-%06d", c.created),
-			Endpoint: fmt.Sprintf("i-%06d:9000", c.created),
-			Type:     request.Type,
-			Zone:     request.Zone,
-			Spot:     request.Spot,
-			Stage:    protocol.MachineRunning,
+			ID:           fmt.Sprintf("i-%06d", c.created),
+			Endpoint:     fmt.Sprintf("i-%06d:9000", c.created),
+			InstanceType: request.InstanceType,
+			Zone:         request.Zone,
+			Spot:         request.Spot,
+			Stage:        protocol.MachineRunning,
 		}
 		c.created++
 		c.machines[m.ID] = m
@@ -100,9 +100,9 @@
 		}
 	}
 	if len(ids) == 0 {
-		reply(w, http.StatusServiceUnavailable, protocol.Problem{Error: "no capacity"})
+		reply(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Message: "no capacity"})
 		return
 	}
-	c.provisioned[request.Request] = ids
-	reply(w, http.StatusOK, protocol.MachineNames{Machines: ids})
+	c.provisioned[request.RequestID] = ids
+	reply(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -18,7 +18,7 @@
 	Sent       time.Time
 	Received   time.Time // of the response
 	Status     int       // of HTTP; 0: no response
-	Stage      protocol.Stage
+	Stage      protocol.JobStage
 	TimedOut   bool // its user had given up when the response was received
 }
 
@@ -104,7 +104,7 @@
 	defer h.mu.Unlock()
 	n := 0
 	for _, all := range h.requests {
-		if slices.ContainsFunc(all, func(r Request) bool { return r.Stage.Final() && !r.TimedOut }) {
+		if slices.ContainsFunc(all, func(r Request) bool { return r.Stage.IsTerminal() && !r.TimedOut }) {
 			n++
 		}
 	}
@@ -161,5 +161,5 @@
 	if r.denied() {
 		return true
 	}
-	return earlier.Stage.Final() && r.Stage != earlier.Stage
+	return earlier.Stage.IsTerminal() && r.Stage != earlier.Stage
 }
--- a/internal/standin/history_test.go
+++ b/internal/standin/history_test.go
@@ -13,7 +13,7 @@
 	type exchange struct {
 		sentMS, receivedMS int
 		status             int
-		stage              protocol.Stage
+		stage              protocol.JobStage
 		timedOut           bool
 	}
 	const done, running, cancelled = protocol.StageDone, protocol.StageRunning, protocol.StageCancelled
--- a/internal/standin/invariantchecker.go
+++ b/internal/standin/invariantchecker.go
@@ -48,9 +48,9 @@
 	JobInfo
 	accepted          bool // its user was told so
 	cancelRequested   bool
-	lastStage         protocol.Stage // that its user was told
-	cancelConfirmedAt time.Time      // zero: never
-	done              map[int]bool   // by task
+	lastStage         protocol.JobStage // that its user was told
+	cancelConfirmedAt time.Time         // zero: never
+	done              map[int]bool      // by task
 }
 
 // maxViolations is how many violations are kept; more would bury the first.
@@ -102,7 +102,7 @@
 
 // ResponseReceived checks a response to a user about a job. duplicate marks a submission
 // that was repeated.
-func (c *InvariantChecker) ResponseReceived(id string, duplicate bool, status int, stage protocol.Stage) {
+func (c *InvariantChecker) ResponseReceived(id string, duplicate bool, status int, stage protocol.JobStage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
@@ -126,8 +126,8 @@
 }
 
 // checkStageLocked checks a stage that a user is told against the job and the last stage.
-func (c *InvariantChecker) checkStageLocked(j *checkedJob, stage protocol.Stage) {
-	if j.lastStage.Final() && stage != j.lastStage {
+func (c *InvariantChecker) checkStageLocked(j *checkedJob, stage protocol.JobStage) {
+	if j.lastStage.IsTerminal() && stage != j.lastStage {
 		c.violatedLocked("went_back: %s was called %s, now %s", j.ID, j.lastStage, stage)
 	}
 	switch {
--- a/internal/standin/invariantqueries.go
+++ b/internal/standin/invariantqueries.go
@@ -44,7 +44,7 @@
 }
 
 // LastStage returns the stage that the user of a submitted job was told last; "": none.
-func (c *InvariantChecker) LastStage(job string) protocol.Stage {
+func (c *InvariantChecker) LastStage(job string) protocol.JobStage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[job].lastStage
@@ -69,7 +69,7 @@
 	defer c.mu.Unlock()
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
-		if j := c.jobs[id]; j.accepted && !j.lastStage.Final() {
+		if j := c.jobs[id]; j.accepted && !j.lastStage.IsTerminal() {
 			out = append(out, fmt.Sprintf("%s: %d of %d done, told %q", id, len(j.done), j.Tasks, j.lastStage))
 		}
 	}
--- a/internal/standin/kvserver.go
+++ b/internal/standin/kvserver.go
@@ -137,10 +137,10 @@
 
 // Apply carries a transaction out, whole or not at all. It reports whether all conditions
 // held.
-func (s *State) Apply(txn protocol.Txn) (protocol.TxnAnswer, bool) {
+func (s *State) Apply(txn protocol.Txn) (protocol.TxnResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var response protocol.TxnAnswer
+	var response protocol.TxnResponse
 	for _, condition := range txn.If {
 		if s.items[condition.Key].Version != condition.Version {
 			response.Failed = append(response.Failed, condition.Key)
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -64,7 +64,7 @@
 	index     int
 	attempt   uint64
 	stage     string
-	exitCause protocol.Cause
+	exitCause protocol.ExitCause
 	stageEnd  time.Time // when the stage ends by itself; zero: never
 	runTime   time.Duration
 }
--- a/internal/standin/machinecommands.go
+++ b/internal/standin/machinecommands.go
@@ -15,16 +15,16 @@
 // renews the lease from the time of sending. A response of another incarnation or with a
 // lower fencing token is dropped.
 func (m *Machine) handleResponse(body []byte, incarnation uint64, sent time.Time) {
-	var response protocol.ReportAnswer
+	var response protocol.HeartbeatResponse
 	if protocol.Decode(body, &response) != nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.killed || incarnation != m.incarnation || response.Term < m.fencingToken || response.Term == 0 {
+	if m.killed || incarnation != m.incarnation || response.FencingToken < m.fencingToken || response.FencingToken == 0 {
 		return
 	}
-	m.observeTokenLocked(response.Term)
+	m.observeTokenLocked(response.FencingToken)
 	m.leaseStart = sent
 	m.executeLocked(response.Commands)
 }
@@ -44,7 +44,7 @@
 func (m *Machine) serveCommands(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
 	var push protocol.DirectCommands
-	if protocol.Decode(raw, &push) != nil || push.Term == 0 {
+	if protocol.Decode(raw, &push) != nil || push.FencingToken == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -61,10 +61,10 @@
 	m.tick()
 	m.mu.Lock()
 	status := http.StatusOK
-	if m.killed || push.Term < m.fencingToken || push.Session != m.incarnation {
+	if m.killed || push.FencingToken < m.fencingToken || push.Incarnation != m.incarnation {
 		status = http.StatusConflict
 	} else {
-		m.observeTokenLocked(push.Term)
+		m.observeTokenLocked(push.FencingToken)
 		m.executeLocked(push.Commands)
 	}
 	changed := m.changed
@@ -79,16 +79,16 @@
 	for _, command := range commands {
 		task := m.tasks[command.Task]
 		switch command.Verb {
-		case protocol.Start:
+		case protocol.VerbStart:
 			m.startTaskLocked(command, task)
-		case protocol.Stop:
+		case protocol.VerbStop:
 			if task != nil && task.attempt == command.Attempt && task.stage != "ended" {
 				if task.stage == "running" {
 					m.invariants.TaskEnded(task.job.ID, task.index, m.ID, false)
 				}
 				task.stage, task.exitCause, task.stageEnd, m.changed = "ended", protocol.CauseStopped, time.Time{}, true
 			}
-		case protocol.Forget:
+		case protocol.VerbForget:
 			if task != nil && task.attempt == command.Attempt && task.stage == "ended" {
 				delete(m.tasks, command.Task)
 			}
@@ -115,9 +115,9 @@
 	task := &machineTask{job: job, index: index, attempt: command.Attempt}
 	switch {
 	case !known || index >= job.Tasks:
-		task.stage, task.exitCause = "ended", protocol.CauseUnknown
+		task.stage, task.exitCause = "ended", protocol.CauseNoSuchTask
 	case used > m.CPUs:
-		task.stage, task.exitCause = "ended", protocol.CauseNoRoom
+		task.stage, task.exitCause = "ended", protocol.CauseNoCapacity
 	default:
 		task.stage, task.stageEnd = "fetching", time.Now().Add(cmp.Or(job.ImageFetch, defaultImageFetch))
 		task.runTime = job.RunTime * time.Duration(index+1) / time.Duration(job.Tasks)
--- a/internal/standin/machineheartbeat.go
+++ b/internal/standin/machineheartbeat.go
@@ -49,7 +49,7 @@
 			m.handleResponse(response.body, heartbeat.incarnation, heartbeat.at)
 			m.waitForNextHeartbeat(ctx, heartbeat.at)
 		case http.StatusMisdirectedRequest:
-			var redirect protocol.Redirect
+			var redirect protocol.LeaderRedirect
 			_ = protocol.Decode(response.body, &redirect)
 			if next := slices.Index(m.controllers, redirect.Leader); next >= 0 && next != controller {
 				controller = next
@@ -164,7 +164,7 @@
 func (m *Machine) sendHeartbeat(ctx context.Context, controller string, body []byte) heartbeatResponse {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+UsersPort+protocol.PathReport, bytes.NewReader(body))
+	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+UsersPort+protocol.PathHeartbeat, bytes.NewReader(body))
 	response, err := m.client.Do(request)
 	if err != nil {
 		return heartbeatResponse{}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -61,7 +61,7 @@
 	defer client.CloseIdleConnections()
 	heartbeat := workerHeartbeat{
 		Dune:     w.Machine.ID,
-		Loom:     w.Machine.Type,
+		Loom:     w.Machine.InstanceType,
 		Yard:     w.Machine.Zone,
 		Borrowed: w.Machine.Spot,
 		Shift:    1,
@@ -73,8 +73,8 @@
 		response, ok := w.sendHeartbeat(ctx, client, w.Controllers[controller], heartbeat)
 		if !ok {
 			controller = (controller + 1) % len(w.Controllers)
-		} else if response.Term >= heartbeat.Baton {
-			heartbeat.Baton = response.Term
+		} else if response.FencingToken >= heartbeat.Baton {
+			heartbeat.Baton = response.FencingToken
 			w.execute(response.Commands)
 		}
 		sleep(ctx, w.HeartbeatInterval)
@@ -83,9 +83,9 @@
 
 // sendHeartbeat returns a controller's response and reports whether the heartbeat was
 // accepted.
-func (w *Worker) sendHeartbeat(ctx context.Context, client *http.Client, controller string, heartbeat workerHeartbeat) (protocol.ReportAnswer, bool) {
-	var decoded protocol.ReportAnswer
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+protocol.PathReport, bytes.NewReader(protocol.Encode(heartbeat)))
+func (w *Worker) sendHeartbeat(ctx context.Context, client *http.Client, controller string, heartbeat workerHeartbeat) (protocol.HeartbeatResponse, bool) {
+	var decoded protocol.HeartbeatResponse
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+protocol.PathHeartbeat, bytes.NewReader(protocol.Encode(heartbeat)))
 	if err != nil {
 		return decoded, false
 	}
@@ -123,14 +123,14 @@
 	for _, command := range commands {
 		task := w.tasks[command.Task]
 		switch {
-		case command.Verb == protocol.Start && (task == nil || task.ended && task.attempt != command.Attempt):
+		case command.Verb == protocol.VerbStart && (task == nil || task.ended && task.attempt != command.Attempt):
 			w.tasks[command.Task] = &workerTask{attempt: command.Attempt, started: time.Now()}
 			if w.OnStart != nil {
 				w.OnStart(command.Task, command.Attempt)
 			}
-		case command.Verb == protocol.Stop && task != nil && task.attempt == command.Attempt && !task.ended:
+		case command.Verb == protocol.VerbStop && task != nil && task.attempt == command.Attempt && !task.ended:
 			task.ended, task.exitCause = true, string(protocol.CauseStopped)
-		case command.Verb == protocol.Forget && task != nil && task.attempt == command.Attempt && task.ended:
+		case command.Verb == protocol.VerbForget && task != nil && task.attempt == command.Attempt && task.ended:
 			delete(w.tasks, command.Task)
 		}
 	}
--- a/internal/bookkeeping/catalog.go
+++ b/internal/storage/catalog.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"fmt"
@@ -18,13 +18,13 @@
 // CatalogChanges gives what is to be written so that the state service holds a
 // catalog in a format: sets first, so that no type is missing meanwhile. stored
 // tells what it holds now, by key. A type that fits no record is left out.
-func CatalogChanges(types []protocol.MachineType, format, valueBytes int, stored map[string]uint64) []protocol.Change {
+func CatalogChanges(types []protocol.InstanceType, format, valueBytes int, stored map[string]uint64) []protocol.Change {
 	if format == FormatOld {
 		return []protocol.Change{{Set: KeyCatalog, Value: protocol.Encode(protocol.Catalog{Types: types})}}
 	}
 	var out []protocol.Change
 	kept := map[string]bool{}
-	var part []protocol.MachineType
+	var part []protocol.InstanceType
 	flush := func() {
 		if len(part) > 0 {
 			key := keyCatalogPart(len(out))
@@ -39,7 +39,7 @@
 	const frame = 16 // what is around the types
 	size := frame
 	for _, t := range types {
-		add := jsonSize(t) + 32 // the names on the wire are a little longer
+		add := JSONSize(t) + 32 // the names on the wire are a little longer
 		if frame+add > valueBytes {
 			continue
 		}
--- a/node/admission_faults_test.go
+++ b/node/admission_faults_test.go
@@ -45,7 +45,7 @@
 	began := time.Now()
 	for try := 0; d.ctx.Err() == nil && time.Since(began) < time.Minute; try++ {
 		if d.submitChecked(user, (user+try)%len(d.nodes), job) {
-			for next := user; !d.invariants.LastStage(job.ID).Final() && d.ctx.Err() == nil; next++ {
+			for next := user; !d.invariants.LastStage(job.ID).IsTerminal() && d.ctx.Err() == nil; next++ {
 				d.sleep(3 * time.Second)
 				d.poll(next%len(d.nodes), job.ID)
 			}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -123,7 +123,7 @@
 
 // startCloud starts the cloud; each provisioned machine gets a worker.
 func (c *cluster) startCloud() {
-	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.MachineType{{
+	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      c.options.cpus,
 		MemoryGB:  64,
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -133,7 +133,7 @@
 		LeaseDuration:     workerLease,
 	}
 	info := standin.MachineInfo{ID: m.ID, Zone: m.Zone}
-	machine := standin.NewMachine(info, m.Type, m.Spot, machineCPUs, timing, names, d.network, d.invariants, random)
+	machine := standin.NewMachine(info, m.InstanceType, m.Spot, machineCPUs, timing, names, d.network, d.invariants, random)
 	d.machines = append(d.machines, machine)
 	d.background.Go(func() { machine.Run(d.ctx) })
 }
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -141,7 +141,7 @@
 		policy:     options.policy,
 		fleet:      options.fleet(),
 	}
-	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.MachineType{{
+	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      machineCPUs,
 		MemoryGB:  64,
--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -34,7 +34,7 @@
 }
 
 // checked has the invariant checker check a response about a job.
-func (d *deployment) checked(id string, duplicate bool, r response) (status int, stage protocol.Stage) {
+func (d *deployment) checked(id string, duplicate bool, r response) (status int, stage protocol.JobStage) {
 	stage = r.job().Stage
 	d.invariants.ResponseReceived(id, duplicate, r.status, stage)
 	return r.status, stage
@@ -48,12 +48,12 @@
 }
 
 // poll asks a controller for a job's state.
-func (d *deployment) poll(node int, id string) (status int, stage protocol.Stage) {
+func (d *deployment) poll(node int, id string) (status int, stage protocol.JobStage) {
 	return d.checked(id, false, d.request(node, http.MethodGet, jobPath(id), nil))
 }
 
 // cancelOnce sends a job's cancellation to a controller.
-func (d *deployment) cancelOnce(node int, id string) (status int, stage protocol.Stage) {
+func (d *deployment) cancelOnce(node int, id string) (status int, stage protocol.JobStage) {
 	return d.checked(id, false, d.request(node, http.MethodPost, cancelPath(id), nil))
 }
 
@@ -99,7 +99,7 @@
 		d.sleep(time.Second)
 	}
 	d.background.Go(func() {
-		for try := 0; d.ctx.Err() == nil && !d.invariants.LastStage(job.ID).Final(); try++ {
+		for try := 0; d.ctx.Err() == nil && !d.invariants.LastStage(job.ID).IsTerminal(); try++ {
 			d.sleep(3 * time.Second)
 			d.poll((first+try)%defaultNodes, job.ID)
 		}
@@ -135,7 +135,7 @@
 		for try := 0; d.ctx.Err() == nil; try++ {
 			var first int
 			d.update(func() { first = d.jobCount })
-			if status, stage := d.cancelOnce((first+try)%defaultNodes, id); status == http.StatusOK && stage.Final() {
+			if status, stage := d.cancelOnce((first+try)%defaultNodes, id); status == http.StatusOK && stage.IsTerminal() {
 				return
 			}
 			d.sleep(time.Second)
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -134,7 +134,7 @@
 		for each := range d.nodes {
 			j.pending.Go(func() { j.poll(each) })
 		}
-		if d.invariants.LastStage(j.info.ID).Final() {
+		if d.invariants.LastStage(j.info.ID).IsTerminal() {
 			if pollsAfterEnd++; pollsAfterEnd > 12 {
 				return
 			}
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -6,8 +6,8 @@
 	"fmt"
 
 	"dunestand/internal/admission"
-	"dunestand/internal/bookkeeping"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -27,8 +27,8 @@
 // nil: the system's network. The error is ErrNoPlan, that of the store with its address, or
 // that of a plan that cannot be decoded.
 func ReadAdmissionPlan(ctx context.Context, s *config.Settings, dial transport.DialFunc) (*AdmissionPlan, error) {
-	store := bookkeeping.NewStore(dial, s.Services.State, s.Fleet.State, len(s.Others), units.NewSystemClock())
-	item, _, err := store.Current(ctx, admission.KeyPlan, inspectTimeout)
+	store := kv.NewClient(dial, s.Services.State, s.Fleet.State, len(s.Others), units.NewSystemClock())
+	item, _, err := store.ReadAtRevision(ctx, admission.KeyPlan, inspectTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("state service %s: %w", s.Services.State, err)
 	}
--- a/node/stale_responses_test.go
+++ b/node/stale_responses_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/bookkeeping"
 	"dunestand/internal/protocol"
+	"dunestand/internal/storage"
 )
 
 // noDelay returns a channel that is ready.
@@ -57,7 +57,7 @@
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		job, leader, follower := d.newAcceptedJob(2, 3*time.Second)
 		d.partitionPeers(follower, true)
-		held, release := d.holdCommitResponses(leader, bookkeeping.KeyFinal(job.info.ID))
+		held, release := d.holdCommitResponses(leader, storage.KeyTerminal(job.info.ID))
 		d.waitUntil("the end is stored", held.Load)
 		if !job.pollUntilTerminal(follower, 3*time.Second) {
 			t.Error("the end is stored, and the follower does not report it")
@@ -79,7 +79,7 @@
 		job, leader, follower := d.newAcceptedJob(4, endlessRunTime)
 		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.info.ID) == 4 })
 		d.partitionPeers(follower, true)
-		held, release := d.holdCommitResponses(leader, bookkeeping.KeyJob(job.info.ID))
+		held, release := d.holdCommitResponses(leader, storage.KeyJob(job.info.ID))
 		job.pending.Go(func() { job.cancel(leader) })
 		d.waitUntil("the cancellation is stored", held.Load)
 		if !job.pollUntilTerminal(follower, 3*time.Second) {
@@ -103,7 +103,7 @@
 func TestDuplicateSubmissionDoesNotRevealCompletionBeforeLeader(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		job, leader, follower := d.newAcceptedJob(2, 3*time.Second)
-		held, release := d.holdCommitResponses(leader, bookkeeping.KeyFinal(job.info.ID))
+		held, release := d.holdCommitResponses(leader, storage.KeyTerminal(job.info.ID))
 		d.waitUntil("the end is stored", held.Load)
 		d.delayMesh(follower, leader, func() <-chan time.Time { return time.After(400 * time.Millisecond) })
 		for range 10 {
@@ -164,7 +164,7 @@
 		d.sleep(runTime - 300*time.Millisecond) // the link counts as lost by now
 		d.update(func() {
 			d.kvResponseDelay = func(node int, r *http.Request, _ []byte) <-chan time.Time {
-				if node == follower && r.URL.Path == protocol.PathKeys+"/"+bookkeeping.KeyJob(job.info.ID) {
+				if node == follower && r.URL.Path == protocol.PathKeys+"/"+storage.KeyJob(job.info.ID) {
 					return time.After(780 * time.Millisecond) // within the limit of such a read
 				}
 				return noDelay()
--- a/node/tracked_job_test.go
+++ b/node/tracked_job_test.go
@@ -55,8 +55,8 @@
 		return request
 	}
 	state := received.job()
-	if received.status < http.StatusMultipleChoices && state.UID != j.info.ID {
-		d.t.Errorf("request about %s, response about %q", j.info.ID, state.UID)
+	if received.status < http.StatusMultipleChoices && state.ID != j.info.ID {
+		d.t.Errorf("request about %s, response about %q", j.info.ID, state.ID)
 	}
 	request.Received, request.Status, request.Stage = time.Now(), received.status, state.Stage
 	request.TimedOut = request.Received.Sub(request.Sent) > timeout
@@ -94,7 +94,7 @@
 // reports whether it did so in time.
 func (j *trackedJob) pollUntilTerminal(node int, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); j.deployment.sleep(100 * time.Millisecond) {
-		if j.poll(node).Stage.Final() {
+		if j.poll(node).Stage.IsTerminal() {
 			return true
 		}
 	}
