--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -30,20 +30,25 @@
 	defaultImageFetch = 600 * time.Millisecond
 )
 
+// MachineSpec describes a machine.
+type MachineSpec struct {
+	MachineInfo
+	InstanceType string
+	Spot         bool
+	CPUs         float64
+	Timing       Timing
+	Controllers  []string // names, reached at NAME and UsersPort
+}
+
 // Machine simulates a machine with a worker that follows the whole protocol: incarnations
 // and leases, fencing tokens, one heartbeat in flight, pushed commands, image fetches. It
 // informs an InvariantChecker of every task that starts or ends.
 type Machine struct {
-	MachineInfo
-	Type        string
-	Spot        bool
-	CPUs        float64
-	timing      Timing
-	controllers []string // names, reached at NAME and UsersPort
-	network     *Network
-	invariants  *InvariantChecker
-	client      *http.Client
-	background  sync.WaitGroup // Run waits for it
+	MachineSpec
+	network    *Network
+	invariants *InvariantChecker
+	client     *http.Client
+	background sync.WaitGroup // Run waits for it
 
 	mu             sync.Mutex // guards all below
 	random         *rand.Rand
@@ -71,19 +76,14 @@
 
 // NewMachine returns a machine in its first incarnation; Run starts its worker. The machine
 // owns random.
-func NewMachine(info MachineInfo, instanceType string, spot bool, cpus float64, timing Timing, controllers []string, network *Network, invariants *InvariantChecker, random *rand.Rand) *Machine {
+func NewMachine(spec MachineSpec, network *Network, invariants *InvariantChecker, random *rand.Rand) *Machine {
 	return &Machine{
-		MachineInfo: info,
-		Type:        instanceType,
-		Spot:        spot,
-		CPUs:        cpus,
-		timing:      timing,
-		controllers: controllers,
+		MachineSpec: spec,
 		network:     network,
 		invariants:  invariants,
 		random:      random,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:       network.Dialer(info.ID),
+			DialContext:       network.Dialer(spec.ID),
 			DisableKeepAlives: true,
 		}},
 		incarnation: 1,
@@ -163,7 +163,7 @@
 		return !m.killed
 	}
 	now := time.Now()
-	if now.Sub(m.leaseStart) > m.timing.LeaseDuration {
+	if now.Sub(m.leaseStart) > m.Timing.LeaseDuration {
 		m.dropTasksLocked()
 		m.incarnation++
 		m.leaseStart, m.changed = now, true
--- a/internal/standin/machinecommands.go
+++ b/internal/standin/machinecommands.go
@@ -34,7 +34,7 @@
 func (m *Machine) observeTokenLocked(token uint64) {
 	if token > m.fencingToken {
 		m.fencingToken = token
-		if time.Since(m.tokenChangedAt) > m.timing.LeaseDuration/2 {
+		if time.Since(m.tokenChangedAt) > m.Timing.LeaseDuration/2 {
 			m.tokenChangedAt, m.changed = time.Now(), true
 		}
 	}
--- a/internal/standin/machineheartbeat.go
+++ b/internal/standin/machineheartbeat.go
@@ -29,7 +29,7 @@
 
 // heartbeatLoop sends heartbeats, one at a time, until ctx ends or the machine is killed.
 func (m *Machine) heartbeatLoop(ctx context.Context) {
-	controller := int(m.draw(int64(len(m.controllers))))
+	controller := int(m.draw(int64(len(m.Controllers))))
 	for ctx.Err() == nil {
 		m.mu.Lock()
 		if m.killed {
@@ -43,7 +43,7 @@
 		}
 		heartbeat := m.nextHeartbeatLocked(ctx)
 		m.mu.Unlock()
-		response := m.exchange(ctx, heartbeat, m.controllers[controller])
+		response := m.exchange(ctx, heartbeat, m.Controllers[controller])
 		switch response.status {
 		case http.StatusOK:
 			m.handleResponse(response.body, heartbeat.incarnation, heartbeat.at)
@@ -51,14 +51,14 @@
 		case http.StatusMisdirectedRequest:
 			var redirect protocol.LeaderRedirect
 			_ = protocol.Decode(response.body, &redirect)
-			if next := slices.Index(m.controllers, redirect.Leader); next >= 0 && next != controller {
+			if next := slices.Index(m.Controllers, redirect.Leader); next >= 0 && next != controller {
 				controller = next
 				sleep(ctx, time.Duration(m.draw(int64(minHeartbeatInterval))))
 				continue
 			}
 			fallthrough
 		default:
-			controller = (controller + 1) % len(m.controllers)
+			controller = (controller + 1) % len(m.Controllers)
 			sleep(ctx, retryDelay)
 		}
 	}
@@ -128,7 +128,7 @@
 	return protocol.Encode(map[string]any{
 		"dune":     m.ID,
 		"endpoint": m.Endpoint(),
-		"loom":     m.Type,
+		"loom":     m.InstanceType,
 		"yard":     m.Zone,
 		"borrowed": m.Spot,
 		"shift":    m.incarnation,
@@ -143,8 +143,8 @@
 // later.
 func (m *Machine) deliverLater(ctx context.Context, body []byte) {
 	m.mu.Lock()
-	delay := 2*time.Second + time.Duration(m.random.Int64N(int64(m.timing.LeaseDuration*3/2)))
-	controller := m.controllers[m.random.IntN(len(m.controllers))]
+	delay := 2*time.Second + time.Duration(m.random.Int64N(int64(m.Timing.LeaseDuration*3/2)))
+	controller := m.Controllers[m.random.IntN(len(m.Controllers))]
 	m.mu.Unlock()
 	sleep(ctx, delay)
 	if ctx.Err() == nil {
@@ -181,7 +181,7 @@
 // when something changes.
 func (m *Machine) waitForNextHeartbeat(ctx context.Context, sent time.Time) {
 	m.mu.Lock()
-	due := sent.Add(time.Duration(float64(m.timing.HeartbeatInterval) * (0.75 + m.random.Float64()/2)))
+	due := sent.Add(time.Duration(float64(m.Timing.HeartbeatInterval) * (0.75 + m.random.Float64()/2)))
 	m.mu.Unlock()
 	sleep(ctx, minHeartbeatInterval-time.Since(sent))
 	for ctx.Err() == nil && time.Now().Before(due) {
--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -138,7 +138,7 @@
 		return
 	}
 	began := time.Now()
-	answered := false
+	definite := false
 	for try := 0; b.ctx.Err() == nil; try++ {
 		node := nodes[b.randomBelow(len(nodes))]
 		if try > 0 {
@@ -148,7 +148,7 @@
 			b.users.Go(func() { b.submitOnce(-id, b.randomBelow(burstNodes), job) })
 		}
 		kind, retryAfter := b.submitOnce(id, node, job)
-		answered = answered || kind != admissioncheck.Indefinite
+		definite = definite || kind != admissioncheck.Indefinite
 		if kind == admissioncheck.SaysAccepted {
 			b.submitOnce(id, b.randomBelow(burstNodes), job)
 			return
@@ -162,7 +162,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.abandoned[team]++
-	if !answered {
+	if !definite {
 		b.unanswered++
 	}
 }
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -128,12 +128,17 @@
 	for _, n := range d.nodes {
 		names = append(names, n.name)
 	}
-	timing := standin.Timing{
-		HeartbeatInterval: units.Seconds(d.fleet.Workers.ReportS).Duration(),
-		LeaseDuration:     workerLease,
-	}
-	info := standin.MachineInfo{ID: m.ID, Zone: m.Zone}
-	machine := standin.NewMachine(info, m.InstanceType, m.Spot, machineCPUs, timing, names, d.network, d.invariants, random)
+	machine := standin.NewMachine(standin.MachineSpec{
+		MachineInfo:  standin.MachineInfo{ID: m.ID, Zone: m.Zone},
+		InstanceType: m.InstanceType,
+		Spot:         m.Spot,
+		CPUs:         machineCPUs,
+		Timing: standin.Timing{
+			HeartbeatInterval: units.Seconds(d.fleet.Workers.ReportS).Duration(),
+			LeaseDuration:     workerLease,
+		},
+		Controllers: names,
+	}, d.network, d.invariants, random)
 	d.machines = append(d.machines, machine)
 	d.background.Go(func() { machine.Run(d.ctx) })
 }
