--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -14,18 +14,7 @@
 func TestNewJobsAreRejectedBeforeMemoryRunsOut(t *testing.T) {
 	const memoryMB = 0.1 // for 8 jobs
 	simulate(t, deploymentOptions{memoryMB: memoryMB}, func(d *deployment) {
-		var accepted []standin.JobInfo
-		for len(accepted) < 100 {
-			job := d.newJob(1, endlessRunTime)
-			if r := d.request(d.leader(), http.MethodPost, protocol.PathSubmit, submissionOf(job)); r.status != http.StatusCreated {
-				break
-			}
-			d.submit(job) // known by now
-			accepted = append(accepted, job)
-		}
-		if len(accepted) < 2 || len(accepted) == 100 {
-			t.Fatalf("%d jobs are accepted", len(accepted))
-		}
+		accepted := fillMemory(d)
 		for node := range d.nodes {
 			expectRejection(d, node)
 			for _, job := range accepted {
@@ -58,6 +47,26 @@
 	})
 }
 
+// fillMemory submits jobs that end only by cancellation until one is rejected, and returns
+// those that were accepted.
+func fillMemory(d *deployment) []standin.JobInfo {
+	d.t.Helper()
+	const most = 100
+	var accepted []standin.JobInfo
+	for len(accepted) < most {
+		job := d.newJob(1, endlessRunTime)
+		if r := d.request(d.leader(), http.MethodPost, protocol.PathSubmit, submissionOf(job)); r.status != http.StatusCreated {
+			break
+		}
+		d.submit(job) // known by now
+		accepted = append(accepted, job)
+	}
+	if len(accepted) < 2 || len(accepted) == most {
+		d.t.Fatalf("%d jobs are accepted", len(accepted))
+	}
+	return accepted
+}
+
 // expectRejection checks that a controller rejects a new job at once and says when to retry.
 func expectRejection(d *deployment, node int) {
 	d.t.Helper()
