--- /dev/null
+++ b/internal/protocol/encode_test.go
@@ -0,0 +1,107 @@
+package protocol
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"dunestand/internal/units"
+)
+
+// A heartbeat that is encoded is read with the same values.
+func TestEncodedHeartbeatIsReadUnchanged(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		want := drawHeartbeat(t)
+		got, err := ParseHeartbeat(EncodeHeartbeat(&want))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(*got, want) {
+			t.Fatalf("%+v is read as %+v", want, *got)
+		}
+	})
+}
+
+func drawHeartbeat(t *rapid.T) Heartbeat {
+	text := rapid.StringN(0, 20, maxText)
+	r := Heartbeat{
+		Machine:            rapid.StringN(1, 20, maxText).Draw(t, "machine"),
+		Endpoint:           text.Draw(t, "endpoint"),
+		InstanceType:       text.Draw(t, "instance type"),
+		Zone:               text.Draw(t, "zone"),
+		Spot:               rapid.Bool().Draw(t, "spot"),
+		Incarnation:        rapid.Uint64().Draw(t, "incarnation"),
+		Sequence:           rapid.Uint64().Draw(t, "sequence"),
+		FencingToken:       rapid.Uint64().Draw(t, "token"),
+		TerminationNoticed: rapid.Bool().Draw(t, "noticed"),
+		Tasks:              []TaskStatus{},
+	}
+	if r.TerminationNoticed {
+		r.TerminationIn = units.Micros(rapid.Int64Range(0, int64(3600*units.Second)).Draw(t, "notice"))
+	}
+	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
+		r.Tasks = append(r.Tasks, TaskStatus{
+			Job:          rapid.SampledFrom([]string{"j-0", "j-000412"}).Draw(t, "job"),
+			Index:        rapid.IntRange(0, MaxTasks-1).Draw(t, "index"),
+			Attempt:      rapid.Uint64().Draw(t, "attempt"),
+			Stage:        rapid.SampledFrom([]TaskStage{TaskFetching, TaskRunning, TaskCheckpointing, TaskExited}).Draw(t, "stage"),
+			Cause:        rapid.SampledFrom([]ExitCause{"", CauseDone, CauseStopped, CauseNoCapacity}).Draw(t, "cause"),
+			Checkpointed: rapid.Bool().Draw(t, "checkpointed"),
+		})
+	}
+	return r
+}
+
+// A heartbeat is encoded as the protocol's page writes it.
+func TestEncodedHeartbeatEqualsTheProtocolsExample(t *testing.T) {
+	want, err := ParseHeartbeat(Encode(map[string]any{
+		"dune": "i-000231", "endpoint": "10.1.0.232:9000", "loom": "g8", "yard": "a", "borrowed": true,
+		"shift": 1, "tally": 88, "baton": 41, "recall_s": nil,
+		"bolts": []map[string]any{
+			{"bolt": "j-000412/3", "try": 2, "stage": "running"},
+			{"bolt": "j-000398/0", "try": 1, "stage": "ended", "cause": "done"},
+		},
+	}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := ParseHeartbeat(EncodeHeartbeat(&Heartbeat{
+		Machine:      "i-000231",
+		Endpoint:     "10.1.0.232:9000",
+		InstanceType: "g8",
+		Zone:         "a",
+		Spot:         true,
+		Incarnation:  1,
+		Sequence:     88,
+		FencingToken: 41,
+		Tasks: []TaskStatus{
+			{Job: "j-000412", Index: 3, Attempt: 2, Stage: TaskRunning},
+			{Job: "j-000398", Index: 0, Attempt: 1, Stage: TaskExited, Cause: CauseDone},
+		},
+	}))
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, %v; want %+v", got, err, want)
+	}
+}
+
+// The named fields of a submission are those that are read, and a job array is one of its
+// kinds.
+func TestSubmissionFieldsAreThoseThatAreRead(t *testing.T) {
+	var read []string
+	for field := range reflect.TypeFor[submission]().Fields() {
+		read = append(read, field.Tag.Get("cbor"))
+	}
+	named := []string{
+		FieldID, FieldClass, FieldTeam, FieldJobKind, FieldPriority, FieldTasks, FieldCPUs, FieldGPUs,
+		FieldMemoryGB, FieldImage, FieldImageGB, FieldInstanceTypes, FieldZone, FieldZoneAffinity,
+		FieldZoneSpread, FieldAllowSpot, FieldEstimate, FieldCheckpointInterval, FieldCheckpointDuration, FieldDeadline,
+	}
+	if !slices.Equal(named, read) {
+		t.Errorf("%q are named, %q are read", named, read)
+	}
+	if kind, known := jobKinds[JobKindArray]; !known || kind != Array {
+		t.Errorf("%q is %v, %v", JobKindArray, kind, known)
+	}
+}
