--- a/internal/standin/admissioncheck/submit.go
+++ b/internal/standin/admissioncheck/submit.go
@@ -42,7 +42,7 @@
 		return Reply{}
 	}
 	kind, plan := ClassifyResponse(response.StatusCode, body)
-	c.ResponseReceived(user, job["uid"].(string), sent, kind, plan)
+	c.ResponseReceived(user, job[protocol.FieldID].(string), sent, kind, plan)
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 if it is missing
 	return Reply{Kind: kind, Status: response.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
 }
--- a/internal/standin/invariantchecker.go
+++ b/internal/standin/invariantchecker.go
@@ -35,9 +35,9 @@
 	CPUs         float64       // of a task
 	RunTime      time.Duration // of the last task; task i of n takes (i+1)/n of it
 	ZoneAffinity bool          // all tasks run in one zone
-	AntiAffinity bool          // at most half of the tasks, rounded up, run in one zone
+	ZoneSpread   bool          // at most half of the tasks, rounded up, run in one zone
 	Zone         string        // the only allowed one; "": any
-	Priority     string
+	Priority     protocol.Priority
 	ImageFetch   time.Duration // 0: the machine's default
 }
 
@@ -180,7 +180,7 @@
 	switch {
 	case j.Zone != "" && j.Zone != zone,
 		j.ZoneAffinity && len(others) > 0 && others[zone] == 0,
-		j.AntiAffinity && others[zone]+1 > (j.Tasks+1)/2:
+		j.ZoneSpread && others[zone]+1 > (j.Tasks+1)/2:
 		return false
 	}
 	return true
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -68,7 +68,7 @@
 	job       JobInfo
 	index     int
 	attempt   uint64
-	stage     string
+	stage     protocol.TaskStage
 	exitCause protocol.ExitCause
 	stageEnd  time.Time // when the stage ends by itself; zero: never
 	runTime   time.Duration
@@ -104,12 +104,12 @@
 }
 
 // RunningTasks counts the tasks that run on the machine.
-func (m *Machine) RunningTasks() int { return m.tasksInStage("running") }
+func (m *Machine) RunningTasks() int { return m.tasksInStage(protocol.TaskRunning) }
 
 // FetchingTasks counts the tasks that wait for their images.
-func (m *Machine) FetchingTasks() int { return m.tasksInStage("fetching") }
+func (m *Machine) FetchingTasks() int { return m.tasksInStage(protocol.TaskFetching) }
 
-func (m *Machine) tasksInStage(stage string) int {
+func (m *Machine) tasksInStage(stage protocol.TaskStage) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
@@ -123,7 +123,7 @@
 
 func (m *Machine) dropTasksLocked() {
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-		if t := m.tasks[name]; t.stage == "running" {
+		if t := m.tasks[name]; t.stage == protocol.TaskRunning {
 			m.invariants.TaskEnded(t.job.ID, t.index, m.ID, false)
 		}
 	}
@@ -174,11 +174,11 @@
 		}
 		m.changed = true
 		switch t.stage {
-		case "fetching":
-			t.stage, t.stageEnd = "running", now.Add(t.runTime)
+		case protocol.TaskFetching:
+			t.stage, t.stageEnd = protocol.TaskRunning, now.Add(t.runTime)
 			m.invariants.TaskStarted(t.job.ID, t.index, &m.MachineInfo)
-		case "running":
-			t.stage, t.exitCause, t.stageEnd = "ended", protocol.CauseDone, time.Time{}
+		case protocol.TaskRunning:
+			t.stage, t.exitCause, t.stageEnd = protocol.TaskExited, protocol.CauseDone, time.Time{}
 			m.invariants.TaskEnded(t.job.ID, t.index, m.ID, true)
 		}
 	}
--- a/internal/standin/machinecommands.go
+++ b/internal/standin/machinecommands.go
@@ -82,14 +82,14 @@
 		case protocol.VerbStart:
 			m.startTaskLocked(command, task)
 		case protocol.VerbStop:
-			if task != nil && task.attempt == command.Attempt && task.stage != "ended" {
-				if task.stage == "running" {
+			if task != nil && task.attempt == command.Attempt && task.stage != protocol.TaskExited {
+				if task.stage == protocol.TaskRunning {
 					m.invariants.TaskEnded(task.job.ID, task.index, m.ID, false)
 				}
-				task.stage, task.exitCause, task.stageEnd, m.changed = "ended", protocol.CauseStopped, time.Time{}, true
+				task.stage, task.exitCause, task.stageEnd, m.changed = protocol.TaskExited, protocol.CauseStopped, time.Time{}, true
 			}
 		case protocol.VerbForget:
-			if task != nil && task.attempt == command.Attempt && task.stage == "ended" {
+			if task != nil && task.attempt == command.Attempt && task.stage == protocol.TaskExited {
 				delete(m.tasks, command.Task)
 			}
 		}
@@ -99,15 +99,15 @@
 // startTaskLocked begins to fetch a task's image, or refuses the task. existing is the
 // attempt that the machine has already; nil: none.
 func (m *Machine) startTaskLocked(command protocol.Command, existing *machineTask) {
-	if existing != nil && (existing.attempt == command.Attempt || existing.stage != "ended") {
+	if existing != nil && (existing.attempt == command.Attempt || existing.stage != protocol.TaskExited) {
 		return
 	}
-	id, num, _ := strings.Cut(command.Task, "/")
-	index, _ := strconv.Atoi(num)
+	id, index := splitTaskName(command.Task)
 	job, known := m.invariants.Job(id)
+	job.ID = id // also of an unknown one
 	used := job.CPUs
 	for _, other := range m.tasks {
-		if other.stage != "ended" {
+		if other.stage != protocol.TaskExited {
 			used += other.job.CPUs
 		}
 	}
@@ -115,12 +115,19 @@
 	task := &machineTask{job: job, index: index, attempt: command.Attempt}
 	switch {
 	case !known || index >= job.Tasks:
-		task.stage, task.exitCause = "ended", protocol.CauseNoSuchTask
+		task.stage, task.exitCause = protocol.TaskExited, protocol.CauseNoSuchTask
 	case used > m.CPUs:
-		task.stage, task.exitCause = "ended", protocol.CauseNoCapacity
+		task.stage, task.exitCause = protocol.TaskExited, protocol.CauseNoCapacity
 	default:
-		task.stage, task.stageEnd = "fetching", time.Now().Add(cmp.Or(job.ImageFetch, defaultImageFetch))
+		task.stage, task.stageEnd = protocol.TaskFetching, time.Now().Add(cmp.Or(job.ImageFetch, defaultImageFetch))
 		task.runTime = job.RunTime * time.Duration(index+1) / time.Duration(job.Tasks)
 	}
 	m.tasks[command.Task] = task
 }
+
+// splitTaskName returns the parts of a task's name as protocol.TaskName writes it.
+func splitTaskName(name string) (job string, index int) {
+	job, number, _ := strings.Cut(name, "/")
+	index, _ = strconv.Atoi(number)
+	return job, index
+}
--- a/internal/standin/machineheartbeat.go
+++ b/internal/standin/machineheartbeat.go
@@ -116,27 +116,27 @@
 func (m *Machine) encodeHeartbeatLocked() []byte {
 	m.sequence++
 	m.changed = false
-	bolts := []map[string]any{}
+	heartbeat := protocol.Heartbeat{
+		Machine:      m.ID,
+		Endpoint:     m.Endpoint(),
+		InstanceType: m.InstanceType,
+		Zone:         m.Zone,
+		Spot:         m.Spot,
+		Incarnation:  m.incarnation,
+		Sequence:     m.sequence,
+		FencingToken: m.fencingToken,
+	}
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[name]
-		b := map[string]any{"bolt": name, "try": t.attempt, "stage": t.stage}
-		if t.stage == "ended" {
-			b["cause"] = string(t.exitCause)
-		}
-		bolts = append(bolts, b)
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
+			Job:     t.job.ID,
+			Index:   t.index,
+			Attempt: t.attempt,
+			Stage:   t.stage,
+			Cause:   t.exitCause,
+		})
 	}
-	return protocol.Encode(map[string]any{
-		"dune":     m.ID,
-		"endpoint": m.Endpoint(),
-		"loom":     m.InstanceType,
-		"yard":     m.Zone,
-		"borrowed": m.Spot,
-		"shift":    m.incarnation,
-		"tally":    m.sequence,
-		"baton":    m.fencingToken,
-		"recall_s": nil,
-		"bolts":    bolts,
-	})
+	return protocol.EncodeHeartbeat(&heartbeat)
 }
 
 // deliverLater delivers a heartbeat to a random controller, from 2 s to well over a lease
--- a/internal/standin/submission.go
+++ b/internal/standin/submission.go
@@ -1,29 +1,31 @@
 package standin
 
+import "dunestand/internal/protocol"
+
 // Submission returns, as its user submits it, a job array of small tasks without
 // placement constraints, checkpoints or a deadline. expectSeconds is the estimated run time
 // of a task. Tests change single fields of the result.
 func Submission(id, team, class string, tasks int, expectSeconds float64) map[string]any {
 	return map[string]any{
-		"uid":       id,
-		"queue":     class,
-		"crew":      team,
-		"shape":     "sweep",
-		"urgency":   "normal",
-		"bolts":     tasks,
-		"vcpus":     1.0,
-		"cards":     0.0,
-		"memory_gb": 1.0,
-		"pattern":   "img",
-		"image_gb":  0.5,
-		"looms":     nil,
-		"yard":      nil,
-		"together":  false,
-		"apart":     false,
-		"borrowed":  true,
-		"expect_s":  expectSeconds,
-		"mark_s":    0.0,
-		"stow_s":    0.0,
-		"due_s":     nil,
+		protocol.FieldID:                 id,
+		protocol.FieldClass:              class,
+		protocol.FieldTeam:               team,
+		protocol.FieldJobKind:            protocol.JobKindArray,
+		protocol.FieldPriority:           protocol.Normal.String(),
+		protocol.FieldTasks:              tasks,
+		protocol.FieldCPUs:               1.0,
+		protocol.FieldGPUs:               0.0,
+		protocol.FieldMemoryGB:           1.0,
+		protocol.FieldImage:              "img",
+		protocol.FieldImageGB:            0.5,
+		protocol.FieldInstanceTypes:      nil,
+		protocol.FieldZone:               nil,
+		protocol.FieldZoneAffinity:       false,
+		protocol.FieldZoneSpread:         false,
+		protocol.FieldAllowSpot:          true,
+		protocol.FieldEstimate:           expectSeconds,
+		protocol.FieldCheckpointInterval: 0.0,
+		protocol.FieldCheckpointDuration: 0.0,
+		protocol.FieldDeadline:           nil,
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -29,26 +29,7 @@
 	attempt   uint64
 	started   time.Time
 	ended     bool
-	exitCause string
-}
-
-type workerHeartbeat struct {
-	Dune     string       `cbor:"dune"`
-	Endpoint string       `cbor:"endpoint"`
-	Loom     string       `cbor:"loom"`
-	Yard     string       `cbor:"yard"`
-	Borrowed bool         `cbor:"borrowed"`
-	Shift    uint64       `cbor:"shift"`
-	Tally    uint64       `cbor:"tally"`
-	Baton    uint64       `cbor:"baton"`
-	Bolts    []workerBolt `cbor:"bolts"`
-}
-
-type workerBolt struct {
-	Bolt  string `cbor:"bolt"`
-	Try   uint64 `cbor:"try"`
-	Stage string `cbor:"stage"`
-	Cause string `cbor:"cause,omitempty"`
+	exitCause protocol.ExitCause
 }
 
 // workerTimeout is how long a worker waits for a response.
@@ -59,22 +40,22 @@
 	w.tasks = map[string]*workerTask{}
 	client := &http.Client{Timeout: workerTimeout}
 	defer client.CloseIdleConnections()
-	heartbeat := workerHeartbeat{
-		Dune:     w.Machine.ID,
-		Loom:     w.Machine.InstanceType,
-		Yard:     w.Machine.Zone,
-		Borrowed: w.Machine.Spot,
-		Shift:    1,
+	heartbeat := protocol.Heartbeat{
+		Machine:      w.Machine.ID,
+		InstanceType: w.Machine.InstanceType,
+		Zone:         w.Machine.Zone,
+		Spot:         w.Machine.Spot,
+		Incarnation:  1,
 	}
 	controller := 0
 	for ctx.Err() == nil {
-		heartbeat.Tally++
-		heartbeat.Bolts = w.taskStatuses()
-		response, ok := w.sendHeartbeat(ctx, client, w.Controllers[controller], heartbeat)
+		heartbeat.Sequence++
+		heartbeat.Tasks = w.taskStatuses()
+		response, ok := w.sendHeartbeat(ctx, client, w.Controllers[controller], &heartbeat)
 		if !ok {
 			controller = (controller + 1) % len(w.Controllers)
-		} else if response.FencingToken >= heartbeat.Baton {
-			heartbeat.Baton = response.FencingToken
+		} else if response.FencingToken >= heartbeat.FencingToken {
+			heartbeat.FencingToken = response.FencingToken
 			w.execute(response.Commands)
 		}
 		sleep(ctx, w.HeartbeatInterval)
@@ -83,9 +64,9 @@
 
 // sendHeartbeat returns a controller's response and reports whether the heartbeat was
 // accepted.
-func (w *Worker) sendHeartbeat(ctx context.Context, client *http.Client, controller string, heartbeat workerHeartbeat) (protocol.HeartbeatResponse, bool) {
+func (w *Worker) sendHeartbeat(ctx context.Context, client *http.Client, controller string, heartbeat *protocol.Heartbeat) (protocol.HeartbeatResponse, bool) {
 	var decoded protocol.HeartbeatResponse
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+protocol.PathHeartbeat, bytes.NewReader(protocol.Encode(heartbeat)))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+protocol.PathHeartbeat, bytes.NewReader(protocol.EncodeHeartbeat(heartbeat)))
 	if err != nil {
 		return decoded, false
 	}
@@ -100,17 +81,18 @@
 }
 
 // taskStatuses ends the tasks that have run long enough and lists all.
-func (w *Worker) taskStatuses() []workerBolt {
+func (w *Worker) taskStatuses() []protocol.TaskStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	statuses := []workerBolt{}
+	var statuses []protocol.TaskStatus
 	for name, t := range w.tasks {
 		if !t.ended && time.Since(t.started) >= w.RunTime {
-			t.ended, t.exitCause = true, string(protocol.CauseDone)
+			t.ended, t.exitCause = true, protocol.CauseDone
 		}
-		status := workerBolt{Bolt: name, Try: t.attempt, Stage: "running"}
+		job, index := splitTaskName(name)
+		status := protocol.TaskStatus{Job: job, Index: index, Attempt: t.attempt, Stage: protocol.TaskRunning}
 		if t.ended {
-			status.Stage, status.Cause = "ended", t.exitCause
+			status.Stage, status.Cause = protocol.TaskExited, t.exitCause
 		}
 		statuses = append(statuses, status)
 	}
@@ -129,7 +111,7 @@
 				w.OnStart(command.Task, command.Attempt)
 			}
 		case command.Verb == protocol.VerbStop && task != nil && task.attempt == command.Attempt && !task.ended:
-			task.ended, task.exitCause = true, string(protocol.CauseStopped)
+			task.ended, task.exitCause = true, protocol.CauseStopped
 		case command.Verb == protocol.VerbForget && task != nil && task.attempt == command.Attempt && task.ended:
 			delete(w.tasks, command.Task)
 		}
--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 	"dunestand/internal/standin/admissioncheck"
 )
@@ -118,7 +119,7 @@
 	reply := b.checker.Submit(b.ctx, user, b.nodes[node].settings.ClientListen, job)
 	rejected := reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests
 	if reply.Kind == admissioncheck.Indefinite && reply.Status != 0 && !rejected {
-		b.t.Errorf("%v: status %d", job["uid"], reply.Status)
+		b.t.Errorf("%v: status %d", job[protocol.FieldID], reply.Status)
 	}
 	return reply.Kind, max(reply.RetryAfter, time.Second)
 }
--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -67,16 +67,20 @@
 		Tasks:    tasks,
 		CPUs:     1,
 		RunTime:  runTime,
-		Priority: "normal",
+		Priority: protocol.Normal,
 	}
 }
 
 // submissionOf returns a job's submission.
 func submissionOf(job standin.JobInfo) map[string]any {
 	fields := submission(job.ID, job.Tasks)
-	fields["vcpus"], fields["together"], fields["apart"], fields["urgency"], fields["expect_s"] = job.CPUs, job.ZoneAffinity, job.AntiAffinity, job.Priority, job.RunTime.Seconds()
+	fields[protocol.FieldCPUs] = job.CPUs
+	fields[protocol.FieldZoneAffinity] = job.ZoneAffinity
+	fields[protocol.FieldZoneSpread] = job.ZoneSpread
+	fields[protocol.FieldPriority] = job.Priority.String()
+	fields[protocol.FieldEstimate] = job.RunTime.Seconds()
 	if job.Zone != "" {
-		fields["yard"] = job.Zone
+		fields[protocol.FieldZone] = job.Zone
 	}
 	return fields
 }
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 )
 
@@ -43,7 +44,7 @@
 	simulate(t, deploymentOptions{machines: 8}, func(d *deployment) {
 		for i := range 6 {
 			job := d.newJob(5, 15*time.Second)
-			job.ZoneAffinity, job.AntiAffinity = i%3 == 0, i%3 == 1
+			job.ZoneAffinity, job.ZoneSpread = i%3 == 0, i%3 == 1
 			if i%3 == 2 {
 				job.Zone = zones[i%2]
 			}
@@ -74,7 +75,7 @@
 				injectFault(d.allMachines(), standin.Fault{CommandDelay: 900 * time.Millisecond, DelayedShare: 0.2})
 				for i := range 8 {
 					job := d.newJob(8, 6*time.Second)
-					job.Priority = []string{"low", "normal", "high", "prod"}[i%4]
+					job.Priority = protocol.Priority(i % protocol.Priorities)
 					d.submit(job)
 					d.sleep(time.Second)
 				}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -12,7 +12,7 @@
 // submission returns a submission by the only team, with two processors a task.
 func submission(id string, tasks int) map[string]any {
 	job := standin.Submission(id, "team", "q", tasks, 1)
-	job["vcpus"] = 2.0
+	job[protocol.FieldCPUs] = 2.0
 	return job
 }
 
@@ -56,13 +56,13 @@
 	}{
 		{"not a map", []int{1}, http.StatusBadRequest},
 		{"empty map", map[string]any{}, http.StatusBadRequest},
-		{"unknown shape", with(func(s map[string]any) { s["shape"] = "ring" }), http.StatusBadRequest},
-		{"tasks as text", with(func(s map[string]any) { s["bolts"] = "4" }), http.StatusBadRequest},
-		{"over 64 KiB", with(func(s map[string]any) { s["pattern"] = strings.Repeat("x", 70<<10) }), http.StatusBadRequest},
-		{"unknown team", with(func(s map[string]any) { s["crew"] = "nobody" }), http.StatusUnprocessableEntity},
-		{"fits no machine", with(func(s map[string]any) { s["vcpus"] = 5.0 }), http.StatusUnprocessableEntity},
-		{"over the limit", with(func(s map[string]any) { s["vcpus"] = 13.0 }), http.StatusUnprocessableEntity},
-		{"unknown type", with(func(s map[string]any) { s["looms"] = []string{"none"} }), http.StatusUnprocessableEntity},
+		{"unknown shape", with(func(s map[string]any) { s[protocol.FieldJobKind] = "ring" }), http.StatusBadRequest},
+		{"tasks as text", with(func(s map[string]any) { s[protocol.FieldTasks] = "4" }), http.StatusBadRequest},
+		{"over 64 KiB", with(func(s map[string]any) { s[protocol.FieldImage] = strings.Repeat("x", 70<<10) }), http.StatusBadRequest},
+		{"unknown team", with(func(s map[string]any) { s[protocol.FieldTeam] = "nobody" }), http.StatusUnprocessableEntity},
+		{"fits no machine", with(func(s map[string]any) { s[protocol.FieldCPUs] = 5.0 }), http.StatusUnprocessableEntity},
+		{"over the limit", with(func(s map[string]any) { s[protocol.FieldCPUs] = 13.0 }), http.StatusUnprocessableEntity},
+		{"unknown type", with(func(s map[string]any) { s[protocol.FieldInstanceTypes] = []string{"none"} }), http.StatusUnprocessableEntity},
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
--- a/node/requests_test.go
+++ b/node/requests_test.go
@@ -53,8 +53,8 @@
 // a field.
 func duplicatesOf(fields map[string]any) []map[string]any {
 	other, lacking := maps.Clone(fields), maps.Clone(fields)
-	other["bolts"], other["crew"] = 7, "nobody"
-	delete(lacking, "vcpus")
+	other[protocol.FieldTasks], other[protocol.FieldTeam] = 7, "nobody"
+	delete(lacking, protocol.FieldCPUs)
 	return []map[string]any{fields, other, lacking}
 }
 
@@ -64,12 +64,12 @@
 	change func(map[string]any)
 	status int
 }{
-	{"larger than any machine", func(f map[string]any) { f["vcpus"] = 64.0 }, http.StatusUnprocessableEntity},
-	{"unknown instance type", func(f map[string]any) { f["looms"] = []string{"none"} }, http.StatusUnprocessableEntity},
-	{"unknown zone", func(f map[string]any) { f["yard"] = "nowhere" }, http.StatusUnprocessableEntity},
-	{"unknown team", func(f map[string]any) { f["crew"] = "nobody" }, http.StatusUnprocessableEntity},
-	{"no tasks", func(f map[string]any) { delete(f, "bolts") }, http.StatusBadRequest},
-	{"no priority", func(f map[string]any) { delete(f, "urgency") }, http.StatusBadRequest},
-	{"no zone affinity", func(f map[string]any) { delete(f, "together") }, http.StatusBadRequest},
-	{"no memory", func(f map[string]any) { delete(f, "memory_gb") }, http.StatusBadRequest},
+	{"larger than any machine", func(f map[string]any) { f[protocol.FieldCPUs] = 64.0 }, http.StatusUnprocessableEntity},
+	{"unknown instance type", func(f map[string]any) { f[protocol.FieldInstanceTypes] = []string{"none"} }, http.StatusUnprocessableEntity},
+	{"unknown zone", func(f map[string]any) { f[protocol.FieldZone] = "nowhere" }, http.StatusUnprocessableEntity},
+	{"unknown team", func(f map[string]any) { f[protocol.FieldTeam] = "nobody" }, http.StatusUnprocessableEntity},
+	{"no tasks", func(f map[string]any) { delete(f, protocol.FieldTasks) }, http.StatusBadRequest},
+	{"no priority", func(f map[string]any) { delete(f, protocol.FieldPriority) }, http.StatusBadRequest},
+	{"no zone affinity", func(f map[string]any) { delete(f, protocol.FieldZoneAffinity) }, http.StatusBadRequest},
+	{"no memory", func(f map[string]any) { delete(f, protocol.FieldMemoryGB) }, http.StatusBadRequest},
 }
