--- a/internal/coordination/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -1,4 +1,4 @@
-package coordination
+package autoscaler
 
 import (
 	"context"
@@ -10,37 +10,37 @@
 	"dunestand/internal/storage"
 )
 
-func (t *Term) readCatalog(ctx context.Context) {
-	c, err := t.Cloud.Catalog(ctx)
+func (as *Autoscaler) refreshCatalog(ctx context.Context) {
+	c, err := as.Cloud.Catalog(ctx)
 	if err != nil || len(c.Types) == 0 {
-		t.Log.Info("catalog not read", "error", err)
+		as.Log.Info("catalog not read", "error", err)
 		return
 	}
-	t.mu.Lock()
-	t.ledger.SetInstanceTypes(c.Types)
-	changed := !sameTypes(c, t.provisioning.catalog)
-	t.provisioning.catalog, t.provisioning.catalogAt = c, t.Clock.Steady()
-	t.mu.Unlock()
-	signal(t.roundSignal)
-	if format := t.Format.Level(); changed || format != t.provisioning.catalogFormat {
-		t.storeCatalog(ctx, c, format)
+	as.State.Lock()
+	as.State.SetInstanceTypes(c.Types)
+	changed := !sameTypes(c, as.provisioning.catalog)
+	as.provisioning.catalog, as.provisioning.catalogReadAt = c, as.Clock.Steady()
+	as.State.Unlock()
+	as.CycleSignal.Raise()
+	if format := as.Format.Current(); changed || format != as.provisioning.catalogFormat {
+		as.storeCatalog(ctx, c, format)
 	}
 }
 
 // storeCatalog keeps the catalog for a leader that begins during an outage of
 // the cloud. Whether it succeeds matters to nobody now.
-func (t *Term) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
-	state := t.Settings.Fleet.State.Both()
-	versions := t.provisioning.catalogStored
+func (as *Autoscaler) storeCatalog(ctx context.Context, c protocol.Catalog, format int) {
+	state := as.Settings.Fleet.State.Both()
+	versions := as.provisioning.catalogStored
 	for changes := range slices.Chunk(storage.CatalogChanges(c.Types, format, state.ValueBytes(), versions), state.TxnOps) {
 		txn := protocol.Txn{Then: changes}
 		for _, ch := range changes {
 			key := ch.Set + ch.Delete // one of them
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
-		version, err := t.Store.CompareAndSwap(ctx, txn, kv.Paced, stateCall)
+		version, err := as.KV.CompareAndSwap(ctx, txn, kv.Paced, kv.CallTimeout)
 		if err != nil {
-			t.Log.Info("catalog not stored", "error", err)
+			as.Log.Info("catalog not stored", "error", err)
 			return
 		}
 		for _, ch := range changes {
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	t.provisioning.catalogFormat = format
+	as.provisioning.catalogFormat = format
 }
 
 // sameTypes compares catalogs but for the spot prices, which move all the time.
@@ -63,3 +63,9 @@
 		return zones && fmt.Sprint(x) == fmt.Sprint(y)
 	})
 }
+
+// CatalogRestored tells which records hold the stored catalog, by key, with their versions. It
+// needs the lock of state held.
+func (as *Autoscaler) CatalogRestored(versions map[string]uint64) {
+	as.provisioning.catalogStored = versions
+}
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -1,10 +1,11 @@
 package cluster
 
 import (
+	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
 
-// EnsureMachine is a machine that reported, is listed, or was rented.
+// Machine is a machine that reported, is listed, or was rented.
 type Machine struct {
 	ID           string
 	InstanceType string
@@ -14,7 +15,7 @@
 	Capacity     units.Resources
 	ImageCache   units.Amount
 	Used         units.Resources
-	Freeing      units.Resources // collectWrites of Used, held by attempts that were told to stop
+	Freeing      units.Resources // part of Used, held by attempts that were told to stop
 	Attempts     map[AttemptKey]*Attempt
 	Ended        int // ended tasks in its last report
 
@@ -33,7 +34,7 @@
 	Slow             bool
 	BlockedUntil     units.Micros // refused for want of room: our count is off
 
-	Stage        string // as the cloud lists it
+	Stage        protocol.MachineStage // as the cloud lists it
 	RentedAt     units.Micros
 	IdleSince    units.Micros
 	Releasing    bool
@@ -91,3 +92,11 @@
 		m.images = m.images[1:]
 	}
 }
+
+// MaxUndeliveredCommands is how many answers in a row may have no effect on a machine until
+// it counts as one that commands do not reach.
+const MaxUndeliveredCommands = 2
+
+// IgnoresCommands reports whether the machine sends heartbeats and carries no command out.
+// It then gets no work and is released as one that is lost.
+func (m *Machine) IgnoresCommands() bool { return m.UndeliveredCommands >= MaxUndeliveredCommands }
--- /dev/null
+++ b/internal/controller/newcontroller.go
@@ -0,0 +1,135 @@
+package controller
+
+import (
+	"log/slog"
+	"math/rand/v2"
+
+	"dunestand/internal/admission"
+	"dunestand/internal/admissioncontrol"
+	"dunestand/internal/cloud"
+	"dunestand/internal/config"
+	"dunestand/internal/election"
+	"dunestand/internal/kv"
+	"dunestand/internal/peers"
+	"dunestand/internal/protocol"
+	"dunestand/internal/push"
+	"dunestand/internal/recordformat"
+	"dunestand/internal/storage"
+	"dunestand/internal/telemetry"
+	"dunestand/internal/transport"
+	"dunestand/internal/units"
+)
+
+// userSockets are for users and workers.
+func userSockets(maxConnections int) int {
+	return max(maxConnections-push.ReservedSockets(maxConnections), maxConnections/2)
+}
+
+// Environment is what a node gets from the program around it.
+type Environment struct {
+	Policy *config.Policy
+	Clock  units.Clock
+	Random *rand.Rand
+	Log    *slog.Logger
+	Dial   transport.DialFunc // nil: the machine's own network
+	// Admission says how new jobs are admitted under overload; nil: as the policy does.
+	Admission *admission.Options
+}
+
+// AdmissionOptions gives what holds of the environment's own choice and the policy's.
+func (e Environment) admissionOptions() admission.Options {
+	if e.Admission != nil {
+		return *e.Admission
+	}
+	return admissioncontrol.AdmissionOptions(e.Policy.Admission)
+}
+
+// NewController makes a node from its settings.
+func NewController(s *config.Settings, env Environment) *Controller {
+	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Others), env.Clock)
+	format := newNegotiator(s, env, client)
+	c := &Controller{
+		deps:             newDeps(s, env, client, format),
+		format:           format,
+		elector:          newElector(s, env, client),
+		heartbeatReader:  protocol.NewHeartbeatReader(),
+		heartbeatLimiter: newHeartbeatLimiter(),
+		peers:            peers.New(env.Dial, s.Others, env.Clock, env.Random, env.Log),
+		server: transport.NewServer(userSockets(s.Fleet.Resources.MaxConnections),
+			3*s.Fleet.Workers.Report()+userPollGap, env.Log),
+	}
+	c.deps.UnreachablePeers, c.deps.PeerReachable = c.peers.UnreachableCount, c.peers.AnyReachable
+	c.lastHeartbeat.Store(-1 << 50)
+	// A node begins as if it had just been of use: when all were restarted, the
+	// load balancer is to know them again by the time one of them leads.
+	c.lastUseful.Store(int64(env.Clock.Steady()))
+	c.elector.Connected = c.connected
+	c.elector.Eligible = func() bool { return !c.deps.Format.TooNew() }
+	c.addMetrics()
+	c.routes()
+	return c
+}
+
+// newElector returns the elector of a controller, over connections of its own.
+func newElector(s *config.Settings, env Environment, client *kv.Client) *election.Elector {
+	timing := election.TimingFor(s.Fleet.Workers.Lease())
+	return election.NewElector(s.Node, client.WithOwnConnections(), env.Clock, timing, env.Random, env.Log)
+}
+
+// newNegotiator returns what finds out which format of records the controllers use.
+func newNegotiator(s *config.Settings, env Environment, client *kv.Client) *recordformat.Negotiator {
+	others := make([]string, len(s.Others))
+	for i, o := range s.Others {
+		others[i] = o.Node
+	}
+	supported := storage.FormatNew
+	if options := env.admissionOptions(); options.On() {
+		supported = storage.FormatAdmission
+	}
+	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
+}
+
+// newDeps returns what the controller works with while it leads.
+func newDeps(s *config.Settings, env Environment, client *kv.Client, format *recordformat.Negotiator) Deps {
+	metrics := telemetry.NewMetrics()
+	return Deps{
+		Settings: s,
+		Policy:   env.Policy,
+		KV:       client,
+		Dial:     env.Dial,
+		Cloud:    cloud.NewClient(env.Dial, s.Services.Cloud, s.Fleet.Cloud),
+		Clock:    env.Clock,
+		Log:      env.Log,
+		Metrics:  metrics,
+		Format:   format,
+		Admitter: admissioncontrol.NewAdmitter(s, env.admissionOptions(), client, format, env.Clock, env.Log, metrics),
+	}
+}
+
+// connected tells whether this node hears workers or other controllers, or is alone.
+func (c *Controller) connected() bool {
+	sinceWorker := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeat.Load())
+	return len(c.deps.Settings.Others) == 0 || c.peers.AnyReachable() || sinceWorker < peers.LinkFreshness
+}
+
+// addMetrics shows the node's own state and its use of the state service.
+func (c *Controller) addMetrics() {
+	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.State
+	gauges := []struct {
+		name  string
+		value func() float64
+	}{
+		{"dunestand_fleet_format", func() float64 { return float64(c.deps.Format.Current()) }},
+		{"dunestand_lease_remaining_seconds", func() float64 { return c.elector.Remaining().Seconds() }},
+		{"dunestand_state_requests_total", func() float64 { return float64(stats.Requests.Load()) }},
+		{"dunestand_state_writes_total", func() float64 { return float64(stats.Writes.Load()) }},
+		{"dunestand_state_refused_total", func() float64 { return float64(stats.Refused.Load()) }},
+		{"dunestand_state_unanswered_total", func() float64 { return float64(stats.OutcomeUnknown.Load()) }},
+		{"dunestand_state_write_limit", func() float64 { return limits.WriteRPS }},
+		{"dunestand_state_request_limit", func() float64 { return limits.RPS }},
+	}
+	for _, g := range gauges {
+		c.deps.Metrics.Gauge(g.name, g.value)
+	}
+	c.deps.Metrics.AddRuntime()
+}
--- a/internal/coordination/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -1,4 +1,4 @@
-package coordination
+package scheduler
 
 import (
 	"cmp"
@@ -6,6 +6,7 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
 
@@ -38,16 +39,16 @@
 		each = int(min(units.Amount(each), fleet/all))
 	}
 	var out []int
-	for _, zone := range sortedKeys(byZone) {
+	for _, zone := range sorted.Keys(byZone) {
 		list := byZone[zone]
 		slices.SortStableFunc(list, func(a, b int) int {
 			x, y := &machines[a], &machines[b]
 			return cmp.Or(
-				compareBools(needed[x.Type], needed[y.Type]),
+				compareBools(needed[x.InstanceType], needed[y.InstanceType]),
 				-compareBools(x.Free.Fits(like.Request) > 0, y.Free.Fits(like.Request) > 0),
 				-compareBools(before(a), before(b)),
-				-compareBools(x.Images(like.Image), y.Images(like.Image)),
-				-cmp.Compare(x.Size.CPU, y.Size.CPU))
+				-compareBools(x.HasImage(like.Image), y.HasImage(like.Image)),
+				-cmp.Compare(x.Capacity.CPU, y.Capacity.CPU))
 		})
 		out = append(out, list[:min(each, len(list))]...)
 	}
@@ -60,12 +61,12 @@
 	needed := map[string]bool{}
 	for k := range machines {
 		m := &machines[k]
-		if _, seen := needed[m.Type]; seen {
+		if _, seen := needed[m.InstanceType]; seen {
 			continue
 		}
-		rest := m.Size.Plus(like.Request, -1)
-		needed[m.Type] = slices.ContainsFunc(jobs, func(j JobView) bool {
-			return m.Size.Fits(j.Spec.Request) > 0 && rest.Fits(j.Spec.Request) == 0
+		rest := m.Capacity.Plus(like.Request, -1)
+		needed[m.InstanceType] = slices.ContainsFunc(jobs, func(j JobView) bool {
+			return m.Capacity.Fits(j.Spec.Request) > 0 && rest.Fits(j.Spec.Request) == 0
 		})
 	}
 	return needed
@@ -77,11 +78,11 @@
 	byZone = map[string][]int{}
 	for k := range machines {
 		m := &machines[k]
-		if !m.Accepts {
+		if !m.Schedulable {
 			continue
 		}
-		fleet += m.Size.CPU
-		if !m.Slow && m.Size.Fits(like.Request) > 0 && allowed(like, m.Type, m.Zone, m.Spot) {
+		fleet += m.Capacity.CPU
+		if !m.Slow && m.Capacity.Fits(like.Request) > 0 && PlacementAllowed(like, m.InstanceType, m.Zone, m.Spot) {
 			byZone[m.Zone] = append(byZone[m.Zone], k)
 		}
 	}
@@ -99,11 +100,11 @@
 	return 1
 }
 
-// headroomReplica gives the urgent service whose replicas take most, nil if there is
+// HeadroomReplica gives the urgent service whose replicas take most, nil if there is
 // none.
-func (t *Term) headroomReplica() *protocol.JobSpec {
+func (sc *Scheduler) HeadroomReplica() *protocol.JobSpec {
 	var like *protocol.JobSpec
-	for _, j := range t.ledger.Jobs {
+	for _, j := range sc.State.Jobs {
 		s := &j.Spec
 		if j.IsService() && !j.Cancelled && s.Priority >= protocol.High && (like == nil ||
 			cmp.Or(cmp.Compare(s.Request.CPU, like.Request.CPU), cmp.Compare(s.Request.Memory, like.Request.Memory), -cmp.Compare(s.ID, like.ID)) > 0) {
@@ -113,17 +114,17 @@
 	return like
 }
 
-// headroomReplicas is how many replicas more than there are the fleet is to have room
+// HeadroomReplicaCount is how many replicas more than there are the fleet is to have room
 // for: enough in each zone for a new service, and for the loss of some machines
 // together, since renting others takes a boot.
-func (t *Term) headroomReplicas(like *protocol.JobSpec) int {
+func (sc *Scheduler) HeadroomReplicaCount(like *protocol.JobSpec) int {
 	var used units.Amount
-	for _, j := range t.ledger.Jobs {
+	for _, j := range sc.State.Jobs {
 		if j.IsService() && !j.Cancelled {
 			used += j.Spec.Request.CPU * units.Amount(j.Spec.Tasks)
 		}
 	}
-	n := headroomPerZone * len(t.Settings.Fleet.Zones)
+	n := headroomPerZone * len(sc.Settings.Fleet.Zones)
 	if like.Request.CPU > 0 {
 		n = max(n, int(used/like.Request.CPU/headroomServiceShare))
 	}
@@ -131,12 +132,12 @@
 }
 
 // updateHeadroom notes on the machines of a snapshot what room is kept on them.
-func (t *Term) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
-	like := t.headroomReplica()
-	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return t.headroom[machines[k]] != units.Resources{} })
-	clear(t.headroom)
+func (sc *Scheduler) updateHeadroom(s *Snapshot, machines []*cluster.Machine) {
+	like := sc.HeadroomReplica()
+	kept := reserveHeadroom(s.Machines, s.Jobs, like, func(k int) bool { return sc.headroom[machines[k]] != units.Resources{} })
+	clear(sc.headroom)
 	for _, k := range kept {
 		s.Machines[k].Headroom = like.Request
-		t.headroom[machines[k]] = like.Request
+		sc.headroom[machines[k]] = like.Request
 	}
 }
--- a/internal/coordination/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,14 +1,12 @@
-package coordination
+// Package telemetry holds the metrics of one controller.
+package telemetry
 
 import (
 	"bytes"
-	"context"
-	"fmt"
 	"io"
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"dunestand/internal/protocol"
 	"dunestand/internal/runtimestats"
 	"dunestand/internal/units"
 )
@@ -21,8 +19,8 @@
 	writers   []func(io.Writer)
 }
 
-// addWriter adds lines whose labels are known only when they are asked for.
-func (m *Metrics) addWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
+// AddWriter adds lines whose labels are known only when they are asked for.
+func (m *Metrics) AddWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
 
 // NewMetrics makes the metrics of one node.
 func NewMetrics() *Metrics {
@@ -34,16 +32,16 @@
 	}
 }
 
-// admissionWaited notes how long a job waited until it was admitted.
-func (m *Metrics) admissionWaited(wait units.Micros) { m.admission.Update(wait.Seconds()) }
+// AdmissionWaited notes how long a job waited until it was admitted.
+func (m *Metrics) AdmissionWaited(wait units.Micros) { m.admission.Update(wait.Seconds()) }
 
-func (m *Metrics) placed(delay units.Micros) { m.placement.Update(delay.Seconds()) }
+func (m *Metrics) Placed(delay units.Micros) { m.placement.Update(delay.Seconds()) }
 
 // Gauge adds a value that is worked out when it is asked for.
 func (m *Metrics) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
-// addRuntime adds the runtime's own figures.
-func (m *Metrics) addRuntime() {
+// AddRuntime adds the runtime's own figures.
+func (m *Metrics) AddRuntime() {
 	gauges := []struct {
 		name  string
 		value func(runtimestats.Snapshot) float64
@@ -62,55 +60,15 @@
 	}
 }
 
-// runtimeLogEvery is the pace of the log line with the runtime's figures. Every node
-// writes it, leader or not.
-const runtimeLogEvery = 10 * units.Second
-
-// logRuntime logs the runtime's figures until ctx ends.
-func (c *Controller) logRuntime(ctx context.Context) {
-	for pause(ctx, runtimeLogEvery) {
-		c.deps.Log.Info("process", "leading", c.leading() != nil, "runtime", runtimestats.Read())
-	}
-}
-
-// Text writes the metrics; term may be nil.
-func (m *Metrics) Text(term *Term) []byte {
+// Text returns the metrics in the text format of Prometheus, with what further writers add.
+func (m *Metrics) Text(further ...func(io.Writer)) []byte {
 	var b bytes.Buffer
 	m.set.WritePrometheus(&b)
 	for _, write := range m.writers {
 		write(&b)
 	}
-	if term != nil {
-		term.writeQueue(&b)
-		term.admission.publisher.writeStandings(&b)
+	for _, write := range further {
+		write(&b)
 	}
 	return b.Bytes()
 }
-
-// writeQueue writes what waits and runs, by class and priority.
-func (t *Term) writeQueue(b *bytes.Buffer) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	type key struct {
-		class    string
-		priority protocol.Priority
-	}
-	pending, running := map[key]int{}, map[key]int{}
-	for _, j := range t.ledger.Jobs {
-		k := key{j.Spec.Class, j.Spec.Priority}
-		pending[k] += j.Pending()
-		running[k] += len(j.LiveAttempts)
-	}
-	for k, n := range pending {
-		fmt.Fprintf(b, "dunestand_tasks_pending{class=%q,priority=%q} %d\n", k.class, k.priority.String(), n)
-		fmt.Fprintf(b, "dunestand_tasks_placed{class=%q,priority=%q} %d\n", k.class, k.priority.String(), running[k])
-	}
-	reporting := 0
-	now := t.Clock.Steady()
-	for _, m := range t.ledger.Machines {
-		if m.Registered && now-m.LastHeartbeat < t.silentAfter() {
-			reporting++
-		}
-	}
-	fmt.Fprintf(b, "dunestand_machines %d\ndunestand_machines_reporting %d\ndunestand_term %d\n", len(t.ledger.Machines), reporting, t.number)
-}
