--- /dev/null
+++ b/internal/standin/admissioncheck/checker_test.go
@@ -0,0 +1,110 @@
+package admissioncheck
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"dunestand/internal/admission"
+	"dunestand/internal/cluster"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+)
+
+const testJob = "j-1"
+
+// store makes a job durable, whatever the store holds of it.
+func store(t *testing.T, kv *standin.State, id string) {
+	t.Helper()
+	spec, err := protocol.ParseSubmission(protocol.Encode(standin.Submission(id, "team", "class", 1, 1)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	txn := cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec})
+	txn.If = nil
+	if _, ok := kv.Apply(txn); !ok {
+		t.Fatal("the job is not stored")
+	}
+}
+
+// The checker finds each violation that needs no valid plan, and none in what is allowed.
+func TestCheckerFindsPlantedViolations(t *testing.T) {
+	respond := func(c *Checker, kind AnswerKind, plan uint64) {
+		sent := time.Now()
+		time.Sleep(time.Millisecond)
+		c.ResponseReceived(1, testJob, sent, kind, plan)
+		time.Sleep(time.Millisecond)
+	}
+	for name, test := range map[string]struct {
+		events func(t *testing.T, c *Checker, kv *standin.State)
+		want   []string // a part of each violation, in their order
+	}{
+		"stored, then accepted": {func(t *testing.T, c *Checker, kv *standin.State) {
+			respond(c, Indefinite, 0)
+			store(t, kv, testJob)
+			respond(c, SaysAccepted, 0)
+			respond(c, Indefinite, 0)
+		}, nil},
+		"accepted without being stored": {func(_ *testing.T, c *Checker, _ *standin.State) {
+			respond(c, SaysAccepted, 0)
+		}, []string{"not linearizable"}},
+		"stored twice": {func(t *testing.T, _ *Checker, kv *standin.State) {
+			store(t, kv, testJob)
+			store(t, kv, testJob)
+		}, []string{"accepted twice"}},
+		"a job that nobody submitted": {func(t *testing.T, _ *Checker, kv *standin.State) {
+			store(t, kv, "j-2")
+		}, []string{"nobody submitted"}},
+		"deferred by a plan that was never stored, after it was accepted": {func(t *testing.T, c *Checker, kv *standin.State) {
+			store(t, kv, testJob)
+			respond(c, SaysAccepted, 0)
+			respond(c, SaysWait, 7)
+		}, []string{"never stored", "not linearizable"}},
+		"a plan that cannot be read": {func(_ *testing.T, _ *Checker, kv *standin.State) {
+			kv.Apply(protocol.Txn{Then: []protocol.Change{{Set: admission.KeyPlan, Value: protocol.Encode(map[string]int{})}}})
+		}, []string{"not readable"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				kv := standin.NewState()
+				c := New(kv)
+				if err := c.Announce(standin.Submission(testJob, "team", "class", 1, 1)); err != nil {
+					t.Fatal(err)
+				}
+				test.events(t, c, kv)
+				got := c.Verdicts()
+				if len(got) != len(test.want) {
+					t.Fatalf("%q, want %q", got, test.want)
+				}
+				for i, part := range test.want {
+					if !strings.Contains(got[i], part) {
+						t.Errorf("%q, want %q", got[i], part)
+					}
+				}
+			})
+		})
+	}
+}
+
+// Responses are classified by their status and, if the job is deferred, by the plan.
+func TestResponsesAreClassified(t *testing.T) {
+	deferred := protocol.Encode(protocol.ErrorResponse{PlanVersion: 3})
+	for _, test := range []struct {
+		status int
+		body   []byte
+		kind   AnswerKind
+		plan   uint64
+	}{
+		{http.StatusOK, nil, SaysAccepted, 0},
+		{http.StatusCreated, nil, SaysAccepted, 0},
+		{http.StatusTooManyRequests, deferred, SaysWait, 3},
+		{http.StatusTooManyRequests, nil, Indefinite, 0},
+		{http.StatusServiceUnavailable, deferred, Indefinite, 0},
+	} {
+		if kind, plan := ClassifyResponse(test.status, test.body); kind != test.kind || plan != test.plan {
+			t.Errorf("status %d: %v by plan %d, want %v by plan %d", test.status, kind, plan, test.kind, test.plan)
+		}
+	}
+}
--- a/internal/standin/recordformat.go
+++ b/internal/standin/recordformat.go
@@ -5,17 +5,21 @@
 	"sync/atomic"
 )
 
-// RecordFormat is a fleet's format that tests set.
+// RecordFormat is a fleet's record format that tests set. It may be used concurrently.
 type RecordFormat struct{ Level atomic.Int64 }
 
+// NewRecordFormat returns a format of a level.
 func NewRecordFormat(level int) *RecordFormat {
 	f := new(RecordFormat)
 	f.Level.Store(int64(level))
 	return f
 }
 
+// Current returns the level.
 func (f *RecordFormat) Current() int { return int(f.Level.Load()) }
 
+// TooNew reports that this version can read the records.
 func (f *RecordFormat) TooNew() bool { return false }
 
+// Refresh does nothing.
 func (f *RecordFormat) Refresh(context.Context) error { return nil }
