--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -7,19 +7,20 @@
 	"dunestand/internal/units"
 )
 
-// Verdict is what a plan says about a job that is not known yet.
+// Verdict is the outcome of a decision about a new job.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Admit: the job may be accepted.
+	// Admit means that the job may be accepted.
 	Admit Verdict = iota
-	// Wait: the job is not accepted under this version of the plan.
+	// Wait means that the job is not accepted under this version of the plan.
 	Wait
-	// Undecided: the quota of this version is used up. The next version decides.
+	// Undecided means that a later version of the plan decides.
 	Undecided
 )
 
+// String returns the verdict in lower case.
 func (v Verdict) String() string {
 	switch v {
 	case Admit:
@@ -32,99 +33,106 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// Reason tells why a job waits.
+// Reason is why a job is not admitted.
 type Reason uint8
 
 // The reasons.
 const (
-	NoReason  Reason = iota
-	OverShare        // the cell has its share; the window comes round
-	NotItsTurn
-	QuotaUsed
-	PlanUnclear
+	// NoReason is the reason of jobs that are admitted.
+	NoReason Reason = iota
+	// OverShare means that the cell has its share, and the job is outside the window.
+	OverShare
+	// Queued means that the job is large and not yet at the head of the queue.
+	Queued
+	// QuotaExhausted means that the plan admits the job, but its version quota is used up.
+	QuotaExhausted
+	// PlanUncertain means that no plan is known to be in force.
+	PlanUncertain
 )
 
+// String returns the text that users get; "" for NoReason.
 func (r Reason) String() string {
 	switch r {
 	case OverShare:
 		return "the team's work of this class has its share for now"
-	case NotItsTurn:
+	case Queued:
 		return "the job is large and waits for its turn"
-	case QuotaUsed:
+	case QuotaExhausted:
 		return "the admission plan is being renewed"
-	case PlanUnclear:
+	case PlanUncertain:
 		return "the admission plan is not known for certain"
 	}
 	return ""
 }
 
-// Decision is a verdict about a job under one version of the plan.
+// Decision is a verdict on a job under one version of the plan.
 type Decision struct {
-	Verdict    Verdict
-	Reason     Reason
-	Plan       uint64 // the plan's version; 0: the built-in floor
-	Cell       Cell
-	Cost       Work
-	RetryAfter units.Micros // unless the job is admitted
+	Verdict     Verdict
+	Reason      Reason
+	PlanVersion uint64 // version of the plan; 0: the fallback plan, or none
+	Cell        Cell
+	Cost        Work
+	RetryAfter  units.Micros // 0 if the job is admitted
 
-	account account // what an admission is charged to
-	charged bool    // it is
+	quota   quotaKey // that the admission is charged to, if charged
+	charged bool
 }
 
-// account names a quota of a plan.
-type account struct {
+// quotaKey identifies a version quota of a plan.
+type quotaKey struct {
 	cell   Cell
-	ofTeam bool // the team's quota, for cells without a gate
+	ofTeam bool // the quota for the team's cells without a restriction
 }
 
-// Bounds on the time after which a job that waits is to come back. The longest is shorter
-// than WaitingMemory, so that who still waits is not forgotten.
+// Bounds on RetryAfter. maxRetry is below waitingTimeout, so that a job whose user still asks
+// does not drop out of the waiting list.
 const (
-	leastRetry    = units.Second
-	pausedRetry   = 2 * units.Second
-	mostRetry     = 8 * units.Second
-	retrySpread   = 2 * units.Second // over which jobs that are told the same come back
-	undecidedWait = units.Second
+	minRetry       = units.Second
+	pausedRetry    = 2 * units.Second // of large jobs, and while the window is closed
+	maxRetry       = 8 * units.Second
+	retryJitter    = 2 * units.Second // spreads jobs that would otherwise ask at the same time
+	undecidedRetry = units.Second     // the next plan comes within half a second
 )
 
-// Decide tells whether a job is admitted: Admit or Wait. It depends on the plan and the
-// job alone, and so is the same on every controller, at any time and in any order. What
-// is left of the plan's quotas is a Keeper's matter.
+// Decide returns whether a job is admitted: Admit or Wait. It depends on the plan and the job
+// alone, and so is the same on every controller, at any time and in any order. It does not
+// look at what is left of the version quotas; PlanStore.Decide does.
 func (p *Plan) Decide(job *protocol.JobSpec) Decision {
 	cell, cost := p.Classify(job)
-	d := Decision{Verdict: Admit, Plan: p.Version, Cell: cell, Cost: cost}
-	gate, gated, found := p.Gate(cell)
+	d := Decision{Verdict: Admit, PlanVersion: p.Version, Cell: cell, Cost: cost}
+	restriction, restrictedCell, found := p.Restriction(cell)
 	switch {
 	case !found:
-		d.account, d.charged = account{cell: Cell{Team: cell.Team, Pool: cell.Pool}, ofTeam: true}, true
-	case p.HasTurn(job.ID):
-		// What it takes was set aside when it was named.
+		d.quota, d.charged = quotaKey{cell: Cell{Team: cell.Team, Pool: cell.Pool}, ofTeam: true}, true
+	case p.AtQueueHead(job.ID):
+		// Its work was charged to the cell when the plan was made.
 	case cell.Band == Large:
-		d.Verdict, d.Reason = Wait, NotItsTurn
-		d.RetryAfter = pausedRetry + p.spread(job.ID)
-	case gate.admits(position(job.ID)):
-		d.account, d.charged = account{cell: gated}, true
+		d.Verdict, d.Reason = Wait, Queued
+		d.RetryAfter = pausedRetry + p.jitter(job.ID)
+	case restriction.admits(position(job.ID)):
+		d.quota, d.charged = quotaKey{cell: restrictedCell}, true
 	default:
 		d.Verdict, d.Reason = Wait, OverShare
-		d.RetryAfter = p.windowWait(gate, job.ID)
+		d.RetryAfter = p.windowWait(restriction, job.ID)
 	}
 	return d
 }
 
-// windowWait is when a job is to come back so that it finds its position in the window.
-func (p *Plan) windowWait(gate CellGate, id string) units.Micros {
-	if gate.Width == 0 {
-		return pausedRetry + p.spread(id)
+// windowWait returns the time after which a job is expected to find its position in the
+// window.
+func (p *Plan) windowWait(restriction CellRestriction, id string) units.Micros {
+	if restriction.Width == 0 {
+		return pausedRetry + p.jitter(id)
 	}
-	ahead := (position(id) - gate.Start) % Ring
-	dwells := units.Micros(ahead / gate.Width)
-	return min(max(dwells*Dwell-Dwell/2, leastRetry), mostRetry-retrySpread) + p.spread(id)
+	ahead := (position(id) - restriction.Start) % ringSize
+	moves := units.Micros(ahead / restriction.Width)
+	return min(max(moves*windowDwell-windowDwell/2, minRetry), maxRetry-retryJitter) + p.jitter(id)
 }
 
-// spread gives a part of retrySpread that differs from job to job and plan to plan, so
-// that a flood does not come back in one second.
-func (p *Plan) spread(id string) units.Micros {
-	const versionStep = 40503 // odd: every version moves each job to another place
-	place := (position(id) + uint32(p.Version%Ring)*versionStep) % Ring
-	return retrySpread * units.Micros(place) / Ring
+// jitter returns a part of retryJitter that differs by job and version of the plan, so that
+// the users of a flood do not all ask again in the same second.
+func (p *Plan) jitter(id string) units.Micros {
+	const versionStep = 40503 // odd, so that every version moves each job to another place
+	place := (position(id) + uint32(p.Version%ringSize)*versionStep) % ringSize
+	return retryJitter * units.Micros(place) / ringSize
 }
--- /dev/null
+++ b/internal/admission/queue.go
@@ -0,0 +1,41 @@
+package admission
+
+import (
+	"maps"
+	"slices"
+)
+
+// maxQueueHeads bounds the large jobs at the head of the queue in one plan.
+const maxQueueHeads = 16
+
+// selectQueueHeads selects the large jobs at the head of the queue: those that were there
+// already and still wait, then the longest waiting ones while their cell has credit. The last
+// one may exceed the credit, and the next one waits until that is worked off. The following
+// plan keeps the selection even if this one is never written.
+func (b *planBuilder) selectQueueHeads() {
+	former := b.planner.current.queueHeads
+	heads := b.next.queueHeads
+	for _, job := range b.measurement.Waiting.Large {
+		if former[job.ID] {
+			b.selectQueueHead(job, heads)
+		}
+	}
+	for _, job := range b.measurement.Waiting.Large {
+		if !former[job.ID] && b.credits[job.Cell] > 0 {
+			b.selectQueueHead(job, heads)
+		}
+	}
+	b.planner.current.queueHeads = heads
+	b.plan.setQueueHeads(slices.Sorted(maps.Keys(heads)))
+}
+
+// selectQueueHead adds a job to the head of the queue and charges it to its cell, if the cell
+// is restricted and the head is not full.
+func (b *planBuilder) selectQueueHead(job WaitingJob, heads map[string]bool) {
+	credit, restricted := b.credits[job.Cell]
+	if !restricted || heads[job.ID] || len(heads) == maxQueueHeads {
+		return
+	}
+	heads[job.ID] = true
+	b.credits[job.Cell] = credit - job.Cost
+}
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -2,348 +2,220 @@
 
 import "dunestand/internal/units"
 
-// OriginPhase is how far a transfer is, as the origin's record tells.
-type OriginPhase uint8
-
-// The phases at the origin. docs/federation.md has the table of all steps.
-const (
-	// Intended: the job is held back here, and the target is asked for room.
-	Intended OriginPhase = iota + 1
-	// Committed: the target may accept the job; nothing of it is started here.
-	Committed
-	// Revoking: nothing is granted any more; the job waits for the target's refusal, or
-	// for the time after which nothing of it runs there.
-	Revoking
-	// Returned: the job is its origin's again. The record stays until the target has
-	// refused the transfer.
-	Returned
-	// Finished: all tasks are done.
-	Finished
-	// Withdrawn: the job was cancelled, or ended at its origin after it had returned, and
-	// nothing of it runs at the target.
-	Withdrawn
-	originPhases
-)
-
-// Cause is why a transfer is revoked.
-type Cause uint8
-
-// The causes.
-const (
-	NoCause Cause = iota
-	// TakenBack: the target was not heard for too long.
-	TakenBack
-	// Cancelled: the job's user cancelled it.
-	Cancelled
-)
-
-// OriginRecord is what the origin stores of a transfer.
-type OriginRecord struct {
-	Transfer TransferID  `cbor:"transfer"`
-	Target   string      `cbor:"to"`
-	Phase    OriginPhase `cbor:"phase"`
-	Cause    Cause       `cbor:"cause,omitempty"`
-	// Allowance is how often the job's class lets it be begun anew; Reruns is how often
-	// that was in earlier transfers.
-	Allowance int `cbor:"allowed"`
-	Reruns    int `cbor:"reruns"`
-	// Run is the last run that was granted to the target, 0: none.
-	Run int `cbor:"run"`
-	// Heard: the target has answered for good, and keeps no task.
-	Heard bool `cbor:"heard,omitempty"`
-	// Job is the job's description, Work what it takes.
-	Job  []byte  `cbor:"job"`
-	Work Work    `cbor:"work"`
-	Done TaskSet `cbor:"done,omitempty"`
-}
-
-// Owner tells who may start tasks of the job.
-type Owner uint8
-
-// The owners.
-const (
-	// Nobody may start tasks now.
-	Nobody Owner = iota
-	// HereAgain: the origin may.
-	HereAgain
-	// There: the target may, under a grant.
-	There
-	// NeverAgain: the job is over.
-	NeverAgain
-)
-
-// Owner tells who may start tasks of the job.
-func (r *OriginRecord) Owner() Owner {
-	switch r.Phase {
-	case Committed:
-		return There
-	case Returned:
-		return HereAgain
-	case Finished:
-		return NeverAgain
-	case Withdrawn:
-		if r.Cause == Cancelled {
-			return NeverAgain
-		}
-		return HereAgain // its own record tells that it is over
-	}
-	return Nobody
-}
-
-// unbounded tells whether the run that was granted last is the last that the class allows:
-// the target then goes on without renewals.
-func (r *OriginRecord) unbounded() bool { return r.Run > 0 && r.Reruns+r.Run-1 >= r.Allowance }
-
-// CanBeTakenBack tells whether the class allows to begin the job here once more.
-func (r *OriginRecord) CanBeTakenBack() bool {
-	return r.Phase == Committed && (r.Run == 0 || r.Reruns+r.Run <= r.Allowance)
-}
-
-// NextReruns is how often the job has been begun anew once it is begun here, for its next
-// transfer.
-func (r *OriginRecord) NextReruns() int { return r.Reruns + r.Run }
-
-// OriginDecision is what follows at the origin. Where Save is set, the record is stored
-// first.
-type OriginDecision struct {
-	Record OriginRecord
-	Save   bool
-	Send   []Message
-}
-
-func (r OriginRecord) keep(send ...MessageKind) OriginDecision {
-	d := OriginDecision{Record: r}
-	for _, kind := range send {
-		d.Send = append(d.Send, r.message(kind))
-	}
-	return d
-}
-
-func (r OriginRecord) save(send ...MessageKind) OriginDecision {
-	d := r.keep(send...)
-	d.Save = true
-	return d
-}
-
-func (r *OriginRecord) message(kind MessageKind) Message {
-	m := Message{Kind: kind, Transfer: r.Transfer}
-	switch kind {
-	case Reserve:
-		m.Work = r.Work
-	case Commit:
-		m.Job, m.Work = r.Job, r.Work
-	}
-	return m
-}
-
-// Begin makes the record of a transfer that is to be stored first of all. reruns is how
-// often the job was begun anew before.
-func Begin(id TransferID, target string, job []byte, work Work, allowance, reruns int) OriginDecision {
+// BeginTransfer decides to hand a job over whose class allows it to be restarted
+// maxRestarts times.
+func BeginTransfer(id TransferID, request HandOverRequest, maxRestarts int) Decision[OriginRecord] {
 	r := OriginRecord{
-		Transfer:  id,
-		Target:    target,
-		Phase:     Intended,
-		Allowance: allowance,
-		Reruns:    reruns,
-		Job:       job,
-		Work:      work,
+		Transfer:    id,
+		Target:      request.Target,
+		Phase:       OriginIntended,
+		MaxRestarts: maxRestarts,
+		Restarts:    request.Restarts,
+		Job:         request.Description,
+		Work:        request.Work,
 	}
-	return r.save(Reserve)
+	return changed(r, MessageReserve)
 }
 
-// Repeat gives what is sent again while no answer comes.
-func (r OriginRecord) Repeat() OriginDecision {
+// Resend decides to send again what the target has not answered yet.
+func (r OriginRecord) Resend() Decision[OriginRecord] {
 	switch {
-	case r.Phase == Intended:
-		return r.keep(Reserve)
-	case r.Phase == Committed && r.Run == 0:
-		return r.keep(Commit)
-	case r.Phase == Revoking, r.Phase == Returned && !r.Heard, r.Phase == Withdrawn && !r.Heard:
-		return r.keep(Revoke)
-	case r.Phase == Finished, r.Heard:
-		return r.keep(Settle)
+	case r.Phase == OriginIntended:
+		return unchanged(r, MessageReserve)
+	case r.Phase == OriginCommitted && r.Run == 0:
+		return unchanged(r, MessageCommit)
+	case r.Phase == OriginRevoking, r.Phase == OriginReturned && !r.Confirmed, r.Phase == OriginWithdrawn && !r.Confirmed:
+		return unchanged(r, MessageRevoke)
+	case r.Phase == OriginFinished, r.Confirmed:
+		return unchanged(r, MessageSettle)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
-// Receive decides on a message of the target. One of another incarnation is answered as
+// Receive decides on a message of the target. One about another incarnation is answered as
 // if there were no record.
-func (r OriginRecord) Receive(m *Message, grantor *Grantor, now units.Micros) OriginDecision {
-	if m.Transfer != r.Transfer {
-		return OriginDecision{Record: r, Send: ReceiveUnknown(m)}
-	}
-	switch m.Kind {
-	case Reserved:
-		return r.reserved()
-	case NoRoom:
-		if r.Phase == Intended {
-			return r.returned(true)
+func (r OriginRecord) Receive(message *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
+	if message.Transfer != r.Transfer {
+		return Decision[OriginRecord]{Record: r, Send: ReplyToUnknown(message)}
+	}
+	switch message.Kind {
+	case MessageReserved:
+		return r.onReserved()
+	case MessageNoCapacity:
+		if r.Phase == OriginIntended {
+			return r.detach(OriginReturned, true)
 		}
-	case Accepted:
-		if r.Phase != Committed {
-			return r.Repeat()
+	case MessageAccepted:
+		if r.Phase != OriginCommitted {
+			return r.Resend()
 		}
-	case Renew:
-		return r.renew(m, grantor, now)
-	case Refused:
-		return r.refused(m)
-	case Result:
-		return r.result(m)
+	case MessageRenew:
+		return r.onRenew(message, grantor, now)
+	case MessageRefused:
+		return r.onRefused(message)
+	case MessageResult:
+		return r.onResult(message)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
-// reserved: the target has room. An answer to a transfer that was given up frees it.
-func (r OriginRecord) reserved() OriginDecision {
-	if r.Phase != Intended {
-		return r.Repeat()
+// onReserved commits the job. A reservation for a transfer that was given up is released.
+func (r OriginRecord) onReserved() Decision[OriginRecord] {
+	if r.Phase != OriginIntended {
+		return r.Resend()
 	}
-	r.Phase = Committed
-	return r.save(Commit)
+	r.Phase = OriginCommitted
+	return changed(r, MessageCommit)
 }
 
-// renew grants a run of the job. What lets the target begin a run is stored before.
-func (r OriginRecord) renew(m *Message, grantor *Grantor, now units.Micros) OriginDecision {
-	if r.Phase != Committed {
-		return r.Repeat()
+// onRenew grants a lease on a run of the job. That a run may begin is stored before the
+// grant is sent, so that runs are counted before they begin.
+func (r OriginRecord) onRenew(renew *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
+	if r.Phase != OriginCommitted {
+		return r.Resend()
 	}
-	if m.Run < r.Run || m.Run > r.Run+1 || r.Reruns+m.Run-1 > max(r.Allowance, r.Reruns) {
-		return r.keep() // late, or no run that the class allows
+	if renew.Run < r.Run || renew.Run > r.Run+1 || r.Restarts+renew.Run-1 > max(r.MaxRestarts, r.Restarts) {
+		return unchanged(r) // late, or a run that the class does not allow
 	}
-	save := m.Run > r.Run
-	r.Run = m.Run
-	if !r.Done.Contains(m.Done) {
-		r.Done, save = r.Done.Union(m.Done), true
+	write := renew.Run > r.Run
+	r.Run = renew.Run
+	if !r.Done.ContainsAll(renew.Done) {
+		r.Done, write = r.Done.Union(renew.Done), true
 	}
-	grant := r.message(Grant)
-	grant.Renewal = m.Renewal
-	grant.Run = m.Run
+	grant := r.message(MessageGrant)
+	grant.Renewal = renew.Renewal
+	grant.Run = renew.Run
 	grant.Unbounded = r.unbounded()
-	grantor.granted(now)
-	return OriginDecision{Record: r, Save: save, Send: []Message{grant}}
+	grantor.recordGrant(now)
+	return Decision[OriginRecord]{Record: r, Write: write, Send: []Message{grant}}
 }
 
-// refused: nothing of the job is at the target, for good.
-func (r OriginRecord) refused(m *Message) OriginDecision {
-	r.Done = r.Done.Union(m.Done)
-	r.Run = min(r.Run, m.Run) // runs that were granted and never begun are none
+// onRefused records that nothing of the job is at the target, for good.
+func (r OriginRecord) onRefused(refused *Message) Decision[OriginRecord] {
+	r.Done = r.Done.Union(refused.Done)
+	r.Run = min(r.Run, refused.Run) // a run that was granted and never began does not count
 	switch r.Phase {
-	case Intended, Committed:
-		return r.returned(true)
-	case Revoking:
-		return r.released(true)
+	case OriginIntended, OriginCommitted:
+		return r.detach(OriginReturned, true)
+	case OriginRevoking:
+		return r.finishRevocation(true)
 	}
-	if r.Heard {
-		return r.keep(Settle)
+	if r.Confirmed {
+		return unchanged(r, MessageSettle)
 	}
-	r.Heard = true
-	return r.save(Settle)
+	r.Confirmed = true
+	return changed(r, MessageSettle)
 }
 
-// result: all tasks are done. It holds even for a job that was taken back meanwhile.
-func (r OriginRecord) result(m *Message) OriginDecision {
+// onResult finishes the job, even one that was reclaimed meanwhile, unless its user was
+// told otherwise.
+func (r OriginRecord) onResult(result *Message) Decision[OriginRecord] {
 	switch r.Phase {
-	case Finished:
-		return r.keep(Settle)
-	case Withdrawn:
-		if r.Heard {
-			return r.keep(Settle)
+	case OriginFinished:
+		return unchanged(r, MessageSettle)
+	case OriginWithdrawn:
+		if r.Confirmed {
+			return unchanged(r, MessageSettle)
 		}
-		r.Heard = true // its user was told that it is cancelled
-		return r.save(Settle)
+		r.Confirmed = true // the user was told that the job is cancelled, or done at its origin
+		return changed(r, MessageSettle)
 	}
-	r.Phase, r.Heard = Finished, true
-	r.Done = r.Done.Union(m.Done)
-	return r.save(Settle)
+	r.Phase, r.Confirmed = OriginFinished, true
+	r.Done = r.Done.Union(result.Done)
+	return changed(r, MessageSettle)
 }
 
-// returned gives the job back to its origin. Nothing ran at the target that could go on.
-func (r OriginRecord) returned(heard bool) OriginDecision {
-	r.Phase, r.Heard = Returned, heard
-	if heard {
-		return r.save(Settle)
+// finishRevocation ends a revocation: nothing of the job runs at the target any more.
+func (r OriginRecord) finishRevocation(confirmed bool) Decision[OriginRecord] {
+	if r.Cause == CauseCancelled {
+		return r.detach(OriginWithdrawn, confirmed)
 	}
-	return r.save(Revoke)
+	return r.detach(OriginReturned, confirmed)
 }
 
-// released ends a revocation: nothing of the job runs at the target.
-func (r OriginRecord) released(heard bool) OriginDecision {
-	if r.Cause != Cancelled {
-		return r.returned(heard)
-	}
-	r.Phase, r.Heard = Withdrawn, heard
-	if heard {
-		return r.save(Settle)
+// detach enters a phase in which nothing of the job runs at the target. Unless the target
+// has confirmed that, the transfer is revoked until it does.
+func (r OriginRecord) detach(phase OriginPhase, confirmed bool) Decision[OriginRecord] {
+	r.Phase, r.Confirmed = phase, confirmed
+	if confirmed {
+		return changed(r, MessageSettle)
 	}
-	return r.save(Revoke)
+	return changed(r, MessageRevoke)
 }
 
-// Cancel is called when the job's user cancels it. The user may be told so once the job
-// is Withdrawn, or Returned and cancelled here.
-func (r OriginRecord) Cancel() OriginDecision {
+// Cancel begins to cancel the job. Its user may be told that it is cancelled once the phase
+// is OriginWithdrawn, or once it is OriginReturned and the origin has cancelled the job.
+func (r OriginRecord) Cancel() Decision[OriginRecord] {
 	switch r.Phase {
-	case Intended:
-		return r.returned(false)
-	case Committed:
+	case OriginIntended:
+		return r.detach(OriginReturned, false)
+	case OriginCommitted:
 		if r.Run == 0 {
-			return r.returned(false) // nothing was ever granted
+			return r.detach(OriginReturned, false) // no lease was ever granted
 		}
-		r.Phase, r.Cause = Revoking, Cancelled
-		return r.save(Revoke)
-	case Revoking:
-		if r.Cause != Cancelled {
-			r.Cause = Cancelled
-			return r.save(Revoke)
+		r.Phase, r.Cause = OriginRevoking, CauseCancelled
+		return changed(r, MessageRevoke)
+	case OriginRevoking:
+		if r.Cause != CauseCancelled {
+			r.Cause = CauseCancelled
+			return changed(r, MessageRevoke)
 		}
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
-// Ended is called when a job that had returned is done or cancelled at its origin. The
-// record is stored before the job's end, or with it: a result that comes late from the
-// target must not change what the user was told.
-func (r OriginRecord) Ended() OriginDecision {
-	if r.Phase != Returned {
-		return r.keep()
+// JobEnded records that a job that had returned has ended at its origin. The record is
+// written before the job's end, or in the same transaction: a late result of the target
+// must not change what the user was told.
+func (r OriginRecord) JobEnded() Decision[OriginRecord] {
+	if r.Phase != OriginReturned {
+		return unchanged(r)
 	}
-	r.Phase = Withdrawn
-	return r.save()
+	r.Phase = OriginWithdrawn
+	return changed(r)
 }
 
-// TakeBack begins to take a job back whose target was not heard for too long.
-func (r OriginRecord) TakeBack() OriginDecision {
+// Reclaim begins to take the job back from a target that has been silent for too long. It
+// changes nothing if the class does not allow another restart.
+func (r OriginRecord) Reclaim() Decision[OriginRecord] {
 	switch {
-	case r.Phase == Intended:
-		return r.returned(false)
-	case !r.CanBeTakenBack():
-		return r.keep()
+	case r.Phase == OriginIntended:
+		return r.detach(OriginReturned, false)
+	case !r.canReclaim():
+		return unchanged(r)
 	case r.Run == 0:
-		return r.returned(false)
+		return r.detach(OriginReturned, false)
 	}
-	r.Phase, r.Cause = Revoking, TakenBack
-	return r.save(Revoke)
+	r.Phase, r.Cause = OriginRevoking, CauseTargetSilent
+	return changed(r, MessageRevoke)
 }
 
-// Tick ends a revocation by time, once nothing of the job can run at the target.
-func (r OriginRecord) Tick(grantor *Grantor, now units.Micros, terms Terms) OriginDecision {
-	if r.Phase == Revoking && !r.unbounded() && grantor.Lapsed(now, terms) {
-		return r.released(false)
+// Tick ends a revocation without the target's refusal, once nothing of the job can run there.
+func (r OriginRecord) Tick(grantor *LeaseGrantor, now units.Micros, timing Timing) Decision[OriginRecord] {
+	if r.Phase == OriginRevoking && !r.unbounded() && grantor.Expired(now, timing) {
+		return r.finishRevocation(false)
 	}
-	return r.keep()
+	return unchanged(r)
 }
 
-// Over tells whether the record can be removed: the job needs it no more, and the target
-// has been heard.
-func (r *OriginRecord) Over() bool {
-	return r.Heard && (r.Phase == Returned || r.Phase == Finished || r.Phase == Withdrawn)
+// ReplyToUnknown returns the answer to a message about a transfer that the origin has no
+// record of, which is therefore over.
+func ReplyToUnknown(message *Message) []Message {
+	kind := MessageRevoke
+	if message.Kind == MessageResult || message.Kind == MessageRefused {
+		kind = MessageSettle
+	}
+	return []Message{{Kind: kind, Transfer: message.Transfer}}
 }
 
-// ReceiveUnknown answers a message about a transfer that the origin has no record of: it
-// is over.
-func ReceiveUnknown(m *Message) []Message {
-	kind := Revoke
-	if m.Kind == Result || m.Kind == Refused {
-		kind = Settle
+// message implements transferRecord.
+func (r OriginRecord) message(kind MessageKind) Message {
+	message := Message{Kind: kind, Transfer: r.Transfer}
+	switch kind {
+	case MessageReserve:
+		message.Work = r.Work
+	case MessageCommit:
+		message.Job, message.Work = r.Job, r.Work
 	}
-	return []Message{{Kind: kind, Transfer: m.Transfer}}
+	return message
 }
--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/standin/admissioncheck/checker.go
@@ -106,8 +106,8 @@
 		c.violatedLocked("a plan is stored that is not readable: %v", err)
 		return
 	}
-	if c.current != nil && (plan.Version <= c.current.Version || plan.Term < c.current.Term) {
-		c.violatedLocked("plan %d of token %d replaces plan %d of token %d", plan.Version, plan.Term, c.current.Version, c.current.Term)
+	if c.current != nil && (plan.Version <= c.current.Version || plan.FencingToken < c.current.FencingToken) {
+		c.violatedLocked("plan %d of token %d replaces plan %d of token %d", plan.Version, plan.FencingToken, c.current.Version, c.current.FencingToken)
 	}
 	c.plans[plan.Version], c.current, c.currentSince = plan, plan, time.Now()
 }
@@ -129,7 +129,7 @@
 		c.durable[id] = 0
 		return
 	}
-	expired := time.Since(c.currentSince) > admission.Lifetime.Duration()-ageTolerance
+	expired := time.Since(c.currentSince) > admission.PlanLifetime.Duration()-ageTolerance
 	if d := c.current.Decide(&job); d.Verdict != admission.Admit && !expired {
 		c.violatedLocked("%s is accepted while plan %d says %v", id, c.current.Version, d.Verdict)
 	}
