--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -9,27 +9,29 @@
 	"dunestand/internal/protocol"
 )
 
-// Cloud is a cloud in memory whose machines are up at once.
+// Cloud is a fake of the cloud, in memory. Its instances run as soon as they are
+// provisioned, and its list does not lag.
 type Cloud struct {
-	mu       sync.Mutex
-	catalog  protocol.Catalog
-	capacity int
-	hires    map[string][]string
-	machines map[string]protocol.ListedMachine
-	made     int
+	mu          sync.Mutex // guards all but the exported fields
+	catalog     protocol.Catalog
+	capacity    int                 // of each zone, in instances
+	provisioned map[string][]string // instance IDs by request
+	machines    map[string]protocol.ListedMachine
+	created     int
 
-	// Rented and Released are told of machines, if set.
-	Rented   func(protocol.ListedMachine)
-	Released func(id string)
+	// OnProvision and OnRelease, if set, are called with each instance, under the cloud's
+	// lock. They are set before the first request.
+	OnProvision func(protocol.ListedMachine)
+	OnRelease   func(id string)
 }
 
-// NewCloud makes a cloud with room for so many machines in each zone.
+// NewCloud returns a cloud with a capacity of so many instances in each zone.
 func NewCloud(catalog protocol.Catalog, capacity int) *Cloud {
 	return &Cloud{
-		catalog:  catalog,
-		capacity: capacity,
-		hires:    map[string][]string{},
-		machines: map[string]protocol.ListedMachine{},
+		catalog:     catalog,
+		capacity:    capacity,
+		provisioned: map[string][]string{},
+		machines:    map[string]protocol.ListedMachine{},
 	}
 }
 
@@ -48,57 +50,59 @@
 		}
 		reply(w, http.StatusOK, list)
 	case r.URL.Path == protocol.PathMachines:
-		var rent protocol.ScaleOutRequest
-		if protocol.Decode(body, &rent) != nil {
+		var request protocol.ScaleOutRequest
+		if protocol.Decode(body, &request) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		c.rent(w, rent)
+		c.provisionLocked(w, request)
 	case r.URL.Path == protocol.PathScaleIn:
 		var names protocol.MachineIDs
 		_ = protocol.Decode(body, &names)
 		for _, id := range names.Machines {
 			delete(c.machines, id)
-			if c.Released != nil {
-				c.Released(id)
+			if c.OnRelease != nil {
+				c.OnRelease(id)
 			}
 		}
 		reply(w, http.StatusOK, struct{}{})
 	}
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, rent protocol.ScaleOutRequest) {
-	if names, again := c.hires[rent.RequestID]; again {
-		reply(w, http.StatusOK, protocol.MachineIDs{Machines: names})
+// provisionLocked starts the instances of a request. A request that is repeated gets the
+// same response.
+func (c *Cloud) provisionLocked(w http.ResponseWriter, request protocol.ScaleOutRequest) {
+	if ids, repeated := c.provisioned[request.RequestID]; repeated {
+		reply(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
 		return
 	}
-	var names []string
-	there := 0
+	var ids []string
+	inZone := 0
 	for _, m := range c.machines {
-		if m.Zone == rent.Zone {
-			there++
+		if m.Zone == request.Zone {
+			inZone++
 		}
 	}
-	for ; len(names) < rent.Count && there < c.capacity; there++ {
+	for ; len(ids) < request.Count && inZone < c.capacity; inZone++ {
 		m := protocol.ListedMachine{
-			ID:           fmt.Sprintf("i-%06d", c.made),
-			Endpoint:     fmt.Sprintf("i-%06d:9000", c.made),
-			InstanceType: rent.InstanceType,
-			Zone:         rent.Zone,
-			Spot:         rent.Spot,
+			ID:           fmt.Sprintf("i-%06d", c.created),
+			Endpoint:     fmt.Sprintf("i-%06d:9000", c.created),
+			InstanceType: request.InstanceType,
+			Zone:         request.Zone,
+			Spot:         request.Spot,
 			Stage:        protocol.MachineRunning,
 		}
-		c.made++
+		c.created++
 		c.machines[m.ID] = m
-		names = append(names, m.ID)
-		if c.Rented != nil {
-			c.Rented(m)
+		ids = append(ids, m.ID)
+		if c.OnProvision != nil {
+			c.OnProvision(m)
 		}
 	}
-	if len(names) == 0 {
+	if len(ids) == 0 {
 		reply(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Message: "no capacity"})
 		return
 	}
-	c.hires[rent.RequestID] = names
-	reply(w, http.StatusOK, protocol.MachineIDs{Machines: names})
+	c.provisioned[request.RequestID] = ids
+	reply(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
 }
--- a/internal/standin/machinecommands.go
+++ b/internal/standin/machinecommands.go
@@ -2,118 +2,132 @@
 
 import (
 	"cmp"
-	"dunestand/internal/protocol"
 	"io"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
+
+	"dunestand/internal/protocol"
 )
 
-// take carries out the answer to a report.
-func (m *Machine) take(body []byte, session uint64, sent time.Time) {
-	var a protocol.HeartbeatResponse
-	if protocol.Decode(body, &a) != nil {
+// handleResponse executes the response to a heartbeat that was sent in an incarnation, and
+// renews the lease from the time of sending. A response of another incarnation or with a
+// lower fencing token is dropped.
+func (m *Machine) handleResponse(body []byte, incarnation uint64, sent time.Time) {
+	var response protocol.HeartbeatResponse
+	if protocol.Decode(body, &response) != nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone || session != m.session || a.FencingToken < m.term || a.FencingToken == 0 {
+	if m.killed || incarnation != m.incarnation || response.FencingToken < m.fencingToken || response.FencingToken == 0 {
 		return
 	}
-	m.sees(a.FencingToken)
-	m.leaseFrom = sent
-	m.execute(a.Commands)
+	m.observeTokenLocked(response.FencingToken)
+	m.leaseStart = sent
+	m.executeLocked(response.Commands)
 }
 
-func (m *Machine) sees(term uint64) {
-	if term > m.term {
-		m.term = term
-		if time.Since(m.termAt) > m.pace.Lease/2 {
-			m.termAt, m.changed = time.Now(), true
+// observeTokenLocked raises the highest token seen. It counts as a change, which causes a
+// heartbeat, no more than once in half of a lease.
+func (m *Machine) observeTokenLocked(token uint64) {
+	if token > m.fencingToken {
+		m.fencingToken = token
+		if time.Since(m.tokenChangedAt) > m.Timing.LeaseDuration/2 {
+			m.tokenChangedAt, m.changed = time.Now(), true
 		}
 	}
 }
 
-// serve takes direct commands.
-func (m *Machine) serve(w http.ResponseWriter, r *http.Request) {
+// serveCommands executes pushed commands and responds with a heartbeat.
+func (m *Machine) serveCommands(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
-	var c protocol.DirectCommands
-	if protocol.Decode(raw, &c) != nil || c.FencingToken == 0 {
+	var push protocol.DirectCommands
+	if protocol.Decode(raw, &push) != nil || push.FencingToken == 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	m.mu.Lock()
-	trouble := m.trouble
+	fault := m.fault
 	m.mu.Unlock()
-	if trouble.AnswersLost || trouble.Cut {
+	if fault.ResponsesLost || fault.Partitioned {
 		panic(http.ErrAbortHandler)
 	}
-	time.Sleep(trouble.Slow)
-	for m.isHung() {
-		time.Sleep(machineStep)
+	time.Sleep(fault.CommandDelay)
+	for m.hung() {
+		time.Sleep(tickInterval)
 	}
-	m.step()
+	m.tick()
 	m.mu.Lock()
 	status := http.StatusOK
-	if m.gone || c.FencingToken < m.term || c.Incarnation != m.session {
+	if m.killed || push.FencingToken < m.fencingToken || push.Incarnation != m.incarnation {
 		status = http.StatusConflict
 	} else {
-		m.sees(c.FencingToken)
-		m.execute(c.Commands)
+		m.observeTokenLocked(push.FencingToken)
+		m.executeLocked(push.Commands)
 	}
 	changed := m.changed
-	body := m.report()
-	m.changed = changed
+	body := m.encodeHeartbeatLocked()
+	m.changed = changed // the next heartbeat is due all the same
 	m.mu.Unlock()
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-func (m *Machine) execute(commands []protocol.Command) {
-	for _, c := range commands {
-		t := m.tasks[c.Task]
-		switch c.Verb {
+func (m *Machine) executeLocked(commands []protocol.Command) {
+	for _, command := range commands {
+		task := m.tasks[command.Task]
+		switch command.Verb {
 		case protocol.VerbStart:
-			m.launch(c, t)
+			m.startTaskLocked(command, task)
 		case protocol.VerbStop:
-			if t != nil && t.attempt == c.Attempt && t.stage != "ended" {
-				if t.stage != "fetching" {
-					m.rules.Ended(t.job.ID, t.index, m.ID, false)
+			if task != nil && task.attempt == command.Attempt && task.stage != protocol.TaskExited {
+				if task.stage == protocol.TaskRunning {
+					m.invariants.TaskEnded(task.job.ID, task.index, m.ID, false)
 				}
-				t.stage, t.cause, t.until, m.changed = "ended", protocol.CauseStopped, time.Time{}, true
+				task.stage, task.exitCause, task.stageEnd, m.changed = protocol.TaskExited, protocol.CauseStopped, time.Time{}, true
 			}
 		case protocol.VerbForget:
-			if t != nil && t.attempt == c.Attempt && t.stage == "ended" {
-				delete(m.tasks, c.Task)
+			if task != nil && task.attempt == command.Attempt && task.stage == protocol.TaskExited {
+				delete(m.tasks, command.Task)
 			}
 		}
 	}
 }
 
-func (m *Machine) launch(c protocol.Command, t *machineTask) {
-	if t != nil && (t.attempt == c.Attempt || t.stage != "ended") {
+// startTaskLocked begins to fetch a task's image, or refuses the task. existing is the
+// attempt that the machine has already; nil: none.
+func (m *Machine) startTaskLocked(command protocol.Command, existing *machineTask) {
+	if existing != nil && (existing.attempt == command.Attempt || existing.stage != protocol.TaskExited) {
 		return
 	}
-	id, num, _ := strings.Cut(c.Task, "/")
-	index, _ := strconv.Atoi(num)
-	job, known := m.rules.Job(id)
+	id, index := splitTaskName(command.Task)
+	job, known := m.invariants.Job(id)
+	job.ID = id // also of an unknown one
 	used := job.CPUs
-	for _, o := range m.tasks {
-		if o.stage != "ended" {
-			used += o.job.CPUs
+	for _, other := range m.tasks {
+		if other.stage != protocol.TaskExited {
+			used += other.job.CPUs
 		}
 	}
 	m.changed = true
-	n := &machineTask{job: job, index: index, attempt: c.Attempt}
+	task := &machineTask{job: job, index: index, attempt: command.Attempt}
 	switch {
 	case !known || index >= job.Tasks:
-		n.stage, n.cause = "ended", protocol.CauseNoSuchTask
+		task.stage, task.exitCause = protocol.TaskExited, protocol.CauseNoSuchTask
 	case used > m.CPUs:
-		n.stage, n.cause = "ended", protocol.CauseNoCapacity
+		task.stage, task.exitCause = protocol.TaskExited, protocol.CauseNoCapacity
 	default:
-		n.stage, n.until = "fetching", time.Now().Add(cmp.Or(job.Fetch, machineFetch))
-		n.left = job.Runs * time.Duration(index+1) / time.Duration(job.Tasks)
+		task.stage, task.stageEnd = protocol.TaskFetching, time.Now().Add(cmp.Or(job.ImageFetch, defaultImageFetch))
+		task.runTime = job.RunTime * time.Duration(index+1) / time.Duration(job.Tasks)
 	}
-	m.tasks[c.Task] = n
+	m.tasks[command.Task] = task
+}
+
+// splitTaskName returns the parts of a task's name as protocol.TaskName writes it.
+func splitTaskName(name string) (job string, index int) {
+	job, number, _ := strings.Cut(name, "/")
+	index, _ = strconv.Atoi(number)
+	return job, index
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -11,123 +11,109 @@
 	"dunestand/internal/protocol"
 )
 
-// Worker is a machine's worker that reports to any of several controllers and
-// runs its tasks for a fixed time.
+// Worker is a simple worker for tests on real sockets: it sends heartbeats to any of several
+// controllers and runs each task for a fixed time. Its fields are set before Run.
 type Worker struct {
-	Machine protocol.ListedMachine
-	Nodes   []string // addresses of the controllers
-	Every   time.Duration
-	Runs    time.Duration
-	// Started is told of every start.
-	Started func(task string, attempt uint64)
+	Machine           protocol.ListedMachine
+	Controllers       []string // addresses
+	HeartbeatInterval time.Duration
+	RunTime           time.Duration // of each task
+	// OnStart, if set, is called with each start of a task, under the worker's lock.
+	OnStart func(task string, attempt uint64)
 
 	mu    sync.Mutex
 	tasks map[string]*workerTask
 }
 
 type workerTask struct {
-	attempt uint64
-	began   time.Time
-	ended   bool
-	cause   string
+	attempt   uint64
+	started   time.Time
+	ended     bool
+	exitCause protocol.ExitCause
 }
 
-type workerReport struct {
-	Dune     string       `cbor:"dune"`
-	Endpoint string       `cbor:"endpoint"`
-	Loom     string       `cbor:"loom"`
-	Yard     string       `cbor:"yard"`
-	Borrowed bool         `cbor:"borrowed"`
-	Shift    uint64       `cbor:"shift"`
-	Tally    uint64       `cbor:"tally"`
-	Baton    uint64       `cbor:"baton"`
-	Bolts    []workerBolt `cbor:"bolts"`
-}
-
-type workerBolt struct {
-	Bolt  string `cbor:"bolt"`
-	Try   uint64 `cbor:"try"`
-	Stage string `cbor:"stage"`
-	Cause string `cbor:"cause,omitempty"`
-}
+// workerTimeout is how long a worker waits for a response.
+const workerTimeout = 2 * time.Second
 
-// Run reports until ctx ends.
+// Run sends heartbeats until ctx ends.
 func (w *Worker) Run(ctx context.Context) {
 	w.tasks = map[string]*workerTask{}
-	client := &http.Client{Timeout: 2 * time.Second}
+	client := &http.Client{Timeout: workerTimeout}
 	defer client.CloseIdleConnections()
-	report := workerReport{
-		Dune:     w.Machine.ID,
-		Loom:     w.Machine.InstanceType,
-		Yard:     w.Machine.Zone,
-		Borrowed: w.Machine.Spot,
-		Shift:    1,
+	heartbeat := protocol.Heartbeat{
+		Machine:      w.Machine.ID,
+		InstanceType: w.Machine.InstanceType,
+		Zone:         w.Machine.Zone,
+		Spot:         w.Machine.Spot,
+		Incarnation:  1,
 	}
-	node := 0
+	controller := 0
 	for ctx.Err() == nil {
-		report.Tally++
-		report.Bolts = w.bolts()
-		answer, ok := w.send(ctx, client, w.Nodes[node], report)
+		heartbeat.Sequence++
+		heartbeat.Tasks = w.taskStatuses()
+		response, ok := w.sendHeartbeat(ctx, client, w.Controllers[controller], &heartbeat)
 		if !ok {
-			node = (node + 1) % len(w.Nodes)
-		} else if answer.FencingToken >= report.Baton {
-			report.Baton = answer.FencingToken
-			w.execute(answer.Commands)
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(w.Every):
+			controller = (controller + 1) % len(w.Controllers)
+		} else if response.FencingToken >= heartbeat.FencingToken {
+			heartbeat.FencingToken = response.FencingToken
+			w.execute(response.Commands)
 		}
+		sleep(ctx, w.HeartbeatInterval)
 	}
 }
 
-func (w *Worker) send(ctx context.Context, client *http.Client, node string, report workerReport) (protocol.HeartbeatResponse, bool) {
-	var answer protocol.HeartbeatResponse
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+protocol.PathHeartbeat, bytes.NewReader(protocol.Encode(report)))
+// sendHeartbeat returns a controller's response and reports whether the heartbeat was
+// accepted.
+func (w *Worker) sendHeartbeat(ctx context.Context, client *http.Client, controller string, heartbeat *protocol.Heartbeat) (protocol.HeartbeatResponse, bool) {
+	var decoded protocol.HeartbeatResponse
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+protocol.PathHeartbeat, bytes.NewReader(protocol.EncodeHeartbeat(heartbeat)))
 	if err != nil {
-		return answer, false
+		return decoded, false
 	}
-	resp, err := client.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
-		return answer, false
+		return decoded, false
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	return answer, err == nil && resp.StatusCode == http.StatusOK && protocol.Decode(body, &answer) == nil
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	ok := err == nil && response.StatusCode == http.StatusOK && protocol.Decode(body, &decoded) == nil
+	return decoded, ok
 }
 
-func (w *Worker) bolts() []workerBolt {
+// taskStatuses ends the tasks that have run long enough and lists all.
+func (w *Worker) taskStatuses() []protocol.TaskStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := []workerBolt{}
+	var statuses []protocol.TaskStatus
 	for name, t := range w.tasks {
-		if !t.ended && time.Since(t.began) >= w.Runs {
-			t.ended, t.cause = true, string(protocol.CauseDone)
+		if !t.ended && time.Since(t.started) >= w.RunTime {
+			t.ended, t.exitCause = true, protocol.CauseDone
 		}
-		b := workerBolt{Bolt: name, Try: t.attempt, Stage: "running"}
+		job, index := splitTaskName(name)
+		status := protocol.TaskStatus{Job: job, Index: index, Attempt: t.attempt, Stage: protocol.TaskRunning}
 		if t.ended {
-			b.Stage, b.Cause = "ended", t.cause
+			status.Stage, status.Cause = protocol.TaskExited, t.exitCause
 		}
-		out = append(out, b)
+		statuses = append(statuses, status)
 	}
-	return out
+	return statuses
 }
 
 func (w *Worker) execute(commands []protocol.Command) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range commands {
-		t := w.tasks[c.Task]
+	for _, command := range commands {
+		task := w.tasks[command.Task]
 		switch {
-		case c.Verb == protocol.VerbStart && (t == nil || t.ended && t.attempt != c.Attempt):
-			w.tasks[c.Task] = &workerTask{attempt: c.Attempt, began: time.Now()}
-			if w.Started != nil {
-				w.Started(c.Task, c.Attempt)
+		case command.Verb == protocol.VerbStart && (task == nil || task.ended && task.attempt != command.Attempt):
+			w.tasks[command.Task] = &workerTask{attempt: command.Attempt, started: time.Now()}
+			if w.OnStart != nil {
+				w.OnStart(command.Task, command.Attempt)
 			}
-		case c.Verb == protocol.VerbStop && t != nil && t.attempt == c.Attempt && !t.ended:
-			t.ended, t.cause = true, string(protocol.CauseStopped)
-		case c.Verb == protocol.VerbForget && t != nil && t.attempt == c.Attempt && t.ended:
-			delete(w.tasks, c.Task)
+		case command.Verb == protocol.VerbStop && task != nil && task.attempt == command.Attempt && !task.ended:
+			task.ended, task.exitCause = true, protocol.CauseStopped
+		case command.Verb == protocol.VerbForget && task != nil && task.attempt == command.Attempt && task.ended:
+			delete(w.tasks, command.Task)
 		}
 	}
 }
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -3,11 +3,8 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
-	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -19,124 +16,98 @@
 	"dunestand/internal/transport"
 )
 
-// clusterPlan is what a cluster on loopback sockets is made of.
-type clusterPlan struct {
+// clusterOptions is what a cluster consists of.
+type clusterOptions struct {
 	nodes    int
 	machines int
-	cpus     float64 // of a machine
-	runs     time.Duration
-	memoryMB float64 // of a node
+	cpus     float64       // of a machine
+	runTime  time.Duration // of a task
+	memoryMB float64       // of a node
 	teams    []config.Team
-	policy   *config.Policy
-	state    *standin.State
+	policy   *config.Policy // nil: the built-in one
+	kv       *standin.State
 }
 
-// cluster is several nodes in this process, on loopback sockets, with stand-ins around
-// them.
+// cluster is several nodes in this process, on loopback sockets and the real clock, with
+// fakes around them.
 type cluster struct {
-	t       *testing.T
-	ctx     context.Context
-	plan    clusterPlan
-	members []*member
-	cloud   string
-	mu      sync.Mutex
-	tries   map[string]int // starts of each task
+	t            *testing.T
+	ctx          context.Context
+	options      clusterOptions
+	nodes        []*clusterNode
+	cloudAddress string
+	workers      sync.WaitGroup // end with ctx
 }
 
-// member is one node of a cluster, and what it meets.
-type member struct {
+// clusterNode is one node of a cluster and the faults that it meets.
+type clusterNode struct {
 	settings *config.Settings
-	state    *httptest.Server
-	links    *links
+	kvServer *httptest.Server // the key-value store as this node meets it
+	dialer   *dialer
 	stop     context.CancelFunc
-	ended    chan struct{}
-	// refused: the state service answers it 503.
-	mu      sync.Mutex
-	refused bool
-}
-
-// links opens a node's connections, and cuts them.
-type links struct {
-	mu    sync.Mutex
-	cut   map[string]bool
-	conns map[net.Conn]string
-}
+	stopped  chan struct{}
 
-func (l *links) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	l.mu.Lock()
-	cut := l.cut[addr]
-	l.mu.Unlock()
-	if cut {
-		<-ctx.Done() // packets are lost
-		return nil, ctx.Err()
-	}
-	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
-	if err != nil {
-		return nil, err
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conns[conn] = addr
-	return conn, nil
+	mu        sync.Mutex
+	kvRejects bool // the key-value store responds 503 to this node
 }
 
-// set cuts a node off from an address, one way: what it opened is lost. Or it joins them
-// again.
-func (l *links) set(addr string, cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cut[addr] = cut
-	for conn, to := range l.conns {
-		if cut && to == addr {
-			_ = conn.Close()
-			delete(l.conns, conn)
-		}
-	}
+// rejectKV makes the key-value store reject a node's requests, or serve them again.
+func (n *clusterNode) rejectKV(rejected bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.kvRejects = rejected
 }
 
-// refuse has the state service refuse a node, or serve it again.
-func (m *member) refuse(refused bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.refused = refused
-}
-
-// stateOf is the state service as a node meets it.
-func (c *cluster) stateOf(m *member) http.Handler {
+// kvHandler is the key-value store as a node meets it.
+func (c *cluster) kvHandler(n *clusterNode) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m.mu.Lock()
-		refused := m.refused
-		m.mu.Unlock()
-		if refused {
+		n.mu.Lock()
+		rejected := n.kvRejects
+		n.mu.Unlock()
+		if rejected {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		c.plan.state.ServeHTTP(w, r)
+		c.options.kv.ServeHTTP(w, r)
 	})
 }
 
-// newCluster makes a cluster and starts its nodes.
-func newCluster(t *testing.T, plan clusterPlan) *cluster {
-	ctx, cancel := context.WithCancel(context.Background())
-	c := &cluster{t: t, ctx: ctx, plan: plan, tries: map[string]int{}}
-	t.Cleanup(func() {
-		cancel()
-		for _, m := range c.members {
-			if m.ended != nil {
-				<-m.ended
+// newDefaultCluster starts three nodes with one team and three small machines.
+func newDefaultCluster(t *testing.T) *cluster {
+	t.Helper()
+	return newCluster(t, clusterOptions{
+		nodes:    3,
+		machines: 3,
+		cpus:     4,
+		runTime:  300 * time.Millisecond,
+		memoryMB: 100,
+		teams:    []config.Team{{Name: "team", CPUs: 8, CPUsMax: 12}},
+		kv:       standin.NewState(),
+	})
+}
+
+// newCluster starts a cluster, which ends with the test.
+func newCluster(t *testing.T, options clusterOptions) *cluster {
+	t.Helper()
+	c := &cluster{t: t, ctx: t.Context(), options: options}
+	t.Cleanup(func() { // ctx has ended
+		for _, n := range c.nodes {
+			if n.stopped != nil {
+				<-n.stopped
 			}
-			m.state.CloseClientConnections()
-			m.state.Close()
+			n.kvServer.CloseClientConnections()
+			n.kvServer.Close()
 		}
+		c.workers.Wait()
 	})
 	c.startCloud()
-	for range plan.nodes {
-		c.members = append(c.members, c.newMember())
+	for range options.nodes {
+		c.nodes = append(c.nodes, c.newNode())
 	}
-	for i, m := range c.members {
-		for k, other := range c.members {
+	for i, n := range c.nodes {
+		for k, other := range c.nodes {
 			if k != i {
-				m.settings.Others = append(m.settings.Others, config.Peer{
+				n.settings.Others = append(n.settings.Others, config.Peer{
 					Node:     other.settings.Node,
 					Zone:     "a",
 					Endpoint: other.settings.MeshListen,
@@ -144,117 +115,93 @@
 			}
 		}
 	}
-	for i := range c.members {
+	for i := range c.nodes {
 		c.start(i)
 	}
 	return c
 }
 
-// startCloud starts the cloud; each rented machine gets a worker.
+// startCloud starts the cloud; each provisioned machine gets a worker.
 func (c *cluster) startCloud() {
-	fleet := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
+	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
-		CPUs:      c.plan.cpus,
+		CPUs:      c.options.cpus,
 		MemoryGB:  64,
 		CacheGB:   10,
 		Price:     1,
 		SpotPrice: 0.5,
 		BootS:     1,
 		Zones:     []string{"a"},
-	}}}, c.plan.machines)
-	fleet.Rented = func(m protocol.ListedMachine) {
+	}}}, c.options.machines)
+	cloud.OnProvision = func(m protocol.ListedMachine) {
 		w := &standin.Worker{
-			Machine: m,
-			Nodes:   c.addresses(),
-			Every:   60 * time.Millisecond,
-			Runs:    c.plan.runs,
-			Started: func(task string, _ uint64) {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				c.tries[task]++
-			},
+			Machine:           m,
+			Controllers:       c.addresses(),
+			HeartbeatInterval: 60 * time.Millisecond,
+			RunTime:           c.options.runTime,
 		}
-		go w.Run(c.ctx)
+		c.workers.Go(func() { w.Run(c.ctx) })
 	}
-	server := httptest.NewServer(fleet)
+	server := httptest.NewServer(cloud)
 	c.t.Cleanup(server.Close)
-	c.cloud = strings.TrimPrefix(server.URL, "http://")
+	c.cloudAddress = strings.TrimPrefix(server.URL, "http://")
 }
 
-// newMember makes the settings of one more node, with ports that are free now.
-func (c *cluster) newMember() *member {
-	m := &member{links: &links{cut: map[string]bool{}, conns: map[net.Conn]string{}}}
-	m.state = httptest.NewServer(c.stateOf(m))
-	m.settings = &config.Settings{
-		Node:         fmt.Sprintf("n-%d", len(c.members)),
+// newNode returns one more node, which does not run yet, with ports that are free now.
+func (c *cluster) newNode() *clusterNode {
+	n := &clusterNode{dialer: newDialer()}
+	n.kvServer = httptest.NewServer(c.kvHandler(n))
+	n.settings = &config.Settings{
+		Node:         fmt.Sprintf("n-%d", len(c.nodes)),
 		Zone:         "a",
 		ClientListen: freeAddress(c.t),
 		MeshListen:   freeAddress(c.t),
 		Services: config.Services{
-			Cloud: c.cloud,
-			State: strings.TrimPrefix(m.state.URL, "http://"),
+			Cloud: c.cloudAddress,
+			State: strings.TrimPrefix(n.kvServer.URL, "http://"),
 		},
 		Fleet: config.Fleet{
 			Zones:     []string{"a"},
-			Teams:     c.plan.teams,
+			Teams:     c.options.teams,
 			Workers:   config.Workers{ReportS: 0.1, LeaseS: 8, CancelS: 10},
 			State:     config.State{RPS: 1000, WriteRPS: 800, ValueKB: 8, TxnOps: 12},
 			Cloud:     config.Cloud{RPS: 50},
-			Resources: config.Resources{CoreShare: 1, RAMMB: c.plan.memoryMB, MaxConnections: 400},
+			Resources: config.Resources{CoreShare: 1, RAMMB: c.options.memoryMB, MaxConnections: 400},
 		},
 	}
-	return m
-}
-
-func freeAddress(t *testing.T) string {
-	l := loopback(t)
-	defer l.Close()
-	return l.Addr().String()
+	return n
 }
 
 // start starts a node, for the first time or again.
 func (c *cluster) start(i int) {
-	m := c.members[i]
+	n := c.nodes[i]
 	ctx, stop := context.WithCancel(c.ctx)
-	done := make(chan struct{})
-	m.stop, m.ended = stop, done
-	var log *slog.Logger
-	if testing.Verbose() {
-		log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", m.settings.Node)
-	}
-	n := New(m.settings, Deps{Dial: transport.DialFunc(m.links.dial), Policy: c.plan.policy, Log: log})
-	go func() {
-		defer close(done)
-		if err := n.Run(ctx); err != nil {
-			c.t.Errorf("%s: %v", m.settings.Node, err)
+	stopped := make(chan struct{})
+	n.stop, n.stopped = stop, stopped
+	daemon := New(n.settings, Deps{
+		Dial:   transport.DialFunc(n.dialer.dial),
+		Policy: c.options.policy,
+		Log:    nodeLog(n.settings.Node),
+	})
+	go func() { // stop and the end of the test wait for it
+		defer close(stopped)
+		if err := daemon.Run(ctx); err != nil {
+			c.t.Errorf("%s: %v", n.settings.Node, err)
 		}
 	}()
 }
 
-// kill ends a node; start starts it again.
-func (c *cluster) kill(i int) {
-	c.members[i].stop()
-	<-c.members[i].ended
+// stop stops a node and waits for its end; start starts it again.
+func (c *cluster) stop(i int) {
+	c.nodes[i].stop()
+	<-c.nodes[i].stopped
 }
 
-// addresses lists where the nodes take users and workers.
+// addresses returns where the nodes serve users and workers.
 func (c *cluster) addresses() []string {
 	var out []string
-	for _, m := range c.members {
-		out = append(out, m.settings.ClientListen)
+	for _, n := range c.nodes {
+		out = append(out, n.settings.ClientListen)
 	}
 	return out
 }
-
-// startCluster is three nodes with one team and three small machines.
-func startCluster(t *testing.T) *cluster {
-	return newCluster(t, clusterPlan{
-		nodes:    3,
-		machines: 3,
-		cpus:     4,
-		runs:     300 * time.Millisecond,
-		memoryMB: 100,
-		teams:    []config.Team{{Name: "team", CPUs: 8, CPUsMax: 12}},
-		state:    standin.NewState(),
-	})
-}
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -11,138 +11,139 @@
 	"dunestand/internal/standin"
 )
 
-// Days of the history test, and jobs on each; half of the days have five controllers.
+// Runs of the history test, and jobs in each; half of the runs have five controllers.
 const (
-	historyDays = 10
+	historyRuns = 10
 	historyJobs = 12
 )
 
-// Users ask all controllers at once, again and again and most densely around the end of
-// a job, repeat its submission and cancel, while answers of the state service and of
-// other controllers are slow or lost, links are cut and leaders end. No answer goes back.
-func TestAnswersNeverGoBack(t *testing.T) {
-	jobs, finals := 0, 0
-	for seed := range uint64(historyDays) {
+// Users poll all controllers concurrently, most densely around the end of a job, repeat its
+// submission and cancel it, while responses of the store and of other controllers are slow
+// or lost, partitions come and go and leaders stop. No response regresses.
+func TestResponsesNeverRegress(t *testing.T) {
+	jobs, terminal := 0, 0
+	for seed := range uint64(historyRuns) {
 		h := standin.NewHistory()
-		play(t, plan{nodes: 3 + 2*int(seed%2), seed: seed}, func(d *day) {
-			d.impatientUsers(h, rand.New(rand.NewPCG(seed, 11)))
+		simulate(t, deploymentOptions{nodes: 3 + 2*int(seed%2), seed: seed}, func(d *deployment) {
+			d.runConcurrentUsers(h, rand.New(rand.NewPCG(seed, 11)))
 		})
-		jobs, finals = jobs+h.Jobs(), finals+h.Finals()
+		jobs, terminal = jobs+h.Jobs(), terminal+h.TerminalJobs()
 		late := 0
 		for _, r := range h.Regressions() {
-			if r.Kind == standin.AnsweredLate {
+			if r.Kind == standin.AfterTimeout {
 				late++
 				continue
 			}
 			t.Errorf("seed %d: %v", seed, r)
 		}
 		if late > 0 {
-			t.Logf("seed %d: %d answers went back after their users had given up", seed, late)
+			t.Logf("seed %d: %d responses regressed after their users had given up", seed, late)
 		}
 	}
-	if want := historyDays * historyJobs; jobs < want || finals < want*9/10 {
-		t.Errorf("%d jobs were asked about and %d of them over, of %d", jobs, finals, want)
+	if want := historyRuns * historyJobs; jobs < want || terminal < want*9/10 {
+		t.Errorf("%d jobs were polled and %d of them over, of %d", jobs, terminal, want)
 	}
 }
 
-// impatientUsers plays a day's users and troubles.
-func (d *day) impatientUsers(h *standin.History, random *rand.Rand) {
-	d.slowAnswers(rand.New(rand.NewPCG(random.Uint64(), 1)))
-	var jobs []*watchedJob
+// runConcurrentUsers simulates the users and faults of one run.
+func (d *deployment) runConcurrentUsers(h *standin.History, random *rand.Rand) {
+	d.delayResponses(rand.New(rand.NewPCG(random.Uint64(), 1)))
+	var jobs []*trackedJob
 	for range historyJobs {
-		j := d.watch(h, 1+random.IntN(3), time.Duration(1500+random.IntN(4000))*time.Millisecond)
-		jobs = append(jobs, j)
+		job := d.newTrackedJob(h, 1+random.IntN(3), time.Duration(1500+random.IntN(4000))*time.Millisecond)
+		jobs = append(jobs, job)
 		users := rand.New(rand.NewPCG(random.Uint64(), 2))
-		j.later(func() { j.live(users) })
-		d.wait(time.Duration(random.IntN(2500)) * time.Millisecond)
-		d.trouble(random)
+		job.pending.Go(func() { job.simulateUsers(users) })
+		d.sleep(time.Duration(random.IntN(2500)) * time.Millisecond)
+		d.injectRandomFault(random)
 	}
-	d.wait(8 * time.Second)
-	d.set(func() { d.answerDelay = nil })
-	d.net.Delay(nil)
-	d.calm()
-	for _, j := range jobs {
-		j.asking.Wait()
+	d.sleep(8 * time.Second)
+	d.update(func() { d.kvResponseDelay = nil })
+	d.network.SetDelay(nil)
+	d.clearFaults()
+	for _, job := range jobs {
+		job.pending.Wait()
 	}
 }
 
-// trouble brings about at most one further trouble.
-func (d *day) trouble(random *rand.Rand) {
+// injectRandomFault injects or ends at most one fault.
+func (d *deployment) injectRandomFault(random *rand.Rand) {
 	node := random.IntN(len(d.nodes))
 	switch random.IntN(6) {
 	case 0:
 		d.restart(node, time.Duration(random.IntN(1500))*time.Millisecond)
 	case 1:
-		d.cutPeers(node, true)
+		d.partitionPeers(node, true)
 	case 2:
-		d.cutPeers(node, false)
+		d.partitionPeers(node, false)
 	case 3:
-		d.refuse(node, true)
-		time.AfterFunc(time.Duration(500+random.IntN(5000))*time.Millisecond, func() { d.refuse(node, false) })
+		d.rejectKV(node, true)
+		time.AfterFunc(time.Duration(500+random.IntN(5000))*time.Millisecond, func() { d.rejectKV(node, false) })
 	}
 }
 
-// slowAnswers holds up a share of the answers of the state service, which have been
-// carried out, and of what controllers answer one another and, for less than
-// the time that is left for the way to users, them.
-func (d *day) slowAnswers(random *rand.Rand) {
-	draw := func(share float64, most time.Duration) <-chan time.Time {
+// delayResponses delays a share of the responses of the store, whose requests have been
+// carried out, of those between controllers and of those to users, the last for less than
+// the time that controllers leave for the way to users.
+func (d *deployment) delayResponses(random *rand.Rand) {
+	draw := func(share float64, longest time.Duration) <-chan time.Time {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if random.Float64() >= share {
-			return closed()
+			return noDelay()
 		}
-		return time.After(time.Duration(random.Int64N(int64(most))))
+		return time.After(time.Duration(random.Int64N(int64(longest))))
 	}
-	d.set(func() {
-		d.answerDelay = func(_ int, r *http.Request, _ []byte) <-chan time.Time {
+	d.update(func() {
+		d.kvResponseDelay = func(_ int, r *http.Request, _ []byte) <-chan time.Time {
 			if r.URL.Path == protocol.PathCommit {
-				return draw(0.25, 2500*time.Millisecond) // also beyond the leader's patience
+				return draw(0.25, 2500*time.Millisecond) // also beyond the leader's timeout
 			}
 			return draw(0.15, 1200*time.Millisecond)
 		}
 	})
-	d.net.Delay(func(from, to string) <-chan time.Time {
+	d.network.SetDelay(func(from, to string) <-chan time.Time {
 		switch {
-		case strings.HasSuffix(to, portMesh):
+		case strings.HasSuffix(to, meshPort):
 			return draw(0.15, 1500*time.Millisecond)
 		case from == "user":
 			return draw(0.2, 350*time.Millisecond)
 		}
-		return closed()
+		return noDelay()
 	})
 }
 
-// live plays a job's users until they know of its end, and a little longer.
-func (j *watchedJob) live(random *rand.Rand) {
+// simulateUsers simulates a job's users until they know of its end, and a little longer.
+func (j *trackedJob) simulateUsers(random *rand.Rand) {
+	d := j.deployment
 	j.submitUntilAccepted()
 	cancelAt := time.Now().Add(time.Duration(random.IntN(12_000)) * time.Millisecond) // often after the end
-	started, askedMore := false, 0
+	started, pollsAfterEnd := false, 0
 	for range 400 {
-		on, some := j.day.rules.On(j.info.ID), random.IntN(len(j.day.nodes))
-		started = started || on > 0
-		near := started && on == 0 // its tasks are over, and its users are about to hear
+		running, node := d.invariants.RunningTasks(j.info.ID), random.IntN(len(d.nodes))
+		started = started || running > 0
+		nearEnd := started && running == 0 // its users are about to be told of the end
 		switch {
 		case time.Now().After(cancelAt):
 			cancelAt = cancelAt.Add(time.Minute)
-			j.later(func() { j.cancel(some) })
-			near = true
-		case near && random.IntN(4) == 0:
-			j.later(func() { j.submit(some) })
+			j.pending.Go(func() { j.cancel(node) })
+			nearEnd = true
+		case nearEnd && random.IntN(4) == 0:
+			j.pending.Go(func() { j.submit(node) })
 		}
-		for node := range j.day.nodes {
-			j.later(func() { j.poll(node) })
+		for each := range d.nodes {
+			j.pending.Go(func() { j.poll(each) })
 		}
-		if j.day.rules.Told(j.info.ID).IsTerminal() {
-			if askedMore++; askedMore > 12 {
+		if d.invariants.LastStage(j.info.ID).IsTerminal() {
+			if pollsAfterEnd++; pollsAfterEnd > 12 {
 				return
 			}
-			near = true
+			nearEnd = true
 		}
 		pause := 300 * time.Millisecond
-		if near {
+		if nearEnd {
 			pause = 60 * time.Millisecond
 		}
-		j.day.wait(pause)
+		d.sleep(pause)
 	}
 }
