--- a/internal/controller/cycleloop.go
+++ b/internal/controller/cycleloop.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
+	"time"
+
 	"dunestand/internal/loop"
 	"dunestand/internal/scheduler"
 	"dunestand/internal/units"
-	"time"
 )
 
 const (
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
+	"time"
+
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
-	"time"
 )
 
 const (
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -220,3 +220,10 @@
 	wg.Wait()
 	l.Log.Info("term ends")
 }
+
+// Ready tells whether the records are restored.
+func (l *Leader) Ready() bool {
+	l.state.Lock()
+	defer l.state.Unlock()
+	return l.state.Restored
+}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -1,9 +1,10 @@
 package controller
 
 import (
-	"dunestand/internal/protocol"
 	"fmt"
 	"io"
+
+	"dunestand/internal/protocol"
 )
 
 // WriteMetrics writes the metrics that only a leader has: what waits and runs, and the usage
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"dunestand/internal/answer"
-	_ "dunestand/internal/standin/fixedseed"
 	"fmt"
 	"maps"
 	"slices"
@@ -10,10 +8,12 @@
 
 	"pgregory.net/rapid"
 
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
+	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"dunestand/internal/standin"
-	_ "dunestand/internal/standin/fixedseed"
 	"fmt"
 	"slices"
 	"testing"
@@ -11,6 +9,8 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
 
--- a/internal/controller/runtimelog.go
+++ b/internal/controller/runtimelog.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"dunestand/internal/loop"
 	"dunestand/internal/runtimestats"
 	"dunestand/internal/units"
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -1,11 +1,12 @@
 package controller
 
 import (
-	"dunestand/internal/sorted"
 	"fmt"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"dunestand/internal/sorted"
 )
 
 // While machines are unconfirmed, a leader's regular look at the fleet costs no
