--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -24,7 +24,7 @@
 	"dunestand/internal/units"
 )
 
-// Deps is what a leader works with.
+// Deps is what a Leader works with. It outlives each Leader.
 type Deps struct {
 	Settings *config.Settings
 	Policy   *config.Policy
@@ -36,22 +36,23 @@
 	Metrics  *telemetry.Metrics
 	Format   recordformat.Source
 	Admitter *admissioncontrol.Admitter // nil: all jobs are admitted
-	// UnreachablePeers counts the other controllers that cannot be reached.
+	// UnreachablePeers returns the number of other controllers that cannot be reached.
 	UnreachablePeers func() int
 	// PeerReachable reports whether any other controller answers.
 	PeerReachable func() bool
 }
 
 // Leader is one controller's time as leader, from an election to the loss of the lease. It
-// composes the components that do the work; what they know is gone with it.
+// composes the components that do the work; their state is gone with it.
 //
-// The lock of state guards all that the components decide on. Methods that end in "locked"
-// comments and all methods of the components that take a time need it held.
+// The lock of state guards everything that the components decide on. It must be held for the
+// methods that say so, and for all methods of the components that take a time. Exported
+// methods of Leader take it themselves and may be called concurrently.
 type Leader struct {
 	Deps
 	leadership election.Leadership
-	token      uint64
-	electedAt  units.Micros
+	token      uint64       // fencing token
+	electedAt  units.Micros // steady time
 
 	state       *cluster.State
 	scheduler   *scheduler.Scheduler
@@ -65,15 +66,15 @@
 	terminals   *persister.TerminalJobs
 	admission   *admissioncontrol.LeaderAdmission
 
-	lastSummary      units.Micros // guarded by the lock of state
+	lastSummary      units.Micros // steady time; guarded by the lock of state
 	lastTimeoutCheck units.Micros // likewise
 
-	writeSignal loop.Signal
-	cycleSignal loop.Signal
+	writeSignal loop.Signal // raised when something waits to be written
+	cycleSignal loop.Signal // raised when a scheduling cycle is due
 }
 
-// NewLeader returns the leader of an election that was just won. Everything waits for Run to
-// restore the records.
+// NewLeader returns the leader of an election that was just won. It answers nobody until Run
+// has restored the records.
 func NewLeader(leadership election.Leadership, deps Deps) *Leader {
 	deps.Log = deps.Log.With("term", leadership.Token())
 	l := &Leader{
@@ -86,114 +87,17 @@
 		cycleSignal: loop.NewSignal(),
 	}
 	tracer := cluster.NewAttemptTracer(deps.Log)
+	// In this order: each component is given those that were made before it.
 	l.terminals = persister.NewTerminalJobs(l.state, deps.KV)
-	l.detector = failuredetector.New(failuredetector.Deps{
-		State:            l.state,
-		Leadership:       l.leadership,
-		Settings:         l.Settings,
-		Clock:            l.Clock,
-		Log:              l.Log,
-		ElectedAt:        l.electedAt,
-		UnreachablePeers: l.UnreachablePeers,
-		PeerReachable:    l.PeerReachable,
-		WriteSignal:      l.writeSignal,
-	})
-	l.pusher = push.NewCommandPusher(push.CommandPusherDeps{
-		State:      l.state,
-		Leadership: l.leadership,
-		Settings:   l.Settings,
-		Log:        l.Log,
-		Dial:       l.Dial,
-		Token:      l.token,
-	})
-	l.scheduler = scheduler.New(scheduler.Deps{
-		State:       l.state,
-		Detector:    l.detector,
-		Pusher:      l.pusher,
-		Settings:    l.Settings,
-		Policy:      l.Policy,
-		Clock:       l.Clock,
-		Log:         l.Log,
-		Metrics:     l.Metrics,
-		Tracer:      tracer,
-		Token:       l.token,
-		WriteSignal: l.writeSignal,
-	})
-	l.reconciler = reconciler.New(reconciler.Deps{
-		State:       l.state,
-		Detector:    l.detector,
-		Log:         l.Log,
-		Tracer:      tracer,
-		Token:       l.token,
-		WriteSignal: l.writeSignal,
-		CycleSignal: l.cycleSignal,
-	})
-	l.broadcaster = push.NewTokenBroadcaster(push.TokenBroadcasterDeps{
-		State:      l.state,
-		Leadership: l.leadership,
-		Reconciler: l.reconciler,
-		Settings:   l.Settings,
-		Clock:      l.Clock,
-		Log:        l.Log,
-		Dial:       l.Dial,
-		Token:      l.token,
-	})
-	l.autoscaler = autoscaler.New(autoscaler.Deps{
-		State:       l.state,
-		Leadership:  l.leadership,
-		Detector:    l.detector,
-		Scheduler:   l.scheduler,
-		Settings:    l.Settings,
-		Policy:      l.Policy,
-		Cloud:       l.Cloud,
-		KV:          l.KV,
-		Format:      l.Format,
-		Clock:       l.Clock,
-		Log:         l.Log,
-		Token:       l.token,
-		ElectedAt:   l.electedAt,
-		CycleSignal: l.cycleSignal,
-	})
-	l.ingester = persister.NewIngester(persister.IngesterDeps{
-		State:       l.state,
-		Leadership:  l.leadership,
-		Terminals:   l.terminals,
-		Settings:    l.Settings,
-		KV:          l.KV,
-		Clock:       l.Clock,
-		Log:         l.Log,
-		WriteSignal: l.writeSignal,
-	})
-	l.persister = persister.New(persister.Deps{
-		State:       l.state,
-		Leadership:  l.leadership,
-		OnCatalog:   l.autoscaler.CatalogRestored,
-		Ingester:    l.ingester,
-		Terminals:   l.terminals,
-		Settings:    l.Settings,
-		KV:          l.KV,
-		Format:      l.Format,
-		Clock:       l.Clock,
-		Log:         l.Log,
-		Tracer:      tracer,
-		Token:       l.token,
-		ElectedAt:   l.electedAt,
-		WriteSignal: l.writeSignal,
-		CycleSignal: l.cycleSignal,
-	})
-	l.admission = admissioncontrol.NewLeaderAdmission(admissioncontrol.LeaderAdmissionDeps{
-		State:       l.state,
-		Admitter:    l.Admitter,
-		Leadership:  l.leadership,
-		Persister:   l.persister,
-		Ingester:    l.ingester,
-		Settings:    l.Settings,
-		KV:          l.KV,
-		Clock:       l.Clock,
-		Log:         l.Log,
-		Metrics:     l.Metrics,
-		WriteSignal: l.writeSignal,
-	})
+	l.detector = newDetector(l)
+	l.pusher = newPusher(l)
+	l.scheduler = newScheduler(l, tracer)
+	l.reconciler = newReconciler(l, tracer)
+	l.broadcaster = newBroadcaster(l)
+	l.autoscaler = newAutoscaler(l)
+	l.ingester = newIngester(l)
+	l.persister = newPersister(l, tracer)
+	l.admission = newAdmission(l)
 	l.persister.Admission = l.admission
 	if deps.Admitter != nil {
 		l.state.OnRunObserved = l.admission.ObserveRun
@@ -201,27 +105,33 @@
 	return l
 }
 
-// Run restores the records and then leads until ctx ends.
+// Run restores the records and then leads until ctx ends. It returns once all of the leader's
+// goroutines have returned.
 func (l *Leader) Run(ctx context.Context) {
-	l.Log.Info("term begins")
+	l.Log.Info("leadership begins")
 	for !l.persister.Restore(ctx) {
 		if !loop.Sleep(ctx, persister.ReadRetryDelay) {
 			return
 		}
 	}
 	var wg sync.WaitGroup
-	for _, run := range []func(context.Context){l.persister.Run, l.cycleLoop, l.autoscaler.Run, l.detector.MonitorDelay, l.broadcaster.Run, l.ingester.Run, l.pusher.Run, l.admission.Run} {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			run(ctx)
-		}()
+	for _, run := range []func(context.Context){
+		l.persister.Run,
+		l.cycleLoop,
+		l.autoscaler.Run,
+		l.detector.MonitorDelay,
+		l.broadcaster.Run,
+		l.ingester.Run,
+		l.pusher.Run,
+		l.admission.Run,
+	} {
+		wg.Go(func() { run(ctx) })
 	}
 	wg.Wait()
-	l.Log.Info("term ends")
+	l.Log.Info("leadership ends")
 }
 
-// Ready tells whether the records are restored.
+// Ready reports whether the records are restored.
 func (l *Leader) Ready() bool {
 	l.state.Lock()
 	defer l.state.Unlock()
