--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -10,7 +10,7 @@
 // Cancel cancels a job, durably, before it answers.
 func (l *Leader) Cancel(ctx context.Context, id string) answer.Answer {
 	l.state.Lock()
-	if !l.mayAnswer() {
+	if !l.canAnswer() {
 		l.state.Unlock()
 		return answer.Unavailable("no leader")
 	}
@@ -34,7 +34,7 @@
 	l.cancelJob(j)
 	saved := j.Durable()
 	l.state.Unlock()
-	if !waitFor(ctx, saved) {
+	if !awaitDurable(ctx, saved) {
 		return answer.Unavailable("state service is slow")
 	}
 	l.state.Lock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller is one controller node: it serves users, workers and the other
-// controllers, passes requests on to the leader, and composes the leader's components while
-// it leads itself.
+// Package controller runs one controller node of the fleet. A node serves users, workers and
+// the other controllers. While it holds the leader lease it composes the components of the
+// leader; at other times it forwards users' requests to the leader.
 package controller
 
 import (
@@ -9,6 +9,7 @@
 	"sync"
 	"sync/atomic"
 
+	"dunestand/internal/answer"
 	"dunestand/internal/election"
 	"dunestand/internal/peers"
 	"dunestand/internal/protocol"
@@ -18,46 +19,45 @@
 )
 
 // Controller is one controller node: it serves users, workers and the other
-// controllers, and leads while it holds the fleet lease.
+// controllers, and leads while it holds the leader lease. Use [NewController] to make
+// one. Run must be called once; the handlers that it serves run concurrently.
 type Controller struct {
 	deps             Deps
 	elector          *election.Elector
 	format           *recordformat.Negotiator
 	peers            *peers.Peers
 	server           *transport.Server
-	leader           atomic.Pointer[Leader]
-	lastHeartbeat    atomic.Int64 // steady time of the last worker's report
-	lastUseful       atomic.Int64 // steady time when it last led or reached the leader
-	leaderless       leaderlessAdmission
+	leader           atomic.Pointer[Leader] // nil while this node does not lead
+	lastHeartbeatAt  atomic.Int64           // steady time of the last worker's heartbeat
+	leaderReachedAt  atomic.Int64           // steady time when this node last led or reached the leader
+	leaderlessJobs   leaderlessJobs
 	heartbeatReader  *protocol.HeartbeatReader
 	heartbeatLimiter *heartbeatLimiter
-	bypassedSince    atomic.Int64 // steady time since when another node leads that refuses this one's links; 0: none does
+	refusedSince     atomic.Int64 // steady time since which the leader has refused this node's links; 0: it does not
 }
 
-// userPollGap is longer than users wait between two questions, and workers
-// report more often than that: a connection that is in use is not closed.
-const userPollGap = 10 * units.Second
+// maxUserPollInterval is longer than users wait between two polls. Workers send
+// heartbeats more often than that, so a connection that is in use is not closed.
+const maxUserPollInterval = 10 * units.Second
 
-// Run serves on the two listeners until ctx ends.
+// Run serves users and workers on clients, and the other controllers on mesh, until ctx ends
+// or a listener fails. It returns the error of the listener that ended first, once all of
+// the node's goroutines have returned.
 func (c *Controller) Run(ctx context.Context, clients, mesh net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
 	errs := make(chan error, 2)
-	for _, part := range []func(){
+	for _, run := range []func(){
 		func() { errs <- c.server.Serve(ctx, clients) },
-		func() { errs <- transport.ServeMesh(ctx, mesh, c.deps.Log, c.answerPeer) },
+		func() { errs <- transport.ServeMesh(ctx, mesh, c.deps.Log, c.servePeer) },
 		func() { c.peers.Run(ctx) },
 		func() { c.logRuntime(ctx) },
 		func() { c.format.Run(ctx, func() bool { return c.activeLeader() != nil }) },
 		func() { c.elector.Run(ctx, c.runLeader) },
 		func() { c.deps.Admitter.Follow(ctx) },
 	} {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			part()
-		}()
+		wg.Go(run)
 	}
 	err := <-errs // a listener that fails ends the node
 	cancel()
@@ -75,12 +75,12 @@
 	c.leader.CompareAndSwap(leader, nil)
 }
 
-// leaseRecordTTL is for how long the fleet record, once read, tells who leads.
+// leaseRecordTTL is for how long a lease record that was read counts as naming the leader.
 const leaseRecordTTL = 2 * units.Second
 
-// leaderName names the node that leads as far as this one knows: the one that the
-// record names, or, when this node has lost the state service and would not
-// learn of a change from there, the one that says so itself.
+// leaderName returns the name of the leader as far as this node knows, "" if it knows none.
+// It is the holder that the lease record names. A node that has lost the key-value store
+// would not learn of a failover from there, and goes by the peer that says that it leads.
 func (c *Controller) leaderName() string {
 	if c.elector.UnansweredFor() > leaseRecordTTL {
 		if node := c.peers.Leader(); node != "" {
@@ -90,10 +90,15 @@
 	return c.elector.Leader()
 }
 
-// activeLeader gives the term if this node leads it now.
+// activeLeader returns the leader that this node is now, nil if it does not lead.
 func (c *Controller) activeLeader() *Leader {
-	if t := c.leader.Load(); t != nil && t.leadership.Valid() {
-		return t
+	if leader := c.leader.Load(); leader != nil && leader.leadership.Valid() {
+		return leader
 	}
 	return nil
 }
+
+// gate returns the monotonic-read gate that every answer about a job passes on its way out.
+func (c *Controller) gate() answer.Gate {
+	return answer.Gate{Clock: c.deps.Clock, Revisions: c.deps.KV.Revisions}
+}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -63,7 +63,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.lastUseful.Store(int64(clock.Now))
+	c.leaderReachedAt.Store(int64(clock.Now))
 	return c, clock
 }
 
--- a/internal/controller/cycleloop.go
+++ b/internal/controller/cycleloop.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	summaryInterval = 10 * units.Second
-	cycleInterval   = 250 * units.Millisecond // the most time between looks at what is due
+	summaryInterval = 10 * units.Second       // between log lines with the fleet's summary
+	checkInterval   = 250 * units.Millisecond // the longest time between two checks of timeouts
 )
 
-// cycleLoop makes rounds of decisions when something has changed.
+// cycleLoop runs scheduling cycles when something has changed, and checks timeouts at least
+// every checkInterval, until ctx ends.
 func (l *Leader) cycleLoop(ctx context.Context) {
 	for loop.Sleep(ctx, scheduler.MinCycleInterval) {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.cycleSignal:
-		case <-time.After(cycleInterval.Duration()):
+		case <-time.After(checkInterval.Duration()):
 		}
 		l.state.Lock()
 		if now := l.Clock.Steady(); l.leadership.Valid() {
@@ -36,11 +37,11 @@
 	}
 }
 
-// checkTimeouts looks for what has passed its time, and logs the summary. Rounds may
-// come forty times a second; all these times are seconds long, and each look goes over
-// the whole fleet.
+// checkTimeouts handles what has timed out, and logs the summary. Cycles may run forty times
+// a second; all these timeouts are seconds long, and each check goes over the whole fleet.
+// It needs the lock of state held.
 func (l *Leader) checkTimeouts(now units.Micros) {
-	if now-l.lastTimeoutCheck < cycleInterval {
+	if now-l.lastTimeoutCheck < checkInterval {
 		return
 	}
 	l.lastTimeoutCheck = now
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -92,7 +92,7 @@
 		t.Errorf("%d machines take %d turns, %d take %d", before, small, largestFleet, large)
 	}
 	for _, sockets := range []int{100, 1200, 2 * largestFleet, 100_000} {
-		if left := sockets - userSockets(sockets); sockets >= 400 && left < push.ReservedSockets(sockets) || userSockets(sockets) < sockets/2 {
+		if left := sockets - clientConnectionLimit(sockets); sockets >= 400 && left < push.ReservedSockets(sockets) || clientConnectionLimit(sockets) < sockets/2 {
 			t.Errorf("of %d sockets %d are left beside users and workers", sockets, left)
 		}
 	}
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -9,45 +9,48 @@
 	"dunestand/internal/transport"
 )
 
-// forward passes a request on to the leader, once: a request that came from
-// another controller is not passed on again. A leader that has not answered for
+// forward sends a request on to the leader, once: a request that came from another
+// controller (allowed is false) is not forwarded again. A leader that has not answered for
 // a while is not waited for.
 func (c *Controller) forward(ctx context.Context, allowed bool, kind protocol.FrameKind, id string, body []byte) answer.Answer {
-	if leader := c.leaderName(); allowed && leader != c.deps.Settings.Node && c.peers.Reachable(leader) {
-		sent := c.deps.Clock.Steady()
-		r, err := c.peers.Forward(ctx, leader, kind, id, body)
-		if err == nil {
-			c.deps.Log.Debug("request passed on", "leader", leader, "kind", kind.String(), "status", r.Status,
-				"took_us", int64(c.deps.Clock.Steady()-sent))
-			return answer.Relayed(r, sent)
-		}
-		c.deps.Log.Debug("request not passed on", "leader", leader, "job", id, "error", err)
+	leader := c.leaderName()
+	if !allowed || leader == c.deps.Settings.Node || !c.peers.Reachable(leader) {
+		return answer.Unavailable("no leader in reach")
+	}
+	sentAt := c.deps.Clock.Steady()
+	response, err := c.peers.Forward(ctx, leader, kind, id, body)
+	if err != nil {
+		c.deps.Log.Debug("request not forwarded", "leader", leader, "job", id, "error", err)
+		return answer.Unavailable("no leader in reach")
 	}
-	return answer.Unavailable("no leader in reach")
+	c.deps.Log.Debug("request forwarded", "leader", leader, "kind", kind.String(), "status", response.Status,
+		"took_us", int64(c.deps.Clock.Steady()-sentAt))
+	return answer.Relayed(response, sentAt)
 }
 
-func (c *Controller) answerPeer(ctx context.Context, data []byte) ([]byte, error) {
+// servePeer answers a frame of another controller: a ping, or a request that it forwarded.
+func (c *Controller) servePeer(ctx context.Context, data []byte) ([]byte, error) {
 	leading := ""
 	if c.activeLeader() != nil {
 		leading = c.deps.Settings.Node
 	}
-	return peers.AnswerFrame(ctx, data, leading, func(ctx context.Context, f protocol.Frame) transport.Response {
+	return peers.AnswerFrame(ctx, data, leading, func(ctx context.Context, frame protocol.Frame) transport.Response {
 		var a answer.Answer
-		switch f.Kind {
+		switch frame.Kind {
 		case protocol.FrameSubmit:
-			a = c.submit(ctx, f.Body, false)
+			a = c.submit(ctx, frame.Body, false)
 		case protocol.FramePoll:
-			a = c.poll(ctx, f.Job, false)
+			a = c.poll(ctx, frame.Job, false)
 		default:
-			a = c.cancel(ctx, f.Job, false)
+			a = c.cancel(ctx, frame.Job, false)
 		}
 		return c.gate().Check(a)
 	})
 }
 
-// redirectTarget names the node that workers should report to, "" if it is not
-// known. A leader that refuses this node's links may serve workers all the
-// same; the record tells while it is renewed.
+// redirectTarget returns the node that workers should send their heartbeats to, "" if it is
+// not known. A leader that refuses this node's links may serve workers all the same: it
+// counts while its lease record is seen to be renewed.
 func (c *Controller) redirectTarget() string {
 	leader := c.leaderName()
 	if leader == c.deps.Settings.Node || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.elector.SeesRenewals()) {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -8,31 +8,33 @@
 	"dunestand/internal/units"
 )
 
+// Bounds of startDurableWait. A worker gives up on an answer after 4 s.
 const (
 	minStartDurableWait = 150 * units.Millisecond
 	maxStartDurableWait = 500 * units.Millisecond
 )
 
-// durableWait is how long an answer to a report waits for the save that must
-// come before the starts it is to carry: else they go with the next report, so
-// where reports come seldom it waits longer.
-func (l *Leader) durableWait() units.Micros {
+// startDurableWait is how long the answer to a heartbeat waits for the write batch that must
+// be durable before the starts that it is to carry. Starts that miss it go with the
+// next heartbeat, so the wait is longer where heartbeats are seldom.
+func (l *Leader) startDurableWait() units.Micros {
 	return min(max(l.Settings.Fleet.Workers.Report()/10, minStartDurableWait), maxStartDurableWait)
 }
 
-// restoreWait is how long a report waits for the restore of the records: mostly
+// restoreTimeout is how long a heartbeat waits for the restore of the records: mostly
 // it is done sooner, and the worker would only come back to this node.
-const restoreWait = 2 * units.Second
+const restoreTimeout = 2 * units.Second
 
-// waitRestored waits until the records are restored, and tells whether they are.
-func (l *Leader) waitRestored(ctx context.Context, slot *heartbeatSlot) bool {
+// awaitRestore waits until the records are restored, and reports whether they are. It releases
+// the slot before it waits.
+func (l *Leader) awaitRestore(ctx context.Context, slot *heartbeatSlot) bool {
 	select {
 	case <-l.persister.Restored():
 		return true
 	default:
 	}
 	slot.release()
-	timer := time.NewTimer(restoreWait.Duration())
+	timer := time.NewTimer(restoreTimeout.Duration())
 	defer timer.Stop()
 	select {
 	case <-l.persister.Restored():
@@ -43,47 +45,47 @@
 	return false
 }
 
-// Heartbeat takes in a worker's report and gives the commands for it. It is not
-// accepted (false) when this node may not command, or the report is an old
-// one. It releases the slot before it waits for anything.
+// Heartbeat reconciles the state with a worker's heartbeat and returns the commands for that
+// worker. It returns false if this node may not command, or if the heartbeat is older than
+// one that was handled before. It releases the slot before it waits for anything.
 //
-// An answer prolongs the worker's lease, and with it whatever runs there. So none
+// An answer renews the worker's lease, and with it whatever runs there. So none
 // is given before the records are restored: this node might not know yet of a
-// cancellation that a former leader's user was told of.
-func (l *Leader) Heartbeat(ctx context.Context, r *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, bool) {
-	answer := protocol.HeartbeatResponse{FencingToken: l.token, Commands: []protocol.Command{}}
-	if !l.waitRestored(ctx, slot) {
-		return answer, false
+// cancellation that a former leader has confirmed to its user.
+func (l *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, bool) {
+	response := protocol.HeartbeatResponse{FencingToken: l.token, Commands: []protocol.Command{}}
+	if !l.awaitRestore(ctx, slot) {
+		return response, false
 	}
 	l.state.Lock()
 	defer l.state.Unlock()
 	now := l.Clock.Steady()
-	if !l.leadership.Valid() || r.FencingToken > l.token {
-		return answer, false
+	if !l.leadership.Valid() || heartbeat.FencingToken > l.token {
+		return response, false
 	}
-	m := l.reconciler.Reconcile(r, now)
-	if m == nil {
-		return answer, false
+	machine := l.reconciler.Reconcile(heartbeat, now)
+	if machine == nil {
+		return response, false
 	}
 	if l.scheduler.CycleDue(now) {
-		l.scheduler.RunCycle(now, m)
+		l.scheduler.RunCycle(now, machine)
 	} else {
-		l.scheduler.PlaceOnMachine(m, now)
+		l.scheduler.PlaceOnMachine(machine, now)
 	}
-	if wait := l.reconciler.UnwrittenStart(m); wait != nil {
+	if durable := l.reconciler.UnwrittenStart(machine); durable != nil {
 		l.writeSignal.Raise()
 		l.state.Unlock()
 		slot.release()
 		select {
-		case <-wait:
+		case <-durable:
 		case <-ctx.Done():
-		case <-time.After(l.durableWait().Duration()):
+		case <-time.After(l.startDurableWait().Duration()):
 		}
 		l.state.Lock()
-		if m.Incarnation != r.Incarnation || m.Sequence != r.Sequence || !l.leadership.Valid() {
-			return answer, false
+		if machine.Incarnation != heartbeat.Incarnation || machine.Sequence != heartbeat.Sequence || !l.leadership.Valid() {
+			return response, false
 		}
 	}
-	answer.Commands = l.reconciler.Commands(m, r, now)
-	return answer, true
+	response.Commands = l.reconciler.Commands(machine, heartbeat, now)
+	return response, true
 }
--- a/internal/controller/heartbeatlimiter.go
+++ b/internal/controller/heartbeatlimiter.go
@@ -5,17 +5,18 @@
 	"runtime"
 )
 
-// heartbeatLimiter lets workers' reports through one at a time.
+// heartbeatLimiter lets workers' heartbeats through one at a time. It may be used
+// concurrently.
 //
-// HalfSecondsToHeartbeat make up nearly all of a leader's load. A user's request, a save or the
+// Heartbeats make up nearly all of a leader's load. A user's request, a write batch or the
 // renewal of the lease takes several steps, and each step waits behind every goroutine
 // that can run already. Without a bound, a processor that has fallen behind has tens
-// of reports to run between any two of these steps; with it there is one.
+// of heartbeats to run between any two of these steps; with it there is one.
 type heartbeatLimiter struct{ slot chan struct{} }
 
 func newHeartbeatLimiter() *heartbeatLimiter { return &heartbeatLimiter{slot: make(chan struct{}, 1)} }
 
-// acquire waits until the caller may work on its report. It gives nil if ctx ends first.
+// acquire waits until the caller may handle its heartbeat. It returns nil if ctx ends first.
 func (l *heartbeatLimiter) acquire(ctx context.Context) *heartbeatSlot {
 	select {
 	case l.slot <- struct{}{}:
@@ -25,14 +26,14 @@
 	}
 }
 
-// heartbeatSlot is the right to work on a report. A nil one is for callers that are not
-// bounded: releasing it does nothing.
+// heartbeatSlot is the right to handle a heartbeat. A nil slot is for callers that are not
+// limited: releasing it does nothing. It must not be used concurrently.
 type heartbeatSlot struct {
 	limiter  *heartbeatLimiter
 	released bool
 }
 
-// release lets the next report through, and everything else that can run before it.
+// release lets the next heartbeat through, and everything else that can run before it.
 // Whoever is about to wait for something releases first. A second call does nothing.
 func (s *heartbeatSlot) release() {
 	if s == nil || s.released {
@@ -40,6 +41,6 @@
 	}
 	s.released = true
 	<-s.limiter.slot
-	// The scheduler would run the next report at once, ahead of all that waits.
+	// The Go scheduler would run the next heartbeat at once, ahead of all that waits.
 	runtime.Gosched()
 }
--- a/internal/controller/heartbeatlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -61,7 +61,7 @@
 			FencingToken: 1,
 		}, nil)
 		go func() {
-			status <- controller.heartbeat(t.Context(), transport.Request{Body: body}).Status
+			status <- controller.handleHeartbeat(t.Context(), transport.Request{Body: body}).Status
 		}()
 		return status
 	}
--- a/internal/controller/jobhandlers.go
+++ b/internal/controller/jobhandlers.go
@@ -6,62 +6,82 @@
 
 	"dunestand/internal/answer"
 	"dunestand/internal/protocol"
+	"dunestand/internal/transport"
 )
 
+// noSuchJob returns the response to a request for a job that does not exist.
+func noSuchJob() transport.Response {
+	return answer.ErrorResponse(http.StatusNotFound, "no such job")
+}
+
+// submit answers a user's submission. A node that does not lead forwards it if forward is
+// set, and may accept the job by itself if no leader is in reach.
 func (c *Controller) submit(ctx context.Context, body []byte, forward bool) answer.Answer {
 	spec, err := protocol.ParseSubmission(body)
 	if err != nil {
-		// A job that is known stays known, whatever else a repeat says.
-		if id, ok := protocol.SubmissionID(body); ok {
-			known := c.poll(ctx, id, forward)
-			if known.Status != http.StatusNotFound {
-				return known
-			}
-			return answer.Answer{Response: answer.ErrorResponse(http.StatusBadRequest, err.Error()), Evidence: known.Evidence}
-		}
-		return answer.Plain(answer.ErrorResponse(http.StatusBadRequest, err.Error()))
+		return c.rejectMalformed(ctx, body, err, forward)
+	}
+	var a answer.Answer
+	if leader := c.activeLeader(); leader == nil {
+		a = c.forward(ctx, forward, protocol.FrameSubmit, "", body)
+	} else if a = leader.Submit(ctx, spec); leader.Ready() {
+		return a
 	}
-	var r answer.Answer
-	if t := c.activeLeader(); t == nil {
-		r = c.forward(ctx, forward, protocol.FrameSubmit, "", body)
-	} else if r = t.Submit(ctx, spec); t.Ready() {
-		return r
+	if forward && a.Status == http.StatusServiceUnavailable {
+		return c.acceptWithoutLeader(ctx, spec, a)
+	}
+	c.leaderlessJobs.acceptedBytes.Store(0)
+	return a
+}
+
+// rejectMalformed answers a submission that cannot be parsed, unless its job is known: a job
+// that is known stays known, whatever else a duplicate says.
+func (c *Controller) rejectMalformed(ctx context.Context, body []byte, err error, forward bool) answer.Answer {
+	rejection := answer.ErrorResponse(http.StatusBadRequest, err.Error())
+	id, ok := protocol.SubmissionID(body)
+	if !ok {
+		return answer.Plain(rejection)
 	}
-	if forward && r.Status == http.StatusServiceUnavailable {
-		return c.acceptWithoutLeader(ctx, spec, r)
+	known := c.poll(ctx, id, forward)
+	if known.Status != http.StatusNotFound {
+		return known
 	}
-	c.leaderless.acceptedBytes.Store(0)
-	return r
+	return answer.Answer{Response: rejection, Evidence: known.Evidence}
 }
 
+// poll answers a user who asks for a job's state. A node that reaches no leader, but has
+// lately reached the key-value store, answers from the records.
 func (c *Controller) poll(ctx context.Context, id string, forward bool) answer.Answer {
 	if !protocol.ValidJobID(id) {
-		return answer.Plain(answer.ErrorResponse(http.StatusNotFound, "no such job"))
+		return answer.Plain(noSuchJob())
 	}
-	if t := c.activeLeader(); t != nil {
-		return t.Poll(ctx, id)
+	if leader := c.activeLeader(); leader != nil {
+		return leader.Poll(ctx, id)
 	}
-	r := c.forward(ctx, forward, protocol.FramePoll, id, nil)
-	if forward && r.Status == http.StatusServiceUnavailable && !c.peers.Reachable(c.leaderName()) &&
+	a := c.forward(ctx, forward, protocol.FramePoll, id, nil)
+	if forward && a.Status == http.StatusServiceUnavailable && !c.peers.Reachable(c.leaderName()) &&
 		c.elector.UnansweredFor() < c.elector.LeaseDuration() {
 		return c.records().poll(ctx, id)
 	}
-	return r
+	return a
 }
 
+// cancel answers a user who cancels a job. The leader waits, within the bound of the write,
+// until the answer is stable enough to pass the gate.
 func (c *Controller) cancel(ctx context.Context, id string, forward bool) answer.Answer {
 	if !protocol.ValidJobID(id) {
-		return answer.Plain(answer.ErrorResponse(http.StatusNotFound, "no such job"))
+		return answer.Plain(noSuchJob())
 	}
-	if t := c.activeLeader(); t != nil {
-		until := c.deps.Clock.Steady() + writeWaitTimeout
-		a := t.Cancel(ctx, id)
+	if leader := c.activeLeader(); leader != nil {
+		until := c.deps.Clock.Steady() + writeTimeout
+		a := leader.Cancel(ctx, id)
 		c.gate().Await(ctx, a, until)
 		return a
 	}
 	return c.forward(ctx, forward, protocol.FrameCancel, id, nil)
 }
 
+// records returns a reader that answers polls from the records alone.
 func (c *Controller) records() recordReader {
 	return recordReader{store: c.deps.KV, clock: c.deps.Clock, workers: c.deps.Settings.Fleet.Workers}
 }
--- a/internal/controller/leaderless.go
+++ b/internal/controller/leaderless.go
@@ -28,16 +28,16 @@
 )
 
 // arrivals is what a node needs to accept jobs without a leader.
-type leaderlessAdmission struct {
+type leaderlessJobs struct {
 	acceptedBytes   atomic.Int64 // memory of the jobs accepted so since it last reached a leader
 	mu              sync.Mutex
 	instanceTypes   map[string]protocol.InstanceType
 	typesValidUntil units.Micros
 }
 
-// machineTypes gives the types that the last leader stored.
-func (c *Controller) machineTypes(ctx context.Context) map[string]protocol.InstanceType {
-	a := &c.leaderless
+// instanceTypes gives the types that the last leader stored.
+func (c *Controller) instanceTypes(ctx context.Context) map[string]protocol.InstanceType {
+	a := &c.leaderlessJobs
 	now := c.deps.Clock.Steady()
 	a.mu.Lock()
 	types := a.instanceTypes
@@ -73,7 +73,7 @@
 	if lease.UnansweredFor() >= lease.LeaseDuration() || !store.HasRequestBudget() || !store.HasWriteBudget() {
 		return refused
 	}
-	if status, _ := checkFeasible(spec, c.deps.Settings, c.machineTypes(ctx), c.deps.Format.Current()); status != 0 {
+	if status, _ := checkFeasible(spec, c.deps.Settings, c.instanceTypes(ctx), c.deps.Format.Current()); status != 0 {
 		return refused
 	}
 	arrival := cluster.PendingSubmissionTxn(cluster.PendingSubmission{
@@ -83,12 +83,12 @@
 	if a := c.deps.Admitter; a != nil {
 		d, condition := a.DecideAlone(spec)
 		if d.Verdict != admission.Admit {
-			return c.refuseWithoutLeader(ctx, spec.ID, d, refused)
+			return c.deferWithoutLeader(ctx, spec.ID, d, refused)
 		}
 		arrival.If = append(arrival.If, condition)
 	}
 	share := jobMemoryLimit(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
-	if c.leaderless.acceptedBytes.Add(cluster.JobMemory(spec)) > share {
+	if c.leaderlessJobs.acceptedBytes.Add(cluster.JobMemory(spec)) > share {
 		return answer.Plain(answer.ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
 	readAt := c.deps.Clock.Steady()
@@ -112,9 +112,9 @@
 	return accepted
 }
 
-// refuseWithoutLeader answers for a job that is not admitted without the leader, unless the
+// deferWithoutLeader answers for a job that is not admitted without the leader, unless the
 // records tell of it.
-func (c *Controller) refuseWithoutLeader(ctx context.Context, id string, d admission.Decision, refused answer.Answer) answer.Answer {
+func (c *Controller) deferWithoutLeader(ctx context.Context, id string, d admission.Decision, refused answer.Answer) answer.Answer {
 	known := c.records().poll(ctx, id)
 	switch {
 	case known.Status == http.StatusOK:
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -10,12 +10,12 @@
 // WriteMetrics writes the metrics that only a leader has: what waits and runs, and the usage
 // of the teams.
 func (l *Leader) WriteMetrics(w io.Writer) {
-	l.writeQueueMetrics(w)
+	l.writeTaskMetrics(w)
 	l.admission.WriteMetrics(w)
 }
 
-// writeQueueMetrics writes what waits and runs, by class and priority.
-func (l *Leader) writeQueueMetrics(w io.Writer) {
+// writeTaskMetrics writes what waits and runs, by class and priority.
+func (l *Leader) writeTaskMetrics(w io.Writer) {
 	l.state.Lock()
 	defer l.state.Unlock()
 	type key struct {
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// heartbeat makes a worker's report of now.
+// heartbeat makes the worker's heartbeat of now.
 func (w *modelWorker) heartbeat() *protocol.Heartbeat {
 	w.sequence++
 	r := &protocol.Heartbeat{
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -20,11 +20,14 @@
 	"dunestand/internal/units"
 )
 
-// userSockets are for users and workers.
-func userSockets(maxConnections int) int {
+// clientConnectionLimit returns how many of a node's connections are for users and workers.
+func clientConnectionLimit(maxConnections int) int {
 	return max(maxConnections-push.ReservedSockets(maxConnections), maxConnections/2)
 }
 
+// neverHeard is a steady time long before any that a node can see.
+const neverHeard = -1 << 50
+
 // Environment is what a node gets from the program around it.
 type Environment struct {
 	Policy *config.Policy
@@ -32,11 +35,12 @@
 	Random *rand.Rand
 	Log    *slog.Logger
 	Dial   transport.DialFunc // nil: the machine's own network
-	// Admission says how new jobs are admitted under overload; nil: as the policy does.
+	// Admission overrides the policy's choices of how new jobs are admitted under overload;
+	// nil: the policy's hold.
 	Admission *admission.Options
 }
 
-// AdmissionOptions gives what holds of the environment's own choice and the policy's.
+// admissionOptions returns the environment's own choices, or the policy's if it has none.
 func (e Environment) admissionOptions() admission.Options {
 	if e.Admission != nil {
 		return *e.Admission
@@ -44,7 +48,7 @@
 	return admissioncontrol.AdmissionOptions(e.Policy.Admission)
 }
 
-// NewController makes a node from its settings.
+// NewController returns a node with the given settings. It makes no request before Run.
 func NewController(s *config.Settings, env Environment) *Controller {
 	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Others), env.Clock)
 	format := newNegotiator(s, env, client)
@@ -55,14 +59,14 @@
 		heartbeatReader:  protocol.NewHeartbeatReader(),
 		heartbeatLimiter: newHeartbeatLimiter(),
 		peers:            peers.New(env.Dial, s.Others, env.Clock, env.Random, env.Log),
-		server: transport.NewServer(userSockets(s.Fleet.Resources.MaxConnections),
-			3*s.Fleet.Workers.Report()+userPollGap, env.Log),
+		server: transport.NewServer(clientConnectionLimit(s.Fleet.Resources.MaxConnections),
+			3*s.Fleet.Workers.Report()+maxUserPollInterval, env.Log),
 	}
 	c.deps.UnreachablePeers, c.deps.PeerReachable = c.peers.UnreachableCount, c.peers.AnyReachable
-	c.lastHeartbeat.Store(-1 << 50)
-	// A node begins as if it had just been of use: when all were restarted, the
-	// load balancer is to know them again by the time one of them leads.
-	c.lastUseful.Store(int64(env.Clock.Steady()))
+	c.lastHeartbeatAt.Store(neverHeard)
+	// A node begins as if it had just reached the leader: when all were restarted, the
+	// load balancer is to count them as healthy again by the time one of them leads.
+	c.leaderReachedAt.Store(int64(env.Clock.Steady()))
 	c.elector.Connected = c.connected
 	c.elector.Eligible = func() bool { return !c.deps.Format.TooNew() }
 	c.addMetrics()
@@ -79,8 +83,8 @@
 // newNegotiator returns what finds out which format of records the controllers use.
 func newNegotiator(s *config.Settings, env Environment, client *kv.Client) *recordformat.Negotiator {
 	others := make([]string, len(s.Others))
-	for i, o := range s.Others {
-		others[i] = o.Node
+	for i, other := range s.Others {
+		others[i] = other.Node
 	}
 	supported := storage.FormatNew
 	if options := env.admissionOptions(); options.On() {
@@ -89,7 +93,7 @@
 	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
 }
 
-// newDeps returns what the controller works with while it leads.
+// newDeps returns the dependencies that the controller hands to each Leader.
 func newDeps(s *config.Settings, env Environment, client *kv.Client, format *recordformat.Negotiator) Deps {
 	metrics := telemetry.NewMetrics()
 	return Deps{
@@ -106,13 +110,14 @@
 	}
 }
 
-// connected tells whether this node hears workers or other controllers, or is alone.
+// connected reports whether this node hears workers or other controllers, or has no others.
 func (c *Controller) connected() bool {
-	sinceWorker := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeat.Load())
-	return len(c.deps.Settings.Others) == 0 || c.peers.AnyReachable() || sinceWorker < peers.LinkFreshness
+	sinceHeartbeat := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeatAt.Load())
+	return len(c.deps.Settings.Others) == 0 || c.peers.AnyReachable() || sinceHeartbeat < peers.LinkFreshness
 }
 
-// addMetrics shows the node's own state and its use of the state service.
+// addMetrics registers the metrics of the node's own state and of its use of the key-value
+// store.
 func (c *Controller) addMetrics() {
 	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.State
 	gauges := []struct {
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -110,7 +110,7 @@
 	term, _ := leaderWithJob(t, 1)
 	for seconds, want := range map[float64]units.Micros{0.8: 150, 3: 300, 5: 500, 60: 500} {
 		term.Settings.Fleet.Workers.ReportS = seconds
-		if got := term.durableWait(); got != want*units.Millisecond {
+		if got := term.startDurableWait(); got != want*units.Millisecond {
 			t.Errorf("reports every %v s: %d ms", seconds, got/units.Millisecond)
 		}
 	}
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -20,7 +20,7 @@
 	if ok {
 		l.state.Lock()
 		defer l.state.Unlock()
-		if !l.mayAnswer() {
+		if !l.canAnswer() {
 			return answer.Unavailable("no leader")
 		}
 		return answer.Terminal(id, f)
@@ -53,7 +53,7 @@
 // told; false: nothing is known of such a job here.
 func (l *Leader) jobAnswer(id string, status int) (answer.Answer, bool) {
 	readAt := l.Clock.Steady()
-	if !l.mayAnswer() {
+	if !l.canAnswer() {
 		return answer.Unavailable("no leader"), true
 	}
 	if f, over := l.terminals.Cached(id); over {
@@ -69,5 +69,5 @@
 	return answer.LiveJob(status, j, l.Settings.Fleet.Workers, readAt), true
 }
 
-// mayAnswer tells, under the lock, whether this node may speak for the service.
-func (l *Leader) mayAnswer() bool { return l.state.Restored && l.leadership.Valid() }
+// canAnswer tells, under the lock, whether this node may speak for the service.
+func (l *Leader) canAnswer() bool { return l.state.Restored && l.leadership.Valid() }
--- a/internal/controller/recordreader.go
+++ b/internal/controller/recordreader.go
@@ -23,8 +23,8 @@
 	workers config.Workers
 }
 
-// storedCall bounds each of the reads that a poll is answered from without the leader.
-const storedCall = 800 * units.Millisecond
+// recordReadTimeout bounds each of the reads that a poll is answered from without the leader.
+const recordReadTimeout = 800 * units.Millisecond
 
 // poll tells a job's state.
 func (r recordReader) poll(ctx context.Context, id string) answer.Answer {
@@ -40,7 +40,7 @@
 		return a
 	}
 	readAt := r.clock.Steady()
-	item, ok, err := r.store.Get(ctx, storage.KeyPending(id), storedCall)
+	item, ok, err := r.store.Get(ctx, storage.KeyPending(id), recordReadTimeout)
 	if err != nil {
 		return answer.Unavailable("state service is out of reach")
 	}
@@ -59,7 +59,7 @@
 // liveOrFinal looks for a job in the live and then in the final records.
 func (r recordReader) liveOrFinal(ctx context.Context, id string) (answer.Answer, bool) {
 	readAt := r.clock.Steady()
-	item, ok, err := r.store.Get(ctx, storage.KeyJob(id), storedCall)
+	item, ok, err := r.store.Get(ctx, storage.KeyJob(id), recordReadTimeout)
 	if err != nil {
 		return answer.Unavailable("state service is out of reach"), true
 	}
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -9,42 +9,42 @@
 	"dunestand/internal/transport"
 )
 
+// Paths and content type of what is served besides the protocol.
+const (
+	pathMetrics        = "/metrics"
+	metricsContentType = "text/plain; version=0.0.4"
+)
+
+// bodyTooLarge is the reason given to a client whose request exceeds protocol.MaxBody.
+const bodyTooLarge = "body over 64 KiB"
+
+// routes registers the handlers of users' and workers' requests.
 func (c *Controller) routes() {
-	s := c.server
-	s.Handle(http.MethodPost, protocol.PathSubmit, func(ctx context.Context, r transport.Request) transport.Response {
-		if r.TooLarge {
-			return answer.ErrorResponse(http.StatusBadRequest, "body over 64 KiB")
+	c.server.Handle(http.MethodPost, protocol.PathSubmit, func(ctx context.Context, request transport.Request) transport.Response {
+		if request.TooLarge {
+			return answer.ErrorResponse(http.StatusBadRequest, bodyTooLarge)
 		}
-		return c.gate().Check(c.submit(ctx, r.Body, true))
+		return c.gate().Check(c.submit(ctx, request.Body, true))
 	})
-	s.Handle(http.MethodGet, protocol.PathPoll, func(ctx context.Context, r transport.Request) transport.Response {
-		return c.gate().Check(c.poll(ctx, r.ID, true))
+	c.server.Handle(http.MethodGet, protocol.PathPoll, func(ctx context.Context, request transport.Request) transport.Response {
+		return c.gate().Check(c.poll(ctx, request.ID, true))
 	})
-	s.Handle(http.MethodPost, protocol.PathCancel, func(ctx context.Context, r transport.Request) transport.Response {
-		return c.gate().Check(c.cancel(ctx, r.ID, true))
+	c.server.Handle(http.MethodPost, protocol.PathCancel, func(ctx context.Context, request transport.Request) transport.Response {
+		return c.gate().Check(c.cancel(ctx, request.ID, true))
 	})
-	s.Handle(http.MethodGet, protocol.PathHealth, func(context.Context, transport.Request) transport.Response {
+	c.server.Handle(http.MethodGet, protocol.PathHealth, func(context.Context, transport.Request) transport.Response {
 		return c.health()
 	})
-	s.Handle(http.MethodPost, protocol.PathHeartbeat, c.heartbeat)
-	s.Handle(http.MethodGet, "/metrics", func(context.Context, transport.Request) transport.Response {
-		return transport.Response{
-			Status:      http.StatusOK,
-			ContentType: "text/plain; version=0.0.4",
-			Body:        c.metricsText(),
-		}
+	c.server.Handle(http.MethodPost, protocol.PathHeartbeat, c.handleHeartbeat)
+	c.server.Handle(http.MethodGet, pathMetrics, func(context.Context, transport.Request) transport.Response {
+		return transport.Response{Status: http.StatusOK, ContentType: metricsContentType, Body: c.metricsText()}
 	})
 }
 
 // metricsText returns this node's metrics, those of the leader included while it leads.
 func (c *Controller) metricsText() []byte {
-	if l := c.activeLeader(); l != nil {
-		return c.deps.Metrics.Text(l.WriteMetrics)
+	if leader := c.activeLeader(); leader != nil {
+		return c.deps.Metrics.Text(leader.WriteMetrics)
 	}
 	return c.deps.Metrics.Text()
 }
-
-// gate is what every answer about a job passes on its way out.
-func (c *Controller) gate() answer.Gate {
-	return answer.Gate{Clock: c.deps.Clock, Revisions: c.deps.KV.Revisions}
-}
--- a/internal/controller/runtimelog.go
+++ b/internal/controller/runtimelog.go
@@ -8,13 +8,13 @@
 	"dunestand/internal/units"
 )
 
-// runtimeLogEvery is the pace of the log line with the runtime's figures. Every node
-// writes it, leader or not.
-const runtimeLogEvery = 10 * units.Second
+// runtimeLogInterval is the time between log lines with the runtime's figures. Every node
+// writes them, leader or not.
+const runtimeLogInterval = 10 * units.Second
 
 // logRuntime logs the runtime's figures until ctx ends.
 func (c *Controller) logRuntime(ctx context.Context) {
-	for loop.Sleep(ctx, runtimeLogEvery) {
+	for loop.Sleep(ctx, runtimeLogInterval) {
 		c.deps.Log.Info("process", "leading", c.activeLeader() != nil, "runtime", runtimestats.Read())
 	}
 }
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -13,9 +13,9 @@
 	"dunestand/internal/units"
 )
 
-// writeWaitTimeout is how long a submission or cancellation waits for its save. A
+// writeTimeout is how long a submission or cancellation waits for its save. A
 // save that takes longer meets trouble, and the user is told to come back.
-const writeWaitTimeout = 1500 * units.Millisecond
+const writeTimeout = 1500 * units.Millisecond
 
 // Submit accepts a job, durably, before it answers.
 func (l *Leader) Submit(ctx context.Context, spec *protocol.JobSpec) answer.Answer {
@@ -40,7 +40,7 @@
 	saved := j.Durable()
 	noted := l.Clock.Steady()
 	l.state.Unlock()
-	stored := waitFor(ctx, saved)
+	stored := awaitDurable(ctx, saved)
 	l.Log.Debug("submission waited", "job", spec.ID, "stored", stored,
 		"lock_us", int64(noted-began), "save_us", int64(l.Clock.Steady()-noted))
 	if !stored {
@@ -79,8 +79,8 @@
 	return answer.Answer{Response: answer.ErrorResponse(status, why), Evidence: known.Evidence}
 }
 
-func waitFor(ctx context.Context, saved <-chan struct{}) bool {
-	timer := time.NewTimer(writeWaitTimeout.Duration())
+func awaitDurable(ctx context.Context, saved <-chan struct{}) bool {
+	timer := time.NewTimer(writeTimeout.Duration())
 	defer timer.Stop()
 	select {
 	case <-saved:
