--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -11,48 +11,79 @@
 	"dunestand/internal/storage"
 )
 
-// jobMemoryLimit bounds what the live jobs may take, by the reckoning of the ledger: a
-// controller refuses new jobs rather than be ended for memory with all that it holds.
+// rejectionError says why a new job is not accepted.
+type rejectionError struct {
+	status int    // HTTP status: 422 for good, 429 or 503 for now
+	reason string // for the user
+}
+
+func (e *rejectionError) Error() string { return e.reason }
+
+// Why a new job is not accepted.
+var (
+	errUnknownTeam          = &rejectionError{http.StatusUnprocessableEntity, "crew: unknown team"}
+	errTaskOverQuota        = &rejectionError{http.StatusUnprocessableEntity, "a task needs more than the team's limit"}
+	errServiceOverQuota     = &rejectionError{http.StatusUnprocessableEntity, "a service's tasks together need more than the team's limit"}
+	errNoInstanceType       = &rejectionError{http.StatusUnprocessableEntity, "a task fits no allowed machine type"}
+	errSpecTooLong          = &rejectionError{http.StatusUnprocessableEntity, "the job's texts are too long to be kept"}
+	errTooManyJobs          = &rejectionError{http.StatusTooManyRequests, "too many unfinished jobs"}
+	errInstanceTypesUnknown = &rejectionError{http.StatusServiceUnavailable, "the machine types are not known yet"}
+	errNotUpgraded          = &rejectionError{http.StatusServiceUnavailable, "not before all controllers are upgraded"}
+)
+
+// jobMemoryLimit returns the bound, in bytes, of what the live jobs may take as estimated by
+// cluster.JobMemory: a controller rejects new jobs rather than be killed for the memory it
+// uses, with all that it holds.
 func jobMemoryLimit(s *config.Settings) int64 { return int64(s.Fleet.Resources.RAMMB * (1 << 20)) }
 
-// checkAdmissible tells why a new job cannot be taken; status 0 if it can.
-func (l *Leader) checkAdmissible(spec *protocol.JobSpec) (int, string) {
-	status, why := checkFeasible(spec, l.Settings, l.state.InstanceTypes, l.Format.Current())
-	if status == 0 && l.state.Memory()+cluster.JobMemory(spec) > jobMemoryLimit(l.Settings) {
-		return http.StatusTooManyRequests, "too many unfinished jobs"
+// checkAdmissible returns why a new job cannot be accepted, nil if it can. It needs the lock
+// of state held.
+func (l *Leader) checkAdmissible(spec *protocol.JobSpec) *rejectionError {
+	if rejection := checkFeasible(spec, l.Settings, l.state.InstanceTypes, l.Format.Current()); rejection != nil {
+		return rejection
+	}
+	if l.state.Memory()+cluster.JobMemory(spec) > jobMemoryLimit(l.Settings) {
+		return errTooManyJobs
 	}
-	return status, why
+	return nil
 }
 
-// checkFeasible tells why a job could never run, or why that is not known yet.
-func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format int) (int, string) {
-	i := slices.IndexFunc(s.Fleet.Teams, func(t config.Team) bool { return t.Name == spec.Team })
+// checkFeasible returns why a job could never run, or why that is not known yet; nil if it
+// could. types are those of the catalog by name, format is the fleet's record format.
+func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format int) *rejectionError {
+	i := slices.IndexFunc(s.Fleet.Teams, func(team config.Team) bool { return team.Name == spec.Team })
 	if i < 0 {
-		return http.StatusUnprocessableEntity, "crew: unknown team"
-	}
-	switch n := cluster.QuotaLimitOf(s.Fleet.Teams[i]).Fits(spec.Request); {
-	case n == 0:
-		return http.StatusUnprocessableEntity, "a task needs more than the team's limit"
-	case spec.Kind == protocol.Service && n < spec.Tasks:
-		return http.StatusUnprocessableEntity, "a service's tasks together need more than the team's limit"
+		return errUnknownTeam
 	}
-	if len(types) == 0 {
-		return http.StatusServiceUnavailable, "the machine types are not known yet"
-	}
-	fits := false
-	for name, typ := range types {
-		for _, zone := range typ.Zones {
-			fits = fits || scheduler.PlacementAllowed(spec, name, zone, false) && cluster.CapacityOf(typ).Fits(spec.Request) > 0
-		}
+	switch tasks := cluster.QuotaLimitOf(s.Fleet.Teams[i]).Fits(spec.Request); {
+	case tasks == 0:
+		return errTaskOverQuota
+	case spec.Kind == protocol.Service && tasks < spec.Tasks:
+		return errServiceOverQuota
 	}
 	switch {
-	case !fits:
-		return http.StatusUnprocessableEntity, "a task fits no allowed machine type"
+	case len(types) == 0:
+		return errInstanceTypesUnknown
+	case !fitsAnyType(spec, types):
+		return errNoInstanceType
 	case !cluster.FitsRecords(spec, storage.NewestFormat, s.Fleet.State):
-		return http.StatusUnprocessableEntity, "the job's texts are too long to be kept"
+		return errSpecTooLong
 	case format < storage.FormatNew && (spec.Kind == protocol.Service || !cluster.FitsRecords(spec, format, s.Fleet.State)):
 		// A leader of the version before would take a service for an array.
-		return http.StatusServiceUnavailable, "not before all controllers are upgraded"
+		return errNotUpgraded
+	}
+	return nil
+}
+
+// fitsAnyType reports whether a task of the job fits an instance type in a zone in which it
+// may be placed.
+func fitsAnyType(spec *protocol.JobSpec, types map[string]protocol.InstanceType) bool {
+	for name, instanceType := range types {
+		for _, zone := range instanceType.Zones {
+			if scheduler.PlacementAllowed(spec, name, zone, false) && cluster.CapacityOf(instanceType).Fits(spec.Request) > 0 {
+				return true
+			}
+		}
 	}
-	return 0, ""
+	return false
 }
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -60,17 +60,19 @@
 	service := *modelSpec("j-000001")
 	service.Kind, service.Tasks = protocol.Service, modelLimit
 	for _, c := range []struct {
-		level, tasks, want int
+		level, tasks int
+		want         *rejectionError
+		status       int // 0: accepted
 	}{
-		{storage.FormatOld, modelLimit, http.StatusServiceUnavailable},
-		{storage.FormatOld, modelLimit + 1, http.StatusUnprocessableEntity},
-		{storage.FormatNew, modelLimit, 0},
-		{storage.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
+		{storage.FormatOld, modelLimit, errNotUpgraded, http.StatusServiceUnavailable},
+		{storage.FormatOld, modelLimit + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatNew, modelLimit, nil, 0},
+		{storage.FormatNew, modelLimit + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 	} {
 		term.setFormat(c.level)
 		service.Tasks = c.tasks
-		if got, why := term.checkAdmissible(&service); got != c.want {
-			t.Errorf("format %d, %d tasks: %d %s, want %d", c.level, c.tasks, got, why, c.want)
+		if got := term.checkAdmissible(&service); got != c.want || got != nil && got.status != c.status {
+			t.Errorf("format %d, %d tasks: %v, want %v with status %d", c.level, c.tasks, got, c.want, c.status)
 		}
 	}
 }
--- a/internal/controller/jobhandlers.go
+++ b/internal/controller/jobhandlers.go
@@ -6,14 +6,8 @@
 
 	"dunestand/internal/answer"
 	"dunestand/internal/protocol"
-	"dunestand/internal/transport"
 )
 
-// noSuchJob returns the response to a request for a job that does not exist.
-func noSuchJob() transport.Response {
-	return answer.ErrorResponse(http.StatusNotFound, "no such job")
-}
-
 // submit answers a user's submission. A node that does not lead forwards it if forward is
 // set, and may accept the job by itself if no leader is in reach.
 func (c *Controller) submit(ctx context.Context, body []byte, forward bool) answer.Answer {
--- a/internal/controller/leaderless.go
+++ b/internal/controller/leaderless.go
@@ -18,34 +18,29 @@
 	"dunestand/internal/units"
 )
 
-// Submissions are passed on to the leader. A controller that reaches none may
-// still reach the state service: it then puts a job into the inbox there, and
-// the leader, or the next one, takes it in. A change of leader takes several
-// seconds, and users would be refused for all of that time.
+// Submissions are forwarded to the leader. A controller that reaches none may still reach
+// the key-value store: it then puts a job into the pending-submission queue there, and
+// the leader, or the next one, ingests it. A failover takes several seconds, and users
+// would be refused for all of that time.
 
-const (
-	instanceTypesTTL = 60 * units.Second
-)
+// instanceTypesTTL is for how long the instance types that were read are not read again.
+const instanceTypesTTL = 60 * units.Second
 
-// arrivals is what a node needs to accept jobs without a leader.
+// leaderlessJobs is what a node needs to accept jobs without a leader.
 type leaderlessJobs struct {
-	acceptedBytes   atomic.Int64 // memory of the jobs accepted so since it last reached a leader
-	mu              sync.Mutex
+	acceptedBytes atomic.Int64 // memory of the jobs accepted so since this node last reached a leader
+
+	mu              sync.Mutex // guards the fields below
 	instanceTypes   map[string]protocol.InstanceType
-	typesValidUntil units.Micros
+	typesValidUntil units.Micros // steady time
 }
 
-// instanceTypes gives the types that the last leader stored.
+// instanceTypes returns the instance types that the last leader stored, by name; nil if they
+// cannot be read.
 func (c *Controller) instanceTypes(ctx context.Context) map[string]protocol.InstanceType {
-	a := &c.leaderlessJobs
+	cache := &c.leaderlessJobs
 	now := c.deps.Clock.Steady()
-	a.mu.Lock()
-	types := a.instanceTypes
-	if now >= a.typesValidUntil {
-		types = nil
-	}
-	a.mu.Unlock()
-	if types != nil {
+	if types := cache.validInstanceTypes(now); types != nil {
 		return types
 	}
 	list, err := c.deps.KV.List(ctx, storage.KeyCatalog, "", persister.PendingTimeout)
@@ -56,49 +51,64 @@
 	if err != nil || len(catalog.Types) == 0 {
 		return nil
 	}
-	types = map[string]protocol.InstanceType{}
-	for _, t := range catalog.Types {
-		types[t.Name] = t
+	types := map[string]protocol.InstanceType{}
+	for _, instanceType := range catalog.Types {
+		types[instanceType.Name] = instanceType
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.instanceTypes, a.typesValidUntil = types, now+instanceTypesTTL
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	cache.instanceTypes, cache.typesValidUntil = types, now+instanceTypesTTL
 	return types
 }
 
-// acceptWithoutLeader puts a job into the inbox, if it is certain that the job can be
-// taken; otherwise the refusal stands, and a leader decides when there is one.
+// validInstanceTypes returns the instance types in the cache, nil if they are too old.
+func (l *leaderlessJobs) validInstanceTypes(now units.Micros) map[string]protocol.InstanceType {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now >= l.typesValidUntil {
+		return nil
+	}
+	return l.instanceTypes
+}
+
+// acceptWithoutLeader puts a job into the pending-submission queue if it is certain that the
+// job can run; otherwise it returns refused, and a leader decides when there is one.
 func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, refused answer.Answer) answer.Answer {
-	store, lease := c.deps.KV, c.elector
-	if lease.UnansweredFor() >= lease.LeaseDuration() || !store.HasRequestBudget() || !store.HasWriteBudget() {
+	store := c.deps.KV
+	if c.elector.UnansweredFor() >= c.elector.LeaseDuration() || !store.HasRequestBudget() || !store.HasWriteBudget() {
 		return refused
 	}
-	if status, _ := checkFeasible(spec, c.deps.Settings, c.instanceTypes(ctx), c.deps.Format.Current()); status != 0 {
+	if checkFeasible(spec, c.deps.Settings, c.instanceTypes(ctx), c.deps.Format.Current()) != nil {
 		return refused
 	}
-	arrival := cluster.PendingSubmissionTxn(cluster.PendingSubmission{
+	txn := cluster.PendingSubmissionTxn(cluster.PendingSubmission{
 		Spec:      *spec,
 		Submitted: c.deps.Clock.Wall(),
 	})
-	if a := c.deps.Admitter; a != nil {
-		d, condition := a.DecideAlone(spec)
-		if d.Verdict != admission.Admit {
-			return c.deferWithoutLeader(ctx, spec.ID, d, refused)
+	if admitter := c.deps.Admitter; admitter != nil {
+		decision, condition := admitter.DecideAlone(spec)
+		if decision.Verdict != admission.Admit {
+			return c.deferWithoutLeader(ctx, spec.ID, decision, refused)
 		}
-		arrival.If = append(arrival.If, condition)
+		txn.If = append(txn.If, condition)
 	}
 	share := jobMemoryLimit(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
 	if c.leaderlessJobs.acceptedBytes.Add(cluster.JobMemory(spec)) > share {
 		return answer.Plain(answer.ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
+	return c.storePending(ctx, spec, txn, refused)
+}
+
+// storePending writes a pending submission and answers its user.
+func (c *Controller) storePending(ctx context.Context, spec *protocol.JobSpec, txn protocol.Txn, refused answer.Answer) answer.Answer {
 	readAt := c.deps.Clock.Steady()
-	_, err := store.CompareAndSwap(ctx, arrival, kv.Paced, persister.PendingTimeout)
+	_, err := c.deps.KV.CompareAndSwap(ctx, txn, kv.Paced, persister.PendingTimeout)
 	var conflict *kv.VersionConflictError
 	switch {
 	case errors.As(err, &conflict):
-		// It is known already: a repeat, or the leader took it after all.
-		if r := c.records().poll(ctx, spec.ID); r.Status == http.StatusOK {
-			return r
+		// It is known already: a duplicate, or the leader accepted it after all.
+		if a := c.records().poll(ctx, spec.ID); a.Status == http.StatusOK {
+			return a
 		}
 		return refused
 	case err != nil:
@@ -107,20 +117,20 @@
 	c.deps.Log.Info("job accepted without a leader", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 	accepted := answer.Provisional(answer.StateResponse(http.StatusCreated, protocol.JobState{ID: spec.ID, Stage: protocol.StagePending}), readAt)
 	if c.gate().IsStale(accepted) {
-		return c.records().poll(ctx, spec.ID) // it may be over by now
+		return c.records().poll(ctx, spec.ID) // it may be in a terminal state by now
 	}
 	return accepted
 }
 
-// deferWithoutLeader answers for a job that is not admitted without the leader, unless the
-// records tell of it.
-func (c *Controller) deferWithoutLeader(ctx context.Context, id string, d admission.Decision, refused answer.Answer) answer.Answer {
+// deferWithoutLeader answers the submission of a job that is not admitted without the leader,
+// unless the records hold that job.
+func (c *Controller) deferWithoutLeader(ctx context.Context, id string, decision admission.Decision, refused answer.Answer) answer.Answer {
 	known := c.records().poll(ctx, id)
 	switch {
 	case known.Status == http.StatusOK:
 		return known
-	case known.Status == http.StatusNotFound && d.Verdict == admission.Wait:
-		return admissioncontrol.WaitingAnswer(d)
+	case known.Status == http.StatusNotFound && decision.Verdict == admission.Wait:
+		return admissioncontrol.WaitingAnswer(decision)
 	}
 	return refused
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -14,7 +14,8 @@
 	l.admission.WriteMetrics(w)
 }
 
-// writeTaskMetrics writes what waits and runs, by class and priority.
+// writeTaskMetrics writes how many tasks wait and are placed, by class and priority, and the
+// number of machines.
 func (l *Leader) writeTaskMetrics(w io.Writer) {
 	l.state.Lock()
 	defer l.state.Unlock()
@@ -22,20 +23,20 @@
 		class    string
 		priority protocol.Priority
 	}
-	pending, running := map[key]int{}, map[key]int{}
-	for _, j := range l.state.Jobs {
-		k := key{j.Spec.Class, j.Spec.Priority}
-		pending[k] += j.Pending()
-		running[k] += len(j.LiveAttempts)
+	pending, placed := map[key]int{}, map[key]int{}
+	for _, job := range l.state.Jobs {
+		k := key{job.Spec.Class, job.Spec.Priority}
+		pending[k] += job.Pending()
+		placed[k] += len(job.LiveAttempts)
 	}
 	for k, n := range pending {
 		fmt.Fprintf(w, "dunestand_tasks_pending{class=%q,priority=%q} %d\n", k.class, k.priority.String(), n)
-		fmt.Fprintf(w, "dunestand_tasks_placed{class=%q,priority=%q} %d\n", k.class, k.priority.String(), running[k])
+		fmt.Fprintf(w, "dunestand_tasks_placed{class=%q,priority=%q} %d\n", k.class, k.priority.String(), placed[k])
 	}
 	reporting := 0
 	now := l.Clock.Steady()
-	for _, m := range l.state.Machines {
-		if m.Registered && now-m.LastHeartbeat < l.detector.SuspectAfter() {
+	for _, machine := range l.state.Machines {
+		if l.isReporting(machine, now) {
 			reporting++
 		}
 	}
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -7,36 +7,62 @@
 	"dunestand/internal/answer"
 )
 
-// Poll tells a job's state.
+// canAnswer reports whether this node may answer for the fleet. It needs the lock of state
+// held.
+func (l *Leader) canAnswer() bool { return l.state.Restored && l.leadership.Valid() }
+
+// jobAnswer returns the state of a job that is stored, with the given HTTP status, or the
+// reason why none may be given; false if this leader's memory holds no such job. It needs
+// the lock of state held.
+func (l *Leader) jobAnswer(id string, status int) (answer.Answer, bool) {
+	readAt := l.Clock.Steady()
+	if !l.canAnswer() {
+		return noLeader(), true
+	}
+	if record, cached := l.terminals.Cached(id); cached {
+		return answer.Terminal(id, record), true
+	}
+	job := l.state.Jobs[id]
+	switch {
+	case job == nil || !job.Accepted():
+		return answer.Answer{}, false
+	case job.EndInFlight():
+		return answer.Unavailable("the job's end is being stored"), true // others may answer with it already
+	}
+	return answer.LiveJob(status, job, l.Settings.Fleet.Workers, readAt), true
+}
+
+// Poll answers with a job's state: from memory, from the record of its terminal state, or
+// once it is ingested from the pending-submission queue.
 func (l *Leader) Poll(ctx context.Context, id string) answer.Answer {
-	began := l.Clock.Steady()
-	if r, ok := l.pollLive(id); ok {
-		return r
+	receivedAt := l.Clock.Steady()
+	if a, known := l.pollLive(id); known {
+		return a
 	}
-	f, ok, err := l.terminals.TerminalJob(ctx, id)
+	record, found, err := l.terminals.TerminalJob(ctx, id)
 	if err != nil {
-		return answer.Unavailable("state service is out of reach")
+		return storeUnreachable()
 	}
-	if ok {
+	if found {
 		l.state.Lock()
 		defer l.state.Unlock()
 		if !l.canAnswer() {
-			return answer.Unavailable("no leader")
+			return noLeader()
 		}
-		return answer.Terminal(id, f)
+		return answer.Terminal(id, record)
 	}
 	if err := l.ingester.IngestOne(ctx, id); err != nil {
-		return answer.Unavailable("state service is out of reach")
+		return storeUnreachable()
 	}
-	// It may have been submitted while the state service was asked, or just
-	// have been taken in.
-	if r, ok := l.pollLive(id); ok {
-		return r
+	// It may have been submitted while the key-value store was asked, or just
+	// have been ingested.
+	if a, known := l.pollLive(id); known {
+		return a
 	}
-	return answer.Provisional(answer.ErrorResponse(http.StatusNotFound, "no such job"), began)
+	return answer.Provisional(noSuchJob(), receivedAt)
 }
 
-// pollLive tells a job's state from memory, if the job is known there.
+// pollLive answers with a job's state from memory; false if it is not known there.
 func (l *Leader) pollLive(id string) (answer.Answer, bool) {
 	l.state.Lock()
 	defer l.state.Unlock()
@@ -44,30 +70,7 @@
 		return a, true
 	}
 	if l.state.Jobs[id] != nil {
-		return answer.Unavailable("the job is being accepted"), true
+		return beingAccepted(), true
 	}
 	return answer.Answer{}, false
 }
-
-// LiveJob tells the state of a job that is stored, under the lock, or why none may be
-// told; false: nothing is known of such a job here.
-func (l *Leader) jobAnswer(id string, status int) (answer.Answer, bool) {
-	readAt := l.Clock.Steady()
-	if !l.canAnswer() {
-		return answer.Unavailable("no leader"), true
-	}
-	if f, over := l.terminals.Cached(id); over {
-		return answer.Terminal(id, f), true
-	}
-	j := l.state.Jobs[id]
-	switch {
-	case j == nil || !j.Accepted():
-		return answer.Answer{}, false
-	case j.EndInFlight():
-		return answer.Unavailable("the job's end is being stored"), true // others may tell of it
-	}
-	return answer.LiveJob(status, j, l.Settings.Fleet.Workers, readAt), true
-}
-
-// canAnswer tells, under the lock, whether this node may speak for the service.
-func (l *Leader) canAnswer() bool { return l.state.Restored && l.leadership.Valid() }
--- a/internal/controller/recordreader.go
+++ b/internal/controller/recordreader.go
@@ -16,7 +16,7 @@
 )
 
 // recordReader answers polls from the records alone, for a node that does not lead and
-// cannot reach the leader. What they say was committed before anybody was told of it.
+// cannot reach the leader. What they say was committed before any user was told of it.
 type recordReader struct {
 	store   *kv.Client
 	clock   units.Clock
@@ -26,56 +26,66 @@
 // recordReadTimeout bounds each of the reads that a poll is answered from without the leader.
 const recordReadTimeout = 800 * units.Millisecond
 
-// poll tells a job's state.
+// poll answers with a job's state as the records have it.
 func (r recordReader) poll(ctx context.Context, id string) answer.Answer {
 	if !r.store.HasRequestBudget() {
-		return answer.Unavailable("no leader")
+		return noLeader()
 	}
-	// From the inbox a job moves to the live records and from there to the final
-	// ones. It is looked for in the two latter first, since it is there nearly
+	// From the pending-submission queue a job moves to the live records and from there to
+	// the terminal ones. It is looked for in the two latter first, since it is there nearly
 	// always; one that is in none of the three may have moved in between, and is
 	// then found by a second look.
-	began := r.clock.Steady()
-	if a, found := r.liveOrFinal(ctx, id); found {
+	startedAt := r.clock.Steady()
+	if a, known := r.liveOrTerminal(ctx, id); known {
 		return a
 	}
-	readAt := r.clock.Steady()
-	item, ok, err := r.store.Get(ctx, storage.KeyPending(id), recordReadTimeout)
-	if err != nil {
-		return answer.Unavailable("state service is out of reach")
-	}
-	if ok {
-		if _, err := cluster.ParsePendingSubmission(item); err != nil {
-			return answer.Unavailable("the job's record is not readable")
-		}
-		return answer.Provisional(answer.StateResponse(http.StatusOK, protocol.JobState{ID: id, Stage: protocol.StagePending}), readAt)
+	if a, known := r.pending(ctx, id); known {
+		return a
 	}
-	if a, found := r.liveOrFinal(ctx, id); found {
+	if a, known := r.liveOrTerminal(ctx, id); known {
 		return a
 	}
-	return answer.Provisional(answer.ErrorResponse(http.StatusNotFound, "no such job"), began)
+	return answer.Provisional(noSuchJob(), startedAt)
+}
+
+// pending looks for a job in the pending-submission queue. It returns false if the job is not
+// there.
+func (r recordReader) pending(ctx context.Context, id string) (answer.Answer, bool) {
+	readAt := r.clock.Steady()
+	item, found, err := r.store.Get(ctx, storage.KeyPending(id), recordReadTimeout)
+	switch {
+	case err != nil:
+		return storeUnreachable(), true
+	case !found:
+		return answer.Answer{}, false
+	}
+	if _, err := cluster.ParsePendingSubmission(item); err != nil {
+		return recordUnreadable(), true
+	}
+	return answer.Provisional(answer.StateResponse(http.StatusOK, protocol.JobState{ID: id, Stage: protocol.StagePending}), readAt), true
 }
 
-// liveOrFinal looks for a job in the live and then in the final records.
-func (r recordReader) liveOrFinal(ctx context.Context, id string) (answer.Answer, bool) {
+// liveOrTerminal looks for a job in the live and then in the terminal records. It returns
+// false if the job is in neither.
+func (r recordReader) liveOrTerminal(ctx context.Context, id string) (answer.Answer, bool) {
 	readAt := r.clock.Steady()
-	item, ok, err := r.store.Get(ctx, storage.KeyJob(id), recordReadTimeout)
+	item, found, err := r.store.Get(ctx, storage.KeyJob(id), recordReadTimeout)
 	if err != nil {
-		return answer.Unavailable("state service is out of reach"), true
+		return storeUnreachable(), true
 	}
-	if ok {
+	if found {
 		jobs, _, err := cluster.ParseJobs([]protocol.Item{item})
 		if err != nil {
-			return answer.Unavailable("the job's record is not readable"), true
+			return recordUnreadable(), true
 		}
 		return answer.LiveJob(http.StatusOK, jobs[0], r.workers, readAt), true
 	}
-	f, ok, err := persister.ReadTerminal(ctx, r.store, id)
+	record, found, err := persister.ReadTerminal(ctx, r.store, id)
 	switch {
 	case errors.Is(err, kv.ErrRefused), errors.Is(err, kv.ErrOutcomeUnknown):
-		return answer.Unavailable("state service is out of reach"), true
+		return storeUnreachable(), true
 	case err != nil:
-		return answer.Unavailable("the job's record is not readable"), true
+		return recordUnreadable(), true
 	}
-	return answer.Terminal(id, f), ok
+	return answer.Terminal(id, record), found
 }
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -13,91 +13,87 @@
 	"dunestand/internal/units"
 )
 
-// writeTimeout is how long a submission or cancellation waits for its save. A
-// save that takes longer meets trouble, and the user is told to come back.
+// writeTimeout is how long a submission or cancellation waits for its write batch. A write
+// that takes longer has met a fault, and the user is told to come back.
 const writeTimeout = 1500 * units.Millisecond
 
-// Submit accepts a job, durably, before it answers.
+// Submit accepts a job, durably, before it answers. A duplicate of a submission is answered
+// with the state of its job.
 func (l *Leader) Submit(ctx context.Context, spec *protocol.JobSpec) answer.Answer {
-	began := l.Clock.Steady()
-	l.state.Lock()
-	if a, known := l.jobAnswer(spec.ID, http.StatusOK); known {
-		l.state.Unlock()
-		return a
+	receivedAt := l.Clock.Steady()
+	durable, decline := l.enterJob(spec)
+	enteredAt := l.Clock.Steady()
+	if decline != nil {
+		return decline(ctx)
 	}
-	j := l.state.Jobs[spec.ID]
-	if j == nil {
-		if status, why := l.checkAdmissible(spec); status != 0 {
-			l.state.Unlock()
-			return l.rejectSubmission(ctx, spec, status, why)
-		}
-		if d := l.admission.Admit(spec); d.Verdict != admission.Admit {
-			l.state.Unlock()
-			return l.deferSubmission(ctx, spec.ID, d)
-		}
-		j = l.addJob(spec)
-	}
-	saved := j.Durable()
-	noted := l.Clock.Steady()
-	l.state.Unlock()
-	stored := awaitDurable(ctx, saved)
-	l.Log.Debug("submission waited", "job", spec.ID, "stored", stored,
-		"lock_us", int64(noted-began), "save_us", int64(l.Clock.Steady()-noted))
+	stored := awaitDurable(ctx, durable)
+	l.Log.Debug("submission awaited its write", "job", spec.ID, "stored", stored,
+		"lock_us", int64(enteredAt-receivedAt), "save_us", int64(l.Clock.Steady()-enteredAt))
 	if !stored {
-		return answer.Unavailable("state service is slow")
+		return storeSlow()
 	}
 	l.state.Lock()
 	defer l.state.Unlock()
 	if a, known := l.jobAnswer(spec.ID, http.StatusCreated); known {
 		return a
 	}
-	return answer.Unavailable("the job is being accepted")
+	return beingAccepted()
+}
+
+// enterJob enters a new job in the state, unless it is there already, and returns what is
+// closed once it is durable. If the submission can be answered without that, it returns a
+// function that does so; it must be called without the lock of state.
+func (l *Leader) enterJob(spec *protocol.JobSpec) (durable <-chan struct{}, decline func(context.Context) answer.Answer) {
+	l.state.Lock()
+	defer l.state.Unlock()
+	if a, known := l.jobAnswer(spec.ID, http.StatusOK); known {
+		return nil, func(context.Context) answer.Answer { return a }
+	}
+	job := l.state.Jobs[spec.ID]
+	if job == nil {
+		if rejection := l.checkAdmissible(spec); rejection != nil {
+			return nil, func(ctx context.Context) answer.Answer { return l.rejectSubmission(ctx, spec, rejection) }
+		}
+		if decision := l.admission.Admit(spec); decision.Verdict != admission.Admit {
+			return nil, func(ctx context.Context) answer.Answer { return l.deferSubmission(ctx, spec.ID, decision) }
+		}
+		job = l.addJob(spec)
+	}
+	return job.Durable(), nil
 }
 
-// addJob adds a new job to the ledger, under the lock, and has it saved.
+// addJob adds a new job to the state and has it written. It needs the lock of state held.
 func (l *Leader) addJob(spec *protocol.JobSpec) *cluster.Job {
-	j := l.state.NewJob(*spec, l.Clock.Wall(), l.Clock.Steady())
+	job := l.state.NewJob(*spec, l.Clock.Wall(), l.Clock.Steady())
 	l.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"priority", spec.Priority, "tasks", spec.Tasks, "cpus", spec.Request.CPU.Float(),
 		"estimate_ms", spec.Estimate/units.Millisecond, "deadline_ms", spec.Deadline/units.Millisecond)
 	l.writeSignal.Raise()
-	return j
+	return job
 }
 
-// rejectSubmission refuses a submission for good, or for now, unless its id is known: then
-// the job is known, whatever else the request now says.
-func (l *Leader) rejectSubmission(ctx context.Context, spec *protocol.JobSpec, status int, why string) answer.Answer {
-	if status == http.StatusServiceUnavailable {
-		return answer.Unavailable(why)
+// rejectSubmission answers a submission that is rejected for good, or for now, unless its ID
+// is known: then the job is known, whatever else the request now says.
+func (l *Leader) rejectSubmission(ctx context.Context, spec *protocol.JobSpec, rejection *rejectionError) answer.Answer {
+	if rejection.status == http.StatusServiceUnavailable {
+		return answer.Unavailable(rejection.reason)
 	}
 	known := l.Poll(ctx, spec.ID)
 	if known.Status != http.StatusNotFound {
 		return known
 	}
 	l.Log.Warn("submission refused", "job", spec.ID, "class", spec.Class, "team", spec.Team,
-		"status", status, "why", why)
-	return answer.Answer{Response: answer.ErrorResponse(status, why), Evidence: known.Evidence}
-}
-
-func awaitDurable(ctx context.Context, saved <-chan struct{}) bool {
-	timer := time.NewTimer(writeTimeout.Duration())
-	defer timer.Stop()
-	select {
-	case <-saved:
-		return true
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-	return false
+		"status", rejection.status, "why", rejection.reason)
+	return answer.Answer{Response: answer.ErrorResponse(rejection.status, rejection.reason), Evidence: known.Evidence}
 }
 
-// deferSubmission answers for a job that is not admitted, unless the job is known after all:
-// as one that is over, or from the inbox.
-func (l *Leader) deferSubmission(ctx context.Context, id string, d admission.Decision) answer.Answer {
-	if d.Verdict == admission.Undecided {
-		// Not 503: another controller that passed the request on would take that for a
+// deferSubmission answers a submission that is not admitted now, unless its job is known
+// after all: as one in a terminal state, or from the pending-submission queue.
+func (l *Leader) deferSubmission(ctx context.Context, id string, decision admission.Decision) answer.Answer {
+	if decision.Verdict == admission.Undecided {
+		// Not 503: another controller that forwarded the request would take that for a
 		// leader that cannot decide, and admit the job beyond the quota.
-		return answer.Plain(answer.ErrorResponse(http.StatusTooManyRequests, d.Reason.String()))
+		return answer.Plain(answer.ErrorResponse(http.StatusTooManyRequests, decision.Reason.String()))
 	}
 	if !l.admission.IsSurelyUnknown(id) {
 		known := l.Poll(ctx, id)
@@ -108,5 +104,19 @@
 		l.admission.Waiting.SetUnknown(id)
 		l.state.Unlock()
 	}
-	return admissioncontrol.WaitingAnswer(d)
+	return admissioncontrol.WaitingAnswer(decision)
+}
+
+// awaitDurable waits until durable is closed, for writeTimeout at most, and reports whether
+// it is.
+func awaitDurable(ctx context.Context, durable <-chan struct{}) bool {
+	timer := time.NewTimer(writeTimeout.Duration())
+	defer timer.Stop()
+	select {
+	case <-durable:
+		return true
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+	return false
 }
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -6,37 +6,53 @@
 	"dunestand/internal/units"
 )
 
-// logSummary logs how full the fleet is and what waits.
+// logSummary logs how full the fleet is and what waits. It needs the lock of state held.
 func (l *Leader) logSummary(now units.Micros) {
-	var size, used units.Resources
+	var capacity, used units.Resources
 	reporting := 0
-	for _, m := range l.state.Machines {
-		if m.Registered && now-m.LastHeartbeat < l.detector.SuspectAfter() {
+	for _, machine := range l.state.Machines {
+		if l.isReporting(machine, now) {
 			reporting++
-			size, used = size.Plus(m.Capacity, 1), used.Plus(m.Used, 1)
+			capacity, used = capacity.Plus(machine.Capacity, 1), used.Plus(machine.Used, 1)
 		}
 	}
 	var pending [protocol.Priorities]int
-	for _, j := range l.state.Jobs {
-		pending[j.Spec.Priority] += j.Pending()
+	for _, job := range l.state.Jobs {
+		pending[job.Spec.Priority] += job.Pending()
 	}
+	l.Log.Info("fleet", "machines", reporting, "cpus", capacity.CPU.Float(), "cpus_used", used.CPU.Float(),
+		"cpus_running", runningRequests(l.state).CPU.Float(),
+		"pending_low", pending[protocol.Low], "pending_normal", pending[protocol.Normal],
+		"pending_high", pending[protocol.High], "pending_prod", pending[protocol.Production],
+		"jobs", len(l.state.Jobs), "teams_near_limit", teamsNearLimit(l.state), "round_cost_us", int64(l.scheduler.CycleCost),
+		"state_requests", l.KV.Stats.Requests.Load(), "state_writes", l.KV.Stats.Writes.Load())
+}
+
+// isReporting reports whether a machine's heartbeats arrive. It needs the lock of state held.
+func (l *Leader) isReporting(machine *cluster.Machine, now units.Micros) bool {
+	return machine.Registered && now-machine.LastHeartbeat < l.detector.SuspectAfter()
+}
+
+// runningRequests returns what the attempts that run request together.
+func runningRequests(state *cluster.State) units.Resources {
 	var running units.Resources
-	for _, m := range l.state.Machines {
-		for _, a := range m.Attempts {
-			if a.Stage == cluster.Running {
-				running = running.Plus(a.Job.Spec.Request, 1)
+	for _, machine := range state.Machines {
+		for _, attempt := range machine.Attempts {
+			if attempt.Stage == cluster.Running {
+				running = running.Plus(attempt.Job.Spec.Request, 1)
 			}
 		}
 	}
-	full := 0
-	for _, team := range l.state.Teams {
+	return running
+}
+
+// teamsNearLimit returns how many teams use more than nine tenths of their quota limit.
+func teamsNearLimit(state *cluster.State) int {
+	near := 0
+	for _, team := range state.Teams {
 		if team.Used.CPU > team.QuotaLimit.CPU*9/10 {
-			full++
+			near++
 		}
 	}
-	l.Log.Info("fleet", "machines", reporting, "cpus", size.CPU.Float(), "cpus_used", used.CPU.Float(), "cpus_running", running.CPU.Float(),
-		"pending_low", pending[protocol.Low], "pending_normal", pending[protocol.Normal],
-		"pending_high", pending[protocol.High], "pending_prod", pending[protocol.Production],
-		"jobs", len(l.state.Jobs), "teams_near_limit", full, "round_cost_us", int64(l.scheduler.CycleCost),
-		"state_requests", l.KV.Stats.Requests.Load(), "state_writes", l.KV.Stats.Writes.Load())
+	return near
 }
