--- a/internal/controller/broadcast_test.go
+++ b/internal/controller/broadcast_test.go
@@ -19,16 +19,16 @@
 		t.Fatal(err)
 	}
 	defer hanging.Close()
-	term, clock := leaderWithJob(t, 1)
-	j := term.state.Jobs["j-000001"]
+	leader, clock := newLeaderWithJob(t, 1)
+	j := leader.state.Jobs["j-000001"]
 	const last = "i-000099"
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(encodeHeartbeat(testHeartbeat(last, 1, 1, term.token), nil))
+		_, _ = w.Write(encodeHeartbeat(testHeartbeat(last, 1, 1, leader.token), nil))
 	}))
 	defer worker.Close()
 	unconfirm := func(id, endpoint string) {
-		term.state.EnsureMachine(id, "m", "a", true, clock.Now).Endpoint = endpoint
-		term.state.MarkUnreconciled(j, id)
+		leader.state.EnsureMachine(id, "m", "a", true, clock.Now).Endpoint = endpoint
+		leader.state.MarkUnreconciled(j, id)
 	}
 	for i := range 32 {
 		unconfirm(fmt.Sprintf("i-%06d", i), hanging.Addr().String())
@@ -38,16 +38,16 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		term.broadcaster.Run(ctx)
+		leader.broadcaster.Run(ctx)
 	}()
 	defer func() {
 		cancel()
 		<-done
 	}()
 	confirmed := func() bool {
-		term.state.Lock()
-		defer term.state.Unlock()
-		return !term.state.IsUnreconciled(last)
+		leader.state.Lock()
+		defer leader.state.Unlock()
+		return !leader.state.IsUnreconciled(last)
 	}
 	for deadline := time.Now().Add(10 * time.Second); !confirmed(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -59,11 +59,8 @@
 func (l *Leader) cancellationConfirmed(job *cluster.Job) bool {
 	l.state.Lock()
 	defer l.state.Unlock()
-	if answer.CancellationConfirmed(job, l.Settings.Fleet.Workers) {
-		return true
-	}
 	_, terminal := l.terminals.Cached(job.Spec.ID)
-	return terminal
+	return terminal || answer.CancellationConfirmed(job, l.Settings.Fleet.Workers)
 }
 
 // cancelJob marks a job as cancelled, and has that written and its starts stopped, unless all
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -23,9 +23,9 @@
 	"dunestand/internal/units"
 )
 
-// refusedController is a node whose only peer, which leads, refuses its links.
+// newRefusedController is a node whose only peer, which leads, refuses its links.
 // Its state service does not answer if none is given.
-func refusedController(t *testing.T, state *standin.State) (*Controller, *standin.Clock) {
+func newRefusedController(t *testing.T, state *standin.State) (*Controller, *standin.Clock) {
 	t.Helper()
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,16 +39,16 @@
 	}
 	t.Cleanup(func() { hanging.Close() })
 	clock := &standin.Clock{Now: 100 * units.Second}
-	s := modelSettings()
-	s.Services.State = hanging.Addr().String()
+	store := modelSettings()
+	store.Services.State = hanging.Addr().String()
 	if state != nil {
 		server := httptest.NewServer(state)
 		t.Cleanup(server.Close)
-		s.Services.State = strings.TrimPrefix(server.URL, "http://")
+		store.Services.State = strings.TrimPrefix(server.URL, "http://")
 	}
-	s.Others = []config.Peer{{Node: "leader", Endpoint: addr}}
+	store.Others = []config.Peer{{Node: "leader", Endpoint: addr}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c := NewController(s, Environment{
+	c := NewController(store, Environment{
 		Policy: config.DefaultPolicy(),
 		Clock:  clock,
 		Random: rand.New(rand.NewPCG(1, 1)),
@@ -77,7 +77,7 @@
 // told its name and users are sent elsewhere. Once the record is stale nobody
 // leads: then no name is told, and the node stays in use for the election.
 func TestNodeThatTheLeaderRefuses(t *testing.T) {
-	c, clock := refusedController(t, nil)
+	c, clock := newRefusedController(t, nil)
 	for v := uint64(1); v <= 2; v++ {
 		c.sawRenewal(v)
 		if got := c.redirectTarget(); got != "leader" {
@@ -106,26 +106,26 @@
 // A node without the state service and all other controllers says so soon, and
 // answers at once instead of asking the state service.
 func TestNodeCutOffFromStateAndPeers(t *testing.T) {
-	c, clock := refusedController(t, nil)
+	c, clock := newRefusedController(t, nil)
 	clock.Now += c.elector.LeaseDuration() + units.Millisecond
 	if r := c.health(); r.Status != http.StatusServiceUnavailable {
 		t.Error("it counts as healthy")
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if r := c.poll(t.Context(), "j-000001", true); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Errorf("poll: %d", r.Status)
 	}
-	if took := time.Since(began); took > 500*time.Millisecond {
+	if took := time.Since(startedAt); took > 500*time.Millisecond {
 		t.Errorf("the user waited %v", took)
 	}
 }
 
 // submission is the body of a user's request.
-func submission(spec *protocol.JobSpec, crew string) []byte {
+func submission(spec *protocol.JobSpec, team string) []byte {
 	return protocol.Encode(map[string]any{
 		"uid":       spec.ID,
 		"queue":     spec.Class,
-		"crew":      crew,
+		"crew":      team,
 		"shape":     "sweep",
 		"urgency":   "normal",
 		"bolts":     spec.Tasks,
@@ -147,23 +147,23 @@
 // that it is unknown, or anything older than what its user was told: not this
 // node, and not a leader, whether or not it has taken the job in.
 func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
-	s := standin.NewState()
-	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
-	s.Put(storage.KeyTerminal("j-000009"), protocol.Encode(storage.TerminalRecord{
+	store := standin.NewState()
+	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
+	store.Put(storage.KeyTerminal("j-000009"), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
 	}))
-	c, _ := refusedController(t, s)
+	c, _ := newRefusedController(t, store)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	const id = "j-000001"
 	for _, want := range []int{http.StatusCreated, http.StatusOK} {
-		if r := c.submit(ctx, submission(modelSpec(id), "team"), true); r.Status != want || state(t, r).Stage != protocol.StagePending {
+		if r := c.submit(ctx, submission(modelSpec(id), "team"), true); r.Status != want || decodeState(t, r).Stage != protocol.StagePending {
 			t.Fatalf("submission: %d %s, want %d", r.Status, r.Body, want)
 		}
 	}
-	if r := c.submit(ctx, submission(modelSpec("j-000009"), "team"), true); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageDone {
+	if r := c.submit(ctx, submission(modelSpec("j-000009"), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageDone {
 		t.Errorf("a job that is over: %d %s", r.Status, r.Body)
 	}
 	// Only a leader refuses for good: it knows whether the job was accepted before.
@@ -173,40 +173,40 @@
 	if r := c.submit(ctx, submission(modelSpec("j-000003"), "team"), false); r.Status != http.StatusServiceUnavailable {
 		t.Errorf("passed on by another node: %d", r.Status)
 	}
-	if r := c.poll(ctx, id, true); r.Status != http.StatusOK || state(t, r).Stage != protocol.StagePending {
+	if r := c.poll(ctx, id, true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StagePending {
 		t.Errorf("poll: %d %s", r.Status, r.Body)
 	}
 	if r := c.poll(ctx, "j-000003", true); r.Status != http.StatusNotFound {
 		t.Errorf("poll of an unknown job: %d", r.Status)
 	}
 
-	term := storedLeader(t, 1, s)
-	if !term.persister.Restore(ctx) {
+	leader := newStoredLeader(t, 1, store)
+	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
-	if r := term.Poll(ctx, id); r.Status != http.StatusOK && r.Status != http.StatusServiceUnavailable {
+	if r := leader.Poll(ctx, id); r.Status != http.StatusOK && r.Status != http.StatusServiceUnavailable {
 		t.Errorf("a leader that has not taken it in: %d", r.Status)
 	}
-	if r := term.Cancel(ctx, id); r.Status != http.StatusServiceUnavailable {
+	if r := leader.Cancel(ctx, id); r.Status != http.StatusServiceUnavailable {
 		t.Errorf("cancellation before it is taken in: %d", r.Status)
 	}
 	unknown := modelSpec(id)
 	unknown.Team = "nobody"
-	if r := term.Submit(ctx, unknown); r.Status == http.StatusUnprocessableEntity {
+	if r := leader.Submit(ctx, unknown); r.Status == http.StatusUnprocessableEntity {
 		t.Error("the repeat of an accepted job is refused")
 	}
-	go term.persister.Run(ctx)
-	go term.ingester.Run(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; {
+	go leader.persister.Run(ctx)
+	go leader.ingester.Run(ctx)
+	for deadline := time.Now().Add(10 * time.Second); len(store.Keys(storage.PrefixPending)) > 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if r := term.Cancel(ctx, id); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageCancelled {
+	if r := leader.Cancel(ctx, id); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
 		t.Errorf("cancellation: %d %s", r.Status, r.Body)
 	}
-	if r := c.submit(ctx, submission(modelSpec(id), "team"), true); r.Status != http.StatusOK || state(t, r).Stage != protocol.StageCancelled {
+	if r := c.submit(ctx, submission(modelSpec(id), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
 		t.Errorf("repeat of a cancelled job: %d %s", r.Status, r.Body)
 	}
 }
@@ -214,21 +214,21 @@
 // A job is accepted without a leader by a commit that takes long. By then it may have been
 // taken in and cancelled, so its state is read again before the user is told of it.
 func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
-	s := standin.NewState()
-	s.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
-	c, clock := refusedController(t, s)
+	store := standin.NewState()
+	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
+	c, clock := newRefusedController(t, store)
 	const id = "j-000001"
-	s.Refuse = func(_, path string) bool {
+	store.Refuse = func(_, path string) bool {
 		if path == protocol.PathCommit {
 			clock.Now += answer.MaxAnswerAge + units.Millisecond
 		}
 		return false
 	}
 	a := c.submit(t.Context(), submission(modelSpec(id), "team"), true)
-	if got := c.gate().Check(a); got.Status != http.StatusOK || state(t, a).Stage != protocol.StagePending {
+	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
-	if len(s.Keys(storage.PrefixPending)) != 1 {
+	if len(store.Keys(storage.PrefixPending)) != 1 {
 		t.Error("it is not in the inbox")
 	}
 }
@@ -236,33 +236,33 @@
 // What was put into the inbox late, for a job that is over by then, is cleared
 // away and never answered for: the job's final state stands.
 func TestLatePendingSubmissionOfAFinishedJob(t *testing.T) {
-	s := standin.NewState()
+	store := standin.NewState()
 	spec := modelSpec("j-000001")
 	for _, c := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
-		s.Put(c.Set, c.Value)
+		store.Put(c.Set, c.Value)
 	}
-	s.Put(storage.KeyTerminal(spec.ID), protocol.Encode(storage.TerminalRecord{
+	store.Put(storage.KeyTerminal(spec.ID), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
 	}))
-	term := storedLeader(t, 1, s)
+	leader := newStoredLeader(t, 1, store)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.persister.Restore(ctx) {
+	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
-	go term.persister.Run(ctx)
-	go term.ingester.Run(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(s.Keys(storage.PrefixPending)) > 0; time.Sleep(5 * time.Millisecond) {
+	go leader.persister.Run(ctx)
+	go leader.ingester.Run(ctx)
+	for deadline := time.Now().Add(10 * time.Second); len(store.Keys(storage.PrefixPending)) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("it stays in the inbox")
 		}
-		if r := term.Poll(ctx, spec.ID); r.Status == http.StatusOK && state(t, r).Stage != protocol.StageDone || r.Status == http.StatusNotFound {
+		if r := leader.Poll(ctx, spec.ID); r.Status == http.StatusOK && decodeState(t, r).Stage != protocol.StageDone || r.Status == http.StatusNotFound {
 			t.Fatalf("poll: %d %s", r.Status, r.Body)
 		}
 	}
-	if live := s.Keys("job/"); len(live) > 0 {
+	if live := store.Keys("job/"); len(live) > 0 {
 		t.Errorf("live again: %v", live)
 	}
 }
@@ -287,17 +287,17 @@
 		})
 	}()
 	clock := &standin.Clock{Now: 100 * units.Second}
-	s := modelSettings()
-	s.Services.State = "127.0.0.1:1"
-	s.Others = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
-	c := NewController(s, Environment{
+	store := modelSettings()
+	store.Services.State = "127.0.0.1:1"
+	store.Others = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
+	c := NewController(store, Environment{
 		Policy: config.DefaultPolicy(),
 		Clock:  clock,
 		Random: rand.New(rand.NewPCG(1, 1)),
 		Log:    log,
 	})
 	l := c.elector
-	record := storage.LeaseRecord{Holder: s.Node, Incarnation: 3}
+	record := storage.LeaseRecord{Holder: store.Node, Incarnation: 3}
 	l.ObserveRecord(record, 1)
 	clock.Now += leaseRecordTTL + units.Millisecond
 	go c.peers.Run(t.Context())
@@ -313,7 +313,7 @@
 		t.Errorf("health: %s", r.Body)
 	}
 	l.ObserveRecord(record, 1)
-	if got := c.leaderName(); got != s.Node {
+	if got := c.leaderName(); got != store.Node {
 		t.Errorf("the record was just read, and %q counts as the leader", got)
 	}
 }
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -14,14 +14,14 @@
 // While much waits, rounds come every 25 ms. Going over the whole fleet for what has
 // passed its time is not needed as often.
 func TestTimeoutsAreCheckedFourTimesASecond(t *testing.T) {
-	term, clock := leaderWithJob(t, 1)
-	term.lastSummary = clock.Now + units.Second // this term has no state service to count requests of
+	leader, clock := newLeaderWithJob(t, 1)
+	leader.lastSummary = clock.Now + units.Second // this term has no state service to count requests of
 	checks := 0
 	for range 40 {
 		clock.Now += scheduler.MinCycleInterval
-		before := term.lastTimeoutCheck
-		term.checkTimeouts(clock.Now)
-		if term.lastTimeoutCheck != before {
+		before := leader.lastTimeoutCheck
+		leader.checkTimeouts(clock.Now)
+		if leader.lastTimeoutCheck != before {
 			checks++
 		}
 	}
@@ -35,22 +35,22 @@
 func TestJobsAtTheBoundLeaveRoom(t *testing.T) {
 	const mostTaken = 0.5 // of what is reckoned
 	for _, c := range []struct{ jobs, tasks int }{{400, 1}, {400, 3000}, {20, protocol.MaxTasks}} {
-		term, clock := leaderWithJob(t, 1)
-		before, reckonedBefore := heapInUse(), term.state.Memory()
+		leader, clock := newLeaderWithJob(t, 1)
+		before, reckonedBefore := heapInUse(), leader.state.Memory()
 		for i := range c.jobs {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+100))
 			spec.Tasks = c.tasks
-			job := term.state.NewJob(spec, clock.Now, clock.Now)
+			job := leader.state.NewJob(spec, clock.Now, clock.Now)
 			for index := range c.tasks / 2 {
-				term.state.TaskDone(job, 2*index, clock.Now)
+				leader.state.TaskDone(job, 2*index, clock.Now)
 			}
 		}
-		saveAll(term)
-		taken, reckoned := float64(heapInUse()-before), float64(term.state.Memory()-reckonedBefore)
+		writeAllRecords(leader)
+		taken, reckoned := float64(heapInUse()-before), float64(leader.state.Memory()-reckonedBefore)
 		if taken > reckoned*mostTaken {
 			t.Errorf("%d jobs of %d tasks take %.0f bytes, reckoned are %.0f", c.jobs, c.tasks, taken, reckoned)
 		}
-		runtime.KeepAlive(term)
+		runtime.KeepAlive(leader)
 	}
 }
 
@@ -66,11 +66,11 @@
 // hundreds of reports a second.
 func TestOneStepCostsTheSameInALargeFleet(t *testing.T) {
 	steps := func(machines int) map[string]float64 {
-		term, reports := busyLeader(machines)
+		leader, heartbeats := newBusyLeader(machines)
 		i := 0
 		next := func() *protocol.Heartbeat {
 			i++
-			r := reports[i%len(reports)]
+			r := heartbeats[i%len(heartbeats)]
 			r.Sequence += 10
 			return r
 		}
@@ -78,20 +78,20 @@
 		return map[string]float64{
 			"report": testing.AllocsPerRun(100, func() {
 				r := next()
-				term.reconciler.Commands(term.reconciler.Reconcile(r, units.Second), r, units.Second)
+				leader.reconciler.Commands(leader.reconciler.Reconcile(r, units.Second), r, units.Second)
 			}),
 			"end of a task": testing.AllocsPerRun(100, func() {
-				m := term.state.Machines[next().Machine]
-				term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-				term.scheduler.PlaceOnMachine(m, units.Second)
+				m := leader.state.Machines[next().Machine]
+				leader.state.AttemptGone(m.SortedAttempts()[0], units.Second)
+				leader.scheduler.PlaceOnMachine(m, units.Second)
 			}),
 			"save": testing.AllocsPerRun(100, func() {
 				done++
-				j := term.state.Jobs["j-000299"]
-				term.state.TaskDone(j, done, units.Second)
+				j := leader.state.Jobs["j-000299"]
+				leader.state.TaskDone(j, done, units.Second)
 				j.MarkChanged(units.Second, true)
-				s := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{}, units.Second)
-				term.state.BatchCommitted(s, 1)
+				s := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{}, units.Second)
+				leader.state.BatchCommitted(s, 1)
 			}),
 		}
 	}
@@ -107,15 +107,15 @@
 // second on a small machine: it leaves nothing for the collector, however many tasks
 // the machine has and whatever would be logged of them.
 func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
-	term, reports := busyLeader(20)
-	r := reports[0]
+	leader, heartbeats := newBusyLeader(20)
+	r := heartbeats[0]
 	if len(r.Tasks) < 10 {
 		t.Fatalf("the machine has only %d tasks", len(r.Tasks))
 	}
 	allocs := testing.AllocsPerRun(100, func() {
 		r.Sequence++
-		m := term.reconciler.Reconcile(r, units.Second)
-		if out := term.reconciler.Commands(m, r, units.Second); len(out) > 0 {
+		m := leader.reconciler.Reconcile(r, units.Second)
+		if out := leader.reconciler.Commands(m, r, units.Second); len(out) > 0 {
 			t.Errorf("commands for nothing new: %v", out)
 		}
 	})
--- a/internal/controller/delay_test.go
+++ b/internal/controller/delay_test.go
@@ -11,22 +11,22 @@
 // for it. It must not take the machines that it gets to last for silent, and give
 // them away.
 func TestDelayedLeaderSuspectsNoMachine(t *testing.T) {
-	term, clock := leaderWithJob(t, 1)
-	report := func(from, to int, seq uint64) {
+	leader, clock := newLeaderWithJob(t, 1)
+	reconcile := func(from, to int, sequence uint64) {
 		for i := from; i < to; i++ {
-			term.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, seq, 7), clock.Now)
+			leader.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, sequence, 7), clock.Now)
 		}
 	}
-	report(0, 30, 1)
+	reconcile(0, 30, 1)
 	clock.Now += 20 * units.Second
-	term.detector.NoteDelay(clock.Now)
-	report(0, 25, 2)
-	if silent := term.detector.LostMachines(clock.Now); len(silent) != 0 {
-		t.Errorf("to be released: %v", silent)
+	leader.detector.NoteDelay(clock.Now)
+	reconcile(0, 25, 2)
+	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 0 {
+		t.Errorf("to be released: %v", lost)
 	}
-	clock.Now += term.detector.SuspectAfter() + units.Second
-	report(0, 29, 3)
-	if silent := term.detector.LostMachines(clock.Now); len(silent) != 1 || !silent["i-000029"] {
-		t.Errorf("to be released after a while: %v", silent)
+	clock.Now += leader.detector.SuspectAfter() + units.Second
+	reconcile(0, 29, 3)
+	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 1 || !lost["i-000029"] {
+		t.Errorf("to be released after a while: %v", lost)
 	}
 }
--- a/internal/controller/endinflight_test.go
+++ b/internal/controller/endinflight_test.go
@@ -11,10 +11,10 @@
 // outcome it does not know, and goes on to tell once it is known, either way.
 func TestLeaderIsSilentWhileAnEndIsStored(t *testing.T) {
 	for _, stored := range []bool{true, false} {
-		term, clock := leaderWithJob(t, 2)
+		leader, clock := newLeaderWithJob(t, 2)
 		const id = "j-000001"
 		status := func() int {
-			a, found := term.pollLive(id)
+			a, found := leader.pollLive(id)
 			if !found {
 				t.Fatal("the job is not known")
 			}
@@ -23,18 +23,18 @@
 		if got := status(); got != http.StatusOK {
 			t.Fatalf("a live job: %d", got)
 		}
-		term.cancelJob(term.state.Jobs[id])
+		leader.cancelJob(leader.state.Jobs[id])
 		if got := status(); got != http.StatusOK {
 			t.Errorf("a cancellation that nobody can have read: %d", got)
 		}
-		save := term.state.BuildWriteBatch(term.persister.NextWriteID(), term.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
+		batch := leader.state.BuildWriteBatch(leader.persister.NextWriteID(), leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
 		if got := status(); got != http.StatusServiceUnavailable {
 			t.Errorf("its save is on its way: %d", got)
 		}
 		if stored {
-			term.persister.BatchCommitted(save, 5)
+			leader.persister.BatchCommitted(batch, 5)
 		} else {
-			term.state.BatchRefused(save, clock.Now)
+			leader.state.BatchRefused(batch, clock.Now)
 		}
 		if got := status(); got != http.StatusOK {
 			t.Errorf("stored %v: %d", stored, got)
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -15,49 +15,49 @@
 // The largest fleet that is run, in machines. Nothing fixed may bind below it.
 const largestFleet = 4000
 
-// namedFleet is a leader with jobs on every machine of a fleet, and the reports of these.
-func namedFleet(machines int) (*Leader, []*protocol.Heartbeat) {
+// reconciledFleet is a leader with jobs on every machine of a fleet, and the reports of these.
+func reconciledFleet(machines int) (*Leader, []*protocol.Heartbeat) {
 	const perMachine, jobs = 4, 40
 	clock := &standin.Clock{Now: units.Second}
-	term := newTestLeader(1, clock)
-	term.persister.InstallRecords(nil, modelCatalog)
-	term.state.UpgradeFormat(storage.FormatNew, clock.Now)
-	term.state.Teams["team"].QuotaLimit = standin.CPUs(perMachine * machines)
+	leader := newTestLeader(1, clock)
+	leader.persister.InstallRecords(nil, modelCatalog)
+	leader.state.UpgradeFormat(storage.FormatNew, clock.Now)
+	leader.state.Teams["team"].QuotaLimit = standin.CPUs(perMachine * machines)
 	var all []*cluster.Job
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
 		spec.Tasks = machines * perMachine / jobs
-		all = append(all, term.state.NewJob(spec, clock.Now, clock.Now))
+		all = append(all, leader.state.NewJob(spec, clock.Now, clock.Now))
 	}
-	term.save()
-	reports := make([]*protocol.Heartbeat, machines)
-	for i := range reports {
-		reports[i] = testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 1)
-		machine := term.reconciler.Reconcile(reports[i], clock.Now)
+	leader.commitWrites()
+	heartbeats := make([]*protocol.Heartbeat, machines)
+	for i := range heartbeats {
+		heartbeats[i] = testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 1)
+		machine := leader.reconciler.Reconcile(heartbeats[i], clock.Now)
 		for k := range perMachine {
-			number := uint64(i*perMachine + k + 1)
-			a := term.state.Assign(all[int(number-1)%jobs], machine, number, clock.Now)
-			reports[i].Tasks = append(reports[i].Tasks, protocol.TaskStatus{
-				Job: a.Job.Spec.ID, Index: a.Index, Attempt: a.Number, Stage: protocol.TaskRunning,
+			attempt := uint64(i*perMachine + k + 1)
+			assigned := leader.state.Assign(all[int(attempt-1)%jobs], machine, attempt, clock.Now)
+			heartbeats[i].Tasks = append(heartbeats[i].Tasks, protocol.TaskStatus{
+				Job: assigned.Job.Spec.ID, Index: assigned.Index, Attempt: assigned.Number, Stage: protocol.TaskRunning,
 			})
 		}
 	}
-	return term, reports
+	return leader, heartbeats
 }
 
 // A fleet of 4,000 machines is kept in records of bounded size, all of it is unconfirmed
 // after a change of leader, and one report of each machine settles that.
 func TestLargestFleetIsRestored(t *testing.T) {
-	term, reports := namedFleet(largestFleet)
-	rows := saveAll(term)
-	limit := term.Settings.Fleet.State.Both().ValueBytes()
+	leader, heartbeats := reconciledFleet(largestFleet)
+	rows := writeAllRecords(leader)
+	limit := leader.Settings.Fleet.State.Both().ValueBytes()
 	for _, row := range rows {
 		if len(row.Value) > limit {
 			t.Fatalf("record %s has %d bytes, %d are allowed", row.Key, len(row.Value), limit)
 		}
 	}
 	later := newTestLeader(2, &standin.Clock{Now: units.Second})
-	later.state.Teams["team"].QuotaLimit = term.state.Teams["team"].QuotaLimit
+	later.state.Teams["team"].QuotaLimit = leader.state.Teams["team"].QuotaLimit
 	jobs, _, err := cluster.ParseJobs(rows)
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 	if n := later.state.UnreconciledCount(); n != largestFleet {
 		t.Fatalf("%d machines are unconfirmed after the restore", n)
 	}
-	for _, r := range reports {
+	for _, r := range heartbeats {
 		r.Sequence, r.FencingToken = r.Sequence+1, 2
 		later.reconciler.Reconcile(r, units.Second)
 	}
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -18,34 +18,34 @@
 // taken for less than they are: the node gives the lease to others and does not
 // claim it while the fleet has a later format.
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
-	for what, put := range map[string]func(s *standin.State){
-		"the fleet's format": func(s *standin.State) {
-			s.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
+	for what, put := range map[string]func(store *standin.State){
+		"the fleet's format": func(store *standin.State) {
+			store.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
 		},
-		"a job's record": func(s *standin.State) {
-			s.Put(storage.KeyJob("j-000001"), protocol.Encode(map[string]any{
+		"a job's record": func(store *standin.State) {
+			store.Put(storage.KeyJob("j-000001"), protocol.Encode(map[string]any{
 				"v":     storage.NewestFormat + 1,
 				"id":    "j-000001",
 				"tasks": 1,
 			}))
 		},
-		"a part of a job": func(s *standin.State) {
-			s.Put(storage.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
+		"a part of a job": func(store *standin.State) {
+			store.Put(storage.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
 		},
-		"a part without its job, which is not over": func(s *standin.State) {
-			s.Put(storage.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
+		"a part without its job, which is not over": func(store *standin.State) {
+			store.Put(storage.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
 		},
 	} {
-		s := standin.NewState()
-		put(s)
-		term := storedLeader(t, 1, s)
-		if term.persister.Restore(t.Context()) || term.Ready() {
+		store := standin.NewState()
+		put(store)
+		leader := newStoredLeader(t, 1, store)
+		if leader.persister.Restore(t.Context()) || leader.Ready() {
 			t.Errorf("%s: the node leads", what)
 		}
-		if term.leadership.Valid() || term.lease().Abstained != persister.UnreadableAbstention {
+		if leader.leadership.Valid() || leader.lease().Abstained != persister.UnreadableAbstention {
 			t.Errorf("%s: the node keeps the lease", what)
 		}
-		if newer := term.Format.TooNew(); newer != (what == "the fleet's format") {
+		if newer := leader.Format.TooNew(); newer != (what == "the fleet's format") {
 			t.Errorf("%s: a later version's %v", what, newer)
 		}
 	}
@@ -55,23 +55,23 @@
 // version before would call it done when its replicas end. It is told to come
 // back; what can never run is refused for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
-	term := newTestLeader(1, &standin.Clock{})
-	term.state.SetInstanceTypes(modelCatalog.Types)
+	leader := newTestLeader(1, &standin.Clock{})
+	leader.state.SetInstanceTypes(modelCatalog.Types)
 	service := *modelSpec("j-000001")
-	service.Kind, service.Tasks = protocol.Service, modelLimit
+	service.Kind, service.Tasks = protocol.Service, modelQuotaCPUs
 	for _, c := range []struct {
 		level, tasks int
 		want         *rejectionError
 		status       int // 0: accepted
 	}{
-		{storage.FormatOld, modelLimit, errNotUpgraded, http.StatusServiceUnavailable},
-		{storage.FormatOld, modelLimit + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
-		{storage.FormatNew, modelLimit, nil, 0},
-		{storage.FormatNew, modelLimit + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatOld, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
+		{storage.FormatOld, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatNew, modelQuotaCPUs, nil, 0},
+		{storage.FormatNew, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 	} {
-		term.setFormat(c.level)
+		leader.setFormat(c.level)
 		service.Tasks = c.tasks
-		if got := term.checkAdmissible(&service); got != c.want || got != nil && got.status != c.status {
+		if got := leader.checkAdmissible(&service); got != c.want || got != nil && got.status != c.status {
 			t.Errorf("format %d, %d tasks: %v, want %v with status %d", c.level, c.tasks, got, c.want, c.status)
 		}
 	}
@@ -81,9 +81,9 @@
 // is raised: every job is accepted, a large one that was stored before is divided,
 // and what is saved is never sent unchanged for ever.
 func TestLimitsThatFall(t *testing.T) {
-	s := standin.NewState()
-	s.Limit(16<<10, 12, 1000)
-	term := storedLeader(t, 1, s, func(d *Deps) {
+	store := standin.NewState()
+	store.Limit(16<<10, 12, 1000)
+	leader := newStoredLeader(t, 1, store, func(d *Deps) {
 		d.Format = standin.NewRecordFormat(storage.FormatOld)
 		d.Settings.Fleet.State = config.State{
 			RPS:      1e4,
@@ -95,17 +95,17 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !term.persister.Restore(ctx) {
+	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.persister.Run(ctx)
+	leader.state.SetInstanceTypes(modelCatalog.Types)
+	go leader.persister.Run(ctx)
 	submit := func(id string, tasks int) {
 		t.Helper()
 		spec := *modelSpec(id)
 		spec.Tasks = tasks
 		for try := 0; ; try++ {
-			if r := term.Submit(ctx, &spec); r.Status == http.StatusCreated || r.Status == http.StatusOK {
+			if r := leader.Submit(ctx, &spec); r.Status == http.StatusCreated || r.Status == http.StatusOK {
 				return
 			} else if try == 20 {
 				t.Fatalf("%s: %d %s", id, r.Status, r.Body)
@@ -116,9 +116,9 @@
 	eventually := func(done func() bool) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			term.state.Lock()
+			leader.state.Lock()
 			ok := done()
-			term.state.Unlock()
+			leader.state.Unlock()
 			if ok {
 				return
 			}
@@ -130,44 +130,44 @@
 	const large = "j-000001"
 	submit(large, protocol.MaxTasks)
 	name := func(from, to int) {
-		term.state.Lock()
-		defer term.state.Unlock()
+		leader.state.Lock()
+		defer leader.state.Unlock()
 		for i := from; i < to; i++ {
-			term.state.Assign(term.state.Jobs[large], term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
+			leader.state.Assign(leader.state.Jobs[large], leader.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
 		}
-		term.writeSignal.Raise()
+		leader.writeSignal.Raise()
 	}
 	named := func(to int) func() bool {
-		return func() bool { return term.state.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
+		return func() bool { return leader.state.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
 	}
 	name(0, 300)
 	eventually(named(300))
-	s.Limit(2<<10, 4, 600)
+	store.Limit(2<<10, 4, 600)
 	name(300, 310) // its record is too large by now; the rest goes on
 	for i := range 10 {
 		submit(fmt.Sprintf("j-%06d", i+10), 3)
 	}
 	time.Sleep(2 * persister.RejectedRetryDelay.Duration())
-	if n := s.Rejected(); n == 0 || n > 3 {
+	if n := store.Rejected(); n == 0 || n > 3 {
 		t.Errorf("%d saves were rejected", n)
 	}
-	term.setFormat(storage.FormatNew)
+	leader.setFormat(storage.FormatNew)
 	eventually(named(310))
 	name(310, 900)
 	eventually(named(900))
-	term.state.Lock()
+	leader.state.Lock()
 	for i := range protocol.MaxTasks {
-		term.state.TaskDone(term.state.Jobs[large], i, 0)
+		leader.state.TaskDone(leader.state.Jobs[large], i, 0)
 	}
-	term.state.Unlock()
-	term.writeSignal.Raise()
-	eventually(func() bool { return term.state.Jobs[large] == nil })
-	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
+	leader.state.Unlock()
+	leader.writeSignal.Raise()
+	eventually(func() bool { return leader.state.Jobs[large] == nil })
+	for deadline := time.Now().Add(20 * time.Second); len(store.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("left over: %v", s.Keys(storage.KeyJob(large)))
+			t.Fatalf("left over: %v", store.Keys(storage.KeyJob(large)))
 		}
 	}
-	if f, ok, err := persister.ReadTerminal(ctx, term.KV, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
+	if f, ok, err := persister.ReadTerminal(ctx, leader.KV, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
 		t.Errorf("%+v %v %v", f, ok, err)
 	}
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -14,52 +14,52 @@
 	"dunestand/internal/units"
 )
 
-// leaderWithJob is a leader of a job that is stored and waits.
-func leaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
+// newLeaderWithJob is a leader of a job that is stored and waits.
+func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
 	t.Helper()
 	clock := &standin.Clock{Now: 100 * units.Second}
-	term := newTestLeader(7, clock)
-	term.persister.InstallRecords(nil, modelCatalog)
+	leader := newTestLeader(7, clock)
+	leader.persister.InstallRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Tasks = tasks
-	term.state.NewJob(spec, clock.Now, clock.Now)
-	term.save()
-	return term, clock
+	leader.state.NewJob(spec, clock.Now, clock.Now)
+	leader.commitWrites()
+	return leader, clock
 }
 
-// save carries out all saves that are due.
-func (l *Leader) save() {
+// commitWrites carries out all saves that are due.
+func (l *Leader) commitWrites() {
 	for {
-		s := l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
-		if s == nil {
+		batch := l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
+		if batch == nil {
 			return
 		}
-		l.state.BatchCommitted(s, 1)
+		l.state.BatchCommitted(batch, 1)
 	}
 }
 
 // exchange is one report and its answer; saves that the answer needs are
 // carried out first.
-func (l *Leader) exchange(r *protocol.Heartbeat) []protocol.Command {
+func (l *Leader) exchange(heartbeat *protocol.Heartbeat) []protocol.Command {
 	now := l.Clock.Steady()
-	m := l.reconciler.Reconcile(r, now)
-	if m == nil {
+	machine := l.reconciler.Reconcile(heartbeat, now)
+	if machine == nil {
 		return nil
 	}
-	l.scheduler.RunCycle(now, m)
-	l.save()
-	return l.reconciler.Commands(m, r, now)
+	l.scheduler.RunCycle(now, machine)
+	l.commitWrites()
+	return l.reconciler.Commands(machine, heartbeat, now)
 }
 
-func testHeartbeat(machine string, session, seq, term uint64) *protocol.Heartbeat {
+func testHeartbeat(machine string, incarnation, sequence, token uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine:      machine,
 		InstanceType: "m",
 		Zone:         "a",
 		Spot:         true,
-		Incarnation:  session,
-		Sequence:     seq,
-		FencingToken: term,
+		Incarnation:  incarnation,
+		Sequence:     sequence,
+		FencingToken: token,
 	}
 }
 
@@ -71,17 +71,17 @@
 // books, what must never happen.
 
 const (
-	modelLease   = 10 * units.Second
-	modelCancel  = 11 * units.Second
-	workerWaits  = 4 * units.Second
-	modelLimit   = 9 // processors of the team
-	modelMachine = 4 // processors of a machine
+	modelLease       = 10 * units.Second
+	modelCancelGrace = 11 * units.Second
+	workerTimeout    = 4 * units.Second
+	modelQuotaCPUs   = 9 // processors of the team
+	modelMachineCPUs = 4 // processors of a machine
 )
 
 func modelSettings() *config.Settings {
 	return &config.Settings{Node: "n", Fleet: config.Fleet{Zones: []string{"a"},
-		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: modelLimit}},
-		Workers: config.Workers{ReportS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancel.Seconds()},
+		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: modelQuotaCPUs}},
+		Workers: config.Workers{ReportS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancelGrace.Seconds()},
 		State: config.State{
 			RPS:      100,
 			WriteRPS: 50,
@@ -95,7 +95,7 @@
 var modelCatalog = protocol.Catalog{Types: []protocol.InstanceType{
 	{
 		Name:      "m",
-		CPUs:      modelMachine,
+		CPUs:      modelMachineCPUs,
 		MemoryGB:  64,
 		CacheGB:   10,
 		Price:     1,
--- a/internal/controller/heartbeatlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -15,14 +15,14 @@
 )
 
 func TestHeartbeatsAreHandledOneAtATime(t *testing.T) {
-	reports := newHeartbeatLimiter()
+	heartbeats := newHeartbeatLimiter()
 	var inside, most atomic.Int64
 	var wg sync.WaitGroup
 	for range 20 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			slot := reports.acquire(t.Context())
+			slot := heartbeats.acquire(t.Context())
 			defer slot.release()
 			if n := inside.Add(1); n > most.Load() {
 				most.Store(n)
@@ -38,8 +38,8 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	held := reports.acquire(t.Context())
-	if late := reports.acquire(ctx); late != nil {
+	held := heartbeats.acquire(t.Context())
+	if late := heartbeats.acquire(ctx); late != nil {
 		t.Error("acquired while another one was worked on")
 	}
 	held.release()
@@ -48,16 +48,16 @@
 // HalfSecondsToHeartbeat are worked on one at a time, but one that waits for a save, or for the
 // restore, does not hold up the others.
 func TestWaitingHeartbeatLetsOthersThrough(t *testing.T) {
-	term := newTestLeader(1, &standin.Clock{Now: units.Second})
-	controller := testController(term)
-	send := func(machine string, seq uint64) <-chan int {
+	leader := newTestLeader(1, &standin.Clock{Now: units.Second})
+	controller := newTestController(leader)
+	send := func(machine string, sequence uint64) <-chan int {
 		status := make(chan int, 1)
 		body := encodeHeartbeat(&protocol.Heartbeat{
 			Machine:      machine,
 			InstanceType: "m",
 			Zone:         "a",
 			Incarnation:  1,
-			Sequence:     seq,
+			Sequence:     sequence,
 			FencingToken: 1,
 		}, nil)
 		go func() {
@@ -74,7 +74,7 @@
 		t.Fatal("a report that waits for the restore holds up the others")
 	}
 	other.release()
-	term.persister.InstallRecords(nil, modelCatalog)
+	leader.persister.InstallRecords(nil, modelCatalog)
 	for _, status := range beforeRestore {
 		expectStatus(t, status, 200)
 	}
@@ -82,10 +82,10 @@
 	// i-1 gets a task whose save does not come.
 	spec := *modelSpec("j-000001")
 	spec.Tasks = 1
-	job := term.state.NewJob(spec, term.Clock.Wall(), term.Clock.Steady())
-	accepted := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, term.Clock.Steady())
-	term.state.BatchCommitted(accepted, 1)
-	term.state.Assign(job, term.state.Machines["i-1"], 1, term.Clock.Steady())
+	job := leader.state.NewJob(spec, leader.Clock.Wall(), leader.Clock.Steady())
+	accepted := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, leader.Clock.Steady())
+	leader.state.BatchCommitted(accepted, 1)
+	leader.state.Assign(job, leader.state.Machines["i-1"], 1, leader.Clock.Steady())
 	waiting := send("i-1", 2)
 	time.Sleep(20 * time.Millisecond) // it waits by now
 	expectStatus(t, send("i-2", 2), 200)
@@ -98,12 +98,12 @@
 }
 
 // expectStatus waits for a report's answer, for less than its worker would.
-func expectStatus(t *testing.T, status <-chan int, expected int) {
+func expectStatus(t *testing.T, status <-chan int, want int) {
 	t.Helper()
 	select {
 	case got := <-status:
-		if got != expected {
-			t.Errorf("status %d, expected %d", got, expected)
+		if got != want {
+			t.Errorf("status %d, expected %d", got, want)
 		}
 	case <-time.After(3 * time.Second):
 		t.Fatal("a report is held up")
--- a/internal/controller/model_store_test.go
+++ b/internal/controller/model_store_test.go
@@ -20,8 +20,8 @@
 	limits   config.State
 }
 
-// takes tells whether a transaction is within the limits.
-func (s *modelStore) takes(txn protocol.Txn) bool {
+// withinLimits tells whether a transaction is within the limits.
+func (s *modelStore) withinLimits(txn protocol.Txn) bool {
 	for _, c := range txn.Then {
 		if len(c.Value)*5/4 > s.limits.ValueBytes() { // as JSON it is a little larger
 			return false
@@ -41,7 +41,7 @@
 	if len(failed) > 0 {
 		return 0, failed
 	}
-	if !s.takes(txn) {
+	if !s.withinLimits(txn) {
 		t.Fatalf("transaction of %d changes, %d conditions", len(txn.Then), len(txn.If))
 	}
 	s.revision++
@@ -55,37 +55,37 @@
 	return s.revision, nil
 }
 
-// arrive has another controller accept a job, a new one or one that the leader
+// submitElsewhere has another controller accept a job, a new one or one that the leader
 // has too: at once, or with a transaction that is held back.
-func (m *model) arrive() {
+func (m *model) submitElsewhere() {
 	var spec protocol.JobSpec
 	switch {
 	case len(m.specs) > 0 && rapid.Bool().Draw(m.t, "a repeat"):
 		spec = rapid.SampledFrom(m.specs).Draw(m.t, "arrival")
 	case len(m.jobs) < 6:
-		spec = m.draw()
+		spec = m.drawSpec()
 	default:
 		return
 	}
-	m.arrivals = append(m.arrivals, cluster.PendingSubmissionTxn(cluster.PendingSubmission{
+	m.pendingInFlight = append(m.pendingInFlight, cluster.PendingSubmissionTxn(cluster.PendingSubmission{
 		Spec:      spec,
 		Submitted: m.clock.Now,
 	}))
 	if rapid.Bool().Draw(m.t, "accepted at once") {
-		m.land()
+		m.landPending()
 	}
 }
 
-// land carries out the arrivals on their way.
-func (m *model) land() {
-	for _, txn := range m.arrivals {
+// landPending carries out the arrivals on their way.
+func (m *model) landPending() {
+	for _, txn := range m.pendingInFlight {
 		m.store.commit(m.t, txn)
 	}
-	m.arrivals = nil
+	m.pendingInFlight = nil
 }
 
-// pendingQueue lists what no leader has taken in.
-func (m *model) pendingQueue() []protocol.Item {
+// pendingItems lists what no leader has taken in.
+func (m *model) pendingItems() []protocol.Item {
 	var items []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
 		if strings.HasPrefix(key, storage.PrefixPending) {
@@ -95,9 +95,9 @@
 	return items
 }
 
-// collect has the leader take the inbox in.
-func (m *model) collect() {
-	for _, item := range m.pendingQueue() {
+// ingestPending has the leader take the inbox in.
+func (m *model) ingestPending() {
+	for _, item := range m.pendingItems() {
 		a, err := cluster.ParsePendingSubmission(item)
 		if err != nil {
 			m.t.Fatal(err)
@@ -110,59 +110,59 @@
 	}
 }
 
-// write sends the leader's next save, or completes the one on its way.
-func (m *model) write() {
+// advanceWrite sends the leader's next save, or completes the one on its way.
+func (m *model) advanceWrite() {
 	l := m.leader.state
-	if m.save == nil {
-		m.saveNew = m.leader.Format.Current() >= storage.FormatNew
+	if m.batch == nil {
+		m.batchInNewFormat = m.leader.Format.Current() >= storage.FormatNew
 		l.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
-		m.save = l.BuildWriteBatch(m.leader.persister.NextWriteID(), m.leader.persister.BucketVersions(), cluster.BatchLimits{
+		m.batch = l.BuildWriteBatch(m.leader.persister.NextWriteID(), m.leader.persister.BucketVersions(), cluster.BatchLimits{
 			CoalesceFor: units.Second,
 			Background:  true,
 		}, m.clock.Now)
 		return
 	}
-	if !m.store.takes(m.save.Txn) {
+	if !m.store.withinLimits(m.batch.Txn) {
 		// Only what was built before the leader heard that all are upgraded.
 		l.ApplyNextLimits()
-		if m.saveNew {
-			m.t.Fatalf("a save in the new form is over the limits: %d changes", len(m.save.Txn.Then))
+		if m.batchInNewFormat {
+			m.t.Fatalf("a save in the new form is over the limits: %d changes", len(m.batch.Txn.Then))
 		}
-		l.BatchRejected(m.save, m.clock.Now)
-		m.save = nil
+		l.BatchRejected(m.batch, m.clock.Now)
+		m.batch = nil
 		return
 	}
-	rev, failed := m.store.commit(m.t, m.save.Txn)
+	rev, failed := m.store.commit(m.t, m.batch.Txn)
 	if len(failed) > 0 {
-		l.BatchRefused(m.save, m.clock.Now)
+		l.BatchRefused(m.batch, m.clock.Now)
 		for _, key := range failed {
 			id, final := storage.JobOfTerminalKey(key)
-			if !final || m.finals[id] == "" {
+			if !final || m.terminalStages[id] == "" {
 				m.t.Fatalf("a leader's own save met a conflict: %v", failed)
 			}
-			m.leader.terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
+			m.leader.terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.terminalStages[id]}})
 			l.DropUnaccepted(id) // it was in the inbox still
 		}
-		m.save = nil
+		m.batch = nil
 		return
 	}
-	if m.save.ProbeKey() != "" {
-		m.repeats = append(m.repeats, m.save.Txn)
+	if m.batch.ProbeKey() != "" {
+		m.committedTxns = append(m.committedTxns, m.batch.Txn)
 	}
-	for id, f := range l.BatchCommitted(m.save, rev) {
-		m.over(id, f)
+	for id, f := range l.BatchCommitted(m.batch, rev) {
+		m.reachedTerminal(id, f)
 	}
-	m.save = nil
+	m.batch = nil
 }
 
-// repeat carries a transaction out late, once more: its first sending had no answer,
+// resendTransaction carries a transaction out late, once more: its first sending had no answer,
 // and newer ones came between. It must have no effect.
-func (m *model) repeat() {
-	if len(m.repeats) == 0 {
+func (m *model) resendTransaction() {
+	if len(m.committedTxns) == 0 {
 		return
 	}
-	txn := rapid.SampledFrom(m.repeats).Draw(m.t, "carried out late")
-	if !m.store.takes(txn) {
+	txn := rapid.SampledFrom(m.committedTxns).Draw(m.t, "carried out late")
+	if !m.store.withinLimits(txn) {
 		return
 	}
 	if _, failed := m.store.commit(m.t, txn); len(failed) == 0 {
@@ -170,9 +170,9 @@
 	}
 }
 
-func (m *model) over(id string, f storage.TerminalRecord) {
-	m.finals[id] = f.Stage
-	if m.confirmed[id] != 0 && f.Stage != protocol.StageCancelled {
+func (m *model) reachedTerminal(id string, f storage.TerminalRecord) {
+	m.terminalStages[id] = f.Stage
+	if m.cancelledAt[id] != 0 && f.Stage != protocol.StageCancelled {
 		m.t.Fatalf("%s was called cancelled, and is now %s", id, f.Stage)
 	}
 	if m.services[id] && f.Stage != protocol.StageCancelled {
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -19,35 +19,35 @@
 )
 
 type model struct {
-	t         *rapid.T
-	clock     *standin.Clock
-	store     *modelStore
-	leader    *Leader
-	terms     uint64
-	workers   []*modelWorker
-	save      *cluster.WriteBatch // the leader's, on its way
-	orphans   []*cluster.WriteBatch
-	held      []*protocol.Heartbeat // held back by the network; their workers have given up
-	jobs      map[string]int        // tasks of each job submitted
-	completed map[taskKey]bool
-	finals    map[string]protocol.JobStage
-	told      []sentHeartbeat
-	leadsNew  bool // the leader is of the new version
-	saveNew   bool // the save on its way was built in the new form
-	specs     []protocol.JobSpec
-	arrivals  []protocol.Txn // jobs on their way to the inbox
-	nodes     []modelNode
-	services  map[string]bool
-	calm      bool                    // all troubles are over
-	repeats   []protocol.Txn          // transactions that were carried out
-	confirmed map[string]units.Micros // when a user could be told that a job is cancelled
+	t                 *rapid.T
+	clock             *standin.Clock
+	store             *modelStore
+	leader            *Leader
+	elections         uint64
+	workers           []*modelWorker
+	batch             *cluster.WriteBatch // the leader's, on its way
+	staleBatches      []*cluster.WriteBatch
+	delayedHeartbeats []*protocol.Heartbeat // held back by the network; their workers have given up
+	jobs              map[string]int        // tasks of each job submitted
+	completed         map[taskKey]bool
+	terminalStages    map[string]protocol.JobStage
+	broadcastAnswers  []broadcastAnswer
+	leaderUpgraded    bool // the leader is of the new version
+	batchInNewFormat  bool // the save on its way was built in the new form
+	specs             []protocol.JobSpec
+	pendingInFlight   []protocol.Txn // jobs on their way to the inbox
+	controllers       []modelController
+	services          map[string]bool
+	faultsEnded       bool                    // all troubles are over
+	committedTxns     []protocol.Txn          // transactions that were carried out
+	cancelledAt       map[string]units.Micros // when a user could be told that a job is cancelled
 }
 
-// begin makes any of the controllers the leader.
-func (m *model) begin() {
-	m.terms++
-	m.leader = newTestLeader(m.terms, m.clock)
-	m.leadsNew = rapid.SampledFrom(m.nodes).Draw(m.t, "leader").upgraded
+// elect makes any of the controllers the leader.
+func (m *model) elect() {
+	m.elections++
+	m.leader = newTestLeader(m.elections, m.clock)
+	m.leaderUpgraded = rapid.SampledFrom(m.controllers).Draw(m.t, "leader").upgraded
 	// The claim changes every bucket's head, so older saves fail from now on.
 	for b := range storage.Buckets {
 		m.store.revision++
@@ -61,7 +61,7 @@
 			rows = append(rows, m.store.items[key])
 		}
 	}
-	if !m.leadsNew {
+	if !m.leaderUpgraded {
 		if _, err := standin.ReadAsBefore(rows); err != nil {
 			m.t.Fatalf("a leader of the version before cannot restore: %v", err)
 		}
@@ -76,7 +76,7 @@
 		}
 		m.leader.state.AddStaleRecords(id, keys)
 	}
-	if m.leadsNew {
+	if m.leaderUpgraded {
 		// It reads the fleet's format before the records.
 		m.leader.setFormat(max(m.formats()[storage.KeyFleetFormat].Format, storage.FormatOld))
 	}
@@ -87,11 +87,11 @@
 	if len(m.jobs) >= 6 {
 		return
 	}
-	m.leader.state.NewJob(m.draw(), m.clock.Now, m.clock.Now)
+	m.leader.state.NewJob(m.drawSpec(), m.clock.Now, m.clock.Now)
 }
 
-// draw makes a new job.
-func (m *model) draw() protocol.JobSpec {
+// drawSpec makes a new job.
+func (m *model) drawSpec() protocol.JobSpec {
 	id := fmt.Sprintf("j-%06d", len(m.jobs))
 	spec := protocol.JobSpec{
 		ID:        id,
@@ -114,37 +114,37 @@
 	return spec
 }
 
-func (m *model) pass() {
+func (m *model) passTime() {
 	m.clock.Now += units.Micros(rapid.IntRange(100, 6000).Draw(m.t, "ms")) * units.Millisecond
 	for _, w := range m.workers {
-		m.leaseOf(w)
+		m.expireLeaseOf(w)
 	}
 	m.leader.detector.ExpireLeases(m.clock.Now)
 }
 
-// crash ends the leader. What it had sent may be carried out before the next
+// failOver ends the leader. What it had sent may be carried out before the next
 // leader claims the buckets; later it must fail.
-func (m *model) crash() {
-	if m.save != nil {
-		if m.store.takes(m.save.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
-			if _, failed := m.store.commit(m.t, m.save.Txn); len(failed) == 0 {
-				for _, c := range m.save.Txn.Then {
+func (m *model) failOver() {
+	if m.batch != nil {
+		if m.store.withinLimits(m.batch.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
+			if _, failed := m.store.commit(m.t, m.batch.Txn); len(failed) == 0 {
+				for _, c := range m.batch.Txn.Then {
 					if id, final := storage.JobOfTerminalKey(c.Set); final {
 						var f storage.TerminalRecord
 						if protocol.Decode(c.Value, &f) == nil {
-							m.over(id, f)
+							m.reachedTerminal(id, f)
 						}
 					}
 				}
 			}
 		} else {
-			m.orphans = append(m.orphans, m.save)
+			m.staleBatches = append(m.staleBatches, m.batch)
 		}
-		m.save = nil
+		m.batch = nil
 	}
-	m.begin()
-	for _, s := range m.orphans {
-		if !m.store.takes(s.Txn) {
+	m.elect()
+	for _, s := range m.staleBatches {
+		if !m.store.withinLimits(s.Txn) {
 			continue
 		}
 		if _, failed := m.store.commit(m.t, s.Txn); len(failed) == 0 {
@@ -163,10 +163,10 @@
 	}
 }
 
-func (m *model) check() {
+func (m *model) checkInvariants() {
 	for id, j := range m.leader.state.Jobs {
-		if m.confirmed[id] == 0 && answer.CancellationConfirmed(j, m.leader.Settings.Fleet.Workers) {
-			m.confirmed[id] = m.clock.Now
+		if m.cancelledAt[id] == 0 && answer.CancellationConfirmed(j, m.leader.Settings.Fleet.Workers) {
+			m.cancelledAt[id] = m.clock.Now
 		}
 	}
 	used := 0
@@ -179,83 +179,83 @@
 			if task.stage == protocol.TaskExited {
 				continue
 			}
-			if at := m.confirmed[k.job]; at != 0 && m.clock.Now-at > modelCancel && !m.hung(w) {
+			if at := m.cancelledAt[k.job]; at != 0 && m.clock.Now-at > modelCancelGrace && !m.isHanging(w) {
 				m.t.Fatalf("%s/%d is on %s %v after its user was told", k.job, k.index, w.id, (m.clock.Now - at).Duration())
 			}
-			need := m.need(k.job)
+			need := m.requestedCPUs(k.job)
 			used += need
 			onMachine += need
 		}
-		if onMachine > modelMachine {
+		if onMachine > modelMachineCPUs {
 			m.t.Fatalf("%s runs %d processors", w.id, onMachine)
 		}
 	}
-	if used > modelLimit {
-		m.t.Fatalf("the team uses %d of %d processors", used, modelLimit)
+	if used > modelQuotaCPUs {
+		m.t.Fatalf("the team uses %d of %d processors", used, modelQuotaCPUs)
 	}
 }
 
-// endTroubles ends all troubles and plays on until every accepted job that was not
+// endFaults ends all troubles and plays on until every accepted job that was not
 // cancelled is done. Nothing may be forgotten, and nothing may wait for ever.
-func (m *model) endTroubles() {
-	m.calm = true
+func (m *model) endFaults() {
+	m.faultsEnded = true
 	for _, w := range m.workers {
 		w.answersLost, w.heartbeatsLost, w.hungUntil = false, false, 0
 	}
 	m.finishUpgrade()
-	m.land()
+	m.landPending()
 	accepted := map[string]bool{}
-	for _, item := range m.pendingQueue() {
+	for _, item := range m.pendingItems() {
 		a, _ := cluster.ParsePendingSubmission(item)
-		accepted[a.Spec.ID] = m.finals[a.Spec.ID] == "" && m.leader.state.Jobs[a.Spec.ID] == nil
+		accepted[a.Spec.ID] = m.terminalStages[a.Spec.ID] == "" && m.leader.state.Jobs[a.Spec.ID] == nil
 	}
 	for id, j := range m.leader.state.Jobs {
 		accepted[id] = (j.Accepted() || accepted[id]) && !j.Cancelled
 	}
 	for range 600 {
 		m.clock.Now += 500 * units.Millisecond
-		m.collect()
+		m.ingestPending()
 		for range 4 {
-			m.write()
+			m.advanceWrite()
 		}
 		m.leader.detector.ExpireLeases(m.clock.Now)
 		for i := range m.workers {
 			w := m.workers[i]
-			m.leaseOf(w)
+			m.expireLeaseOf(w)
 			if machine := m.leader.state.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= cluster.MaxUndeliveredCommands) {
 				m.releaseWorker(i)
 				continue
 			}
-			if w.awaited && m.clock.Now-w.sentAt > workerWaits {
-				w.awaited, w.answer = false, nil
+			if w.answerAwaited && m.clock.Now-w.sentAt > workerTimeout {
+				w.answerAwaited, w.answer = false, nil
 			}
-			if !w.awaited {
+			if !w.answerAwaited {
 				m.heartbeatOf(w)
 			}
 			m.deliverTo(w)
 			m.workOn(w)
-			m.check()
+			m.checkInvariants()
 		}
 	}
-	if left := m.pendingQueue(); len(left) > 0 {
+	if left := m.pendingItems(); len(left) > 0 {
 		m.t.Fatalf("%d jobs are in the inbox long after all troubles", len(left))
 	}
 	for id, open := range accepted {
 		if open && m.services[id] {
-			if up := m.running(id); up != m.jobs[id] {
+			if up := m.runningTasks(id); up != m.jobs[id] {
 				m.t.Fatalf("%d of %d replicas of %s run long after all troubles", up, m.jobs[id], id)
 			}
 			continue
 		}
-		if open && m.finals[id] != protocol.StageDone {
+		if open && m.terminalStages[id] != protocol.StageDone {
 			j := m.leader.state.Jobs[id]
-			m.t.Fatalf("%s is not done long after all troubles: final %q, known %v", id, m.finals[id], j != nil)
+			m.t.Fatalf("%s is not done long after all troubles: final %q, known %v", id, m.terminalStages[id], j != nil)
 		}
 	}
 }
 
-// running counts the tasks of a job that run on workers.
-func (m *model) running(job string) int {
+// runningTasks counts the tasks of a job that run on workers.
+func (m *model) runningTasks(job string) int {
 	n := 0
 	for _, w := range m.workers {
 		for k, task := range w.tasks {
@@ -267,7 +267,7 @@
 	return n
 }
 
-func (m *model) need(job string) int {
+func (m *model) requestedCPUs(job string) int {
 	if j := m.leader.state.Jobs[job]; j != nil {
 		return int(j.Spec.Request.CPU / 1_000_000)
 	}
@@ -277,37 +277,37 @@
 func TestRandomDaysKeepTheInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			t:        t,
-			clock:    &standin.Clock{Now: units.Second},
-			nodes:    make([]modelNode, 3),
-			services: map[string]bool{},
+			t:           t,
+			clock:       &standin.Clock{Now: units.Second},
+			controllers: make([]modelController, 3),
+			services:    map[string]bool{},
 			store: &modelStore{
 				items:  map[string]protocol.Item{},
 				limits: config.State{ValueKB: 8, TxnOps: 12, Next: &config.State{ValueKB: 1, TxnOps: 3}},
 			},
-			confirmed: map[string]units.Micros{},
-			jobs:      map[string]int{},
-			completed: map[taskKey]bool{},
-			finals:    map[string]protocol.JobStage{},
+			cancelledAt:    map[string]units.Micros{},
+			jobs:           map[string]int{},
+			completed:      map[taskKey]bool{},
+			terminalStages: map[string]protocol.JobStage{},
 		}
 		// Some days begin with far more machines than the team can use.
 		for range rapid.SampledFrom([]int{2, 2, 2, 2, 16}).Draw(t, "machines") {
 			m.workers = append(m.workers, m.newWorker())
 		}
 		if rapid.Bool().Draw(t, "upgraded before") {
-			for i := range m.nodes {
-				m.nodes[i] = modelNode{true, true}
-				m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.NewestFormat})
+			for i := range m.controllers {
+				m.controllers[i] = modelController{true, true}
+				m.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
 			}
 		}
-		m.begin()
+		m.elect()
 		actions := []func(){m.submit, m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver, m.work, m.work,
-			m.write, m.write, m.write, m.pass, m.crash, m.cancel, m.release, m.late, m.loseAnswers, m.broadcast, m.hearTold, m.arrive, m.land, m.collect, m.upgrade, m.raise, m.fall, m.loseHeartbeats, m.hang, m.cancelAtEnd, m.repeat, m.absence, m.lateAnswer}
+			m.advanceWrite, m.advanceWrite, m.advanceWrite, m.passTime, m.failOver, m.cancel, m.releaseAnyWorker, m.deliverDelayedHeartbeat, m.loseAnswers, m.broadcastToken, m.deliverBroadcastAnswers, m.submitElsewhere, m.landPending, m.ingestPending, m.upgrade, m.raiseFormat, m.lowerLimits, m.loseHeartbeats, m.hangWorker, m.cancelAtEnd, m.resendTransaction, m.isolateWorker, m.delayAnswerPastFailover}
 		weights := []int{0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 12, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 1, 4, 2, 5, 3, 6, 13, 13, 14, 15, 16, 16, 17, 18, 18, 19, 20, 21, 22, 22, 23, 23, 23, 23, 23, 23, 24, 24, 24, 25, 26, 26, 27, 27, 28, 28, 29, 30, 30, 30, 30, 31, 31, 31}
 		for range rapid.IntRange(50, 250).Draw(t, "steps") {
 			actions[rapid.SampledFrom(weights).Draw(t, "action")]()
-			m.check()
+			m.checkInvariants()
 		}
-		m.endTroubles()
+		m.endFaults()
 	})
 }
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -11,13 +11,13 @@
 	"dunestand/internal/storage"
 )
 
-// modelNode is a controller.
-type modelNode struct {
-	upgraded bool
-	told     bool // it has said, durably, that it reads the new form
+// modelController is a controller.
+type modelController struct {
+	upgraded        bool
+	formatAnnounced bool // it has said, durably, that it reads the new form
 }
 
-func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
+func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // put writes a key of the state service.
 func (m *model) put(key string, value any) {
@@ -42,48 +42,48 @@
 func (m *model) upgrade() {
 	// The first one mostly gets its turn late, long after the others.
 	i := rapid.SampledFrom([]int{0, 1, 1, 1, 1, 1, 2, 2, 2, 2, 2}).Draw(m.t, "controller")
-	switch n := &m.nodes[i]; {
+	switch n := &m.controllers[i]; {
 	case !n.upgraded:
 		n.upgraded = true
 		if rapid.IntRange(0, 2).Draw(m.t, "it led") == 0 {
-			m.crash()
+			m.failOver()
 		}
-	case !n.told:
-		n.told = true
-		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.NewestFormat})
+	case !n.formatAnnounced:
+		n.formatAnnounced = true
+		m.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
 	}
 }
 
-// raise has a leader of the new version do what it can about the fleet's format.
+// raiseFormat has a leader of the new version do what it can about the fleet's format.
 // It may die, or hear of it only later.
-func (m *model) raise() {
+func (m *model) raiseFormat() {
 	known := m.formats()
 	level := known[storage.KeyFleetFormat].Format
-	if !m.leadsNew {
+	if !m.leaderUpgraded {
 		return
 	}
 	var names []string
-	for i := range m.nodes {
-		names = append(names, nodeName(i))
+	for i := range m.controllers {
+		names = append(names, controllerName(i))
 	}
 	if all := recordformat.SupportedByAll(names, known); all > max(level, storage.FormatOld) {
 		level = all
 		m.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
-	if m.calm || rapid.Bool().Draw(m.t, "the leader hears of it") {
-		m.learn(level)
+	if m.faultsEnded || rapid.Bool().Draw(m.t, "the leader hears of it") {
+		m.learnFormat(level)
 	}
 }
 
-func (m *model) learn(level int) {
+func (m *model) learnFormat(level int) {
 	if level > m.leader.Format.Current() {
 		m.leader.setFormat(level)
 	}
 	m.leader.state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
 }
 
-// fall lowers the limits of the state service, some time after the upgrade.
-func (m *model) fall() {
+// lowerLimits lowers the limits of the state service, some time after the upgrade.
+func (m *model) lowerLimits() {
 	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatNew {
 		m.store.limits = m.store.limits.Both()
 	}
@@ -95,13 +95,13 @@
 	if rapid.IntRange(0, 3).Draw(m.t, "the upgrade ends") == 0 {
 		return
 	}
-	for i := range m.nodes {
-		m.nodes[i].upgraded, m.nodes[i].told = true, true
-		m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.NewestFormat})
+	for i := range m.controllers {
+		m.controllers[i].upgraded, m.controllers[i].formatAnnounced = true, true
+		m.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
 	}
-	if !m.leadsNew {
-		m.crash()
+	if !m.leaderUpgraded {
+		m.failOver()
 	}
-	m.raise()
-	m.fall()
+	m.raiseFormat()
+	m.lowerLimits()
 }
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -27,9 +27,9 @@
 	alive                 bool
 	incarnation, sequence uint64
 	token                 uint64
-	leaseFrom             units.Micros
+	leaseStart            units.Micros
 	tasks                 map[taskKey]modelTask
-	awaited               bool // a report is in flight
+	answerAwaited         bool // a report is in flight
 	sentAt                units.Micros
 	answer                *protocol.HeartbeatResponse // on its way
 	heartbeatIncarnation  uint64
@@ -38,16 +38,16 @@
 	hungUntil             units.Micros
 }
 
-func (m *model) hung(w *modelWorker) bool { return m.clock.Now < w.hungUntil }
+func (m *model) isHanging(w *modelWorker) bool { return m.clock.Now < w.hungUntil }
 
-// sentHeartbeat is a worker's answer to an announcement, on its way.
-type sentHeartbeat struct {
+// broadcastAnswer is a worker's answer to an announcement, on its way.
+type broadcastAnswer struct {
 	to        *Leader
 	heartbeat *protocol.Heartbeat
 }
 
 func (m *model) heartbeat() {
-	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && !w.awaited && !w.heartbeatsLost && !m.hung(w) {
+	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && !w.answerAwaited && !w.heartbeatsLost && !m.isHanging(w) {
 		m.heartbeatOf(w)
 	}
 }
@@ -80,12 +80,12 @@
 
 func (m *model) heartbeatOf(w *modelWorker) {
 	r := w.heartbeat()
-	w.awaited, w.sentAt, w.heartbeatIncarnation, w.answer = true, m.clock.Now, w.incarnation, nil
-	if !m.calm && rapid.IntRange(0, 5).Draw(m.t, "report copied") == 0 {
-		m.held = append(m.held, r) // the copy comes at any later time
+	w.answerAwaited, w.sentAt, w.heartbeatIncarnation, w.answer = true, m.clock.Now, w.incarnation, nil
+	if !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "report copied") == 0 {
+		m.delayedHeartbeats = append(m.delayedHeartbeats, r) // the copy comes at any later time
 	}
-	if !m.calm && rapid.IntRange(0, 4).Draw(m.t, "report held back") == 0 {
-		m.held = append(m.held, r)
+	if !m.faultsEnded && rapid.IntRange(0, 4).Draw(m.t, "report held back") == 0 {
+		m.delayedHeartbeats = append(m.delayedHeartbeats, r)
 		return
 	}
 	w.answer = m.serve(r)
@@ -102,38 +102,38 @@
 	return &protocol.HeartbeatResponse{FencingToken: t.token, Commands: t.reconciler.Commands(machine, r, now)}
 }
 
-// late brings the leader a report that was held back. Nobody waits for the
+// deliverDelayedHeartbeat brings the leader a report that was held back. Nobody waits for the
 // answer any more.
-func (m *model) late() {
-	if len(m.held) == 0 {
+func (m *model) deliverDelayedHeartbeat() {
+	if len(m.delayedHeartbeats) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.held)-1).Draw(m.t, "held report")
-	r := m.held[i]
+	i := rapid.IntRange(0, len(m.delayedHeartbeats)-1).Draw(m.t, "held report")
+	r := m.delayedHeartbeats[i]
 	for _, w := range m.workers {
-		if w.id == r.Machine && w.awaited && w.sequence == r.Sequence && w.incarnation == r.Incarnation {
+		if w.id == r.Machine && w.answerAwaited && w.sequence == r.Sequence && w.incarnation == r.Incarnation {
 			return // it still waits
 		}
 	}
-	m.held = slices.Delete(m.held, i, i+1)
+	m.delayedHeartbeats = slices.Delete(m.delayedHeartbeats, i, i+1)
 	m.serve(r)
 }
 
 // deliver brings a worker the answer it waits for, or lets it give up.
 func (m *model) deliver() {
-	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && w.awaited && !m.hung(w) {
+	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && w.answerAwaited && !m.isHanging(w) {
 		m.deliverTo(w)
 	}
 }
 
 func (m *model) deliverTo(w *modelWorker) {
-	lost := w.answersLost || !m.calm && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
+	lost := w.answersLost || !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
 	a := w.answer
-	w.awaited, w.answer = false, nil
-	if lost || a == nil || m.clock.Now-w.sentAt > workerWaits || a.FencingToken < w.token || w.heartbeatIncarnation != w.incarnation {
+	w.answerAwaited, w.answer = false, nil
+	if lost || a == nil || m.clock.Now-w.sentAt > workerTimeout || a.FencingToken < w.token || w.heartbeatIncarnation != w.incarnation {
 		return
 	}
-	w.token, w.leaseFrom = a.FencingToken, w.sentAt
+	w.token, w.leaseStart = a.FencingToken, w.sentAt
 	for _, c := range a.Commands {
 		m.execute(w, c)
 	}
@@ -156,7 +156,7 @@
 				m.t.Fatalf("%s starts on %s while it is on %s", c.Task, w.id, o.id)
 			}
 		}
-		if m.finals[k.job] != "" {
+		if m.terminalStages[k.job] != "" {
 			m.t.Fatalf("%s starts though its job is over", c.Task)
 		}
 		w.tasks[k] = modelTask{attempt: c.Attempt, stage: protocol.TaskRunning}
@@ -172,7 +172,7 @@
 }
 
 func (m *model) work() {
-	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); !m.hung(w) {
+	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); !m.isHanging(w) {
 		m.workOn(w)
 	}
 }
@@ -180,11 +180,11 @@
 func (m *model) workOn(w *modelWorker) {
 	for _, k := range slices.SortedFunc(maps.Keys(w.tasks), func(a, b taskKey) int { return len(a.job) - len(b.job) + a.index - b.index }) {
 		task := w.tasks[k]
-		if task.stage != protocol.TaskRunning || m.calm && m.services[k.job] {
+		if task.stage != protocol.TaskRunning || m.faultsEnded && m.services[k.job] {
 			continue
 		}
 		task.stage = protocol.TaskExited
-		if task.cause = protocol.CauseError; m.calm || rapid.IntRange(0, 7).Draw(m.t, "fails") > 0 {
+		if task.cause = protocol.CauseError; m.faultsEnded || rapid.IntRange(0, 7).Draw(m.t, "fails") > 0 {
 			task.cause = protocol.CauseDone
 			m.completed[k] = !m.services[k.job]
 		}
@@ -193,17 +193,17 @@
 	}
 }
 
-// leaseOf lets a worker begin its next session when its lease has run out.
-func (m *model) leaseOf(w *modelWorker) {
-	if w.alive && !m.hung(w) && m.clock.Now-w.leaseFrom > modelLease {
+// expireLeaseOf lets a worker begin its next session when its lease has run out.
+func (m *model) expireLeaseOf(w *modelWorker) {
+	if w.alive && !m.isHanging(w) && m.clock.Now-w.leaseStart > modelLease {
 		w.incarnation++
-		w.leaseFrom = m.clock.Now
+		w.leaseStart = m.clock.Now
 		clear(w.tasks)
 	}
 }
 
-// release returns a machine to the cloud; by its answer the machine is gone.
-func (m *model) release() {
+// releaseAnyWorker returns a machine to the cloud; by its answer the machine is gone.
+func (m *model) releaseAnyWorker() {
 	m.releaseWorker(rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "released"))
 }
 
@@ -227,33 +227,33 @@
 		id:          id,
 		alive:       true,
 		incarnation: 1,
-		leaseFrom:   m.clock.Now,
+		leaseStart:  m.clock.Now,
 		tasks:       map[taskKey]modelTask{},
 	}
 }
 
 // announce tells a worker the term; its answer may come late.
-func (m *model) broadcast() {
+func (m *model) broadcastToken() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if !w.alive || w.answersLost || m.hung(w) {
+	if !w.alive || w.answersLost || m.isHanging(w) {
 		return
 	}
 	w.token = m.leader.token
 	m.leader.state.EnsureMachine(w.id, "m", "a", true, m.clock.Now)
-	m.told = append(m.told, sentHeartbeat{m.leader, w.heartbeat()})
+	m.broadcastAnswers = append(m.broadcastAnswers, broadcastAnswer{m.leader, w.heartbeat()})
 	if rapid.Bool().Draw(m.t, "answered at once") {
-		m.hearTold()
+		m.deliverBroadcastAnswers()
 	}
 }
 
-// hearTold brings the leader the answers to its announcements.
-func (m *model) hearTold() {
-	for _, a := range m.told {
+// deliverBroadcastAnswers brings the leader the answers to its announcements.
+func (m *model) deliverBroadcastAnswers() {
+	for _, a := range m.broadcastAnswers {
 		if a.to == m.leader {
 			a.to.broadcaster.Answered(a.heartbeat)
 		}
 	}
-	m.told = nil
+	m.broadcastAnswers = nil
 }
 
 // loseAnswers cuts a worker off from answers, or ends that.
@@ -268,8 +268,8 @@
 	w.heartbeatsLost = !w.heartbeatsLost
 }
 
-// hang stops a worker for a while, and cancels a job that runs there.
-func (m *model) hang() {
+// hangWorker stops a worker for a while, and cancels a job that runs there.
+func (m *model) hangWorker() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
 	w.hungUntil = m.clock.Now + units.Micros(rapid.IntRange(500, 15000).Draw(m.t, "hangs ms"))*units.Millisecond
 	m.cancelOn(w)
@@ -278,7 +278,7 @@
 // cancelAtEnd cancels a job at the moment at which a task of it may end.
 func (m *model) cancelAtEnd() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if m.hung(w) {
+	if m.isHanging(w) {
 		return
 	}
 	if rapid.Bool().Draw(m.t, "ends before") {
@@ -300,70 +300,70 @@
 	}
 }
 
-// absence keeps a worker that has just been answered from every controller for a part of
+// isolateWorker keeps a worker that has just been answered from every controller for a part of
 // its lease, while everything else goes on; on some days under a new leader. What a leader
 // gives up too soon begins elsewhere meanwhile.
-func (m *model) absence() {
+func (m *model) isolateWorker() {
 	absent := rapid.SampledFrom(m.workers).Draw(m.t, "absent worker")
-	if !m.undisturbed(absent) {
+	if !m.isUndisturbed(absent) {
 		return
 	}
-	m.ask(absent)
+	m.requestAnswer(absent)
 	m.deliverTo(absent)
 	if rapid.Bool().Draw(m.t, "a new leader") {
-		m.crash()
+		m.failOver()
 	}
-	m.goOnWithout(absent, modelLease.Share(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
+	m.runWithout(absent, modelLease.Share(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
 }
 
-// lateAnswer has a leader end while its answer is on its way to a worker. The next leader
+// delayAnswerPastFailover has a leader end while its answer is on its way to a worker. The next leader
 // gets a copy of an older report of that worker, and everything else goes on; then the
 // answer arrives.
-func (m *model) lateAnswer() {
+func (m *model) delayAnswerPastFailover() {
 	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if !m.undisturbed(w) {
+	if !m.isUndisturbed(w) {
 		return
 	}
 	copied := w.heartbeat()
-	m.write() // the names that starts wait for
-	m.write()
-	m.ask(w)
-	m.crash()
+	m.advanceWrite() // the names that starts wait for
+	m.advanceWrite()
+	m.requestAnswer(w)
+	m.failOver()
 	m.serve(copied)
-	m.goOnWithout(w, workerWaits-units.Second)
+	m.runWithout(w, workerTimeout-units.Second)
 	m.deliverTo(w)
 }
 
-// undisturbed tells whether a worker is neither waiting for an answer nor in any trouble.
-func (m *model) undisturbed(w *modelWorker) bool {
-	return w.alive && !w.awaited && !w.answersLost && !w.heartbeatsLost && !m.hung(w)
+// isUndisturbed tells whether a worker is neither waiting for an answer nor in any trouble.
+func (m *model) isUndisturbed(w *modelWorker) bool {
+	return w.alive && !w.answerAwaited && !w.answersLost && !w.heartbeatsLost && !m.isHanging(w)
 }
 
-// ask has a worker report to the leader at once; the answer is on its way.
-func (m *model) ask(w *modelWorker) {
-	w.awaited, w.sentAt, w.heartbeatIncarnation = true, m.clock.Now, w.incarnation
+// requestAnswer has a worker report to the leader at once; the answer is on its way.
+func (m *model) requestAnswer(w *modelWorker) {
+	w.answerAwaited, w.sentAt, w.heartbeatIncarnation = true, m.clock.Now, w.incarnation
 	w.answer = m.serve(w.heartbeat())
 }
 
-// goOnWithout lets a time pass in which all but one worker report and are answered.
-func (m *model) goOnWithout(absent *modelWorker, length units.Micros) {
+// runWithout lets a time pass in which all but one worker report and are answered.
+func (m *model) runWithout(absent *modelWorker, length units.Micros) {
 	const step = 500 * units.Millisecond
 	for ends := m.clock.Now + length; m.clock.Now < ends; {
 		m.clock.Now += step
-		m.write()
-		m.write()
+		m.advanceWrite()
+		m.advanceWrite()
 		m.leader.detector.ExpireLeases(m.clock.Now)
 		for _, w := range m.workers {
-			m.leaseOf(w)
-			if w == absent || !w.alive || w.heartbeatsLost || m.hung(w) {
+			m.expireLeaseOf(w)
+			if w == absent || !w.alive || w.heartbeatsLost || m.isHanging(w) {
 				continue
 			}
-			if w.awaited {
+			if w.answerAwaited {
 				m.deliverTo(w)
 			} else {
 				m.heartbeatOf(w)
 			}
-			m.check()
+			m.checkInvariants()
 		}
 	}
 }
--- a/internal/controller/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -15,56 +15,56 @@
 	"dunestand/internal/units"
 )
 
-// guestTasks is more than all machines of the model and any limit have room for.
-const guestTasks = 25_000
+// guestTaskCount is more than all machines of the model and any limit have room for.
+const guestTaskCount = 25_000
 
-// guestLeader is a restored term with a second team that has neither guarantee nor limit,
+// newGuestLeader is a restored term with a second team that has neither guarantee nor limit,
 // and with a job of that team.
-func guestLeader(t *testing.T) *Leader {
+func newGuestLeader(t *testing.T) *Leader {
 	t.Helper()
-	term := storedLeader(t, 1, standin.NewState(), func(d *Deps) {
+	leader := newStoredLeader(t, 1, standin.NewState(), func(d *Deps) {
 		d.Settings.Fleet.Teams = append(d.Settings.Fleet.Teams, config.Team{Name: "guest"})
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	if !term.persister.Restore(ctx) {
+	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
-	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.persister.Run(ctx)
+	leader.state.SetInstanceTypes(modelCatalog.Types)
+	go leader.persister.Run(ctx)
 	spec := modelSpec("j-000001")
 	spec.Team = "guest"
-	spec.Tasks = guestTasks
+	spec.Tasks = guestTaskCount
 	spec.Request = units.Resources{CPU: units.AmountOf(0.25)}
-	if r := term.Submit(ctx, spec); r.Status != http.StatusCreated {
+	if r := leader.Submit(ctx, spec); r.Status != http.StatusCreated {
 		t.Fatalf("a job of a team without a limit: %d %s", r.Status, r.Body)
 	}
-	return term
+	return leader
 }
 
 // All jobs of a guest team were refused for good, as needing more than its limit: a limit
 // of 0 is none. Such a job is accepted, machines are rented for all of it, and its tasks
 // are placed wherever there is room.
 func TestTeamWithoutALimitIsServed(t *testing.T) {
-	term := guestLeader(t)
-	term.state.Lock()
-	defer term.state.Unlock()
-	needs := term.autoscaler.Demand()
-	if len(needs) != 1 || needs[0].Count != guestTasks {
-		t.Errorf("machines are rented for %v, want one need of %d tasks", needs, guestTasks)
+	leader := newGuestLeader(t)
+	leader.state.Lock()
+	defer leader.state.Unlock()
+	needs := leader.autoscaler.Demand()
+	if len(needs) != 1 || needs[0].Count != guestTaskCount {
+		t.Errorf("machines are rented for %v, want one need of %d tasks", needs, guestTaskCount)
 	}
 	machine := &cluster.Machine{}
 	for i := range 3 {
-		machine = term.state.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
-		machine.Registered, machine.FencingToken = true, term.token
+		machine = leader.state.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
+		machine.Registered, machine.FencingToken = true, leader.token
 	}
-	s, _ := term.scheduler.TakeSnapshot(term.Clock.Steady(), machine)
-	s.MaxPlacements = guestTasks
+	s, _ := leader.scheduler.TakeSnapshot(leader.Clock.Steady(), machine)
+	s.MaxPlacements = guestTaskCount
 	placed := 0
 	for _, start := range scheduler.Plan(&s).Placements {
 		placed += start.Count
 	}
-	if want := 3 * modelMachine * 4; placed != want {
+	if want := 3 * modelMachineCPUs * 4; placed != want {
 		t.Errorf("%d tasks placed, want the %d that three machines hold", placed, want)
 	}
 }
@@ -72,19 +72,19 @@
 // The summary counts teams near their limit: one without a limit never is, also where
 // nine tenths of "no limit" would be reckoned.
 func TestTeamWithoutALimitIsNeverNearIt(t *testing.T) {
-	term := guestLeader(t)
-	term.state.Lock()
-	defer term.state.Unlock()
+	leader := newGuestLeader(t)
+	leader.state.Lock()
+	defer leader.state.Unlock()
 	var log bytes.Buffer
-	term.Log = slog.New(slog.NewTextHandler(&log, nil))
-	term.state.Teams["guest"].Used = standin.CPUs(1_000_000)
-	term.logSummary(0)
+	leader.Log = slog.New(slog.NewTextHandler(&log, nil))
+	leader.state.Teams["guest"].Used = standin.CPUs(1_000_000)
+	leader.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=0") {
 		t.Errorf("the summary: %s", log.String())
 	}
-	term.state.Teams["team"].Used = standin.CPUs(modelLimit)
+	leader.state.Teams["team"].Used = standin.CPUs(modelQuotaCPUs)
 	log.Reset()
-	term.logSummary(0)
+	leader.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=1") {
 		t.Errorf("the summary with a team at its limit: %s", log.String())
 	}
@@ -92,12 +92,12 @@
 
 // Why a submission was refused for good is logged: users are told, on-call people asked.
 func TestRefusalsAreLogged(t *testing.T) {
-	term := guestLeader(t)
+	leader := newGuestLeader(t)
 	var log bytes.Buffer
-	term.Log = slog.New(slog.NewTextHandler(&log, nil))
+	leader.Log = slog.New(slog.NewTextHandler(&log, nil))
 	spec := modelSpec("j-000002")
 	spec.Team = "nobody"
-	if r := term.Submit(t.Context(), spec); r.Status != http.StatusUnprocessableEntity {
+	if r := leader.Submit(t.Context(), spec); r.Status != http.StatusUnprocessableEntity {
 		t.Fatalf("a job of an unknown team: %d", r.Status)
 	}
 	for _, part := range []string{"submission refused", "job=j-000002", "status=422", "unknown team"} {
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -20,8 +20,8 @@
 func TestEveryJobBeginsUnderOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &standin.Clock{Now: 100 * units.Second}
-		term := newTestLeader(7, clock)
-		term.persister.InstallRecords(nil, modelCatalog)
+		leader := newTestLeader(7, clock)
+		leader.persister.InstallRecords(nil, modelCatalog)
 		due := map[string]units.Micros{}
 		ends := map[cluster.AttemptKey]units.Micros{}
 		lasts := rapid.SliceOfN(rapid.IntRange(2, 8), 20, 20).Draw(t, "run times")
@@ -34,13 +34,13 @@
 				spec.Request = standin.CPUs(rapid.IntRange(1, 3).Draw(t, "cpus"))
 				spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
 				spec.Estimate = 5 * units.Second
-				term.state.NewJob(spec, clock.Now, clock.Now)
+				leader.state.NewJob(spec, clock.Now, clock.Now)
 				due[spec.ID] = clock.Now + 240*units.Second
-				term.save()
+				leader.commitWrites()
 			}
 			for i := range 2 {
 				r := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, uint64(step+1), 7)
-				if m := term.state.Machines[r.Machine]; m != nil {
+				if m := leader.state.Machines[r.Machine]; m != nil {
 					for _, a := range m.SortedAttempts() {
 						if a.Stage == cluster.Assigned {
 							continue
@@ -58,14 +58,14 @@
 						r.Tasks = append(r.Tasks, task)
 					}
 				}
-				m := term.reconciler.Reconcile(r, clock.Now)
+				m := leader.reconciler.Reconcile(r, clock.Now)
 				if step%3 == 0 {
-					term.scheduler.RunCycle(clock.Now, m)
+					leader.scheduler.RunCycle(clock.Now, m)
 				} else {
-					term.scheduler.PlaceOnMachine(m, clock.Now)
+					leader.scheduler.PlaceOnMachine(m, clock.Now)
 				}
-				term.save()
-				term.reconciler.Commands(m, r, clock.Now)
+				leader.commitWrites()
+				leader.reconciler.Commands(m, r, clock.Now)
 				for _, a := range m.SortedAttempts() {
 					key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
 					if a.Stage != cluster.Assigned && ends[key] == 0 {
@@ -76,7 +76,7 @@
 			}
 			for id, at := range due {
 				if clock.Now > at {
-					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, term.state.Jobs[id].Spec.Request.CPU/1_000_000)
+					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, leader.state.Jobs[id].Spec.Request.CPU/1_000_000)
 				}
 			}
 		}
@@ -85,19 +85,19 @@
 
 // When more is to be written than may be, what a user waits for goes first.
 func TestUserRequestsAreWrittenFirst(t *testing.T) {
-	term, clock := leaderWithJob(t, 1)
+	leader, clock := newLeaderWithJob(t, 1)
 	for i := range 40 {
-		term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
+		leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 	}
-	term.save()
-	for _, j := range term.state.Jobs {
-		term.state.TaskDone(j, 0, clock.Now)
+	leader.commitWrites()
+	for _, j := range leader.state.Jobs {
+		leader.state.TaskDone(j, 0, clock.Now)
 		j.MarkChanged(clock.Now, true)
 	}
 	clock.Now += units.Second
-	term.state.NewJob(*modelSpec("j-000100"), clock.Now, clock.Now)
-	term.cancelJob(term.state.Jobs["j-000030"])
-	s := term.state.BuildWriteBatch("x", term.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
+	leader.state.NewJob(*modelSpec("j-000100"), clock.Now, clock.Now)
+	leader.cancelJob(leader.state.Jobs["j-000030"])
+	s := leader.state.BuildWriteBatch("x", leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
 	if first := s.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
 		t.Errorf("saved first: %v", first)
 	}
@@ -107,10 +107,10 @@
 // away where reports come seldom: there the answer waits longer for the save, and
 // always far less than the 4 s after which the worker gives up.
 func TestHeartbeatAnswersWaitForWritesByTheHeartbeatInterval(t *testing.T) {
-	term, _ := leaderWithJob(t, 1)
+	leader, _ := newLeaderWithJob(t, 1)
 	for seconds, want := range map[float64]units.Micros{0.8: 150, 3: 300, 5: 500, 60: 500} {
-		term.Settings.Fleet.Workers.ReportS = seconds
-		if got := term.startDurableWait(); got != want*units.Millisecond {
+		leader.Settings.Fleet.Workers.ReportS = seconds
+		if got := leader.startDurableWait(); got != want*units.Millisecond {
 			t.Errorf("reports every %v s: %d ms", seconds, got/units.Millisecond)
 		}
 	}
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -12,110 +12,110 @@
 	"dunestand/internal/units"
 )
 
-// serviceLeader is a leader of a service of some replicas, and machines in two
+// newServiceLeader is a leader of a service of some replicas, and machines in two
 // zones that have reported.
-func serviceLeader(t *testing.T, replicas int, spread bool) (*Leader, *standin.Clock, *serviceFleet) {
+func newServiceLeader(t *testing.T, replicas int, spread bool) (*Leader, *standin.Clock, *serviceFleet) {
 	t.Helper()
 	clock := &standin.Clock{Now: 100 * units.Second}
-	term := newTestLeader(7, clock)
-	term.setFormat(storage.FormatNew)
-	term.persister.InstallRecords(nil, modelCatalog)
+	leader := newTestLeader(7, clock)
+	leader.setFormat(storage.FormatNew)
+	leader.persister.InstallRecords(nil, modelCatalog)
 	spec := *modelSpec("j-000001")
 	spec.Kind, spec.Tasks, spec.ZoneSpread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
-	term.state.NewJob(spec, clock.Now, clock.Now)
-	term.save()
-	f := &serviceFleet{t: t, term: term, clock: clock, machines: map[string]*protocol.Heartbeat{}}
+	leader.state.NewJob(spec, clock.Now, clock.Now)
+	leader.commitWrites()
+	fleet := &serviceFleet{t: t, leader: leader, clock: clock, machines: map[string]*protocol.Heartbeat{}}
 	for i, zone := range []string{"a", "a", "b", "b"} {
-		r := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 0, 7)
-		r.Zone = zone
-		f.machines[r.Machine] = r
+		heartbeat := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 0, 7)
+		heartbeat.Zone = zone
+		fleet.machines[heartbeat.Machine] = heartbeat
 	}
-	return term, clock, f
+	return leader, clock, fleet
 }
 
 // serviceFleet is machines as the leader hears of them.
 type serviceFleet struct {
 	t        *testing.T
-	term     *Leader
+	leader   *Leader
 	clock    *standin.Clock
 	machines map[string]*protocol.Heartbeat
 	started  int
 }
 
-// report has every machine report once and carry out its answer.
-func (f *serviceFleet) report() {
-	f.t.Helper()
-	f.clock.Now += units.Second
-	for _, id := range sorted.Keys(f.machines) {
-		r := f.machines[id]
-		r.Sequence++
-		for _, c := range f.term.exchange(r) {
-			f.execute(r, c)
+// exchangeAll has every machine send one heartbeat and carry out its answer.
+func (fleet *serviceFleet) exchangeAll() {
+	fleet.t.Helper()
+	fleet.clock.Now += units.Second
+	for _, id := range sorted.Keys(fleet.machines) {
+		heartbeat := fleet.machines[id]
+		heartbeat.Sequence++
+		for _, command := range fleet.leader.exchange(heartbeat) {
+			fleet.execute(heartbeat, command)
 		}
 	}
 }
 
-func (f *serviceFleet) execute(r *protocol.Heartbeat, c protocol.Command) {
-	f.t.Helper()
+func (fleet *serviceFleet) execute(heartbeat *protocol.Heartbeat, command protocol.Command) {
+	fleet.t.Helper()
 	var tasks []protocol.TaskStatus
-	for _, task := range r.Tasks {
-		switch mine := protocol.TaskName(task.Job, task.Index) == c.Task && task.Attempt == c.Attempt; {
-		case mine && c.Verb == protocol.VerbForget:
+	for _, task := range heartbeat.Tasks {
+		switch mine := protocol.TaskName(task.Job, task.Index) == command.Task && task.Attempt == command.Attempt; {
+		case mine && command.Verb == protocol.VerbForget:
 			continue
-		case mine && c.Verb == protocol.VerbStop && task.Stage != protocol.TaskExited:
+		case mine && command.Verb == protocol.VerbStop && task.Stage != protocol.TaskExited:
 			task.Stage, task.Cause = protocol.TaskExited, protocol.CauseStopped
 		}
 		tasks = append(tasks, task)
 	}
-	r.Tasks = tasks
-	if c.Verb != protocol.VerbStart {
+	heartbeat.Tasks = tasks
+	if command.Verb != protocol.VerbStart {
 		return
 	}
 	var job string
 	var index int
-	if _, err := fmt.Sscanf(c.Task, "%8s/%d", &job, &index); err != nil {
-		f.t.Fatal(err)
+	if _, err := fmt.Sscanf(command.Task, "%8s/%d", &job, &index); err != nil {
+		fleet.t.Fatal(err)
 	}
-	if on, _ := f.where(job, index); on != "" {
-		f.t.Fatalf("%s starts on %s while it is on %s", c.Task, r.Machine, on)
+	if on, _ := fleet.where(job, index); on != "" {
+		fleet.t.Fatalf("%s starts on %s while it is on %s", command.Task, heartbeat.Machine, on)
 	}
-	f.started++
-	r.Tasks = append(r.Tasks, protocol.TaskStatus{
+	fleet.started++
+	heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
 		Job:     job,
 		Index:   index,
-		Attempt: c.Attempt,
+		Attempt: command.Attempt,
 		Stage:   protocol.TaskRunning,
 	})
 }
 
 // where tells on which machine a replica runs.
-func (f *serviceFleet) where(job string, index int) (machine string, task *protocol.TaskStatus) {
-	for id, r := range f.machines {
-		for i := range r.Tasks {
-			if r.Tasks[i].Job == job && r.Tasks[i].Index == index && r.Tasks[i].Stage != protocol.TaskExited {
-				return id, &r.Tasks[i]
+func (fleet *serviceFleet) where(job string, index int) (machine string, task *protocol.TaskStatus) {
+	for id, heartbeat := range fleet.machines {
+		for i := range heartbeat.Tasks {
+			if heartbeat.Tasks[i].Job == job && heartbeat.Tasks[i].Index == index && heartbeat.Tasks[i].Stage != protocol.TaskExited {
+				return id, &heartbeat.Tasks[i]
 			}
 		}
 	}
 	return "", nil
 }
 
-func (f *serviceFleet) running() int {
+func (fleet *serviceFleet) running() int {
 	n := 0
-	for i := range f.term.state.Jobs["j-000001"].Spec.Tasks {
-		if on, _ := f.where("j-000001", i); on != "" {
+	for i := range fleet.leader.state.Jobs["j-000001"].Spec.Tasks {
+		if on, _ := fleet.where("j-000001", i); on != "" {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *serviceFleet) zones() map[string]int {
+func (fleet *serviceFleet) zones() map[string]int {
 	zones := map[string]int{}
-	for _, r := range f.machines {
-		for _, task := range r.Tasks {
+	for _, heartbeat := range fleet.machines {
+		for _, task := range heartbeat.Tasks {
 			if task.Stage != protocol.TaskExited {
-				zones[r.Zone]++
+				zones[heartbeat.Zone]++
 			}
 		}
 	}
@@ -123,8 +123,8 @@
 }
 
 // end has a replica end by itself.
-func (f *serviceFleet) end(index int, cause protocol.ExitCause) {
-	_, task := f.where("j-000001", index)
+func (fleet *serviceFleet) end(index int, cause protocol.ExitCause) {
+	_, task := fleet.where("j-000001", index)
 	task.Stage, task.Cause = protocol.TaskExited, cause
 }
 
@@ -132,32 +132,32 @@
 // done, not even by what an older version or a late copy of a report says. Its
 // zones are kept apart at every start.
 func TestReplicasRunAgain(t *testing.T) {
-	term, _, f := serviceLeader(t, 4, true)
-	f.report()
-	if f.running() != 4 || f.zones()["a"] != 2 {
-		t.Fatalf("%d run, in %v", f.running(), f.zones())
+	leader, _, fleet := newServiceLeader(t, 4, true)
+	fleet.exchangeAll()
+	if fleet.running() != 4 || fleet.zones()["a"] != 2 {
+		t.Fatalf("%d run, in %v", fleet.running(), fleet.zones())
 	}
 	for range 30 {
-		f.report()
+		fleet.exchangeAll()
 	}
-	on, _ := f.where("j-000001", 2)
-	late := *f.machines[on]
+	on, _ := fleet.where("j-000001", 2)
+	late := *fleet.machines[on]
 	late.Tasks = append([]protocol.TaskStatus{}, late.Tasks...)
 	for i, cause := range []protocol.ExitCause{protocol.CauseDone, protocol.CauseError, protocol.CauseDone, protocol.CauseDone} {
-		f.end(i, cause)
+		fleet.end(i, cause)
 	}
-	f.report()
-	term.reconciler.Reconcile(&late, f.clock.Now)
-	f.report()
-	f.report()
-	if f.running() != 4 || f.zones()["a"] != 2 || f.started != 8 {
-		t.Errorf("%d run in %v, %d were started", f.running(), f.zones(), f.started)
+	fleet.exchangeAll()
+	leader.reconciler.Reconcile(&late, fleet.clock.Now)
+	fleet.exchangeAll()
+	fleet.exchangeAll()
+	if fleet.running() != 4 || fleet.zones()["a"] != 2 || fleet.started != 8 {
+		t.Errorf("%d run in %v, %d were started", fleet.running(), fleet.zones(), fleet.started)
 	}
-	j := term.state.Jobs["j-000001"]
+	j := leader.state.Jobs["j-000001"]
 	if j.Complete() || j.DoneCount() != 0 || j.IsDone(0) {
 		t.Error("the service counts as done")
 	}
-	if s := state(t, term.Poll(t.Context(), "j-000001")); s.Stage != protocol.StageRunning {
+	if s := decodeState(t, leader.Poll(t.Context(), "j-000001")); s.Stage != protocol.StageRunning {
 		t.Errorf("its user is told %s", s.Stage)
 	}
 }
@@ -165,24 +165,24 @@
 // A replica that keeps ending is started ever more slowly; one that ran for a
 // while comes back at once.
 func TestReplicasThatKeepEndingBackOff(t *testing.T) {
-	term, _, f := serviceLeader(t, 1, false)
+	leader, _, fleet := newServiceLeader(t, 1, false)
 	for range 120 {
-		f.report()
-		if on, _ := f.where("j-000001", 0); on != "" {
-			f.end(0, protocol.CauseDone)
+		fleet.exchangeAll()
+		if on, _ := fleet.where("j-000001", 0); on != "" {
+			fleet.end(0, protocol.CauseDone)
 		}
 	}
-	if f.started < 4 || f.started > 15 {
-		t.Errorf("%d starts in 120 s", f.started)
+	if fleet.started < 4 || fleet.started > 15 {
+		t.Errorf("%d starts in 120 s", fleet.started)
 	}
 	for range 60 { // it is in order now
-		f.report()
+		fleet.exchangeAll()
 	}
-	before := f.started
-	f.end(0, protocol.CauseError)
-	f.report()
-	if on, _ := f.where("j-000001", 0); on == "" || f.started != before+1 {
-		t.Errorf("it is not started at once after a long run: retry in %d ms", (term.state.Jobs["j-000001"].RetryAt-f.clock.Now)/units.Millisecond)
+	before := fleet.started
+	fleet.end(0, protocol.CauseError)
+	fleet.exchangeAll()
+	if on, _ := fleet.where("j-000001", 0); on == "" || fleet.started != before+1 {
+		t.Errorf("it is not started at once after a long run: retry in %d ms", (leader.state.Jobs["j-000001"].RetryAt-fleet.clock.Now)/units.Millisecond)
 	}
 }
 
@@ -191,62 +191,62 @@
 // does once that is certain. While its zone is gone, no more than half are in the
 // other one.
 func TestReplicasLeaveMachines(t *testing.T) {
-	term, clock, f := serviceLeader(t, 2, true)
-	f.report()
-	on, _ := f.where("j-000001", 0)
-	f.machines[on].TerminationNoticed, f.machines[on].TerminationIn = true, 12*units.Second
-	f.report()
-	f.report()
-	if now, _ := f.where("j-000001", 0); now == on || now == "" || f.running() != 2 {
+	leader, clock, fleet := newServiceLeader(t, 2, true)
+	fleet.exchangeAll()
+	on, _ := fleet.where("j-000001", 0)
+	fleet.machines[on].TerminationNoticed, fleet.machines[on].TerminationIn = true, 12*units.Second
+	fleet.exchangeAll()
+	fleet.exchangeAll()
+	if now, _ := fleet.where("j-000001", 0); now == on || now == "" || fleet.running() != 2 {
 		t.Errorf("replica 0 is on %q, was on %s", now, on)
 	}
-	gone, _ := f.where("j-000001", 0)
-	zone := f.machines[gone].Zone
+	gone, _ := fleet.where("j-000001", 0)
+	zone := fleet.machines[gone].Zone
 	lost := map[string]*protocol.Heartbeat{}
-	for id, r := range f.machines {
-		if r.Zone == zone {
-			lost[id] = r
+	for id, heartbeat := range fleet.machines {
+		if heartbeat.Zone == zone {
+			lost[id] = heartbeat
 		}
 	}
 	for id := range lost {
-		delete(f.machines, id)
+		delete(fleet.machines, id)
 	}
 	for range 25 {
-		f.report()
-		term.detector.ExpireLeases(clock.Now)
-		if f.running() > 1 {
-			t.Fatalf("%d replicas run in one zone: %v", f.running(), f.zones())
+		fleet.exchangeAll()
+		leader.detector.ExpireLeases(clock.Now)
+		if fleet.running() > 1 {
+			t.Fatalf("%d replicas run in one zone: %v", fleet.running(), fleet.zones())
 		}
 	}
-	for id, r := range lost {
-		f.machines[id] = r
-		r.Incarnation, r.Tasks = r.Incarnation+1, nil // its lease has run out
+	for id, heartbeat := range lost {
+		fleet.machines[id] = heartbeat
+		heartbeat.Incarnation, heartbeat.Tasks = heartbeat.Incarnation+1, nil // its lease has run out
 	}
-	f.report()
-	f.report()
-	if f.running() != 2 {
-		t.Errorf("%d replicas run after the zone is back", f.running())
+	fleet.exchangeAll()
+	fleet.exchangeAll()
+	if fleet.running() != 2 {
+		t.Errorf("%d replicas run after the zone is back", fleet.running())
 	}
 }
 
 // A service is over when its user cancels it, also in the midst of a replica's
 // restart and over a change of leader: nothing of it starts after that.
 func TestCancelledServicesEnd(t *testing.T) {
-	term, _, f := serviceLeader(t, 3, false)
-	f.report()
-	f.end(1, protocol.CauseError)
-	f.report() // the start of replica 1 may be on its way
-	j := term.state.Jobs["j-000001"]
-	term.cancelJob(j)
-	started := f.started
+	leader, _, fleet := newServiceLeader(t, 3, false)
+	fleet.exchangeAll()
+	fleet.end(1, protocol.CauseError)
+	fleet.exchangeAll() // the start of replica 1 may be on its way
+	j := leader.state.Jobs["j-000001"]
+	leader.cancelJob(j)
+	started := fleet.started
 	for range 5 {
-		f.report()
+		fleet.exchangeAll()
 	}
-	term.save()
-	if f.started > started || f.zones()["a"]+f.zones()["b"] != 0 {
-		t.Errorf("%d starts after the cancellation, replicas in %v", f.started-started, f.zones())
+	leader.commitWrites()
+	if fleet.started > started || fleet.zones()["a"]+fleet.zones()["b"] != 0 {
+		t.Errorf("%d starts after the cancellation, replicas in %v", fleet.started-started, fleet.zones())
 	}
-	if !j.CancelDurable || term.state.Jobs["j-000001"] != nil {
+	if !j.CancelDurable || leader.state.Jobs["j-000001"] != nil {
 		t.Error("it is not over")
 	}
 }
@@ -284,23 +284,23 @@
 // straight to the worker. A start never does: the machine is woken by one that no
 // worker carries out, whenever it comes, since the job has no such task.
 func TestDirectCommandsStartNothing(t *testing.T) {
-	term, clock, f := serviceLeader(t, 2, false)
-	term.Settings.Fleet.Workers.ReportS = 5
-	for _, r := range f.machines {
-		r.Endpoint = "127.0.0.1:1"
-		r.Sequence++
-		term.reconciler.Reconcile(r, clock.Now)
-	}
-	term.scheduler.RunCycle(clock.Now, nil)
-	requests := term.pusher.TakeRequests()
+	leader, clock, fleet := newServiceLeader(t, 2, false)
+	leader.Settings.Fleet.Workers.ReportS = 5
+	for _, heartbeat := range fleet.machines {
+		heartbeat.Endpoint = "127.0.0.1:1"
+		heartbeat.Sequence++
+		leader.reconciler.Reconcile(heartbeat, clock.Now)
+	}
+	leader.scheduler.RunCycle(clock.Now, nil)
+	requests := leader.pusher.TakeRequests()
 	if len(requests) == 0 {
 		t.Fatal("no machine is woken")
 	}
-	if again := term.pusher.TakeRequests(); len(again) != 0 {
+	if again := leader.pusher.TakeRequests(); len(again) != 0 {
 		t.Errorf("%d machines would be woken twice", len(again))
 	}
 	for id, startOf := range requests {
-		_, body := term.pusher.Commands(id, startOf)
+		_, body := leader.pusher.Commands(id, startOf)
 		var d protocol.DirectCommands
 		if err := protocol.Decode(body, &d); err != nil {
 			t.Fatal(err)
@@ -309,17 +309,17 @@
 			t.Errorf("%s is told %+v", id, d)
 		}
 	}
-	a := term.state.Jobs["j-000001"].LiveAttempts[0]
+	a := leader.state.Jobs["j-000001"].LiveAttempts[0]
 	a.Stage = cluster.Running
-	term.state.StopAttempt(a, units.Second)
-	if _, body := term.pusher.Commands(a.Machine.ID, nil); body == nil {
+	leader.state.StopAttempt(a, units.Second)
+	if _, body := leader.pusher.Commands(a.Machine.ID, nil); body == nil {
 		t.Error("the stop waits")
 	}
 	// One more task than a job may have is no task: a report that named it would
 	// be refused for ever.
-	huge := *term.state.Jobs["j-000001"]
+	huge := *leader.state.Jobs["j-000001"]
 	huge.Spec.Tasks = protocol.MaxTasks
-	if _, body := term.pusher.Commands("i-000003", &huge); body != nil {
+	if _, body := leader.pusher.Commands("i-000003", &huge); body != nil {
 		t.Error("a machine is woken with a task beyond the last number")
 	}
 }
@@ -328,27 +328,27 @@
 // nothing else is left, the fleet shrinks to what they need and room for those
 // that may be lost.
 func TestServicesDoNotKeepTheReserve(t *testing.T) {
-	term, clock, f := serviceLeader(t, 2, false)
+	leader, clock, fleet := newServiceLeader(t, 2, false)
 	for i := range 30 {
-		r := testHeartbeat(fmt.Sprintf("i-%06d", 100+i), 1, 0, 7)
-		f.machines[r.Machine] = r
+		heartbeat := testHeartbeat(fmt.Sprintf("i-%06d", 100+i), 1, 0, 7)
+		fleet.machines[heartbeat.Machine] = heartbeat
 	}
-	term.state.Teams["team"].GuaranteedQuota, term.state.Teams["team"].QuotaLimit = standin.CPUs(100), standin.CPUs(200)
+	leader.state.Teams["team"].GuaranteedQuota, leader.state.Teams["team"].QuotaLimit = standin.CPUs(100), standin.CPUs(200)
 	array := *modelSpec("j-000002")
-	term.state.NewJob(array, clock.Now, clock.Now)
+	leader.state.NewJob(array, clock.Now, clock.Now)
 	for range 60 {
-		f.report()
+		fleet.exchangeAll()
 	}
-	if got := len(term.autoscaler.IdleMachines(clock.Now)); got != 0 || term.autoscaler.PolicyInput().QuietS != 0 {
+	if got := len(leader.autoscaler.IdleMachines(clock.Now)); got != 0 || leader.autoscaler.PolicyInput().QuietS != 0 {
 		t.Errorf("%d machines are returned while there is work", got)
 	}
-	term.state.TaskDone(term.state.Jobs["j-000002"], 0, clock.Now)
-	term.state.TaskDone(term.state.Jobs["j-000002"], 1, clock.Now)
+	leader.state.TaskDone(leader.state.Jobs["j-000002"], 0, clock.Now)
+	leader.state.TaskDone(leader.state.Jobs["j-000002"], 1, clock.Now)
 	for range 60 {
-		f.report()
+		fleet.exchangeAll()
 	}
 	// 34 machines of 4 processors; two replicas, and two spare ones in the zone.
-	if got := len(term.autoscaler.IdleMachines(clock.Now)); got < 28 || got > 32 {
+	if got := len(leader.autoscaler.IdleMachines(clock.Now)); got < 28 || got > 32 {
 		t.Errorf("%d machines are returned", got)
 	}
 }
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -14,14 +14,14 @@
 // each time, 40 times a second, when a term begins and there is most to do.
 func TestUnreconciledMachinesCostNothing(t *testing.T) {
 	allocs := func(jobs, machines int) float64 {
-		term, clock := leaderWithJob(t, 1)
+		leader, clock := newLeaderWithJob(t, 1)
 		for i := range jobs {
-			j := term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
+			j := leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 			for k := range machines {
-				term.state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
+				leader.state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
 		}
-		return testing.AllocsPerRun(20, func() { term.detector.ExpireLeases(clock.Now) })
+		return testing.AllocsPerRun(20, func() { leader.detector.ExpireLeases(clock.Now) })
 	}
 	if few, many := allocs(2, 10), allocs(100, 1000); many > few+1 {
 		t.Errorf("%v allocations for 100 jobs on 1,000 machines, %v for 2 on 10", many, few)
@@ -32,43 +32,43 @@
 // the last one leaves nothing unconfirmed, whatever became of the jobs meanwhile.
 func TestUnreconciledEndsWithMachinesAndJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		term, clock := leaderWithJob(t, 1)
-		l := term.state
+		leader, clock := newLeaderWithJob(t, 1)
+		state := leader.state
 		named := map[string]map[string]bool{}
 		for i := range rapid.IntRange(1, 8).Draw(rt, "jobs") {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
-			j := l.NewJob(spec, clock.Now, clock.Now)
+			j := state.NewJob(spec, clock.Now, clock.Now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
-				l.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
+				state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
 			}
 			named[spec.ID] = j.UnreconciledMachines
 		}
 		for _, k := range rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}).Draw(rt, "order") {
 			id := fmt.Sprintf("i-%06d", k)
 			want := 0
-			for _, j := range l.Jobs {
+			for _, j := range state.Jobs {
 				if len(j.UnreconciledMachines) > 0 {
 					want++
 				}
 			}
 			got := 0
-			for range l.UnreconciledJobs() {
+			for range state.UnreconciledJobs() {
 				got++
 			}
 			if got != want {
 				rt.Fatalf("%d jobs unconfirmed, %d name machines", got, want)
 			}
 			if jobs := sorted.Keys(named); len(jobs) > 0 && rapid.Bool().Draw(rt, "a job ends first") {
-				l.DropUnaccepted(jobs[0])
+				state.DropUnaccepted(jobs[0])
 				delete(named, jobs[0])
 			}
-			l.MarkReconciled(id)
-			if l.IsUnreconciled(id) {
+			state.MarkReconciled(id)
+			if state.IsUnreconciled(id) {
 				rt.Fatal("a confirmed machine is unconfirmed")
 			}
 		}
-		if l.UnreconciledCount() != 0 || len(l.UnreconciledMachines()) != 0 {
-			rt.Fatalf("still unconfirmed: %v", l.UnreconciledMachines())
+		if state.UnreconciledCount() != 0 || len(state.UnreconciledMachines()) != 0 {
+			rt.Fatalf("still unconfirmed: %v", state.UnreconciledMachines())
 		}
 	})
 }
