--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -36,8 +36,8 @@
 	}}, changes...)...)
 }
 
-func (state *Leader) records() recordReader {
-	return recordReader{store: state.KV, clock: state.Clock, workers: state.Settings.Fleet.Workers}
+func (l *Leader) records() recordReader {
+	return recordReader{store: l.KV, clock: l.Clock, workers: l.Settings.Fleet.Workers}
 }
 
 func modelSpec(id string) *protocol.JobSpec {
