--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -68,13 +68,7 @@
 	}
 }
 
-// This file plays random days against the leader's core: workers as the
-// protocol describes them, a state service, leaders that die at any point,
-// answers that are lost or late. Controllers of the version before are upgraded
-// one by one meanwhile, and the state service lowers its limits once all are.
-// After every step it checks on the workers themselves, not on the leader's
-// books, what must never happen.
-
+// modelSettings returns the settings of a fleet of one team and one zone.
 func modelSettings() *config.Settings {
 	return &config.Settings{Node: "n", Fleet: config.Fleet{Zones: []string{"a"},
 		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: modelQuotaCPUs}},
--- a/internal/controller/model_fault_test.go
+++ b/internal/controller/model_fault_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"maps"
 	"slices"
 
 	"pgregory.net/rapid"
@@ -9,112 +8,129 @@
 	"dunestand/internal/units"
 )
 
+// deliverDelayedHeartbeat brings the leader a heartbeat that was held back. Nobody waits for
+// the answer any more.
+func (m *model) deliverDelayedHeartbeat() {
+	if len(m.delayedHeartbeats) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(m.delayedHeartbeats)-1).Draw(m.t, "delayed heartbeat")
+	heartbeat := m.delayedHeartbeats[i]
+	for _, worker := range m.workers {
+		if worker.id == heartbeat.Machine && worker.answerAwaited && worker.sequence == heartbeat.Sequence && worker.incarnation == heartbeat.Incarnation {
+			return // it still waits
+		}
+	}
+	m.delayedHeartbeats = slices.Delete(m.delayedHeartbeats, i, i+1)
+	m.serve(heartbeat)
+}
+
 // loseAnswers cuts a worker off from answers, or ends that.
 func (m *model) loseAnswers() {
-	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	w.answersLost = !w.answersLost
+	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
+	worker.answersLost = !worker.answersLost
 }
 
-// loseHeartbeats keeps a worker's reports from all controllers, or ends that.
+// loseHeartbeats keeps a worker's heartbeats from all controllers, or ends that.
 func (m *model) loseHeartbeats() {
-	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	w.heartbeatsLost = !w.heartbeatsLost
+	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
+	worker.heartbeatsLost = !worker.heartbeatsLost
 }
 
-// hangWorker stops a worker for a while, and cancels a job that runs there.
+// hangWorker has a worker hang for a while, and cancels a job that runs there.
 func (m *model) hangWorker() {
-	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	w.hungUntil = m.clock.Now + units.Micros(rapid.IntRange(500, 15000).Draw(m.t, "hangs ms"))*units.Millisecond
-	m.cancelOn(w)
+	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
+	worker.hungUntil = m.clock.Now + units.Micros(rapid.IntRange(500, 15000).Draw(m.t, "hangs ms"))*units.Millisecond
+	m.cancelOn(worker)
 }
 
 // cancelAtEnd cancels a job at the moment at which a task of it may end.
 func (m *model) cancelAtEnd() {
-	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if m.isHanging(w) {
+	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
+	if m.isHanging(worker) {
 		return
 	}
 	if rapid.Bool().Draw(m.t, "ends before") {
-		m.workOn(w)
-		m.cancelOn(w)
+		m.workOn(worker)
+		m.cancelOn(worker)
 	} else {
-		m.cancelOn(w)
-		m.workOn(w)
+		m.cancelOn(worker)
+		m.workOn(worker)
 	}
 }
 
-// cancelOn cancels a job that a worker holds.
-func (m *model) cancelOn(w *modelWorker) {
-	for _, k := range slices.SortedFunc(maps.Keys(w.tasks), func(a, b taskKey) int { return len(a.job) - len(b.job) + a.index - b.index }) {
-		if j := m.leader.state.Jobs[k.job]; j != nil && j.Accepted() && m.jobs[k.job]%2 == 0 {
-			m.leader.cancelJob(j)
+// cancelOn cancels the first job of an even number of tasks that a worker holds.
+func (m *model) cancelOn(worker *modelWorker) {
+	for _, key := range worker.sortedTasks() {
+		if job := m.leader.state.Jobs[key.job]; job != nil && job.Accepted() && m.jobs[key.job]%2 == 0 {
+			m.leader.cancelJob(job)
 			return
 		}
 	}
 }
 
-// isolateWorker keeps a worker that has just been answered from every controller for a part of
-// its lease, while everything else goes on; on some days under a new leader. What a leader
-// gives up too soon begins elsewhere meanwhile.
+// isolateWorker cuts a worker that has just been answered off from every controller for a part
+// of its lease, while everything else goes on; on some days under a new leader. What a leader
+// gives up too soon starts elsewhere meanwhile.
 func (m *model) isolateWorker() {
-	absent := rapid.SampledFrom(m.workers).Draw(m.t, "absent worker")
-	if !m.isUndisturbed(absent) {
+	isolated := rapid.SampledFrom(m.workers).Draw(m.t, "isolated worker")
+	if !m.isUndisturbed(isolated) {
 		return
 	}
-	m.requestAnswer(absent)
-	m.deliverTo(absent)
+	m.requestAnswer(isolated)
+	m.deliverTo(isolated)
 	if rapid.Bool().Draw(m.t, "a new leader") {
 		m.failOver()
 	}
-	m.runWithout(absent, modelLease.Share(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
+	m.runWithout(isolated, modelLease.Share(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
 }
 
-// delayAnswerPastFailover has a leader end while its answer is on its way to a worker. The next leader
-// gets a copy of an older report of that worker, and everything else goes on; then the
-// answer arrives.
+// delayAnswerPastFailover has a leader die while its answer is in flight to a worker. The
+// next leader gets a copy of an older heartbeat of that worker, and everything else goes on;
+// then the answer arrives.
 func (m *model) delayAnswerPastFailover() {
-	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if !m.isUndisturbed(w) {
+	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
+	if !m.isUndisturbed(worker) {
 		return
 	}
-	copied := w.heartbeat()
-	m.advanceWrite() // the names that starts wait for
+	copied := worker.nextHeartbeat()
+	m.advanceWrite() // the machine names that starts wait for
 	m.advanceWrite()
-	m.requestAnswer(w)
+	m.requestAnswer(worker)
 	m.failOver()
 	m.serve(copied)
-	m.runWithout(w, workerTimeout-units.Second)
-	m.deliverTo(w)
+	m.runWithout(worker, workerTimeout-units.Second)
+	m.deliverTo(worker)
 }
 
-// isUndisturbed tells whether a worker is neither waiting for an answer nor in any trouble.
-func (m *model) isUndisturbed(w *modelWorker) bool {
-	return w.alive && !w.answerAwaited && !w.answersLost && !w.heartbeatsLost && !m.isHanging(w)
+// isUndisturbed reports whether a worker neither waits for an answer nor has any fault.
+func (m *model) isUndisturbed(worker *modelWorker) bool {
+	return worker.alive && !worker.answerAwaited && !worker.answersLost && !worker.heartbeatsLost && !m.isHanging(worker)
 }
 
-// requestAnswer has a worker report to the leader at once; the answer is on its way.
-func (m *model) requestAnswer(w *modelWorker) {
-	w.answerAwaited, w.sentAt, w.heartbeatIncarnation = true, m.clock.Now, w.incarnation
-	w.answer = m.serve(w.heartbeat())
+// requestAnswer has a worker's heartbeat reach the leader at once; the answer is in flight.
+func (m *model) requestAnswer(worker *modelWorker) {
+	worker.answerAwaited, worker.sentAt, worker.heartbeatIncarnation = true, m.clock.Now, worker.incarnation
+	worker.answer = m.serve(worker.nextHeartbeat())
 }
 
-// runWithout lets a time pass in which all but one worker report and are answered.
-func (m *model) runWithout(absent *modelWorker, length units.Micros) {
+// runWithout lets a time pass in which all workers but one send heartbeats and are answered.
+func (m *model) runWithout(isolated *modelWorker, length units.Micros) {
 	const step = 500 * units.Millisecond
-	for ends := m.clock.Now + length; m.clock.Now < ends; {
+	for end := m.clock.Now + length; m.clock.Now < end; {
 		m.clock.Now += step
 		m.advanceWrite()
 		m.advanceWrite()
 		m.leader.detector.ExpireLeases(m.clock.Now)
-		for _, w := range m.workers {
-			m.expireLeaseOf(w)
-			if w == absent || !w.alive || w.heartbeatsLost || m.isHanging(w) {
+		for _, worker := range m.workers {
+			m.expireLeaseOf(worker)
+			if worker == isolated || !worker.alive || worker.heartbeatsLost || m.isHanging(worker) {
 				continue
 			}
-			if w.answerAwaited {
-				m.deliverTo(w)
+			if worker.answerAwaited {
+				m.deliverTo(worker)
 			} else {
-				m.heartbeatOf(w)
+				m.sendHeartbeat(worker)
 			}
 			m.checkInvariants()
 		}
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strings"
 
 	"pgregory.net/rapid"
 
@@ -14,36 +15,36 @@
 	"dunestand/internal/units"
 )
 
-// elect makes any of the controllers the leader.
+// elect makes any of the controllers the leader, and has it restore the records.
 func (m *model) elect() {
 	m.elections++
 	m.leader = newTestLeader(m.elections, m.clock)
 	m.leaderUpgraded = rapid.SampledFrom(m.controllers).Draw(m.t, "leader").upgraded
-	// The claim changes every bucket's head, so older saves fail from now on.
-	for b := range storage.Buckets {
+	// The election changes every bucket's head, so older write batches fail from now on.
+	for bucket := range storage.Buckets {
 		m.store.revision++
-		key := storage.KeyBucketHead(b)
+		key := storage.KeyBucketHead(bucket)
 		m.store.items[key] = protocol.Item{Key: key, Version: m.store.revision}
-		m.leader.persister.BucketVersions()[b] = m.store.revision
+		m.leader.persister.BucketVersions()[bucket] = m.store.revision
 	}
-	var rows []protocol.Item
+	var records []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
-		if len(key) > 4 && key[:4] == storage.PrefixJobs {
-			rows = append(rows, m.store.items[key])
+		if len(key) > len(storage.PrefixJobs) && strings.HasPrefix(key, storage.PrefixJobs) {
+			records = append(records, m.store.items[key])
 		}
 	}
 	if !m.leaderUpgraded {
-		if _, err := standin.ReadAsBefore(rows); err != nil {
+		if _, err := standin.ReadAsBefore(records); err != nil {
 			m.t.Fatalf("a leader of the version before cannot restore: %v", err)
 		}
 	}
-	jobs, orphans, err := cluster.ParseJobs(rows)
+	jobs, stale, err := cluster.ParseJobs(records)
 	if err != nil {
 		m.t.Fatalf("restore: %v", err)
 	}
-	for id, keys := range orphans {
+	for id, keys := range stale {
 		if m.store.items[storage.KeyTerminal(id)].Version == 0 {
-			m.t.Fatalf("%s is not over, and has no record of its own", id)
+			m.t.Fatalf("%s is not in a terminal state, and has no record of its own", id)
 		}
 		m.leader.state.AddStaleRecords(id, keys)
 	}
@@ -54,14 +55,141 @@
 	m.leader.persister.InstallRecords(jobs, modelCatalog)
 }
 
+// failOver ends the leader. The batch that it had sent may take effect before the next
+// leader is elected; later it must fail.
+func (m *model) failOver() {
+	if m.batch != nil {
+		if m.store.withinLimits(m.batch.Txn) && rapid.Bool().Draw(m.t, "batch takes effect") {
+			if _, failed := m.store.commit(m.t, m.batch.Txn); len(failed) == 0 {
+				m.noteTerminalRecords(m.batch.Txn)
+			}
+		} else {
+			m.staleBatches = append(m.staleBatches, m.batch)
+		}
+		m.batch = nil
+	}
+	m.elect()
+	for _, batch := range m.staleBatches {
+		if !m.store.withinLimits(batch.Txn) {
+			continue
+		}
+		if _, failed := m.store.commit(m.t, batch.Txn); len(failed) == 0 {
+			m.t.Fatalf("a former leader's write batch took effect after the election")
+		}
+	}
+}
+
+// noteTerminalRecords notes the terminal states that a transaction has stored.
+func (m *model) noteTerminalRecords(txn protocol.Txn) {
+	for _, change := range txn.Then {
+		if id, terminal := storage.JobOfTerminalKey(change.Set); terminal {
+			var record storage.TerminalRecord
+			if protocol.Decode(change.Value, &record) == nil {
+				m.reachedTerminal(id, record)
+			}
+		}
+	}
+}
+
+// advanceWrite sends the leader's next write batch, or completes the one in flight.
+func (m *model) advanceWrite() {
+	state := m.leader.state
+	if m.batch == nil {
+		m.batchInNewFormat = m.leader.Format.Current() >= storage.FormatNew
+		state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
+		m.batch = state.BuildWriteBatch(m.leader.persister.NextWriteID(), m.leader.persister.BucketVersions(), cluster.BatchLimits{
+			CoalesceFor: units.Second,
+			Background:  true,
+		}, m.clock.Now)
+		return
+	}
+	batch := m.batch
+	m.batch = nil
+	if !m.store.withinLimits(batch.Txn) {
+		// Only what was built before the leader learnt that all are upgraded.
+		state.ApplyNextLimits()
+		if m.batchInNewFormat {
+			m.t.Fatalf("a write batch in the new format is over the limits: %d changes", len(batch.Txn.Then))
+		}
+		state.BatchRejected(batch, m.clock.Now)
+		return
+	}
+	revision, failed := m.store.commit(m.t, batch.Txn)
+	if len(failed) > 0 {
+		m.refuseBatch(batch, failed)
+		return
+	}
+	if batch.ProbeKey() != "" {
+		m.committedTxns = append(m.committedTxns, batch.Txn)
+	}
+	for id, record := range state.BatchCommitted(batch, revision) {
+		m.reachedTerminal(id, record)
+	}
+}
+
+// refuseBatch has the leader learn that a write batch met conflicts. They may only be with
+// terminal records: the job was still in the pending-submission queue.
+func (m *model) refuseBatch(batch *cluster.WriteBatch, conflicts []string) {
+	m.leader.state.BatchRefused(batch, m.clock.Now)
+	for _, key := range conflicts {
+		id, terminal := storage.JobOfTerminalKey(key)
+		if !terminal || m.terminalStages[id] == "" {
+			m.t.Fatalf("a leader's own write batch met a conflict: %v", conflicts)
+		}
+		m.leader.terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.terminalStages[id]}})
+		m.leader.state.DropUnaccepted(id)
+	}
+}
+
+// reachedTerminal notes that a job's terminal state is durable, and checks it against what
+// the workers did and the user was told.
+func (m *model) reachedTerminal(id string, record storage.TerminalRecord) {
+	m.terminalStages[id] = record.Stage
+	if m.cancelledAt[id] != 0 && record.Stage != protocol.StageCancelled {
+		m.t.Fatalf("%s was called cancelled, and is now %s", id, record.Stage)
+	}
+	if m.services[id] && record.Stage != protocol.StageCancelled {
+		m.t.Fatalf("the service %s is called %s", id, record.Stage)
+	}
+	if record.Stage != protocol.StageDone {
+		return
+	}
+	for index := range m.jobs[id] {
+		if !m.completed[taskKey{id, index}] {
+			m.t.Fatalf("%s is called done without task %d", id, index)
+		}
+	}
+}
+
+// passTime lets some time pass in which only leases expire.
+func (m *model) passTime() {
+	m.clock.Now += units.Micros(rapid.IntRange(100, 6000).Draw(m.t, "ms")) * units.Millisecond
+	for _, worker := range m.workers {
+		m.expireLeaseOf(worker)
+	}
+	m.leader.detector.ExpireLeases(m.clock.Now)
+}
+
+// submit has a user submit a new job to the leader.
 func (m *model) submit() {
-	if len(m.jobs) >= 6 {
+	if len(m.jobs) >= modelMaxJobs {
 		return
 	}
 	m.leader.state.NewJob(m.drawSpec(), m.clock.Now, m.clock.Now)
 }
 
-// drawSpec makes a new job.
+// cancel has a user cancel any job.
+func (m *model) cancel() {
+	ids := slices.Sorted(maps.Keys(m.leader.state.Jobs))
+	if len(ids) == 0 {
+		return
+	}
+	if job := m.leader.state.Jobs[rapid.SampledFrom(ids).Draw(m.t, "job")]; job.Accepted() {
+		m.leader.cancelJob(job)
+	}
+}
+
+// drawSpec draws a new job.
 func (m *model) drawSpec() protocol.JobSpec {
 	id := fmt.Sprintf("j-%06d", len(m.jobs))
 	spec := protocol.JobSpec{
@@ -84,52 +212,3 @@
 	m.specs = append(m.specs, spec)
 	return spec
 }
-
-func (m *model) passTime() {
-	m.clock.Now += units.Micros(rapid.IntRange(100, 6000).Draw(m.t, "ms")) * units.Millisecond
-	for _, w := range m.workers {
-		m.expireLeaseOf(w)
-	}
-	m.leader.detector.ExpireLeases(m.clock.Now)
-}
-
-// failOver ends the leader. What it had sent may be carried out before the next
-// leader claims the buckets; later it must fail.
-func (m *model) failOver() {
-	if m.batch != nil {
-		if m.store.withinLimits(m.batch.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
-			if _, failed := m.store.commit(m.t, m.batch.Txn); len(failed) == 0 {
-				for _, c := range m.batch.Txn.Then {
-					if id, final := storage.JobOfTerminalKey(c.Set); final {
-						var f storage.TerminalRecord
-						if protocol.Decode(c.Value, &f) == nil {
-							m.reachedTerminal(id, f)
-						}
-					}
-				}
-			}
-		} else {
-			m.staleBatches = append(m.staleBatches, m.batch)
-		}
-		m.batch = nil
-	}
-	m.elect()
-	for _, s := range m.staleBatches {
-		if !m.store.withinLimits(s.Txn) {
-			continue
-		}
-		if _, failed := m.store.commit(m.t, s.Txn); len(failed) == 0 {
-			m.t.Fatalf("a former leader's save was carried out after the claim")
-		}
-	}
-}
-
-func (m *model) cancel() {
-	ids := slices.Sorted(maps.Keys(m.leader.state.Jobs))
-	if len(ids) == 0 {
-		return
-	}
-	if j := m.leader.state.Jobs[rapid.SampledFrom(ids).Draw(m.t, "job")]; j.Accepted() {
-		m.leader.cancelJob(j)
-	}
-}
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -11,60 +11,140 @@
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 	_ "dunestand/internal/standin/fixedseed"
-	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
+// The files model_*_test.go play random days against a whole leader: workers as the
+// protocol describes them, a key-value store, leaders that die at any point, answers that
+// are lost or late. Controllers of the version before are upgraded one by one meanwhile,
+// and the store lowers its limits once all are. After every step the invariants are checked
+// on the workers themselves, not on the leader's state.
+
+const (
+	modelLease       = 10 * units.Second
+	modelCancelGrace = 11 * units.Second // from the confirmation of a cancellation until no task runs
+	workerTimeout    = 4 * units.Second  // a worker gives up on the answer to a heartbeat
+	modelQuotaCPUs   = 9                 // the team's quota limit
+	modelMachineCPUs = 4                 // capacity of a machine
+	modelMaxJobs     = 6
+	modelControllers = 3
+)
+
+// model is the state of a random day.
 type model struct {
-	t                 *rapid.T
-	clock             *standin.Clock
-	store             *modelStore
-	leader            *Leader
-	elections         uint64
+	t           *rapid.T
+	clock       *standin.Clock
+	faultsEnded bool
+
+	store           *modelStore
+	pendingInFlight []protocol.Txn // pending submissions that are not stored yet
+	committedTxns   []protocol.Txn // the leader's transactions that took effect
+
+	controllers      []modelController
+	leader           *Leader
+	leaderUpgraded   bool                  // the leader is of the new version
+	elections        uint64                // how many were won so far
+	batch            *cluster.WriteBatch   // the leader's, in flight
+	batchInNewFormat bool                  // that one was built in the new format
+	staleBatches     []*cluster.WriteBatch // in flight when their leader died
+
 	workers           []*modelWorker
-	batch             *cluster.WriteBatch // the leader's, on its way
-	staleBatches      []*cluster.WriteBatch
 	delayedHeartbeats []*protocol.Heartbeat // held back by the network; their workers have given up
-	jobs              map[string]int        // tasks of each job submitted
-	completed         map[taskKey]bool
-	terminalStages    map[string]protocol.JobStage
 	broadcastAnswers  []broadcastAnswer
-	leaderUpgraded    bool // the leader is of the new version
-	batchInNewFormat  bool // the save on its way was built in the new form
-	specs             []protocol.JobSpec
-	pendingInFlight   []protocol.Txn // jobs on their way to the inbox
-	controllers       []modelController
-	services          map[string]bool
-	faultsEnded       bool                    // all troubles are over
-	committedTxns     []protocol.Txn          // transactions that were carried out
-	cancelledAt       map[string]units.Micros // when a user could be told that a job is cancelled
+
+	specs          []protocol.JobSpec // of each job submitted
+	jobs           map[string]int     // number of tasks of each job submitted
+	services       map[string]bool    // those jobs that are services
+	completed      map[taskKey]bool   // tasks that a worker has completed
+	terminalStages map[string]protocol.JobStage
+	cancelledAt    map[string]units.Micros // since when a user may have been told that a job is cancelled
+}
+
+// newModel returns the state in which a random day begins.
+func newModel(t *rapid.T) *model {
+	m := &model{
+		t:     t,
+		clock: &standin.Clock{Now: units.Second},
+		store: &modelStore{
+			items:  map[string]protocol.Item{},
+			limits: config.State{ValueKB: 8, TxnOps: 12, Next: &config.State{ValueKB: 1, TxnOps: 3}},
+		},
+		controllers:    make([]modelController, modelControllers),
+		services:       map[string]bool{},
+		jobs:           map[string]int{},
+		completed:      map[taskKey]bool{},
+		terminalStages: map[string]protocol.JobStage{},
+		cancelledAt:    map[string]units.Micros{},
+	}
+	// Some days begin with far more machines than the team can use.
+	for range rapid.SampledFrom([]int{2, 2, 2, 2, 16}).Draw(t, "machines") {
+		m.workers = append(m.workers, m.newWorker())
+	}
+	if rapid.Bool().Draw(t, "upgraded before") {
+		m.upgradeAll()
+	}
+	m.elect()
+	return m
+}
+
+// actions lists what may happen, each action as often as its weight. The fixed seed draws
+// places of this list: another order means other days.
+func (m *model) actions() []func() {
+	return []func(){
+		m.submit, m.submit, m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver,
+		m.work, m.work, m.advanceWrite, m.advanceWrite, m.advanceWrite, m.passTime, m.passTime,
+		m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver, m.work, m.work,
+		m.advanceWrite, m.advanceWrite, m.advanceWrite, m.heartbeat, m.deliver, m.heartbeat, m.deliver,
+		m.heartbeat, m.deliver, m.failOver, m.failOver, m.cancel, m.releaseAnyWorker,
+		m.deliverDelayedHeartbeat, m.deliverDelayedHeartbeat, m.loseAnswers, m.broadcastToken,
+		m.broadcastToken, m.deliverBroadcastAnswers, m.submitElsewhere, m.landPending, m.ingestPending,
+		m.ingestPending, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.raiseFormat,
+		m.raiseFormat, m.raiseFormat, m.lowerLimits, m.loseHeartbeats, m.loseHeartbeats, m.hangWorker,
+		m.hangWorker, m.cancelAtEnd, m.cancelAtEnd, m.resendTransaction, m.isolateWorker,
+		m.isolateWorker, m.isolateWorker, m.isolateWorker, m.delayAnswerPastFailover,
+		m.delayAnswerPastFailover, m.delayAnswerPastFailover,
+	}
+}
+
+func TestRandomDaysKeepTheInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newModel(t)
+		actions := m.actions()
+		for range rapid.IntRange(50, 250).Draw(t, "steps") {
+			rapid.SampledFrom(actions).Draw(t, "action")()
+			m.checkInvariants()
+		}
+		m.endFaults()
+	})
 }
 
+// checkInvariants checks what must hold at any time: no task runs long after its user was
+// told that it is cancelled, no machine is over its capacity and no team over its quota
+// limit.
 func (m *model) checkInvariants() {
-	for id, j := range m.leader.state.Jobs {
-		if m.cancelledAt[id] == 0 && answer.CancellationConfirmed(j, m.leader.Settings.Fleet.Workers) {
+	for id, job := range m.leader.state.Jobs {
+		if m.cancelledAt[id] == 0 && answer.CancellationConfirmed(job, m.leader.Settings.Fleet.Workers) {
 			m.cancelledAt[id] = m.clock.Now
 		}
 	}
 	used := 0
-	for _, w := range m.workers {
-		if !w.alive {
+	for _, worker := range m.workers {
+		if !worker.alive {
 			continue
 		}
 		onMachine := 0
-		for k, task := range w.tasks {
+		for key, task := range worker.tasks {
 			if task.stage == protocol.TaskExited {
 				continue
 			}
-			if at := m.cancelledAt[k.job]; at != 0 && m.clock.Now-at > modelCancelGrace && !m.isHanging(w) {
-				m.t.Fatalf("%s/%d is on %s %v after its user was told", k.job, k.index, w.id, (m.clock.Now - at).Duration())
+			if at := m.cancelledAt[key.job]; at != 0 && m.clock.Now-at > modelCancelGrace && !m.isHanging(worker) {
+				m.t.Fatalf("%s/%d is on %s %v after its user was told", key.job, key.index, worker.id, (m.clock.Now - at).Duration())
 			}
-			need := m.requestedCPUs(k.job)
-			used += need
-			onMachine += need
+			onMachine += m.requestedCPUs(key.job)
 		}
+		used += onMachine
 		if onMachine > modelMachineCPUs {
-			m.t.Fatalf("%s runs %d processors", w.id, onMachine)
+			m.t.Fatalf("%s runs %d processors", worker.id, onMachine)
 		}
 	}
 	if used > modelQuotaCPUs {
@@ -72,127 +152,24 @@
 	}
 }
 
-// endFaults ends all troubles and plays on until every accepted job that was not
-// cancelled is done. Nothing may be forgotten, and nothing may wait for ever.
-func (m *model) endFaults() {
-	m.faultsEnded = true
-	for _, w := range m.workers {
-		w.answersLost, w.heartbeatsLost, w.hungUntil = false, false, 0
-	}
-	m.finishUpgrade()
-	m.landPending()
-	accepted := map[string]bool{}
-	for _, item := range m.pendingItems() {
-		a, _ := cluster.ParsePendingSubmission(item)
-		accepted[a.Spec.ID] = m.terminalStages[a.Spec.ID] == "" && m.leader.state.Jobs[a.Spec.ID] == nil
-	}
-	for id, j := range m.leader.state.Jobs {
-		accepted[id] = (j.Accepted() || accepted[id]) && !j.Cancelled
-	}
-	for range 600 {
-		m.clock.Now += 500 * units.Millisecond
-		m.ingestPending()
-		for range 4 {
-			m.advanceWrite()
-		}
-		m.leader.detector.ExpireLeases(m.clock.Now)
-		for i := range m.workers {
-			w := m.workers[i]
-			m.expireLeaseOf(w)
-			if machine := m.leader.state.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= cluster.MaxUndeliveredCommands) {
-				m.releaseWorker(i)
-				continue
-			}
-			if w.answerAwaited && m.clock.Now-w.sentAt > workerTimeout {
-				w.answerAwaited, w.answer = false, nil
-			}
-			if !w.answerAwaited {
-				m.heartbeatOf(w)
-			}
-			m.deliverTo(w)
-			m.workOn(w)
-			m.checkInvariants()
-		}
-	}
-	if left := m.pendingItems(); len(left) > 0 {
-		m.t.Fatalf("%d jobs are in the inbox long after all troubles", len(left))
-	}
-	for id, open := range accepted {
-		if open && m.services[id] {
-			if up := m.runningTasks(id); up != m.jobs[id] {
-				m.t.Fatalf("%d of %d replicas of %s run long after all troubles", up, m.jobs[id], id)
-			}
-			continue
-		}
-		if open && m.terminalStages[id] != protocol.StageDone {
-			j := m.leader.state.Jobs[id]
-			m.t.Fatalf("%s is not done long after all troubles: final %q, known %v", id, m.terminalStages[id], j != nil)
-		}
-	}
-}
-
-// runningTasks counts the tasks of a job that run on workers.
-func (m *model) runningTasks(job string) int {
-	n := 0
-	for _, w := range m.workers {
-		for k, task := range w.tasks {
-			if k.job == job && w.alive && task.stage == protocol.TaskRunning {
-				n++
-			}
-		}
-	}
-	return n
-}
-
-func (m *model) requestedCPUs(job string) int {
-	if j := m.leader.state.Jobs[job]; j != nil {
-		return int(j.Spec.Request.CPU / 1_000_000)
+// requestedCPUs returns how many processors a task of a job requests; 0 if the leader does not
+// know the job.
+func (m *model) requestedCPUs(jobID string) int {
+	if job := m.leader.state.Jobs[jobID]; job != nil {
+		return int(job.Spec.Request.CPU / 1_000_000)
 	}
 	return 0
 }
 
-func TestRandomDaysKeepTheInvariants(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		m := &model{
-			t:           t,
-			clock:       &standin.Clock{Now: units.Second},
-			controllers: make([]modelController, 3),
-			services:    map[string]bool{},
-			store: &modelStore{
-				items:  map[string]protocol.Item{},
-				limits: config.State{ValueKB: 8, TxnOps: 12, Next: &config.State{ValueKB: 1, TxnOps: 3}},
-			},
-			cancelledAt:    map[string]units.Micros{},
-			jobs:           map[string]int{},
-			completed:      map[taskKey]bool{},
-			terminalStages: map[string]protocol.JobStage{},
-		}
-		// Some days begin with far more machines than the team can use.
-		for range rapid.SampledFrom([]int{2, 2, 2, 2, 16}).Draw(t, "machines") {
-			m.workers = append(m.workers, m.newWorker())
-		}
-		if rapid.Bool().Draw(t, "upgraded before") {
-			for i := range m.controllers {
-				m.controllers[i] = modelController{true, true}
-				m.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
+// runningTasks returns how many tasks of a job run on workers.
+func (m *model) runningTasks(jobID string) int {
+	running := 0
+	for _, worker := range m.workers {
+		for key, task := range worker.tasks {
+			if key.job == jobID && worker.alive && task.stage == protocol.TaskRunning {
+				running++
 			}
 		}
-		m.elect()
-		actions := []func(){m.submit, m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver, m.work, m.work,
-			m.advanceWrite, m.advanceWrite, m.advanceWrite, m.passTime, m.failOver, m.cancel, m.releaseAnyWorker, m.deliverDelayedHeartbeat, m.loseAnswers, m.broadcastToken, m.deliverBroadcastAnswers, m.submitElsewhere, m.landPending, m.ingestPending, m.upgrade, m.raiseFormat, m.lowerLimits, m.loseHeartbeats, m.hangWorker, m.cancelAtEnd, m.resendTransaction, m.isolateWorker, m.delayAnswerPastFailover}
-		weights := []int{0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 12, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 1, 4, 2, 5, 3, 6, 13, 13, 14, 15, 16, 16, 17, 18, 18, 19, 20, 21, 22, 22, 23, 23, 23, 23, 23, 23, 24, 24, 24, 25, 26, 26, 27, 27, 28, 28, 29, 30, 30, 30, 30, 31, 31, 31}
-		for range rapid.IntRange(50, 250).Draw(t, "steps") {
-			actions[rapid.SampledFrom(weights).Draw(t, "action")]()
-			m.checkInvariants()
-		}
-		m.endFaults()
-	})
+	}
+	return running
 }
-
-const (
-	modelLease       = 10 * units.Second
-	modelCancelGrace = 11 * units.Second
-	workerTimeout    = 4 * units.Second
-	modelQuotaCPUs   = 9 // processors of the team
-	modelMachineCPUs = 4 // processors of a machine
-)
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -11,54 +11,62 @@
 	"dunestand/internal/storage"
 )
 
-// modelController is a controller.
+// modelController is a controller, of the version before or of the new one.
 type modelController struct {
 	upgraded        bool
-	formatAnnounced bool // it has said, durably, that it reads the new form
+	formatAnnounced bool // it has stored that it reads the new format
 }
 
 func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// put writes a key of the state service.
-func (m *model) put(key string, value any) {
-	m.store.revision++
-	m.store.items[key] = protocol.Item{Key: key, Value: protocol.Encode(value), Version: m.store.revision}
-}
-
-// formats gives what the controllers have said, and the fleet's format.
+// formats returns the formats that the controllers have announced, and the fleet's format, by
+// key.
 func (m *model) formats() map[string]recordformat.StoredFormat {
-	known := map[string]recordformat.StoredFormat{}
+	formats := map[string]recordformat.StoredFormat{}
 	for key, item := range m.store.items {
-		var r storage.FormatRecord
-		if strings.HasPrefix(key, storage.PrefixFormats) && protocol.Decode(item.Value, &r) == nil {
-			known[key] = recordformat.StoredFormat{Format: r.Format, Version: item.Version}
+		var record storage.FormatRecord
+		if strings.HasPrefix(key, storage.PrefixFormats) && protocol.Decode(item.Value, &record) == nil {
+			formats[key] = recordformat.StoredFormat{Format: record.Format, Version: item.Version}
 		}
 	}
-	return known
+	return formats
 }
 
-// upgrade starts a controller with the new version, which says so a while later;
-// if it leads, its term ends.
+// upgrade starts a controller with the new version, which announces so a while later;
+// if it leads, there is a failover.
 func (m *model) upgrade() {
-	// The first one mostly gets its turn late, long after the others.
+	// The first one is mostly drawn late, long after the others.
 	i := rapid.SampledFrom([]int{0, 1, 1, 1, 1, 1, 2, 2, 2, 2, 2}).Draw(m.t, "controller")
-	switch n := &m.controllers[i]; {
-	case !n.upgraded:
-		n.upgraded = true
+	switch controller := &m.controllers[i]; {
+	case !controller.upgraded:
+		controller.upgraded = true
 		if rapid.IntRange(0, 2).Draw(m.t, "it led") == 0 {
 			m.failOver()
 		}
-	case !n.formatAnnounced:
-		n.formatAnnounced = true
-		m.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
+	case !controller.formatAnnounced:
+		m.announceFormat(i)
+	}
+}
+
+// announceFormat stores that a controller reads the new format.
+func (m *model) announceFormat(i int) {
+	m.controllers[i].formatAnnounced = true
+	m.store.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
+}
+
+// upgradeAll upgrades all controllers, and has them announce it.
+func (m *model) upgradeAll() {
+	for i := range m.controllers {
+		m.controllers[i].upgraded = true
+		m.announceFormat(i)
 	}
 }
 
-// raiseFormat has a leader of the new version do what it can about the fleet's format.
-// It may die, or hear of it only later.
+// raiseFormat has a leader of the new version raise the fleet's format as far as it can.
+// It may die before it learns of it, or learn of it only later.
 func (m *model) raiseFormat() {
-	known := m.formats()
-	level := known[storage.KeyFleetFormat].Format
+	formats := m.formats()
+	level := formats[storage.KeyFleetFormat].Format
 	if !m.leaderUpgraded {
 		return
 	}
@@ -66,15 +74,16 @@
 	for i := range m.controllers {
 		names = append(names, controllerName(i))
 	}
-	if all := recordformat.SupportedByAll(names, known); all > max(level, storage.FormatOld) {
-		level = all
-		m.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
+	if supported := recordformat.SupportedByAll(names, formats); supported > max(level, storage.FormatOld) {
+		level = supported
+		m.store.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
-	if m.faultsEnded || rapid.Bool().Draw(m.t, "the leader hears of it") {
+	if m.faultsEnded || rapid.Bool().Draw(m.t, "the leader learns of it") {
 		m.learnFormat(level)
 	}
 }
 
+// learnFormat has the leader learn of the fleet's format.
 func (m *model) learnFormat(level int) {
 	if level > m.leader.Format.Current() {
 		m.leader.setFormat(level)
@@ -82,23 +91,20 @@
 	m.leader.state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
 }
 
-// lowerLimits lowers the limits of the state service, some time after the upgrade.
+// lowerLimits lowers the limits of the key-value store, some time after the upgrade.
 func (m *model) lowerLimits() {
 	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatNew {
 		m.store.limits = m.store.limits.Both()
 	}
 }
 
-// finishUpgrade upgrades the controllers that are left, if the day is one of
-// those on which that happens, and has the limits fall.
+// finishUpgrade upgrades the controllers that are left, on most days, and has the limits
+// lowered.
 func (m *model) finishUpgrade() {
 	if rapid.IntRange(0, 3).Draw(m.t, "the upgrade ends") == 0 {
 		return
 	}
-	for i := range m.controllers {
-		m.controllers[i].upgraded, m.controllers[i].formatAnnounced = true, true
-		m.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
-	}
+	m.upgradeAll()
 	if !m.leaderUpgraded {
 		m.failOver()
 	}
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"cmp"
 	"fmt"
 	"maps"
 	"slices"
@@ -11,246 +12,243 @@
 	"dunestand/internal/units"
 )
 
+// modelTask is a task that a worker holds.
 type modelTask struct {
 	attempt uint64
 	stage   protocol.TaskStage
 	cause   protocol.ExitCause
 }
 
+// taskKey names a task.
 type taskKey struct {
 	job   string
 	index int
 }
 
+func compareTaskKeys(a, b taskKey) int {
+	return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.index, b.index))
+}
+
+// modelWorker is a worker on a machine of its own.
 type modelWorker struct {
 	id                    string
 	alive                 bool
 	incarnation, sequence uint64
-	token                 uint64
+	token                 uint64 // the highest fencing token that it has seen
 	leaseStart            units.Micros
 	tasks                 map[taskKey]modelTask
-	answerAwaited         bool // a report is in flight
+	answerAwaited         bool // a heartbeat is in flight
 	sentAt                units.Micros
-	answer                *protocol.HeartbeatResponse // on its way
+	answer                *protocol.HeartbeatResponse // in flight
 	heartbeatIncarnation  uint64
-	answersLost           bool // its reports arrive, answers do not reach it
+	answersLost           bool // its heartbeats arrive, answers do not reach it
 	heartbeatsLost        bool // it reaches no controller; direct commands reach it
 	hungUntil             units.Micros
 }
 
-func (m *model) isHanging(w *modelWorker) bool { return m.clock.Now < w.hungUntil }
-
-// broadcastAnswer is a worker's answer to an announcement, on its way.
-type broadcastAnswer struct {
-	to        *Leader
-	heartbeat *protocol.Heartbeat
+// newWorker returns a worker that has just come up.
+func (m *model) newWorker() *modelWorker {
+	id := fmt.Sprintf("i-%06d", m.store.revision*10+uint64(len(m.workers)))
+	m.store.revision++
+	return &modelWorker{
+		id:          id,
+		alive:       true,
+		incarnation: 1,
+		leaseStart:  m.clock.Now,
+		tasks:       map[taskKey]modelTask{},
+	}
 }
 
-func (m *model) heartbeat() {
-	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && !w.answerAwaited && !w.heartbeatsLost && !m.isHanging(w) {
-		m.heartbeatOf(w)
-	}
+func (m *model) isHanging(worker *modelWorker) bool { return m.clock.Now < worker.hungUntil }
+
+// sortedTasks returns the keys of the worker's tasks, by job and index.
+func (w *modelWorker) sortedTasks() []taskKey {
+	return slices.SortedFunc(maps.Keys(w.tasks), compareTaskKeys)
 }
 
-// heartbeat makes the worker's heartbeat of now.
-func (w *modelWorker) heartbeat() *protocol.Heartbeat {
+// nextHeartbeat returns the worker's heartbeat of now.
+func (w *modelWorker) nextHeartbeat() *protocol.Heartbeat {
 	w.sequence++
-	r := &protocol.Heartbeat{
-		Machine:      w.id,
-		InstanceType: "m",
-		Zone:         "a",
-		Spot:         true,
-		Incarnation:  w.incarnation,
-		Sequence:     w.sequence,
-		FencingToken: w.token,
-	}
-	keys := slices.SortedFunc(maps.Keys(w.tasks), func(a, b taskKey) int { return len(a.job) - len(b.job) + a.index - b.index })
-	for _, k := range keys {
-		task := w.tasks[k]
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{
-			Job:     k.job,
-			Index:   k.index,
+	heartbeat := testHeartbeat(w.id, w.incarnation, w.sequence, w.token)
+	for _, key := range w.sortedTasks() {
+		task := w.tasks[key]
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
+			Job:     key.job,
+			Index:   key.index,
 			Attempt: task.attempt,
 			Stage:   task.stage,
 			Cause:   task.cause,
 		})
 	}
-	return r
+	return heartbeat
 }
 
-func (m *model) heartbeatOf(w *modelWorker) {
-	r := w.heartbeat()
-	w.answerAwaited, w.sentAt, w.heartbeatIncarnation, w.answer = true, m.clock.Now, w.incarnation, nil
-	if !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "report copied") == 0 {
-		m.delayedHeartbeats = append(m.delayedHeartbeats, r) // the copy comes at any later time
+// heartbeat has any worker send a heartbeat.
+func (m *model) heartbeat() {
+	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); worker.alive && !worker.answerAwaited && !worker.heartbeatsLost && !m.isHanging(worker) {
+		m.sendHeartbeat(worker)
 	}
-	if !m.faultsEnded && rapid.IntRange(0, 4).Draw(m.t, "report held back") == 0 {
-		m.delayedHeartbeats = append(m.delayedHeartbeats, r)
+}
+
+// sendHeartbeat has a worker send a heartbeat, which the network may copy or hold back.
+func (m *model) sendHeartbeat(worker *modelWorker) {
+	heartbeat := worker.nextHeartbeat()
+	worker.answerAwaited, worker.sentAt, worker.heartbeatIncarnation, worker.answer = true, m.clock.Now, worker.incarnation, nil
+	if !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "heartbeat copied") == 0 {
+		m.delayedHeartbeats = append(m.delayedHeartbeats, heartbeat) // the copy comes at any later time
+	}
+	if !m.faultsEnded && rapid.IntRange(0, 4).Draw(m.t, "heartbeat held back") == 0 {
+		m.delayedHeartbeats = append(m.delayedHeartbeats, heartbeat)
 		return
 	}
-	w.answer = m.serve(r)
+	worker.answer = m.serve(heartbeat)
 }
 
-func (m *model) serve(r *protocol.Heartbeat) *protocol.HeartbeatResponse {
-	t, now := m.leader, m.clock.Now
-	machine := t.reconciler.Reconcile(r, now)
+// serve has the leader handle a heartbeat and returns its answer, nil if it gives none.
+func (m *model) serve(heartbeat *protocol.Heartbeat) *protocol.HeartbeatResponse {
+	leader, now := m.leader, m.clock.Now
+	machine := leader.reconciler.Reconcile(heartbeat, now)
 	if machine == nil {
 		return nil
 	}
-	t.detector.ExpireLeases(now)
-	t.scheduler.RunCycle(now, machine)
-	return &protocol.HeartbeatResponse{FencingToken: t.token, Commands: t.reconciler.Commands(machine, r, now)}
+	leader.detector.ExpireLeases(now)
+	leader.scheduler.RunCycle(now, machine)
+	return &protocol.HeartbeatResponse{FencingToken: leader.token, Commands: leader.reconciler.Commands(machine, heartbeat, now)}
 }
 
-// deliverDelayedHeartbeat brings the leader a report that was held back. Nobody waits for the
-// answer any more.
-func (m *model) deliverDelayedHeartbeat() {
-	if len(m.delayedHeartbeats) == 0 {
-		return
-	}
-	i := rapid.IntRange(0, len(m.delayedHeartbeats)-1).Draw(m.t, "held report")
-	r := m.delayedHeartbeats[i]
-	for _, w := range m.workers {
-		if w.id == r.Machine && w.answerAwaited && w.sequence == r.Sequence && w.incarnation == r.Incarnation {
-			return // it still waits
-		}
-	}
-	m.delayedHeartbeats = slices.Delete(m.delayedHeartbeats, i, i+1)
-	m.serve(r)
-}
-
-// deliver brings a worker the answer it waits for, or lets it give up.
+// deliver brings any worker the answer it waits for, or lets it give up.
 func (m *model) deliver() {
-	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); w.alive && w.answerAwaited && !m.isHanging(w) {
-		m.deliverTo(w)
+	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); worker.alive && worker.answerAwaited && !m.isHanging(worker) {
+		m.deliverTo(worker)
 	}
 }
 
-func (m *model) deliverTo(w *modelWorker) {
-	lost := w.answersLost || !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
-	a := w.answer
-	w.answerAwaited, w.answer = false, nil
-	if lost || a == nil || m.clock.Now-w.sentAt > workerTimeout || a.FencingToken < w.token || w.heartbeatIncarnation != w.incarnation {
+// deliverTo brings a worker the answer it waits for, unless it is lost or too late.
+func (m *model) deliverTo(worker *modelWorker) {
+	lost := worker.answersLost || !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
+	answer := worker.answer
+	worker.answerAwaited, worker.answer = false, nil
+	if lost || answer == nil || m.clock.Now-worker.sentAt > workerTimeout || answer.FencingToken < worker.token || worker.heartbeatIncarnation != worker.incarnation {
 		return
 	}
-	w.token, w.leaseStart = a.FencingToken, w.sentAt
-	for _, c := range a.Commands {
-		m.execute(w, c)
+	worker.token, worker.leaseStart = answer.FencingToken, worker.sentAt
+	for _, command := range answer.Commands {
+		m.execute(worker, command)
 	}
 }
 
-func (m *model) execute(w *modelWorker, c protocol.Command) {
-	var k taskKey
-	if _, err := fmt.Sscanf(c.Task, "j-%06d/%d", new(int), &k.index); err != nil {
-		m.t.Fatalf("command names %q", c.Task)
+// execute has a worker carry out a command. A task may neither start while it is on another
+// worker nor once its job is in a terminal state.
+func (m *model) execute(worker *modelWorker, command protocol.Command) {
+	var key taskKey
+	if _, err := fmt.Sscanf(command.Task, "j-%06d/%d", new(int), &key.index); err != nil {
+		m.t.Fatalf("command names %q", command.Task)
 	}
-	k.job = c.Task[:8]
-	task, here := w.tasks[k]
-	switch c.Verb {
+	key.job = command.Task[:8]
+	task, held := worker.tasks[key]
+	switch command.Verb {
 	case protocol.VerbStart:
-		if here && (task.attempt == c.Attempt || task.stage != protocol.TaskExited) {
+		if held && (task.attempt == command.Attempt || task.stage != protocol.TaskExited) {
 			return
 		}
-		for _, o := range m.workers {
-			if other, ok := o.tasks[k]; ok && o != w && o.alive && other.stage != protocol.TaskExited {
-				m.t.Fatalf("%s starts on %s while it is on %s", c.Task, w.id, o.id)
+		for _, other := range m.workers {
+			if elsewhere, ok := other.tasks[key]; ok && other != worker && other.alive && elsewhere.stage != protocol.TaskExited {
+				m.t.Fatalf("%s starts on %s while it is on %s", command.Task, worker.id, other.id)
 			}
 		}
-		if m.terminalStages[k.job] != "" {
-			m.t.Fatalf("%s starts though its job is over", c.Task)
+		if m.terminalStages[key.job] != "" {
+			m.t.Fatalf("%s starts though its job is in a terminal state", command.Task)
 		}
-		w.tasks[k] = modelTask{attempt: c.Attempt, stage: protocol.TaskRunning}
+		worker.tasks[key] = modelTask{attempt: command.Attempt, stage: protocol.TaskRunning}
 	case protocol.VerbStop:
-		if here && task.attempt == c.Attempt && task.stage != protocol.TaskExited {
-			w.tasks[k] = modelTask{c.Attempt, protocol.TaskExited, protocol.CauseStopped}
+		if held && task.attempt == command.Attempt && task.stage != protocol.TaskExited {
+			worker.tasks[key] = modelTask{command.Attempt, protocol.TaskExited, protocol.CauseStopped}
 		}
 	case protocol.VerbForget:
-		if here && task.attempt == c.Attempt && task.stage == protocol.TaskExited {
-			delete(w.tasks, k)
+		if held && task.attempt == command.Attempt && task.stage == protocol.TaskExited {
+			delete(worker.tasks, key)
 		}
 	}
 }
 
+// work ends a task on any worker.
 func (m *model) work() {
-	if w := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); !m.isHanging(w) {
-		m.workOn(w)
+	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); !m.isHanging(worker) {
+		m.workOn(worker)
 	}
 }
 
-func (m *model) workOn(w *modelWorker) {
-	for _, k := range slices.SortedFunc(maps.Keys(w.tasks), func(a, b taskKey) int { return len(a.job) - len(b.job) + a.index - b.index }) {
-		task := w.tasks[k]
-		if task.stage != protocol.TaskRunning || m.faultsEnded && m.services[k.job] {
+// workOn ends the first task that runs on a worker, done or failed.
+func (m *model) workOn(worker *modelWorker) {
+	for _, key := range worker.sortedTasks() {
+		task := worker.tasks[key]
+		if task.stage != protocol.TaskRunning || m.faultsEnded && m.services[key.job] {
 			continue
 		}
 		task.stage = protocol.TaskExited
 		if task.cause = protocol.CauseError; m.faultsEnded || rapid.IntRange(0, 7).Draw(m.t, "fails") > 0 {
 			task.cause = protocol.CauseDone
-			m.completed[k] = !m.services[k.job]
+			m.completed[key] = !m.services[key.job]
 		}
-		w.tasks[k] = task
+		worker.tasks[key] = task
 		return
 	}
 }
 
-// expireLeaseOf lets a worker begin its next session when its lease has run out.
-func (m *model) expireLeaseOf(w *modelWorker) {
-	if w.alive && !m.isHanging(w) && m.clock.Now-w.leaseStart > modelLease {
-		w.incarnation++
-		w.leaseStart = m.clock.Now
-		clear(w.tasks)
+// expireLeaseOf has a worker begin its next incarnation if its lease has expired.
+func (m *model) expireLeaseOf(worker *modelWorker) {
+	if worker.alive && !m.isHanging(worker) && m.clock.Now-worker.leaseStart > modelLease {
+		worker.incarnation++
+		worker.leaseStart = m.clock.Now
+		clear(worker.tasks)
 	}
 }
 
-// releaseAnyWorker returns a machine to the cloud; by its answer the machine is gone.
+// releaseAnyWorker has the leader scale in any machine.
 func (m *model) releaseAnyWorker() {
 	m.releaseWorker(rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "released"))
 }
 
+// releaseWorker returns a machine to the cloud: when the cloud answers, the machine is gone.
+// Another one takes its place.
 func (m *model) releaseWorker(i int) {
-	w := m.workers[i]
-	w.alive = false
-	t, now := m.leader, m.clock.Now
-	t.state.Released.Add(w.id, now)
-	if machine := t.state.Machines[w.id]; machine != nil {
-		t.state.RemoveMachine(machine, now)
+	worker := m.workers[i]
+	worker.alive = false
+	state, now := m.leader.state, m.clock.Now
+	state.Released.Add(worker.id, now)
+	if machine := state.Machines[worker.id]; machine != nil {
+		state.RemoveMachine(machine, now)
 	} else {
-		t.state.MarkReconciled(w.id)
+		state.MarkReconciled(worker.id)
 	}
 	m.workers[i] = m.newWorker()
 }
 
-func (m *model) newWorker() *modelWorker {
-	id := fmt.Sprintf("i-%06d", m.store.revision*10+uint64(len(m.workers)))
-	m.store.revision++
-	return &modelWorker{
-		id:          id,
-		alive:       true,
-		incarnation: 1,
-		leaseStart:  m.clock.Now,
-		tasks:       map[taskKey]modelTask{},
-	}
+// broadcastAnswer is a worker's answer to the broadcast of a leader's token, in flight.
+type broadcastAnswer struct {
+	to        *Leader
+	heartbeat *protocol.Heartbeat
 }
 
-// announce tells a worker the term; its answer may come late.
+// broadcastToken has a worker learn the leader's token; its answer may come late.
 func (m *model) broadcastToken() {
-	w := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if !w.alive || w.answersLost || m.isHanging(w) {
+	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
+	if !worker.alive || worker.answersLost || m.isHanging(worker) {
 		return
 	}
-	w.token = m.leader.token
-	m.leader.state.EnsureMachine(w.id, "m", "a", true, m.clock.Now)
-	m.broadcastAnswers = append(m.broadcastAnswers, broadcastAnswer{m.leader, w.heartbeat()})
+	worker.token = m.leader.token
+	m.leader.state.EnsureMachine(worker.id, "m", "a", true, m.clock.Now)
+	m.broadcastAnswers = append(m.broadcastAnswers, broadcastAnswer{m.leader, worker.nextHeartbeat()})
 	if rapid.Bool().Draw(m.t, "answered at once") {
 		m.deliverBroadcastAnswers()
 	}
 }
 
-// deliverBroadcastAnswers brings the leader the answers to its announcements.
+// deliverBroadcastAnswers brings the leader the answers to its broadcast.
 func (m *model) deliverBroadcastAnswers() {
-	for _, a := range m.broadcastAnswers {
-		if a.to == m.leader {
-			a.to.broadcaster.Answered(a.heartbeat)
+	for _, answer := range m.broadcastAnswers {
+		if answer.to == m.leader {
+			answer.to.broadcaster.Answered(answer.heartbeat)
 		}
 	}
 	m.broadcastAnswers = nil
