--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -101,7 +101,7 @@
 			return known
 		}
 		l.state.Lock()
-		l.admission.Waiting.SetUnknown(id)
+		l.admission.Waiting.MarkUnrecorded(id)
 		l.state.Unlock()
 	}
 	return admissioncontrol.WaitingAnswer(decision)
