--- a/internal/controller/admission_plan_test.go
+++ b/internal/controller/admission_plan_test.go
@@ -111,7 +111,7 @@
 		}
 		go func() { _ = leader.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
 		for _, stored := store.Get(storage.KeyJob("j-000001")); !stored; _, stored = store.Get(storage.KeyJob("j-000001")) {
-			leader.commitNext(t)
+			leader.commitNext(t.Context())
 			time.Sleep(time.Millisecond)
 		}
 		store.Apply(protocol.Txn{Then: []protocol.Change{{Delete: admission.KeyPlan}}})
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -119,7 +119,7 @@
 	c.deps.Admitter = a
 	submit := func(id, team string) int {
 		spec := admittedSpec(id, team, 1)
-		return c.submit(t.Context(), submission(spec, team), true).Status
+		return c.submit(t.Context(), encodeSubmission(spec, team), true).Status
 	}
 	follower := admissioncontrol.NewPlanFollower(a)
 	learn := func() {
--- a/internal/controller/harness_admission_test.go
+++ b/internal/controller/harness_admission_test.go
@@ -18,8 +18,8 @@
 // planHorizon is short, so that one large backlog fills it.
 const planHorizon = 20 * units.Second
 
-// newAdmittingLeader is a leader that admits by a plan, with its records restored. It has no
-// loops: tests take each step.
+// newAdmittingLeader returns a leader that admits by a plan, with its records restored. None
+// of its loops run: tests take each step.
 func newAdmittingLeader(t *testing.T, token uint64, store *standin.State) *Leader {
 	t.Helper()
 	leader := newStoredLeader(t, token, store, func(d *Deps) {
@@ -40,14 +40,15 @@
 	return l.admission.Publish(ctx)
 }
 
+// admittedSpec returns a job of a team with an estimate.
 func admittedSpec(id, team string, tasks int) *protocol.JobSpec {
 	spec := modelSpec(id)
 	spec.Team, spec.Tasks, spec.Estimate = team, tasks, 10*units.Second
 	return spec
 }
 
-// fillQuota has the first team take all there is, by jobs that are stored, and another one
-// that waits.
+// fillQuota has the first team use up its quota with jobs that are stored, and submit another
+// one, which has to wait.
 func fillQuota(t *testing.T, leader *Leader) {
 	t.Helper()
 	const jobs = 60
@@ -57,17 +58,17 @@
 	for i := range jobs {
 		leader.state.NewJob(*admittedSpec(fmt.Sprintf("j-%06d", 1000+i), "team", 1), leader.Clock.Wall(), leader.Clock.Steady())
 	}
-	for store := leader.nextBatch(); store != nil; store = leader.nextBatch() {
-		leader.persister.CommitBatch(t.Context(), store)
+	for batch := leader.nextBatch(); batch != nil; batch = leader.nextBatch() {
+		leader.persister.CommitBatch(t.Context(), batch)
 	}
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if r := leader.Submit(t.Context(), admittedSpec("j-000901", "team", 1)); r.Status == http.StatusCreated {
-		t.Fatal("admitted though its team has all there is")
+	if a := leader.Submit(t.Context(), admittedSpec("j-000901", "team", 1)); a.Status == http.StatusCreated {
+		t.Fatal("admitted though its team has used up its quota")
 	}
 	if leader.admission.WaitingCount() != 1 {
-		t.Fatal("the job was entered though its team has all there is")
+		t.Fatal("the job was entered though its team has used up its quota")
 	}
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -75,11 +76,11 @@
 }
 
 // expectWait submits a job that has to wait.
-func (l *Leader) expectWait(test *testing.T, spec *protocol.JobSpec) {
-	test.Helper()
-	var errorResponse protocol.ErrorResponse
-	r := l.Submit(test.Context(), spec)
-	if err := protocol.Decode(r.Body, &errorResponse); err != nil || r.Status != http.StatusTooManyRequests || errorResponse.PlanVersion == 0 || r.RetryAfter < 1 {
-		test.Fatalf("%s is not told to wait: %d by plan %d, Retry-After %d", spec.ID, r.Status, errorResponse.PlanVersion, r.RetryAfter)
+func (l *Leader) expectWait(t *testing.T, spec *protocol.JobSpec) {
+	t.Helper()
+	var refusal protocol.ErrorResponse
+	a := l.Submit(t.Context(), spec)
+	if err := protocol.Decode(a.Body, &refusal); err != nil || a.Status != http.StatusTooManyRequests || refusal.PlanVersion == 0 || a.RetryAfter < 1 {
+		t.Fatalf("%s is not told to wait: %d by plan %d, Retry-After %d", spec.ID, a.Status, refusal.PlanVersion, a.RetryAfter)
 	}
 }
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -18,101 +17,104 @@
 	"dunestand/internal/units"
 )
 
-// newTestController is a node that leads a term, without a state service or a cloud.
-func newTestController(leader *Leader) *Controller {
-	s := modelSettings()
-	s.Services.State, s.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
-	c := NewController(s, Environment{
-		Policy: leader.Policy,
-		Clock:  leader.Clock,
+// unusedAddress is where nothing listens.
+const unusedAddress = "127.0.0.1:1"
+
+// testEnvironment returns the environment of a node with the default policy.
+func testEnvironment(clock units.Clock) Environment {
+	return Environment{
+		Policy: config.DefaultPolicy(),
+		Clock:  clock,
 		Random: rand.New(rand.NewPCG(1, 1)),
-		Log:    leader.Log,
-	})
+		Log:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
+}
+
+// newTestController returns a node that leads, without a key-value store or a cloud.
+func newTestController(leader *Leader) *Controller {
+	settings := modelSettings()
+	settings.Services.State, settings.Services.Cloud = unusedAddress, unusedAddress
+	c := NewController(settings, testEnvironment(leader.Clock))
 	c.leader.Store(leader)
 	return c
 }
 
-// encodeTasks is a report's list of tasks as a worker sends it.
-func encodeTasks(r *protocol.Heartbeat) protocol.Raw {
-	bolts := make([]map[string]any, len(r.Tasks))
-	for i, k := range r.Tasks {
-		bolts[i] = map[string]any{
-			"bolt":  protocol.TaskName(k.Job, k.Index),
-			"try":   k.Attempt,
-			"stage": "running",
-		}
+// listenHanging returns the address of a listener that accepts nothing: requests wait.
+func listenHanging(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	return protocol.Encode(bolts)
-}
-
-// encodeHeartbeat is a report as a worker sends it.
-func encodeHeartbeat(r *protocol.Heartbeat, bolts protocol.Raw) []byte {
-	return protocol.Encode(map[string]any{
-		"dune":     r.Machine,
-		"endpoint": "10.1.0.1:9000",
-		"loom":     r.InstanceType,
-		"yard":     r.Zone,
-		"borrowed": r.Spot,
-		"shift":    r.Incarnation,
-		"tally":    r.Sequence,
-		"baton":    r.FencingToken,
-		"recall_s": nil,
-		"bolts":    bolts,
-	})
+	t.Cleanup(func() { listener.Close() })
+	return listener.Addr().String()
 }
 
-// newRefusedController is a node whose only peer, which leads, refuses its links.
-// Its state service does not answer if none is given.
-func newRefusedController(t *testing.T, state *standin.State) (*Controller, *standin.Clock) {
+// newRefusedController returns a node whose only peer, "leader", refuses its links.
+// Its key-value store does not answer if none is given.
+func newRefusedController(t *testing.T, store *standin.State) (*Controller, *standin.Clock) {
 	t.Helper()
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := closed.Addr().String()
+	refusing := closed.Addr().String()
 	closed.Close()
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts nothing: requests wait
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { hanging.Close() })
-	clock := &standin.Clock{Now: 100 * units.Second}
-	store := modelSettings()
-	store.Services.State = hanging.Addr().String()
-	if state != nil {
-		server := httptest.NewServer(state)
+	settings := modelSettings()
+	settings.Others = []config.Peer{{Node: "leader", Endpoint: refusing}}
+	if store != nil {
+		server := httptest.NewServer(store)
 		t.Cleanup(server.Close)
-		store.Services.State = strings.TrimPrefix(server.URL, "http://")
+		settings.Services.State = strings.TrimPrefix(server.URL, "http://")
+	} else {
+		settings.Services.State = listenHanging(t)
 	}
-	store.Others = []config.Peer{{Node: "leader", Endpoint: addr}}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c := NewController(store, Environment{
-		Policy: config.DefaultPolicy(),
-		Clock:  clock,
-		Random: rand.New(rand.NewPCG(1, 1)),
-		Log:    log,
-	})
-	ctx, cancel := context.WithCancel(t.Context())
-	t.Cleanup(cancel)
-	go c.peers.Run(ctx)
-	for deadline := time.Now().Add(10 * time.Second); !c.peers.RefusesConnections("leader"); {
-		if time.Now().After(deadline) {
-			t.Fatal("the link is not refused")
-		}
-		time.Sleep(5 * time.Millisecond)
+	clock := &standin.Clock{Now: 100 * units.Second}
+	c := NewController(settings, testEnvironment(clock))
+	start(t, c.peers.Run)
+	if !eventually(10*time.Second, func() bool { return c.peers.RefusesConnections("leader") }) {
+		t.Fatal("the link is not refused")
 	}
 	c.leaderReachedAt.Store(int64(clock.Now))
 	return c, clock
 }
 
-// sawRenewal is a read of the record that shows a new version.
+// sawRenewal has the node read the leader's lease record at the given version.
 func (c *Controller) sawRenewal(version uint64) {
-	l := c.elector
-	l.ObserveRecord(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version)
+	c.elector.ObserveRecord(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version)
+}
+
+// encodeTasks returns a heartbeat's list of tasks as a worker sends it, all of them running.
+func encodeTasks(heartbeat *protocol.Heartbeat) protocol.Raw {
+	tasks := make([]map[string]any, len(heartbeat.Tasks))
+	for i, task := range heartbeat.Tasks {
+		tasks[i] = map[string]any{
+			"bolt":  protocol.TaskName(task.Job, task.Index),
+			"try":   task.Attempt,
+			"stage": "running",
+		}
+	}
+	return protocol.Encode(tasks)
+}
+
+// encodeHeartbeat returns a heartbeat as a worker sends it, with a list of tasks.
+func encodeHeartbeat(heartbeat *protocol.Heartbeat, tasks protocol.Raw) []byte {
+	return protocol.Encode(map[string]any{
+		"dune":     heartbeat.Machine,
+		"endpoint": "10.1.0.1:9000",
+		"loom":     heartbeat.InstanceType,
+		"yard":     heartbeat.Zone,
+		"borrowed": heartbeat.Spot,
+		"shift":    heartbeat.Incarnation,
+		"tally":    heartbeat.Sequence,
+		"baton":    heartbeat.FencingToken,
+		"recall_s": nil,
+		"bolts":    tasks,
+	})
 }
 
-// submission is the body of a user's request.
-func submission(spec *protocol.JobSpec, team string) []byte {
+// encodeSubmission returns a job's submission by a team as a user sends it.
+func encodeSubmission(spec *protocol.JobSpec, team string) []byte {
 	return protocol.Encode(map[string]any{
 		"uid":       spec.ID,
 		"queue":     spec.Class,
--- a/internal/controller/harness_fleet_test.go
+++ b/internal/controller/harness_fleet_test.go
@@ -10,8 +10,8 @@
 	"dunestand/internal/units"
 )
 
-// newBusyLeader is a leader under a burst: full machines with 16 tasks each, and
-// 300 jobs of up to 3,000 tasks that wait.
+// newBusyLeader returns a leader under a burst, and its machines' heartbeats: machines that
+// are full with 16 tasks each, and 300 jobs of up to 3,000 tasks that are pending.
 func newBusyLeader(machines int) (*Leader, []*protocol.Heartbeat) {
 	clock := &standin.Clock{Now: units.Second}
 	leader := newTestLeader(1, clock)
@@ -33,35 +33,18 @@
 		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, standin.CPUs(2), protocol.Priority(i%3)
 		leader.state.NewJob(spec, clock.Now, clock.Now)
 	}
-	for {
-		s := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now)
-		if s == nil {
-			break
-		}
-		leader.state.BatchCommitted(s, 1)
-	}
+	leader.commitWrites()
 	heartbeats := make([]*protocol.Heartbeat, machines)
 	for sequence := uint64(1); sequence <= 2; sequence++ {
 		for i := range heartbeats {
-			r := &protocol.Heartbeat{
-				Machine:      fmt.Sprintf("i-%06d", i),
-				InstanceType: "m",
-				Zone:         "a",
-				Incarnation:  1,
-				Sequence:     sequence,
-				FencingToken: 1,
+			heartbeat := testHeartbeat(machineID(i), 1, sequence, 1)
+			heartbeat.Spot = false
+			machine := leader.reconciler.Reconcile(heartbeat, clock.Now)
+			for _, attempt := range machine.SortedAttempts() {
+				attempt.Stage = cluster.Running
+				heartbeat.Tasks = append(heartbeat.Tasks, runningStatus(attempt))
 			}
-			m := leader.reconciler.Reconcile(r, clock.Now)
-			for _, a := range m.SortedAttempts() {
-				a.Stage = cluster.Running
-				r.Tasks = append(r.Tasks, protocol.TaskStatus{
-					Job:     a.Job.Spec.ID,
-					Index:   a.Index,
-					Attempt: a.Number,
-					Stage:   protocol.TaskRunning,
-				})
-			}
-			heartbeats[i] = r
+			heartbeats[i] = heartbeat
 		}
 		for started := -1; started != int(leader.state.AttemptsStarted); {
 			started = int(leader.state.AttemptsStarted)
@@ -71,35 +54,45 @@
 	return leader, heartbeats
 }
 
-// The largest fleet that is run, in machines. Nothing fixed may bind below it.
+// largestFleet is the largest fleet that is run, in machines. No fixed bound may be reached
+// below it.
 const largestFleet = 4000
 
-// reconciledFleet is a leader with jobs on every machine of a fleet, and the reports of these.
+// reconciledFleet returns a leader with jobs on every machine of a fleet, and their heartbeats.
 func reconciledFleet(machines int) (*Leader, []*protocol.Heartbeat) {
 	const perMachine, jobs = 4, 40
-	clock := &standin.Clock{Now: units.Second}
-	leader := newTestLeader(1, clock)
-	leader.persister.InstallRecords(nil, modelCatalog)
+	leader, clock := newEmptyLeader(1, units.Second)
 	leader.state.UpgradeFormat(storage.FormatNew, clock.Now)
 	leader.state.Teams["team"].QuotaLimit = standin.CPUs(perMachine * machines)
-	var all []*cluster.Job
+	var running []*cluster.Job
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
 		spec.Tasks = machines * perMachine / jobs
-		all = append(all, leader.state.NewJob(spec, clock.Now, clock.Now))
+		running = append(running, leader.state.NewJob(spec, clock.Now, clock.Now))
 	}
 	leader.commitWrites()
 	heartbeats := make([]*protocol.Heartbeat, machines)
 	for i := range heartbeats {
-		heartbeats[i] = testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 1)
+		heartbeats[i] = testHeartbeat(machineID(i), 1, 1, 1)
 		machine := leader.reconciler.Reconcile(heartbeats[i], clock.Now)
 		for k := range perMachine {
-			attempt := uint64(i*perMachine + k + 1)
-			assigned := leader.state.Assign(all[int(attempt-1)%jobs], machine, attempt, clock.Now)
-			heartbeats[i].Tasks = append(heartbeats[i].Tasks, protocol.TaskStatus{
-				Job: assigned.Job.Spec.ID, Index: assigned.Index, Attempt: assigned.Number, Stage: protocol.TaskRunning,
-			})
+			number := i*perMachine + k
+			attempt := leader.state.Assign(running[number%jobs], machine, uint64(number+1), clock.Now)
+			heartbeats[i].Tasks = append(heartbeats[i].Tasks, runningStatus(attempt))
 		}
 	}
 	return leader, heartbeats
 }
+
+// machineID returns the ID of a fleet's machine.
+func machineID(i int) string { return fmt.Sprintf("i-%06d", i) }
+
+// runningStatus returns how a worker shows an attempt that runs.
+func runningStatus(attempt *cluster.Attempt) protocol.TaskStatus {
+	return protocol.TaskStatus{
+		Job:     attempt.Job.Spec.ID,
+		Index:   attempt.Index,
+		Attempt: attempt.Number,
+		Stage:   protocol.TaskRunning,
+	}
+}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -1,11 +1,13 @@
 package controller
 
 import (
+	"context"
 	"io"
 	"log/slog"
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
 	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
@@ -19,54 +21,11 @@
 	"dunestand/internal/units"
 )
 
-// newLeaderWithJob is a leader of a job that is stored and waits.
-func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
-	t.Helper()
-	clock := &standin.Clock{Now: 100 * units.Second}
-	leader := newTestLeader(7, clock)
-	leader.persister.InstallRecords(nil, modelCatalog)
-	spec := *modelSpec("j-000001")
-	spec.Tasks = tasks
-	leader.state.NewJob(spec, clock.Now, clock.Now)
-	leader.commitWrites()
-	return leader, clock
-}
-
-// commitWrites carries out all saves that are due.
-func (l *Leader) commitWrites() {
-	for {
-		batch := l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
-		if batch == nil {
-			return
-		}
-		l.state.BatchCommitted(batch, 1)
-	}
-}
+// This file makes leaders for tests and takes single steps with them; the files harness_*
+// hold what only some of the tests need.
 
-// exchange is one report and its answer; saves that the answer needs are
-// carried out first.
-func (l *Leader) exchange(heartbeat *protocol.Heartbeat) []protocol.Command {
-	now := l.Clock.Steady()
-	machine := l.reconciler.Reconcile(heartbeat, now)
-	if machine == nil {
-		return nil
-	}
-	l.scheduler.RunCycle(now, machine)
-	l.commitWrites()
-	return l.reconciler.Commands(machine, heartbeat, now)
-}
-
-func testHeartbeat(machine string, incarnation, sequence, token uint64) *protocol.Heartbeat {
-	return &protocol.Heartbeat{
-		Machine:      machine,
-		InstanceType: "m",
-		Zone:         "a",
-		Spot:         true,
-		Incarnation:  incarnation,
-		Sequence:     sequence,
-		FencingToken: token,
-	}
-}
+// testJob is the job of the leaders that have just one.
+const testJob = "j-000001"
 
 // modelSettings returns the settings of a fleet of one team and one zone.
 func modelSettings() *config.Settings {
@@ -83,6 +42,7 @@
 		Resources: config.Resources{CoreShare: 1, RAMMB: 100, MaxConnections: 100}}}
 }
 
+// modelCatalog is that fleet's only instance type.
 var modelCatalog = protocol.Catalog{Types: []protocol.InstanceType{
 	{
 		Name:      "m",
@@ -95,21 +55,40 @@
 		Zones:     []string{"a"},
 	}}}
 
-// setFormat sets the fleet's format as the leader knows it.
-func (l *Leader) setFormat(level int) { l.Format.(*standin.RecordFormat).Level.Store(int64(level)) }
+// modelSpec returns a job of two tasks of that fleet's team.
+func modelSpec(id string) *protocol.JobSpec {
+	return &protocol.JobSpec{
+		ID:        id,
+		Class:     "c",
+		Team:      "team",
+		Tasks:     2,
+		Request:   standin.CPUs(1),
+		AllowSpot: true,
+		Image:     "i",
+	}
+}
 
-// lease is the leader's leadership, for tests that take it away or look at it.
-func (l *Leader) lease() *standin.Leadership { return l.leadership.(*standin.Leadership) }
+// testHeartbeat returns a heartbeat without tasks of a spot instance of that fleet.
+func testHeartbeat(machine string, incarnation, sequence, token uint64) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine:      machine,
+		InstanceType: "m",
+		Zone:         "a",
+		Spot:         true,
+		Incarnation:  incarnation,
+		Sequence:     sequence,
+		FencingToken: token,
+	}
+}
 
 // newTestLeader returns a leader whose lease holds until it is taken from it. The changes are
-// made to what it works with before it is made.
+// made to its dependencies before it is made.
 func newTestLeader(token uint64, clock units.Clock, changes ...func(*Deps)) *Leader {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	deps := Deps{
 		Settings:         modelSettings(),
 		Policy:           config.DefaultPolicy(),
 		Clock:            clock,
-		Log:              log,
+		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics:          telemetry.NewMetrics(),
 		Format:           standin.NewRecordFormat(storage.FormatOld),
 		UnreachablePeers: func() int { return 0 },
@@ -121,9 +100,29 @@
 	return NewLeader(&standin.Leadership{Number: token}, deps)
 }
 
-func newStoredLeader(t *testing.T, token uint64, state *standin.State, changes ...func(*Deps)) *Leader {
+// newEmptyLeader returns a leader that has restored no jobs, and its clock, which shows now.
+func newEmptyLeader(token uint64, now units.Micros) (*Leader, *standin.Clock) {
+	clock := &standin.Clock{Now: now}
+	leader := newTestLeader(token, clock)
+	leader.persister.InstallRecords(nil, modelCatalog)
+	return leader, clock
+}
+
+// newLeaderWithJob returns a leader with token 7 of testJob, which is durable and pending.
+func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
+	t.Helper()
+	leader, clock := newEmptyLeader(7, 100*units.Second)
+	spec := *modelSpec(testJob)
+	spec.Tasks = tasks
+	leader.state.NewJob(spec, clock.Now, clock.Now)
+	leader.commitWrites()
+	return leader, clock
+}
+
+// newStoredLeader returns a leader over a key-value store. It has not restored its records.
+func newStoredLeader(t *testing.T, token uint64, store *standin.State, changes ...func(*Deps)) *Leader {
 	t.Helper()
-	server := httptest.NewServer(state)
+	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	clock := &standin.Clock{Now: units.Second}
 	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
@@ -136,59 +135,100 @@
 	}}, changes...)...)
 }
 
+// setFormat sets the fleet's format as the leader knows it.
+func (l *Leader) setFormat(level int) { l.Format.(*standin.RecordFormat).Level.Store(int64(level)) }
+
+// lease returns the leader's leadership, for tests that take it away or look at it.
+func (l *Leader) lease() *standin.Leadership { return l.leadership.(*standin.Leadership) }
+
+// records returns a reader of the leader's records.
 func (l *Leader) records() recordReader {
 	return recordReader{store: l.KV, clock: l.Clock, workers: l.Settings.Fleet.Workers}
 }
 
-func modelSpec(id string) *protocol.JobSpec {
-	return &protocol.JobSpec{
-		ID:        id,
-		Class:     "c",
-		Team:      "team",
-		Tasks:     2,
-		Request:   standin.CPUs(1),
-		AllowSpot: true,
-		Image:     "i",
+// exchange has the leader handle a heartbeat and returns its commands; write batches that the
+// answer needs are committed first.
+func (l *Leader) exchange(heartbeat *protocol.Heartbeat) []protocol.Command {
+	now := l.Clock.Steady()
+	machine := l.reconciler.Reconcile(heartbeat, now)
+	if machine == nil {
+		return nil
 	}
+	l.scheduler.RunCycle(now, machine)
+	l.commitWrites()
+	return l.reconciler.Commands(machine, heartbeat, now)
 }
 
-func decodeState(t *testing.T, r answer.Answer) protocol.JobState {
-	t.Helper()
-	var store protocol.JobState
-	if err := protocol.Decode(r.Body, &store); err != nil {
-		t.Fatal(err)
-	}
-	return store
+// nextBatch builds the next write batch, nil if none is due.
+func (l *Leader) nextBatch() *cluster.WriteBatch {
+	l.state.Lock()
+	defer l.state.Unlock()
+	return l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
 }
 
-// commitNext carries the next save through.
-func (l *Leader) commitNext(test *testing.T) {
-	test.Helper()
-	if store := l.nextBatch(); store != nil {
-		l.persister.CommitBatch(test.Context(), store)
+// commitWrites commits all write batches that are due, without a key-value store.
+func (l *Leader) commitWrites() {
+	for batch := l.nextBatch(); batch != nil; batch = l.nextBatch() {
+		l.state.BatchCommitted(batch, 1)
 	}
 }
 
-func (l *Leader) nextBatch() *cluster.WriteBatch {
-	l.state.Lock()
-	defer l.state.Unlock()
-	return l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
+// commitNext sends the next write batch to the key-value store, if one is due.
+func (l *Leader) commitNext(ctx context.Context) {
+	if batch := l.nextBatch(); batch != nil {
+		l.persister.CommitBatch(ctx, batch)
+	}
 }
 
-// writeAllRecords saves every job and gives the records.
+// writeAllRecords writes every job and returns the records.
 func writeAllRecords(leader *Leader) []protocol.Item {
-	var rows []protocol.Item
-	for _, j := range leader.state.Jobs {
-		j.MarkChanged(units.Second, true)
+	var records []protocol.Item
+	for _, job := range leader.state.Jobs {
+		job.MarkChanged(units.Second, true)
 	}
 	for {
-		s := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, units.Second)
-		if s == nil {
-			return rows
+		batch := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, units.Second)
+		if batch == nil {
+			return records
+		}
+		for _, change := range batch.Txn.Then {
+			records = append(records, protocol.Item{Key: change.Set, Value: change.Value, Version: 1})
 		}
-		for _, c := range s.Txn.Then {
-			rows = append(rows, protocol.Item{Key: c.Set, Value: c.Value, Version: 1})
+		leader.state.BatchCommitted(batch, 1)
+	}
+}
+
+// decodeState returns the job's state that an answer gives.
+func decodeState(t *testing.T, a answer.Answer) protocol.JobState {
+	t.Helper()
+	var state protocol.JobState
+	if err := protocol.Decode(a.Body, &state); err != nil {
+		t.Fatal(err)
+	}
+	return state
+}
+
+// start runs a loop until the test ends, and then waits for it.
+func start(t testing.TB, loop func(context.Context)) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		loop(ctx)
+	}()
+	t.Cleanup(func() {
+		cancel()
+		<-done
+	})
+}
+
+// eventually reports whether a condition holds within a limit.
+func eventually(limit time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(limit); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return false
 		}
-		leader.state.BatchCommitted(s, 1)
 	}
+	return true
 }
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -30,18 +30,18 @@
 	defer cancel()
 	const id = "j-000001"
 	for _, want := range []int{http.StatusCreated, http.StatusOK} {
-		if r := c.submit(ctx, submission(modelSpec(id), "team"), true); r.Status != want || decodeState(t, r).Stage != protocol.StagePending {
+		if r := c.submit(ctx, encodeSubmission(modelSpec(id), "team"), true); r.Status != want || decodeState(t, r).Stage != protocol.StagePending {
 			t.Fatalf("submission: %d %s, want %d", r.Status, r.Body, want)
 		}
 	}
-	if r := c.submit(ctx, submission(modelSpec("j-000009"), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageDone {
+	if r := c.submit(ctx, encodeSubmission(modelSpec("j-000009"), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageDone {
 		t.Errorf("a job that is over: %d %s", r.Status, r.Body)
 	}
 	// Only a leader refuses for good: it knows whether the job was accepted before.
-	if r := c.submit(ctx, submission(modelSpec("j-000002"), "nobody"), true); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
+	if r := c.submit(ctx, encodeSubmission(modelSpec("j-000002"), "nobody"), true); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 		t.Errorf("an impossible job: %d", r.Status)
 	}
-	if r := c.submit(ctx, submission(modelSpec("j-000003"), "team"), false); r.Status != http.StatusServiceUnavailable {
+	if r := c.submit(ctx, encodeSubmission(modelSpec("j-000003"), "team"), false); r.Status != http.StatusServiceUnavailable {
 		t.Errorf("passed on by another node: %d", r.Status)
 	}
 	if r := c.poll(ctx, id, true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StagePending {
@@ -77,7 +77,7 @@
 	if r := leader.Cancel(ctx, id); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
 		t.Errorf("cancellation: %d %s", r.Status, r.Body)
 	}
-	if r := c.submit(ctx, submission(modelSpec(id), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
+	if r := c.submit(ctx, encodeSubmission(modelSpec(id), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
 		t.Errorf("repeat of a cancelled job: %d %s", r.Status, r.Body)
 	}
 }
@@ -95,7 +95,7 @@
 		}
 		return false
 	}
-	a := c.submit(t.Context(), submission(modelSpec(id), "team"), true)
+	a := c.submit(t.Context(), encodeSubmission(modelSpec(id), "team"), true)
 	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
