--- a/internal/controller/admission_plan_test.go
+++ b/internal/controller/admission_plan_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"net/http"
+	"sync"
 	"testing"
 	"time"
 
@@ -27,12 +28,12 @@
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if r := leader.Submit(t.Context(), spec); r.Status == http.StatusTooManyRequests {
+	if a := leader.Submit(t.Context(), spec); a.Status == http.StatusTooManyRequests {
 		t.Error("a job that another controller accepted is told to wait")
 	}
 }
 
-// While it is not known what became of a plan that was sent, nobody is told to wait by the
+// While the outcome of writing a plan is unknown, nobody is told to wait by the
 // one before: others may go by the new one already.
 func TestNobodyWaitsWhileThePlanIsInDoubt(t *testing.T) {
 	store := standin.NewState()
@@ -44,10 +45,10 @@
 	if err := leader.renewPlan(t.Context()); err == nil {
 		t.Fatal("the answer was not lost")
 	}
-	var errorResponse protocol.ErrorResponse
-	r := leader.Submit(t.Context(), spec)
-	if err := protocol.Decode(r.Body, &errorResponse); err != nil || r.Status != http.StatusTooManyRequests || errorResponse.PlanVersion != 0 {
-		t.Errorf("while the plan is in doubt: %d by plan %d, %v", r.Status, errorResponse.PlanVersion, err)
+	var refusal protocol.ErrorResponse
+	a := leader.Submit(t.Context(), spec)
+	if err := protocol.Decode(a.Body, &refusal); err != nil || a.Status != http.StatusTooManyRequests || refusal.PlanVersion != 0 {
+		t.Errorf("while the plan is in doubt: %d by plan %d, %v", a.Status, refusal.PlanVersion, err)
 	}
 	store.Silent = nil
 	written := leader.admission.PlanVersion() + 1
@@ -61,7 +62,7 @@
 }
 
 // A plan of a former leader never replaces one of its successor, nor is it written after
-// the successor has claimed the buckets.
+// the successor has changed the bucket heads.
 func TestFormerLeaderWritesNoPlan(t *testing.T) {
 	store := standin.NewState()
 	former := newAdmittingLeader(t, 1, store)
@@ -86,7 +87,7 @@
 	}
 }
 
-// A record that no leader wrote is neither obeyed nor overwritten. The floor is in force
+// A record that no leader wrote is neither obeyed nor overwritten. The fallback is in force
 // until an operator has deleted it.
 func TestUnreadablePlanIsLeftAlone(t *testing.T) {
 	for what, record := range map[string]any{
@@ -109,11 +110,13 @@
 		if state := leader.Admitter.State(); state.Source != admission.SourceFallback {
 			t.Errorf("%s: in force is %v", what, state.Source)
 		}
-		go func() { _ = leader.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
-		for _, stored := store.Get(storage.KeyJob("j-000001")); !stored; _, stored = store.Get(storage.KeyJob("j-000001")) {
+		var submission sync.WaitGroup
+		submission.Go(func() { _ = leader.Submit(t.Context(), admittedSpec(testJob, "team", 1)) })
+		for _, stored := store.Get(storage.KeyJob(testJob)); !stored; _, stored = store.Get(storage.KeyJob(testJob)) {
 			leader.commitNext(t.Context())
 			time.Sleep(time.Millisecond)
 		}
+		submission.Wait()
 		store.Apply(protocol.Txn{Then: []protocol.Change{{Delete: admission.KeyPlan}}})
 		if err := leader.renewPlan(t.Context()); err != nil {
 			t.Errorf("%s: after it was deleted: %v", what, err)
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -25,14 +25,14 @@
 		t.Fatal(err)
 	}
 	admitted := make(chan answer.Answer, 1)
-	go func() { admitted <- leader.Submit(t.Context(), admittedSpec("j-000001", "team", 1)) }()
+	go func() { admitted <- leader.Submit(t.Context(), admittedSpec(testJob, "team", 1)) }()
 	var batch *cluster.WriteBatch
-	for batch == nil { // the job is entered, and its save built
+	for batch == nil { // the job is entered, and its write batch built
 		time.Sleep(time.Millisecond)
 		batch = leader.nextBatch()
 	}
 	fillQuota(t, leader)
-	// Even while the record cannot be read again, the job is not saved by the new plan.
+	// Even while the record cannot be read again, the job is not written by the new plan.
 	unread := make(chan struct{})
 	store.Refuse = func(method, _ string) bool {
 		if method != http.MethodGet {
@@ -53,30 +53,30 @@
 	for range 50 {
 		time.Sleep(time.Millisecond)
 		if again := leader.nextBatch(); again != nil {
-			t.Error("the job is saved again before it is decided anew")
+			t.Error("the job is written again before it is decided anew")
 			break
 		}
 	}
 	close(unread)
 	<-conflicted
-	if _, stored := store.Get(storage.KeyJob("j-000001")); stored {
+	if _, stored := store.Get(storage.KeyJob(testJob)); stored {
 		t.Error("the job was stored by a plan that has been replaced")
 	}
-	if r := <-admitted; r.Status == http.StatusCreated {
-		t.Errorf("its user was told %d", r.Status)
+	if a := <-admitted; a.Status == http.StatusCreated {
+		t.Errorf("its user was told %d", a.Status)
 	}
-	leader.expectWait(t, admittedSpec("j-000001", "team", 1))
-	var errorResponse protocol.ErrorResponse
-	r := leader.Submit(t.Context(), admittedSpec("j-000001", "team", 1))
-	if err := protocol.Decode(r.Body, &errorResponse); err != nil || errorResponse.PlanVersion != leader.admission.PlanVersion() {
-		t.Errorf("the answer names plan %d, %v", errorResponse.PlanVersion, err)
+	leader.expectWait(t, admittedSpec(testJob, "team", 1))
+	var refusal protocol.ErrorResponse
+	a := leader.Submit(t.Context(), admittedSpec(testJob, "team", 1))
+	if err := protocol.Decode(a.Body, &refusal); err != nil || refusal.PlanVersion != leader.admission.PlanVersion() {
+		t.Errorf("the answer names plan %d, %v", refusal.PlanVersion, err)
 	}
-	if r := leader.Submit(t.Context(), admittedSpec("j-000002", "other", 1)); r.Status == http.StatusTooManyRequests {
-		t.Error("the other team waits for the flood")
+	if a := leader.Submit(t.Context(), admittedSpec("j-000002", "other", 1)); a.Status == http.StatusTooManyRequests {
+		t.Error("the other team waits for the one that has used up its quota")
 	}
 }
 
-// A job whose quota is used up is answered so that a controller that passed it on does not
+// A job whose quota is used up is answered so that a controller that forwarded it does not
 // admit it by its own part of the quota.
 func TestUsedUpQuotaIsNotPassedOn(t *testing.T) {
 	store := standin.NewState()
@@ -84,18 +84,18 @@
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	const most = 100
-	for i := range most {
+	const maxJobs = 100
+	for i := range maxJobs {
 		spec := admittedSpec(fmt.Sprintf("j-%06d", i), "team", 1)
 		leader.state.Lock()
-		d := leader.admission.Admit(spec)
+		decision := leader.admission.Admit(spec)
 		leader.state.Unlock()
-		if d.Verdict == admission.Admit {
+		if decision.Verdict == admission.Admit {
 			continue
 		}
-		r := leader.deferSubmission(t.Context(), spec.ID, d)
-		if d.Verdict != admission.Undecided || r.Status != http.StatusTooManyRequests || r.RetryAfter != 1 {
-			t.Errorf("%v: %d, Retry-After %d", d.Verdict, r.Status, r.RetryAfter)
+		a := leader.deferSubmission(t.Context(), spec.ID, decision)
+		if decision.Verdict != admission.Undecided || a.Status != http.StatusTooManyRequests || a.RetryAfter != 1 {
+			t.Errorf("%v: %d, Retry-After %d", decision.Verdict, a.Status, a.RetryAfter)
 		}
 		return
 	}
@@ -115,13 +115,13 @@
 	c.deps.Settings, c.deps.KV = leader.Settings, leader.KV // whose limits are far away
 	format := standin.NewRecordFormat(storage.FormatAdmission)
 	c.deps.Format = format
-	a := admissioncontrol.NewAdmitter(leader.Settings, admission.Options{Horizon: planHorizon}, c.deps.KV, c.deps.Format, c.deps.Clock, c.deps.Log, telemetry.NewMetrics())
-	c.deps.Admitter = a
+	admitter := admissioncontrol.NewAdmitter(leader.Settings, admission.Options{Horizon: planHorizon}, c.deps.KV, c.deps.Format, c.deps.Clock, c.deps.Log, telemetry.NewMetrics())
+	c.deps.Admitter = admitter
 	submit := func(id, team string) int {
 		spec := admittedSpec(id, team, 1)
 		return c.submit(t.Context(), encodeSubmission(spec, team), true).Status
 	}
-	follower := admissioncontrol.NewPlanFollower(a)
+	follower := admissioncontrol.NewPlanFollower(admitter)
 	learn := func() {
 		t.Helper()
 		if err := follower.Step(t.Context()); err != nil {
@@ -130,14 +130,14 @@
 	}
 	// A controller that has just started does not know that the fleet admits by a plan.
 	format.Level.Store(storage.FormatOld)
-	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
+	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
-	if _, stored := store.Get(storage.KeyPending("j-000001")); stored {
+	if _, stored := store.Get(storage.KeyPending(testJob)); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
 	format.Level.Store(storage.FormatAdmission)
-	if status := submit("j-000001", "team"); status != http.StatusServiceUnavailable {
+	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: %d", status)
 	}
 	learn() // of unknown age
@@ -157,10 +157,10 @@
 	}
 	learn()
 	if status := submit("j-000004", "team"); status != http.StatusTooManyRequests {
-		t.Errorf("of the team that has all there is: %d", status)
+		t.Errorf("of the team that has used up its quota: %d", status)
 	}
 	if status := submit("j-000002", "team"); status != http.StatusOK {
-		t.Errorf("a repeat: %d", status)
+		t.Errorf("a duplicate: %d", status)
 	}
 	if status := submit("j-000005", "other"); status != http.StatusCreated {
 		t.Errorf("of the other team: %d", status)
--- a/internal/controller/broadcast_test.go
+++ b/internal/controller/broadcast_test.go
@@ -1,9 +1,6 @@
 package controller
 
 import (
-	"context"
-	"fmt"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"testing"
@@ -14,44 +11,35 @@
 // waiting: with a third of a large fleet gone, each in the queue once cost 1.5 s
 // of one of four places.
 func TestBroadcastReachesMachinesThatAnswer(t *testing.T) {
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts nothing: requests wait
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer hanging.Close()
+	hanging := listenHanging(t)
 	leader, clock := newLeaderWithJob(t, 1)
-	j := leader.state.Jobs["j-000001"]
+	job := leader.state.Jobs[testJob]
 	const last = "i-000099"
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(encodeHeartbeat(testHeartbeat(last, 1, 1, leader.token), nil))
 	}))
-	defer worker.Close()
-	unconfirm := func(id, endpoint string) {
+	t.Cleanup(worker.Close)
+	addUnreconciled := func(id, endpoint string) {
 		leader.state.EnsureMachine(id, "m", "a", true, clock.Now).Endpoint = endpoint
-		leader.state.MarkUnreconciled(j, id)
+		leader.state.MarkUnreconciled(job, id)
 	}
-	for i := range 32 {
-		unconfirm(fmt.Sprintf("i-%06d", i), hanging.Addr().String())
+	const hangingMachines = 32
+	for i := range hangingMachines {
+		addUnreconciled(machineID(i), hanging)
 	}
-	unconfirm(last, worker.Listener.Addr().String())
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		leader.broadcaster.Run(ctx)
-	}()
-	defer func() {
-		cancel()
-		<-done
-	}()
-	confirmed := func() bool {
+	addUnreconciled(last, worker.Listener.Addr().String())
+	start(t, leader.broadcaster.Run)
+	reconciled := func() bool {
 		leader.state.Lock()
 		defer leader.state.Unlock()
 		return !leader.state.IsUnreconciled(last)
 	}
-	for deadline := time.Now().Add(10 * time.Second); !confirmed(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatal("the machine that answers was not told")
-		}
+	if !eventually(10*time.Second, reconciled) {
+		t.Fatal("the machine that answers was not reached")
+	}
+	leader.state.Lock()
+	defer leader.state.Unlock()
+	if got := leader.state.UnreconciledCount(); got != hangingMachines {
+		t.Errorf("%d machines are unreconciled, want the %d that hang", got, hangingMachines)
 	}
 }
--- a/internal/controller/failuredetector_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -5,18 +5,17 @@
 	"testing"
 
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
 // A zone that is cut off falls silent as a whole while the rest of the fleet,
-// which is much larger, reports. It must not be released: its machines work on
-// and are back after the cut. A single machine of another zone is released.
-func TestCutZoneIsKept(t *testing.T) {
+// which is much larger, sends heartbeats. It must not be released: its machines work on
+// and are back after the partition. A single machine of another zone is released.
+func TestPartitionedZoneIsNotReleased(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
 	reconcile := func(sequence uint64, skip func(i int) bool) {
 		for i := range 40 {
-			heartbeat := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, sequence, 7)
+			heartbeat := testHeartbeat(machineID(i), 1, sequence, 7)
 			if i < 8 {
 				heartbeat.Zone = "cut"
 			}
@@ -36,14 +35,14 @@
 	}
 }
 
-// A leader that begins while a zone is cut off knows the zone's machines from
+// A leader that is elected while a zone is cut off knows the zone's machines from
 // the cloud's list alone. They run: on a day of our own 147 of them were given
 // away, as if they had never come up.
-func TestZoneWithoutHeartbeatsIsKept(t *testing.T) {
+func TestZoneUnheardSinceTheElectionIsNotReleased(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
 	for i, stage := range []protocol.MachineStage{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineBooting} {
-		m := leader.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "cut", false, clock.Now-500*units.Second)
-		m.Stage = stage
+		machine := leader.state.EnsureMachine(machineID(i), "m", "cut", false, clock.Now-500*units.Second)
+		machine.Stage = stage
 	}
 	clock.Now += 90 * units.Second
 	if names := leader.autoscaler.MachinesToRelease(clock.Now); len(names) != 1 || names[0] != "i-000002" {
@@ -55,87 +54,78 @@
 	}
 }
 
-// Where reports come seldom, a machine that died is noticed by the first report
-// that it misses, and one whose report merely got no answer is not given away:
+// Where heartbeats are seldom, a machine that died is suspected at the first heartbeat
+// that it misses, and one whose heartbeat merely got no answer is not given away:
 // it waits 4 s, and comes back a second later. On a day of the fleet's, tasks of
 // 75 dead machines waited for 15 s before they started elsewhere.
 func TestSuspicionWithLongHeartbeatIntervals(t *testing.T) {
 	for _, seconds := range []float64{3, 5, 10, 30} {
-		leader, clock := newLeaderWithJob(t, 1)
-		leader.Settings.Fleet.Workers.ReportS = seconds
-		gap := units.Seconds(seconds).Share(5, 4)
-		for i := range 5 {
-			leader.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 1, 7), clock.Now)
-		}
-		clock.Now += gap + 5*units.Second
-		for i := range 4 {
-			leader.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, 2, 7), clock.Now)
-		}
-		if len(leader.detector.LostMachines(clock.Now)) != 0 {
-			t.Errorf("reports every %v s: one that got no answer counts as silence", seconds)
-		}
-		clock.Now += 1100 * units.Millisecond
-		if lost := leader.detector.LostMachines(clock.Now); !lost["i-000004"] || len(lost) != 1 {
-			t.Errorf("reports every %v s: silent are %v", seconds, lost)
-		}
+		t.Run(fmt.Sprintf("every %vs", seconds), func(t *testing.T) {
+			leader, clock := newLeaderWithJob(t, 1)
+			leader.Settings.Fleet.Workers.ReportS = seconds
+			interval := units.Seconds(seconds).Share(5, 4)
+			for i := range 5 {
+				leader.reconciler.Reconcile(testHeartbeat(machineID(i), 1, 1, 7), clock.Now)
+			}
+			clock.Now += interval + 5*units.Second
+			for i := range 4 {
+				leader.reconciler.Reconcile(testHeartbeat(machineID(i), 1, 2, 7), clock.Now)
+			}
+			if len(leader.detector.LostMachines(clock.Now)) != 0 {
+				t.Error("a heartbeat that got no answer counts as missed")
+			}
+			clock.Now += 1100 * units.Millisecond
+			if lost := leader.detector.LostMachines(clock.Now); !lost["i-000004"] || len(lost) != 1 {
+				t.Errorf("lost are %v", lost)
+			}
+		})
 	}
 }
 
-// One machine that falls silent is released; when half of them do, it is the
+// One machine whose heartbeats cease is released; when those of half of them do, it is the
 // network: on a recorded day five of twelve machines that were cut off for 14 s
 // were given away, since they reached the limit a little before the others.
 func TestManyLostMachinesAreKept(t *testing.T) {
-	clock := &standin.Clock{Now: 100 * units.Second}
-	leader := newTestLeader(1, clock)
-	leader.persister.InstallRecords(nil, modelCatalog)
-	heartbeat := func(machines int, sequence uint64) {
+	leader, clock := newEmptyLeader(1, 100*units.Second)
+	send := func(machines int, sequence uint64) {
 		for i := range machines {
-			r := &protocol.Heartbeat{
-				Machine:      fmt.Sprintf("i-%06d", i),
-				InstanceType: "m",
-				Zone:         "a",
-				Incarnation:  1,
-				Sequence:     sequence,
-				FencingToken: 1,
-			}
-			if _, ok := leader.Heartbeat(t.Context(), r, nil); !ok {
-				t.Fatal("report refused")
+			if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat(machineID(i), 1, sequence, 1), nil); !accepted {
+				t.Fatal("heartbeat refused")
 			}
 		}
 	}
-	heartbeat(10, 1)
+	send(10, 1)
 	clock.Now += 4500 * units.Millisecond
-	heartbeat(9, 2) // one of ten has been silent for 4.5 s
+	send(9, 2) // one of ten has been silent for 4.5 s
 	clock.Now += 600 * units.Millisecond
 	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 1 {
 		t.Fatalf("%d to be released", len(lost))
 	}
 	clock.Now += 2 * units.Second
-	heartbeat(4, 3) // five more are late by now
+	send(4, 3) // five more are late by now
 	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 0 {
 		t.Fatalf("%d to be released", len(lost))
 	}
 }
 
-// A leader that stood still, or cannot keep up, finds reports that have waited
-// for it. It must not take the machines that it gets to last for silent, and give
-// them away.
+// A leader that stood still, or cannot keep up, finds heartbeats that have waited
+// for it. It must not suspect the machines that it gets to last, and give them away.
 func TestDelayedLeaderSuspectsNoMachine(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
-	reconcile := func(from, to int, sequence uint64) {
-		for i := from; i < to; i++ {
-			leader.reconciler.Reconcile(testHeartbeat(fmt.Sprintf("i-%06d", i), 1, sequence, 7), clock.Now)
+	reconcile := func(machines int, sequence uint64) {
+		for i := range machines {
+			leader.reconciler.Reconcile(testHeartbeat(machineID(i), 1, sequence, 7), clock.Now)
 		}
 	}
-	reconcile(0, 30, 1)
+	reconcile(30, 1)
 	clock.Now += 20 * units.Second
 	leader.detector.NoteDelay(clock.Now)
-	reconcile(0, 25, 2)
+	reconcile(25, 2)
 	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 0 {
 		t.Errorf("to be released: %v", lost)
 	}
 	clock.Now += leader.detector.SuspectAfter() + units.Second
-	reconcile(0, 29, 3)
+	reconcile(29, 3)
 	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 1 || !lost["i-000029"] {
 		t.Errorf("to be released after a while: %v", lost)
 	}
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -9,51 +9,51 @@
 	"dunestand/internal/units"
 )
 
-// A fleet of 4,000 machines is kept in records of bounded size, all of it is unconfirmed
-// after a change of leader, and one report of each machine settles that.
+// A fleet of 4,000 machines is kept in records of bounded size, all of it is unreconciled
+// after a failover, and one heartbeat of each machine reconciles it.
 func TestLargestFleetIsRestored(t *testing.T) {
 	leader, heartbeats := reconciledFleet(largestFleet)
-	rows := writeAllRecords(leader)
+	records := writeAllRecords(leader)
 	limit := leader.Settings.Fleet.State.Both().ValueBytes()
-	for _, row := range rows {
-		if len(row.Value) > limit {
-			t.Fatalf("record %s has %d bytes, %d are allowed", row.Key, len(row.Value), limit)
+	for _, record := range records {
+		if len(record.Value) > limit {
+			t.Fatalf("record %s has %d bytes, %d are allowed", record.Key, len(record.Value), limit)
 		}
 	}
 	later := newTestLeader(2, &standin.Clock{Now: units.Second})
 	later.state.Teams["team"].QuotaLimit = leader.state.Teams["team"].QuotaLimit
-	jobs, _, err := cluster.ParseJobs(rows)
+	jobs, _, err := cluster.ParseJobs(records)
 	if err != nil {
 		t.Fatal(err)
 	}
 	later.persister.InstallRecords(jobs, modelCatalog)
 	if n := later.state.UnreconciledCount(); n != largestFleet {
-		t.Fatalf("%d machines are unconfirmed after the restore", n)
+		t.Fatalf("%d machines are unreconciled after the restore", n)
 	}
-	for _, r := range heartbeats {
-		r.Sequence, r.FencingToken = r.Sequence+1, 2
-		later.reconciler.Reconcile(r, units.Second)
+	for _, heartbeat := range heartbeats {
+		heartbeat.Sequence, heartbeat.FencingToken = heartbeat.Sequence+1, 2
+		later.reconciler.Reconcile(heartbeat, units.Second)
 	}
 	live := 0
-	for _, j := range later.state.Jobs {
-		live += len(j.LiveAttempts)
+	for _, job := range later.state.Jobs {
+		live += len(job.LiveAttempts)
 	}
 	if n := later.state.UnreconciledCount(); n != 0 || live != 4*largestFleet {
-		t.Errorf("%d machines are unconfirmed after their reports, %d tasks are known", n, live)
+		t.Errorf("%d machines are unreconciled after their heartbeats, %d tasks are known", n, live)
 	}
 }
 
-// What is done for each machine in turn takes no longer on the largest fleet: where half
-// of it hangs, telling it of the term takes as many tries one after the other as on the
+// What is done for one machine after the other takes no longer on the largest fleet: where
+// half of it hangs, the broadcast of the token takes as many attempts in a row as on the
 // largest fleet before.
 func TestLargestFleetIsBroadcastToAsSoon(t *testing.T) {
 	const before, socketsEach = 768, 2
-	turns := func(machines int) int {
+	rounds := func(machines int) int {
 		slots := push.BroadcastSlots(machines/2, socketsEach*machines)
 		return (machines/2 + slots - 1) / slots
 	}
-	if small, large := turns(before), turns(largestFleet); large > small+2 {
-		t.Errorf("%d machines take %d turns, %d take %d", before, small, largestFleet, large)
+	if small, large := rounds(before), rounds(largestFleet); large > small+2 {
+		t.Errorf("%d machines take %d rounds, %d take %d", before, small, largestFleet, large)
 	}
 	for _, sockets := range []int{100, 1200, 2 * largestFleet, 100_000} {
 		if left := sockets - clientConnectionLimit(sockets); sockets >= 400 && left < push.ReservedSockets(sockets) || clientConnectionLimit(sockets) < sockets/2 {
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"fmt"
 	"net/http"
 	"testing"
@@ -15,25 +14,25 @@
 )
 
 // Records of a format that this version does not know are neither skipped nor
-// taken for less than they are: the node gives the lease to others and does not
-// claim it while the fleet has a later format.
+// taken for less than they are: the node leaves the lease to others and does not
+// campaign while the fleet has a later format.
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
 	for what, put := range map[string]func(store *standin.State){
 		"the fleet's format": func(store *standin.State) {
 			store.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
 		},
 		"a job's record": func(store *standin.State) {
-			store.Put(storage.KeyJob("j-000001"), protocol.Encode(map[string]any{
+			store.Put(storage.KeyJob(testJob), protocol.Encode(map[string]any{
 				"v":     storage.NewestFormat + 1,
-				"id":    "j-000001",
+				"id":    testJob,
 				"tasks": 1,
 			}))
 		},
 		"a part of a job": func(store *standin.State) {
-			store.Put(storage.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
+			store.Put(storage.KeyJob(testJob)+"/z0", protocol.Encode(map[string]any{"v": 1}))
 		},
-		"a part without its job, which is not over": func(store *standin.State) {
-			store.Put(storage.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
+		"a part without its job, which is not in a terminal state": func(store *standin.State) {
+			store.Put(storage.KeyJob(testJob)+"/d0", protocol.Encode(map[string]any{"v": 2}))
 		},
 	} {
 		store := standin.NewState()
@@ -51,13 +50,13 @@
 	}
 }
 
-// Until all controllers are upgraded a service is not taken: a leader of the
-// version before would call it done when its replicas end. It is told to come
-// back; what can never run is refused for good either way.
+// Until all controllers are upgraded a service is not accepted: a leader of the
+// version before would call it done when its replicas end. Its user is told to come
+// back; what can never run is rejected for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	leader := newTestLeader(1, &standin.Clock{})
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	service := *modelSpec("j-000001")
+	service := *modelSpec(testJob)
 	service.Kind, service.Tasks = protocol.Service, modelQuotaCPUs
 	for _, c := range []struct {
 		level, tasks int
@@ -77,9 +76,9 @@
 	}
 }
 
-// The state service lowers its limits in the midst of a run, and later the format
+// The key-value store lowers its limits in the midst of a run, and later the format
 // is raised: every job is accepted, a large one that was stored before is divided,
-// and what is saved is never sent unchanged for ever.
+// and no write batch is sent unchanged for ever.
 func TestLimitsThatFall(t *testing.T) {
 	store := standin.NewState()
 	store.Limit(16<<10, 12, 1000)
@@ -93,81 +92,75 @@
 			Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 		}
 	})
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
+	ctx := t.Context()
 	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	go leader.persister.Run(ctx)
+	start(t, leader.persister.Run)
 	submit := func(id string, tasks int) {
 		t.Helper()
 		spec := *modelSpec(id)
 		spec.Tasks = tasks
 		for try := 0; ; try++ {
-			if r := leader.Submit(ctx, &spec); r.Status == http.StatusCreated || r.Status == http.StatusOK {
+			if a := leader.Submit(ctx, &spec); a.Status == http.StatusCreated || a.Status == http.StatusOK {
 				return
 			} else if try == 20 {
-				t.Fatalf("%s: %d %s", id, r.Status, r.Body)
+				t.Fatalf("%s: %d %s", id, a.Status, a.Body)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	eventually := func(done func() bool) {
+	const patience = 20 * time.Second
+	expect := func(condition func() bool) {
 		t.Helper()
-		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		if !eventually(patience, func() bool {
 			leader.state.Lock()
-			ok := done()
-			leader.state.Unlock()
-			if ok {
-				return
-			}
-			if time.Now().After(deadline) {
-				t.Fatal("not saved")
-			}
+			defer leader.state.Unlock()
+			return condition()
+		}) {
+			t.Fatal("not written")
 		}
 	}
-	const large = "j-000001"
+	const large = testJob
 	submit(large, protocol.MaxTasks)
-	name := func(from, to int) {
+	assign := func(from, to int) {
 		leader.state.Lock()
 		defer leader.state.Unlock()
 		for i := from; i < to; i++ {
-			leader.state.Assign(leader.state.Jobs[large], leader.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
+			leader.state.Assign(leader.state.Jobs[large], leader.state.EnsureMachine(machineID(i), "m", "a", true, 0), uint64(i+1), 0)
 		}
 		leader.writeSignal.Raise()
 	}
-	named := func(to int) func() bool {
-		return func() bool { return leader.state.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
+	durable := func(to int) func() bool {
+		return func() bool { return leader.state.Jobs[large].MachineIsDurable(machineID(to - 1)) }
 	}
-	name(0, 300)
-	eventually(named(300))
+	assign(0, 300)
+	expect(durable(300))
 	store.Limit(2<<10, 4, 600)
-	name(300, 310) // its record is too large by now; the rest goes on
+	assign(300, 310) // its record is too large by now; the rest goes on
 	for i := range 10 {
 		submit(fmt.Sprintf("j-%06d", i+10), 3)
 	}
 	time.Sleep(2 * persister.RejectedRetryDelay.Duration())
 	if n := store.Rejected(); n == 0 || n > 3 {
-		t.Errorf("%d saves were rejected", n)
+		t.Errorf("%d write batches were rejected", n)
 	}
 	leader.setFormat(storage.FormatNew)
-	eventually(named(310))
-	name(310, 900)
-	eventually(named(900))
+	expect(durable(310))
+	assign(310, 900)
+	expect(durable(900))
 	leader.state.Lock()
 	for i := range protocol.MaxTasks {
 		leader.state.TaskDone(leader.state.Jobs[large], i, 0)
 	}
 	leader.state.Unlock()
 	leader.writeSignal.Raise()
-	eventually(func() bool { return leader.state.Jobs[large] == nil })
-	for deadline := time.Now().Add(20 * time.Second); len(store.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatalf("left over: %v", store.Keys(storage.KeyJob(large)))
-		}
+	expect(func() bool { return leader.state.Jobs[large] == nil })
+	if !eventually(patience, func() bool { return len(store.Keys(storage.KeyJob(large))) == 0 }) {
+		t.Fatalf("left over: %v", store.Keys(storage.KeyJob(large)))
 	}
-	if f, ok, err := persister.ReadTerminal(ctx, leader.KV, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
-		t.Errorf("%+v %v %v", f, ok, err)
+	if record, found, err := persister.ReadTerminal(ctx, leader.KV, large); err != nil || !found || record.Stage != protocol.StageDone || record.Done != protocol.MaxTasks {
+		t.Errorf("%+v %v %v", record, found, err)
 	}
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"io"
-	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"testing"
@@ -21,99 +18,88 @@
 )
 
 // While the leader refuses this node's links and renews its lease, workers are
-// told its name and users are sent elsewhere. Once the record is stale nobody
-// leads: then no name is told, and the node stays in use for the election.
+// redirected to it and the node is unhealthy. Once the lease record is stale nobody
+// leads: then workers are not redirected, and the node stays in use for the election.
 func TestNodeThatTheLeaderRefuses(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
-	for v := uint64(1); v <= 2; v++ {
-		c.sawRenewal(v)
+	for version := uint64(1); version <= 2; version++ {
+		c.sawRenewal(version)
 		if got := c.redirectTarget(); got != "leader" {
-			t.Fatalf("workers are sent to %q", got)
+			t.Fatalf("workers are redirected to %q", got)
 		}
-		if r := c.health(); r.Status != http.StatusOK {
-			t.Fatalf("unhealthy after %d s", v)
+		if response := c.health(); response.Status != http.StatusOK {
+			t.Fatalf("unhealthy after %d s", version)
 		}
 		clock.Now += units.Second
 	}
 	clock.Now += units.Second
 	c.sawRenewal(3)
-	if r := c.health(); r.Status != http.StatusServiceUnavailable {
-		t.Error("a node that can pass nothing on counts as healthy")
+	if response := c.health(); response.Status != http.StatusServiceUnavailable {
+		t.Error("a node that can forward nothing counts as healthy")
 	}
 	clock.Now += c.elector.LeaseDuration()
 	c.sawRenewal(3) // the record is read, and unchanged
 	if got := c.redirectTarget(); got != "" {
-		t.Errorf("workers are sent to %q, which does not renew", got)
+		t.Errorf("workers are redirected to %q, which does not renew", got)
 	}
-	if r := c.health(); r.Status != http.StatusOK {
-		t.Error("a node is taken out in the middle of an election")
+	if response := c.health(); response.Status != http.StatusOK {
+		t.Error("a node is unhealthy in the middle of an election")
 	}
 }
 
-// A node without the state service and all other controllers says so soon, and
-// answers at once instead of asking the state service.
+// A node without the key-value store and all other controllers is soon unhealthy, and
+// answers at once instead of asking the store.
 func TestNodeCutOffFromStateAndPeers(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
 	clock.Now += c.elector.LeaseDuration() + units.Millisecond
-	if r := c.health(); r.Status != http.StatusServiceUnavailable {
+	if response := c.health(); response.Status != http.StatusServiceUnavailable {
 		t.Error("it counts as healthy")
 	}
 	startedAt := time.Now()
-	if r := c.poll(t.Context(), "j-000001", true); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-		t.Errorf("poll: %d", r.Status)
+	if a := c.poll(t.Context(), testJob, true); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+		t.Errorf("poll: %d", a.Status)
 	}
 	if took := time.Since(startedAt); took > 500*time.Millisecond {
 		t.Errorf("the user waited %v", took)
 	}
 }
 
-// A node that has lost the state service still thinks that the former leader
-// leads, itself perhaps. It learns of the present one from that one's answers
-// to its pings, passes requests on to it and sends workers there.
+// A node that has lost the key-value store still takes the former leader for the leader,
+// itself perhaps. It learns of the present one from that one's answers
+// to its pings, forwards requests to it and redirects workers to it.
 func TestLeaderIsKnownWithoutTheStateService(t *testing.T) {
 	mesh, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	go func() {
-		_ = transport.ServeMesh(t.Context(), mesh, log, func(ctx context.Context, frame []byte) ([]byte, error) {
+	clock := &standin.Clock{Now: 100 * units.Second}
+	env := testEnvironment(clock)
+	start(t, func(ctx context.Context) {
+		_ = transport.ServeMesh(ctx, mesh, env.Log, func(ctx context.Context, frame []byte) ([]byte, error) {
 			return peers.AnswerFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
-				return answer.StateResponse(http.StatusOK, protocol.JobState{
-					ID:    "j-000001",
-					Stage: protocol.StagePending,
-				})
+				return answer.StateResponse(http.StatusOK, protocol.JobState{ID: testJob, Stage: protocol.StagePending})
 			})
 		})
-	}()
-	clock := &standin.Clock{Now: 100 * units.Second}
-	store := modelSettings()
-	store.Services.State = "127.0.0.1:1"
-	store.Others = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
-	c := NewController(store, Environment{
-		Policy: config.DefaultPolicy(),
-		Clock:  clock,
-		Random: rand.New(rand.NewPCG(1, 1)),
-		Log:    log,
 	})
-	l := c.elector
-	record := storage.LeaseRecord{Holder: store.Node, Incarnation: 3}
-	l.ObserveRecord(record, 1)
+	settings := modelSettings()
+	settings.Services.State = unusedAddress
+	settings.Others = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
+	c := NewController(settings, env)
+	record := storage.LeaseRecord{Holder: settings.Node, Incarnation: 3}
+	c.elector.ObserveRecord(record, 1)
 	clock.Now += leaseRecordTTL + units.Millisecond
-	go c.peers.Run(t.Context())
-	for deadline := time.Now().Add(10 * time.Second); c.redirectTarget() != "next"; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatalf("workers are sent to %q", c.redirectTarget())
-		}
+	start(t, c.peers.Run)
+	if !eventually(10*time.Second, func() bool { return c.redirectTarget() == "next" }) {
+		t.Fatalf("workers are redirected to %q", c.redirectTarget())
 	}
-	if r := c.poll(t.Context(), "j-000001", true); r.Status != http.StatusOK {
-		t.Errorf("poll: %d %s", r.Status, r.Body)
+	if a := c.poll(t.Context(), testJob, true); a.Status != http.StatusOK {
+		t.Errorf("poll: %d %s", a.Status, a.Body)
 	}
-	if r := c.health(); r.Status != http.StatusOK {
-		t.Errorf("health: %s", r.Body)
+	if response := c.health(); response.Status != http.StatusOK {
+		t.Errorf("health: %s", response.Body)
 	}
-	l.ObserveRecord(record, 1)
-	if got := c.leaderName(); got != store.Node {
+	c.elector.ObserveRecord(record, 1)
+	if got := c.leaderName(); got != settings.Node {
 		t.Errorf("the record was just read, and %q counts as the leader", got)
 	}
 }
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -1,157 +1,119 @@
 package controller
 
 import (
+	"slices"
 	"testing"
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
-// Old and repeated reports have no effect.
+// Old and repeated heartbeats have no effect, and a worker that has seen a later leader's
+// fencing token is not answered.
 func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
-	leader := newTestLeader(5, &standin.Clock{Now: units.Second})
-	leader.persister.InstallRecords(nil, modelCatalog)
-	fresh := &protocol.Heartbeat{Machine: "i-1", InstanceType: "m", Zone: "a", Incarnation: 2, Sequence: 7}
-	if _, ok := leader.Heartbeat(t.Context(), fresh, nil); !ok {
-		t.Fatal("fresh report refused")
+	leader, _ := newEmptyLeader(5, units.Second)
+	if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-1", 2, 7, 0), nil); !accepted {
+		t.Fatal("fresh heartbeat refused")
 	}
-	for _, old := range []protocol.Heartbeat{{Incarnation: 2, Sequence: 7}, {Incarnation: 2, Sequence: 6}, {Incarnation: 1, Sequence: 99}} {
-		old.Machine, old.InstanceType, old.Zone = "i-1", "m", "a"
-		if _, ok := leader.Heartbeat(t.Context(), &old, nil); ok {
-			t.Errorf("old report %d/%d accepted", old.Incarnation, old.Sequence)
+	for _, old := range []struct{ incarnation, sequence uint64 }{{2, 7}, {2, 6}, {1, 99}} {
+		if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-1", old.incarnation, old.sequence, 0), nil); accepted {
+			t.Errorf("old heartbeat %d/%d accepted", old.incarnation, old.sequence)
 		}
 	}
-	if m := leader.state.Machines["i-1"]; m.Incarnation != 2 || m.Sequence != 7 {
-		t.Errorf("machine at %d/%d", m.Incarnation, m.Sequence)
+	if machine := leader.state.Machines["i-1"]; machine.Incarnation != 2 || machine.Sequence != 7 {
+		t.Errorf("machine at %d/%d", machine.Incarnation, machine.Sequence)
 	}
-	if _, ok := leader.Heartbeat(t.Context(), &protocol.Heartbeat{
-		Machine:      "i-2",
-		InstanceType: "m",
-		Zone:         "a",
-		Incarnation:  1,
-		Sequence:     1,
-		FencingToken: 6,
-	}, nil); ok {
-		t.Error("a worker that has seen a later term was answered")
+	if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-2", 1, 1, 6), nil); accepted {
+		t.Error("a worker that has seen a later fencing token was answered")
 	}
 }
 
 // A task that two attempts run, one of a former leader's that nobody knew of,
-// ends its job when the first is done. What is then heard of the other must not
-// trip over the job that has left the ledger.
+// ends its job when the first is done. What heartbeats then show of the other must not
+// trip over the job that has left the state.
 func TestAttemptOutlivesItsJob(t *testing.T) {
-	clock := &standin.Clock{Now: units.Second}
-	leader := newTestLeader(2, clock)
-	leader.persister.InstallRecords(nil, modelCatalog)
+	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
-	spec := *modelSpec("j-000001")
+	spec := *modelSpec(testJob)
 	spec.Tasks = 1
-	j := state.NewJob(spec, clock.Now, clock.Now)
-	commit := func() {
-		if batch := state.BuildWriteBatch("2-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now); batch != nil {
-			state.BatchCommitted(batch, 1)
-		}
-	}
-	commit()
-	m := state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
-	a := state.Assign(j, m, 7, clock.Now)
-	a.Stage = cluster.Running
-	state.TaskDone(j, 0, clock.Now) // told by another machine
-	commit()
-	if state.Jobs["j-000001"] != nil {
+	job := state.NewJob(spec, clock.Now, clock.Now)
+	leader.commitWrites()
+	machine := state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
+	attempt := state.Assign(job, machine, 7, clock.Now)
+	attempt.Stage = cluster.Running
+	state.TaskDone(job, 0, clock.Now) // shown by another machine
+	leader.commitWrites()
+	if state.Jobs[testJob] != nil {
 		t.Fatal("the job is still there")
 	}
-	for sequence, task := range []protocol.TaskStatus{
-		{Job: "j-000001", Attempt: 7, Stage: protocol.TaskFetching},
-		{Job: "j-000001", Attempt: 7, Stage: protocol.TaskRunning},
-		{Job: "j-000001", Attempt: 7, Stage: protocol.TaskExited, Cause: protocol.CauseDone},
+	for i, task := range []protocol.TaskStatus{
+		{Job: testJob, Attempt: 7, Stage: protocol.TaskFetching},
+		{Job: testJob, Attempt: 7, Stage: protocol.TaskRunning},
+		{Job: testJob, Attempt: 7, Stage: protocol.TaskExited, Cause: protocol.CauseDone},
 	} {
-		r := &protocol.Heartbeat{
-			Machine:      m.ID,
-			InstanceType: "m",
-			Zone:         "a",
-			Incarnation:  1,
-			Sequence:     uint64(sequence + 1),
-			FencingToken: 2,
-			Tasks:        []protocol.TaskStatus{task},
-		}
-		if _, ok := leader.Heartbeat(t.Context(), r, nil); !ok {
-			t.Fatal("report refused")
+		heartbeat := testHeartbeat(machine.ID, 1, uint64(i+1), 2)
+		heartbeat.Tasks = []protocol.TaskStatus{task}
+		if _, accepted := leader.Heartbeat(t.Context(), heartbeat, nil); !accepted {
+			t.Fatal("heartbeat refused")
 		}
 	}
-	if len(m.Attempts) != 0 || m.Used != (units.Resources{}) {
-		t.Fatalf("left on the machine: %v", m.Attempts)
+	if len(machine.Attempts) != 0 || machine.Used != (units.Resources{}) {
+		t.Fatalf("left on the machine: %v", machine.Attempts)
 	}
 }
 
 // A completion stays with its worker until it is durable: a later leader must
 // be able to learn of it, or the task would run once more.
 func TestCompletionsAreForgottenOnlyOnceDurable(t *testing.T) {
-	clock := &standin.Clock{Now: units.Second}
-	leader := newTestLeader(2, clock)
-	leader.persister.InstallRecords(nil, modelCatalog)
+	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
-	j := state.NewJob(*modelSpec("j-000001"), clock.Now, clock.Now)
+	job := state.NewJob(*modelSpec(testJob), clock.Now, clock.Now)
 	commit := func() {
 		state.BatchCommitted(state.BuildWriteBatch("2-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now), 1)
 	}
 	commit()
-	m := state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
-	a := state.Assign(j, m, 7, clock.Now)
-	a.Stage = cluster.Running
-	j.RetryAt = 1 << 60 // nothing else starts
+	machine := state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
+	attempt := state.Assign(job, machine, 7, clock.Now)
+	attempt.Stage = cluster.Running
+	job.RetryAt = 1 << 60 // nothing else starts
 	sequence := uint64(0)
 	forgotten := func() bool {
 		sequence++
-		r := &protocol.Heartbeat{
-			Machine:      m.ID,
-			InstanceType: "m",
-			Zone:         "a",
-			Incarnation:  1,
-			Sequence:     sequence,
-			FencingToken: 2,
-			Tasks: []protocol.TaskStatus{
-				{
-					Job:     "j-000001",
-					Index:   a.Index,
-					Attempt: 7,
-					Stage:   protocol.TaskExited,
-					Cause:   protocol.CauseDone,
-				}},
-		}
-		answer, ok := leader.Heartbeat(t.Context(), r, nil)
-		if !ok {
-			t.Fatal("report refused")
-		}
-		for _, c := range answer.Commands {
-			if c.Verb == protocol.VerbForget {
-				return true
-			}
+		heartbeat := testHeartbeat(machine.ID, 1, sequence, 2)
+		heartbeat.Tasks = []protocol.TaskStatus{{
+			Job:     testJob,
+			Index:   attempt.Index,
+			Attempt: 7,
+			Stage:   protocol.TaskExited,
+			Cause:   protocol.CauseDone,
+		}}
+		response, accepted := leader.Heartbeat(t.Context(), heartbeat, nil)
+		if !accepted {
+			t.Fatal("heartbeat refused")
 		}
-		return false
+		return slices.ContainsFunc(response.Commands, func(c protocol.Command) bool { return c.Verb == protocol.VerbForget })
 	}
 	for range 2 {
 		if forgotten() {
-			t.Fatal("forgotten before it was saved")
+			t.Fatal("forgotten before it was durable")
 		}
 	}
 	commit()
 	if !forgotten() {
-		t.Fatal("not forgotten after it was saved")
+		t.Fatal("not forgotten once it was durable")
 	}
 }
 
-// A start whose save is a little late goes with the next report, which is seconds
-// away where reports come seldom: there the answer waits longer for the save, and
+// A start whose write batch is a little late goes with the next heartbeat, which is seconds
+// away where heartbeats are seldom: there the answer waits longer for the write, and
 // always far less than the 4 s after which the worker gives up.
 func TestHeartbeatAnswersWaitForWritesByTheHeartbeatInterval(t *testing.T) {
 	leader, _ := newLeaderWithJob(t, 1)
 	for seconds, want := range map[float64]units.Micros{0.8: 150, 3: 300, 5: 500, 60: 500} {
 		leader.Settings.Fleet.Workers.ReportS = seconds
 		if got := leader.startDurableWait(); got != want*units.Millisecond {
-			t.Errorf("reports every %v s: %d ms", seconds, got/units.Millisecond)
+			t.Errorf("heartbeats every %v s: %d ms", seconds, got/units.Millisecond)
 		}
 	}
 }
--- a/internal/controller/heartbeatlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -2,64 +2,55 @@
 
 import (
 	"context"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"dunestand/internal/cluster"
-	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
+// The limiter lets one heartbeat through at a time, and nobody whose context has ended.
 func TestHeartbeatsAreHandledOneAtATime(t *testing.T) {
-	heartbeats := newHeartbeatLimiter()
-	var inside, most atomic.Int64
+	limiter := newHeartbeatLimiter()
+	var handling, most atomic.Int64
 	var wg sync.WaitGroup
 	for range 20 {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			slot := heartbeats.acquire(t.Context())
+		wg.Go(func() {
+			slot := limiter.acquire(t.Context())
 			defer slot.release()
-			if n := inside.Add(1); n > most.Load() {
+			if n := handling.Add(1); n > most.Load() {
 				most.Store(n)
 			}
 			time.Sleep(time.Millisecond)
-			inside.Add(-1)
+			handling.Add(-1)
 			slot.release() // and once more when the function returns
-		}()
+		})
 	}
 	wg.Wait()
 	if most.Load() != 1 {
-		t.Errorf("%d were worked on at a time", most.Load())
+		t.Errorf("%d were handled at a time", most.Load())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	held := heartbeats.acquire(t.Context())
-	if late := heartbeats.acquire(ctx); late != nil {
-		t.Error("acquired while another one was worked on")
+	held := limiter.acquire(t.Context())
+	if late := limiter.acquire(ctx); late != nil {
+		t.Error("acquired while another one was handled")
 	}
 	held.release()
 }
 
-// HalfSecondsToHeartbeat are worked on one at a time, but one that waits for a save, or for the
+// Heartbeats are handled one at a time, but one that waits for a write batch, or for the
 // restore, does not hold up the others.
 func TestWaitingHeartbeatLetsOthersThrough(t *testing.T) {
 	leader := newTestLeader(1, &standin.Clock{Now: units.Second})
 	controller := newTestController(leader)
 	send := func(machine string, sequence uint64) <-chan int {
 		status := make(chan int, 1)
-		body := encodeHeartbeat(&protocol.Heartbeat{
-			Machine:      machine,
-			InstanceType: "m",
-			Zone:         "a",
-			Incarnation:  1,
-			Sequence:     sequence,
-			FencingToken: 1,
-		}, nil)
+		body := encodeHeartbeat(testHeartbeat(machine, 1, sequence, 1), nil)
 		go func() {
 			status <- controller.handleHeartbeat(t.Context(), transport.Request{Body: body}).Status
 		}()
@@ -71,33 +62,32 @@
 	defer cancel()
 	other := controller.heartbeatLimiter.acquire(soon)
 	if other == nil {
-		t.Fatal("a report that waits for the restore holds up the others")
+		t.Fatal("a heartbeat that waits for the restore holds up the others")
 	}
 	other.release()
 	leader.persister.InstallRecords(nil, modelCatalog)
 	for _, status := range beforeRestore {
-		expectStatus(t, status, 200)
+		expectStatus(t, status, http.StatusOK)
 	}
 
-	// i-1 gets a task whose save does not come.
-	spec := *modelSpec("j-000001")
+	// i-1 gets a task whose write batch is not committed.
+	spec := *modelSpec(testJob)
 	spec.Tasks = 1
 	job := leader.state.NewJob(spec, leader.Clock.Wall(), leader.Clock.Steady())
-	accepted := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, leader.Clock.Steady())
-	leader.state.BatchCommitted(accepted, 1)
+	leader.commitWrites()
 	leader.state.Assign(job, leader.state.Machines["i-1"], 1, leader.Clock.Steady())
 	waiting := send("i-1", 2)
 	time.Sleep(20 * time.Millisecond) // it waits by now
-	expectStatus(t, send("i-2", 2), 200)
+	expectStatus(t, send("i-2", 2), http.StatusOK)
 	select {
 	case <-waiting:
-		t.Fatal("a report that waits for a save holds up the others")
+		t.Fatal("a heartbeat that waits for a write batch holds up the others")
 	default:
 	}
 	expectStatus(t, waiting, 200)
 }
 
-// expectStatus waits for a report's answer, for less than its worker would.
+// expectStatus waits for the answer to a heartbeat, for less than its worker would.
 func expectStatus(t *testing.T, status <-chan int, want int) {
 	t.Helper()
 	select {
@@ -106,6 +96,6 @@
 			t.Errorf("status %d, expected %d", got, want)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("a report is held up")
+		t.Fatal("a heartbeat is held up")
 	}
 }
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"net/http"
 	"testing"
 	"time"
@@ -14,9 +13,9 @@
 	"dunestand/internal/units"
 )
 
-// A node that reaches no leader takes a job by itself. From then on nobody says
+// A node that reaches no leader accepts a job by itself. From then on nobody answers
 // that it is unknown, or anything older than what its user was told: not this
-// node, and not a leader, whether or not it has taken the job in.
+// node, and not a leader, whether or not it has ingested the job.
 func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
 	store := standin.NewState()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
@@ -26,91 +25,85 @@
 		Done:  2,
 	}))
 	c, _ := newRefusedController(t, store)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	const id = "j-000001"
+	ctx := t.Context()
 	for _, want := range []int{http.StatusCreated, http.StatusOK} {
-		if r := c.submit(ctx, encodeSubmission(modelSpec(id), "team"), true); r.Status != want || decodeState(t, r).Stage != protocol.StagePending {
-			t.Fatalf("submission: %d %s, want %d", r.Status, r.Body, want)
+		if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), true); a.Status != want || decodeState(t, a).Stage != protocol.StagePending {
+			t.Fatalf("submission: %d %s, want %d", a.Status, a.Body, want)
 		}
 	}
-	if r := c.submit(ctx, encodeSubmission(modelSpec("j-000009"), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageDone {
-		t.Errorf("a job that is over: %d %s", r.Status, r.Body)
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000009"), "team"), true); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
+		t.Errorf("a job in a terminal state: %d %s", a.Status, a.Body)
 	}
-	// Only a leader refuses for good: it knows whether the job was accepted before.
-	if r := c.submit(ctx, encodeSubmission(modelSpec("j-000002"), "nobody"), true); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-		t.Errorf("an impossible job: %d", r.Status)
+	// Only a leader rejects for good: it knows whether the job was accepted before.
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000002"), "nobody"), true); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+		t.Errorf("an infeasible job: %d", a.Status)
 	}
-	if r := c.submit(ctx, encodeSubmission(modelSpec("j-000003"), "team"), false); r.Status != http.StatusServiceUnavailable {
-		t.Errorf("passed on by another node: %d", r.Status)
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000003"), "team"), false); a.Status != http.StatusServiceUnavailable {
+		t.Errorf("forwarded by another node: %d", a.Status)
 	}
-	if r := c.poll(ctx, id, true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StagePending {
-		t.Errorf("poll: %d %s", r.Status, r.Body)
+	if a := c.poll(ctx, testJob, true); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
+		t.Errorf("poll: %d %s", a.Status, a.Body)
 	}
-	if r := c.poll(ctx, "j-000003", true); r.Status != http.StatusNotFound {
-		t.Errorf("poll of an unknown job: %d", r.Status)
+	if a := c.poll(ctx, "j-000003", true); a.Status != http.StatusNotFound {
+		t.Errorf("poll of an unknown job: %d", a.Status)
 	}
 
 	leader := newStoredLeader(t, 1, store)
 	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
-	if r := leader.Poll(ctx, id); r.Status != http.StatusOK && r.Status != http.StatusServiceUnavailable {
-		t.Errorf("a leader that has not taken it in: %d", r.Status)
+	if a := leader.Poll(ctx, testJob); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
+		t.Errorf("a leader that has not ingested it: %d", a.Status)
 	}
-	if r := leader.Cancel(ctx, id); r.Status != http.StatusServiceUnavailable {
-		t.Errorf("cancellation before it is taken in: %d", r.Status)
+	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusServiceUnavailable {
+		t.Errorf("cancellation before it is ingested: %d", a.Status)
 	}
-	unknown := modelSpec(id)
-	unknown.Team = "nobody"
-	if r := leader.Submit(ctx, unknown); r.Status == http.StatusUnprocessableEntity {
-		t.Error("the repeat of an accepted job is refused")
+	infeasible := modelSpec(testJob)
+	infeasible.Team = "nobody"
+	if a := leader.Submit(ctx, infeasible); a.Status == http.StatusUnprocessableEntity {
+		t.Error("the duplicate of an accepted job is rejected")
 	}
-	go leader.persister.Run(ctx)
-	go leader.ingester.Run(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(store.Keys(storage.PrefixPending)) > 0; {
-		if time.Now().After(deadline) {
-			t.Fatal("it stays in the inbox")
-		}
-		time.Sleep(5 * time.Millisecond)
+	start(t, leader.persister.Run)
+	start(t, leader.ingester.Run)
+	if !eventually(10*time.Second, func() bool { return len(store.Keys(storage.PrefixPending)) == 0 }) {
+		t.Fatal("it stays in the pending-submission queue")
 	}
-	if r := leader.Cancel(ctx, id); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
-		t.Errorf("cancellation: %d %s", r.Status, r.Body)
+	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+		t.Errorf("cancellation: %d %s", a.Status, a.Body)
 	}
-	if r := c.submit(ctx, encodeSubmission(modelSpec(id), "team"), true); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
-		t.Errorf("repeat of a cancelled job: %d %s", r.Status, r.Body)
+	if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), true); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+		t.Errorf("duplicate of a cancelled job: %d %s", a.Status, a.Body)
 	}
 }
 
 // A job is accepted without a leader by a commit that takes long. By then it may have been
-// taken in and cancelled, so its state is read again before the user is told of it.
+// ingested and cancelled, so its state is read again before the user is told of it.
 func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
 	store := standin.NewState()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	c, clock := newRefusedController(t, store)
-	const id = "j-000001"
 	store.Refuse = func(_, path string) bool {
 		if path == protocol.PathCommit {
 			clock.Now += answer.MaxAnswerAge + units.Millisecond
 		}
 		return false
 	}
-	a := c.submit(t.Context(), encodeSubmission(modelSpec(id), "team"), true)
+	a := c.submit(t.Context(), encodeSubmission(modelSpec(testJob), "team"), true)
 	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
 	if len(store.Keys(storage.PrefixPending)) != 1 {
-		t.Error("it is not in the inbox")
+		t.Error("it is not in the pending-submission queue")
 	}
 }
 
-// What was put into the inbox late, for a job that is over by then, is cleared
-// away and never answered for: the job's final state stands.
+// What was put into the pending-submission queue late, for a job in a terminal state, is
+// cleared away and never answered for: the job's terminal state stands.
 func TestLatePendingSubmissionOfAFinishedJob(t *testing.T) {
 	store := standin.NewState()
-	spec := modelSpec("j-000001")
-	for _, c := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
-		store.Put(c.Set, c.Value)
+	spec := modelSpec(testJob)
+	for _, change := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
+		store.Put(change.Set, change.Value)
 	}
 	store.Put(storage.KeyTerminal(spec.ID), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
@@ -118,20 +111,22 @@
 		Done:  2,
 	}))
 	leader := newStoredLeader(t, 1, store)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	if !leader.persister.Restore(ctx) {
+	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	go leader.persister.Run(ctx)
-	go leader.ingester.Run(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(store.Keys(storage.PrefixPending)) > 0; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatal("it stays in the inbox")
+	start(t, leader.persister.Run)
+	start(t, leader.ingester.Run)
+	cleared := func() bool {
+		if len(store.Keys(storage.PrefixPending)) == 0 {
+			return true
 		}
-		if r := leader.Poll(ctx, spec.ID); r.Status == http.StatusOK && decodeState(t, r).Stage != protocol.StageDone || r.Status == http.StatusNotFound {
-			t.Fatalf("poll: %d %s", r.Status, r.Body)
+		if a := leader.Poll(t.Context(), spec.ID); a.Status == http.StatusOK && decodeState(t, a).Stage != protocol.StageDone || a.Status == http.StatusNotFound {
+			t.Fatalf("poll: %d %s", a.Status, a.Body)
 		}
+		return false
+	}
+	if !eventually(10*time.Second, cleared) {
+		t.Fatal("it stays in the pending-submission queue")
 	}
 	if live := store.Keys("job/"); len(live) > 0 {
 		t.Errorf("live again: %v", live)
--- a/internal/controller/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"log/slog"
 	"net/http"
 	"strings"
@@ -15,62 +14,60 @@
 	"dunestand/internal/units"
 )
 
-// guestTaskCount is more than all machines of the model and any limit have room for.
+// guestTaskCount is more than all machines of the model and any quota limit have room for.
 const guestTaskCount = 25_000
 
-// newGuestLeader is a restored term with a second team that has neither guarantee nor limit,
-// and with a job of that team.
+// newGuestLeader returns a leader that has restored its records, with a second team that has
+// neither a guaranteed quota nor a quota limit, and with a job of that team.
 func newGuestLeader(t *testing.T) *Leader {
 	t.Helper()
 	leader := newStoredLeader(t, 1, standin.NewState(), func(d *Deps) {
 		d.Settings.Fleet.Teams = append(d.Settings.Fleet.Teams, config.Team{Name: "guest"})
 	})
-	ctx, cancel := context.WithCancel(t.Context())
-	t.Cleanup(cancel)
-	if !leader.persister.Restore(ctx) {
+	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	go leader.persister.Run(ctx)
-	spec := modelSpec("j-000001")
+	start(t, leader.persister.Run)
+	spec := modelSpec(testJob)
 	spec.Team = "guest"
 	spec.Tasks = guestTaskCount
 	spec.Request = units.Resources{CPU: units.AmountOf(0.25)}
-	if r := leader.Submit(ctx, spec); r.Status != http.StatusCreated {
-		t.Fatalf("a job of a team without a limit: %d %s", r.Status, r.Body)
+	if a := leader.Submit(t.Context(), spec); a.Status != http.StatusCreated {
+		t.Fatalf("a job of a team without a quota limit: %d %s", a.Status, a.Body)
 	}
 	return leader
 }
 
-// All jobs of a guest team were refused for good, as needing more than its limit: a limit
-// of 0 is none. Such a job is accepted, machines are rented for all of it, and its tasks
-// are placed wherever there is room.
+// All jobs of a guest team were once rejected for good, as needing more than its limit: a limit
+// of 0 is none. Such a job is accepted, the fleet scales out for all of it, and its tasks
+// are placed wherever there is free capacity.
 func TestTeamWithoutALimitIsServed(t *testing.T) {
 	leader := newGuestLeader(t)
 	leader.state.Lock()
 	defer leader.state.Unlock()
-	needs := leader.autoscaler.Demand()
-	if len(needs) != 1 || needs[0].Count != guestTaskCount {
-		t.Errorf("machines are rented for %v, want one need of %d tasks", needs, guestTaskCount)
+	demand := leader.autoscaler.Demand()
+	if len(demand) != 1 || demand[0].Count != guestTaskCount {
+		t.Errorf("the fleet scales out for %v, want one request of %d tasks", demand, guestTaskCount)
 	}
 	machine := &cluster.Machine{}
 	for i := range 3 {
 		machine = leader.state.EnsureMachine(string(rune('a'+i)), "m", "a", true, 0)
 		machine.Registered, machine.FencingToken = true, leader.token
 	}
-	s, _ := leader.scheduler.TakeSnapshot(leader.Clock.Steady(), machine)
-	s.MaxPlacements = guestTaskCount
+	snapshot, _ := leader.scheduler.TakeSnapshot(leader.Clock.Steady(), machine)
+	snapshot.MaxPlacements = guestTaskCount
 	placed := 0
-	for _, start := range scheduler.Plan(&s).Placements {
-		placed += start.Count
+	for _, placement := range scheduler.Plan(&snapshot).Placements {
+		placed += placement.Count
 	}
 	if want := 3 * modelMachineCPUs * 4; placed != want {
 		t.Errorf("%d tasks placed, want the %d that three machines hold", placed, want)
 	}
 }
 
-// The summary counts teams near their limit: one without a limit never is, also where
-// nine tenths of "no limit" would be reckoned.
+// The summary counts teams near their quota limit: one without a limit never is, also where
+// nine tenths of "no limit" would be computed.
 func TestTeamWithoutALimitIsNeverNearIt(t *testing.T) {
 	leader := newGuestLeader(t)
 	leader.state.Lock()
@@ -90,15 +87,15 @@
 	}
 }
 
-// Why a submission was refused for good is logged: users are told, on-call people asked.
+// Why a submission was rejected for good is logged: users are told, on-call engineers asked.
 func TestRefusalsAreLogged(t *testing.T) {
 	leader := newGuestLeader(t)
 	var log bytes.Buffer
 	leader.Log = slog.New(slog.NewTextHandler(&log, nil))
 	spec := modelSpec("j-000002")
 	spec.Team = "nobody"
-	if r := leader.Submit(t.Context(), spec); r.Status != http.StatusUnprocessableEntity {
-		t.Fatalf("a job of an unknown team: %d", r.Status)
+	if a := leader.Submit(t.Context(), spec); a.Status != http.StatusUnprocessableEntity {
+		t.Fatalf("a job of an unknown team: %d", a.Status)
 	}
 	for _, part := range []string{"submission refused", "job=j-000002", "status=422", "unknown team"} {
 		if !strings.Contains(log.String(), part) {
--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"context"
+	"fmt"
 	"net/http"
 	"testing"
 	"time"
@@ -14,97 +14,93 @@
 	"dunestand/internal/storage"
 )
 
-// Submission, cancellation and their repeats, with commits that are carried
-// out and not answered: the save's id tells its author that it was.
+// Submissions, cancellations and their duplicates, with commits that are carried
+// out and not answered: the write ID tells the leader that they were.
 func TestSubmitAndCancelWithLostAnswers(t *testing.T) {
 	store := standin.NewState()
 	store.Silent = func(n int) bool { return n%2 == 0 }
 	leader := newStoredLeader(t, 1, store)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
+	ctx := t.Context()
 	for try := 0; !leader.persister.Restore(ctx); try++ {
 		if try == 3 {
 			t.Fatal("not restored")
 		}
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	go leader.persister.Run(ctx)
-	if r := leader.Poll(ctx, "j-000001"); r.Status != http.StatusNotFound {
-		t.Fatalf("unknown job: %d", r.Status)
+	start(t, leader.persister.Run)
+	if a := leader.Poll(ctx, "j-000001"); a.Status != http.StatusNotFound {
+		t.Fatalf("unknown job: %d", a.Status)
 	}
 	for _, id := range []string{"j-000001", "j-000002", "j-000003"} {
-		if r := leader.Submit(ctx, modelSpec(id)); r.Status != http.StatusCreated {
-			t.Fatalf("submit: %d %s", r.Status, r.Body)
+		if a := leader.Submit(ctx, modelSpec(id)); a.Status != http.StatusCreated {
+			t.Fatalf("submit: %d %s", a.Status, a.Body)
 		}
-		if r := leader.Submit(ctx, modelSpec(id)); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StagePending {
-			t.Fatalf("repeat: %d %s", r.Status, r.Body)
+		if a := leader.Submit(ctx, modelSpec(id)); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
+			t.Fatalf("duplicate: %d %s", a.Status, a.Body)
 		}
-		if r := leader.Cancel(ctx, id); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
-			t.Fatalf("cancel: %d %s", r.Status, r.Body)
+		if a := leader.Cancel(ctx, id); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+			t.Fatalf("cancel: %d %s", a.Status, a.Body)
 		}
-		if r := leader.Submit(ctx, modelSpec(id)); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageCancelled {
-			t.Fatalf("repeat after cancel: %d %s", r.Status, r.Body)
+		if a := leader.Submit(ctx, modelSpec(id)); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+			t.Fatalf("duplicate after cancel: %d %s", a.Status, a.Body)
 		}
 	}
-	// The final records are apart, and a restore does not read them.
-	deadline := time.Now().Add(5 * time.Second)
-	for len(store.Keys("final/")) < 3 && time.Now().Before(deadline) {
-		time.Sleep(10 * time.Millisecond)
-	}
-	if finals, live := store.Keys("final/"), store.Keys("job/"); len(finals) != 3 || len(live) != 0 {
-		t.Fatalf("finals %v, live %v", finals, live)
+	// The terminal records are apart, and a restore does not read them.
+	eventually(5*time.Second, func() bool { return len(store.Keys("final/")) >= 3 })
+	if terminal, live := store.Keys("final/"), store.Keys("job/"); len(terminal) != 3 || len(live) != 0 {
+		t.Fatalf("terminal %v, live %v", terminal, live)
 	}
 }
 
-// A later leader does not know finished jobs by heart: it must find them, for
-// polls and for repeated submissions whatever their body now says.
+// A later leader does not hold finished jobs in memory: it must find them, for
+// polls and for duplicate submissions whatever their body now says.
 func TestFinishedJobsAreFoundByLaterLeaders(t *testing.T) {
+	const id = "j-000007"
 	store := standin.NewState()
-	store.Put(storage.KeyTerminal("j-000007"), protocol.Encode(storage.TerminalRecord{
+	store.Put(storage.KeyTerminal(id), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
 		Tasks: 2,
 		Done:  2,
 	}))
 	leader := newStoredLeader(t, 3, store)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
+	ctx := t.Context()
 	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	go leader.persister.Run(ctx)
-	bad := modelSpec("j-000007")
-	bad.Team = "nobody"
-	for _, spec := range []*protocol.JobSpec{modelSpec("j-000007"), bad} {
-		if r := leader.Submit(ctx, spec); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageDone {
-			t.Fatalf("repeat: %d %s", r.Status, r.Body)
+	start(t, leader.persister.Run)
+	infeasible := modelSpec(id)
+	infeasible.Team = "nobody"
+	for _, spec := range []*protocol.JobSpec{modelSpec(id), infeasible} {
+		if a := leader.Submit(ctx, spec); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
+			t.Fatalf("duplicate: %d %s", a.Status, a.Body)
 		}
 		leader.terminals = persister.NewTerminalJobs(leader.state, leader.KV)
 	}
-	if r := leader.Poll(ctx, "j-000007"); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageDone {
-		t.Fatalf("poll: %d %s", r.Status, r.Body)
+	if a := leader.Poll(ctx, id); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
+		t.Fatalf("poll: %d %s", a.Status, a.Body)
 	}
-	if r := leader.records().poll(ctx, "j-000007"); r.Status != http.StatusOK || decodeState(t, r).Stage != protocol.StageDone {
-		t.Fatalf("stored poll: %d", r.Status)
+	if a := leader.records().poll(ctx, id); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
+		t.Fatalf("poll of the records: %d", a.Status)
 	}
-	if r := leader.records().poll(ctx, "j-000008"); r.Status != http.StatusNotFound {
-		t.Fatalf("stored poll of an unknown job: %d", r.Status)
+	if a := leader.records().poll(ctx, "j-000008"); a.Status != http.StatusNotFound {
+		t.Fatalf("poll of the records, unknown job: %d", a.Status)
 	}
 }
 
 // A record that cannot be read stops the restore and stays as it is.
-func TestUnreadableRecordIsLeftAlone(t *testing.T) {
+func TestUnreadableRecordStopsTheRestore(t *testing.T) {
 	store := standin.NewState()
-	raw := protocol.Encode(map[string]any{"v": 99, "id": "j-000001"})
-	store.Put(storage.KeyJob("j-000001"), raw)
+	record := protocol.Encode(map[string]any{"v": 99, "id": testJob})
+	store.Put(storage.KeyJob(testJob), record)
 	leader := newStoredLeader(t, 2, store)
 	if leader.persister.Restore(t.Context()) || leader.Ready() {
 		t.Fatal("led in spite of it")
 	}
-	if r := leader.Poll(t.Context(), "j-000001"); r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-		t.Fatalf("poll: %d", r.Status)
+	if a := leader.Poll(t.Context(), testJob); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+		t.Fatalf("poll: %d", a.Status)
 	}
-	if item, _ := store.Get(storage.KeyJob("j-000001")); string(item.Value) != string(raw) {
+	if item, _ := store.Get(storage.KeyJob(testJob)); string(item.Value) != string(record) {
 		t.Fatal("record was changed")
 	}
 }
@@ -116,57 +112,52 @@
 		t.Fatal("not restored")
 	}
 	leader.lease().Lost = true
-	for name, r := range map[string]answer.Answer{
-		"submit": leader.Submit(t.Context(), modelSpec("j-000001")),
-		"poll":   leader.Poll(t.Context(), "j-000001"),
-		"cancel": leader.Cancel(t.Context(), "j-000001"),
+	for name, a := range map[string]answer.Answer{
+		"submit": leader.Submit(t.Context(), modelSpec(testJob)),
+		"poll":   leader.Poll(t.Context(), testJob),
+		"cancel": leader.Cancel(t.Context(), testJob),
 	} {
-		if r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-			t.Errorf("%s: %d", name, r.Status)
+		if a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+			t.Errorf("%s: %d", name, a.Status)
 		}
 	}
-	if _, ok := leader.Heartbeat(t.Context(), &protocol.Heartbeat{
-		Machine:      "i-1",
-		InstanceType: "m",
-		Zone:         "a",
-		Incarnation:  1,
-		Sequence:     1,
-	}, nil); ok {
-		t.Error("a report was accepted")
+	if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-1", 1, 1, 0), nil); accepted {
+		t.Error("a heartbeat was accepted")
 	}
 }
 
-// The leader tells nothing of a job while its end or cancellation is in a save whose
-// outcome it does not know, and goes on to tell once it is known, either way.
-func TestLeaderIsSilentWhileAnEndIsStored(t *testing.T) {
-	for _, stored := range []bool{true, false} {
-		leader, clock := newLeaderWithJob(t, 2)
-		const id = "j-000001"
-		status := func() int {
-			a, found := leader.pollLive(id)
-			if !found {
-				t.Fatal("the job is not known")
+// The leader answers nothing about a job while its terminal state or cancellation is in a
+// write batch whose outcome it does not know, and answers again once it is known, either way.
+func TestPollIsUnavailableWhileTheEndIsInFlight(t *testing.T) {
+	for _, committed := range []bool{true, false} {
+		t.Run(fmt.Sprintf("committed=%v", committed), func(t *testing.T) {
+			leader, clock := newLeaderWithJob(t, 2)
+			status := func() int {
+				a, found := leader.pollLive(testJob)
+				if !found {
+					t.Fatal("the job is not known")
+				}
+				return a.Status
 			}
-			return a.Status
-		}
-		if got := status(); got != http.StatusOK {
-			t.Fatalf("a live job: %d", got)
-		}
-		leader.cancelJob(leader.state.Jobs[id])
-		if got := status(); got != http.StatusOK {
-			t.Errorf("a cancellation that nobody can have read: %d", got)
-		}
-		batch := leader.state.BuildWriteBatch(leader.persister.NextWriteID(), leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
-		if got := status(); got != http.StatusServiceUnavailable {
-			t.Errorf("its save is on its way: %d", got)
-		}
-		if stored {
-			leader.persister.BatchCommitted(batch, 5)
-		} else {
-			leader.state.BatchRefused(batch, clock.Now)
-		}
-		if got := status(); got != http.StatusOK {
-			t.Errorf("stored %v: %d", stored, got)
-		}
+			if got := status(); got != http.StatusOK {
+				t.Fatalf("a live job: %d", got)
+			}
+			leader.cancelJob(leader.state.Jobs[testJob])
+			if got := status(); got != http.StatusOK {
+				t.Errorf("a cancellation that nobody can have read: %d", got)
+			}
+			batch := leader.state.BuildWriteBatch(leader.persister.NextWriteID(), leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
+			if got := status(); got != http.StatusServiceUnavailable {
+				t.Errorf("its write batch is in flight: %d", got)
+			}
+			if committed {
+				leader.persister.BatchCommitted(batch, 5)
+			} else {
+				leader.state.BatchRefused(batch, clock.Now)
+			}
+			if got := status(); got != http.StatusOK {
+				t.Errorf("after the outcome is known: %d", got)
+			}
+		})
 	}
 }
