--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -25,39 +25,38 @@
 	}
 }
 
-// A report that shows nothing new, compared with the ledger and answered.
+// BenchmarkHeartbeat reconciles and answers a heartbeat that shows nothing new.
 func BenchmarkHeartbeat(b *testing.B) {
 	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
-			r := heartbeats[i%len(heartbeats)]
-			r.Sequence += 10
-			m := leader.reconciler.Reconcile(r, units.Second)
-			_ = leader.reconciler.Commands(m, r, units.Second)
+			heartbeat := heartbeats[i%len(heartbeats)]
+			heartbeat.Sequence += 10
+			machine := leader.reconciler.Reconcile(heartbeat, units.Second)
+			_ = leader.reconciler.Commands(machine, heartbeat, units.Second)
 		}
 	})
 }
 
-// The whole exchange of such a report over a kept connection: HTTP, echo and
-// CBOR on both sides, the client's share included.
+// BenchmarkExchange is the whole exchange of such a heartbeat over a kept connection: HTTP,
+// echo and CBOR on both sides, the client's share included.
 func BenchmarkExchange(b *testing.B) {
 	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		c := newTestController(leader)
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		ctx, cancel := context.WithCancel(b.Context())
-		defer cancel()
-		go func() { _ = c.server.Serve(ctx, l) }()
-		client := transport.NewClient(nil, l.Addr().String(), 1, protocol.MaxBody)
-		bolts := map[string]protocol.Raw{}
+		start(b, func(ctx context.Context) { _ = c.server.Serve(ctx, listener) })
+		client := transport.NewClient(nil, listener.Addr().String(), 1, protocol.MaxBody)
+		tasks := map[string]protocol.Raw{} // encoded, by machine
 		for i := 0; b.Loop(); i++ {
-			r := heartbeats[i%len(heartbeats)]
-			r.Sequence += 10
-			if bolts[r.Machine] == nil {
-				bolts[r.Machine] = encodeTasks(r)
+			heartbeat := heartbeats[i%len(heartbeats)]
+			heartbeat.Sequence += 10
+			if tasks[heartbeat.Machine] == nil {
+				tasks[heartbeat.Machine] = encodeTasks(heartbeat)
 			}
-			status, _, err := client.Do(ctx, http.MethodPost, protocol.PathHeartbeat, encodeHeartbeat(r, bolts[r.Machine]), 5*units.Second)
+			body := encodeHeartbeat(heartbeat, tasks[heartbeat.Machine])
+			status, _, err := client.Do(b.Context(), http.MethodPost, protocol.PathHeartbeat, body, 5*units.Second)
 			if err != nil || status != http.StatusOK {
 				b.Fatal(status, err)
 			}
@@ -65,17 +64,18 @@
 	})
 }
 
-// The end of a task is reported and the next one is placed in its stead.
+// BenchmarkPlaceOnMachine ends a task and places the next one in its stead.
 func BenchmarkPlaceOnMachine(b *testing.B) {
 	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
-			m := leader.state.Machines[heartbeats[i%len(heartbeats)].Machine]
-			leader.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-			leader.scheduler.PlaceOnMachine(m, units.Second)
+			machine := leader.state.Machines[heartbeats[i%len(heartbeats)].Machine]
+			leader.state.AttemptGone(machine.SortedAttempts()[0], units.Second)
+			leader.scheduler.PlaceOnMachine(machine, units.Second)
 		}
 	})
 }
 
+// BenchmarkCycle runs a whole scheduling cycle.
 func BenchmarkCycle(b *testing.B) {
 	perFleet(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
@@ -84,6 +84,7 @@
 	})
 }
 
+// BenchmarkWriteBatch writes the records of all jobs.
 func BenchmarkWriteBatch(b *testing.B) {
 	perFleet(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
@@ -92,19 +93,19 @@
 	})
 }
 
-// A restore reads every live job's record, and then each machine's report.
+// BenchmarkRestore reads every live job's record, and then reconciles each machine's heartbeat.
 func BenchmarkRestore(b *testing.B) {
 	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
-		rows := writeAllRecords(leader)
+		records := writeAllRecords(leader)
 		for b.Loop() {
 			later := newTestLeader(2, &standin.Clock{Now: units.Second})
-			jobs, _, err := cluster.ParseJobs(rows)
+			jobs, _, err := cluster.ParseJobs(records)
 			if err != nil {
 				b.Fatal(err)
 			}
 			later.persister.InstallRecords(jobs, protocol.Catalog{})
-			for _, r := range heartbeats {
-				later.reconciler.Reconcile(r, units.Second)
+			for _, heartbeat := range heartbeats {
+				later.reconciler.Reconcile(heartbeat, units.Second)
 			}
 		}
 	})
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -11,11 +11,11 @@
 	"dunestand/internal/units"
 )
 
-// While much waits, rounds come every 25 ms. Going over the whole fleet for what has
-// passed its time is not needed as often.
+// While much is pending, cycles run every 25 ms. Going over the whole fleet for what has
+// timed out is not needed as often.
 func TestTimeoutsAreCheckedFourTimesASecond(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
-	leader.lastSummary = clock.Now + units.Second // this term has no state service to count requests of
+	leader.lastSummary = clock.Now + units.Second // this leader has no key-value store to count requests of
 	checks := 0
 	for range 40 {
 		clock.Now += scheduler.MinCycleInterval
@@ -30,13 +30,13 @@
 	}
 }
 
-// The jobs that a controller takes are bounded by its memory. What one is reckoned to
-// take must leave room for everything else.
+// The jobs that a controller accepts are bounded by its memory. The estimate of what one
+// takes must leave room for everything else.
 func TestJobsAtTheBoundLeaveRoom(t *testing.T) {
-	const mostTaken = 0.5 // of what is reckoned
+	const maxShare = 0.5 // of the estimate
 	for _, c := range []struct{ jobs, tasks int }{{400, 1}, {400, 3000}, {20, protocol.MaxTasks}} {
 		leader, clock := newLeaderWithJob(t, 1)
-		before, reckonedBefore := heapInUse(), leader.state.Memory()
+		heapBefore, estimateBefore := heapInUse(), leader.state.Memory()
 		for i := range c.jobs {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+100))
 			spec.Tasks = c.tasks
@@ -46,14 +46,15 @@
 			}
 		}
 		writeAllRecords(leader)
-		taken, reckoned := float64(heapInUse()-before), float64(leader.state.Memory()-reckonedBefore)
-		if taken > reckoned*mostTaken {
-			t.Errorf("%d jobs of %d tasks take %.0f bytes, reckoned are %.0f", c.jobs, c.tasks, taken, reckoned)
+		taken, estimate := float64(heapInUse()-heapBefore), float64(leader.state.Memory()-estimateBefore)
+		if taken > estimate*maxShare {
+			t.Errorf("%d jobs of %d tasks take %.0f bytes, the estimate is %.0f", c.jobs, c.tasks, taken, estimate)
 		}
 		runtime.KeepAlive(leader)
 	}
 }
 
+// heapInUse returns the bytes of the heap that are in use, after a collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -61,37 +62,37 @@
 	return stats.HeapAlloc
 }
 
-// One report, the end of one task and one save cost the same however many
-// machines and jobs there are besides: a leader of a thousand machines takes in
-// hundreds of reports a second.
+// One heartbeat, the end of one task and one write batch cost the same however many
+// machines and jobs there are besides: a leader of a thousand machines handles
+// hundreds of heartbeats a second.
 func TestOneStepCostsTheSameInALargeFleet(t *testing.T) {
 	steps := func(machines int) map[string]float64 {
 		leader, heartbeats := newBusyLeader(machines)
 		i := 0
 		next := func() *protocol.Heartbeat {
 			i++
-			r := heartbeats[i%len(heartbeats)]
-			r.Sequence += 10
-			return r
+			heartbeat := heartbeats[i%len(heartbeats)]
+			heartbeat.Sequence += 10
+			return heartbeat
 		}
 		done := 0
 		return map[string]float64{
-			"report": testing.AllocsPerRun(100, func() {
-				r := next()
-				leader.reconciler.Commands(leader.reconciler.Reconcile(r, units.Second), r, units.Second)
+			"heartbeat": testing.AllocsPerRun(100, func() {
+				heartbeat := next()
+				leader.reconciler.Commands(leader.reconciler.Reconcile(heartbeat, units.Second), heartbeat, units.Second)
 			}),
 			"end of a task": testing.AllocsPerRun(100, func() {
-				m := leader.state.Machines[next().Machine]
-				leader.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-				leader.scheduler.PlaceOnMachine(m, units.Second)
+				machine := leader.state.Machines[next().Machine]
+				leader.state.AttemptGone(machine.SortedAttempts()[0], units.Second)
+				leader.scheduler.PlaceOnMachine(machine, units.Second)
 			}),
-			"save": testing.AllocsPerRun(100, func() {
+			"write batch": testing.AllocsPerRun(100, func() {
 				done++
-				j := leader.state.Jobs["j-000299"]
-				leader.state.TaskDone(j, done, units.Second)
-				j.MarkChanged(units.Second, true)
-				s := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{}, units.Second)
-				leader.state.BatchCommitted(s, 1)
+				job := leader.state.Jobs["j-000299"]
+				leader.state.TaskDone(job, done, units.Second)
+				job.MarkChanged(units.Second, true)
+				batch := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{}, units.Second)
+				leader.state.BatchCommitted(batch, 1)
 			}),
 		}
 	}
@@ -103,20 +104,20 @@
 	}
 }
 
-// A report that shows nothing new is compared with the ledger hundreds of times a
-// second on a small machine: it leaves nothing for the collector, however many tasks
-// the machine has and whatever would be logged of them.
+// A heartbeat that shows nothing new is reconciled hundreds of times a second by a leader on
+// a small machine: it leaves nothing for the collector, however many tasks the worker has and
+// whatever would be logged of them.
 func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
 	leader, heartbeats := newBusyLeader(20)
-	r := heartbeats[0]
-	if len(r.Tasks) < 10 {
-		t.Fatalf("the machine has only %d tasks", len(r.Tasks))
+	heartbeat := heartbeats[0]
+	if len(heartbeat.Tasks) < 10 {
+		t.Fatalf("the machine has only %d tasks", len(heartbeat.Tasks))
 	}
 	allocs := testing.AllocsPerRun(100, func() {
-		r.Sequence++
-		m := leader.reconciler.Reconcile(r, units.Second)
-		if out := leader.reconciler.Commands(m, r, units.Second); len(out) > 0 {
-			t.Errorf("commands for nothing new: %v", out)
+		heartbeat.Sequence++
+		machine := leader.reconciler.Reconcile(heartbeat, units.Second)
+		if commands := leader.reconciler.Commands(machine, heartbeat, units.Second); len(commands) > 0 {
+			t.Errorf("commands for nothing new: %v", commands)
 		}
 	})
 	if allocs > 0 {
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -15,74 +15,102 @@
 )
 
 // Under an overload that goes on, with jobs of all sizes and priorities coming
-// faster than they can be served, each job still begins within four minutes.
+// faster than they can be served, each job still starts within four minutes.
 // By the order alone what is late waits behind all that comes after it.
-func TestEveryJobBeginsUnderOverload(t *testing.T) {
+func TestEveryJobStartsUnderOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		clock := &standin.Clock{Now: 100 * units.Second}
-		leader := newTestLeader(7, clock)
-		leader.persister.InstallRecords(nil, modelCatalog)
-		due := map[string]units.Micros{}
-		ends := map[cluster.AttemptKey]units.Micros{}
-		lasts := rapid.SliceOfN(rapid.IntRange(2, 8), 20, 20).Draw(t, "run times")
-		every := rapid.IntRange(10, 20).Draw(t, "seconds between jobs")
+		leader, clock := newEmptyLeader(7, 100*units.Second)
+		fleet := &overloadedFleet{
+			leader:    leader,
+			clock:     clock,
+			runTimes:  rapid.SliceOfN(rapid.IntRange(2, 8), 20, 20).Draw(t, "run times"),
+			endsAt:    map[cluster.AttemptKey]units.Micros{},
+			deadlines: map[string]units.Micros{},
+		}
+		interval := rapid.IntRange(10, 20).Draw(t, "seconds between jobs")
 		for step := range 400 {
 			clock.Now += units.Second
-			if step%every == 0 {
-				spec := *modelSpec(fmt.Sprintf("j-%06d", step))
-				spec.Tasks = rapid.IntRange(40, 90).Draw(t, "tasks")
-				spec.Request = standin.CPUs(rapid.IntRange(1, 3).Draw(t, "cpus"))
-				spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
-				spec.Estimate = 5 * units.Second
-				leader.state.NewJob(spec, clock.Now, clock.Now)
-				due[spec.ID] = clock.Now + 240*units.Second
-				leader.commitWrites()
+			if step%interval == 0 {
+				fleet.submit(t, fmt.Sprintf("j-%06d", step))
 			}
-			for i := range 2 {
-				r := testHeartbeat(fmt.Sprintf("i-%06d", i), 1, uint64(step+1), 7)
-				if m := leader.state.Machines[r.Machine]; m != nil {
-					for _, a := range m.SortedAttempts() {
-						if a.Stage == cluster.Assigned {
-							continue
-						}
-						key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
-						task := protocol.TaskStatus{
-							Job:     key.Job,
-							Index:   key.Index,
-							Attempt: key.Number,
-							Stage:   protocol.TaskRunning,
-						}
-						if a.Stopping || clock.Now >= ends[key] {
-							task.Stage, task.Cause = protocol.TaskExited, protocol.CauseDone
-						}
-						r.Tasks = append(r.Tasks, task)
-					}
-				}
-				m := leader.reconciler.Reconcile(r, clock.Now)
-				if step%3 == 0 {
-					leader.scheduler.RunCycle(clock.Now, m)
-				} else {
-					leader.scheduler.PlaceOnMachine(m, clock.Now)
-				}
-				leader.commitWrites()
-				leader.reconciler.Commands(m, r, clock.Now)
-				for _, a := range m.SortedAttempts() {
-					key := cluster.AttemptKey{Job: a.Job.Spec.ID, Index: a.Index, Number: a.Number}
-					if a.Stage != cluster.Assigned && ends[key] == 0 {
-						ends[key] = clock.Now + units.Second*units.Micros(lasts[int(a.Number)%len(lasts)])
-						delete(due, key.Job)
-					}
-				}
+			for machine := range 2 {
+				fleet.exchange(machine, step)
 			}
-			for id, at := range due {
-				if clock.Now > at {
-					t.Fatalf("%s of %d processors a task has not begun in four minutes", id, leader.state.Jobs[id].Spec.Request.CPU/1_000_000)
+			for id, deadline := range fleet.deadlines {
+				if clock.Now > deadline {
+					t.Fatalf("%s of %d processors a task has not started in four minutes", id, leader.state.Jobs[id].Spec.Request.CPU/1_000_000)
 				}
 			}
 		}
 	})
 }
 
+// overloadedFleet is the workers of machines that are given more than they can serve.
+type overloadedFleet struct {
+	leader    *Leader
+	clock     *standin.Clock
+	runTimes  []int // in seconds, drawn from by attempt number
+	endsAt    map[cluster.AttemptKey]units.Micros
+	deadlines map[string]units.Micros // until when each job that has not started must start
+}
+
+// submit submits a job that must start within four minutes.
+func (f *overloadedFleet) submit(t *rapid.T, id string) {
+	spec := *modelSpec(id)
+	spec.Tasks = rapid.IntRange(40, 90).Draw(t, "tasks")
+	spec.Request = standin.CPUs(rapid.IntRange(1, 3).Draw(t, "cpus"))
+	spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
+	spec.Estimate = 5 * units.Second
+	f.leader.state.NewJob(spec, f.clock.Now, f.clock.Now)
+	f.deadlines[id] = f.clock.Now + 240*units.Second
+	f.leader.commitWrites()
+}
+
+// exchange has a machine send the heartbeat of a step. In every third step the leader runs a
+// whole cycle.
+func (f *overloadedFleet) exchange(machineIndex, step int) {
+	leader, now := f.leader, f.clock.Now
+	heartbeat := testHeartbeat(machineID(machineIndex), 1, uint64(step+1), 7)
+	if machine := leader.state.Machines[heartbeat.Machine]; machine != nil {
+		heartbeat.Tasks = f.taskStatuses(machine)
+	}
+	machine := leader.reconciler.Reconcile(heartbeat, now)
+	if step%3 == 0 {
+		leader.scheduler.RunCycle(now, machine)
+	} else {
+		leader.scheduler.PlaceOnMachine(machine, now)
+	}
+	leader.commitWrites()
+	leader.reconciler.Commands(machine, heartbeat, now)
+	for _, attempt := range machine.SortedAttempts() {
+		key := attemptKey(attempt)
+		if attempt.Stage != cluster.Assigned && f.endsAt[key] == 0 {
+			f.endsAt[key] = now + units.Second*units.Micros(f.runTimes[int(attempt.Number)%len(f.runTimes)])
+			delete(f.deadlines, key.Job)
+		}
+	}
+}
+
+// taskStatuses returns the statuses of the attempts that were sent to a machine.
+func (f *overloadedFleet) taskStatuses(machine *cluster.Machine) []protocol.TaskStatus {
+	var statuses []protocol.TaskStatus
+	for _, attempt := range machine.SortedAttempts() {
+		if attempt.Stage == cluster.Assigned {
+			continue
+		}
+		status := runningStatus(attempt)
+		if attempt.Stopping || f.clock.Now >= f.endsAt[attemptKey(attempt)] {
+			status.Stage, status.Cause = protocol.TaskExited, protocol.CauseDone
+		}
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
+
+func attemptKey(attempt *cluster.Attempt) cluster.AttemptKey {
+	return cluster.AttemptKey{Job: attempt.Job.Spec.ID, Index: attempt.Index, Number: attempt.Number}
+}
+
 // When more is to be written than may be, what a user waits for goes first.
 func TestUserRequestsAreWrittenFirst(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
@@ -90,15 +118,15 @@
 		leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 	}
 	leader.commitWrites()
-	for _, j := range leader.state.Jobs {
-		leader.state.TaskDone(j, 0, clock.Now)
-		j.MarkChanged(clock.Now, true)
+	for _, job := range leader.state.Jobs {
+		leader.state.TaskDone(job, 0, clock.Now)
+		job.MarkChanged(clock.Now, true)
 	}
 	clock.Now += units.Second
 	leader.state.NewJob(*modelSpec("j-000100"), clock.Now, clock.Now)
 	leader.cancelJob(leader.state.Jobs["j-000030"])
-	s := leader.state.BuildWriteBatch("x", leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
-	if first := s.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
-		t.Errorf("saved first: %v", first)
+	batch := leader.state.BuildWriteBatch("x", leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
+	if first := batch.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
+		t.Errorf("written first: %v", first)
 	}
 }
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -1,7 +1,8 @@
 package controller
 
 import (
-	"fmt"
+	"maps"
+	"slices"
 	"testing"
 
 	"dunestand/internal/cluster"
@@ -12,8 +13,8 @@
 )
 
 // A replica that ends runs again, with an error or without, and the job is never
-// done, not even by what an older version or a late copy of a report says. Its
-// zones are kept apart at every start.
+// done, not even by what an older version or a late copy of a heartbeat shows. Its
+// replicas are spread over the zones at every start.
 func TestReplicasRunAgain(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 4, true)
 	fleet.exchangeAll()
@@ -23,9 +24,9 @@
 	for range 30 {
 		fleet.exchangeAll()
 	}
-	on, _ := fleet.where("j-000001", 2)
+	on, _ := fleet.where(testJob, 2)
 	late := *fleet.machines[on]
-	late.Tasks = append([]protocol.TaskStatus{}, late.Tasks...)
+	late.Tasks = slices.Clone(late.Tasks)
 	for i, cause := range []protocol.ExitCause{protocol.CauseDone, protocol.CauseError, protocol.CauseDone, protocol.CauseDone} {
 		fleet.end(i, cause)
 	}
@@ -36,54 +37,54 @@
 	if fleet.running() != 4 || fleet.zones()["a"] != 2 || fleet.started != 8 {
 		t.Errorf("%d run in %v, %d were started", fleet.running(), fleet.zones(), fleet.started)
 	}
-	j := leader.state.Jobs["j-000001"]
-	if j.Complete() || j.DoneCount() != 0 || j.IsDone(0) {
+	job := leader.state.Jobs[testJob]
+	if job.Complete() || job.DoneCount() != 0 || job.IsDone(0) {
 		t.Error("the service counts as done")
 	}
-	if s := decodeState(t, leader.Poll(t.Context(), "j-000001")); s.Stage != protocol.StageRunning {
-		t.Errorf("its user is told %s", s.Stage)
+	if state := decodeState(t, leader.Poll(t.Context(), testJob)); state.Stage != protocol.StageRunning {
+		t.Errorf("its user is told %s", state.Stage)
 	}
 }
 
-// A replica that keeps ending is started ever more slowly; one that ran for a
-// while comes back at once.
+// A replica that keeps exiting is restarted ever more slowly; one that ran for a
+// while is restarted at once.
 func TestReplicasThatKeepEndingBackOff(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 1, false)
 	for range 120 {
 		fleet.exchangeAll()
-		if on, _ := fleet.where("j-000001", 0); on != "" {
+		if on, _ := fleet.where(testJob, 0); on != "" {
 			fleet.end(0, protocol.CauseDone)
 		}
 	}
 	if fleet.started < 4 || fleet.started > 15 {
 		t.Errorf("%d starts in 120 s", fleet.started)
 	}
-	for range 60 { // it is in order now
+	for range 60 { // it runs on now
 		fleet.exchangeAll()
 	}
 	before := fleet.started
 	fleet.end(0, protocol.CauseError)
 	fleet.exchangeAll()
-	if on, _ := fleet.where("j-000001", 0); on == "" || fleet.started != before+1 {
-		t.Errorf("it is not started at once after a long run: retry in %d ms", (leader.state.Jobs["j-000001"].RetryAt-fleet.clock.Now)/units.Millisecond)
+	if on, _ := fleet.where(testJob, 0); on == "" || fleet.started != before+1 {
+		t.Errorf("it is not started at once after a long run: retry in %d ms", (leader.state.Jobs[testJob].RetryAt-fleet.clock.Now)/units.Millisecond)
 	}
 }
 
-// A replica leaves a machine that is about to go as soon as the notice comes, and
+// A replica leaves a machine that is about to be terminated as soon as the notice comes, and
 // runs elsewhere once it is known to be gone from there; one whose machine is lost
 // does once that is certain. While its zone is gone, no more than half are in the
 // other one.
 func TestReplicasLeaveMachines(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, true)
 	fleet.exchangeAll()
-	on, _ := fleet.where("j-000001", 0)
+	on, _ := fleet.where(testJob, 0)
 	fleet.machines[on].TerminationNoticed, fleet.machines[on].TerminationIn = true, 12*units.Second
 	fleet.exchangeAll()
 	fleet.exchangeAll()
-	if now, _ := fleet.where("j-000001", 0); now == on || now == "" || fleet.running() != 2 {
+	if now, _ := fleet.where(testJob, 0); now == on || now == "" || fleet.running() != 2 {
 		t.Errorf("replica 0 is on %q, was on %s", now, on)
 	}
-	gone, _ := fleet.where("j-000001", 0)
+	gone, _ := fleet.where(testJob, 0)
 	zone := fleet.machines[gone].Zone
 	lost := map[string]*protocol.Heartbeat{}
 	for id, heartbeat := range fleet.machines {
@@ -91,9 +92,7 @@
 			lost[id] = heartbeat
 		}
 	}
-	for id := range lost {
-		delete(fleet.machines, id)
-	}
+	maps.DeleteFunc(fleet.machines, func(id string, _ *protocol.Heartbeat) bool { return lost[id] != nil })
 	for range 25 {
 		fleet.exchangeAll()
 		leader.detector.ExpireLeases(clock.Now)
@@ -103,7 +102,7 @@
 	}
 	for id, heartbeat := range lost {
 		fleet.machines[id] = heartbeat
-		heartbeat.Incarnation, heartbeat.Tasks = heartbeat.Incarnation+1, nil // its lease has run out
+		heartbeat.Incarnation, heartbeat.Tasks = heartbeat.Incarnation+1, nil // its lease has expired
 	}
 	fleet.exchangeAll()
 	fleet.exchangeAll()
@@ -112,15 +111,15 @@
 	}
 }
 
-// A service is over when its user cancels it, also in the midst of a replica's
-// restart and over a change of leader: nothing of it starts after that.
+// A service ends when its user cancels it, also in the midst of a replica's
+// restart: nothing of it starts after that.
 func TestCancelledServicesEnd(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 3, false)
 	fleet.exchangeAll()
 	fleet.end(1, protocol.CauseError)
-	fleet.exchangeAll() // the start of replica 1 may be on its way
-	j := leader.state.Jobs["j-000001"]
-	leader.cancelJob(j)
+	fleet.exchangeAll() // the start of replica 1 may be in flight
+	job := leader.state.Jobs[testJob]
+	leader.cancelJob(job)
 	started := fleet.started
 	for range 5 {
 		fleet.exchangeAll()
@@ -129,24 +128,24 @@
 	if fleet.started > started || fleet.zones()["a"]+fleet.zones()["b"] != 0 {
 		t.Errorf("%d starts after the cancellation, replicas in %v", fleet.started-started, fleet.zones())
 	}
-	if !j.CancelDurable || leader.state.Jobs["j-000001"] != nil {
-		t.Error("it is not over")
+	if !job.CancelDurable || leader.state.Jobs[testJob] != nil {
+		t.Error("it has not ended")
 	}
 }
 
 // A record of a service that a version before has taken for an array, with some
 // tasks done, is that of a service all the same, and all its replicas run.
 func TestServicesAreRestoredAsServices(t *testing.T) {
-	spec := *modelSpec("j-000001")
+	spec := *modelSpec(testJob)
 	spec.Tasks = 3
 	writer := newTestLeader(7, &standin.Clock{Now: units.Second})
 	writer.state.NewJob(spec, 0, 0)
-	s := writer.state.BuildWriteBatch("1-1", writer.persister.BucketVersions(), cluster.BatchLimits{}, 0)
-	writer.state.BatchCommitted(s, 1)
+	batch := writer.state.BuildWriteBatch("1-1", writer.persister.BucketVersions(), cluster.BatchLimits{}, 0)
+	writer.state.BatchCommitted(batch, 1)
 	writer.state.TaskDone(writer.state.Jobs[spec.ID], 1, 0)
-	s = writer.state.BuildWriteBatch("1-2", writer.persister.BucketVersions(), cluster.BatchLimits{Background: true}, 10*units.Second)
+	batch = writer.state.BuildWriteBatch("1-2", writer.persister.BucketVersions(), cluster.BatchLimits{Background: true}, 10*units.Second)
 	var fields map[string]any
-	if err := protocol.Decode(s.Txn.Then[0].Value, &fields); err != nil {
+	if err := protocol.Decode(batch.Txn.Then[0].Value, &fields); err != nil {
 		t.Fatal(err)
 	}
 	fields["shape"] = uint8(protocol.Service)
@@ -158,19 +157,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j := jobs[0]; !j.IsService() || j.DoneCount() != 0 || j.Pending() != 3 || j.Complete() {
-		t.Errorf("%d done, %d pending", j.DoneCount(), j.Pending())
+	if job := jobs[0]; !job.IsService() || job.DoneCount() != 0 || job.Pending() != 3 || job.Complete() {
+		t.Errorf("%d done, %d pending", job.DoneCount(), job.Pending())
 	}
 }
 
-// What is urgent does not wait for a report that is seconds away: a stop goes
-// straight to the worker. A start never does: the machine is woken by one that no
+// What is urgent does not wait for a heartbeat that is seconds away: a stop is
+// pushed to the worker. A start never is: the machine is woken by one that no
 // worker carries out, whenever it comes, since the job has no such task.
-func TestDirectCommandsStartNothing(t *testing.T) {
+func TestPushedCommandsStartNothing(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, false)
 	leader.Settings.Fleet.Workers.ReportS = 5
 	for _, heartbeat := range fleet.machines {
-		heartbeat.Endpoint = "127.0.0.1:1"
+		heartbeat.Endpoint = unusedAddress
 		heartbeat.Sequence++
 		leader.reconciler.Reconcile(heartbeat, clock.Now)
 	}
@@ -184,36 +183,35 @@
 	}
 	for id, startOf := range requests {
 		_, body := leader.pusher.Commands(id, startOf)
-		var d protocol.DirectCommands
-		if err := protocol.Decode(body, &d); err != nil {
+		var pushed protocol.DirectCommands
+		if err := protocol.Decode(body, &pushed); err != nil {
 			t.Fatal(err)
 		}
-		if d.FencingToken != 7 || d.Incarnation != 1 || len(d.Commands) != 1 || d.Commands[0].Verb != protocol.VerbStart || d.Commands[0].Task != "j-000001/2" {
-			t.Errorf("%s is told %+v", id, d)
+		if pushed.FencingToken != 7 || pushed.Incarnation != 1 || len(pushed.Commands) != 1 || pushed.Commands[0].Verb != protocol.VerbStart || pushed.Commands[0].Task != testJob+"/2" {
+			t.Errorf("%s is sent %+v", id, pushed)
 		}
 	}
-	a := leader.state.Jobs["j-000001"].LiveAttempts[0]
-	a.Stage = cluster.Running
-	leader.state.StopAttempt(a, units.Second)
-	if _, body := leader.pusher.Commands(a.Machine.ID, nil); body == nil {
+	attempt := leader.state.Jobs[testJob].LiveAttempts[0]
+	attempt.Stage = cluster.Running
+	leader.state.StopAttempt(attempt, units.Second)
+	if _, body := leader.pusher.Commands(attempt.Machine.ID, nil); body == nil {
 		t.Error("the stop waits")
 	}
-	// One more task than a job may have is no task: a report that named it would
+	// One more task than a job may have is no task: a heartbeat that named it would
 	// be refused for ever.
-	huge := *leader.state.Jobs["j-000001"]
+	huge := *leader.state.Jobs[testJob]
 	huge.Spec.Tasks = protocol.MaxTasks
 	if _, body := leader.pusher.Commands("i-000003", &huge); body != nil {
 		t.Error("a machine is woken with a task beyond the last number")
 	}
 }
 
-// Services never end, so they must not keep the reserve rented for ever: once
-// nothing else is left, the fleet shrinks to what they need and room for those
-// that may be lost.
+// Services never end, so they must not keep the reserve for ever: once nothing else is
+// left, the fleet scales in to what they need and capacity for those that may be lost.
 func TestServicesDoNotKeepTheReserve(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, false)
 	for i := range 30 {
-		heartbeat := testHeartbeat(fmt.Sprintf("i-%06d", 100+i), 1, 0, 7)
+		heartbeat := testHeartbeat(machineID(100+i), 1, 0, 7)
 		fleet.machines[heartbeat.Machine] = heartbeat
 	}
 	leader.state.Teams["team"].GuaranteedQuota, leader.state.Teams["team"].QuotaLimit = standin.CPUs(100), standin.CPUs(200)
@@ -223,7 +221,7 @@
 		fleet.exchangeAll()
 	}
 	if got := len(leader.autoscaler.IdleMachines(clock.Now)); got != 0 || leader.autoscaler.PolicyInput().QuietS != 0 {
-		t.Errorf("%d machines are returned while there is work", got)
+		t.Errorf("%d machines are idle while there is work", got)
 	}
 	leader.state.TaskDone(leader.state.Jobs["j-000002"], 0, clock.Now)
 	leader.state.TaskDone(leader.state.Jobs["j-000002"], 1, clock.Now)
@@ -232,6 +230,6 @@
 	}
 	// 34 machines of 4 processors; two replicas, and two spare ones in the zone.
 	if got := len(leader.autoscaler.IdleMachines(clock.Now)); got < 28 || got > 32 {
-		t.Errorf("%d machines are returned", got)
+		t.Errorf("%d machines are idle", got)
 	}
 }
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -9,16 +9,16 @@
 	"dunestand/internal/sorted"
 )
 
-// While machines are unconfirmed, a leader's regular look at the fleet costs no
+// While machines are unreconciled, a leader's regular check of the fleet costs no
 // more for all that the records name: it once gathered every name of every job
-// each time, 40 times a second, when a term begins and there is most to do.
+// each time, 40 times a second, just after a failover, when there is most to do.
 func TestUnreconciledMachinesCostNothing(t *testing.T) {
 	allocs := func(jobs, machines int) float64 {
 		leader, clock := newLeaderWithJob(t, 1)
 		for i := range jobs {
-			j := leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
+			job := leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 			for k := range machines {
-				leader.state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
+				leader.state.MarkUnreconciled(job, machineID(k))
 			}
 		}
 		return testing.AllocsPerRun(20, func() { leader.detector.ExpireLeases(clock.Now) })
@@ -28,8 +28,8 @@
 	}
 }
 
-// Each machine that is confirmed is struck off the jobs that name it and no others;
-// the last one leaves nothing unconfirmed, whatever became of the jobs meanwhile.
+// Each machine that is reconciled is removed from the jobs that name it and from no others;
+// the last one leaves nothing unreconciled, whatever became of the jobs meanwhile.
 func TestUnreconciledEndsWithMachinesAndJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		leader, clock := newLeaderWithJob(t, 1)
@@ -37,17 +37,17 @@
 		named := map[string]map[string]bool{}
 		for i := range rapid.IntRange(1, 8).Draw(rt, "jobs") {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
-			j := state.NewJob(spec, clock.Now, clock.Now)
+			job := state.NewJob(spec, clock.Now, clock.Now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
-				state.MarkUnreconciled(j, fmt.Sprintf("i-%06d", k))
+				state.MarkUnreconciled(job, machineID(k))
 			}
-			named[spec.ID] = j.UnreconciledMachines
+			named[spec.ID] = job.UnreconciledMachines
 		}
 		for _, k := range rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}).Draw(rt, "order") {
-			id := fmt.Sprintf("i-%06d", k)
+			id := machineID(k)
 			want := 0
-			for _, j := range state.Jobs {
-				if len(j.UnreconciledMachines) > 0 {
+			for _, job := range state.Jobs {
+				if len(job.UnreconciledMachines) > 0 {
 					want++
 				}
 			}
@@ -56,7 +56,7 @@
 				got++
 			}
 			if got != want {
-				rt.Fatalf("%d jobs unconfirmed, %d name machines", got, want)
+				rt.Fatalf("%d jobs unreconciled, %d name machines", got, want)
 			}
 			if jobs := sorted.Keys(named); len(jobs) > 0 && rapid.Bool().Draw(rt, "a job ends first") {
 				state.DropUnaccepted(jobs[0])
@@ -64,11 +64,11 @@
 			}
 			state.MarkReconciled(id)
 			if state.IsUnreconciled(id) {
-				rt.Fatal("a confirmed machine is unconfirmed")
+				rt.Fatal("a reconciled machine is unreconciled")
 			}
 		}
 		if state.UnreconciledCount() != 0 || len(state.UnreconciledMachines()) != 0 {
-			rt.Fatalf("still unconfirmed: %v", state.UnreconciledMachines())
+			rt.Fatalf("still unreconciled: %v", state.UnreconciledMachines())
 		}
 	})
 }
