--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -33,18 +34,8 @@
 	}
 	fillQuota(t, leader)
 	// Even while the record cannot be read again, the job is not written by the new plan.
-	unread := make(chan struct{})
-	store.Refuse = func(method, _ string) bool {
-		if method != http.MethodGet {
-			return false
-		}
-		select {
-		case <-unread:
-			return false
-		default:
-			return true
-		}
-	}
+	var readable atomic.Bool
+	store.Refuse = func(method, _ string) bool { return method == http.MethodGet && !readable.Load() }
 	conflicted := make(chan struct{})
 	go func() {
 		defer close(conflicted)
@@ -57,7 +48,7 @@
 			break
 		}
 	}
-	close(unread)
+	readable.Store(true)
 	<-conflicted
 	if _, stored := store.Get(storage.KeyJob(testJob)); stored {
 		t.Error("the job was stored by a plan that has been replaced")
@@ -119,7 +110,7 @@
 	c.deps.Admitter = admitter
 	submit := func(id, team string) int {
 		spec := admittedSpec(id, team, 1)
-		return c.submit(t.Context(), encodeSubmission(spec, team), true).Status
+		return c.submit(t.Context(), encodeSubmission(spec, team), fromUser).Status
 	}
 	follower := admissioncontrol.NewPlanFollower(admitter)
 	learn := func() {
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -92,75 +92,86 @@
 			Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 		}
 	})
-	ctx := t.Context()
-	if !leader.persister.Restore(ctx) {
+	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	start(t, leader.persister.Run)
-	submit := func(id string, tasks int) {
-		t.Helper()
-		spec := *modelSpec(id)
-		spec.Tasks = tasks
-		for try := 0; ; try++ {
-			if a := leader.Submit(ctx, &spec); a.Status == http.StatusCreated || a.Status == http.StatusOK {
-				return
-			} else if try == 20 {
-				t.Fatalf("%s: %d %s", id, a.Status, a.Body)
-			}
-			time.Sleep(50 * time.Millisecond)
-		}
-	}
-	const patience = 20 * time.Second
-	expect := func(condition func() bool) {
-		t.Helper()
-		if !eventually(patience, func() bool {
-			leader.state.Lock()
-			defer leader.state.Unlock()
-			return condition()
-		}) {
-			t.Fatal("not written")
-		}
-	}
-	const large = testJob
-	submit(large, protocol.MaxTasks)
-	assign := func(from, to int) {
-		leader.state.Lock()
-		defer leader.state.Unlock()
-		for i := from; i < to; i++ {
-			leader.state.Assign(leader.state.Jobs[large], leader.state.EnsureMachine(machineID(i), "m", "a", true, 0), uint64(i+1), 0)
-		}
-		leader.writeSignal.Raise()
-	}
-	durable := func(to int) func() bool {
-		return func() bool { return leader.state.Jobs[large].MachineIsDurable(machineID(to - 1)) }
+	durable := func(machines int) func() bool {
+		return func() bool { return leader.state.Jobs[testJob].MachineIsDurable(machineID(machines - 1)) }
 	}
-	assign(0, 300)
-	expect(durable(300))
+	submitUntilAccepted(t, leader, testJob, protocol.MaxTasks)
+	assignMachines(leader, 0, 300)
+	expectWritten(t, leader, durable(300))
 	store.Limit(2<<10, 4, 600)
-	assign(300, 310) // its record is too large by now; the rest goes on
+	assignMachines(leader, 300, 310) // the job's record is too large by now; the rest goes on
 	for i := range 10 {
-		submit(fmt.Sprintf("j-%06d", i+10), 3)
+		submitUntilAccepted(t, leader, fmt.Sprintf("j-%06d", i+10), 3)
 	}
 	time.Sleep(2 * persister.RejectedRetryDelay.Duration())
 	if n := store.Rejected(); n == 0 || n > 3 {
 		t.Errorf("%d write batches were rejected", n)
 	}
 	leader.setFormat(storage.FormatNew)
-	expect(durable(310))
-	assign(310, 900)
-	expect(durable(900))
+	expectWritten(t, leader, durable(310))
+	assignMachines(leader, 310, 900)
+	expectWritten(t, leader, durable(900))
+	completeAllTasks(leader)
+	expectWritten(t, leader, func() bool { return leader.state.Jobs[testJob] == nil })
+	if !eventually(writePatience, func() bool { return len(store.Keys(storage.KeyJob(testJob))) == 0 }) {
+		t.Fatalf("left over: %v", store.Keys(storage.KeyJob(testJob)))
+	}
+	if record, found, err := persister.ReadTerminal(t.Context(), leader.KV, testJob); err != nil || !found || record.Stage != protocol.StageDone || record.Done != protocol.MaxTasks {
+		t.Errorf("%+v %v %v", record, found, err)
+	}
+}
+
+// submitUntilAccepted submits a job, and again while it is refused, for 20 times at most.
+func submitUntilAccepted(t *testing.T, leader *Leader, id string, tasks int) {
+	t.Helper()
+	spec := *modelSpec(id)
+	spec.Tasks = tasks
+	for try := 0; ; try++ {
+		if a := leader.Submit(t.Context(), &spec); a.Status == http.StatusCreated || a.Status == http.StatusOK {
+			return
+		} else if try == 20 {
+			t.Fatalf("%s: %d %s", id, a.Status, a.Body)
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// writePatience is how long tests wait for what the persister is to write.
+const writePatience = 20 * time.Second
+
+// expectWritten waits until a condition holds, which is checked under the lock of state.
+func expectWritten(t *testing.T, leader *Leader, condition func() bool) {
+	t.Helper()
+	if !eventually(writePatience, func() bool {
+		leader.state.Lock()
+		defer leader.state.Unlock()
+		return condition()
+	}) {
+		t.Fatal("not written")
+	}
+}
+
+// assignMachines assigns a task of testJob to each of some machines.
+func assignMachines(leader *Leader, from, to int) {
 	leader.state.Lock()
-	for i := range protocol.MaxTasks {
-		leader.state.TaskDone(leader.state.Jobs[large], i, 0)
+	defer leader.state.Unlock()
+	for i := from; i < to; i++ {
+		leader.state.Assign(leader.state.Jobs[testJob], leader.state.EnsureMachine(machineID(i), "m", "a", true, 0), uint64(i+1), 0)
 	}
-	leader.state.Unlock()
 	leader.writeSignal.Raise()
-	expect(func() bool { return leader.state.Jobs[large] == nil })
-	if !eventually(patience, func() bool { return len(store.Keys(storage.KeyJob(large))) == 0 }) {
-		t.Fatalf("left over: %v", store.Keys(storage.KeyJob(large)))
-	}
-	if record, found, err := persister.ReadTerminal(ctx, leader.KV, large); err != nil || !found || record.Stage != protocol.StageDone || record.Done != protocol.MaxTasks {
-		t.Errorf("%+v %v %v", record, found, err)
+}
+
+// completeAllTasks has all tasks of testJob done.
+func completeAllTasks(leader *Leader) {
+	leader.state.Lock()
+	defer leader.state.Unlock()
+	for i := range protocol.MaxTasks {
+		leader.state.TaskDone(leader.state.Jobs[testJob], i, 0)
 	}
+	leader.writeSignal.Raise()
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -9,12 +9,11 @@
 	"dunestand/internal/transport"
 )
 
-// forward sends a request on to the leader, once: a request that came from another
-// controller (allowed is false) is not forwarded again. A leader that has not answered for
-// a while is not waited for.
-func (c *Controller) forward(ctx context.Context, allowed bool, kind protocol.FrameKind, id string, body []byte) answer.Answer {
+// forward sends a request on to the leader, once: a request that came from another controller
+// is not forwarded again. A leader that has not answered for a while is not waited for.
+func (c *Controller) forward(ctx context.Context, origin requestOrigin, kind protocol.FrameKind, id string, body []byte) answer.Answer {
 	leader := c.leaderName()
-	if !allowed || leader == c.deps.Settings.Node || !c.peers.Reachable(leader) {
+	if origin == fromPeer || leader == c.deps.Settings.Node || !c.peers.Reachable(leader) {
 		return answer.Unavailable("no leader in reach")
 	}
 	sentAt := c.deps.Clock.Steady()
@@ -38,11 +37,11 @@
 		var a answer.Answer
 		switch frame.Kind {
 		case protocol.FrameSubmit:
-			a = c.submit(ctx, frame.Body, false)
+			a = c.submit(ctx, frame.Body, fromPeer)
 		case protocol.FramePoll:
-			a = c.poll(ctx, frame.Job, false)
+			a = c.poll(ctx, frame.Job, fromPeer)
 		default:
-			a = c.cancel(ctx, frame.Job, false)
+			a = c.cancel(ctx, frame.Job, fromPeer)
 		}
 		return c.gate().Check(a)
 	})
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -56,7 +56,7 @@
 		t.Error("it counts as healthy")
 	}
 	startedAt := time.Now()
-	if a := c.poll(t.Context(), testJob, true); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+	if a := c.poll(t.Context(), testJob, fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("poll: %d", a.Status)
 	}
 	if took := time.Since(startedAt); took > 500*time.Millisecond {
@@ -92,7 +92,7 @@
 	if !eventually(10*time.Second, func() bool { return c.redirectTarget() == "next" }) {
 		t.Fatalf("workers are redirected to %q", c.redirectTarget())
 	}
-	if a := c.poll(t.Context(), testJob, true); a.Status != http.StatusOK {
+	if a := c.poll(t.Context(), testJob, fromUser); a.Status != http.StatusOK {
 		t.Errorf("poll: %d %s", a.Status, a.Body)
 	}
 	if response := c.health(); response.Status != http.StatusOK {
--- a/internal/controller/jobhandlers.go
+++ b/internal/controller/jobhandlers.go
@@ -8,20 +8,28 @@
 	"dunestand/internal/protocol"
 )
 
-// submit answers a user's submission. A node that does not lead forwards it if forward is
-// set, and may accept the job by itself if no leader is in reach.
-func (c *Controller) submit(ctx context.Context, body []byte, forward bool) answer.Answer {
+// requestOrigin says who sent a request.
+type requestOrigin uint8
+
+const (
+	fromUser requestOrigin = iota // it may be forwarded to the leader
+	fromPeer                      // another controller has forwarded it: it is not forwarded again
+)
+
+// submit answers a user's submission. A node that does not lead forwards it, and may accept
+// the job by itself if no leader is in reach.
+func (c *Controller) submit(ctx context.Context, body []byte, origin requestOrigin) answer.Answer {
 	spec, err := protocol.ParseSubmission(body)
 	if err != nil {
-		return c.rejectMalformed(ctx, body, err, forward)
+		return c.rejectMalformed(ctx, body, err, origin)
 	}
 	var a answer.Answer
 	if leader := c.activeLeader(); leader == nil {
-		a = c.forward(ctx, forward, protocol.FrameSubmit, "", body)
+		a = c.forward(ctx, origin, protocol.FrameSubmit, "", body)
 	} else if a = leader.Submit(ctx, spec); leader.Ready() {
 		return a
 	}
-	if forward && a.Status == http.StatusServiceUnavailable {
+	if origin == fromUser && a.Status == http.StatusServiceUnavailable {
 		return c.acceptWithoutLeader(ctx, spec, a)
 	}
 	c.leaderlessJobs.acceptedBytes.Store(0)
@@ -30,13 +38,13 @@
 
 // rejectMalformed answers a submission that cannot be parsed, unless its job is known: a job
 // that is known stays known, whatever else a duplicate says.
-func (c *Controller) rejectMalformed(ctx context.Context, body []byte, err error, forward bool) answer.Answer {
+func (c *Controller) rejectMalformed(ctx context.Context, body []byte, err error, origin requestOrigin) answer.Answer {
 	rejection := answer.ErrorResponse(http.StatusBadRequest, err.Error())
 	id, ok := protocol.SubmissionID(body)
 	if !ok {
 		return answer.Plain(rejection)
 	}
-	known := c.poll(ctx, id, forward)
+	known := c.poll(ctx, id, origin)
 	if known.Status != http.StatusNotFound {
 		return known
 	}
@@ -45,15 +53,15 @@
 
 // poll answers a user who asks for a job's state. A node that reaches no leader, but has
 // lately reached the key-value store, answers from the records.
-func (c *Controller) poll(ctx context.Context, id string, forward bool) answer.Answer {
+func (c *Controller) poll(ctx context.Context, id string, origin requestOrigin) answer.Answer {
 	if !protocol.ValidJobID(id) {
 		return answer.Plain(noSuchJob())
 	}
 	if leader := c.activeLeader(); leader != nil {
 		return leader.Poll(ctx, id)
 	}
-	a := c.forward(ctx, forward, protocol.FramePoll, id, nil)
-	if forward && a.Status == http.StatusServiceUnavailable && !c.peers.Reachable(c.leaderName()) &&
+	a := c.forward(ctx, origin, protocol.FramePoll, id, nil)
+	if origin == fromUser && a.Status == http.StatusServiceUnavailable && !c.peers.Reachable(c.leaderName()) &&
 		c.elector.UnansweredFor() < c.elector.LeaseDuration() {
 		return c.records().poll(ctx, id)
 	}
@@ -62,7 +70,7 @@
 
 // cancel answers a user who cancels a job. The leader waits, within the bound of the write,
 // until the answer is stable enough to pass the gate.
-func (c *Controller) cancel(ctx context.Context, id string, forward bool) answer.Answer {
+func (c *Controller) cancel(ctx context.Context, id string, origin requestOrigin) answer.Answer {
 	if !protocol.ValidJobID(id) {
 		return answer.Plain(noSuchJob())
 	}
@@ -72,7 +80,7 @@
 		c.gate().Await(ctx, a, until)
 		return a
 	}
-	return c.forward(ctx, forward, protocol.FrameCancel, id, nil)
+	return c.forward(ctx, origin, protocol.FrameCancel, id, nil)
 }
 
 // records returns a reader that answers polls from the records alone.
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -27,24 +27,24 @@
 	c, _ := newRefusedController(t, store)
 	ctx := t.Context()
 	for _, want := range []int{http.StatusCreated, http.StatusOK} {
-		if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), true); a.Status != want || decodeState(t, a).Stage != protocol.StagePending {
+		if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), fromUser); a.Status != want || decodeState(t, a).Stage != protocol.StagePending {
 			t.Fatalf("submission: %d %s, want %d", a.Status, a.Body, want)
 		}
 	}
-	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000009"), "team"), true); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000009"), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
 		t.Errorf("a job in a terminal state: %d %s", a.Status, a.Body)
 	}
 	// Only a leader rejects for good: it knows whether the job was accepted before.
-	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000002"), "nobody"), true); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000002"), "nobody"), fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("an infeasible job: %d", a.Status)
 	}
-	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000003"), "team"), false); a.Status != http.StatusServiceUnavailable {
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000003"), "team"), fromPeer); a.Status != http.StatusServiceUnavailable {
 		t.Errorf("forwarded by another node: %d", a.Status)
 	}
-	if a := c.poll(ctx, testJob, true); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
+	if a := c.poll(ctx, testJob, fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("poll: %d %s", a.Status, a.Body)
 	}
-	if a := c.poll(ctx, "j-000003", true); a.Status != http.StatusNotFound {
+	if a := c.poll(ctx, "j-000003", fromUser); a.Status != http.StatusNotFound {
 		t.Errorf("poll of an unknown job: %d", a.Status)
 	}
 
@@ -71,7 +71,7 @@
 	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 		t.Errorf("cancellation: %d %s", a.Status, a.Body)
 	}
-	if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), true); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+	if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 		t.Errorf("duplicate of a cancelled job: %d %s", a.Status, a.Body)
 	}
 }
@@ -88,7 +88,7 @@
 		}
 		return false
 	}
-	a := c.submit(t.Context(), encodeSubmission(modelSpec(testJob), "team"), true)
+	a := c.submit(t.Context(), encodeSubmission(modelSpec(testJob), "team"), fromUser)
 	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -24,13 +24,13 @@
 		if request.TooLarge {
 			return answer.ErrorResponse(http.StatusBadRequest, bodyTooLarge)
 		}
-		return c.gate().Check(c.submit(ctx, request.Body, true))
+		return c.gate().Check(c.submit(ctx, request.Body, fromUser))
 	})
 	c.server.Handle(http.MethodGet, protocol.PathPoll, func(ctx context.Context, request transport.Request) transport.Response {
-		return c.gate().Check(c.poll(ctx, request.ID, true))
+		return c.gate().Check(c.poll(ctx, request.ID, fromUser))
 	})
 	c.server.Handle(http.MethodPost, protocol.PathCancel, func(ctx context.Context, request transport.Request) transport.Response {
-		return c.gate().Check(c.cancel(ctx, request.ID, true))
+		return c.gate().Check(c.cancel(ctx, request.ID, fromUser))
 	})
 	c.server.Handle(http.MethodGet, protocol.PathHealth, func(context.Context, transport.Request) transport.Response {
 		return c.health()
