--- a/internal/controller/admission_plan_test.go
+++ b/internal/controller/admission_plan_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"net/http"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -37,11 +38,13 @@
 // one before: others may go by the new one already.
 func TestNobodyWaitsWhileThePlanIsInDoubt(t *testing.T) {
 	store := standin.NewState()
+	var silent atomic.Bool
+	store.Silent = func(int) bool { return silent.Load() }
 	leader := newAdmittingLeader(t, 1, store)
 	fillQuota(t, leader)
 	spec := admittedSpec("j-000901", "team", 1)
 	leader.expectWait(t, spec)
-	store.Silent = func(int) bool { return true }
+	silent.Store(true)
 	if err := leader.renewPlan(t.Context()); err == nil {
 		t.Fatal("the answer was not lost")
 	}
@@ -50,7 +53,7 @@
 	if err := protocol.Decode(a.Body, &refusal); err != nil || a.Status != http.StatusTooManyRequests || refusal.PlanVersion != 0 {
 		t.Errorf("while the plan is in doubt: %d by plan %d, %v", a.Status, refusal.PlanVersion, err)
 	}
-	store.Silent = nil
+	silent.Store(false)
 	written := leader.admission.PlanVersion() + 1
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -21,6 +21,8 @@
 // new plan: the version that is current at the commit decides.
 func TestAcceptanceIsConditionalOnThePlan(t *testing.T) {
 	store := standin.NewState()
+	var unreadable atomic.Bool
+	store.Refuse = func(method, _ string) bool { return method == http.MethodGet && unreadable.Load() }
 	leader := newAdmittingLeader(t, 1, store)
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -34,8 +36,7 @@
 	}
 	fillQuota(t, leader)
 	// Even while the record cannot be read again, the job is not written by the new plan.
-	var readable atomic.Bool
-	store.Refuse = func(method, _ string) bool { return method == http.MethodGet && !readable.Load() }
+	unreadable.Store(true)
 	conflicted := make(chan struct{})
 	go func() {
 		defer close(conflicted)
@@ -48,7 +49,7 @@
 			break
 		}
 	}
-	readable.Store(true)
+	unreadable.Store(false)
 	<-conflicted
 	if _, stored := store.Get(storage.KeyJob(testJob)); stored {
 		t.Error("the job was stored by a plan that has been replaced")
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -21,14 +21,13 @@
 // with the state of its job.
 func (l *Leader) Submit(ctx context.Context, spec *protocol.JobSpec) answer.Answer {
 	receivedAt := l.Clock.Steady()
-	durable, decline := l.enterJob(spec)
-	enteredAt := l.Clock.Steady()
+	entry, decline := l.enterJob(spec)
 	if decline != nil {
 		return decline(ctx)
 	}
-	stored := awaitDurable(ctx, durable)
+	stored := awaitDurable(ctx, entry.durable)
 	l.Log.Debug("submission awaited its write", "job", spec.ID, "stored", stored,
-		"lock_us", int64(enteredAt-receivedAt), "save_us", int64(l.Clock.Steady()-enteredAt))
+		"lock_us", int64(entry.at-receivedAt), "save_us", int64(l.Clock.Steady()-entry.at))
 	if !stored {
 		return storeSlow()
 	}
@@ -40,26 +39,32 @@
 	return beingAccepted()
 }
 
-// enterJob enters a new job in the state, unless it is there already, and returns what is
-// closed once it is durable. If the submission can be answered without that, it returns a
-// function that does so; it must be called without the lock of state.
-func (l *Leader) enterJob(spec *protocol.JobSpec) (durable <-chan struct{}, decline func(context.Context) answer.Answer) {
+// jobEntry is the entry of a submitted job in the state.
+type jobEntry struct {
+	durable <-chan struct{} // closed once the job is durable
+	at      units.Micros    // steady time
+}
+
+// enterJob enters a new job in the state, unless it is there already. If the submission can be
+// answered without waiting until the job is durable, it returns a function that does so, to be
+// called without the lock of state.
+func (l *Leader) enterJob(spec *protocol.JobSpec) (entry jobEntry, decline func(context.Context) answer.Answer) {
 	l.state.Lock()
 	defer l.state.Unlock()
 	if a, known := l.jobAnswer(spec.ID, http.StatusOK); known {
-		return nil, func(context.Context) answer.Answer { return a }
+		return jobEntry{}, func(context.Context) answer.Answer { return a }
 	}
 	job := l.state.Jobs[spec.ID]
 	if job == nil {
 		if rejection := l.checkAdmissible(spec); rejection != nil {
-			return nil, func(ctx context.Context) answer.Answer { return l.rejectSubmission(ctx, spec, rejection) }
+			return jobEntry{}, func(ctx context.Context) answer.Answer { return l.rejectSubmission(ctx, spec, rejection) }
 		}
 		if decision := l.admission.Admit(spec); decision.Verdict != admission.Admit {
-			return nil, func(ctx context.Context) answer.Answer { return l.deferSubmission(ctx, spec.ID, decision) }
+			return jobEntry{}, func(ctx context.Context) answer.Answer { return l.deferSubmission(ctx, spec.ID, decision) }
 		}
 		job = l.addJob(spec)
 	}
-	return job.Durable(), nil
+	return jobEntry{durable: job.Durable(), at: l.Clock.Steady()}, nil
 }
 
 // addJob adds a new job to the state and has it written. It needs the lock of state held.
