--- a/internal/answer/answer_test.go
+++ b/internal/answer/gate_test.go
@@ -12,7 +12,8 @@
 	"dunestand/internal/units"
 )
 
-func testGate() (Gate, *standin.Clock) {
+// newTestGate returns a gate and its clock.
+func newTestGate() (Gate, *standin.Clock) {
 	clock := &standin.Clock{Now: 100 * units.Second}
 	return Gate{
 		Clock:     clock,
@@ -20,16 +21,16 @@
 	}, clock
 }
 
-func jobState(stage protocol.JobStage) transport.Response {
+func stateResponse(stage protocol.JobStage) transport.Response {
 	return StateResponse(http.StatusOK, protocol.JobState{ID: "j-000001", Stage: stage})
 }
 
-// An answer that is not final is given for a while after its state was read, whatever
-// it claims; one that claims nothing is given at any time.
-func TestProvisionalAnswersGrowOld(t *testing.T) {
-	gate, clock := testGate()
+// A provisional answer is given for a while after its state was read, whatever it claims; one
+// that claims nothing is given at any time.
+func TestProvisionalAnswerExpires(t *testing.T) {
+	gate, clock := newTestGate()
 	for name, r := range map[string]transport.Response{
-		"running":   jobState(protocol.StageRunning),
+		"running":   stateResponse(protocol.StageRunning),
 		"unknown":   ErrorResponse(http.StatusNotFound, "no such job"),
 		"malformed": ErrorResponse(http.StatusBadRequest, "no uid"),
 	} {
@@ -48,13 +49,13 @@
 	}
 }
 
-// A final answer is given once its record has been durable for longer than any answer
-// from before it may still be given.
-func TestTerminalAnswersWaitUntilStable(t *testing.T) {
+// A terminal answer is given once its record has been durable for longer than any answer from
+// before it may still be given.
+func TestTerminalAnswerWaitsUntilStable(t *testing.T) {
 	if stableAge <= MaxAnswerAge {
-		t.Fatal("a final answer is given while older ones are")
+		t.Fatal("a terminal answer is given while older ones are")
 	}
-	gate, clock := testGate()
+	gate, clock := newTestGate()
 	a := Terminal("j-000001", storage.StoredTerminalRecord{
 		TerminalRecord: storage.TerminalRecord{Stage: protocol.StageDone},
 		Version:        7,
@@ -71,32 +72,32 @@
 	}
 	clock.Now++
 	if got := gate.Check(a); got.Status != http.StatusOK {
-		t.Errorf("%d once it is settled", got.Status)
+		t.Errorf("%d once it is stable", got.Status)
 	}
 }
 
-// What the leader answered to a request that was passed on counts as read when the
-// request was sent; the leader itself holds final answers back.
-func TestRelayedAnswersCountFromTheRequest(t *testing.T) {
-	gate, clock := testGate()
+// What the leader answered to a forwarded request counts as read when the request was sent; the
+// leader itself holds terminal answers back.
+func TestForwardedAnswerIsAsOldAsItsRequest(t *testing.T) {
+	gate, clock := newTestGate()
 	sentAt := clock.Now
 	clock.Now += MaxAnswerAge + 1
 	for _, r := range []transport.Response{
-		jobState(protocol.StagePending),
-		jobState(protocol.StageRunning),
+		stateResponse(protocol.StagePending),
+		stateResponse(protocol.StageRunning),
 		ErrorResponse(http.StatusNotFound, "no such job"),
 		ErrorResponse(http.StatusUnprocessableEntity, "crew: unknown team"),
 	} {
 		if got := gate.Check(Relayed(r, sentAt)); got.Status != http.StatusServiceUnavailable {
-			t.Errorf("%d %s is passed on late", got.Status, got.Body)
+			t.Errorf("%d %s is forwarded late", got.Status, got.Body)
 		}
 		if got := gate.Check(Relayed(r, clock.Now)); got.Status != r.Status {
 			t.Errorf("%d in time, of %d", got.Status, r.Status)
 		}
 	}
 	for _, stage := range []protocol.JobStage{protocol.StageDone, protocol.StageCancelled} {
-		if got := gate.Check(Relayed(jobState(stage), sentAt)); got.Status != http.StatusOK {
-			t.Errorf("%s is not passed on: %d", stage, got.Status)
+		if got := gate.Check(Relayed(stateResponse(stage), sentAt)); got.Status != http.StatusOK {
+			t.Errorf("%s is not forwarded: %d", stage, got.Status)
 		}
 	}
 }
--- /dev/null
+++ b/internal/autoscaler/demand.go
@@ -0,0 +1,89 @@
+package autoscaler
+
+import (
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/units"
+)
+
+// TaskDemand is a number of tasks that request the same.
+type TaskDemand struct {
+	Spec  *protocol.JobSpec
+	Count int
+}
+
+// Demand returns the tasks that are not done, as far as their teams' quota limits let
+// them run, and the replicas that headroom is wanted for.
+func (as *Autoscaler) Demand() []TaskDemand {
+	quotaLeft := map[string]units.Resources{}
+	for name, team := range as.State.Teams {
+		quotaLeft[name] = team.QuotaLimit
+	}
+	var demand []TaskDemand
+	for _, job := range as.State.JobsBySubmission() {
+		if job.Cancelled || !job.Accepted() {
+			continue
+		}
+		left := quotaLeft[job.Spec.Team]
+		if count := min(job.Unfinished(), left.Fits(job.Spec.Request)); count > 0 {
+			quotaLeft[job.Spec.Team] = left.Plus(job.Spec.Request, -count)
+			demand = append(demand, TaskDemand{&job.Spec, count})
+		}
+	}
+	if replica := as.Scheduler.HeadroomReplica(); replica != nil {
+		demand = append(demand, TaskDemand{replica, as.Scheduler.HeadroomReplicaCount(replica)})
+	}
+	return demand
+}
+
+// PolicyInput returns what the policy's settings of the fleet are worked out from.
+func (as *Autoscaler) PolicyInput() config.FleetInput {
+	in := config.FleetInput{Hour: int(as.Clock.Wall() / units.Second / 3600 % 24)}
+	for _, job := range as.State.Jobs {
+		if !job.IsService() {
+			as.lastFiniteJobAt = as.Clock.Steady()
+			break
+		}
+	}
+	in.QuietS = (as.Clock.Steady() - as.lastFiniteJobAt).Seconds()
+	for _, team := range as.State.Teams {
+		in.GuaranteedCPUs += team.GuaranteedQuota.CPU.Float()
+		in.LimitCPUs += team.QuotaLimit.CPU.Float()
+	}
+	for _, demand := range as.Demand() {
+		in.DemandCPUs += demand.Spec.Request.CPU.Float() * float64(demand.Count)
+	}
+	for _, m := range as.State.Machines {
+		if !m.Releasing {
+			in.FleetCPUs += m.Capacity.CPU.Float()
+		}
+	}
+	return in
+}
+
+// How long a machine that is not up yet counts as capacity.
+const (
+	bootGraceFactor = 3 // times its instance type's boot time
+	bootGraceMargin = 10 * units.Second
+)
+
+// capacityView returns what a scale-out is planned on, but for the offerings that are
+// unavailable.
+func (as *Autoscaler) capacityView(in config.FleetInput) CapacityView {
+	view := CapacityView{
+		InstanceTypes:  as.State.InstanceTypes,
+		Machines:       map[Offering]int{},
+		Demand:         as.Demand(),
+		ReserveCPUs:    as.Policy.ReserveCPUs(in),
+		SpotPreference: as.Policy.SpotPreference(in),
+	}
+	now := as.Clock.Steady()
+	for _, m := range as.State.Machines {
+		bootGrace := bootGraceFactor*as.bootTime(m) + bootGraceMargin
+		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.RentedAt > bootGrace {
+			continue
+		}
+		view.Machines[offeringOf(m)]++
+	}
+	return view
+}
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -1,214 +1,139 @@
 package autoscaler
 
 import (
-	"cmp"
-	"slices"
+	"context"
+	"errors"
+	"fmt"
+	"sync"
 
-	"dunestand/internal/cluster"
+	"dunestand/internal/cloud"
 	"dunestand/internal/protocol"
-	"dunestand/internal/scheduler"
-	"dunestand/internal/sorted"
 	"dunestand/internal/units"
 )
 
-// Offering is a kind of machine as the cloud rents it.
-type Offering struct {
-	InstanceType, Zone string
-	Spot               bool
-}
-
-// CapacityView is what the renting decision looks at.
-type CapacityView struct {
-	InstanceTypes  map[string]protocol.InstanceType
-	Machines       map[Offering]int // machines that work or are thought to come up
-	Demand         []TaskDemand     // tasks that are not done, within their teams' limits
-	ReserveCPUs    units.Amount     // processors to keep whatever is needed
-	SpotPreference float64
-	Unavailable    func(Offering) bool // asked lately and refused
-}
-
-// TaskDemand is a number of tasks alike.
-type TaskDemand struct {
-	Spec  *protocol.JobSpec
-	Count int
-}
+const (
+	// scaleOutPasses bounds how often in a row the plan is made anew after refusals.
+	scaleOutPasses = 8
+	// maxScaleOutCalls is how many requests to the cloud are on their way at a time.
+	maxScaleOutCalls = 3
 
-// Order is a number of machines to rent.
-type Order struct {
-	Offering Offering
-	Count    int
-}
+	// How long an offering is left alone that had too few machines: twice as long each time.
+	minCapacityBackoff = 8 * units.Second
+	maxCapacityBackoff = 40 * units.Second
+)
 
-// pricedOffering is a kind with what it gives and costs.
-type pricedOffering struct {
-	offering Offering
-	capacity units.Resources
-	cost     float64
+// capacityBackoff says until when an offering is left alone, and how long that is in all.
+type capacityBackoff struct {
+	until units.Micros
+	delay units.Micros
 }
 
-func pricedOfferings(v *CapacityView) []pricedOffering {
-	var out []pricedOffering
-	for _, name := range sorted.Keys(v.InstanceTypes) {
-		t := v.InstanceTypes[name]
-		for _, zone := range t.Zones {
-			out = append(out,
-				pricedOffering{Offering{name, zone, false}, cluster.CapacityOf(t), t.Price},
-				pricedOffering{
-					Offering{name, zone, true},
-					cluster.CapacityOf(t),
-					t.SpotPrice * max(v.SpotPreference, 0.01),
-				})
+// scaleOut rents what is wanted. What one offering refuses is asked of the next
+// at once: a boot takes long enough.
+func (as *Autoscaler) scaleOut(ctx context.Context) {
+	for range scaleOutPasses {
+		orders := as.ordersToSend()
+		if len(orders) == 0 {
+			return
 		}
-	}
-	return out
-}
-
-// PlanScaleOut works out what to rent: what the tasks need beyond what there
-// is, on the cheapest kinds that they allow and that were not refused lately,
-// and then the reserve. Room is reckoned as one pool a kind.
-func PlanScaleOut(v *CapacityView) []Order {
-	p := newScaleOutPlan(v)
-	needs := slices.Clone(v.Demand)
-	// What has the fewest kinds to choose from chooses first.
-	slices.SortStableFunc(needs, func(a, b TaskDemand) int { return cmp.Compare(p.choices(a), p.choices(b)) })
-	for _, n := range needs {
-		if left := p.useFreeCapacity(n); left > 0 {
-			p.orderFor(n, left)
+		unanswered := as.sendOrders(ctx, orders)
+		as.State.Lock()
+		as.provisioning.unanswered = unanswered
+		as.State.Unlock()
+		if len(unanswered) > 0 {
+			return
 		}
 	}
-	p.orderReserve()
-	return p.result()
 }
 
-// scaleOutPlan is a renting decision in the making.
-type scaleOutPlan struct {
-	view         *CapacityView
-	offerings    []pricedOffering
-	freeCapacity map[Offering]units.Resources // room left, of what there is and what is to be rented
-	orders       map[Offering]int
-	total        units.Amount // processors of both
-}
-
-func newScaleOutPlan(v *CapacityView) *scaleOutPlan {
-	p := &scaleOutPlan{
-		view:         v,
-		offerings:    pricedOfferings(v),
-		freeCapacity: map[Offering]units.Resources{},
-		orders:       map[Offering]int{},
+// ordersToSend returns the requests that got no answer, to be sent again under the same IDs,
+// or, if there are none, new ones.
+func (as *Autoscaler) ordersToSend() []protocol.ScaleOutRequest {
+	as.State.Lock()
+	defer as.State.Unlock()
+	if len(as.provisioning.unanswered) == 0 {
+		as.provisioning.unanswered = as.scaleOutOrders(as.Clock.Steady())
 	}
-	for _, o := range p.offerings {
-		p.addMachines(o, v.Machines[o.offering])
+	return as.provisioning.unanswered
+}
+
+// sendOrders sends the requests, some at a time, waits for all of them, and returns those that
+// got no answer.
+func (as *Autoscaler) sendOrders(ctx context.Context, orders []protocol.ScaleOutRequest) []protocol.ScaleOutRequest {
+	var calls sync.WaitGroup
+	slots := make(chan struct{}, maxScaleOutCalls)
+	answered := make([]bool, len(orders))
+	for i, request := range orders {
+		slots <- struct{}{}
+		calls.Go(func() {
+			answered[i] = as.requestMachines(ctx, request)
+			<-slots
+		})
 	}
-	return p
-}
-
-// addMachines adds the room of some machines.
-func (p *scaleOutPlan) addMachines(o pricedOffering, n int) {
-	p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(o.capacity, n)
-	p.total += o.capacity.CPU * units.Amount(n)
-}
-
-func (p *scaleOutPlan) order(o pricedOffering, n int) {
-	p.orders[o.offering] += n
-	p.addMachines(o, n)
-}
-
-// allows tells whether a need's tasks may be on machines of an offered kind.
-func (o *pricedOffering) allows(n TaskDemand) bool {
-	return scheduler.PlacementAllowed(n.Spec, o.offering.InstanceType, o.offering.Zone, o.offering.Spot)
-}
-
-// choices counts the kinds that a need's tasks may be on.
-func (p *scaleOutPlan) choices(n TaskDemand) int {
-	count := 0
-	for i := range p.offerings {
-		if p.offerings[i].allows(n) {
-			count++
+	calls.Wait()
+	var unanswered []protocol.ScaleOutRequest
+	for i, request := range orders {
+		if !answered[i] {
+			unanswered = append(unanswered, request)
 		}
 	}
-	return count
+	return unanswered
 }
 
-// useFreeCapacity takes room for a need's tasks and gives how many of them find none.
-func (p *scaleOutPlan) useFreeCapacity(n TaskDemand) int {
-	left := n.Count
-	for i := range p.offerings {
-		o := &p.offerings[i]
-		if k := min(left, p.freeCapacity[o.offering].Fits(n.Spec.Request)); k > 0 && o.allows(n) {
-			p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(n.Spec.Request, -k)
-			left -= k
-		}
+// requestMachines sends one request and reports whether it was answered.
+func (as *Autoscaler) requestMachines(ctx context.Context, request protocol.ScaleOutRequest) bool {
+	ids, err := as.Cloud.ScaleOut(ctx, request)
+	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
+		as.Log.Debug("scale-out request not answered", "request", request.RequestID, "error", err)
+		return false
 	}
-	return left
-}
-
-// planned is how many machines of a kind there are and are to be rented.
-func (p *scaleOutPlan) planned(kind Offering) int { return p.view.Machines[kind] + p.orders[kind] }
-
-// orderFor rents machines of the kind that is cheapest for each of a need's tasks. Of
-// those alike it is the one with fewer machines.
-func (p *scaleOutPlan) orderFor(n TaskDemand, tasks int) {
-	var best *pricedOffering
-	bestCost, bestFits := 0.0, 0
-	for i := range p.offerings {
-		o := &p.offerings[i]
-		fits := o.capacity.Fits(n.Spec.Request)
-		if fits == 0 || p.view.Unavailable(o.offering) || !o.allows(n) {
+	as.State.Lock()
+	defer as.State.Unlock()
+	now := as.Clock.Steady()
+	as.noteCapacity(Offering{request.InstanceType, request.Zone, request.Spot}, len(ids) < request.Count, now)
+	for _, id := range ids {
+		if as.State.Released.Has(id) {
 			continue
 		}
-		cost := o.cost / float64(fits)
-		if best == nil || cost < bestCost || cost == bestCost && p.planned(o.offering) < p.planned(best.offering) {
-			best, bestCost, bestFits = o, cost, fits
+		m := as.State.EnsureMachine(id, request.InstanceType, request.Zone, request.Spot, now)
+		if m.Stage == "" {
+			m.Stage = protocol.MachineBooting
 		}
 	}
-	if best == nil {
-		return
-	}
-	p.order(*best, (tasks+bestFits-1)/bestFits)
-	p.freeCapacity[best.offering] = p.freeCapacity[best.offering].Plus(n.Spec.Request, -tasks)
+	as.Log.Info("scaled out", "request", request.RequestID, "type", request.InstanceType, "zone", request.Zone, "spot", request.Spot,
+		"asked", request.Count, "got", ids)
+	return true
 }
 
-// orderReserve rents what lacks to the reserve, machine by machine.
-func (p *scaleOutPlan) orderReserve() {
-	for p.total < p.view.ReserveCPUs {
-		best := p.cheapestPerCPU()
-		if best == nil {
-			return
-		}
-		p.order(*best, 1)
+// noteCapacity notes whether the cloud had too few machines of an offering.
+func (as *Autoscaler) noteCapacity(offering Offering, exhausted bool, now units.Micros) {
+	if !exhausted {
+		delete(as.provisioning.unavailable, offering)
+		return
 	}
+	last := as.provisioning.unavailable[offering]
+	delay := min(max(2*last.delay, minCapacityBackoff), maxCapacityBackoff)
+	as.provisioning.unavailable[offering] = capacityBackoff{until: now + delay, delay: delay}
 }
 
-// cheapestPerCPU gives the kind that may still be rented whose processors cost least; of
-// those alike, the one with fewer machines.
-func (p *scaleOutPlan) cheapestPerCPU() *pricedOffering {
-	var best *pricedOffering
-	for i := range p.offerings {
-		o := &p.offerings[i]
-		if o.capacity.CPU == 0 || p.view.Unavailable(o.offering) || p.orders[o.offering] >= protocol.MaxScaleOut {
-			continue
-		}
-		if best == nil {
-			best = o
-			continue
-		}
-		cost, bestCost := o.cost*best.capacity.CPU.Float(), best.cost*o.capacity.CPU.Float()
-		if o.costPerCPU() < best.costPerCPU() || cost == bestCost && p.planned(o.offering) < p.planned(best.offering) {
-			best = o
-		}
+// scaleOutOrders returns what is wanted as requests with IDs never used before: the
+// fencing token is in them, and no two leaders have the same one.
+func (as *Autoscaler) scaleOutOrders(now units.Micros) []protocol.ScaleOutRequest {
+	if len(as.State.InstanceTypes) == 0 || as.provisioning.listReadAt == 0 {
+		return nil // what there is, is not known yet
 	}
-	return best
-}
-
-func (o *pricedOffering) costPerCPU() float64 { return o.cost / o.capacity.CPU.Float() }
-
-// result gives the orders, in the order of the offers.
-func (p *scaleOutPlan) result() []Order {
-	var out []Order
-	for _, o := range p.offerings {
-		if n := p.orders[o.offering]; n > 0 {
-			out = append(out, Order{o.offering, min(n, protocol.MaxScaleOut)})
-		}
+	view := as.capacityView(as.PolicyInput())
+	view.Unavailable = func(offering Offering) bool { return now < as.provisioning.unavailable[offering].until }
+	var requests []protocol.ScaleOutRequest
+	for _, order := range PlanScaleOut(&view) {
+		as.scaleOutRequests++
+		requests = append(requests, protocol.ScaleOutRequest{
+			RequestID:    fmt.Sprintf("r-%d-%d", as.Token, as.scaleOutRequests),
+			InstanceType: order.Offering.InstanceType,
+			Zone:         order.Offering.Zone,
+			Spot:         order.Offering.Spot,
+			Count:        order.Count,
+		})
 	}
-	return out
+	return requests
 }
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -107,7 +107,9 @@
 	c.deps.Settings, c.deps.KV = leader.Settings, leader.KV // whose limits are far away
 	format := standin.NewRecordFormat(storage.FormatAdmission)
 	c.deps.Format = format
-	admitter := admissioncontrol.NewAdmitter(leader.Settings, admission.Options{Horizon: planHorizon}, c.deps.KV, c.deps.Format, c.deps.Clock, c.deps.Log, telemetry.NewMetrics())
+	deps := c.deps
+	deps.Metrics = telemetry.NewMetrics()
+	admitter := newTestAdmitter(deps)
 	c.deps.Admitter = admitter
 	submit := func(id, team string) int {
 		spec := admittedSpec(id, team, 1)
@@ -121,14 +123,14 @@
 		}
 	}
 	// A controller that has just started does not know that the fleet admits by a plan.
-	format.Level.Store(storage.FormatOld)
+	format.Level.Store(int64(storage.FormatOld))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
 	if _, stored := store.Get(storage.KeyPending(testJob)); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
-	format.Level.Store(storage.FormatAdmission)
+	format.Level.Store(int64(storage.FormatAdmission))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: %d", status)
 	}
--- a/internal/controller/broadcast_test.go
+++ b/internal/controller/broadcast_test.go
@@ -21,7 +21,7 @@
 	t.Cleanup(worker.Close)
 	addUnreconciled := func(id, endpoint string) {
 		leader.state.EnsureMachine(id, "m", "a", true, clock.Now).Endpoint = endpoint
-		leader.state.MarkUnreconciled(job, id)
+		leader.state.Unreconciled.Mark(job, id)
 	}
 	const hangingMachines = 32
 	for i := range hangingMachines {
@@ -32,14 +32,14 @@
 	reconciled := func() bool {
 		leader.state.Lock()
 		defer leader.state.Unlock()
-		return !leader.state.IsUnreconciled(last)
+		return !leader.state.Unreconciled.Contains(last)
 	}
 	if !eventually(10*time.Second, reconciled) {
 		t.Fatal("the machine that answers was not reached")
 	}
 	leader.state.Lock()
 	defer leader.state.Unlock()
-	if got := leader.state.UnreconciledCount(); got != hangingMachines {
+	if got := leader.state.Unreconciled.Len(); got != hangingMachines {
 		t.Errorf("%d machines are unreconciled, want the %d that hang", got, hangingMachines)
 	}
 }
--- a/internal/controller/delivery_test.go
+++ b/internal/controller/delivery_test.go
@@ -141,7 +141,7 @@
 	}
 	// A machine stays unreconciled whatever a heartbeat with an earlier token shows.
 	job := leader.state.Jobs[testJob]
-	leader.state.MarkUnreconciled(job, "i-000004")
+	leader.state.Unreconciled.Mark(job, "i-000004")
 	leader.reconciler.Reconcile(testHeartbeat("i-000004", 1, 1, 6), clock.Now)
 	if !job.UnreconciledMachines["i-000004"] {
 		t.Error("a heartbeat from before this leader reconciles a machine")
@@ -154,7 +154,7 @@
 func TestBroadcastAnswerCountsOnlyBeforeTheFirstHeartbeat(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 2)
 	job := leader.state.Jobs[testJob]
-	leader.state.MarkUnreconciled(job, "i-000001")
+	leader.state.Unreconciled.Mark(job, "i-000001")
 	leader.state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
 	leader.broadcaster.Answered(testHeartbeat("i-000001", 1, 5, 7))
 	if len(job.UnreconciledMachines) > 0 {
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -50,7 +50,7 @@
 
 // checkFeasible returns why a job could never run, or why that is not known yet; nil if it
 // could. types are those of the catalog by name, format is the fleet's record format.
-func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format int) *rejectionError {
+func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format storage.Format) *rejectionError {
 	i := slices.IndexFunc(s.Fleet.Teams, func(team config.Team) bool { return team.Name == spec.Team })
 	if i < 0 {
 		return errUnknownTeam
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	later.persister.InstallRecords(jobs, modelCatalog)
-	if n := later.state.UnreconciledCount(); n != largestFleet {
+	if n := later.state.Unreconciled.Len(); n != largestFleet {
 		t.Fatalf("%d machines are unreconciled after the restore", n)
 	}
 	for _, heartbeat := range heartbeats {
@@ -38,7 +38,7 @@
 	for _, job := range later.state.Jobs {
 		live += len(job.LiveAttempts)
 	}
-	if n := later.state.UnreconciledCount(); n != 0 || live != 4*largestFleet {
+	if n := later.state.Unreconciled.Len(); n != 0 || live != 4*largestFleet {
 		t.Errorf("%d machines are unreconciled after their heartbeats, %d tasks are known", n, live)
 	}
 }
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -59,9 +59,10 @@
 	service := *modelSpec(testJob)
 	service.Kind, service.Tasks = protocol.Service, modelQuotaCPUs
 	for _, c := range []struct {
-		level, tasks int
-		want         *rejectionError
-		status       int // 0: accepted
+		level  storage.Format
+		tasks  int
+		want   *rejectionError
+		status int // 0: accepted
 	}{
 		{storage.FormatOld, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
 		{storage.FormatOld, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
--- a/internal/controller/harness_admission_test.go
+++ b/internal/controller/harness_admission_test.go
@@ -25,7 +25,7 @@
 	leader := newStoredLeader(t, token, store, func(d *Deps) {
 		d.Format = standin.NewRecordFormat(storage.FormatAdmission)
 		d.Settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
-		d.Admitter = admissioncontrol.NewAdmitter(d.Settings, admission.Options{Horizon: planHorizon}, d.KV, d.Format, d.Clock, d.Log, d.Metrics)
+		d.Admitter = newTestAdmitter(*d)
 	})
 	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
@@ -34,6 +34,19 @@
 	return leader
 }
 
+// newTestAdmitter returns the admitter of a controller whose policy turns admission on.
+func newTestAdmitter(d Deps) *admissioncontrol.Admitter {
+	return admissioncontrol.NewAdmitter(admissioncontrol.AdmitterDeps{
+		Settings: d.Settings,
+		Options:  admission.Options{Horizon: planHorizon},
+		KV:       d.KV,
+		Format:   d.Format,
+		Clock:    d.Clock,
+		Log:      d.Log,
+		Metrics:  d.Metrics,
+	})
+}
+
 // renewPlan has the leader write a plan now.
 func (l *Leader) renewPlan(ctx context.Context) error {
 	l.Clock.(*standin.Clock).Now += units.Second
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -84,7 +84,7 @@
 }
 
 // learnFormat has the leader learn of the fleet's format.
-func (m *model) learnFormat(level int) {
+func (m *model) learnFormat(level storage.Format) {
 	if level > m.leader.Format.Current() {
 		m.leader.setFormat(level)
 	}
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -219,7 +219,7 @@
 	if machine := state.Machines[worker.id]; machine != nil {
 		state.RemoveMachine(machine, now)
 	} else {
-		state.MarkReconciled(worker.id)
+		state.Unreconciled.Resolve(worker.id)
 	}
 	m.workers[i] = m.newWorker()
 }
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -18,7 +18,7 @@
 		for i := range jobs {
 			job := leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 			for k := range machines {
-				leader.state.MarkUnreconciled(job, machineID(k))
+				leader.state.Unreconciled.Mark(job, machineID(k))
 			}
 		}
 		return testing.AllocsPerRun(20, func() { leader.detector.ExpireLeases(clock.Now) })
@@ -39,7 +39,7 @@
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
 			job := state.NewJob(spec, clock.Now, clock.Now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
-				state.MarkUnreconciled(job, machineID(k))
+				state.Unreconciled.Mark(job, machineID(k))
 			}
 			named[spec.ID] = job.UnreconciledMachines
 		}
@@ -52,7 +52,7 @@
 				}
 			}
 			got := 0
-			for range state.UnreconciledJobs() {
+			for range state.Unreconciled.Jobs() {
 				got++
 			}
 			if got != want {
@@ -62,13 +62,13 @@
 				state.DropUnaccepted(jobs[0])
 				delete(named, jobs[0])
 			}
-			state.MarkReconciled(id)
-			if state.IsUnreconciled(id) {
+			state.Unreconciled.Resolve(id)
+			if state.Unreconciled.Contains(id) {
 				rt.Fatal("a reconciled machine is unreconciled")
 			}
 		}
-		if state.UnreconciledCount() != 0 || len(state.UnreconciledMachines()) != 0 {
-			rt.Fatalf("still unreconciled: %v", state.UnreconciledMachines())
+		if state.Unreconciled.Len() != 0 || len(state.Unreconciled.Machines()) != 0 {
+			rt.Fatalf("still unreconciled: %v", state.Unreconciled.Machines())
 		}
 	})
 }
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -10,17 +10,22 @@
 	"dunestand/internal/units"
 )
 
-// holdingElector is an elector that holds the lease.
+// holdingElector returns an elector that holds the lease.
 func holdingElector(token uint64, clock units.Clock) *Elector {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	e := NewElector("n", nil, clock, TimingFor(10*units.Second), rand.New(rand.NewPCG(1, token)), log)
+	e := NewElector(Deps{
+		Node:   "n",
+		Clock:  clock,
+		Timing: TimingFor(10 * units.Second),
+		Random: rand.New(rand.NewPCG(1, token)),
+		Log:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
 	e.leading, e.token, e.validUntil = true, token, 1<<60
 	return e
 }
 
-// The lease is handed over once in a while at most, whoever holds it: the time
-// of the last hand-over goes with the record.
-func TestLeaseIsNotHandedOverRepeatedly(t *testing.T) {
+// The lease is handed over at most once in minHandOverInterval, whoever holds it: the time of
+// the last hand-over goes with the record.
+func TestHandOversAreSpaced(t *testing.T) {
 	clock := &standin.Clock{Now: 1000 * units.Second}
 	lease := holdingElector(1, clock)
 	if !lease.HandOver(clock.Now) || lease.Valid(1) {
@@ -28,7 +33,7 @@
 	}
 	next := holdingElector(2, clock)
 	next.handedOverAt = lease.handedOverAt // as read from the record
-	clock.Now += handOverInterval - units.Second
+	clock.Now += minHandOverInterval - units.Second
 	if next.HandOver(clock.Now) || !next.Valid(2) {
 		t.Error("handed over again at once")
 	}
--- /dev/null
+++ b/internal/scheduler/reserve.go
@@ -0,0 +1,31 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+)
+
+// reserve keeps the free capacity of up to n machines together for a job, or small tasks would
+// go on taking it bit by bit: of the largest, where tasks end most often, those
+// that have most free.
+func (p *planner) reserve(jobIndex int, job *JobView, n int) {
+	if p.snapshot.Partial {
+		return
+	}
+	var machines []int
+	for i := range p.snapshot.Machines {
+		m := &p.snapshot.Machines[i]
+		fitsNow := m.freeFor(job).Plus(m.Freeing, 1).Fits(job.Spec.Request) > 0
+		if !m.Reserved && m.Capacity.Fits(job.Spec.Request) > 0 && !fitsNow && p.feasible(i, job) {
+			machines = append(machines, i)
+		}
+	}
+	slices.SortStableFunc(machines, func(a, b int) int {
+		x, y := &p.snapshot.Machines[a], &p.snapshot.Machines[b]
+		return cmp.Or(-cmp.Compare(x.Capacity.CPU, y.Capacity.CPU), -cmp.Compare(x.Free.CPU, y.Free.CPU))
+	})
+	for _, i := range machines[:min(len(machines), n, p.tasksWithinQuota(job))] {
+		p.snapshot.Machines[i].Reserved = true
+		p.decisions.Reservations = append(p.decisions.Reservations, Reservation{Machine: i, Job: jobIndex})
+	}
+}
--- /dev/null
+++ b/internal/scheduler/victims.go
@@ -0,0 +1,104 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"dunestand/internal/cluster"
+	"dunestand/internal/units"
+)
+
+// replicaLostWork puts replicas of services last among the tasks of their priority
+// that could be preempted: what they lose is not work that can be done again.
+const replicaLostWork = 1_000_000 * units.Second
+
+// preemptionVictims lists the tasks on a machine that could be preempted. It fills in
+// index.victims.
+func (sc *Scheduler) preemptionVictims(m *cluster.Machine, index *snapshotIndex, now units.Micros) []Victim {
+	victims := make([]Victim, 0, len(m.Attempts))
+	for _, attempt := range m.SortedAttempts() {
+		job := attempt.Job
+		team, known := index.teams[job.Spec.Team]
+		started := attempt.Stage == cluster.Running || attempt.Stage == cluster.Fetching
+		if !known || index.views[job] == nil || attempt.Stopping || !started {
+			continue
+		}
+		if sc.starved(job) && len(job.LiveAttempts) == 1 {
+			continue // all that its job has, after a long wait
+		}
+		victims = append(victims, Victim{
+			Ref:      len(index.victims),
+			Team:     team,
+			Priority: job.Spec.Priority,
+			Request:  job.Spec.Request,
+			LostWork: lostWork(attempt, now),
+			Job:      index.views[job],
+		})
+		index.victims = append(index.victims, attempt)
+	}
+	return victims
+}
+
+// lostWork returns the work that is lost when an attempt is stopped.
+func lostWork(attempt *cluster.Attempt, now units.Micros) units.Micros {
+	var lost units.Micros
+	if attempt.Stage == cluster.Running {
+		lost = now - attempt.RunningSince
+	}
+	if attempt.Job.Spec.CheckpointInterval > 0 {
+		lost = attempt.Job.Spec.CheckpointDuration
+	}
+	if attempt.Job.IsService() {
+		lost += replicaLostWork
+	}
+	return lost
+}
+
+// machineVictim is a victim and its machine.
+type machineVictim struct {
+	machine int
+	victim  *Victim
+}
+
+// victimsOnMachine returns the tasks on a machine that could be preempted, the one to be
+// preempted first first.
+func (p *planner) victimsOnMachine(machine int) []Victim {
+	if p.victimsByMachine == nil {
+		p.victimsByMachine = make([][]Victim, len(p.snapshot.Machines))
+	}
+	if p.victimsByMachine[machine] == nil {
+		victims := []Victim{} // asked, and none
+		if list := p.snapshot.Machines[machine].Victims; list != nil {
+			if listed := list(); listed != nil {
+				victims = listed
+			}
+			slices.SortFunc(victims, compareVictims)
+		}
+		p.victimsByMachine[machine] = victims
+	}
+	return p.victimsByMachine[machine]
+}
+
+// victimsInTeam returns a team's tasks that could be preempted, the one to be preempted
+// first first.
+func (p *planner) victimsInTeam(team int) []machineVictim {
+	if p.victimsByTeam == nil {
+		p.victimsByTeam = map[int][]machineVictim{}
+		for machine := range p.snapshot.Machines {
+			victims := p.victimsOnMachine(machine)
+			for i := range victims {
+				victim := &victims[i]
+				p.victimsByTeam[victim.Team] = append(p.victimsByTeam[victim.Team], machineVictim{machine, victim})
+			}
+		}
+		for _, victims := range p.victimsByTeam {
+			slices.SortFunc(victims, func(a, b machineVictim) int { return compareVictims(*a.victim, *b.victim) })
+		}
+	}
+	return p.victimsByTeam[team]
+}
+
+// compareVictims orders victims, the one to be preempted first first.
+func compareVictims(a, b Victim) int {
+	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.Ref, b.Ref))
+}
