--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"testing"
@@ -15,125 +14,49 @@
 	"dunestand/internal/units"
 )
 
-// busyLeader is a leader under a burst: full machines with 16 tasks each, and
-// 300 jobs of up to 3,000 tasks that wait.
-func busyLeader(machines int) (*Leader, []*protocol.Heartbeat) {
-	clock := &standin.Clock{Now: units.Second}
-	term := newTestLeader(1, clock)
-	types := []protocol.InstanceType{{
-		Name:      "m",
-		CPUs:      32,
-		MemoryGB:  64,
-		CacheGB:   50,
-		Price:     1,
-		SpotPrice: 1,
-		BootS:     5,
-		Zones:     []string{"a"},
-	}}
-	term.persister.InstallRecords(nil, protocol.Catalog{Types: types})
-	term.state.Teams["team"].QuotaLimit = standin.CPUs(32 * machines * 2)
-	const jobs = 300
-	for i := range jobs {
-		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
-		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, standin.CPUs(2), protocol.Priority(i%3)
-		term.state.NewJob(spec, clock.Now, clock.Now)
-	}
-	for {
-		s := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now)
-		if s == nil {
-			break
-		}
-		term.state.BatchCommitted(s, 1)
-	}
-	reports := make([]*protocol.Heartbeat, machines)
-	for seq := uint64(1); seq <= 2; seq++ {
-		for i := range reports {
-			r := &protocol.Heartbeat{
-				Machine:      fmt.Sprintf("i-%06d", i),
-				InstanceType: "m",
-				Zone:         "a",
-				Incarnation:  1,
-				Sequence:     seq,
-				FencingToken: 1,
-			}
-			m := term.reconciler.Reconcile(r, clock.Now)
-			for _, a := range m.SortedAttempts() {
-				a.Stage = cluster.Running
-				r.Tasks = append(r.Tasks, protocol.TaskStatus{
-					Job:     a.Job.Spec.ID,
-					Index:   a.Index,
-					Attempt: a.Number,
-					Stage:   protocol.TaskRunning,
-				})
-			}
-			reports[i] = r
-		}
-		for started := -1; started != int(term.state.AttemptsStarted); {
-			started = int(term.state.AttemptsStarted)
-			term.scheduler.RunCycle(clock.Now, nil)
-		}
-	}
-	return term, reports
-}
-
 // perFleet runs a benchmark on fleets of growing size.
-func perFleet(b *testing.B, run func(b *testing.B, term *Leader, reports []*protocol.Heartbeat)) {
+func perFleet(b *testing.B, run func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat)) {
 	for _, machines := range []int{50, 200, 800, 1700, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			term, reports := busyLeader(machines)
+			leader, heartbeats := newBusyLeader(machines)
 			b.ReportAllocs()
-			run(b, term, reports)
+			run(b, leader, heartbeats)
 		})
 	}
 }
 
-// A report that shows nothing new, compared with the ledger and answered.
+// BenchmarkHeartbeat reconciles and answers a heartbeat that shows nothing new.
 func BenchmarkHeartbeat(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
+	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
-			r := reports[i%len(reports)]
-			r.Sequence += 10
-			m := term.reconciler.Reconcile(r, units.Second)
-			_ = term.reconciler.Commands(m, r, units.Second)
+			heartbeat := heartbeats[i%len(heartbeats)]
+			heartbeat.Sequence += 10
+			machine := leader.reconciler.Reconcile(heartbeat, units.Second)
+			_ = leader.reconciler.Commands(machine, heartbeat, units.Second)
 		}
 	})
 }
 
-// testController is a node that leads a term, without a state service or a cloud.
-func testController(term *Leader) *Controller {
-	s := modelSettings()
-	s.Services.State, s.Services.Cloud = "127.0.0.1:1", "127.0.0.1:1"
-	c := NewController(s, Environment{
-		Policy: term.Policy,
-		Clock:  term.Clock,
-		Random: rand.New(rand.NewPCG(1, 1)),
-		Log:    term.Log,
-	})
-	c.leader.Store(term)
-	return c
-}
-
-// The whole exchange of such a report over a kept connection: HTTP, echo and
-// CBOR on both sides, the client's share included.
+// BenchmarkExchange is the whole exchange of such a heartbeat over a kept connection: HTTP,
+// echo and CBOR on both sides, the client's share included.
 func BenchmarkExchange(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
-		c := testController(term)
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
+		c := newTestController(leader)
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		ctx, cancel := context.WithCancel(b.Context())
-		defer cancel()
-		go func() { _ = c.server.Serve(ctx, l) }()
-		client := transport.NewClient(nil, l.Addr().String(), 1, protocol.MaxBody)
-		bolts := map[string]protocol.Raw{}
+		start(b, func(ctx context.Context) { _ = c.server.Serve(ctx, listener) })
+		client := transport.NewClient(nil, listener.Addr().String(), 1, protocol.MaxBody)
+		tasks := map[string]protocol.Raw{} // encoded, by machine
 		for i := 0; b.Loop(); i++ {
-			r := reports[i%len(reports)]
-			r.Sequence += 10
-			if bolts[r.Machine] == nil {
-				bolts[r.Machine] = listOf(r)
+			heartbeat := heartbeats[i%len(heartbeats)]
+			heartbeat.Sequence += 10
+			if tasks[heartbeat.Machine] == nil {
+				tasks[heartbeat.Machine] = encodeTasks(heartbeat)
 			}
-			status, _, err := client.Do(ctx, http.MethodPost, protocol.PathHeartbeat, encodeHeartbeat(r, bolts[r.Machine]), 5*units.Second)
+			body := encodeHeartbeat(heartbeat, tasks[heartbeat.Machine])
+			status, _, err := client.Do(b.Context(), http.MethodPost, protocol.PathHeartbeat, body, 5*units.Second)
 			if err != nil || status != http.StatusOK {
 				b.Fatal(status, err)
 			}
@@ -141,93 +64,48 @@
 	})
 }
 
-// listOf is a report's list of tasks as a worker sends it.
-func listOf(r *protocol.Heartbeat) protocol.Raw {
-	bolts := make([]map[string]any, len(r.Tasks))
-	for i, k := range r.Tasks {
-		bolts[i] = map[string]any{
-			"bolt":  protocol.TaskName(k.Job, k.Index),
-			"try":   k.Attempt,
-			"stage": "running",
-		}
-	}
-	return protocol.Encode(bolts)
-}
-
-// encodeHeartbeat is a report as a worker sends it.
-func encodeHeartbeat(r *protocol.Heartbeat, bolts protocol.Raw) []byte {
-	return protocol.Encode(map[string]any{
-		"dune":     r.Machine,
-		"endpoint": "10.1.0.1:9000",
-		"loom":     r.InstanceType,
-		"yard":     r.Zone,
-		"borrowed": r.Spot,
-		"shift":    r.Incarnation,
-		"tally":    r.Sequence,
-		"baton":    r.FencingToken,
-		"recall_s": nil,
-		"bolts":    bolts,
-	})
-}
-
-// The end of a task is reported and the next one is placed in its stead.
+// BenchmarkPlaceOnMachine ends a task and places the next one in its stead.
 func BenchmarkPlaceOnMachine(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
+	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
-			m := term.state.Machines[reports[i%len(reports)].Machine]
-			term.state.AttemptGone(m.SortedAttempts()[0], units.Second)
-			term.scheduler.PlaceOnMachine(m, units.Second)
+			machine := leader.state.Machines[heartbeats[i%len(heartbeats)].Machine]
+			leader.state.AttemptGone(machine.SortedAttempts()[0], units.Second)
+			leader.scheduler.PlaceOnMachine(machine, units.Second)
 		}
 	})
 }
 
+// BenchmarkCycle runs a whole scheduling cycle.
 func BenchmarkCycle(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Leader, _ []*protocol.Heartbeat) {
+	perFleet(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
-			term.scheduler.RunCycle(units.Second, nil)
+			leader.scheduler.RunCycle(units.Second, nil)
 		}
 	})
 }
 
-// saveAll saves every job and gives the records.
-func saveAll(term *Leader) []protocol.Item {
-	var rows []protocol.Item
-	for _, j := range term.state.Jobs {
-		j.MarkChanged(units.Second, true)
-	}
-	for {
-		s := term.state.BuildWriteBatch("1-1", term.persister.BucketVersions(), cluster.BatchLimits{Background: true}, units.Second)
-		if s == nil {
-			return rows
-		}
-		for _, c := range s.Txn.Then {
-			rows = append(rows, protocol.Item{Key: c.Set, Value: c.Value, Version: 1})
-		}
-		term.state.BatchCommitted(s, 1)
-	}
-}
-
+// BenchmarkWriteBatch writes the records of all jobs.
 func BenchmarkWriteBatch(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Leader, _ []*protocol.Heartbeat) {
+	perFleet(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
-			saveAll(term)
+			writeAllRecords(leader)
 		}
 	})
 }
 
-// A restore reads every live job's record, and then each machine's report.
+// BenchmarkRestore reads every live job's record, and then reconciles each machine's heartbeat.
 func BenchmarkRestore(b *testing.B) {
-	perFleet(b, func(b *testing.B, term *Leader, reports []*protocol.Heartbeat) {
-		rows := saveAll(term)
+	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
+		records := writeAllRecords(leader)
 		for b.Loop() {
 			later := newTestLeader(2, &standin.Clock{Now: units.Second})
-			jobs, _, err := cluster.ParseJobs(rows)
+			jobs, _, err := cluster.ParseJobs(records)
 			if err != nil {
 				b.Fatal(err)
 			}
 			later.persister.InstallRecords(jobs, protocol.Catalog{})
-			for _, r := range reports {
-				later.reconciler.Reconcile(r, units.Second)
+			for _, heartbeat := range heartbeats {
+				later.reconciler.Reconcile(heartbeat, units.Second)
 			}
 		}
 	})
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"fmt"
 	"net/http"
 	"testing"
@@ -15,74 +14,76 @@
 )
 
 // Records of a format that this version does not know are neither skipped nor
-// taken for less than they are: the node gives the lease to others and does not
-// claim it while the fleet has a later format.
+// taken for less than they are: the node leaves the lease to others and does not
+// campaign while the fleet has a later format.
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
-	for what, put := range map[string]func(s *standin.State){
-		"the fleet's format": func(s *standin.State) {
-			s.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
+	for what, put := range map[string]func(store *standin.State){
+		"the fleet's format": func(store *standin.State) {
+			store.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
 		},
-		"a job's record": func(s *standin.State) {
-			s.Put(storage.KeyJob("j-000001"), protocol.Encode(map[string]any{
+		"a job's record": func(store *standin.State) {
+			store.Put(storage.KeyJob(testJob), protocol.Encode(map[string]any{
 				"v":     storage.NewestFormat + 1,
-				"id":    "j-000001",
+				"id":    testJob,
 				"tasks": 1,
 			}))
 		},
-		"a part of a job": func(s *standin.State) {
-			s.Put(storage.KeyJob("j-000001")+"/z0", protocol.Encode(map[string]any{"v": 1}))
+		"a part of a job": func(store *standin.State) {
+			store.Put(storage.KeyJob(testJob)+"/z0", protocol.Encode(map[string]any{"v": 1}))
 		},
-		"a part without its job, which is not over": func(s *standin.State) {
-			s.Put(storage.KeyJob("j-000001")+"/d0", protocol.Encode(map[string]any{"v": 2}))
+		"a part without its job, which is not in a terminal state": func(store *standin.State) {
+			store.Put(storage.KeyJob(testJob)+"/d0", protocol.Encode(map[string]any{"v": 2}))
 		},
 	} {
-		s := standin.NewState()
-		put(s)
-		term := storedLeader(t, 1, s)
-		if term.persister.Restore(t.Context()) || term.Ready() {
+		store := standin.NewState()
+		put(store)
+		leader := newStoredLeader(t, 1, store)
+		if leader.persister.Restore(t.Context()) || leader.Ready() {
 			t.Errorf("%s: the node leads", what)
 		}
-		if term.leadership.Valid() || term.lease().Abstained != persister.UnreadableAbstention {
+		if leader.leadership.Valid() || leader.lease().Abstained != persister.UnreadableAbstention {
 			t.Errorf("%s: the node keeps the lease", what)
 		}
-		if newer := term.Format.TooNew(); newer != (what == "the fleet's format") {
+		if newer := leader.Format.TooNew(); newer != (what == "the fleet's format") {
 			t.Errorf("%s: a later version's %v", what, newer)
 		}
 	}
 }
 
-// Until all controllers are upgraded a service is not taken: a leader of the
-// version before would call it done when its replicas end. It is told to come
-// back; what can never run is refused for good either way.
+// Until all controllers are upgraded a service is not accepted: a leader of the
+// version before would call it done when its replicas end. Its user is told to come
+// back; what can never run is rejected for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
-	term := newTestLeader(1, &standin.Clock{})
-	term.state.SetInstanceTypes(modelCatalog.Types)
-	service := *modelSpec("j-000001")
-	service.Kind, service.Tasks = protocol.Service, modelLimit
+	leader := newTestLeader(1, &standin.Clock{})
+	leader.state.SetInstanceTypes(modelCatalog.Types)
+	service := *modelSpec(testJob)
+	service.Kind, service.Tasks = protocol.Service, modelQuotaCPUs
 	for _, c := range []struct {
-		level       storage.Format
-		tasks, want int
+		level  storage.Format
+		tasks  int
+		want   *rejectionError
+		status int // 0: accepted
 	}{
-		{storage.FormatOld, modelLimit, http.StatusServiceUnavailable},
-		{storage.FormatOld, modelLimit + 1, http.StatusUnprocessableEntity},
-		{storage.FormatNew, modelLimit, 0},
-		{storage.FormatNew, modelLimit + 1, http.StatusUnprocessableEntity},
+		{storage.FormatOld, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
+		{storage.FormatOld, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatNew, modelQuotaCPUs, nil, 0},
+		{storage.FormatNew, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 	} {
-		term.setFormat(c.level)
+		leader.setFormat(c.level)
 		service.Tasks = c.tasks
-		if got, why := term.checkAdmissible(&service); got != c.want {
-			t.Errorf("format %d, %d tasks: %d %s, want %d", c.level, c.tasks, got, why, c.want)
+		if got := leader.checkAdmissible(&service); got != c.want || got != nil && got.status != c.status {
+			t.Errorf("format %d, %d tasks: %v, want %v with status %d", c.level, c.tasks, got, c.want, c.status)
 		}
 	}
 }
 
-// The state service lowers its limits in the midst of a run, and later the format
+// The key-value store lowers its limits in the midst of a run, and later the format
 // is raised: every job is accepted, a large one that was stored before is divided,
-// and what is saved is never sent unchanged for ever.
+// and no write batch is sent unchanged for ever.
 func TestLimitsThatFall(t *testing.T) {
-	s := standin.NewState()
-	s.Limit(16<<10, 12, 1000)
-	term := storedLeader(t, 1, s, func(d *Deps) {
+	store := standin.NewState()
+	store.Limit(16<<10, 12, 1000)
+	leader := newStoredLeader(t, 1, store, func(d *Deps) {
 		d.Format = standin.NewRecordFormat(storage.FormatOld)
 		d.Settings.Fleet.State = config.State{
 			RPS:      1e4,
@@ -92,81 +93,86 @@
 			Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 		}
 	})
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	if !term.persister.Restore(ctx) {
+	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	term.state.SetInstanceTypes(modelCatalog.Types)
-	go term.persister.Run(ctx)
-	submit := func(id string, tasks int) {
-		t.Helper()
-		spec := *modelSpec(id)
-		spec.Tasks = tasks
-		for try := 0; ; try++ {
-			if r := term.Submit(ctx, &spec); r.Status == http.StatusCreated || r.Status == http.StatusOK {
-				return
-			} else if try == 20 {
-				t.Fatalf("%s: %d %s", id, r.Status, r.Body)
-			}
-			time.Sleep(50 * time.Millisecond)
-		}
-	}
-	eventually := func(done func() bool) {
-		t.Helper()
-		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			term.state.Lock()
-			ok := done()
-			term.state.Unlock()
-			if ok {
-				return
-			}
-			if time.Now().After(deadline) {
-				t.Fatal("not saved")
-			}
-		}
-	}
-	const large = "j-000001"
-	submit(large, protocol.MaxTasks)
-	name := func(from, to int) {
-		term.state.Lock()
-		defer term.state.Unlock()
-		for i := from; i < to; i++ {
-			term.state.Assign(term.state.Jobs[large], term.state.EnsureMachine(fmt.Sprintf("i-%06d", i), "m", "a", true, 0), uint64(i+1), 0)
-		}
-		term.writeSignal.Raise()
+	leader.state.SetInstanceTypes(modelCatalog.Types)
+	start(t, leader.persister.Run)
+	durable := func(machines int) func() bool {
+		return func() bool { return leader.state.Jobs[testJob].MachineIsDurable(machineID(machines - 1)) }
 	}
-	named := func(to int) func() bool {
-		return func() bool { return term.state.Jobs[large].MachineIsDurable(fmt.Sprintf("i-%06d", to-1)) }
-	}
-	name(0, 300)
-	eventually(named(300))
-	s.Limit(2<<10, 4, 600)
-	name(300, 310) // its record is too large by now; the rest goes on
+	submitUntilAccepted(t, leader, testJob, protocol.MaxTasks)
+	assignMachines(leader, 0, 300)
+	expectWritten(t, leader, durable(300))
+	store.Limit(2<<10, 4, 600)
+	assignMachines(leader, 300, 310) // the job's record is too large by now; the rest goes on
 	for i := range 10 {
-		submit(fmt.Sprintf("j-%06d", i+10), 3)
+		submitUntilAccepted(t, leader, fmt.Sprintf("j-%06d", i+10), 3)
 	}
 	time.Sleep(2 * persister.RejectedRetryDelay.Duration())
-	if n := s.Rejected(); n == 0 || n > 3 {
-		t.Errorf("%d saves were rejected", n)
+	if n := store.Rejected(); n == 0 || n > 3 {
+		t.Errorf("%d write batches were rejected", n)
 	}
-	term.setFormat(storage.FormatNew)
-	eventually(named(310))
-	name(310, 900)
-	eventually(named(900))
-	term.state.Lock()
-	for i := range protocol.MaxTasks {
-		term.state.TaskDone(term.state.Jobs[large], i, 0)
+	leader.setFormat(storage.FormatNew)
+	expectWritten(t, leader, durable(310))
+	assignMachines(leader, 310, 900)
+	expectWritten(t, leader, durable(900))
+	completeAllTasks(leader)
+	expectWritten(t, leader, func() bool { return leader.state.Jobs[testJob] == nil })
+	if !eventually(writePatience, func() bool { return len(store.Keys(storage.KeyJob(testJob))) == 0 }) {
+		t.Fatalf("left over: %v", store.Keys(storage.KeyJob(testJob)))
+	}
+	if record, found, err := persister.ReadTerminal(t.Context(), leader.KV, testJob); err != nil || !found || record.Stage != protocol.StageDone || record.Done != protocol.MaxTasks {
+		t.Errorf("%+v %v %v", record, found, err)
 	}
-	term.state.Unlock()
-	term.writeSignal.Raise()
-	eventually(func() bool { return term.state.Jobs[large] == nil })
-	for deadline := time.Now().Add(20 * time.Second); len(s.Keys(storage.KeyJob(large))) > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatalf("left over: %v", s.Keys(storage.KeyJob(large)))
+}
+
+// submitUntilAccepted submits a job, and again while it is refused, for 20 times at most.
+func submitUntilAccepted(t *testing.T, leader *Leader, id string, tasks int) {
+	t.Helper()
+	spec := *modelSpec(id)
+	spec.Tasks = tasks
+	for try := 0; ; try++ {
+		if a := leader.Submit(t.Context(), &spec); a.Status == http.StatusCreated || a.Status == http.StatusOK {
+			return
+		} else if try == 20 {
+			t.Fatalf("%s: %d %s", id, a.Status, a.Body)
 		}
+		time.Sleep(50 * time.Millisecond)
 	}
-	if f, ok, err := persister.ReadTerminal(ctx, term.KV, large); err != nil || !ok || f.Stage != protocol.StageDone || f.Done != protocol.MaxTasks {
-		t.Errorf("%+v %v %v", f, ok, err)
+}
+
+// writePatience is how long tests wait for what the persister is to write.
+const writePatience = 20 * time.Second
+
+// expectWritten waits until a condition holds, which is checked under the lock of state.
+func expectWritten(t *testing.T, leader *Leader, condition func() bool) {
+	t.Helper()
+	if !eventually(writePatience, func() bool {
+		leader.state.Lock()
+		defer leader.state.Unlock()
+		return condition()
+	}) {
+		t.Fatal("not written")
+	}
+}
+
+// assignMachines assigns a task of testJob to each of some machines.
+func assignMachines(leader *Leader, from, to int) {
+	leader.state.Lock()
+	defer leader.state.Unlock()
+	for i := from; i < to; i++ {
+		leader.state.Assign(leader.state.Jobs[testJob], leader.state.EnsureMachine(machineID(i), "m", "a", true, 0), uint64(i+1), 0)
+	}
+	leader.writeSignal.Raise()
+}
+
+// completeAllTasks has all tasks of testJob done.
+func completeAllTasks(leader *Leader) {
+	leader.state.Lock()
+	defer leader.state.Unlock()
+	for i := range protocol.MaxTasks {
+		leader.state.TaskDone(leader.state.Jobs[testJob], i, 0)
 	}
+	leader.writeSignal.Raise()
 }
--- /dev/null
+++ b/internal/controller/forward.go
@@ -0,0 +1,59 @@
+package controller
+
+import (
+	"context"
+
+	"dunestand/internal/answer"
+	"dunestand/internal/peers"
+	"dunestand/internal/protocol"
+	"dunestand/internal/transport"
+)
+
+// forward sends a request on to the leader, once: a request that came from another controller
+// is not forwarded again. A leader that has not answered for a while is not waited for.
+func (c *Controller) forward(ctx context.Context, origin requestOrigin, kind protocol.FrameKind, id string, body []byte) answer.Answer {
+	leader := c.leaderName()
+	if origin == fromPeer || leader == c.deps.Settings.Node || !c.peers.Reachable(leader) {
+		return answer.Unavailable("no leader in reach")
+	}
+	sentAt := c.deps.Clock.Steady()
+	response, err := c.peers.Forward(ctx, leader, kind, id, body)
+	if err != nil {
+		c.deps.Log.Debug("request not forwarded", "leader", leader, "job", id, "error", err)
+		return answer.Unavailable("no leader in reach")
+	}
+	c.deps.Log.Debug("request forwarded", "leader", leader, "kind", kind.String(), "status", response.Status,
+		"took_us", int64(c.deps.Clock.Steady()-sentAt))
+	return answer.Relayed(response, sentAt)
+}
+
+// servePeer answers a frame of another controller: a ping, or a request that it forwarded.
+func (c *Controller) servePeer(ctx context.Context, data []byte) ([]byte, error) {
+	leading := ""
+	if c.activeLeader() != nil {
+		leading = c.deps.Settings.Node
+	}
+	return peers.AnswerFrame(ctx, data, leading, func(ctx context.Context, frame protocol.Frame) transport.Response {
+		var a answer.Answer
+		switch frame.Kind {
+		case protocol.FrameSubmit:
+			a = c.submit(ctx, frame.Body, fromPeer)
+		case protocol.FramePoll:
+			a = c.poll(ctx, frame.Job, fromPeer)
+		default:
+			a = c.cancel(ctx, frame.Job, fromPeer)
+		}
+		return c.gate().Check(a)
+	})
+}
+
+// redirectTarget returns the node that workers should send their heartbeats to, "" if it is
+// not known. A leader that refuses this node's links may serve workers all the same: it
+// counts while its lease record is seen to be renewed.
+func (c *Controller) redirectTarget() string {
+	leader := c.leaderName()
+	if leader == c.deps.Settings.Node || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.elector.SeesRenewals()) {
+		return ""
+	}
+	return leader
+}
--- /dev/null
+++ b/internal/controller/harness_admission_test.go
@@ -0,0 +1,99 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"testing"
+
+	"dunestand/internal/admission"
+	"dunestand/internal/admissioncontrol"
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
+)
+
+// planHorizon is short, so that one large backlog fills it.
+const planHorizon = 20 * units.Second
+
+// newAdmittingLeader returns a leader that admits by a plan, with its records restored. None
+// of its loops run: tests take each step.
+func newAdmittingLeader(t *testing.T, token uint64, store *standin.State) *Leader {
+	t.Helper()
+	leader := newStoredLeader(t, token, store, func(d *Deps) {
+		d.Format = standin.NewRecordFormat(storage.FormatAdmission)
+		d.Settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
+		d.Admitter = newTestAdmitter(*d)
+	})
+	if !leader.persister.Restore(t.Context()) {
+		t.Fatal("not restored")
+	}
+	leader.state.SetInstanceTypes(modelCatalog.Types)
+	return leader
+}
+
+// newTestAdmitter returns the admitter of a controller whose policy turns admission on.
+func newTestAdmitter(d Deps) *admissioncontrol.Admitter {
+	return admissioncontrol.NewAdmitter(admissioncontrol.AdmitterDeps{
+		Settings: d.Settings,
+		Options:  admission.Options{Horizon: planHorizon},
+		KV:       d.KV,
+		Format:   d.Format,
+		Clock:    d.Clock,
+		Log:      d.Log,
+		Metrics:  d.Metrics,
+	})
+}
+
+// renewPlan has the leader write a plan now.
+func (l *Leader) renewPlan(ctx context.Context) error {
+	l.Clock.(*standin.Clock).Now += units.Second
+	return l.admission.Publish(ctx)
+}
+
+// admittedSpec returns a job of a team with an estimate.
+func admittedSpec(id, team string, tasks int) *protocol.JobSpec {
+	spec := modelSpec(id)
+	spec.Team, spec.Tasks, spec.Estimate = team, tasks, 10*units.Second
+	return spec
+}
+
+// fillQuota has the first team use up its quota with jobs that are stored, and submit another
+// one, which has to wait.
+func fillQuota(t *testing.T, leader *Leader) {
+	t.Helper()
+	const jobs = 60
+	if err := leader.renewPlan(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	for i := range jobs {
+		leader.state.NewJob(*admittedSpec(fmt.Sprintf("j-%06d", 1000+i), "team", 1), leader.Clock.Wall(), leader.Clock.Steady())
+	}
+	for batch := leader.nextBatch(); batch != nil; batch = leader.nextBatch() {
+		leader.persister.CommitBatch(t.Context(), batch)
+	}
+	if err := leader.renewPlan(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if a := leader.Submit(t.Context(), admittedSpec("j-000901", "team", 1)); a.Status == http.StatusCreated {
+		t.Fatal("admitted though its team has used up its quota")
+	}
+	if leader.admission.WaitingCount() != 1 {
+		t.Fatal("the job was entered though its team has used up its quota")
+	}
+	if err := leader.renewPlan(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// expectWait submits a job that has to wait.
+func (l *Leader) expectWait(t *testing.T, spec *protocol.JobSpec) {
+	t.Helper()
+	var refusal protocol.ErrorResponse
+	a := l.Submit(t.Context(), spec)
+	if err := protocol.Decode(a.Body, &refusal); err != nil || a.Status != http.StatusTooManyRequests || refusal.PlanVersion == 0 || a.RetryAfter < 1 {
+		t.Fatalf("%s is not told to wait: %d by plan %d, Retry-After %d", spec.ID, a.Status, refusal.PlanVersion, a.RetryAfter)
+	}
+}
--- /dev/null
+++ b/internal/controller/harness_controller_test.go
@@ -0,0 +1,137 @@
+package controller
+
+import (
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"dunestand/internal/config"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
+)
+
+// unusedAddress is where nothing listens.
+const unusedAddress = "127.0.0.1:1"
+
+// testEnvironment returns the environment of a node with the default policy.
+func testEnvironment(clock units.Clock) Environment {
+	return Environment{
+		Policy: config.DefaultPolicy(),
+		Clock:  clock,
+		Random: rand.New(rand.NewPCG(1, 1)),
+		Log:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
+}
+
+// newTestController returns a node that leads, without a key-value store or a cloud.
+func newTestController(leader *Leader) *Controller {
+	settings := modelSettings()
+	settings.Services.State, settings.Services.Cloud = unusedAddress, unusedAddress
+	c := NewController(settings, testEnvironment(leader.Clock))
+	c.leader.Store(leader)
+	return c
+}
+
+// listenHanging returns the address of a listener that accepts nothing: requests wait.
+func listenHanging(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return listener.Addr().String()
+}
+
+// newRefusedController returns a node whose only peer, "leader", refuses its links.
+// Its key-value store does not answer if none is given.
+func newRefusedController(t *testing.T, store *standin.State) (*Controller, *standin.Clock) {
+	t.Helper()
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	refusing := closed.Addr().String()
+	closed.Close()
+	settings := modelSettings()
+	settings.Others = []config.Peer{{Node: "leader", Endpoint: refusing}}
+	if store != nil {
+		server := httptest.NewServer(store)
+		t.Cleanup(server.Close)
+		settings.Services.State = strings.TrimPrefix(server.URL, "http://")
+	} else {
+		settings.Services.State = listenHanging(t)
+	}
+	clock := &standin.Clock{Now: 100 * units.Second}
+	c := NewController(settings, testEnvironment(clock))
+	start(t, c.peers.Run)
+	if !eventually(10*time.Second, func() bool { return c.peers.RefusesConnections("leader") }) {
+		t.Fatal("the link is not refused")
+	}
+	c.leaderReachedAt.Store(int64(clock.Now))
+	return c, clock
+}
+
+// sawRenewal has the node read the leader's lease record at the given version.
+func (c *Controller) sawRenewal(version uint64) {
+	c.elector.ObserveRecord(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version)
+}
+
+// encodeTasks returns a heartbeat's list of tasks as a worker sends it, all of them running.
+func encodeTasks(heartbeat *protocol.Heartbeat) protocol.Raw {
+	tasks := make([]map[string]any, len(heartbeat.Tasks))
+	for i, task := range heartbeat.Tasks {
+		tasks[i] = map[string]any{
+			"bolt":  protocol.TaskName(task.Job, task.Index),
+			"try":   task.Attempt,
+			"stage": "running",
+		}
+	}
+	return protocol.Encode(tasks)
+}
+
+// encodeHeartbeat returns a heartbeat as a worker sends it, with a list of tasks.
+func encodeHeartbeat(heartbeat *protocol.Heartbeat, tasks protocol.Raw) []byte {
+	return protocol.Encode(map[string]any{
+		"dune":     heartbeat.Machine,
+		"endpoint": "10.1.0.1:9000",
+		"loom":     heartbeat.InstanceType,
+		"yard":     heartbeat.Zone,
+		"borrowed": heartbeat.Spot,
+		"shift":    heartbeat.Incarnation,
+		"tally":    heartbeat.Sequence,
+		"baton":    heartbeat.FencingToken,
+		"recall_s": nil,
+		"bolts":    tasks,
+	})
+}
+
+// encodeSubmission returns a job's submission by a team as a user sends it.
+func encodeSubmission(spec *protocol.JobSpec, team string) []byte {
+	return protocol.Encode(map[string]any{
+		"uid":       spec.ID,
+		"queue":     spec.Class,
+		"crew":      team,
+		"shape":     "sweep",
+		"urgency":   "normal",
+		"bolts":     spec.Tasks,
+		"vcpus":     1.0,
+		"cards":     0.0,
+		"memory_gb": 1.0,
+		"borrowed":  true,
+		"pattern":   "i",
+		"image_gb":  1.0,
+		"expect_s":  5.0,
+		"mark_s":    0.0,
+		"stow_s":    0.0,
+		"together":  false,
+		"apart":     false,
+	})
+}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -1,87 +1,37 @@
 package controller
 
 import (
+	"context"
 	"io"
 	"log/slog"
+	"net/http/httptest"
+	"strings"
 	"testing"
+	"time"
 
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
+	"dunestand/internal/recordformat"
 	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
 )
 
-// leaderWithJob is a leader of a job that is stored and waits.
-func leaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
-	t.Helper()
-	clock := &standin.Clock{Now: 100 * units.Second}
-	term := newTestLeader(7, clock)
-	term.persister.InstallRecords(nil, modelCatalog)
-	spec := *modelSpec("j-000001")
-	spec.Tasks = tasks
-	term.state.NewJob(spec, clock.Now, clock.Now)
-	term.save()
-	return term, clock
-}
-
-// save carries out all saves that are due.
-func (l *Leader) save() {
-	for {
-		s := l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
-		if s == nil {
-			return
-		}
-		l.state.BatchCommitted(s, 1)
-	}
-}
-
-// exchange is one report and its answer; saves that the answer needs are
-// carried out first.
-func (l *Leader) exchange(r *protocol.Heartbeat) []protocol.Command {
-	now := l.Clock.Steady()
-	m := l.reconciler.Reconcile(r, now)
-	if m == nil {
-		return nil
-	}
-	l.scheduler.RunCycle(now, m)
-	l.save()
-	return l.reconciler.Commands(m, r, now)
-}
-
-func testHeartbeat(machine string, session, seq, term uint64) *protocol.Heartbeat {
-	return &protocol.Heartbeat{
-		Machine:      machine,
-		InstanceType: "m",
-		Zone:         "a",
-		Spot:         true,
-		Incarnation:  session,
-		Sequence:     seq,
-		FencingToken: term,
-	}
-}
+// This file makes leaders for tests and takes single steps with them; the files harness_*
+// hold what only some of the tests need.
 
-// This file plays random days against the leader's core: workers as the
-// protocol describes them, a state service, leaders that die at any point,
-// answers that are lost or late. Controllers of the version before are upgraded
-// one by one meanwhile, and the state service lowers its limits once all are.
-// After every step it checks on the workers themselves, not on the leader's
-// books, what must never happen.
-
-const (
-	modelLease   = 10 * units.Second
-	modelCancel  = 11 * units.Second
-	workerWaits  = 4 * units.Second
-	modelLimit   = 9 // processors of the team
-	modelMachine = 4 // processors of a machine
-)
+// testJob is the job of the leaders that have just one.
+const testJob = "j-000001"
 
+// modelSettings returns the settings of a fleet of one team and one zone.
 func modelSettings() *config.Settings {
 	return &config.Settings{Node: "n", Fleet: config.Fleet{Zones: []string{"a"},
-		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: modelLimit}},
-		Workers: config.Workers{ReportS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancel.Seconds()},
+		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: modelQuotaCPUs}},
+		Workers: config.Workers{ReportS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancelGrace.Seconds()},
 		State: config.State{
 			RPS:      100,
 			WriteRPS: 50,
@@ -92,10 +42,11 @@
 		Resources: config.Resources{CoreShare: 1, RAMMB: 100, MaxConnections: 100}}}
 }
 
+// modelCatalog is that fleet's only instance type.
 var modelCatalog = protocol.Catalog{Types: []protocol.InstanceType{
 	{
 		Name:      "m",
-		CPUs:      modelMachine,
+		CPUs:      modelMachineCPUs,
 		MemoryGB:  64,
 		CacheGB:   10,
 		Price:     1,
@@ -104,23 +55,40 @@
 		Zones:     []string{"a"},
 	}}}
 
-// setFormat sets the fleet's format as the leader knows it.
-func (l *Leader) setFormat(level storage.Format) {
-	l.Format.(*standin.RecordFormat).Level.Store(int64(level))
+// modelSpec returns a job of two tasks of that fleet's team.
+func modelSpec(id string) *protocol.JobSpec {
+	return &protocol.JobSpec{
+		ID:        id,
+		Class:     "c",
+		Team:      "team",
+		Tasks:     2,
+		Request:   standin.CPUs(1),
+		AllowSpot: true,
+		Image:     "i",
+	}
 }
 
-// lease is the leader's leadership, for tests that take it away or look at it.
-func (l *Leader) lease() *standin.Leadership { return l.leadership.(*standin.Leadership) }
+// testHeartbeat returns a heartbeat without tasks of a spot instance of that fleet.
+func testHeartbeat(machine string, incarnation, sequence, token uint64) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine:      machine,
+		InstanceType: "m",
+		Zone:         "a",
+		Spot:         true,
+		Incarnation:  incarnation,
+		Sequence:     sequence,
+		FencingToken: token,
+	}
+}
 
 // newTestLeader returns a leader whose lease holds until it is taken from it. The changes are
-// made to what it works with before it is made.
+// made to its dependencies before it is made.
 func newTestLeader(token uint64, clock units.Clock, changes ...func(*Deps)) *Leader {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	deps := Deps{
 		Settings:         modelSettings(),
 		Policy:           config.DefaultPolicy(),
 		Clock:            clock,
-		Log:              log,
+		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics:          telemetry.NewMetrics(),
 		Format:           standin.NewRecordFormat(storage.FormatOld),
 		UnreachablePeers: func() int { return 0 },
@@ -131,3 +99,138 @@
 	}
 	return NewLeader(&standin.Leadership{Number: token}, deps)
 }
+
+// newEmptyLeader returns a leader that has restored no jobs, and its clock, which shows now.
+func newEmptyLeader(token uint64, now units.Micros) (*Leader, *standin.Clock) {
+	clock := &standin.Clock{Now: now}
+	leader := newTestLeader(token, clock)
+	leader.persister.InstallRecords(nil, modelCatalog)
+	return leader, clock
+}
+
+// newLeaderWithJob returns a leader with token 7 of testJob, which is durable and pending.
+func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
+	t.Helper()
+	leader, clock := newEmptyLeader(7, 100*units.Second)
+	spec := *modelSpec(testJob)
+	spec.Tasks = tasks
+	leader.state.NewJob(spec, clock.Now, clock.Now)
+	leader.commitWrites()
+	return leader, clock
+}
+
+// newStoredLeader returns a leader over a key-value store. It has not restored its records.
+func newStoredLeader(t *testing.T, token uint64, store *standin.State, changes ...func(*Deps)) *Leader {
+	t.Helper()
+	server := httptest.NewServer(store)
+	t.Cleanup(server.Close)
+	clock := &standin.Clock{Now: units.Second}
+	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+		RPS:      1e4,
+		WriteRPS: 1e4,
+	}, 0, clock)
+	return newTestLeader(token, clock, append([]func(*Deps){func(d *Deps) {
+		d.KV = client
+		d.Format = recordformat.NewNegotiator("n", nil, storage.FormatNew, client, d.Log)
+	}}, changes...)...)
+}
+
+// setFormat sets the fleet's format as the leader knows it.
+func (l *Leader) setFormat(level storage.Format) {
+	l.Format.(*standin.RecordFormat).Level.Store(int64(level))
+}
+
+// lease returns the leader's leadership, for tests that take it away or look at it.
+func (l *Leader) lease() *standin.Leadership { return l.leadership.(*standin.Leadership) }
+
+// records returns a reader of the leader's records.
+func (l *Leader) records() recordReader {
+	return recordReader{store: l.KV, clock: l.Clock, workers: l.Settings.Fleet.Workers}
+}
+
+// exchange has the leader handle a heartbeat and returns its commands; write batches that the
+// answer needs are committed first.
+func (l *Leader) exchange(heartbeat *protocol.Heartbeat) []protocol.Command {
+	now := l.Clock.Steady()
+	machine := l.reconciler.Reconcile(heartbeat, now)
+	if machine == nil {
+		return nil
+	}
+	l.scheduler.RunCycle(now, machine)
+	l.commitWrites()
+	return l.reconciler.Commands(machine, heartbeat, now)
+}
+
+// nextBatch builds the next write batch, nil if none is due.
+func (l *Leader) nextBatch() *cluster.WriteBatch {
+	l.state.Lock()
+	defer l.state.Unlock()
+	return l.state.BuildWriteBatch(l.persister.NextWriteID(), l.persister.BucketVersions(), cluster.BatchLimits{Background: true}, l.Clock.Steady())
+}
+
+// commitWrites commits all write batches that are due, without a key-value store.
+func (l *Leader) commitWrites() {
+	for batch := l.nextBatch(); batch != nil; batch = l.nextBatch() {
+		l.state.BatchCommitted(batch, 1)
+	}
+}
+
+// commitNext sends the next write batch to the key-value store, if one is due.
+func (l *Leader) commitNext(ctx context.Context) {
+	if batch := l.nextBatch(); batch != nil {
+		l.persister.CommitBatch(ctx, batch)
+	}
+}
+
+// writeAllRecords writes every job and returns the records.
+func writeAllRecords(leader *Leader) []protocol.Item {
+	var records []protocol.Item
+	for _, job := range leader.state.Jobs {
+		job.MarkChanged(units.Second, true)
+	}
+	for {
+		batch := leader.state.BuildWriteBatch("1-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, units.Second)
+		if batch == nil {
+			return records
+		}
+		for _, change := range batch.Txn.Then {
+			records = append(records, protocol.Item{Key: change.Set, Value: change.Value, Version: 1})
+		}
+		leader.state.BatchCommitted(batch, 1)
+	}
+}
+
+// decodeState returns the job's state that an answer gives.
+func decodeState(t *testing.T, a answer.Answer) protocol.JobState {
+	t.Helper()
+	var state protocol.JobState
+	if err := protocol.Decode(a.Body, &state); err != nil {
+		t.Fatal(err)
+	}
+	return state
+}
+
+// start runs a loop until the test ends, and then waits for it.
+func start(t testing.TB, loop func(context.Context)) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		loop(ctx)
+	}()
+	t.Cleanup(func() {
+		cancel()
+		<-done
+	})
+}
+
+// eventually reports whether a condition holds within a limit.
+func eventually(limit time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(limit); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/controller/health_test.go
@@ -0,0 +1,105 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"dunestand/internal/answer"
+	"dunestand/internal/config"
+	"dunestand/internal/peers"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	"dunestand/internal/storage"
+	"dunestand/internal/transport"
+	"dunestand/internal/units"
+)
+
+// While the leader refuses this node's links and renews its lease, workers are
+// redirected to it and the node is unhealthy. Once the lease record is stale nobody
+// leads: then workers are not redirected, and the node stays in use for the election.
+func TestNodeThatTheLeaderRefuses(t *testing.T) {
+	c, clock := newRefusedController(t, nil)
+	for version := uint64(1); version <= 2; version++ {
+		c.sawRenewal(version)
+		if got := c.redirectTarget(); got != "leader" {
+			t.Fatalf("workers are redirected to %q", got)
+		}
+		if response := c.health(); response.Status != http.StatusOK {
+			t.Fatalf("unhealthy after %d s", version)
+		}
+		clock.Now += units.Second
+	}
+	clock.Now += units.Second
+	c.sawRenewal(3)
+	if response := c.health(); response.Status != http.StatusServiceUnavailable {
+		t.Error("a node that can forward nothing counts as healthy")
+	}
+	clock.Now += c.elector.LeaseDuration()
+	c.sawRenewal(3) // the record is read, and unchanged
+	if got := c.redirectTarget(); got != "" {
+		t.Errorf("workers are redirected to %q, which does not renew", got)
+	}
+	if response := c.health(); response.Status != http.StatusOK {
+		t.Error("a node is unhealthy in the middle of an election")
+	}
+}
+
+// A node without the key-value store and all other controllers is soon unhealthy, and
+// answers at once instead of asking the store.
+func TestNodeCutOffFromStateAndPeers(t *testing.T) {
+	c, clock := newRefusedController(t, nil)
+	clock.Now += c.elector.LeaseDuration() + units.Millisecond
+	if response := c.health(); response.Status != http.StatusServiceUnavailable {
+		t.Error("it counts as healthy")
+	}
+	startedAt := time.Now()
+	if a := c.poll(t.Context(), testJob, fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+		t.Errorf("poll: %d", a.Status)
+	}
+	if took := time.Since(startedAt); took > 500*time.Millisecond {
+		t.Errorf("the user waited %v", took)
+	}
+}
+
+// A node that has lost the key-value store still takes the former leader for the leader,
+// itself perhaps. It learns of the present one from that one's answers
+// to its pings, forwards requests to it and redirects workers to it.
+func TestLeaderIsKnownWithoutTheStateService(t *testing.T) {
+	mesh, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	clock := &standin.Clock{Now: 100 * units.Second}
+	env := testEnvironment(clock)
+	start(t, func(ctx context.Context) {
+		_ = transport.ServeMesh(ctx, mesh, env.Log, func(ctx context.Context, frame []byte) ([]byte, error) {
+			return peers.AnswerFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
+				return answer.StateResponse(http.StatusOK, protocol.JobState{ID: testJob, Stage: protocol.StagePending})
+			})
+		})
+	})
+	settings := modelSettings()
+	settings.Services.State = unusedAddress
+	settings.Others = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
+	c := NewController(settings, env)
+	record := storage.LeaseRecord{Holder: settings.Node, Incarnation: 3}
+	c.elector.ObserveRecord(record, 1)
+	clock.Now += leaseRecordTTL + units.Millisecond
+	start(t, c.peers.Run)
+	if !eventually(10*time.Second, func() bool { return c.redirectTarget() == "next" }) {
+		t.Fatalf("workers are redirected to %q", c.redirectTarget())
+	}
+	if a := c.poll(t.Context(), testJob, fromUser); a.Status != http.StatusOK {
+		t.Errorf("poll: %d %s", a.Status, a.Body)
+	}
+	if response := c.health(); response.Status != http.StatusOK {
+		t.Errorf("health: %s", response.Body)
+	}
+	c.elector.ObserveRecord(record, 1)
+	if got := c.leaderName(); got != settings.Node {
+		t.Errorf("the record was just read, and %q counts as the leader", got)
+	}
+}
--- /dev/null
+++ b/internal/controller/leaderless_test.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"dunestand/internal/answer"
+	"dunestand/internal/cluster"
+	"dunestand/internal/protocol"
+	"dunestand/internal/standin"
+	"dunestand/internal/storage"
+	"dunestand/internal/units"
+)
+
+// A node that reaches no leader accepts a job by itself. From then on nobody answers
+// that it is unknown, or anything older than what its user was told: not this
+// node, and not a leader, whether or not it has ingested the job.
+func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
+	store := standin.NewState()
+	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
+	store.Put(storage.KeyTerminal("j-000009"), protocol.Encode(storage.TerminalRecord{
+		Stage: protocol.StageDone,
+		Tasks: 2,
+		Done:  2,
+	}))
+	c, _ := newRefusedController(t, store)
+	ctx := t.Context()
+	for _, want := range []int{http.StatusCreated, http.StatusOK} {
+		if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), fromUser); a.Status != want || decodeState(t, a).Stage != protocol.StagePending {
+			t.Fatalf("submission: %d %s, want %d", a.Status, a.Body, want)
+		}
+	}
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000009"), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
+		t.Errorf("a job in a terminal state: %d %s", a.Status, a.Body)
+	}
+	// Only a leader rejects for good: it knows whether the job was accepted before.
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000002"), "nobody"), fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+		t.Errorf("an infeasible job: %d", a.Status)
+	}
+	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000003"), "team"), fromPeer); a.Status != http.StatusServiceUnavailable {
+		t.Errorf("forwarded by another node: %d", a.Status)
+	}
+	if a := c.poll(ctx, testJob, fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
+		t.Errorf("poll: %d %s", a.Status, a.Body)
+	}
+	if a := c.poll(ctx, "j-000003", fromUser); a.Status != http.StatusNotFound {
+		t.Errorf("poll of an unknown job: %d", a.Status)
+	}
+
+	leader := newStoredLeader(t, 1, store)
+	if !leader.persister.Restore(ctx) {
+		t.Fatal("not restored")
+	}
+	if a := leader.Poll(ctx, testJob); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
+		t.Errorf("a leader that has not ingested it: %d", a.Status)
+	}
+	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusServiceUnavailable {
+		t.Errorf("cancellation before it is ingested: %d", a.Status)
+	}
+	infeasible := modelSpec(testJob)
+	infeasible.Team = "nobody"
+	if a := leader.Submit(ctx, infeasible); a.Status == http.StatusUnprocessableEntity {
+		t.Error("the duplicate of an accepted job is rejected")
+	}
+	start(t, leader.persister.Run)
+	start(t, leader.ingester.Run)
+	if !eventually(10*time.Second, func() bool { return len(store.Keys(storage.PrefixPending)) == 0 }) {
+		t.Fatal("it stays in the pending-submission queue")
+	}
+	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+		t.Errorf("cancellation: %d %s", a.Status, a.Body)
+	}
+	if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+		t.Errorf("duplicate of a cancelled job: %d %s", a.Status, a.Body)
+	}
+}
+
+// A job is accepted without a leader by a commit that takes long. By then it may have been
+// ingested and cancelled, so its state is read again before the user is told of it.
+func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
+	store := standin.NewState()
+	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
+	c, clock := newRefusedController(t, store)
+	store.Refuse = func(_, path string) bool {
+		if path == protocol.PathCommit {
+			clock.Now += answer.MaxAnswerAge + units.Millisecond
+		}
+		return false
+	}
+	a := c.submit(t.Context(), encodeSubmission(modelSpec(testJob), "team"), fromUser)
+	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
+		t.Errorf("%d %s", got.Status, got.Body)
+	}
+	if len(store.Keys(storage.PrefixPending)) != 1 {
+		t.Error("it is not in the pending-submission queue")
+	}
+}
+
+// What was put into the pending-submission queue late, for a job in a terminal state, is
+// cleared away and never answered for: the job's terminal state stands.
+func TestLatePendingSubmissionOfAFinishedJob(t *testing.T) {
+	store := standin.NewState()
+	spec := modelSpec(testJob)
+	for _, change := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
+		store.Put(change.Set, change.Value)
+	}
+	store.Put(storage.KeyTerminal(spec.ID), protocol.Encode(storage.TerminalRecord{
+		Stage: protocol.StageDone,
+		Tasks: 2,
+		Done:  2,
+	}))
+	leader := newStoredLeader(t, 1, store)
+	if !leader.persister.Restore(t.Context()) {
+		t.Fatal("not restored")
+	}
+	start(t, leader.persister.Run)
+	start(t, leader.ingester.Run)
+	cleared := func() bool {
+		if len(store.Keys(storage.PrefixPending)) == 0 {
+			return true
+		}
+		if a := leader.Poll(t.Context(), spec.ID); a.Status == http.StatusOK && decodeState(t, a).Stage != protocol.StageDone || a.Status == http.StatusNotFound {
+			t.Fatalf("poll: %d %s", a.Status, a.Body)
+		}
+		return false
+	}
+	if !eventually(10*time.Second, cleared) {
+		t.Fatal("it stays in the pending-submission queue")
+	}
+	if live := store.Keys("job/"); len(live) > 0 {
+		t.Errorf("live again: %v", live)
+	}
+}
--- a/internal/controller/model_store_test.go
+++ b/internal/controller/model_store_test.go
@@ -11,81 +11,87 @@
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
-	"dunestand/internal/units"
 )
 
+// modelStore is the key-value store.
 type modelStore struct {
 	items    map[string]protocol.Item
 	revision uint64
 	limits   config.State
 }
 
-// takes tells whether a transaction is within the limits.
-func (s *modelStore) takes(txn protocol.Txn) bool {
-	for _, c := range txn.Then {
-		if len(c.Value)*5/4 > s.limits.ValueBytes() { // as JSON it is a little larger
+// withinLimits reports whether a transaction is within the limits.
+func (s *modelStore) withinLimits(txn protocol.Txn) bool {
+	for _, change := range txn.Then {
+		if len(change.Value)*5/4 > s.limits.ValueBytes() { // as JSON it is a little larger
 			return false
 		}
 	}
 	return len(txn.Then) <= s.limits.TxnOps && len(txn.If) <= 4*s.limits.TxnOps
 }
 
-// commit gives the keys that were not as expected, none if it was carried out.
-func (s *modelStore) commit(t *rapid.T, txn protocol.Txn) (uint64, []string) {
-	var failed []string
-	for _, c := range txn.If {
-		if s.items[c.Key].Version != c.Version {
-			failed = append(failed, c.Key)
+// commit carries a transaction out and returns its revision, or else the keys whose versions
+// were not as expected.
+func (s *modelStore) commit(t *rapid.T, txn protocol.Txn) (revision uint64, conflicts []string) {
+	for _, condition := range txn.If {
+		if s.items[condition.Key].Version != condition.Version {
+			conflicts = append(conflicts, condition.Key)
 		}
 	}
-	if len(failed) > 0 {
-		return 0, failed
+	if len(conflicts) > 0 {
+		return 0, conflicts
 	}
-	if !s.takes(txn) {
+	if !s.withinLimits(txn) {
 		t.Fatalf("transaction of %d changes, %d conditions", len(txn.Then), len(txn.If))
 	}
 	s.revision++
-	for _, c := range txn.Then {
-		if c.Delete != "" {
-			delete(s.items, c.Delete)
+	for _, change := range txn.Then {
+		if change.Delete != "" {
+			delete(s.items, change.Delete)
 		} else {
-			s.items[c.Set] = protocol.Item{Key: c.Set, Value: c.Value, Version: s.revision}
+			s.items[change.Set] = protocol.Item{Key: change.Set, Value: change.Value, Version: s.revision}
 		}
 	}
 	return s.revision, nil
 }
 
-// arrive has another controller accept a job, a new one or one that the leader
+// put writes a value under a key, unconditionally.
+func (s *modelStore) put(key string, value any) {
+	s.revision++
+	s.items[key] = protocol.Item{Key: key, Value: protocol.Encode(value), Version: s.revision}
+}
+
+// submitElsewhere has another controller accept a job, a new one or one that the leader
 // has too: at once, or with a transaction that is held back.
-func (m *model) arrive() {
+func (m *model) submitElsewhere() {
 	var spec protocol.JobSpec
 	switch {
-	case len(m.specs) > 0 && rapid.Bool().Draw(m.t, "a repeat"):
-		spec = rapid.SampledFrom(m.specs).Draw(m.t, "arrival")
-	case len(m.jobs) < 6:
-		spec = m.draw()
+	case len(m.specs) > 0 && rapid.Bool().Draw(m.t, "a duplicate"):
+		spec = rapid.SampledFrom(m.specs).Draw(m.t, "duplicate of")
+	case len(m.jobs) < modelMaxJobs:
+		spec = m.drawSpec()
 	default:
 		return
 	}
-	m.arrivals = append(m.arrivals, cluster.PendingSubmissionTxn(cluster.PendingSubmission{
+	m.pendingInFlight = append(m.pendingInFlight, cluster.PendingSubmissionTxn(cluster.PendingSubmission{
 		Spec:      spec,
 		Submitted: m.clock.Now,
 	}))
 	if rapid.Bool().Draw(m.t, "accepted at once") {
-		m.land()
+		m.landPending()
 	}
 }
 
-// land carries out the arrivals on their way.
-func (m *model) land() {
-	for _, txn := range m.arrivals {
+// landPending carries out the pending submissions in flight.
+func (m *model) landPending() {
+	for _, txn := range m.pendingInFlight {
 		m.store.commit(m.t, txn)
 	}
-	m.arrivals = nil
+	m.pendingInFlight = nil
 }
 
-// pendingQueue lists what no leader has taken in.
-func (m *model) pendingQueue() []protocol.Item {
+// pendingItems returns the pending submissions that no leader has ingested.
+func (m *model) pendingItems() []protocol.Item {
 	var items []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
 		if strings.HasPrefix(key, storage.PrefixPending) {
@@ -95,95 +101,32 @@
 	return items
 }
 
-// collect has the leader take the inbox in.
-func (m *model) collect() {
-	for _, item := range m.pendingQueue() {
-		a, err := cluster.ParsePendingSubmission(item)
+// ingestPending has the leader ingest the pending-submission queue.
+func (m *model) ingestPending() {
+	for _, item := range m.pendingItems() {
+		pending, err := cluster.ParsePendingSubmission(item)
 		if err != nil {
 			m.t.Fatal(err)
 		}
-		if _, over := m.leader.terminals.Cached(a.Spec.ID); over {
+		if _, terminal := m.leader.terminals.Cached(pending.Spec.ID); terminal {
 			delete(m.store.items, item.Key)
 			continue
 		}
-		m.leader.state.AddPending(a, m.clock.Now)
+		m.leader.state.AddPending(pending, m.clock.Now)
 	}
 }
 
-// write sends the leader's next save, or completes the one on its way.
-func (m *model) write() {
-	l := m.leader.state
-	if m.save == nil {
-		m.saveNew = m.leader.Format.Current() >= storage.FormatNew
-		l.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
-		m.save = l.BuildWriteBatch(m.leader.persister.NextWriteID(), m.leader.persister.BucketVersions(), cluster.BatchLimits{
-			CoalesceFor: units.Second,
-			Background:  true,
-		}, m.clock.Now)
-		return
-	}
-	if !m.store.takes(m.save.Txn) {
-		// Only what was built before the leader heard that all are upgraded.
-		l.ApplyNextLimits()
-		if m.saveNew {
-			m.t.Fatalf("a save in the new form is over the limits: %d changes", len(m.save.Txn.Then))
-		}
-		l.BatchRejected(m.save, m.clock.Now)
-		m.save = nil
+// resendTransaction carries a transaction out late, once more: its first sending had no
+// answer, and newer ones came between. It must have no effect.
+func (m *model) resendTransaction() {
+	if len(m.committedTxns) == 0 {
 		return
 	}
-	rev, failed := m.store.commit(m.t, m.save.Txn)
-	if len(failed) > 0 {
-		l.BatchRefused(m.save, m.clock.Now)
-		for _, key := range failed {
-			id, final := storage.JobOfTerminalKey(key)
-			if !final || m.finals[id] == "" {
-				m.t.Fatalf("a leader's own save met a conflict: %v", failed)
-			}
-			m.leader.terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.finals[id]}})
-			l.DropUnaccepted(id) // it was in the inbox still
-		}
-		m.save = nil
-		return
-	}
-	if m.save.ProbeKey() != "" {
-		m.repeats = append(m.repeats, m.save.Txn)
-	}
-	for id, f := range l.BatchCommitted(m.save, rev) {
-		m.over(id, f)
-	}
-	m.save = nil
-}
-
-// repeat carries a transaction out late, once more: its first sending had no answer,
-// and newer ones came between. It must have no effect.
-func (m *model) repeat() {
-	if len(m.repeats) == 0 {
-		return
-	}
-	txn := rapid.SampledFrom(m.repeats).Draw(m.t, "carried out late")
-	if !m.store.takes(txn) {
+	txn := rapid.SampledFrom(m.committedTxns).Draw(m.t, "carried out late")
+	if !m.store.withinLimits(txn) {
 		return
 	}
 	if _, failed := m.store.commit(m.t, txn); len(failed) == 0 {
 		m.t.Fatal("a transaction was carried out twice")
 	}
 }
-
-func (m *model) over(id string, f storage.TerminalRecord) {
-	m.finals[id] = f.Stage
-	if m.confirmed[id] != 0 && f.Stage != protocol.StageCancelled {
-		m.t.Fatalf("%s was called cancelled, and is now %s", id, f.Stage)
-	}
-	if m.services[id] && f.Stage != protocol.StageCancelled {
-		m.t.Fatalf("the service %s is called %s", id, f.Stage)
-	}
-	if f.Stage != protocol.StageDone {
-		return
-	}
-	for i := range m.jobs[id] {
-		if !m.completed[taskKey{id, i}] {
-			m.t.Fatalf("%s is called done without task %d", id, i)
-		}
-	}
-}
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -1,313 +1,175 @@
 package controller
 
 import (
-	"dunestand/internal/answer"
-	_ "dunestand/internal/standin/fixedseed"
-	"fmt"
-	"maps"
-	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 
+	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
 	"dunestand/internal/standin"
-	"dunestand/internal/storage"
+	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
 
+// The files model_*_test.go play random days against a whole leader: workers as the
+// protocol describes them, a key-value store, leaders that die at any point, answers that
+// are lost or late. Controllers of the version before are upgraded one by one meanwhile,
+// and the store lowers its limits once all are. After every step the invariants are checked
+// on the workers themselves, not on the leader's state.
+
+const (
+	modelLease       = 10 * units.Second
+	modelCancelGrace = 11 * units.Second // from the confirmation of a cancellation until no task runs
+	workerTimeout    = 4 * units.Second  // a worker gives up on the answer to a heartbeat
+	modelQuotaCPUs   = 9                 // the team's quota limit
+	modelMachineCPUs = 4                 // capacity of a machine
+	modelMaxJobs     = 6
+	modelControllers = 3
+)
+
+// model is the state of a random day.
 type model struct {
-	t         *rapid.T
-	clock     *standin.Clock
-	store     *modelStore
-	leader    *Leader
-	terms     uint64
-	workers   []*modelWorker
-	save      *cluster.WriteBatch // the leader's, on its way
-	orphans   []*cluster.WriteBatch
-	held      []*protocol.Heartbeat // held back by the network; their workers have given up
-	jobs      map[string]int        // tasks of each job submitted
-	completed map[taskKey]bool
-	finals    map[string]protocol.JobStage
-	told      []sentHeartbeat
-	leadsNew  bool // the leader is of the new version
-	saveNew   bool // the save on its way was built in the new form
-	specs     []protocol.JobSpec
-	arrivals  []protocol.Txn // jobs on their way to the inbox
-	nodes     []modelNode
-	services  map[string]bool
-	calm      bool                    // all troubles are over
-	repeats   []protocol.Txn          // transactions that were carried out
-	confirmed map[string]units.Micros // when a user could be told that a job is cancelled
-}
+	t           *rapid.T
+	clock       *standin.Clock
+	faultsEnded bool
 
-// begin makes any of the controllers the leader.
-func (m *model) begin() {
-	m.terms++
-	m.leader = newTestLeader(m.terms, m.clock)
-	m.leadsNew = rapid.SampledFrom(m.nodes).Draw(m.t, "leader").upgraded
-	// The claim changes every bucket's head, so older saves fail from now on.
-	for b := range storage.Buckets {
-		m.store.revision++
-		key := storage.KeyBucketHead(b)
-		m.store.items[key] = protocol.Item{Key: key, Version: m.store.revision}
-		m.leader.persister.BucketVersions()[b] = m.store.revision
-	}
-	var rows []protocol.Item
-	for _, key := range slices.Sorted(maps.Keys(m.store.items)) {
-		if len(key) > 4 && key[:4] == storage.PrefixJobs {
-			rows = append(rows, m.store.items[key])
-		}
-	}
-	if !m.leadsNew {
-		if _, err := standin.ReadAsBefore(rows); err != nil {
-			m.t.Fatalf("a leader of the version before cannot restore: %v", err)
-		}
-	}
-	jobs, orphans, err := cluster.ParseJobs(rows)
-	if err != nil {
-		m.t.Fatalf("restore: %v", err)
-	}
-	for id, keys := range orphans {
-		if m.store.items[storage.KeyTerminal(id)].Version == 0 {
-			m.t.Fatalf("%s is not over, and has no record of its own", id)
-		}
-		m.leader.state.AddStaleRecords(id, keys)
-	}
-	if m.leadsNew {
-		// It reads the fleet's format before the records.
-		m.leader.setFormat(max(m.formats()[storage.KeyFleetFormat].Format, storage.FormatOld))
-	}
-	m.leader.persister.InstallRecords(jobs, modelCatalog)
-}
+	store           *modelStore
+	pendingInFlight []protocol.Txn // pending submissions that are not stored yet
+	committedTxns   []protocol.Txn // the leader's transactions that took effect
 
-func (m *model) submit() {
-	if len(m.jobs) >= 6 {
-		return
-	}
-	m.leader.state.NewJob(m.draw(), m.clock.Now, m.clock.Now)
-}
+	controllers      []modelController
+	leader           *Leader
+	leaderUpgraded   bool                  // the leader is of the new version
+	elections        uint64                // how many were won so far
+	batch            *cluster.WriteBatch   // the leader's, in flight
+	batchInNewFormat bool                  // that one was built in the new format
+	staleBatches     []*cluster.WriteBatch // in flight when their leader died
 
-// draw makes a new job.
-func (m *model) draw() protocol.JobSpec {
-	id := fmt.Sprintf("j-%06d", len(m.jobs))
-	spec := protocol.JobSpec{
-		ID:        id,
-		Class:     "c",
-		Team:      "team",
-		Tasks:     rapid.IntRange(1, 6).Draw(m.t, "tasks"),
-		Request:   standin.CPUs(rapid.IntRange(1, 3).Draw(m.t, "cpus")),
-		Priority:  protocol.Priority(rapid.IntRange(0, 3).Draw(m.t, "priority")),
-		AllowSpot: true,
-		Image:     "i",
-		Estimate:  10 * units.Second,
-	}
-	// One service at most: with two, a larger task might find no machine left.
-	if len(m.services) == 0 && m.leader.Format.Current() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
-		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), standin.CPUs(1), protocol.Production, 0
-		m.services[id] = true
-	}
-	m.jobs[id] = spec.Tasks
-	m.specs = append(m.specs, spec)
-	return spec
+	workers           []*modelWorker
+	delayedHeartbeats []*protocol.Heartbeat // held back by the network; their workers have given up
+	broadcastAnswers  []broadcastAnswer
+
+	specs          []protocol.JobSpec // of each job submitted
+	jobs           map[string]int     // number of tasks of each job submitted
+	services       map[string]bool    // those jobs that are services
+	completed      map[taskKey]bool   // tasks that a worker has completed
+	terminalStages map[string]protocol.JobStage
+	cancelledAt    map[string]units.Micros // since when a user may have been told that a job is cancelled
 }
 
-func (m *model) pass() {
-	m.clock.Now += units.Micros(rapid.IntRange(100, 6000).Draw(m.t, "ms")) * units.Millisecond
-	for _, w := range m.workers {
-		m.leaseOf(w)
-	}
-	m.leader.detector.ExpireLeases(m.clock.Now)
+// newModel returns the state in which a random day begins.
+func newModel(t *rapid.T) *model {
+	m := &model{
+		t:     t,
+		clock: &standin.Clock{Now: units.Second},
+		store: &modelStore{
+			items:  map[string]protocol.Item{},
+			limits: config.State{ValueKB: 8, TxnOps: 12, Next: &config.State{ValueKB: 1, TxnOps: 3}},
+		},
+		controllers:    make([]modelController, modelControllers),
+		services:       map[string]bool{},
+		jobs:           map[string]int{},
+		completed:      map[taskKey]bool{},
+		terminalStages: map[string]protocol.JobStage{},
+		cancelledAt:    map[string]units.Micros{},
+	}
+	// Some days begin with far more machines than the team can use.
+	for range rapid.SampledFrom([]int{2, 2, 2, 2, 16}).Draw(t, "machines") {
+		m.workers = append(m.workers, m.newWorker())
+	}
+	if rapid.Bool().Draw(t, "upgraded before") {
+		m.upgradeAll()
+	}
+	m.elect()
+	return m
 }
 
-// crash ends the leader. What it had sent may be carried out before the next
-// leader claims the buckets; later it must fail.
-func (m *model) crash() {
-	if m.save != nil {
-		if m.store.takes(m.save.Txn) && rapid.Bool().Draw(m.t, "save carried out") {
-			if _, failed := m.store.commit(m.t, m.save.Txn); len(failed) == 0 {
-				for _, c := range m.save.Txn.Then {
-					if id, final := storage.JobOfTerminalKey(c.Set); final {
-						var f storage.TerminalRecord
-						if protocol.Decode(c.Value, &f) == nil {
-							m.over(id, f)
-						}
-					}
-				}
-			}
-		} else {
-			m.orphans = append(m.orphans, m.save)
-		}
-		m.save = nil
-	}
-	m.begin()
-	for _, s := range m.orphans {
-		if !m.store.takes(s.Txn) {
-			continue
-		}
-		if _, failed := m.store.commit(m.t, s.Txn); len(failed) == 0 {
-			m.t.Fatalf("a former leader's save was carried out after the claim")
-		}
+// actions lists what may happen, each action as often as its weight. The fixed seed draws
+// places of this list: another order means other days.
+func (m *model) actions() []func() {
+	return []func(){
+		m.submit, m.submit, m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver,
+		m.work, m.work, m.advanceWrite, m.advanceWrite, m.advanceWrite, m.passTime, m.passTime,
+		m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver, m.work, m.work,
+		m.advanceWrite, m.advanceWrite, m.advanceWrite, m.heartbeat, m.deliver, m.heartbeat, m.deliver,
+		m.heartbeat, m.deliver, m.failOver, m.failOver, m.cancel, m.releaseAnyWorker,
+		m.deliverDelayedHeartbeat, m.deliverDelayedHeartbeat, m.loseAnswers, m.broadcastToken,
+		m.broadcastToken, m.deliverBroadcastAnswers, m.submitElsewhere, m.landPending, m.ingestPending,
+		m.ingestPending, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.raiseFormat,
+		m.raiseFormat, m.raiseFormat, m.lowerLimits, m.loseHeartbeats, m.loseHeartbeats, m.hangWorker,
+		m.hangWorker, m.cancelAtEnd, m.cancelAtEnd, m.resendTransaction, m.isolateWorker,
+		m.isolateWorker, m.isolateWorker, m.isolateWorker, m.delayAnswerPastFailover,
+		m.delayAnswerPastFailover, m.delayAnswerPastFailover,
 	}
 }
 
-func (m *model) cancel() {
-	ids := slices.Sorted(maps.Keys(m.leader.state.Jobs))
-	if len(ids) == 0 {
-		return
-	}
-	if j := m.leader.state.Jobs[rapid.SampledFrom(ids).Draw(m.t, "job")]; j.Accepted() {
-		m.leader.cancelJob(j)
-	}
+func TestRandomDaysKeepTheInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newModel(t)
+		actions := m.actions()
+		for range rapid.IntRange(50, 250).Draw(t, "steps") {
+			rapid.SampledFrom(actions).Draw(t, "action")()
+			m.checkInvariants()
+		}
+		m.endFaults()
+	})
 }
 
-func (m *model) check() {
-	for id, j := range m.leader.state.Jobs {
-		if m.confirmed[id] == 0 && answer.CancellationConfirmed(j, m.leader.Settings.Fleet.Workers) {
-			m.confirmed[id] = m.clock.Now
+// checkInvariants checks what must hold at any time: no task runs long after its user was
+// told that it is cancelled, no machine is over its capacity and no team over its quota
+// limit.
+func (m *model) checkInvariants() {
+	for id, job := range m.leader.state.Jobs {
+		if m.cancelledAt[id] == 0 && answer.CancellationConfirmed(job, m.leader.Settings.Fleet.Workers) {
+			m.cancelledAt[id] = m.clock.Now
 		}
 	}
 	used := 0
-	for _, w := range m.workers {
-		if !w.alive {
+	for _, worker := range m.workers {
+		if !worker.alive {
 			continue
 		}
 		onMachine := 0
-		for k, task := range w.tasks {
+		for key, task := range worker.tasks {
 			if task.stage == protocol.TaskExited {
 				continue
 			}
-			if at := m.confirmed[k.job]; at != 0 && m.clock.Now-at > modelCancel && !m.hung(w) {
-				m.t.Fatalf("%s/%d is on %s %v after its user was told", k.job, k.index, w.id, (m.clock.Now - at).Duration())
-			}
-			need := m.need(k.job)
-			used += need
-			onMachine += need
-		}
-		if onMachine > modelMachine {
-			m.t.Fatalf("%s runs %d processors", w.id, onMachine)
-		}
-	}
-	if used > modelLimit {
-		m.t.Fatalf("the team uses %d of %d processors", used, modelLimit)
-	}
-}
-
-// endTroubles ends all troubles and plays on until every accepted job that was not
-// cancelled is done. Nothing may be forgotten, and nothing may wait for ever.
-func (m *model) endTroubles() {
-	m.calm = true
-	for _, w := range m.workers {
-		w.answersLost, w.heartbeatsLost, w.hungUntil = false, false, 0
-	}
-	m.finishUpgrade()
-	m.land()
-	accepted := map[string]bool{}
-	for _, item := range m.pendingQueue() {
-		a, _ := cluster.ParsePendingSubmission(item)
-		accepted[a.Spec.ID] = m.finals[a.Spec.ID] == "" && m.leader.state.Jobs[a.Spec.ID] == nil
-	}
-	for id, j := range m.leader.state.Jobs {
-		accepted[id] = (j.Accepted() || accepted[id]) && !j.Cancelled
-	}
-	for range 600 {
-		m.clock.Now += 500 * units.Millisecond
-		m.collect()
-		for range 4 {
-			m.write()
-		}
-		m.leader.detector.ExpireLeases(m.clock.Now)
-		for i := range m.workers {
-			w := m.workers[i]
-			m.leaseOf(w)
-			if machine := m.leader.state.Machines[w.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= cluster.MaxUndeliveredCommands) {
-				m.releaseWorker(i)
-				continue
-			}
-			if w.awaited && m.clock.Now-w.sentAt > workerWaits {
-				w.awaited, w.answer = false, nil
-			}
-			if !w.awaited {
-				m.heartbeatOf(w)
+			if at := m.cancelledAt[key.job]; at != 0 && m.clock.Now-at > modelCancelGrace && !m.isHanging(worker) {
+				m.t.Fatalf("%s/%d is on %s %v after its user was told", key.job, key.index, worker.id, (m.clock.Now - at).Duration())
 			}
-			m.deliverTo(w)
-			m.workOn(w)
-			m.check()
+			onMachine += m.requestedCPUs(key.job)
 		}
-	}
-	if left := m.pendingQueue(); len(left) > 0 {
-		m.t.Fatalf("%d jobs are in the inbox long after all troubles", len(left))
-	}
-	for id, open := range accepted {
-		if open && m.services[id] {
-			if up := m.running(id); up != m.jobs[id] {
-				m.t.Fatalf("%d of %d replicas of %s run long after all troubles", up, m.jobs[id], id)
-			}
-			continue
-		}
-		if open && m.finals[id] != protocol.StageDone {
-			j := m.leader.state.Jobs[id]
-			m.t.Fatalf("%s is not done long after all troubles: final %q, known %v", id, m.finals[id], j != nil)
+		used += onMachine
+		if onMachine > modelMachineCPUs {
+			m.t.Fatalf("%s runs %d processors", worker.id, onMachine)
 		}
 	}
-}
-
-// running counts the tasks of a job that run on workers.
-func (m *model) running(job string) int {
-	n := 0
-	for _, w := range m.workers {
-		for k, task := range w.tasks {
-			if k.job == job && w.alive && task.stage == protocol.TaskRunning {
-				n++
-			}
-		}
+	if used > modelQuotaCPUs {
+		m.t.Fatalf("the team uses %d of %d processors", used, modelQuotaCPUs)
 	}
-	return n
 }
 
-func (m *model) need(job string) int {
-	if j := m.leader.state.Jobs[job]; j != nil {
-		return int(j.Spec.Request.CPU / 1_000_000)
+// requestedCPUs returns how many processors a task of a job requests; 0 if the leader does not
+// know the job.
+func (m *model) requestedCPUs(jobID string) int {
+	if job := m.leader.state.Jobs[jobID]; job != nil {
+		return int(job.Spec.Request.CPU / 1_000_000)
 	}
 	return 0
 }
 
-func TestRandomDaysKeepTheInvariants(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		m := &model{
-			t:        t,
-			clock:    &standin.Clock{Now: units.Second},
-			nodes:    make([]modelNode, 3),
-			services: map[string]bool{},
-			store: &modelStore{
-				items:  map[string]protocol.Item{},
-				limits: config.State{ValueKB: 8, TxnOps: 12, Next: &config.State{ValueKB: 1, TxnOps: 3}},
-			},
-			confirmed: map[string]units.Micros{},
-			jobs:      map[string]int{},
-			completed: map[taskKey]bool{},
-			finals:    map[string]protocol.JobStage{},
-		}
-		// Some days begin with far more machines than the team can use.
-		for range rapid.SampledFrom([]int{2, 2, 2, 2, 16}).Draw(t, "machines") {
-			m.workers = append(m.workers, m.newWorker())
-		}
-		if rapid.Bool().Draw(t, "upgraded before") {
-			for i := range m.nodes {
-				m.nodes[i] = modelNode{true, true}
-				m.put(storage.KeyFormat(nodeName(i)), storage.FormatRecord{Format: storage.NewestFormat})
+// runningTasks returns how many tasks of a job run on workers.
+func (m *model) runningTasks(jobID string) int {
+	running := 0
+	for _, worker := range m.workers {
+		for key, task := range worker.tasks {
+			if key.job == jobID && worker.alive && task.stage == protocol.TaskRunning {
+				running++
 			}
 		}
-		m.begin()
-		actions := []func(){m.submit, m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver, m.work, m.work,
-			m.write, m.write, m.write, m.pass, m.crash, m.cancel, m.release, m.late, m.loseAnswers, m.broadcast, m.hearTold, m.arrive, m.land, m.collect, m.upgrade, m.raise, m.fall, m.loseHeartbeats, m.hang, m.cancelAtEnd, m.repeat, m.absence, m.lateAnswer}
-		weights := []int{0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 12, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 1, 4, 2, 5, 3, 6, 13, 13, 14, 15, 16, 16, 17, 18, 18, 19, 20, 21, 22, 22, 23, 23, 23, 23, 23, 23, 24, 24, 24, 25, 26, 26, 27, 27, 28, 28, 29, 30, 30, 30, 30, 31, 31, 31}
-		for range rapid.IntRange(50, 250).Draw(t, "steps") {
-			actions[rapid.SampledFrom(weights).Draw(t, "action")]()
-			m.check()
-		}
-		m.endTroubles()
-	})
+	}
+	return running
 }
--- /dev/null
+++ b/internal/controller/quarantine_test.go
@@ -0,0 +1,44 @@
+package controller
+
+import (
+	"testing"
+
+	"dunestand/internal/cluster"
+	"dunestand/internal/units"
+)
+
+// A machine on which several jobs fail is quarantined; a job that fails
+// everywhere is retried ever later, and no machine is blamed for it.
+func TestMachineIsQuarantinedWhenSeveralJobsFailOnIt(t *testing.T) {
+	leader, clock := newEmptyLeader(1, units.Second)
+	state := leader.state
+	fail := func(jobID, machineID string) *cluster.Job {
+		job := state.Jobs[jobID]
+		if job == nil {
+			job = state.NewJob(*modelSpec(jobID), clock.Now, clock.Now)
+		}
+		machine := state.EnsureMachine(machineID, "m", "a", true, clock.Now)
+		attempt := state.Assign(job, machine, leader.token<<32|uint64(len(jobID)), clock.Now)
+		state.Outcomes.AttemptFailed(attempt, clock.Now)
+		state.AttemptGone(attempt, clock.Now)
+		return job
+	}
+	fail("j-000001", "i-1")
+	fail("j-000002", "i-1")
+	if !state.Machines["i-1"].Quarantined {
+		t.Error("a machine on which two jobs failed is not quarantined")
+	}
+	others := []string{"i-2", "i-3", "i-4", "i-5", "i-6"}
+	var failing *cluster.Job
+	for _, id := range others {
+		failing = fail("j-000003", id)
+	}
+	for _, id := range others {
+		if state.Machines[id].Quarantined {
+			t.Errorf("%s is quarantined for a job that fails everywhere", id)
+		}
+	}
+	if failing.RetryAt <= clock.Now {
+		t.Error("a job that fails everywhere is retried at once")
+	}
+}
--- /dev/null
+++ b/internal/controller/routes.go
@@ -0,0 +1,50 @@
+package controller
+
+import (
+	"context"
+	"net/http"
+
+	"dunestand/internal/answer"
+	"dunestand/internal/protocol"
+	"dunestand/internal/transport"
+)
+
+// Paths and content type of what is served besides the protocol.
+const (
+	pathMetrics        = "/metrics"
+	metricsContentType = "text/plain; version=0.0.4"
+)
+
+// bodyTooLarge is the reason given to a client whose request exceeds protocol.MaxBody.
+const bodyTooLarge = "body over 64 KiB"
+
+// routes registers the handlers of users' and workers' requests.
+func (c *Controller) routes() {
+	c.server.Handle(http.MethodPost, protocol.PathSubmit, func(ctx context.Context, request transport.Request) transport.Response {
+		if request.TooLarge {
+			return answer.ErrorResponse(http.StatusBadRequest, bodyTooLarge)
+		}
+		return c.gate().Check(c.submit(ctx, request.Body, fromUser))
+	})
+	c.server.Handle(http.MethodGet, protocol.PathPoll, func(ctx context.Context, request transport.Request) transport.Response {
+		return c.gate().Check(c.poll(ctx, request.ID, fromUser))
+	})
+	c.server.Handle(http.MethodPost, protocol.PathCancel, func(ctx context.Context, request transport.Request) transport.Response {
+		return c.gate().Check(c.cancel(ctx, request.ID, fromUser))
+	})
+	c.server.Handle(http.MethodGet, protocol.PathHealth, func(context.Context, transport.Request) transport.Response {
+		return c.health()
+	})
+	c.server.Handle(http.MethodPost, protocol.PathHeartbeat, c.handleHeartbeat)
+	c.server.Handle(http.MethodGet, pathMetrics, func(context.Context, transport.Request) transport.Response {
+		return transport.Response{Status: http.StatusOK, ContentType: metricsContentType, Body: c.metricsText()}
+	})
+}
+
+// metricsText returns this node's metrics, those of the leader included while it leads.
+func (c *Controller) metricsText() []byte {
+	if leader := c.activeLeader(); leader != nil {
+		return c.deps.Metrics.Text(leader.WriteMetrics)
+	}
+	return c.deps.Metrics.Text()
+}
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -1,73 +1,74 @@
 package controller
 
 import (
-	"dunestand/internal/sorted"
 	"fmt"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"dunestand/internal/sorted"
 )
 
-// While machines are unconfirmed, a leader's regular look at the fleet costs no
+// While machines are unreconciled, a leader's regular check of the fleet costs no
 // more for all that the records name: it once gathered every name of every job
-// each time, 40 times a second, when a term begins and there is most to do.
+// each time, 40 times a second, just after a failover, when there is most to do.
 func TestUnreconciledMachinesCostNothing(t *testing.T) {
 	allocs := func(jobs, machines int) float64 {
-		term, clock := leaderWithJob(t, 1)
+		leader, clock := newLeaderWithJob(t, 1)
 		for i := range jobs {
-			j := term.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
+			job := leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 			for k := range machines {
-				term.state.Unreconciled.Mark(j, fmt.Sprintf("i-%06d", k))
+				leader.state.Unreconciled.Mark(job, machineID(k))
 			}
 		}
-		return testing.AllocsPerRun(20, func() { term.detector.ExpireLeases(clock.Now) })
+		return testing.AllocsPerRun(20, func() { leader.detector.ExpireLeases(clock.Now) })
 	}
 	if few, many := allocs(2, 10), allocs(100, 1000); many > few+1 {
 		t.Errorf("%v allocations for 100 jobs on 1,000 machines, %v for 2 on 10", many, few)
 	}
 }
 
-// Each machine that is confirmed is struck off the jobs that name it and no others;
-// the last one leaves nothing unconfirmed, whatever became of the jobs meanwhile.
+// Each machine that is reconciled is removed from the jobs that name it and from no others;
+// the last one leaves nothing unreconciled, whatever became of the jobs meanwhile.
 func TestUnreconciledEndsWithMachinesAndJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		term, clock := leaderWithJob(t, 1)
-		l := term.state
+		leader, clock := newLeaderWithJob(t, 1)
+		state := leader.state
 		named := map[string]map[string]bool{}
 		for i := range rapid.IntRange(1, 8).Draw(rt, "jobs") {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
-			j := l.NewJob(spec, clock.Now, clock.Now)
+			job := state.NewJob(spec, clock.Now, clock.Now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
-				l.Unreconciled.Mark(j, fmt.Sprintf("i-%06d", k))
+				state.Unreconciled.Mark(job, machineID(k))
 			}
-			named[spec.ID] = j.UnreconciledMachines
+			named[spec.ID] = job.UnreconciledMachines
 		}
 		for _, k := range rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}).Draw(rt, "order") {
-			id := fmt.Sprintf("i-%06d", k)
+			id := machineID(k)
 			want := 0
-			for _, j := range l.Jobs {
-				if len(j.UnreconciledMachines) > 0 {
+			for _, job := range state.Jobs {
+				if len(job.UnreconciledMachines) > 0 {
 					want++
 				}
 			}
 			got := 0
-			for range l.Unreconciled.Jobs() {
+			for range state.Unreconciled.Jobs() {
 				got++
 			}
 			if got != want {
-				rt.Fatalf("%d jobs unconfirmed, %d name machines", got, want)
+				rt.Fatalf("%d jobs unreconciled, %d name machines", got, want)
 			}
 			if jobs := sorted.Keys(named); len(jobs) > 0 && rapid.Bool().Draw(rt, "a job ends first") {
-				l.DropUnaccepted(jobs[0])
+				state.DropUnaccepted(jobs[0])
 				delete(named, jobs[0])
 			}
-			l.Unreconciled.Resolve(id)
-			if l.Unreconciled.Contains(id) {
-				rt.Fatal("a confirmed machine is unconfirmed")
+			state.Unreconciled.Resolve(id)
+			if state.Unreconciled.Contains(id) {
+				rt.Fatal("a reconciled machine is unreconciled")
 			}
 		}
-		if l.Unreconciled.Len() != 0 || len(l.Unreconciled.Machines()) != 0 {
-			rt.Fatalf("still unreconciled: %v", l.Unreconciled.Machines())
+		if state.Unreconciled.Len() != 0 || len(state.Unreconciled.Machines()) != 0 {
+			rt.Fatalf("still unreconciled: %v", state.Unreconciled.Machines())
 		}
 	})
 }
