--- a/cmd/dunestand/admission_test.go
+++ b/cmd/dunestand/admission_test.go
@@ -10,15 +10,15 @@
 	"testing"
 
 	"dunestand/internal/admission"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 	"dunestand/node"
 )
 
 // The commands show the plan that is stored, and what it says about a job.
 func TestAdmissionCommands(t *testing.T) {
-	state := standin.NewState()
+	state := fake.NewKVServer()
 	server := httptest.NewServer(state)
 	t.Cleanup(server.Close)
 	dir := t.TempDir()
--- a/cmd/dunestand/processes_test.go
+++ b/cmd/dunestand/processes_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/fake"
+	"dunestand/internal/fake/admissioncheck"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	"dunestand/internal/standin/admissioncheck"
 )
 
 // processes are controllers as operators start them: the built program, a settings file
@@ -43,9 +43,9 @@
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	state := standin.NewState()
+	state := fake.NewKVServer()
 	p := &processes{t: t, checker: admissioncheck.New(state)}
-	stateServer, cloudServer := httptest.NewServer(state), httptest.NewServer(standin.NewCloud(protocol.Catalog{
+	stateServer, cloudServer := httptest.NewServer(state), httptest.NewServer(fake.NewCloud(protocol.Catalog{
 		Types: []protocol.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootS: 1, Zones: []string{"a"}}},
 	}, 0))
 	t.Cleanup(stateServer.Close)
@@ -144,16 +144,16 @@
 }
 
 // submit sends a job to a controller, as user does, and has the checker hear the answer.
-func (p *processes) submit(user, node int, job map[string]any) admissioncheck.AnswerKind {
+func (p *processes) submit(user, node int, job map[string]any) admissioncheck.ResponseKind {
 	reply := p.checker.Submit(p.t.Context(), user, p.addrs[node], job)
-	if seconds := reply.RetryAfter.Seconds(); reply.Kind == admissioncheck.SaysWait && (seconds < 1 || seconds > 30) {
+	if seconds := reply.RetryAfter.Seconds(); reply.Kind == admissioncheck.Deferred && (seconds < 1 || seconds > 30) {
 		p.t.Errorf("a job that waits is to come back after %v s", seconds)
 	}
 	return reply.Kind
 }
 
 func processJob(id int, team string, tasks int) map[string]any {
-	return standin.Submission(fmt.Sprintf("j-%06d", id), team, "q", tasks, 60)
+	return fake.Submission(fmt.Sprintf("j-%06d", id), team, "q", tasks, 60)
 }
 
 // flood has users of a team submit jobs one after the other through two controllers, with
@@ -181,7 +181,7 @@
 }
 
 func (p *processes) submitted(job map[string]any) {
-	if err := p.checker.Announce(job); err != nil {
+	if err := p.checker.RegisterSubmission(job); err != nil {
 		p.t.Error(err)
 	}
 }
@@ -209,7 +209,7 @@
 		next++
 		job := processJob(next, "dye", 1)
 		p.submitted(job)
-		for try := 0; p.submit(-next, (next+try)%controllers, job) != admissioncheck.SaysAccepted; try++ {
+		for try := 0; p.submit(-next, (next+try)%controllers, job) != admissioncheck.Accepted; try++ {
 			if try == 60 {
 				t.Fatal("a job within its team's guarantee is not accepted")
 			}
@@ -240,11 +240,11 @@
 	}
 	close(stop)
 	wg.Wait()
-	for _, broken := range p.checker.Verdicts() {
+	for _, broken := range p.checker.Violations() {
 		t.Error(broken)
 	}
-	if p.checker.Waits() == 0 || p.checker.Plans() < 5 {
-		t.Errorf("%d waits, %d plans", p.checker.Waits(), p.checker.Plans())
+	if p.checker.DeferredResponses() == 0 || p.checker.StoredPlans() < 5 {
+		t.Errorf("%d waits, %d plans", p.checker.DeferredResponses(), p.checker.StoredPlans())
 	}
-	t.Logf("%d accepted, %d waits, %d plans", len(p.checker.Accepted()), p.checker.Waits(), p.checker.Plans())
+	t.Logf("%d accepted, %d waits, %d plans", len(p.checker.DurableJobs()), p.checker.DeferredResponses(), p.checker.StoredPlans())
 }
--- a/internal/admission/fairshare_test.go
+++ b/internal/admission/fairshare_test.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 	"pgregory.net/rapid"
 
-	_ "dunestand/internal/standin/fixedseed"
+	_ "dunestand/internal/fake/fixedseed"
 	"dunestand/internal/units"
 )
 
--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -9,9 +9,9 @@
 
 	"dunestand/internal/admission"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
@@ -20,11 +20,11 @@
 const testHorizon = 20 * units.Second
 
 // newTestAdmitter returns the admitter of a controller on a fake key-value store, and its clock.
-func newTestAdmitter(t *testing.T, server *standin.State, horizon units.Micros) (*Admitter, *standin.Clock) {
+func newTestAdmitter(t *testing.T, server *fake.KVServer, horizon units.Micros) (*Admitter, *fake.Clock) {
 	t.Helper()
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
-	clock := &standin.Clock{Now: 100 * units.Second}
+	clock := &fake.Clock{Now: 100 * units.Second}
 	limits := config.State{RPS: 1e4, WriteRPS: 1e4}
 	return NewAdmitter(AdmitterDeps{
 		Settings: &config.Settings{Node: "n", Fleet: config.Fleet{
@@ -33,7 +33,7 @@
 		}},
 		Options: admission.Options{Horizon: horizon},
 		KV:      kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), limits, 0, clock),
-		Format:  standin.NewRecordFormat(storage.FormatAdmission),
+		Format:  fake.NewRecordFormat(storage.FormatAdmission),
 		Clock:   clock,
 		Log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: telemetry.NewMetrics(),
@@ -41,7 +41,7 @@
 }
 
 // putPlan writes a plan as a leader does.
-func putPlan(t *testing.T, server *standin.State, version uint64) {
+func putPlan(t *testing.T, server *fake.KVServer, version uint64) {
 	t.Helper()
 	planner := admission.NewPlanner(admission.Options{Horizon: testHorizon}, []admission.Team{{Name: "team"}}, nil, 0)
 	raw, _, err := admission.Encode(planner.Next(version, 1, admission.Measurement{}).Plan, 8<<10)
@@ -54,7 +54,7 @@
 // A follower brings a plan into force once it knows how old the plan is at most, and the fallback
 // while the record is not readable or there is none.
 func TestFollowerKeepsPlanUpToDate(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	admitter, clock := newTestAdmitter(t, server, testHorizon)
 	follower := NewPlanFollower(admitter)
 	expect := func(what string, source admission.PlanSource, version uint64) {
@@ -92,17 +92,17 @@
 // After a failed watch the record is read again, and a plan that it then shows may be as old as
 // the last look that did not show it.
 func TestFollowerReadsAgainAfterFailure(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	admitter, clock := newTestAdmitter(t, server, testHorizon)
 	follower := NewPlanFollower(admitter)
 	if err := follower.Step(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	server.Refuse = func(string, string) bool { return true }
+	server.RejectRequest = func(string, string) bool { return true }
 	if err := follower.Step(t.Context()); err == nil {
 		t.Fatal("a refused watch is no failure")
 	}
-	server.Refuse = nil
+	server.RejectRequest = nil
 	lastLook := clock.Now
 	clock.Now += 3 * units.Second
 	putPlan(t, server, 1)
@@ -115,7 +115,7 @@
 }
 
 func TestAdmissionTurnedOffAdmitsAll(t *testing.T) {
-	admitter, _ := newTestAdmitter(t, standin.NewState(), 0)
+	admitter, _ := newTestAdmitter(t, fake.NewKVServer(), 0)
 	if admitter != nil {
 		t.Fatal("there is an admitter though admission by a plan is off")
 	}
@@ -128,9 +128,9 @@
 // A controller that does not know whether the fleet admits by a plan accepts a job only on
 // condition that there is no plan.
 func TestIsolatedAcceptanceIsConditionalOnThePlan(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	admitter, clock := newTestAdmitter(t, server, testHorizon)
-	spec := &protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: 1, Request: standin.CPUs(1), Estimate: units.Second}
+	spec := &protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: 1, Request: fake.CPUs(1), Estimate: units.Second}
 	follower := NewPlanFollower(admitter)
 	if err := follower.Step(t.Context()); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	if _, condition := admitter.DecideAlone(spec); condition.Key != admission.KeyPlan || condition.Version != server.Revision() {
 		t.Errorf("condition %+v, want the plan's version %d", condition, server.Revision())
 	}
-	admitter.format.(*standin.RecordFormat).Level.Store(int64(storage.FormatOld))
+	admitter.format.(*fake.RecordFormat).Level.Store(int64(storage.FormatOld))
 	if d, condition := admitter.DecideAlone(spec); d.Verdict != admission.Admit || condition.Key != admission.KeyPlan || condition.Version != 0 {
 		t.Errorf("%+v on condition %+v, want that there is no plan", d, condition)
 	}
--- a/internal/answer/gate_test.go
+++ b/internal/answer/gate_test.go
@@ -4,17 +4,17 @@
 	"net/http"
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
 
 // newTestGate returns a gate and its clock.
-func newTestGate() (Gate, *standin.Clock) {
-	clock := &standin.Clock{Now: 100 * units.Second}
+func newTestGate() (Gate, *fake.Clock) {
+	clock := &fake.Clock{Now: 100 * units.Second}
 	return Gate{
 		Clock:     clock,
 		Revisions: kv.NewRevisionHistory(clock, 2*stableAge),
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -7,16 +7,16 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
 	"dunestand/internal/scheduler"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // newTestAutoscaler returns an autoscaler of a leader with one job that is stored and waits.
-func newTestAutoscaler(tasks int) (*Autoscaler, *standin.Clock) {
-	clock := &standin.Clock{Now: 100 * units.Second}
+func newTestAutoscaler(tasks int) (*Autoscaler, *fake.Clock) {
+	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
 		Zones:   []string{"a"},
@@ -38,7 +38,7 @@
 	policy := config.DefaultPolicy()
 	as := New(Deps{
 		State:      state,
-		Leadership: &standin.Leadership{Number: 7},
+		Leadership: &fake.Leadership{FencingToken: 7},
 		Scheduler:  scheduler.New(scheduler.Deps{State: state, Settings: settings, Policy: policy, Clock: clock, Log: log, Token: 7}),
 		Settings:   settings,
 		Policy:     policy,
@@ -47,7 +47,7 @@
 		Token:      7,
 		ElectedAt:  clock.Now,
 	})
-	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: tasks, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
+	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: tasks, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
 	state.NewJob(spec, clock.Now, clock.Now)
 	batch := state.BuildWriteBatch("7-1", make([]uint64, storage.Buckets), cluster.BatchLimits{}, clock.Now)
 	state.BatchCommitted(batch, 1)
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
+	"dunestand/internal/fake"
+	_ "dunestand/internal/fake/fixedseed"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
 
@@ -33,7 +33,7 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "demands") {
 		spec := &protocol.JobSpec{
-			Request:   standin.CPUs(rapid.IntRange(1, 4).Draw(t, "cpus")),
+			Request:   fake.CPUs(rapid.IntRange(1, 4).Draw(t, "cpus")),
 			AllowSpot: rapid.Bool().Draw(t, "spot"),
 			Zone:      rapid.SampledFrom([]string{"", "b"}).Draw(t, "zone"),
 		}
@@ -86,7 +86,7 @@
 		Machines:       map[Offering]int{},
 		SpotPreference: 1,
 		Unavailable:    func(Offering) bool { return false },
-		Demand:         []TaskDemand{{&protocol.JobSpec{Request: standin.CPUs(4), AllowSpot: true}, 8}},
+		Demand:         []TaskDemand{{&protocol.JobSpec{Request: fake.CPUs(4), AllowSpot: true}, 8}},
 	}
 	want := []Order{{Offering{"big", "a", true}, 1}}
 	if got := PlanScaleOut(&view); !reflect.DeepEqual(got, want) {
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 )
 
@@ -43,7 +43,7 @@
 	if err != nil || len(orphans) > 0 {
 		t.Fatal(err, orphans)
 	}
-	old, err := standin.ReadAsBefore(s.rows())
+	old, err := fake.ParseLegacyJobs(s.rows())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
+	_ "dunestand/internal/fake/fixedseed"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -178,9 +178,9 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	var before map[string]*standin.OldJob
+	var before map[string]*fake.LegacyJob
 	if m.format == storage.FormatOld { // a leader of the version before may come
-		if before, err = standin.ReadAsBefore(m.store.rows()); err != nil || len(orphans) > 0 {
+		if before, err = fake.ParseLegacyJobs(m.store.rows()); err != nil || len(orphans) > 0 {
 			m.t.Fatal(err, orphans)
 		}
 	}
@@ -196,7 +196,7 @@
 
 // checkJob checks a restored job. before are the jobs as the version before reads them, nil if
 // it does not.
-func (m *restoreModel) checkJob(got *Job, before map[string]*standin.OldJob) {
+func (m *restoreModel) checkJob(got *Job, before map[string]*fake.LegacyJob) {
 	id := got.Spec.ID
 	want, known := m.state.Jobs[id]
 	if !known {
--- a/internal/controller/admission_plan_test.go
+++ b/internal/controller/admission_plan_test.go
@@ -11,16 +11,16 @@
 	"dunestand/internal/admission"
 	"dunestand/internal/admissioncontrol"
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 )
 
 // What another controller accepted under the plan before is known before anybody is told
 // to wait by the new one.
 func TestPendingQueueIsIngestedWithEachPlan(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	leader := newAdmittingLeader(t, 1, store)
 	fillQuota(t, leader)
 	spec := admittedSpec("j-000901", "team", 1)
@@ -37,9 +37,9 @@
 // While the outcome of writing a plan is unknown, nobody is told to wait by the
 // one before: others may go by the new one already.
 func TestNobodyWaitsWhileThePlanIsInDoubt(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	var silent atomic.Bool
-	store.Silent = func(int) bool { return silent.Load() }
+	store.DropResponse = func(int) bool { return silent.Load() }
 	leader := newAdmittingLeader(t, 1, store)
 	fillQuota(t, leader)
 	spec := admittedSpec("j-000901", "team", 1)
@@ -67,7 +67,7 @@
 // A plan of a former leader never replaces one of its successor, nor is it written after
 // the successor has changed the bucket heads.
 func TestFormerLeaderWritesNoPlan(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	former := newAdmittingLeader(t, 1, store)
 	if err := former.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 		"impossible":      map[string]any{"v": 1, "n": 7, "term": 0},
 		"a later version": map[string]any{"v": 2, "n": 7, "term": 1, "ahead": 1, "cap": []int{0, 0}},
 	} {
-		store := standin.NewState()
+		store := fake.NewKVServer()
 		store.Put(admission.KeyPlan, protocol.Encode(record))
 		leader := newAdmittingLeader(t, 1, store)
 		before, _ := store.Get(admission.KeyPlan)
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -11,8 +11,8 @@
 	"dunestand/internal/admissioncontrol"
 	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/telemetry"
 )
@@ -20,9 +20,9 @@
 // A job whose plan has been replaced before its acceptance was stored is decided by the
 // new plan: the version that is current at the commit decides.
 func TestAcceptanceIsConditionalOnThePlan(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	var unreadable atomic.Bool
-	store.Refuse = func(method, _ string) bool { return method == http.MethodGet && unreadable.Load() }
+	store.RejectRequest = func(method, _ string) bool { return method == http.MethodGet && unreadable.Load() }
 	leader := newAdmittingLeader(t, 1, store)
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 // A job whose quota is used up is answered so that a controller that forwarded it does not
 // admit it by its own part of the quota.
 func TestUsedUpQuotaIsNotPassedOn(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	leader := newAdmittingLeader(t, 1, store)
 	if err := leader.renewPlan(t.Context()); err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 // A controller without a leader accepts by the plan it knows, and only while the record is
 // as it knows it.
 func TestAcceptsAloneOnConditionOfThePlan(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	leader := newAdmittingLeader(t, 1, store)
 	if err := leader.renewPlan(t.Context()); err != nil {
@@ -105,7 +105,7 @@
 	}
 	c, _ := newRefusedController(t, store)
 	c.deps.Settings, c.deps.KV = leader.Settings, leader.KV // whose limits are far away
-	format := standin.NewRecordFormat(storage.FormatAdmission)
+	format := fake.NewRecordFormat(storage.FormatAdmission)
 	c.deps.Format = format
 	deps := c.deps
 	deps.Metrics = telemetry.NewMetrics()
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -98,7 +98,7 @@
 	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		records := writeAllRecords(leader)
 		for b.Loop() {
-			later := newTestLeader(2, &standin.Clock{Now: units.Second})
+			later := newTestLeader(2, &fake.Clock{Now: units.Second})
 			jobs, _, err := cluster.ParseJobs(records)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/push"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
@@ -20,7 +20,7 @@
 			t.Fatalf("record %s has %d bytes, %d are allowed", record.Key, len(record.Value), limit)
 		}
 	}
-	later := newTestLeader(2, &standin.Clock{Now: units.Second})
+	later := newTestLeader(2, &fake.Clock{Now: units.Second})
 	later.state.Teams["team"].QuotaLimit = leader.state.Teams["team"].QuotaLimit
 	jobs, _, err := cluster.ParseJobs(records)
 	if err != nil {
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/persister"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 )
 
@@ -17,25 +17,25 @@
 // taken for less than they are: the node leaves the lease to others and does not
 // campaign while the fleet has a later format.
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
-	for what, put := range map[string]func(store *standin.State){
-		"the fleet's format": func(store *standin.State) {
+	for what, put := range map[string]func(store *fake.KVServer){
+		"the fleet's format": func(store *fake.KVServer) {
 			store.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
 		},
-		"a job's record": func(store *standin.State) {
+		"a job's record": func(store *fake.KVServer) {
 			store.Put(storage.KeyJob(testJob), protocol.Encode(map[string]any{
 				"v":     storage.NewestFormat + 1,
 				"id":    testJob,
 				"tasks": 1,
 			}))
 		},
-		"a part of a job": func(store *standin.State) {
+		"a part of a job": func(store *fake.KVServer) {
 			store.Put(storage.KeyJob(testJob)+"/z0", protocol.Encode(map[string]any{"v": 1}))
 		},
-		"a part without its job, which is not in a terminal state": func(store *standin.State) {
+		"a part without its job, which is not in a terminal state": func(store *fake.KVServer) {
 			store.Put(storage.KeyJob(testJob)+"/d0", protocol.Encode(map[string]any{"v": 2}))
 		},
 	} {
-		store := standin.NewState()
+		store := fake.NewKVServer()
 		put(store)
 		leader := newStoredLeader(t, 1, store)
 		if leader.persister.Restore(t.Context()) || leader.Ready() {
@@ -54,7 +54,7 @@
 // version before would call it done when its replicas end. Its user is told to come
 // back; what can never run is rejected for good either way.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
-	leader := newTestLeader(1, &standin.Clock{})
+	leader := newTestLeader(1, &fake.Clock{})
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	service := *modelSpec(testJob)
 	service.Kind, service.Tasks = protocol.Service, modelQuotaCPUs
@@ -81,10 +81,10 @@
 // is raised: every job is accepted, a large one that was stored before is divided,
 // and no write batch is sent unchanged for ever.
 func TestLimitsThatFall(t *testing.T) {
-	store := standin.NewState()
-	store.Limit(16<<10, 12, 1000)
+	store := fake.NewKVServer()
+	store.SetLimits(16<<10, 12, 1000)
 	leader := newStoredLeader(t, 1, store, func(d *Deps) {
-		d.Format = standin.NewRecordFormat(storage.FormatOld)
+		d.Format = fake.NewRecordFormat(storage.FormatOld)
 		d.Settings.Fleet.State = config.State{
 			RPS:      1e4,
 			WriteRPS: 1e4,
@@ -104,13 +104,13 @@
 	submitUntilAccepted(t, leader, testJob, protocol.MaxTasks)
 	assignMachines(leader, 0, 300)
 	expectWritten(t, leader, durable(300))
-	store.Limit(2<<10, 4, 600)
+	store.SetLimits(2<<10, 4, 600)
 	assignMachines(leader, 300, 310) // the job's record is too large by now; the rest goes on
 	for i := range 10 {
 		submitUntilAccepted(t, leader, fmt.Sprintf("j-%06d", i+10), 3)
 	}
 	time.Sleep(2 * persister.RejectedRetryDelay.Duration())
-	if n := store.Rejected(); n == 0 || n > 3 {
+	if n := store.RejectedTxns(); n == 0 || n > 3 {
 		t.Errorf("%d write batches were rejected", n)
 	}
 	leader.setFormat(storage.FormatNew)
--- a/internal/controller/harness_admission_test.go
+++ b/internal/controller/harness_admission_test.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/admission"
 	"dunestand/internal/admissioncontrol"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -20,10 +20,10 @@
 
 // newAdmittingLeader returns a leader that admits by a plan, with its records restored. None
 // of its loops run: tests take each step.
-func newAdmittingLeader(t *testing.T, token uint64, store *standin.State) *Leader {
+func newAdmittingLeader(t *testing.T, token uint64, store *fake.KVServer) *Leader {
 	t.Helper()
 	leader := newStoredLeader(t, token, store, func(d *Deps) {
-		d.Format = standin.NewRecordFormat(storage.FormatAdmission)
+		d.Format = fake.NewRecordFormat(storage.FormatAdmission)
 		d.Settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
 		d.Admitter = newTestAdmitter(*d)
 	})
@@ -49,7 +49,7 @@
 
 // renewPlan has the leader write a plan now.
 func (l *Leader) renewPlan(ctx context.Context) error {
-	l.Clock.(*standin.Clock).Now += units.Second
+	l.Clock.(*fake.Clock).Now += units.Second
 	return l.admission.Publish(ctx)
 }
 
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -52,7 +52,7 @@
 
 // newRefusedController returns a node whose only peer, "leader", refuses its links.
 // Its key-value store does not answer if none is given.
-func newRefusedController(t *testing.T, store *standin.State) (*Controller, *standin.Clock) {
+func newRefusedController(t *testing.T, store *fake.KVServer) (*Controller, *fake.Clock) {
 	t.Helper()
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +69,7 @@
 	} else {
 		settings.Services.State = listenHanging(t)
 	}
-	clock := &standin.Clock{Now: 100 * units.Second}
+	clock := &fake.Clock{Now: 100 * units.Second}
 	c := NewController(settings, testEnvironment(clock))
 	start(t, c.peers.Run)
 	if !eventually(10*time.Second, func() bool { return c.peers.RefusesConnections("leader") }) {
--- a/internal/controller/harness_fleet_test.go
+++ b/internal/controller/harness_fleet_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -13,7 +13,7 @@
 // newBusyLeader returns a leader under a burst, and its machines' heartbeats: machines that
 // are full with 16 tasks each, and 300 jobs of up to 3,000 tasks that are pending.
 func newBusyLeader(machines int) (*Leader, []*protocol.Heartbeat) {
-	clock := &standin.Clock{Now: units.Second}
+	clock := &fake.Clock{Now: units.Second}
 	leader := newTestLeader(1, clock)
 	types := []protocol.InstanceType{{
 		Name:      "m",
@@ -26,11 +26,11 @@
 		Zones:     []string{"a"},
 	}}
 	leader.persister.InstallRecords(nil, protocol.Catalog{Types: types})
-	leader.state.Teams["team"].QuotaLimit = standin.CPUs(32 * machines * 2)
+	leader.state.Teams["team"].QuotaLimit = fake.CPUs(32 * machines * 2)
 	const jobs = 300
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
-		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, standin.CPUs(2), protocol.Priority(i%3)
+		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, fake.CPUs(2), protocol.Priority(i%3)
 		leader.state.NewJob(spec, clock.Now, clock.Now)
 	}
 	leader.commitWrites()
@@ -63,7 +63,7 @@
 	const perMachine, jobs = 4, 40
 	leader, clock := newEmptyLeader(1, units.Second)
 	leader.state.UpgradeFormat(storage.FormatNew, clock.Now)
-	leader.state.Teams["team"].QuotaLimit = standin.CPUs(perMachine * machines)
+	leader.state.Teams["team"].QuotaLimit = fake.CPUs(perMachine * machines)
 	var running []*cluster.Job
 	for i := range jobs {
 		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
--- a/internal/controller/harness_service_test.go
+++ b/internal/controller/harness_service_test.go
@@ -4,18 +4,18 @@
 	"fmt"
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
 	"dunestand/internal/sorted"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // newServiceLeader returns a leader of testJob, a service of some replicas, and the workers of
 // four machines in two zones.
-func newServiceLeader(t *testing.T, replicas int, spread bool) (*Leader, *standin.Clock, *serviceFleet) {
+func newServiceLeader(t *testing.T, replicas int, spread bool) (*Leader, *fake.Clock, *serviceFleet) {
 	t.Helper()
-	clock := &standin.Clock{Now: 100 * units.Second}
+	clock := &fake.Clock{Now: 100 * units.Second}
 	leader := newTestLeader(7, clock)
 	leader.setFormat(storage.FormatNew)
 	leader.persister.InstallRecords(nil, modelCatalog)
@@ -36,7 +36,7 @@
 type serviceFleet struct {
 	t        *testing.T
 	leader   *Leader
-	clock    *standin.Clock
+	clock    *fake.Clock
 	machines map[string]*protocol.Heartbeat // last heartbeat of each machine, by its ID
 	started  int                            // replicas started so far
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -12,10 +12,10 @@
 	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
 	"dunestand/internal/recordformat"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/telemetry"
 	"dunestand/internal/units"
@@ -62,7 +62,7 @@
 		Class:     "c",
 		Team:      "team",
 		Tasks:     2,
-		Request:   standin.CPUs(1),
+		Request:   fake.CPUs(1),
 		AllowSpot: true,
 		Image:     "i",
 	}
@@ -90,26 +90,26 @@
 		Clock:            clock,
 		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics:          telemetry.NewMetrics(),
-		Format:           standin.NewRecordFormat(storage.FormatOld),
+		Format:           fake.NewRecordFormat(storage.FormatOld),
 		UnreachablePeers: func() int { return 0 },
 		PeerReachable:    func() bool { return false },
 	}
 	for _, change := range changes {
 		change(&deps)
 	}
-	return NewLeader(&standin.Leadership{Number: token}, deps)
+	return NewLeader(&fake.Leadership{FencingToken: token}, deps)
 }
 
 // newEmptyLeader returns a leader that has restored no jobs, and its clock, which shows now.
-func newEmptyLeader(token uint64, now units.Micros) (*Leader, *standin.Clock) {
-	clock := &standin.Clock{Now: now}
+func newEmptyLeader(token uint64, now units.Micros) (*Leader, *fake.Clock) {
+	clock := &fake.Clock{Now: now}
 	leader := newTestLeader(token, clock)
 	leader.persister.InstallRecords(nil, modelCatalog)
 	return leader, clock
 }
 
 // newLeaderWithJob returns a leader with token 7 of testJob, which is durable and pending.
-func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *standin.Clock) {
+func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *fake.Clock) {
 	t.Helper()
 	leader, clock := newEmptyLeader(7, 100*units.Second)
 	spec := *modelSpec(testJob)
@@ -120,11 +120,11 @@
 }
 
 // newStoredLeader returns a leader over a key-value store. It has not restored its records.
-func newStoredLeader(t *testing.T, token uint64, store *standin.State, changes ...func(*Deps)) *Leader {
+func newStoredLeader(t *testing.T, token uint64, store *fake.KVServer, changes ...func(*Deps)) *Leader {
 	t.Helper()
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
-	clock := &standin.Clock{Now: units.Second}
+	clock := &fake.Clock{Now: units.Second}
 	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
 		RPS:      1e4,
 		WriteRPS: 1e4,
@@ -137,11 +137,11 @@
 
 // setFormat sets the fleet's format as the leader knows it.
 func (l *Leader) setFormat(level storage.Format) {
-	l.Format.(*standin.RecordFormat).Level.Store(int64(level))
+	l.Format.(*fake.RecordFormat).Level.Store(int64(level))
 }
 
 // lease returns the leader's leadership, for tests that take it away or look at it.
-func (l *Leader) lease() *standin.Leadership { return l.leadership.(*standin.Leadership) }
+func (l *Leader) lease() *fake.Leadership { return l.leadership.(*fake.Leadership) }
 
 // records returns a reader of the leader's records.
 func (l *Leader) records() recordReader {
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -9,9 +9,9 @@
 
 	"dunestand/internal/answer"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/peers"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock := &standin.Clock{Now: 100 * units.Second}
+	clock := &fake.Clock{Now: 100 * units.Second}
 	env := testEnvironment(clock)
 	start(t, func(ctx context.Context) {
 		_ = transport.ServeMesh(ctx, mesh, env.Log, func(ctx context.Context, frame []byte) ([]byte, error) {
--- a/internal/controller/heartbeatlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/standin"
+	"dunestand/internal/fake"
 	"dunestand/internal/transport"
 	"dunestand/internal/units"
 )
@@ -46,7 +46,7 @@
 // Heartbeats are handled one at a time, but one that waits for a write batch, or for the
 // restore, does not hold up the others.
 func TestWaitingHeartbeatLetsOthersThrough(t *testing.T) {
-	leader := newTestLeader(1, &standin.Clock{Now: units.Second})
+	leader := newTestLeader(1, &fake.Clock{Now: units.Second})
 	controller := newTestController(leader)
 	send := func(machine string, sequence uint64) <-chan int {
 		status := make(chan int, 1)
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -7,8 +7,8 @@
 
 	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -17,7 +17,7 @@
 // that it is unknown, or anything older than what its user was told: not this
 // node, and not a leader, whether or not it has ingested the job.
 func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	store.Put(storage.KeyTerminal("j-000009"), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
@@ -79,10 +79,10 @@
 // A job is accepted without a leader by a commit that takes long. By then it may have been
 // ingested and cancelled, so its state is read again before the user is told of it.
 func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	c, clock := newRefusedController(t, store)
-	store.Refuse = func(_, path string) bool {
+	store.RejectRequest = func(_, path string) bool {
 		if path == protocol.PathCommit {
 			clock.Now += answer.MaxAnswerAge + units.Millisecond
 		}
@@ -100,7 +100,7 @@
 // What was put into the pending-submission queue late, for a job in a terminal state, is
 // cleared away and never answered for: the job's terminal state stands.
 func TestLatePendingSubmissionOfAFinishedJob(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	spec := modelSpec(testJob)
 	for _, change := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
 		store.Put(change.Set, change.Value)
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -34,7 +34,7 @@
 		}
 	}
 	if !m.leaderUpgraded {
-		if _, err := standin.ReadAsBefore(records); err != nil {
+		if _, err := fake.ParseLegacyJobs(records); err != nil {
 			m.t.Fatalf("a leader of the version before cannot restore: %v", err)
 		}
 	}
@@ -197,7 +197,7 @@
 		Class:     "c",
 		Team:      "team",
 		Tasks:     rapid.IntRange(1, 6).Draw(m.t, "tasks"),
-		Request:   standin.CPUs(rapid.IntRange(1, 3).Draw(m.t, "cpus")),
+		Request:   fake.CPUs(rapid.IntRange(1, 3).Draw(m.t, "cpus")),
 		Priority:  protocol.Priority(rapid.IntRange(0, 3).Draw(m.t, "priority")),
 		AllowSpot: true,
 		Image:     "i",
@@ -205,7 +205,7 @@
 	}
 	// One service at most: with two, a larger task might find no machine left.
 	if len(m.services) == 0 && m.leader.Format.Current() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
-		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), standin.CPUs(1), protocol.Production, 0
+		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), fake.CPUs(1), protocol.Production, 0
 		m.services[id] = true
 	}
 	m.jobs[id] = spec.Tasks
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -8,9 +8,9 @@
 	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
+	_ "dunestand/internal/fake/fixedseed"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
 
@@ -33,7 +33,7 @@
 // model is the state of a random day.
 type model struct {
 	t           *rapid.T
-	clock       *standin.Clock
+	clock       *fake.Clock
 	faultsEnded bool
 
 	store           *modelStore
@@ -64,7 +64,7 @@
 func newModel(t *rapid.T) *model {
 	m := &model{
 		t:     t,
-		clock: &standin.Clock{Now: units.Second},
+		clock: &fake.Clock{Now: units.Second},
 		store: &modelStore{
 			items:  map[string]protocol.Item{},
 			limits: config.State{ValueKB: 8, TxnOps: 12, Next: &config.State{ValueKB: 1, TxnOps: 3}},
--- a/internal/controller/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -9,8 +9,8 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/scheduler"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
@@ -21,7 +21,7 @@
 // neither a guaranteed quota nor a quota limit, and with a job of that team.
 func newGuestLeader(t *testing.T) *Leader {
 	t.Helper()
-	leader := newStoredLeader(t, 1, standin.NewState(), func(d *Deps) {
+	leader := newStoredLeader(t, 1, fake.NewKVServer(), func(d *Deps) {
 		d.Settings.Fleet.Teams = append(d.Settings.Fleet.Teams, config.Team{Name: "guest"})
 	})
 	if !leader.persister.Restore(t.Context()) {
@@ -74,12 +74,12 @@
 	defer leader.state.Unlock()
 	var log bytes.Buffer
 	leader.Log = slog.New(slog.NewTextHandler(&log, nil))
-	leader.state.Teams["guest"].Used = standin.CPUs(1_000_000)
+	leader.state.Teams["guest"].Used = fake.CPUs(1_000_000)
 	leader.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=0") {
 		t.Errorf("the summary: %s", log.String())
 	}
-	leader.state.Teams["team"].Used = standin.CPUs(modelQuotaCPUs)
+	leader.state.Teams["team"].Used = fake.CPUs(modelQuotaCPUs)
 	log.Reset()
 	leader.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=1") {
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
+	_ "dunestand/internal/fake/fixedseed"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
 
@@ -48,7 +48,7 @@
 // overloadedFleet is the workers of machines that are given more than they can serve.
 type overloadedFleet struct {
 	leader    *Leader
-	clock     *standin.Clock
+	clock     *fake.Clock
 	runTimes  []int // in seconds, drawn from by attempt number
 	endsAt    map[cluster.AttemptKey]units.Micros
 	deadlines map[string]units.Micros // until when each job that has not started must start
@@ -58,7 +58,7 @@
 func (f *overloadedFleet) submit(t *rapid.T, id string) {
 	spec := *modelSpec(id)
 	spec.Tasks = rapid.IntRange(40, 90).Draw(t, "tasks")
-	spec.Request = standin.CPUs(rapid.IntRange(1, 3).Draw(t, "cpus"))
+	spec.Request = fake.CPUs(rapid.IntRange(1, 3).Draw(t, "cpus"))
 	spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
 	spec.Estimate = 5 * units.Second
 	f.leader.state.NewJob(spec, f.clock.Now, f.clock.Now)
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -138,7 +138,7 @@
 func TestServicesAreRestoredAsServices(t *testing.T) {
 	spec := *modelSpec(testJob)
 	spec.Tasks = 3
-	writer := newTestLeader(7, &standin.Clock{Now: units.Second})
+	writer := newTestLeader(7, &fake.Clock{Now: units.Second})
 	writer.state.NewJob(spec, 0, 0)
 	batch := writer.state.BuildWriteBatch("1-1", writer.persister.BucketVersions(), cluster.BatchLimits{}, 0)
 	writer.state.BatchCommitted(batch, 1)
@@ -214,7 +214,7 @@
 		heartbeat := testHeartbeat(machineID(100+i), 1, 0, 7)
 		fleet.machines[heartbeat.Machine] = heartbeat
 	}
-	leader.state.Teams["team"].GuaranteedQuota, leader.state.Teams["team"].QuotaLimit = standin.CPUs(100), standin.CPUs(200)
+	leader.state.Teams["team"].GuaranteedQuota, leader.state.Teams["team"].QuotaLimit = fake.CPUs(100), fake.CPUs(200)
 	array := *modelSpec("j-000002")
 	leader.state.NewJob(array, clock.Now, clock.Now)
 	for range 60 {
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -81,15 +81,15 @@
 // is known: then the job is known, whatever else the request now says.
 func (l *Leader) rejectSubmission(ctx context.Context, spec *protocol.JobSpec, rejection *rejectionError) answer.Answer {
 	if rejection.status == http.StatusServiceUnavailable {
-		return answer.Unavailable(rejection.reason)
+		return answer.Unavailable(rejection.Error())
 	}
 	known := l.Poll(ctx, spec.ID)
 	if known.Status != http.StatusNotFound {
 		return known
 	}
 	l.Log.Warn("submission refused", "job", spec.ID, "class", spec.Class, "team", spec.Team,
-		"status", rejection.status, "why", rejection.reason)
-	return answer.Answer{Response: answer.ErrorResponse(rejection.status, rejection.reason), Evidence: known.Evidence}
+		"status", rejection.status, "why", rejection.Error())
+	return answer.Answer{Response: answer.ErrorResponse(rejection.status, rejection.Error()), Evidence: known.Evidence}
 }
 
 // deferSubmission answers a submission that is not admitted now, unless its job is known
--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -8,17 +8,17 @@
 
 	"dunestand/internal/answer"
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/persister"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 )
 
 // Submissions, cancellations and their duplicates, with commits that are carried
 // out and not answered: the write ID tells the leader that they were.
 func TestSubmitAndCancelWithLostAnswers(t *testing.T) {
-	store := standin.NewState()
-	store.Silent = func(n int) bool { return n%2 == 0 }
+	store := fake.NewKVServer()
+	store.DropResponse = func(n int) bool { return n%2 == 0 }
 	leader := newStoredLeader(t, 1, store)
 	ctx := t.Context()
 	for try := 0; !leader.persister.Restore(ctx); try++ {
@@ -56,7 +56,7 @@
 // polls and for duplicate submissions whatever their body now says.
 func TestFinishedJobsAreFoundByLaterLeaders(t *testing.T) {
 	const id = "j-000007"
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	store.Put(storage.KeyTerminal(id), protocol.Encode(storage.TerminalRecord{
 		Stage: protocol.StageDone,
 		Tasks: 2,
@@ -90,7 +90,7 @@
 
 // A record that cannot be read stops the restore and stays as it is.
 func TestUnreadableRecordStopsTheRestore(t *testing.T) {
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	record := protocol.Encode(map[string]any{"v": 99, "id": testJob})
 	store.Put(storage.KeyJob(testJob), record)
 	leader := newStoredLeader(t, 2, store)
@@ -107,7 +107,7 @@
 
 // Without a valid lease nothing is answered 200.
 func TestNothingIsAnsweredWithoutTheLease(t *testing.T) {
-	leader := newStoredLeader(t, 2, standin.NewState())
+	leader := newStoredLeader(t, 2, fake.NewKVServer())
 	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -2,7 +2,8 @@
 
 import (
 	"context"
-	_ "dunestand/internal/standin/fixedseed"
+	"dunestand/internal/fake"
+	_ "dunestand/internal/fake/fixedseed"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -15,7 +16,6 @@
 	"dunestand/internal/config"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -104,12 +104,12 @@
 func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := t.Context()
-		state := standin.NewState()
+		state := fake.NewKVServer()
 		refuse := rapid.SliceOfN(rapid.Bool(), 7, 7).Draw(t, "refuse")
 		silent := rapid.SliceOfN(rapid.Bool(), 11, 11).Draw(t, "silent")
 		calls := 0
-		state.Refuse = func(string, string) bool { calls++; return refuse[calls%7] && calls%50 < 25 }
-		state.Silent = func(n int) bool { return silent[n%11] && n%40 < 20 }
+		state.RejectRequest = func(string, string) bool { calls++; return refuse[calls%7] && calls%50 < 25 }
+		state.DropResponse = func(n int) bool { return silent[n%11] && n%40 < 20 }
 		server := httptest.NewServer(state)
 		defer server.Close()
 		truth := units.Second
@@ -120,7 +120,7 @@
 			controllers = append(controllers, &testController{newTestElector(name, server, clock, uint64(i)), clock})
 		}
 		late := rapid.SliceOfN(rapid.IntRange(0, 3), 13, 13).Draw(t, "late")
-		state.Late = func(n int) bool { return late[n%13] == 0 }
+		state.DelayCommit = func(n int) bool { return late[n%13] == 0 }
 		flush := rapid.SliceOfN(rapid.IntRange(0, 2), 17, 17).Draw(t, "carried out")
 		check := holderCheck{owners: map[uint64]*Elector{}}
 		step := 0
@@ -132,7 +132,7 @@
 			}
 			controllers[i].step(ctx)
 			if step++; flush[step%17] == 0 {
-				state.Flush()
+				state.ApplyDelayed()
 			}
 			check.observe(t, controllers)
 		}
@@ -142,9 +142,9 @@
 // A lease that expired in an outage is renewed with the same token, if nobody else acquired
 // it meanwhile.
 func TestExpiredLeaseIsRenewedWithSameToken(t *testing.T) {
-	state := standin.NewState()
+	state := fake.NewKVServer()
 	down := false
-	state.Refuse = func(string, string) bool { return down }
+	state.RejectRequest = func(string, string) bool { return down }
 	server := httptest.NewServer(state)
 	defer server.Close()
 	truth := units.Second
@@ -180,7 +180,7 @@
 // A controller that was cut off, ended, and came back still cut off must not acquire its own
 // lease again at once: it would hold it without hearing a worker.
 func TestDisconnectedControllerWaitsBeforeCampaign(t *testing.T) {
-	state := standin.NewState()
+	state := fake.NewKVServer()
 	server := httptest.NewServer(state)
 	defer server.Close()
 	truth := units.Second
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"dunestand/internal/standin"
+	"dunestand/internal/fake"
 	"dunestand/internal/units"
 )
 
@@ -26,7 +26,7 @@
 // The lease is handed over at most once in minHandOverInterval, whoever holds it: the time of
 // the last hand-over goes with the record.
 func TestHandOversAreSpaced(t *testing.T) {
-	clock := &standin.Clock{Now: 1000 * units.Second}
+	clock := &fake.Clock{Now: 1000 * units.Second}
 	lease := holdingElector(1, clock)
 	if !lease.HandOver(clock.Now) || lease.Valid(1) {
 		t.Fatal("not handed over")
--- a/internal/election/run_test.go
+++ b/internal/election/run_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/standin"
+	"dunestand/internal/fake"
 	"dunestand/internal/units"
 )
 
 // Run leads with the token that it won, and waits for the leader to end before it returns.
 func TestRunWaitsForTheLeaderToEnd(t *testing.T) {
-	server := httptest.NewServer(standin.NewState())
+	server := httptest.NewServer(fake.NewKVServer())
 	t.Cleanup(server.Close)
 	elector := newTestElector("a", server, units.NewSystemClock(), 1)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -48,7 +48,7 @@
 // A leader that steps down stops leading, and another controller acquires the lease at once; this
 // one sees that it is renewed.
 func TestResignedLeaseIsAcquiredAtOnce(t *testing.T) {
-	server := httptest.NewServer(standin.NewState())
+	server := httptest.NewServer(fake.NewKVServer())
 	t.Cleanup(server.Close)
 	now := units.Second
 	clock := &driftingClock{truth: &now}
--- a/internal/failuredetector/lostmachines_test.go
+++ b/internal/failuredetector/lostmachines_test.go
@@ -10,8 +10,8 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
@@ -36,7 +36,7 @@
 	}
 	return New(Deps{
 		State:            state,
-		Leadership:       &standin.Leadership{Number: 7},
+		Leadership:       &fake.Leadership{FencingToken: 7},
 		Settings:         settings,
 		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		ElectedAt:        testNow - 500*units.Second,
@@ -122,7 +122,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newTestDetector(t)
-			leadership := &standin.Leadership{Number: 7}
+			leadership := &fake.Leadership{FencingToken: 7}
 			d.Leadership, d.State.Restored = leadership, c.restored
 			d.CheckHeartbeatLoss(testNow + c.silence)
 			if leadership.Lost != c.want {
@@ -146,7 +146,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := newTestDetector(t)
 			m := d.State.Machines[machineID(0)]
-			job := d.State.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 1, Request: standin.CPUs(1)}, testNow, testNow)
+			job := d.State.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 1, Request: fake.CPUs(1)}, testNow, testNow)
 			d.State.Assign(job, m, 1, testNow)
 			d.ExpireLeases(testNow + c.after)
 			if len(m.Attempts) != c.attempts {
--- a/internal/standin/admissioncheck/checker.go
+++ b/internal/fake/admissioncheck/checker.go
@@ -14,8 +14,8 @@
 
 	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 )
 
@@ -42,7 +42,7 @@
 }
 
 // New returns a checker that observes a key-value store from now on.
-func New(store *standin.State) *Checker {
+func New(store *fake.KVServer) *Checker {
 	c := &Checker{
 		startedAt: time.Now(),
 		plans:     map[uint64]*admission.Plan{},
@@ -53,9 +53,9 @@
 	return c
 }
 
-// Announce records a job that users are about to submit. It fails if the submission is not
+// RegisterSubmission records a job that users are about to submit. It fails if the submission is not
 // valid.
-func (c *Checker) Announce(job map[string]any) error {
+func (c *Checker) RegisterSubmission(job map[string]any) error {
 	spec, err := protocol.ParseSubmission(protocol.Encode(job))
 	if err != nil {
 		return err
@@ -136,30 +136,30 @@
 	c.durable[id] = c.current.Version
 }
 
-// Verdicts returns all violations, those in the history of responses among them.
-func (c *Checker) Verdicts() []string {
+// Violations returns all violations, those in the history of responses among them.
+func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Concat(c.violations, nonLinearizable(c.history))
 }
 
-// Accepted returns the jobs that became durable, with the version of the plan then stored;
+// DurableJobs returns the jobs that became durable, with the version of the plan then stored;
 // 0: none was.
-func (c *Checker) Accepted() map[string]uint64 {
+func (c *Checker) DurableJobs() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.durable)
 }
 
-// Waits counts the responses that deferred a job.
-func (c *Checker) Waits() int {
+// DeferredResponses counts the responses that deferred a job.
+func (c *Checker) DeferredResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deferred
 }
 
-// Plans counts the versions of the plan that were stored.
-func (c *Checker) Plans() int {
+// StoredPlans counts the versions of the plan that were stored.
+func (c *Checker) StoredPlans() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.plans)
--- a/internal/standin/admissioncheck/checker_test.go
+++ b/internal/fake/admissioncheck/checker_test.go
@@ -9,16 +9,16 @@
 
 	"dunestand/internal/admission"
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 const testJob = "j-1"
 
 // store makes a job durable, whatever the store holds of it.
-func store(t *testing.T, kv *standin.State, id string) {
+func store(t *testing.T, kv *fake.KVServer, id string) {
 	t.Helper()
-	spec, err := protocol.ParseSubmission(protocol.Encode(standin.Submission(id, "team", "class", 1, 1)))
+	spec, err := protocol.ParseSubmission(protocol.Encode(fake.Submission(id, "team", "class", 1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,50 +31,50 @@
 
 // The checker finds each violation that needs no valid plan, and none in what is allowed.
 func TestCheckerFindsPlantedViolations(t *testing.T) {
-	respond := func(c *Checker, kind AnswerKind, plan uint64) {
+	respond := func(c *Checker, kind ResponseKind, plan uint64) {
 		sent := time.Now()
 		time.Sleep(time.Millisecond)
 		c.ResponseReceived(1, testJob, sent, kind, plan)
 		time.Sleep(time.Millisecond)
 	}
 	for name, test := range map[string]struct {
-		events func(t *testing.T, c *Checker, kv *standin.State)
+		events func(t *testing.T, c *Checker, kv *fake.KVServer)
 		want   []string // a part of each violation, in their order
 	}{
-		"stored, then accepted": {func(t *testing.T, c *Checker, kv *standin.State) {
+		"stored, then accepted": {func(t *testing.T, c *Checker, kv *fake.KVServer) {
 			respond(c, Indefinite, 0)
 			store(t, kv, testJob)
-			respond(c, SaysAccepted, 0)
+			respond(c, Accepted, 0)
 			respond(c, Indefinite, 0)
 		}, nil},
-		"accepted without being stored": {func(_ *testing.T, c *Checker, _ *standin.State) {
-			respond(c, SaysAccepted, 0)
+		"accepted without being stored": {func(_ *testing.T, c *Checker, _ *fake.KVServer) {
+			respond(c, Accepted, 0)
 		}, []string{"not linearizable"}},
-		"stored twice": {func(t *testing.T, _ *Checker, kv *standin.State) {
+		"stored twice": {func(t *testing.T, _ *Checker, kv *fake.KVServer) {
 			store(t, kv, testJob)
 			store(t, kv, testJob)
 		}, []string{"accepted twice"}},
-		"a job that nobody submitted": {func(t *testing.T, _ *Checker, kv *standin.State) {
+		"a job that nobody submitted": {func(t *testing.T, _ *Checker, kv *fake.KVServer) {
 			store(t, kv, "j-2")
 		}, []string{"nobody submitted"}},
-		"deferred by a plan that was never stored, after it was accepted": {func(t *testing.T, c *Checker, kv *standin.State) {
+		"deferred by a plan that was never stored, after it was accepted": {func(t *testing.T, c *Checker, kv *fake.KVServer) {
 			store(t, kv, testJob)
-			respond(c, SaysAccepted, 0)
-			respond(c, SaysWait, 7)
+			respond(c, Accepted, 0)
+			respond(c, Deferred, 7)
 		}, []string{"never stored", "not linearizable"}},
-		"a plan that cannot be read": {func(_ *testing.T, _ *Checker, kv *standin.State) {
+		"a plan that cannot be read": {func(_ *testing.T, _ *Checker, kv *fake.KVServer) {
 			kv.Apply(protocol.Txn{Then: []protocol.Change{{Set: admission.KeyPlan, Value: protocol.Encode(map[string]int{})}}})
 		}, []string{"not readable"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kv := standin.NewState()
+				kv := fake.NewKVServer()
 				c := New(kv)
-				if err := c.Announce(standin.Submission(testJob, "team", "class", 1, 1)); err != nil {
+				if err := c.RegisterSubmission(fake.Submission(testJob, "team", "class", 1, 1)); err != nil {
 					t.Fatal(err)
 				}
 				test.events(t, c, kv)
-				got := c.Verdicts()
+				got := c.Violations()
 				if len(got) != len(test.want) {
 					t.Fatalf("%q, want %q", got, test.want)
 				}
@@ -94,12 +94,12 @@
 	for _, test := range []struct {
 		status int
 		body   []byte
-		kind   AnswerKind
+		kind   ResponseKind
 		plan   uint64
 	}{
-		{http.StatusOK, nil, SaysAccepted, 0},
-		{http.StatusCreated, nil, SaysAccepted, 0},
-		{http.StatusTooManyRequests, deferred, SaysWait, 3},
+		{http.StatusOK, nil, Accepted, 0},
+		{http.StatusCreated, nil, Accepted, 0},
+		{http.StatusTooManyRequests, deferred, Deferred, 3},
 		{http.StatusTooManyRequests, nil, Indefinite, 0},
 		{http.StatusServiceUnavailable, deferred, Indefinite, 0},
 	} {
--- a/internal/standin/admissioncheck/responses.go
+++ b/internal/fake/admissioncheck/responses.go
@@ -11,39 +11,39 @@
 	"dunestand/internal/protocol"
 )
 
-// AnswerKind is what a response to a submission says about the job.
-type AnswerKind uint8
+// ResponseKind is what a response to a submission says about the job.
+type ResponseKind uint8
 
 // The kinds of responses.
 const (
-	Indefinite   AnswerKind = iota // nothing
-	SaysAccepted                   // it is accepted
-	SaysWait                       // it is deferred by the admission plan
+	Indefinite ResponseKind = iota // nothing
+	Accepted                       // it is accepted
+	Deferred                       // it is deferred by the admission plan
 	// becameDurable is no response: the job's record was stored.
 	becameDurable
 )
 
-func (k AnswerKind) String() string {
+func (k ResponseKind) String() string {
 	return [...]string{"indefinite", "accepted", "deferred", "became durable"}[k]
 }
 
 // ClassifyResponse returns what a response to a submission says, and the version of the
 // plan that defers the job; 0: none does.
-func ClassifyResponse(status int, body []byte) (kind AnswerKind, plan uint64) {
+func ClassifyResponse(status int, body []byte) (kind ResponseKind, plan uint64) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
-		return SaysAccepted, 0
+		return Accepted, 0
 	case http.StatusTooManyRequests:
 		var p protocol.ErrorResponse
 		if protocol.Decode(body, &p) == nil && p.PlanVersion > 0 {
-			return SaysWait, p.PlanVersion
+			return Deferred, p.PlanVersion
 		}
 	}
 	return Indefinite, 0
 }
 
 // ResponseReceived checks a response to a user's submission that was sent at a time.
-func (c *Checker) ResponseReceived(user int, id string, sent time.Time, kind AnswerKind, plan uint64) {
+func (c *Checker) ResponseReceived(user int, id string, sent time.Time, kind ResponseKind, plan uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.history = append(c.history, porcupine.Operation{
@@ -53,7 +53,7 @@
 		Call:     sent.Sub(c.startedAt).Nanoseconds(),
 		Return:   time.Since(c.startedAt).Nanoseconds(),
 	})
-	if kind != SaysWait {
+	if kind != Deferred {
 		return
 	}
 	c.deferred++
@@ -77,12 +77,12 @@
 	Init: func() any { return false },
 	Step: func(state, _, output any) (bool, any) {
 		accepted := state.(bool)
-		switch output.(AnswerKind) {
+		switch output.(ResponseKind) {
 		case becameDurable:
 			return true, true
-		case SaysAccepted:
+		case Accepted:
 			return accepted, accepted
-		case SaysWait:
+		case Deferred:
 			return !accepted, accepted
 		}
 		return true, accepted
--- a/internal/standin/admissioncheck/submit.go
+++ b/internal/fake/admissioncheck/submit.go
@@ -14,35 +14,35 @@
 // submitTimeout is how long a user waits for the response to a submission.
 const submitTimeout = 5 * time.Second
 
-// Reply is a controller's response to a submission. The zero value: none was received.
-type Reply struct {
-	Kind       AnswerKind
+// Response is a controller's response to a submission. The zero value: none was received.
+type Response struct {
+	Kind       ResponseKind
 	Status     int           // of HTTP
 	RetryAfter time.Duration // 0: the controller gave none
 }
 
 // Submit sends a submission to the controller at an address (IP:port), as a user does, and
 // checks the response.
-func (c *Checker) Submit(ctx context.Context, user int, address string, job map[string]any) Reply {
+func (c *Checker) Submit(ctx context.Context, user int, address string, job map[string]any) Response {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	sent := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+protocol.PathSubmit,
 		bytes.NewReader(protocol.Encode(job)))
 	if err != nil {
-		return Reply{}
+		return Response{}
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return Reply{}
+		return Response{}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Reply{}
+		return Response{}
 	}
 	kind, plan := ClassifyResponse(response.StatusCode, body)
 	c.ResponseReceived(user, job[protocol.FieldID].(string), sent, kind, plan)
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 if it is missing
-	return Reply{Kind: kind, Status: response.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
+	return Response{Kind: kind, Status: response.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
 }
--- a/internal/standin/history_test.go
+++ b/internal/fake/history_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"net/http"
--- a/internal/standin/kvserver.go
+++ b/internal/fake/kvserver.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"net/http"
@@ -12,24 +12,24 @@
 	"dunestand/internal/protocol"
 )
 
-// State is a fake of the consensus-backed key-value store, in memory. Its exported fields
+// KVServer is a fake of the consensus-backed key-value store, in memory. Its exported fields
 // inject faults; they are set before requests that they concern, or under the caller's own
 // lock.
-type State struct {
+type KVServer struct {
 	mu       sync.Mutex // guards all fields without their own comment
 	items    map[string]protocol.Item
 	revision uint64
 	commits  int // received over HTTP
 
-	// Refuse selects requests that are not carried out and get status 503. It is called
+	// RejectRequest selects requests that are not carried out and get status 503. It is called
 	// for one request at a time; nil: none.
-	Refuse func(method, path string) bool
-	// Silent selects commits, numbered from 1, that are carried out and get no response;
+	RejectRequest func(method, path string) bool
+	// DropResponse selects commits, numbered from 1, that are carried out and get no response;
 	// nil: none.
-	Silent func(commit int) bool
-	// Late selects commits, numbered from 1, that get no response and are carried out by
-	// Flush; nil: none.
-	Late           func(commit int) bool
+	DropResponse func(commit int) bool
+	// DelayCommit selects commits, numbered from 1, that get no response and are carried out by
+	// ApplyDelayed; nil: none.
+	DelayCommit    func(commit int) bool
 	delayedCommits []protocol.Txn
 
 	// OnApply is called with each transaction just before it is carried out, under the
@@ -38,7 +38,7 @@
 
 	limits       *kvLimits // nil: none
 	rejectedTxns int
-	rejectMu     sync.Mutex // held while Refuse is called
+	rejectMu     sync.Mutex // held while RejectRequest is called
 
 	changes []protocol.KeyChange // the latest, in their order
 	changed chan struct{}        // closed at the next change
@@ -56,28 +56,28 @@
 	writes          *rate.Limiter // of changes a second, with bursts of one second's worth
 }
 
-// NewState returns an empty server without limits.
-func NewState() *State {
-	return &State{items: map[string]protocol.Item{}, changed: make(chan struct{})}
+// NewKVServer returns an empty server without limits.
+func NewKVServer() *KVServer {
+	return &KVServer{items: map[string]protocol.Item{}, changed: make(chan struct{})}
 }
 
-// Limit sets the largest value in bytes, the most changes in a transaction and the most
+// SetLimits sets the largest value in bytes, the most changes in a transaction and the most
 // changes a second, from now on. Items that are stored already remain readable.
-func (s *State) Limit(valueBytes, ops int, writes float64) {
+func (s *KVServer) SetLimits(valueBytes, ops int, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = &kvLimits{valueBytes, ops, rate.NewLimiter(rate.Limit(writes), int(writes))}
 }
 
-// Rejected counts the transactions that were too large.
-func (s *State) Rejected() int {
+// RejectedTxns counts the transactions that were too large.
+func (s *KVServer) RejectedTxns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejectedTxns
 }
 
 // checkLimits returns the status of a transaction that exceeds the limits, 0 for any other.
-func (s *State) checkLimits(txn protocol.Txn) (status int) {
+func (s *KVServer) checkLimits(txn protocol.Txn) (status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limits == nil {
@@ -95,7 +95,7 @@
 }
 
 // Keys returns the keys with a prefix, in their order.
-func (s *State) Keys(prefix string) []string {
+func (s *KVServer) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
@@ -109,7 +109,7 @@
 }
 
 // Put writes a key unconditionally.
-func (s *State) Put(key string, value []byte) {
+func (s *KVServer) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -117,27 +117,27 @@
 }
 
 // Revision returns the number of transactions that were carried out.
-func (s *State) Revision() uint64 {
+func (s *KVServer) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
 // Get reads a key and reports whether it exists.
-func (s *State) Get(key string) (protocol.Item, bool) {
+func (s *KVServer) Get(key string) (protocol.Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.getLocked(key)
 }
 
-func (s *State) getLocked(key string) (protocol.Item, bool) {
+func (s *KVServer) getLocked(key string) (protocol.Item, bool) {
 	item, ok := s.items[key]
 	return item, ok
 }
 
 // Apply carries a transaction out, whole or not at all. It reports whether all conditions
 // held.
-func (s *State) Apply(txn protocol.Txn) (protocol.TxnResponse, bool) {
+func (s *KVServer) Apply(txn protocol.Txn) (protocol.TxnResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var response protocol.TxnResponse
@@ -163,8 +163,8 @@
 	return response, len(response.Failed) == 0
 }
 
-// Flush carries out the delayed commits, in their order.
-func (s *State) Flush() {
+// ApplyDelayed carries out the delayed commits, in their order.
+func (s *KVServer) ApplyDelayed() {
 	s.mu.Lock()
 	delayed := s.delayedCommits
 	s.delayedCommits = nil
@@ -175,19 +175,19 @@
 }
 
 // setLocked sets a key in the current revision.
-func (s *State) setLocked(key string, value []byte) {
+func (s *KVServer) setLocked(key string, value []byte) {
 	s.items[key] = protocol.Item{Key: key, Value: value, Version: s.revision}
 	s.recordChangeLocked(protocol.KeyChange{Set: key, Value: value, Version: s.revision})
 }
 
 // deleteLocked deletes a key in the current revision.
-func (s *State) deleteLocked(key string) {
+func (s *KVServer) deleteLocked(key string) {
 	delete(s.items, key)
 	s.recordChangeLocked(protocol.KeyChange{Delete: key, Version: s.revision})
 }
 
 // recordChangeLocked retains a change for watches and wakes them.
-func (s *State) recordChangeLocked(change protocol.KeyChange) {
+func (s *KVServer) recordChangeLocked(change protocol.KeyChange) {
 	s.changes = append(s.changes, change)
 	if len(s.changes) > 2*maxRetainedChanges {
 		s.changes = slices.Clone(s.changes[len(s.changes)-maxRetainedChanges:])
--- a/internal/standin/kvserverhttp.go
+++ b/internal/fake/kvserverhttp.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 )
 
 // ServeHTTP implements the parts of the store's protocol that controllers use.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *KVServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.rejects(r) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -30,16 +30,16 @@
 	}
 }
 
-// rejects consults Refuse, for one request at a time.
-func (s *State) rejects(r *http.Request) bool {
+// rejects consults RejectRequest, for one request at a time.
+func (s *KVServer) rejects(r *http.Request) bool {
 	s.rejectMu.Lock()
 	defer s.rejectMu.Unlock()
-	return s.Refuse != nil && s.Refuse(r.Method, r.URL.Path)
+	return s.RejectRequest != nil && s.RejectRequest(r.Method, r.URL.Path)
 }
 
 // serveCommit carries a transaction out. A response that is to be lost closes the
 // connection.
-func (s *State) serveCommit(w http.ResponseWriter, r *http.Request) {
+func (s *KVServer) serveCommit(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	var txn protocol.Txn
 	if protocol.Decode(body, &txn) != nil {
@@ -53,7 +53,7 @@
 	s.mu.Lock()
 	s.commits++
 	commit := s.commits
-	delayed := s.Late != nil && s.Late(commit)
+	delayed := s.DelayCommit != nil && s.DelayCommit(commit)
 	if delayed {
 		s.delayedCommits = append(s.delayedCommits, txn)
 	}
@@ -62,14 +62,14 @@
 		panic(http.ErrAbortHandler)
 	}
 	response, ok := s.Apply(txn)
-	if s.Silent != nil && s.Silent(commit) {
+	if s.DropResponse != nil && s.DropResponse(commit) {
 		panic(http.ErrAbortHandler)
 	}
 	reply(w, statusOr(ok, http.StatusConflict), response)
 }
 
 // serveList responds with all items of a prefix, in one page.
-func (s *State) serveList(w http.ResponseWriter, r *http.Request) {
+func (s *KVServer) serveList(w http.ResponseWriter, r *http.Request) {
 	revision := s.Revision() // before the keys: a watch from here repeats what changes meanwhile
 	list := protocol.ItemList{Items: []protocol.Item{}}
 	for _, key := range s.Keys(r.URL.Query().Get("prefix")) {
@@ -82,7 +82,7 @@
 }
 
 // serveChanges responds to a watch when something has changed or its time is over.
-func (s *State) serveChanges(w http.ResponseWriter, r *http.Request) {
+func (s *KVServer) serveChanges(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	wait, waitErr := strconv.Atoi(cmp.Or(query.Get("wait_ms"), "0"))
@@ -114,7 +114,7 @@
 
 // changesSince returns the changes of keys with a prefix after a revision, and a channel
 // that is closed at the next change. retained is false if some are no longer retained.
-func (s *State) changesSince(prefix string, from uint64) (list protocol.ChangeList, changed <-chan struct{}, retained bool) {
+func (s *KVServer) changesSince(prefix string, from uint64) (list protocol.ChangeList, changed <-chan struct{}, retained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list = protocol.ChangeList{Revision: s.revision, Changes: []protocol.KeyChange{}}
--- a/internal/standin/leadership.go
+++ b/internal/fake/leadership.go
@@ -1,17 +1,17 @@
-package standin
+package fake
 
 import "dunestand/internal/units"
 
 // Leadership is the leadership of a leader that loses it only by stepping down. It must not
 // be changed while others read it.
 type Leadership struct {
-	Number    uint64 // the fencing token
-	Lost      bool
-	Abstained units.Micros // for how long the leader does not campaign
+	FencingToken uint64 // the fencing token
+	Lost         bool
+	Abstained    units.Micros // for how long the leader does not campaign
 }
 
 // Token returns the fencing token.
-func (l *Leadership) Token() uint64 { return l.Number }
+func (l *Leadership) Token() uint64 { return l.FencingToken }
 
 // Valid reports whether the leader may act.
 func (l *Leadership) Valid() bool { return !l.Lost }
--- a/internal/standin/legacyjobs.go
+++ b/internal/fake/legacyjobs.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/base64"
@@ -11,8 +11,8 @@
 	"dunestand/internal/protocol"
 )
 
-// OldJob is what a leader of the last version without services reads of a job's records.
-type OldJob struct {
+// LegacyJob is what a leader of the last version without services reads of a job's records.
+type LegacyJob struct {
 	Shape    uint8
 	Machines []string // all on which it would look for the job's tasks
 	Done     []byte   // a bit for each task
@@ -40,11 +40,11 @@
 	Pages    int      `cbor:"pages"`
 }
 
-// ReadAsBefore reads the items below job/ as the last version without services does: any
+// ParseLegacyJobs reads the items below job/ as the last version without services does: any
 // item that it cannot read is an error. All that is written while such a version may lead
 // must be readable here.
-func ReadAsBefore(items []protocol.Item) (map[string]*OldJob, error) {
-	jobs := map[string]*OldJob{}
+func ParseLegacyJobs(items []protocol.Item) (map[string]*LegacyJob, error) {
+	jobs := map[string]*LegacyJob{}
 	pages := map[string]int{} // of each job, without the main record
 	for _, item := range items {
 		if isLegacyPage(item.Key) {
@@ -81,7 +81,7 @@
 // isLegacyPage reports whether a key is of a further page of a job: job/SHARD/ID/pN.
 func isLegacyPage(key string) bool { return strings.Count(key, "/") == 3 }
 
-func parseLegacyRecord(item protocol.Item) (legacyRecord, *OldJob, error) {
+func parseLegacyRecord(item protocol.Item) (legacyRecord, *LegacyJob, error) {
 	var r legacyRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return r, nil, err
@@ -95,7 +95,7 @@
 	if r.Tasks < 1 || r.Tasks > legacyMaxTasks || r.Priority >= legacyPriorities || r.Shape >= legacyShapes || r.Pages != (r.Tasks-1)/legacyTasksPerPage {
 		return r, nil, errors.New("out of range")
 	}
-	job := &OldJob{
+	job := &LegacyJob{
 		Shape:    r.Shape,
 		Machines: slices.Clone(r.Machines),
 		Done:     make([]byte, (r.Tasks+7)/8),
@@ -105,7 +105,7 @@
 }
 
 // readDone copies the completed tasks of a page into the job's.
-func (j *OldJob) readDone(text string, page int) error {
+func (j *LegacyJob) readDone(text string, page int) error {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return err
--- a/internal/persister/claim_test.go
+++ b/internal/persister/claim_test.go
@@ -4,15 +4,15 @@
 	"errors"
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // expectHeads checks that every bucket's head has an incarnation, and the version that the
 // persister knows.
-func expectHeads(t *testing.T, server *standin.State, p *Persister, incarnation uint64) {
+func expectHeads(t *testing.T, server *fake.KVServer, p *Persister, incarnation uint64) {
 	t.Helper()
 	for bucket := range storage.Buckets {
 		item, _ := server.Get(storage.KeyBucketHead(bucket))
@@ -30,7 +30,7 @@
 }
 
 func TestEachLeaderRaisesEveryIncarnation(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	first, _ := newRestoredPersister(t, server, 1)
 	expectHeads(t, server, first, 1)
 	second, _ := newRestoredPersister(t, server, 2)
@@ -39,9 +39,9 @@
 
 // A claim whose answer was lost is found to be this leader's own, and is not raised again.
 func TestClaimContinuesAfterLostAnswers(t *testing.T) {
-	server := standin.NewState()
-	server.Silent = func(n int) bool { return n%2 == 1 }
-	clock := &standin.Clock{Now: units.Second}
+	server := fake.NewKVServer()
+	server.DropResponse = func(n int) bool { return n%2 == 1 }
+	clock := &fake.Clock{Now: units.Second}
 	p := newTestPersister(newTestClient(t, server, clock), clock, 1, persisterLimits)
 	tries := 1
 	for ; !p.Restore(t.Context()); tries++ {
@@ -58,10 +58,10 @@
 // A head that is not readable is not overwritten: the leader tries again, and its error names the
 // record.
 func TestUnreadableHeadIsNotClaimed(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	key := storage.KeyBucketHead(3)
 	server.Put(key, protocol.Encode("x"))
-	clock := &standin.Clock{Now: units.Second}
+	clock := &fake.Clock{Now: units.Second}
 	p := newTestPersister(newTestClient(t, server, clock), clock, 1, persisterLimits)
 	var unreadable *storage.RecordError
 	if err := p.claimBuckets(t.Context()); !errors.As(err, &unreadable) || unreadable.Key != key {
--- a/internal/persister/commit_test.go
+++ b/internal/persister/commit_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 )
 
@@ -35,12 +35,12 @@
 
 // A batch whose answer was lost is sent again, and found to be carried out.
 func TestUnansweredBatchIsCommittedOnce(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	p, _ := newRestoredPersister(t, server, 1)
 	job, batch := newAcceptance(t, p, "j-000001")
 	durable, before := job.Durable(), server.Revision()
 	lost := false
-	server.Silent = func(int) bool {
+	server.DropResponse = func(int) bool {
 		first := !lost
 		lost = true
 		return first
@@ -58,7 +58,7 @@
 }
 
 func TestFormerLeaderStepsDownOnConflict(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	former, _ := newRestoredPersister(t, server, 1)
 	newRestoredPersister(t, server, 2)
 	job, batch := newAcceptance(t, former, "j-000001")
@@ -74,7 +74,7 @@
 // The id of a finished job is not accepted again; whoever waits is woken and told of the finished
 // one.
 func TestFinishedJobIsNotAcceptedAgain(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	const id = "j-000001"
 	server.Put(storage.KeyTerminal(id), protocol.Encode(storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}))
 	p, _ := newRestoredPersister(t, server, 1)
@@ -97,15 +97,15 @@
 func TestRejectedBatch(t *testing.T) {
 	const tooSmall, ops, writesPerSecond = 1, 12, 1000
 	t.Run("is rebuilt", func(t *testing.T) {
-		server := standin.NewState()
+		server := fake.NewKVServer()
 		p, _ := newRestoredPersister(t, server, 1)
 		job, batch := newAcceptance(t, p, "j-000001")
-		server.Limit(tooSmall, ops, writesPerSecond)
+		server.SetLimits(tooSmall, ops, writesPerSecond)
 		p.CommitBatch(t.Context(), batch)
-		if server.Rejected() != 1 || job.Accepted() || !p.Leadership.Valid() {
-			t.Errorf("rejected %d times, accepted %v", server.Rejected(), job.Accepted())
+		if server.RejectedTxns() != 1 || job.Accepted() || !p.Leadership.Valid() {
+			t.Errorf("rejected %d times, accepted %v", server.RejectedTxns(), job.Accepted())
 		}
-		server.Limit(64<<10, ops, writesPerSecond)
+		server.SetLimits(64<<10, ops, writesPerSecond)
 		again := p.nextBatch()
 		if again == nil {
 			t.Fatal("not built again")
@@ -115,22 +115,22 @@
 		}
 	})
 	t.Run("after an unanswered try", func(t *testing.T) {
-		server := standin.NewState()
+		server := fake.NewKVServer()
 		p, _ := newRestoredPersister(t, server, 1)
 		job, batch := newAcceptance(t, p, "j-000001")
 		commits := 0
-		server.Late = func(int) bool { return true }
-		server.Refuse = func(method, _ string) bool {
+		server.DelayCommit = func(int) bool { return true }
+		server.RejectRequest = func(method, _ string) bool {
 			if method == http.MethodPost {
 				if commits++; commits == 2 {
-					server.Limit(tooSmall, ops, writesPerSecond)
+					server.SetLimits(tooSmall, ops, writesPerSecond)
 				}
 			}
 			return false
 		}
 		p.CommitBatch(t.Context(), batch)
-		if commits != 2 || server.Rejected() != 1 {
-			t.Errorf("%d tries, %d rejected: the test shows nothing", commits, server.Rejected())
+		if commits != 2 || server.RejectedTxns() != 1 {
+			t.Errorf("%d tries, %d rejected: the test shows nothing", commits, server.RejectedTxns())
 		}
 		if job.Accepted() || p.Leadership.Valid() {
 			t.Error("the leader goes on though the batch may still be carried out")
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -9,10 +9,10 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -21,7 +21,7 @@
 var persisterLimits = config.State{RPS: 1e4, WriteRPS: 1e4, ValueKB: 8, TxnOps: 12}
 
 // newTestClient returns a client of a fake key-value store.
-func newTestClient(t *testing.T, server *standin.State, clock units.Clock) *kv.Client {
+func newTestClient(t *testing.T, server *fake.KVServer, clock units.Clock) *kv.Client {
 	t.Helper()
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
@@ -36,7 +36,7 @@
 		State: limits,
 	}}
 	state := cluster.NewState(settings.Fleet.Teams, limits)
-	leadership := &standin.Leadership{Number: token}
+	leadership := &fake.Leadership{FencingToken: token}
 	terminals := NewTerminalJobs(state, client)
 	writeSignal := loop.NewSignal()
 	return New(Deps{
@@ -56,7 +56,7 @@
 		OnCatalog:   func(map[string]uint64) {},
 		Settings:    settings,
 		KV:          client,
-		Format:      standin.NewRecordFormat(storage.FormatOld),
+		Format:      fake.NewRecordFormat(storage.FormatOld),
 		Clock:       clock,
 		Log:         log,
 		Tracer:      cluster.NewAttemptTracer(log),
@@ -69,9 +69,9 @@
 
 // newRestoredPersister returns a persister that has restored what a fake store holds, and its
 // clock.
-func newRestoredPersister(t *testing.T, server *standin.State, token uint64) (*Persister, *standin.Clock) {
+func newRestoredPersister(t *testing.T, server *fake.KVServer, token uint64) (*Persister, *fake.Clock) {
 	t.Helper()
-	clock := &standin.Clock{Now: units.Second}
+	clock := &fake.Clock{Now: units.Second}
 	p := newTestPersister(newTestClient(t, server, clock), clock, token, persisterLimits)
 	if !p.Restore(t.Context()) {
 		t.Fatal("not restored")
@@ -89,5 +89,5 @@
 
 // testSpec returns a job of two tasks of one processor each.
 func testSpec(id string) protocol.JobSpec {
-	return protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
+	return protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
 }
--- a/internal/persister/pendingwatcher_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -6,15 +6,15 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // acceptWithoutLeader puts a job into the queue of pending submissions, as another controller
 // does.
-func acceptWithoutLeader(t *testing.T, server *standin.State, id string) {
+func acceptWithoutLeader(t *testing.T, server *fake.KVServer, id string) {
 	t.Helper()
 	if _, ok := server.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: testSpec(id)})); !ok {
 		t.Fatalf("%s is not put into the queue", id)
@@ -24,7 +24,7 @@
 // After a burst the queue held hundreds of jobs, and reading them all each second took much of
 // the leader's processor. Each job is read once, unless something went wrong.
 func TestPendingQueueIsReadIncrementally(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	p, clock := newRestoredPersister(t, server, 1)
 	var watch pendingWatcher
 	expect := func(what string, want ...string) {
@@ -68,7 +68,7 @@
 // A finished job is removed from the queue, though only the batch that would have accepted it
 // once more shows that it is finished.
 func TestFinishedJobIsRemovedFromPendingQueue(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	p, clock := newRestoredPersister(t, server, 1)
 	terminal := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
 	acceptWithoutLeader(t, server, "j-000001")
--- a/internal/persister/persister_test.go
+++ b/internal/persister/persister_test.go
@@ -7,9 +7,9 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
@@ -17,7 +17,7 @@
 func newPacedPersister(t *testing.T) *Persister {
 	t.Helper()
 	limits := config.State{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
-	clock := &standin.Clock{Now: units.Second}
+	clock := &fake.Clock{Now: units.Second}
 	p := newTestPersister(kv.NewClient(nil, "127.0.0.1:1", limits, 0, clock), clock, 1, limits)
 	p.InstallRecords(nil, protocol.Catalog{})
 	if !p.State.Restored {
--- a/internal/persister/terminaljobs_test.go
+++ b/internal/persister/terminaljobs_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -43,11 +43,11 @@
 		"of another format": {value: 7, unreadable: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := standin.NewState()
+			server := fake.NewKVServer()
 			if c.value != nil {
 				server.Put(storage.KeyTerminal(key), protocol.Encode(c.value))
 			}
-			client := newTestClient(t, server, &standin.Clock{Now: units.Second})
+			client := newTestClient(t, server, &fake.Clock{Now: units.Second})
 			record, found, err := ReadTerminal(t.Context(), client, key)
 			if found != c.found || found && (record.TerminalRecord != done || record.Version == 0) {
 				t.Errorf("%+v, %v", record, found)
--- a/internal/persister/transferstore_test.go
+++ b/internal/persister/transferstore_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/federation"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 )
 
@@ -21,7 +21,7 @@
 // A transfer's record is written, replaced, listed and deleted; a former leader can do nothing
 // of that, and the outcome of a write without an answer is found out.
 func TestFormerLeaderCannotWriteTransferRecords(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	former, _ := newRestoredPersister(t, server, 1)
 	old := NewTransferStore(former.KV, former.BucketVersion)
 	intended, committed := transferRecord(federation.OriginIntended), transferRecord(federation.OriginCommitted)
@@ -44,7 +44,7 @@
 	if _, err := store.CompareAndSwap(t.Context(), intended.Key(), committed.Encode("2-1"), 0); !errors.Is(err, federation.ErrVersionConflict) {
 		t.Errorf("a write on another version: %v", err)
 	}
-	server.Silent = func(n int) bool { return n%2 == 0 } // every other answer is lost
+	server.DropResponse = func(n int) bool { return n%2 == 0 } // every other answer is lost
 	for n, value := range [][]byte{committed.Encode("2-2"), committed.Encode("2-3"), nil} {
 		if version, err = store.CompareAndSwap(t.Context(), intended.Key(), value, version); err != nil {
 			t.Fatalf("write %d: %v", n, err)
@@ -57,9 +57,9 @@
 
 // A write whose outcome cannot be found out does not count as one that was not carried out.
 func TestTransferWriteOfUnknownOutcomeIsConflict(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	leader, _ := newRestoredPersister(t, server, 1)
-	server.Silent = func(int) bool { return true }
+	server.DropResponse = func(int) bool { return true }
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	record := transferRecord(federation.OriginIntended)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "dunestand/internal/standin/fixedseed"
+	_ "dunestand/internal/fake/fixedseed"
 )
 
 func goodSubmission() map[string]any {
--- a/internal/push/pusher_test.go
+++ b/internal/push/pusher_test.go
@@ -5,8 +5,8 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
@@ -26,11 +26,11 @@
 	state := cluster.NewState(nil, settings.Fleet.State)
 	m := state.EnsureMachine("i-000001", "m", "a", false, testNow)
 	m.Endpoint, m.FencingToken, m.LastHeartbeat = "10.0.0.1:80", testToken, testNow
-	job := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2, Request: standin.CPUs(1)}, testNow, testNow)
+	job := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2, Request: fake.CPUs(1)}, testNow, testNow)
 	attempt := state.Assign(job, m, state.NextAttempt(testToken), testNow)
 	return NewCommandPusher(CommandPusherDeps{
 		State:      state,
-		Leadership: &standin.Leadership{Number: testToken},
+		Leadership: &fake.Leadership{FencingToken: testToken},
 		Settings:   settings,
 		Token:      testToken,
 	}), m, attempt
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -8,9 +8,9 @@
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
 	"dunestand/internal/failuredetector"
+	"dunestand/internal/fake"
 	"dunestand/internal/loop"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -40,7 +40,7 @@
 		WriteSignal: loop.NewSignal(),
 		CycleSignal: loop.NewSignal(),
 	})
-	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: 2, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
+	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: 2, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
 	job := state.NewJob(spec, testNow, testNow)
 	commit(state)
 	return rc, job
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -9,15 +9,15 @@
 	"testing"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // newNegotiators returns the negotiators of some controllers on a fake key-value store, by name.
-func newNegotiators(t *testing.T, server *standin.State, nodes ...string) map[string]*Negotiator {
+func newNegotiators(t *testing.T, server *fake.KVServer, nodes ...string) map[string]*Negotiator {
 	t.Helper()
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
@@ -36,7 +36,7 @@
 // The fleet's format is raised only once every configured controller has announced that it reads
 // the new one, and by a leader alone; whoever comes later reads the same, and nothing lowers it.
 func TestFormatIsRaisedOnceAllAreUpgraded(t *testing.T) {
-	server := standin.NewState()
+	server := fake.NewKVServer()
 	negotiators := newNegotiators(t, server, "a", "b", "c")
 	step := func(node string, leading bool, want storage.Format) {
 		t.Helper()
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // headroomFleet returns forty machines in two zones, half of them spot instances, of which
@@ -19,12 +19,12 @@
 			Zone:         []string{"a", "b"}[i%2],
 			Spot:         i >= 20,
 			Schedulable:  true,
-			Capacity:     standin.CPUs(8),
-			Free:         standin.CPUs(1),
+			Capacity:     fake.CPUs(8),
+			Free:         fake.CPUs(1),
 			HasImage:     func(string) bool { return i == 7 },
 		}
 		if i == 4 || i == 9 {
-			m.Free = standin.CPUs(2)
+			m.Free = fake.CPUs(2)
 		}
 		machines = append(machines, m)
 	}
@@ -34,7 +34,7 @@
 // headroomReplica returns a job like the replicas that capacity is reserved for.
 func headroomReplica() *protocol.JobSpec {
 	replica := arraySpec("j-000001")
-	replica.AllowSpot, replica.Request = false, standin.CPUs(2)
+	replica.AllowSpot, replica.Request = false, fake.CPUs(2)
 	return replica
 }
 
@@ -60,9 +60,9 @@
 	})
 	t.Run("not on whole machines that a task needs", func(t *testing.T) {
 		machines, whole := headroomFleet(), arraySpec("j-000003")
-		whole.Request = standin.CPUs(8)
+		whole.Request = fake.CPUs(8)
 		for _, i := range []int{1, 3, 5} {
-			machines[i].InstanceType, machines[i].Capacity = "large", standin.CPUs(16)
+			machines[i].InstanceType, machines[i].Capacity = "large", fake.CPUs(16)
 		}
 		if got := reserveHeadroom(machines, []JobView{{Spec: whole}}, replica, never); fmt.Sprint(got) != "[4 0 1 3]" {
 			t.Errorf("reserved on %v, where a task needs a whole machine", got)
@@ -75,7 +75,7 @@
 	machine, replica := headroomFleet()[4], headroomReplica()
 	machine.Headroom = replica.Request
 	array, service := arraySpec("j-000002"), *replica
-	array.Request, service.Kind = standin.CPUs(2), protocol.Service
+	array.Request, service.Kind = fake.CPUs(2), protocol.Service
 	for _, c := range []struct {
 		name    string
 		spec    *protocol.JobSpec
@@ -88,7 +88,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := Snapshot{
-				Teams:         []TeamView{{QuotaLimit: standin.CPUs(100)}},
+				Teams:         []TeamView{{QuotaLimit: fake.CPUs(100)}},
 				Machines:      []MachineView{machine},
 				MaxPlacements: 10,
 				Jobs: []JobView{{
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -7,15 +7,15 @@
 
 	"dunestand/internal/cluster"
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
 
 // newTestScheduler returns a scheduler of one job that is stored and waits.
-func newTestScheduler(tasks int) (*Scheduler, *standin.Clock, *cluster.Job) {
-	clock := &standin.Clock{Now: 100 * units.Second}
+func newTestScheduler(tasks int) (*Scheduler, *fake.Clock, *cluster.Job) {
+	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
 		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: 9}},
@@ -41,7 +41,7 @@
 
 // arraySpec returns a job array of two tasks of a processor.
 func arraySpec(id string) *protocol.JobSpec {
-	return &protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: standin.CPUs(1), AllowSpot: true, Image: "i"}
+	return &protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
 }
 
 // A job that is late only if its estimate is right is not called late: on a day
@@ -67,7 +67,7 @@
 	for range 20 {
 		sc.State.Completions.Advance(clock.Now)
 		clock.Now += units.Second
-		sc.State.Completions.Freed(standin.CPUs(4).CPU) // a second, 8 in the patience of 2 s
+		sc.State.Completions.Freed(fake.CPUs(4).CPU) // a second, 8 in the patience of 2 s
 	}
 	job.LearnedAt = clock.Now
 	if sc.awaitsCompletions(job, clock.Now) {
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
+	"dunestand/internal/fake"
+	_ "dunestand/internal/fake/fixedseed"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	_ "dunestand/internal/standin/fixedseed"
 	"dunestand/internal/units"
 )
 
@@ -21,8 +21,8 @@
 	for range rapid.IntRange(1, 3).Draw(t, "teams") {
 		guarantee := rapid.IntRange(0, 20).Draw(t, "guarantee")
 		s.Teams = append(s.Teams, TeamView{
-			GuaranteedQuota: standin.CPUs(guarantee),
-			QuotaLimit:      standin.CPUs(guarantee + rapid.IntRange(0, 30).Draw(t, "beyond")),
+			GuaranteedQuota: fake.CPUs(guarantee),
+			QuotaLimit:      fake.CPUs(guarantee + rapid.IntRange(0, 30).Draw(t, "beyond")),
 		})
 	}
 	victims := 0
@@ -52,8 +52,8 @@
 		Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 		Spot:         rapid.Bool().Draw(t, "spot"),
 		Schedulable:  rapid.Bool().Draw(t, "schedulable"),
-		Free:         standin.CPUs(rapid.IntRange(0, 16).Draw(t, "free")),
-		Freeing:      standin.CPUs(rapid.IntRange(0, 4).Draw(t, "freeing")),
+		Free:         fake.CPUs(rapid.IntRange(0, 16).Draw(t, "free")),
+		Freeing:      fake.CPUs(rapid.IntRange(0, 4).Draw(t, "freeing")),
 	}
 	image := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image")
 	m.HasImage = func(name string) bool { return name == image }
@@ -66,7 +66,7 @@
 		Ref:      ref,
 		Team:     rapid.IntRange(0, teams-1).Draw(t, "victim team"),
 		Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "victim priority")),
-		Request:  standin.CPUs(rapid.IntRange(1, 4).Draw(t, "victim request")),
+		Request:  fake.CPUs(rapid.IntRange(1, 4).Draw(t, "victim request")),
 	}
 	v.Job = &JobView{
 		Spec:            &protocol.JobSpec{ID: fmt.Sprintf("j-9%05d", ref), Priority: v.Priority},
@@ -85,7 +85,7 @@
 		Spec: &protocol.JobSpec{
 			ID:            fmt.Sprintf("j-%06d", index),
 			Tasks:         tasks,
-			Request:       standin.CPUs(rapid.IntRange(1, 5).Draw(t, "request")),
+			Request:       fake.CPUs(rapid.IntRange(1, 5).Draw(t, "request")),
 			Priority:      protocol.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 			AllowSpot:     rapid.Bool().Draw(t, "allow spot"),
 			Image:         "x",
@@ -147,7 +147,7 @@
 	}
 	for i, u := range used {
 		// What a team used before is not the plan's doing.
-		if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).Fits(standin.CPUs(0)) == 0 {
+		if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).Fits(fake.CPUs(0)) == 0 {
 			t.Fatalf("team %d uses %v of %v", i, u, before.Teams[i].QuotaLimit)
 		}
 	}
@@ -242,18 +242,18 @@
 // A task that needs two processors never finds them where tasks of one end one
 // by one, unless the free capacity is reserved for it.
 func TestMachinesAreReservedForStarvedJobs(t *testing.T) {
-	s := Snapshot{MaxPlacements: 10, Teams: []TeamView{{QuotaLimit: standin.CPUs(100)}}}
+	s := Snapshot{MaxPlacements: 10, Teams: []TeamView{{QuotaLimit: fake.CPUs(100)}}}
 	for range 2 {
 		s.Machines = append(s.Machines, MachineView{
 			Schedulable: true,
-			Capacity:    standin.CPUs(4),
-			Free:        standin.CPUs(1),
+			Capacity:    fake.CPUs(4),
+			Free:        fake.CPUs(1),
 			HasImage:    func(string) bool { return false },
 		})
 	}
 	job := func(id string, cpus int, starved bool) JobView {
 		return JobView{
-			Spec:    &protocol.JobSpec{ID: id, Tasks: 5, Request: standin.CPUs(cpus)},
+			Spec:    &protocol.JobSpec{ID: id, Tasks: 5, Request: fake.CPUs(cpus)},
 			Pending: 5,
 			Starved: starved,
 			Avoid:   func(string) bool { return false },
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // A task may be preempted for an urgent job of a higher priority, or for one within its team's
@@ -13,9 +13,9 @@
 func TestMayPreempt(t *testing.T) {
 	const ownTeam, beyondGuarantee, withinGuarantee = 0, 1, 2
 	snapshot := Snapshot{Teams: []TeamView{
-		ownTeam:         {GuaranteedQuota: standin.CPUs(4), Used: standin.CPUs(8)},
-		beyondGuarantee: {GuaranteedQuota: standin.CPUs(4), Used: standin.CPUs(8)},
-		withinGuarantee: {GuaranteedQuota: standin.CPUs(8), Used: standin.CPUs(8)},
+		ownTeam:         {GuaranteedQuota: fake.CPUs(4), Used: fake.CPUs(8)},
+		beyondGuarantee: {GuaranteedQuota: fake.CPUs(4), Used: fake.CPUs(8)},
+		withinGuarantee: {GuaranteedQuota: fake.CPUs(8), Used: fake.CPUs(8)},
 	}}
 	for _, c := range []struct {
 		name           string
@@ -45,7 +45,7 @@
 			victim := Victim{
 				Team:     c.victimTeam,
 				Priority: c.victimPriority,
-				Request:  standin.CPUs(1),
+				Request:  fake.CPUs(1),
 				Job: &JobView{
 					Spec:    &protocol.JobSpec{ID: "j-000002", Priority: c.victimPriority},
 					Team:    c.victimTeam,
--- a/internal/scheduler/score_test.go
+++ b/internal/scheduler/score_test.go
@@ -4,8 +4,8 @@
 	"reflect"
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // Of two machines with free capacity, the one that holds the image goes first, though the other
@@ -14,13 +14,13 @@
 	hasImage := func(yes bool) func(string) bool { return func(string) bool { return yes } }
 	s := Snapshot{
 		MaxPlacements: 10,
-		Teams:         []TeamView{{QuotaLimit: standin.CPUs(100)}},
+		Teams:         []TeamView{{QuotaLimit: fake.CPUs(100)}},
 		Machines: []MachineView{
-			{Schedulable: true, Free: standin.CPUs(16), HasImage: hasImage(false)},
-			{Schedulable: true, Free: standin.CPUs(2), HasImage: hasImage(true)},
+			{Schedulable: true, Free: fake.CPUs(16), HasImage: hasImage(false)},
+			{Schedulable: true, Free: fake.CPUs(2), HasImage: hasImage(true)},
 		},
 		Jobs: []JobView{{
-			Spec:       &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: standin.CPUs(1)},
+			Spec:       &protocol.JobSpec{ID: "j-1", Tasks: 3, Request: fake.CPUs(1)},
 			Pending:    3,
 			LiveByZone: map[string]int{},
 			Avoid:      func(string) bool { return false },
@@ -44,15 +44,15 @@
 			InstanceType:           "m",
 			Zone:                   "a",
 			Schedulable:            true,
-			Capacity:               standin.CPUs(32),
-			Free:                   standin.CPUs(free),
+			Capacity:               fake.CPUs(32),
+			Free:                   fake.CPUs(free),
 			HalfSecondsToHeartbeat: halfSeconds,
 			HasImage:               func(string) bool { return image },
 		}
 	}
 	s := Snapshot{
 		MaxPlacements: 10,
-		Teams:         []TeamView{{GuaranteedQuota: standin.CPUs(100), QuotaLimit: standin.CPUs(100)}},
+		Teams:         []TeamView{{GuaranteedQuota: fake.CPUs(100), QuotaLimit: fake.CPUs(100)}},
 		Machines:      []MachineView{machine("now", false, 32, 0), machine("late", true, 32, 9), machine("soon", true, 4, 1)},
 		Jobs: []JobView{{
 			Spec:    arraySpec("j-000001"),
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,7 +15,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "dunestand/internal/standin/fixedseed"
+	_ "dunestand/internal/fake/fixedseed"
 	"dunestand/internal/units"
 )
 
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "dunestand/internal/standin/fixedseed"
+	_ "dunestand/internal/fake/fixedseed"
 )
 
 func TestFitsIsTheMostThatFits(t *testing.T) {
--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
+	"dunestand/internal/fake/admissioncheck"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	"dunestand/internal/standin/admissioncheck"
 )
 
 // Five controllers under a burst. Two teams have a guaranteed quota of half of the fleet
@@ -67,7 +67,7 @@
 // plan.
 func newBurstWith(t *testing.T, policy *config.Policy, memoryMB float64) *burst {
 	t.Helper()
-	store := standin.NewState()
+	store := fake.NewKVServer()
 	b := &burst{
 		checker:   admissioncheck.New(store),
 		abandoned: map[string]int{},
@@ -110,12 +110,12 @@
 }
 
 func burstJob(id int, team, class string) map[string]any {
-	return standin.Submission(fmt.Sprintf("j-%06d", id), team, class, burstTasks, 1)
+	return fake.Submission(fmt.Sprintf("j-%06d", id), team, class, burstTasks, 1)
 }
 
 // submitOnce submits a job to one node and checks the response. retryAfter is how long the
 // user is to wait.
-func (b *burst) submitOnce(user, node int, job map[string]any) (kind admissioncheck.AnswerKind, retryAfter time.Duration) {
+func (b *burst) submitOnce(user, node int, job map[string]any) (kind admissioncheck.ResponseKind, retryAfter time.Duration) {
 	reply := b.checker.Submit(b.ctx, user, b.nodes[node].settings.ClientListen, job)
 	rejected := reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests
 	if reply.Kind == admissioncheck.Indefinite && reply.Status != 0 && !rejected {
@@ -134,7 +134,7 @@
 // more.
 func (b *burst) runUser(id int, team, class string, nodes []int) {
 	job := burstJob(id, team, class)
-	if err := b.checker.Announce(job); err != nil {
+	if err := b.checker.RegisterSubmission(job); err != nil {
 		b.t.Error(err)
 		return
 	}
@@ -150,7 +150,7 @@
 		}
 		kind, retryAfter := b.submitOnce(id, node, job)
 		definite = definite || kind != admissioncheck.Indefinite
-		if kind == admissioncheck.SaysAccepted {
+		if kind == admissioncheck.Accepted {
 			b.submitOnce(id, b.randomBelow(burstNodes), job)
 			return
 		}
@@ -183,17 +183,17 @@
 // jobs by team.
 func (b *burst) checkInvariants() map[string]int {
 	b.t.Helper()
-	for _, violation := range b.checker.Verdicts() {
+	for _, violation := range b.checker.Violations() {
 		b.t.Error(violation)
 	}
-	if b.checker.Plans() < 3 || b.checker.Waits() == 0 {
-		b.t.Errorf("%d plans were stored, %d responses deferred jobs", b.checker.Plans(), b.checker.Waits())
+	if b.checker.StoredPlans() < 3 || b.checker.DeferredResponses() == 0 {
+		b.t.Errorf("%d plans were stored, %d responses deferred jobs", b.checker.StoredPlans(), b.checker.DeferredResponses())
 	}
 	if b.unanswered > 0 {
 		b.t.Errorf("%d users got indefinite responses only", b.unanswered)
 	}
 	admitted := map[string]int{}
-	for id := range b.checker.Accepted() {
+	for id := range b.checker.DurableJobs() {
 		n, _ := strconv.Atoi(strings.TrimPrefix(id, "j-"))
 		admitted[burstTeam(n)]++
 	}
@@ -242,7 +242,7 @@
 		t.Errorf("%v jobs of the flood were admitted within %v; the fleet can run %v in all", got, took, fleet)
 	}
 	small := 0
-	for id := range b.checker.Accepted() {
+	for id := range b.checker.DurableJobs() {
 		if id >= "j-200000" && id < "j-500000" {
 			small++
 		}
@@ -250,7 +250,7 @@
 	if small < int(0.5*burstRate*duration.Seconds())*8/10 {
 		t.Errorf("%d jobs of the small class were admitted", small)
 	}
-	t.Logf("admitted %v, gave up %v, %d deferred responses, %d plans, within %v", admitted, b.abandoned, b.checker.Waits(), b.checker.Plans(), took)
+	t.Logf("admitted %v, gave up %v, %d deferred responses, %d plans, within %v", admitted, b.abandoned, b.checker.DeferredResponses(), b.checker.StoredPlans(), took)
 }
 
 // The same under faults: responses of the store are lost, the leader stops and returns, a
@@ -259,7 +259,7 @@
 func TestGuaranteedTeamIsAdmittedWhileControllersFail(t *testing.T) {
 	b := newBurst(t)
 	const duration = 14 * time.Second
-	b.options.kv.Silent = func(commit int) bool { return commit%7 == 0 }
+	b.options.kv.DropResponse = func(commit int) bool { return commit%7 == 0 }
 	b.flood(duration)
 	time.Sleep(2 * time.Second)
 	leader := b.leader()
@@ -284,5 +284,5 @@
 	if want := steadyJobs(duration) * 95 / 100; admitted[steadyTeam] < want {
 		t.Errorf("%d of %d jobs of the steady team were admitted", admitted[steadyTeam], steadyJobs(duration))
 	}
-	t.Logf("admitted %v, gave up %v, %d deferred responses, %d plans", admitted, b.abandoned, b.checker.Waits(), b.checker.Plans())
+	t.Logf("admitted %v, gave up %v, %d deferred responses, %d plans", admitted, b.abandoned, b.checker.DeferredResponses(), b.checker.StoredPlans())
 }
--- a/node/admission_faults_test.go
+++ b/node/admission_faults_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
+	"dunestand/internal/fake/admissioncheck"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	"dunestand/internal/standin/admissioncheck"
 )
 
 // shortHorizonPolicy admits so little ahead that a few users are a flood.
@@ -35,8 +35,8 @@
 
 // runFloodUser submits a job until it is accepted, or for as long as users do, and then
 // polls it until it is over.
-func (d *deployment) runFloodUser(job standin.JobInfo) {
-	if err := d.admission.Announce(submissionOf(job)); err != nil {
+func (d *deployment) runFloodUser(job fake.JobInfo) {
+	if err := d.admission.RegisterSubmission(submissionOf(job)); err != nil {
 		d.t.Error(err)
 		return
 	}
@@ -56,13 +56,13 @@
 
 // submitChecked submits a job once, checks the response and sleeps for as long as it tells
 // the user to. It reports whether the job is accepted.
-func (d *deployment) submitChecked(user, node int, job standin.JobInfo) bool {
+func (d *deployment) submitChecked(user, node int, job fake.JobInfo) bool {
 	sent := time.Now()
 	r := d.request(node, http.MethodPost, protocol.PathSubmit, submissionOf(job))
 	d.checked(job.ID, false, r)
 	kind, plan := admissioncheck.ClassifyResponse(r.status, r.body)
 	d.admission.ResponseReceived(user, job.ID, sent, kind, plan)
-	if kind == admissioncheck.SaysAccepted {
+	if kind == admissioncheck.Accepted {
 		return true
 	}
 	retryAfter := time.Second
@@ -118,14 +118,14 @@
 				d.admission = admissioncheck.New(d.kv)
 				d.waitUntil("it is active", func() bool { return d.metricsContain(0, admissionActive) })
 				d.runFlood()
-				deferred, plans := d.admission.Waits(), d.admission.Plans()
+				deferred, plans := d.admission.DeferredResponses(), d.admission.StoredPlans()
 				if deferred == 0 || plans < 10 {
 					t.Errorf("%d deferred responses, %d plans", deferred, plans)
 				}
-				for _, violation := range d.admission.Verdicts() {
+				for _, violation := range d.admission.Violations() {
 					t.Error(violation)
 				}
-				t.Logf("%d accepted, %d deferred responses, %d plans", len(d.admission.Accepted()), deferred, plans)
+				t.Logf("%d accepted, %d deferred responses, %d plans", len(d.admission.DurableJobs()), deferred, plans)
 			})
 		})
 	}
--- a/node/admission_measure_test.go
+++ b/node/admission_measure_test.go
@@ -12,8 +12,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake/admissioncheck"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin/admissioncheck"
 )
 
 var measure = flag.Bool("measure", false, "run the measurements that take minutes")
@@ -43,7 +43,7 @@
 // runMeasuredUser submits one job until it is accepted, and polls it until it is done.
 func (b *burst) runMeasuredUser(id int, team string, responses, accepted, done *latencies) {
 	job := burstJob(id, team, "lot")
-	if err := b.checker.Announce(job); err != nil {
+	if err := b.checker.RegisterSubmission(job); err != nil {
 		b.t.Error(err)
 		return
 	}
@@ -52,7 +52,7 @@
 		sent := time.Now()
 		kind, retryAfter := b.submitOnce(id, b.randomBelow(burstNodes), job)
 		responses.record(time.Since(sent))
-		if kind == admissioncheck.SaysAccepted {
+		if kind == admissioncheck.Accepted {
 			break
 		}
 		if time.Since(began) > time.Minute {
@@ -123,11 +123,11 @@
 	t.Logf("nothing is restricted %v after the flood", time.Since(ended).Round(100*time.Millisecond))
 	b.users.Wait()
 	t.Logf("responses: %v, %.0f a second; transactions %d; plans %d", responses,
-		float64(responses.histogram.TotalCount())/time.Since(began).Seconds(), b.options.kv.Revision()-before, b.checker.Plans())
+		float64(responses.histogram.TotalCount())/time.Since(began).Seconds(), b.options.kv.Revision()-before, b.checker.StoredPlans())
 	for _, team := range []string{floodingTeam, steadyTeam} {
 		t.Logf("%s: accepted %v; done %v", team, accepted[team], done[team])
 	}
-	if violations := b.checker.Verdicts(); policy != nil && len(violations) > 0 {
+	if violations := b.checker.Violations(); policy != nil && len(violations) > 0 {
 		t.Errorf("%v", violations)
 	}
 }
--- a/node/cancellation_test.go
+++ b/node/cancellation_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/standin"
+	"dunestand/internal/fake"
 )
 
 // The key-value store rejects the leader alone, users cancel, and then it is down for all
@@ -50,7 +50,7 @@
 	simulate(t, deploymentOptions{cancelTimeout: workerLease * 6 / 10}, func(d *deployment) {
 		jobs := d.startEndlessJobs(4, 4)
 		for i, m := range d.busyMachines() {
-			m.InjectFault(standin.Fault{ResponsesLost: i%3 == 0, HeartbeatsLost: i%3 == 1})
+			m.InjectFault(fake.Fault{ResponsesLost: i%3 == 0, HeartbeatsLost: i%3 == 1})
 		}
 		d.cancel(jobs[0].ID)
 		d.sleep(time.Second)
@@ -76,7 +76,7 @@
 		job.ImageFetch = 3 * time.Second
 		d.submit(job)
 		d.waitUntil("tasks wait for their images", func() bool {
-			return slices.ContainsFunc(d.allMachines(), func(m *standin.Machine) bool { return m.FetchingTasks() > 0 })
+			return slices.ContainsFunc(d.allMachines(), func(m *fake.Machine) bool { return m.FetchingTasks() > 0 })
 		})
 		d.sleep(time.Second)
 		if !d.cancelConfirmed(d.leader(), job.ID) {
@@ -149,7 +149,7 @@
 			simulate(t, deploymentOptions{machines: 8}, func(d *deployment) {
 				jobs := d.startEndlessJobs(4, 6)
 				d.submit(d.newJob(4, 10*time.Second))
-				injectFault(d.allMachines(), standin.Fault{CommandDelay: 3 * time.Second})
+				injectFault(d.allMachines(), fake.Fault{CommandDelay: 3 * time.Second})
 				for _, job := range jobs {
 					d.cancel(job.ID)
 				}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/transport"
 )
 
@@ -25,7 +25,7 @@
 	memoryMB float64       // of a node
 	teams    []config.Team
 	policy   *config.Policy // nil: the built-in one
-	kv       *standin.State
+	kv       *fake.KVServer
 }
 
 // cluster is several nodes in this process, on loopback sockets and the real clock, with
@@ -82,7 +82,7 @@
 		runTime:  300 * time.Millisecond,
 		memoryMB: 100,
 		teams:    []config.Team{{Name: "team", CPUs: 8, CPUsMax: 12}},
-		kv:       standin.NewState(),
+		kv:       fake.NewKVServer(),
 	})
 }
 
@@ -123,7 +123,7 @@
 
 // startCloud starts the cloud; each provisioned machine gets a worker.
 func (c *cluster) startCloud() {
-	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
+	cloud := fake.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      c.options.cpus,
 		MemoryGB:  64,
@@ -134,7 +134,7 @@
 		Zones:     []string{"a"},
 	}}}, c.options.machines)
 	cloud.OnProvision = func(m protocol.ListedMachine) {
-		w := &standin.Worker{
+		w := &fake.Worker{
 			Machine:           m,
 			Controllers:       c.addresses(),
 			HeartbeatInterval: 60 * time.Millisecond,
--- a/node/deployment_faults_test.go
+++ b/node/deployment_faults_test.go
@@ -1,6 +1,8 @@
 package node
 
-import "dunestand/internal/standin"
+import (
+	"dunestand/internal/fake"
+)
 
 // clearFaults ends all faults.
 func (d *deployment) clearFaults() {
@@ -15,7 +17,7 @@
 		d.partitionMachines(i, false, anyMachine)
 	}
 	for _, m := range d.allMachines() {
-		m.InjectFault(standin.Fault{})
+		m.InjectFault(fake.Fault{})
 		m.Hang(0)
 	}
 }
@@ -48,20 +50,20 @@
 	}
 }
 
-func anyMachine(*standin.Machine) bool { return true }
+func anyMachine(*fake.Machine) bool { return true }
 
 // partitionMachines separates a controller from the selected machines, or joins them again.
-func (d *deployment) partitionMachines(node int, partitioned bool, selected func(m *standin.Machine) bool) {
+func (d *deployment) partitionMachines(node int, partitioned bool, selected func(m *fake.Machine) bool) {
 	for _, m := range d.allMachines() {
 		if selected(m) {
-			d.network.Partition(m.ID, d.nodes[node].name+standin.UsersPort, partitioned)
+			d.network.Partition(m.ID, d.nodes[node].name+fake.UsersPort, partitioned)
 			d.network.Partition(d.nodes[node].name, m.Endpoint(), partitioned)
 		}
 	}
 }
 
 // injectFault replaces the fault of machines.
-func injectFault(machines []*standin.Machine, fault standin.Fault) {
+func injectFault(machines []*fake.Machine, fault fake.Fault) {
 	for _, m := range machines {
 		m.InjectFault(fault)
 	}
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 	"dunestand/internal/units"
 )
 
@@ -55,7 +55,7 @@
 	settings := &config.Settings{
 		Node:         d.nodes[i].name,
 		Zone:         zones[i%len(zones)],
-		ClientListen: endpoint(i, standin.UsersPort),
+		ClientListen: endpoint(i, fake.UsersPort),
 		MeshListen:   endpoint(i, meshPort),
 		Services:     config.Services{Cloud: cloudAddress, State: endpoint(i, kvPort)},
 		Fleet:        d.fleet,
@@ -128,12 +128,12 @@
 	for _, n := range d.nodes {
 		names = append(names, n.name)
 	}
-	machine := standin.NewMachine(standin.MachineSpec{
-		MachineInfo:  standin.MachineInfo{ID: m.ID, Zone: m.Zone},
+	machine := fake.NewMachine(fake.MachineSpec{
+		MachineInfo:  fake.MachineInfo{ID: m.ID, Zone: m.Zone},
 		InstanceType: m.InstanceType,
 		Spot:         m.Spot,
 		CPUs:         machineCPUs,
-		Timing: standin.Timing{
+		Timing: fake.Timing{
 			HeartbeatInterval: units.Seconds(d.fleet.Workers.ReportS).Duration(),
 			LeaseDuration:     workerLease,
 		},
@@ -149,20 +149,20 @@
 		if m.ID == id {
 			m.Kill()
 			d.update(func() {
-				d.machines = slices.DeleteFunc(d.machines, func(o *standin.Machine) bool { return o == m })
+				d.machines = slices.DeleteFunc(d.machines, func(o *fake.Machine) bool { return o == m })
 			})
 		}
 	}
 }
 
 // allMachines returns the machines that exist.
-func (d *deployment) allMachines() []*standin.Machine {
+func (d *deployment) allMachines() []*fake.Machine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.machines)
 }
 
 // busyMachines returns the machines that run tasks.
-func (d *deployment) busyMachines() []*standin.Machine {
-	return slices.DeleteFunc(d.allMachines(), func(m *standin.Machine) bool { return m.RunningTasks() == 0 })
+func (d *deployment) busyMachines() []*fake.Machine {
+	return slices.DeleteFunc(d.allMachines(), func(m *fake.Machine) bool { return m.RunningTasks() == 0 })
 }
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"dunestand/internal/config"
+	"dunestand/internal/fake"
+	"dunestand/internal/fake/admissioncheck"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
-	"dunestand/internal/standin/admissioncheck"
 )
 
 // deployment is a simulated deployment on a simulated clock: whole controllers, machines,
@@ -23,9 +23,9 @@
 type deployment struct {
 	t          *testing.T
 	ctx        context.Context
-	network    *standin.Network
-	invariants *standin.InvariantChecker
-	kv         *standin.State
+	network    *fake.Network
+	invariants *fake.InvariantChecker
+	kv         *fake.KVServer
 	fleet      config.Fleet
 	background sync.WaitGroup // all that ends with ctx
 	policy     func(node int) *config.Policy
@@ -34,7 +34,7 @@
 	mu              sync.Mutex // guards all below
 	random          *rand.Rand
 	nodes           []*simulatedNode
-	machines        []*standin.Machine
+	machines        []*fake.Machine
 	jobCount        int
 	kvDown          bool
 	kvDelay         time.Duration
@@ -134,14 +134,14 @@
 	d := &deployment{
 		t:          t,
 		ctx:        ctx,
-		network:    standin.NewNetwork(),
-		invariants: standin.NewInvariantChecker(options.quotaLimit, options.cancelTimeout),
-		kv:         standin.NewState(),
+		network:    fake.NewNetwork(),
+		invariants: fake.NewInvariantChecker(options.quotaLimit, options.cancelTimeout),
+		kv:         fake.NewKVServer(),
 		random:     rand.New(rand.NewPCG(options.seed, 7)),
 		policy:     options.policy,
 		fleet:      options.fleet(),
 	}
-	cloud := standin.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
+	cloud := fake.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
 		CPUs:      machineCPUs,
 		MemoryGB:  64,
--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // endlessRunTime is of a task that ends only by cancellation.
@@ -23,7 +23,7 @@
 
 // userURL is a controller's URL for users.
 func (d *deployment) userURL(node int, path string) string {
-	return "http://" + d.nodes[node].name + standin.UsersPort + path
+	return "http://" + d.nodes[node].name + fake.UsersPort + path
 }
 
 // request sends a controller one request, as a user does.
@@ -58,11 +58,11 @@
 }
 
 // newJob returns a job that nobody has submitted yet, with a new ID.
-func (d *deployment) newJob(tasks int, runTime time.Duration) standin.JobInfo {
+func (d *deployment) newJob(tasks int, runTime time.Duration) fake.JobInfo {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.jobCount++
-	return standin.JobInfo{
+	return fake.JobInfo{
 		ID:       fmt.Sprintf("j-%06d", d.jobCount),
 		Tasks:    tasks,
 		CPUs:     1,
@@ -72,7 +72,7 @@
 }
 
 // submissionOf returns a job's submission.
-func submissionOf(job standin.JobInfo) map[string]any {
+func submissionOf(job fake.JobInfo) map[string]any {
 	fields := submission(job.ID, job.Tasks)
 	fields[protocol.FieldCPUs] = job.CPUs
 	fields[protocol.FieldZoneAffinity] = job.ZoneAffinity
@@ -87,7 +87,7 @@
 
 // submit has a user submit a job until it is accepted, and poll it in the background until
 // it is over.
-func (d *deployment) submit(job standin.JobInfo) {
+func (d *deployment) submit(job fake.JobInfo) {
 	d.t.Helper()
 	d.invariants.JobSubmitted(job)
 	first := d.randomBelow(defaultNodes)
@@ -111,9 +111,9 @@
 }
 
 // startEndlessJobs submits jobs that end only by cancellation, and waits until they run.
-func (d *deployment) startEndlessJobs(jobs, tasks int) []standin.JobInfo {
+func (d *deployment) startEndlessJobs(jobs, tasks int) []fake.JobInfo {
 	d.t.Helper()
-	var started []standin.JobInfo
+	var started []fake.JobInfo
 	for range jobs {
 		job := d.newJob(tasks, endlessRunTime)
 		d.submit(job)
@@ -124,7 +124,7 @@
 }
 
 // runningTasks counts the running tasks of jobs.
-func (d *deployment) runningTasks(jobs []standin.JobInfo) int {
+func (d *deployment) runningTasks(jobs []fake.JobInfo) int {
 	n := 0
 	for _, job := range jobs {
 		n += d.invariants.RunningTasks(job.ID)
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // Each test brings about one combination of faults that has violated an invariant on real
@@ -26,7 +26,7 @@
 // attempts too, while leaders change and machines lose their leases.
 func TestDuplicatedHeartbeatsBreakNoInvariant(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
-		injectFault(d.allMachines(), standin.Fault{DuplicatedShare: 0.7})
+		injectFault(d.allMachines(), fake.Fault{DuplicatedShare: 0.7})
 		for i := range 6 {
 			d.submit(d.newJob(6, 20*time.Second))
 			if i%2 == 1 {
@@ -54,7 +54,7 @@
 		for i, m := range d.busyMachines() {
 			switch i % 4 {
 			case 0:
-				m.InjectFault(standin.Fault{Partitioned: true})
+				m.InjectFault(fake.Fault{Partitioned: true})
 			case 1, 2:
 				m.Hang(7 * time.Second)
 			}
@@ -72,7 +72,7 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			simulate(t, deploymentOptions{machines: 4, quotaLimit: 13, seed: seed}, func(d *deployment) {
 				d.update(func() { d.kvDelay = 150 * time.Millisecond })
-				injectFault(d.allMachines(), standin.Fault{CommandDelay: 900 * time.Millisecond, DelayedShare: 0.2})
+				injectFault(d.allMachines(), fake.Fault{CommandDelay: 900 * time.Millisecond, DelayedShare: 0.2})
 				for i := range 8 {
 					job := d.newJob(8, 6*time.Second)
 					job.Priority = protocol.Priority(i % protocol.Priorities)
@@ -107,10 +107,10 @@
 	zone := zones[inside%len(zones)]
 	d.rejectKV(inside, true)
 	d.partitionPeers(inside, true)
-	d.partitionMachines(inside, true, func(m *standin.Machine) bool { return m.Zone != zone })
+	d.partitionMachines(inside, true, func(m *fake.Machine) bool { return m.Zone != zone })
 	for i := range d.nodes {
 		if i != inside {
-			d.partitionMachines(i, true, func(m *standin.Machine) bool { return m.Zone == zone })
+			d.partitionMachines(i, true, func(m *fake.Machine) bool { return m.Zone == zone })
 		}
 	}
 	d.cancel(jobs[0].ID)
@@ -131,7 +131,7 @@
 	simulate(t, deploymentOptions{machines: 8, quotaLimit: 10}, func(d *deployment) {
 		jobs := d.startEndlessJobs(2, 5)
 		d.submit(d.newJob(8, 5*time.Second))
-		injectFault(d.busyMachines(), standin.Fault{Partitioned: true})
+		injectFault(d.busyMachines(), fake.Fault{Partitioned: true})
 		leader := d.leader()
 		d.stop(leader)
 		d.leader()
@@ -177,7 +177,7 @@
 				d.sleep(2 * time.Second)
 				for i, m := range d.allMachines() {
 					if i%oneIn == 0 {
-						m.InjectFault(standin.Fault{HeartbeatsLost: true})
+						m.InjectFault(fake.Fault{HeartbeatsLost: true})
 					}
 				}
 				d.cancel(jobs[0].ID)
@@ -222,7 +222,7 @@
 			d.submit(d.newJob(6, 30*time.Second))
 		}
 		d.sleep(4 * time.Second)
-		injectFault(d.allMachines(), standin.Fault{ResponsesLost: true})
+		injectFault(d.allMachines(), fake.Fault{ResponsesLost: true})
 		d.sleep(10 * workerLease)
 	})
 }
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // Runs of the history test, and jobs in each; half of the runs have five controllers.
@@ -23,14 +23,14 @@
 func TestResponsesNeverRegress(t *testing.T) {
 	jobs, terminal := 0, 0
 	for seed := range uint64(historyRuns) {
-		h := standin.NewHistory()
+		h := fake.NewHistory()
 		simulate(t, deploymentOptions{nodes: 3 + 2*int(seed%2), seed: seed}, func(d *deployment) {
 			d.runConcurrentUsers(h, rand.New(rand.NewPCG(seed, 11)))
 		})
 		jobs, terminal = jobs+h.Jobs(), terminal+h.TerminalJobs()
 		late := 0
 		for _, r := range h.Regressions() {
-			if r.Kind == standin.AfterTimeout {
+			if r.Kind == fake.AfterTimeout {
 				late++
 				continue
 			}
@@ -46,7 +46,7 @@
 }
 
 // runConcurrentUsers simulates the users and faults of one run.
-func (d *deployment) runConcurrentUsers(h *standin.History, random *rand.Rand) {
+func (d *deployment) runConcurrentUsers(h *fake.History, random *rand.Rand) {
 	d.delayResponses(rand.New(rand.NewPCG(random.Uint64(), 1)))
 	var jobs []*trackedJob
 	for range historyJobs {
--- a/node/leadership_test.go
+++ b/node/leadership_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dunestand/internal/standin"
+	"dunestand/internal/fake"
 )
 
 // A new leader cannot read the records for longer than cancel_s, although it holds its lease:
@@ -58,7 +58,7 @@
 			d.submit(d.newJob(4, 15*time.Second))
 		}
 		d.waitUntil("all machines are busy", func() bool { return len(d.busyMachines()) == 8 })
-		injectFault(d.allMachines()[:6], standin.Fault{ResponsesLost: true})
+		injectFault(d.allMachines()[:6], fake.Fault{ResponsesLost: true})
 		d.restart(d.leader(), time.Second)
 		before := d.invariants.Starts()
 		d.sleep(workerLease + 4*time.Second)
@@ -75,7 +75,7 @@
 		for i := range 10 {
 			d.submit(d.newJob(3, 20*time.Second))
 			isolated := append(d.busyMachines(), d.allMachines()...)[:1]
-			injectFault(isolated, standin.Fault{Partitioned: true})
+			injectFault(isolated, fake.Fault{Partitioned: true})
 			if i == 4 || i == 7 {
 				d.setKVOutage(true)
 			}
@@ -84,7 +84,7 @@
 				d.cancel(jobs[i].ID)
 			}
 			d.sleep(7 * time.Second)
-			injectFault(isolated, standin.Fault{})
+			injectFault(isolated, fake.Fault{})
 			d.sleep(time.Second)
 			d.setKVOutage(false)
 		}
@@ -96,7 +96,7 @@
 func TestCompletionsSurviveFailover(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		tasks := 0
-		var jobs []standin.JobInfo
+		var jobs []fake.JobInfo
 		for i := range 6 {
 			job := d.newJob(2+i%2, time.Duration(20+4*i)*time.Second)
 			d.submit(job)
@@ -122,7 +122,7 @@
 // stop, and one returns before the others.
 func TestImmediateRestartsBreakNoInvariant(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
-		injectFault(d.allMachines(), standin.Fault{DuplicatedShare: 0.3, DelayedShare: 0.1})
+		injectFault(d.allMachines(), fake.Fault{DuplicatedShare: 0.3, DelayedShare: 0.1})
 		for round := range 4 {
 			d.submit(d.newJob(5, 12*time.Second))
 			leader := d.leader()
@@ -157,7 +157,7 @@
 		d.submit(job)
 		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.ID) == 12 })
 		leader, busy := d.leader(), d.busyMachines()
-		injectFault(busy, standin.Fault{HeartbeatsLost: true})
+		injectFault(busy, fake.Fault{HeartbeatsLost: true})
 		d.restart(leader, 300*time.Millisecond)
 		next := d.nodes[d.leader()].name
 		for _, m := range busy {
@@ -171,7 +171,7 @@
 // not store must not have started: the next leader would start it elsewhere.
 func TestTasksPlacedWithoutKVStoreDoNotStart(t *testing.T) {
 	simulate(t, deploymentOptions{machines: 4, quotaLimit: 40}, func(d *deployment) {
-		var full []standin.JobInfo // a task ends on each machine every three seconds
+		var full []fake.JobInfo // a task ends on each machine every three seconds
 		for range 4 {
 			job := d.newJob(4, 12*time.Second)
 			d.submit(job)
@@ -185,7 +185,7 @@
 		d.rejectKV(leader, true)
 		d.waitUntil("tasks end", func() bool { return d.runningTasks(full) <= 12 })
 		d.sleep(1300 * time.Millisecond)
-		injectFault(d.allMachines()[:2], standin.Fault{Partitioned: true})
+		injectFault(d.allMachines()[:2], fake.Fault{Partitioned: true})
 		d.stop(leader)
 		d.rejectKV(leader, false)
 		d.sleep(workerLease)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -5,13 +5,13 @@
 	"strings"
 	"testing"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // submission returns a submission by the only team, with two processors a task.
 func submission(id string, tasks int) map[string]any {
-	job := standin.Submission(id, "team", "q", tasks, 1)
+	job := fake.Submission(id, "team", "q", tasks, 1)
 	job[protocol.FieldCPUs] = 2.0
 	return job
 }
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // Controllers with as many jobs as fit into their memory reject new ones at once, and say
@@ -49,10 +49,10 @@
 
 // fillMemory submits jobs that end only by cancellation until one is rejected, and returns
 // those that were accepted.
-func fillMemory(d *deployment) []standin.JobInfo {
+func fillMemory(d *deployment) []fake.JobInfo {
 	d.t.Helper()
 	const most = 100
-	var accepted []standin.JobInfo
+	var accepted []fake.JobInfo
 	for len(accepted) < most {
 		job := d.newJob(1, endlessRunTime)
 		if r := d.request(d.leader(), http.MethodPost, protocol.PathSubmit, submissionOf(job)); r.status != http.StatusCreated {
--- a/node/tracked_job_test.go
+++ b/node/tracked_job_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
-	"dunestand/internal/standin"
 )
 
 // How long users wait for a response, and how long a test waits for one that its user has
@@ -22,13 +22,13 @@
 // responses.
 type trackedJob struct {
 	deployment *deployment
-	history    *standin.History
-	info       standin.JobInfo
+	history    *fake.History
+	info       fake.JobInfo
 	pending    sync.WaitGroup // requests in the background
 }
 
 // newTrackedJob returns a job that nobody has submitted yet.
-func (d *deployment) newTrackedJob(h *standin.History, tasks int, runTime time.Duration) *trackedJob {
+func (d *deployment) newTrackedJob(h *fake.History, tasks int, runTime time.Duration) *trackedJob {
 	job := &trackedJob{deployment: d, history: h, info: d.newJob(tasks, runTime)}
 	d.invariants.JobSubmitted(job.info)
 	return job
@@ -37,7 +37,7 @@
 // newAcceptedJob returns a tracked job that is accepted, the leader and a follower.
 func (d *deployment) newAcceptedJob(tasks int, runTime time.Duration) (job *trackedJob, leader, follower int) {
 	d.t.Helper()
-	job = d.newTrackedJob(standin.NewHistory(), tasks, runTime)
+	job = d.newTrackedJob(fake.NewHistory(), tasks, runTime)
 	job.submitUntilAccepted()
 	leader = d.leader()
 	return job, leader, (leader + 1) % len(d.nodes)
@@ -45,9 +45,9 @@
 
 // request sends one request and records the response, also one received after the user's
 // timeout.
-func (j *trackedJob) request(node int, method, path string, body any, timeout time.Duration) standin.Request {
+func (j *trackedJob) request(node int, method, path string, body any, timeout time.Duration) fake.Request {
 	d := j.deployment
-	request := standin.Request{Job: j.info.ID, Controller: d.nodes[node].name, Sent: time.Now()}
+	request := fake.Request{Job: j.info.ID, Controller: d.nodes[node].name, Sent: time.Now()}
 	ctx, cancel := context.WithTimeout(d.ctx, longestResponse)
 	defer cancel()
 	received := send(ctx, d.userClient(), method, d.userURL(node, path), body)
@@ -67,15 +67,15 @@
 	return request
 }
 
-func (j *trackedJob) submit(node int) standin.Request {
+func (j *trackedJob) submit(node int) fake.Request {
 	return j.request(node, http.MethodPost, protocol.PathSubmit, submissionOf(j.info), submitTimeout)
 }
 
-func (j *trackedJob) poll(node int) standin.Request {
+func (j *trackedJob) poll(node int) fake.Request {
 	return j.request(node, http.MethodGet, jobPath(j.info.ID), nil, pollTimeout)
 }
 
-func (j *trackedJob) cancel(node int) standin.Request {
+func (j *trackedJob) cancel(node int) fake.Request {
 	j.deployment.invariants.CancelRequested(j.info.ID)
 	return j.request(node, http.MethodPost, cancelPath(j.info.ID), nil, submitTimeout)
 }
@@ -103,10 +103,10 @@
 
 // expectNoRegressions fails the test for each regression, except for responses received
 // after their users had given up.
-func (d *deployment) expectNoRegressions(h *standin.History) {
+func (d *deployment) expectNoRegressions(h *fake.History) {
 	d.t.Helper()
 	for _, r := range h.Regressions() {
-		if r.Kind != standin.AfterTimeout {
+		if r.Kind != fake.AfterTimeout {
 			d.t.Error(r)
 		}
 	}
