--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -111,7 +111,7 @@
 	return slices.ContainsFunc(all, func(w write) bool {
 		size := len(w.change.Value)
 		if w.shard == j.records.main {
-			size = storage.JSONSize(j.record(longestWriteID, w.machines))
+			size = storage.JSONSize(j.record(storage.LongestWriteID, w.machines))
 		}
 		return size > b.rules.limits.Both().ValueBytes()
 	})
--- a/internal/cluster/donetasks.go
+++ b/internal/cluster/donetasks.go
@@ -1,27 +1,30 @@
 package cluster
 
-import "math/bits"
+import (
+	"dunestand/internal/bitset"
+	"math/bits"
+)
 
 // doneTasks is the set of a job's completed tasks, and how far it is durable.
 type doneTasks struct {
-	set       bitset
+	set       bitset.Set
 	count     int
-	unwritten bitset // done, but in no write batch yet
-	inFlight  bitset // done, and in a write batch whose outcome is not known
+	unwritten bitset.Set // done, but in no write batch yet
+	inFlight  bitset.Set // done, and in a write batch whose outcome is not known
 }
 
 func newDoneTasks(tasks int) doneTasks {
-	return doneTasks{set: newBitset(tasks), unwritten: newBitset(tasks), inFlight: newBitset(tasks)}
+	return doneTasks{set: bitset.New(tasks), unwritten: bitset.New(tasks), inFlight: bitset.New(tasks)}
 }
 
-func (d *doneTasks) has(i int) bool       { return d.set.has(i) }
-func (d *doneTasks) isDurable(i int) bool { return !d.unwritten.has(i) && !d.inFlight.has(i) }
+func (d *doneTasks) has(i int) bool       { return d.set.Has(i) }
+func (d *doneTasks) isDurable(i int) bool { return !d.unwritten.Has(i) && !d.inFlight.Has(i) }
 
-// add notes that a task is done which was not.
+// Add notes that a task is done which was not.
 func (d *doneTasks) add(i int) {
-	d.set.add(i)
+	d.set.Add(i)
 	d.count++
-	d.unwritten.add(i)
+	d.unwritten.Add(i)
 }
 
 // recount counts the tasks that were read from the records.
@@ -35,10 +38,10 @@
 // sent moves the tasks whose records are in a write batch now to those in flight: the ones
 // on pages that are not dirty any more.
 func (d *doneTasks) sent(records *jobRecords) {
-	for i := range d.unwritten.all() {
+	for i := range d.unwritten.All() {
 		if !records.pageOf(i).dirty {
-			d.inFlight.add(i)
-			d.unwritten.remove(i)
+			d.inFlight.Add(i)
+			d.unwritten.Remove(i)
 		}
 	}
 }
@@ -48,6 +51,6 @@
 
 // refused notes that the write batch in flight was not carried out.
 func (d *doneTasks) refused() {
-	d.unwritten.addAll(d.inFlight)
+	d.unwritten.AddAll(d.inFlight)
 	clear(d.inFlight)
 }
--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -37,9 +37,9 @@
 }
 
 // setNameLimits sets the space for names in each record.
-func (r *jobRecords) setNameLimits(budget nameBudgetFunc) {
+func (r *jobRecords) setNameLimits(budget storage.NameBudgetFunc) {
 	available := budget(r.spec, r.format)
-	r.main.nameLimit, r.partNameLimit = available.main, available.part
+	r.main.nameLimit, r.partNameLimit = available.Main, available.Part
 	for _, sh := range r.nameParts {
 		sh.nameLimit = r.partNameLimit
 	}
@@ -47,7 +47,7 @@
 
 func (r *jobRecords) addName(sh *shard, machine string, durable bool) {
 	sh.machines[machine] = durable
-	sh.nameBytes += nameSize(machine)
+	sh.nameBytes += storage.NameSize(machine)
 	sh.dirty = true
 	r.shardOf[machine] = sh
 }
@@ -56,7 +56,7 @@
 func (r *jobRecords) dropName(machine string) {
 	sh := r.shardOf[machine]
 	delete(sh.machines, machine)
-	sh.nameBytes -= nameSize(machine)
+	sh.nameBytes -= storage.NameSize(machine)
 	delete(r.shardOf, machine)
 }
 
@@ -82,7 +82,7 @@
 // shardFor chooses a record for a new name: the one that got the last, else one
 // in which names that are not needed any more leave space, else a new part.
 func (r *jobRecords) shardFor(machine string) *shard {
-	size := nameSize(machine)
+	size := storage.NameSize(machine)
 	if r.format == storage.FormatOld || r.openShard.nameBytes+size <= r.openShard.nameLimit {
 		return r.openShard
 	}
@@ -136,7 +136,7 @@
 	for _, m := range sortedNames(r.main.machines) {
 		if !r.inUse(m) {
 			r.dropName(m)
-		} else if kept += nameSize(m); kept > r.main.nameLimit {
+		} else if kept += storage.NameSize(m); kept > r.main.nameLimit {
 			excess = append(excess, m)
 		}
 	}
@@ -150,7 +150,7 @@
 // hasSpaceFor reports whether a machine is named, or can be. In the new format there is
 // always space, in a new part if need be.
 func (r *jobRecords) hasSpaceFor(machine string) bool {
-	return r.format != storage.FormatOld || r.main.nameBytes+nameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
+	return r.format != storage.FormatOld || r.main.nameBytes+storage.NameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
 }
 
 // isDurable reports whether a stored record names the machine and goes on to.
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -106,7 +106,7 @@
 func (m *restoreModel) submit() {
 	for range rapid.IntRange(1, 4).Draw(m.t, "jobs") {
 		spec := drawSpec(m.t)
-		if m.state.Jobs[spec.ID] == nil && m.store.items[storage.KeyTerminal(spec.ID)].Version == 0 && FitsRecords(&spec, m.format, m.settings) && FitsRecords(&spec, storage.NewestFormat, m.settings) {
+		if m.state.Jobs[spec.ID] == nil && m.store.items[storage.KeyTerminal(spec.ID)].Version == 0 && storage.FitsRecords(&spec, m.format, m.settings) && storage.FitsRecords(&spec, storage.NewestFormat, m.settings) {
 			m.state.NewJob(spec, units.Micros(rapid.Int64Range(0, 1e15).Draw(m.t, "submitted")), 0)
 		}
 	}
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -9,7 +9,7 @@
 // them.
 type recordRules struct {
 	limits            config.State // of the key-value store
-	nameBudget        nameBudgetFunc
+	nameBudget        storage.NameBudgetFunc
 	format            storage.Format // of the fleet: the newest that every leader reads
 	nextLimitsApplied bool           // the announced limits are known to be in force
 }
@@ -17,7 +17,7 @@
 func newRecordRules(limits config.State) recordRules {
 	return recordRules{
 		limits:     limits,
-		nameBudget: newNameBudgetFunc(limits.ValueBytes(), limits.Both().ValueBytes()),
+		nameBudget: storage.NewNameBudgetFunc(limits.ValueBytes(), limits.Both().ValueBytes()),
 		format:     storage.FormatOld,
 	}
 }
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -2,16 +2,12 @@
 
 import (
 	"errors"
-	"fmt"
 	"strings"
 
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
-	"dunestand/internal/units"
 )
 
-var errOutOfRange = errors.New("out of range")
-
 // ParseJobs decodes the records under the jobs' prefix. Any record that cannot be
 // decoded fails the whole with a *storage.RecordError: skipping it would forget a job. While a
 // job is migrated to the new format, what its records in either format say counts. orphans are
@@ -87,64 +83,28 @@
 
 // parseRecord decodes a job's record. A record that cannot be decoded is an error,
 // never an empty job.
-func parseRecord(key string, raw protocol.Raw) (*Job, jobRecord, error) {
-	var r jobRecord
+func parseRecord(key string, raw protocol.Raw) (*Job, storage.JobRecord, error) {
+	var r storage.JobRecord
 	if err := protocol.Decode(raw, &r); err != nil {
 		return nil, r, &storage.RecordError{Key: key, Err: err}
 	}
-	if err := r.check(key); err != nil {
+	if err := r.Check(key); err != nil {
 		return nil, r, &storage.RecordError{Key: key, Err: err}
 	}
-	j := newJob(r.spec(), r.Submitted, r.Format)
-	if r.Pages != j.records.oldPageCount() {
-		return nil, r, &storage.RecordError{Key: key, Err: errOutOfRange}
+	j := newJob(r.Spec(), r.Submitted, r.Format)
+	if r.Pages != storage.OldPageCount(r.Tasks, r.Format) {
+		return nil, r, &storage.RecordError{Key: key, Err: storage.ErrOutOfRange}
 	}
 	j.Cancelled, j.CancelDurable = r.Cancelled, r.Cancelled
-	if err := decodePage(r.Done, j.records.inlineDone(j.done.set)); err != nil {
+	if err := storage.DecodeDonePage(r.Done, j.records.inlineDone(j.done.set)); err != nil {
 		return nil, r, &storage.RecordError{Key: key, Err: err}
 	}
 	return j, r, nil
 }
 
-// check reports why a record is not one of a job under its key, or nil.
-func (r *jobRecord) check(key string) error {
-	switch {
-	case r.Format != storage.FormatOld && r.Format != storage.FormatNew:
-		return storage.UnknownFormatError(r.Format)
-	case !protocol.ValidJobID(r.ID) || storage.KeyJob(r.ID) != key:
-		return fmt.Errorf("names job %q", r.ID)
-	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.Priorities || int(r.Kind) >= protocol.JobKinds:
-		return errOutOfRange
-	}
-	return nil
-}
-
-func (r *jobRecord) spec() protocol.JobSpec {
-	return protocol.JobSpec{
-		ID:                 r.ID,
-		Class:              r.Class,
-		Team:               r.Team,
-		Kind:               protocol.JobKind(r.Kind),
-		Priority:           protocol.Priority(r.Priority),
-		Tasks:              r.Tasks,
-		Request:            units.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory},
-		InstanceTypes:      r.InstanceTypes,
-		Zone:               r.Zone,
-		ZoneAffinity:       r.ZoneAffinity,
-		ZoneSpread:         r.ZoneSpread,
-		AllowSpot:          r.AllowSpot,
-		Image:              r.Image,
-		ImageSize:          r.ImageSize,
-		Estimate:           r.Estimate,
-		CheckpointInterval: r.CheckpointInterval,
-		CheckpointDuration: r.CheckpointDuration,
-		Deadline:           r.Deadline,
-	}
-}
-
 // parseNames decodes a further part of the job's machine names.
 func (j *Job) parseNames(item protocol.Item, part storage.JobPart) error {
-	var r machineNamesRecord
+	var r storage.MachineNamesRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return err
 	}
@@ -153,7 +113,7 @@
 	}
 	n, sh := part.Number, &shard{key: item.Key, version: item.Version}
 	if j.records.nameParts[n] != nil || n > maxParts {
-		return errOutOfRange
+		return storage.ErrOutOfRange
 	}
 	j.records.nameParts[n] = sh
 	j.records.restoreNames(sh, r.Machines)
@@ -162,27 +122,27 @@
 
 // parsePage decodes a page of the job's done set, in either format.
 func (j *Job) parsePage(item protocol.Item, part storage.JobPart) error {
-	var r donePageRecord
+	var r storage.DonePageRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return err
 	}
 	sh := &shard{key: item.Key, version: item.Version}
 	n, last := part.Number, j.Spec.Tasks-1
 	if part.Kind == storage.PartOldDonePage {
-		if n < 1 || n > last/oldPageTasks {
-			return errOutOfRange
+		if n < 1 || n > last/storage.OldPageTasks {
+			return storage.ErrOutOfRange
 		}
 		j.records.oldDonePages[n] = sh
-		return decodePage(r.Done, j.done.set.page(n, oldPageTasks))
+		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.OldPageTasks))
 	}
 	if r.Format != storage.FormatNew {
 		return storage.UnknownFormatError(r.Format)
 	}
-	if n > last/pageTasks {
-		return errOutOfRange
+	if n > last/storage.PageTasks {
+		return storage.ErrOutOfRange
 	}
 	j.records.donePages[n] = sh
-	return decodePage(r.Done, j.done.set.page(n, pageTasks))
+	return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.PageTasks))
 }
 
 // finishRestore completes a job whose records have all been decoded.
--- a/internal/cluster/restore_test.go
+++ b/internal/cluster/restore_test.go
@@ -19,12 +19,12 @@
 		"under another key": {Key: storage.KeyJob("j-000002"), Value: protocol.Encode(good)},
 		"out of range":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(other)},
 		"later format":      {Key: storage.KeyJob("j-000001"), Value: protocol.Encode(later)},
-		"unknown part":      {Key: storage.KeyJob("j-000001") + "/x1", Value: protocol.Encode(donePageRecord{})},
+		"unknown part":      {Key: storage.KeyJob("j-000001") + "/x1", Value: protocol.Encode(storage.DonePageRecord{})},
 		"odd number": {
 			Key:   storage.KeyJob("j-000001") + "/m01",
-			Value: protocol.Encode(machineNamesRecord{Format: storage.FormatNew}),
+			Value: protocol.Encode(storage.MachineNamesRecord{Format: storage.FormatNew}),
 		},
-		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(donePageRecord{})},
+		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(storage.DonePageRecord{})},
 	} {
 		t.Run(name, func(t *testing.T) {
 			jobs, _, err := ParseJobs([]protocol.Item{row})
@@ -48,8 +48,8 @@
 		Tasks: 5000,
 	}, 0, storage.FormatNew).record("1-1", nil))
 	for kind, value := range map[byte]protocol.Raw{
-		storage.PartMachineNames: protocol.Encode(machineNamesRecord{Format: storage.NewestFormat + 1}),
-		storage.PartDonePage:     protocol.Encode(donePageRecord{Format: storage.NewestFormat + 1}),
+		storage.PartMachineNames: protocol.Encode(storage.MachineNamesRecord{Format: storage.NewestFormat + 1}),
+		storage.PartDonePage:     protocol.Encode(storage.DonePageRecord{Format: storage.NewestFormat + 1}),
 	} {
 		rows := []protocol.Item{
 			{Key: storage.KeyJob("j-000001"), Value: good},
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"dunestand/internal/bitset"
 	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 )
@@ -75,14 +76,14 @@
 
 // pageOf returns the record in which a task's completion is kept.
 func (r *jobRecords) pageOf(task int) *shard {
-	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/pageTasks
+	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/storage.PageTasks
 	switch {
 	case r.format == storage.FormatOld:
-		pages, kind, n = r.oldDonePages, storage.PartOldDonePage, task/oldPageTasks
+		pages, kind, n = r.oldDonePages, storage.PartOldDonePage, task/storage.OldPageTasks
 		if n == 0 {
 			return r.main
 		}
-	case r.spec.Tasks <= inlineTasks:
+	case r.spec.Tasks <= storage.InlineTasks:
 		return r.main
 	}
 	if pages[n] == nil {
@@ -92,33 +93,24 @@
 }
 
 // inlineDone returns the part of the done set that is in the job's own record.
-func (r *jobRecords) inlineDone(done bitset) []byte {
+func (r *jobRecords) inlineDone(done bitset.Set) []byte {
 	switch {
 	case r.format == storage.FormatOld:
-		return done.page(0, oldPageTasks)
-	case r.spec.Tasks <= inlineTasks:
+		return done.Page(0, storage.OldPageTasks)
+	case r.spec.Tasks <= storage.InlineTasks:
 		return done
 	}
 	return nil
 }
 
-// oldPageCount returns the number of further pages that a reader of the old format
-// expects.
-func (r *jobRecords) oldPageCount() int {
-	if r.format == storage.FormatOld {
-		return (r.spec.Tasks - 1) / oldPageTasks
-	}
-	return 0
-}
-
 // migrate begins to migrate a job into the new format. Its own record is written only
 // after all else: until then it is the old one that names all machines.
-func (r *jobRecords) migrate(done bitset, stored bool, budget nameBudgetFunc) {
+func (r *jobRecords) migrate(done bitset.Set, stored bool, budget storage.NameBudgetFunc) {
 	r.format, r.migrating = storage.FormatNew, stored
 	r.main.dirty = true
-	for p := 0; p*pageTasks < r.spec.Tasks && r.spec.Tasks > inlineTasks; p++ {
-		if !bitset(done.page(p, pageTasks)).empty() {
-			r.pageOf(p * pageTasks).dirty = true
+	for p := 0; p*storage.PageTasks < r.spec.Tasks && r.spec.Tasks > storage.InlineTasks; p++ {
+		if !bitset.Set(done.Page(p, storage.PageTasks)).Empty() {
+			r.pageOf(p * storage.PageTasks).dirty = true
 		}
 	}
 	r.forgetOldPages()
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// remove deletes a record; withPrevious: only together with the write before.
+// Remove deletes a record; withPrevious: only together with the write before.
 func (w *jobWrites) remove(key string, withPrevious bool) {
 	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, withPrevious: withPrevious})
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// main writes the job's own record, if it has changed.
+// Main writes the job's own record, if it has changed.
 func (w *jobWrites) main() {
 	sh := w.records.main
 	if !sh.dirty {
@@ -112,21 +112,21 @@
 	for _, n := range slices.Sorted(maps.Keys(w.records.nameParts)) {
 		if sh := w.records.nameParts[n]; sh.dirty {
 			machines := w.records.namesToWrite(sh)
-			w.set(sh, machines, machineNamesRecord{storage.FormatNew, w.writeID, machines})
+			w.set(sh, machines, storage.MachineNamesRecord{Format: storage.FormatNew, WriteID: w.writeID, Machines: machines})
 		}
 	}
 }
 
 // pages writes the parts of the done set that have changed.
 func (w *jobWrites) pages() {
-	pages, size, format, writeID := w.records.donePages, pageTasks, storage.FormatNew, w.writeID
+	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatNew, w.writeID
 	if w.records.format == storage.FormatOld {
-		pages, size, format, writeID = w.records.oldDonePages, oldPageTasks, 0, ""
+		pages, size, format, writeID = w.records.oldDonePages, storage.OldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
 		if sh := pages[n]; sh.dirty {
-			done := encodePage(w.job.done.set.page(n, size))
-			w.set(sh, nil, donePageRecord{Format: format, WriteID: writeID, Done: done})
+			done := storage.EncodeDonePage(w.job.done.set.Page(n, size))
+			w.set(sh, nil, storage.DonePageRecord{Format: format, WriteID: writeID, Done: done})
 		}
 	}
 }
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -66,9 +66,9 @@
 		return errInstanceTypesUnknown
 	case !fitsAnyType(spec, types):
 		return errNoInstanceType
-	case !cluster.FitsRecords(spec, storage.NewestFormat, s.Fleet.State):
+	case !storage.FitsRecords(spec, storage.NewestFormat, s.Fleet.State):
 		return errSpecTooLong
-	case format < storage.FormatNew && (spec.Kind == protocol.Service || !cluster.FitsRecords(spec, format, s.Fleet.State)):
+	case format < storage.FormatNew && (spec.Kind == protocol.Service || !storage.FitsRecords(spec, format, s.Fleet.State)):
 		// A leader of the version before would take a service for an array.
 		return errNotUpgraded
 	}
--- /dev/null
+++ b/internal/storage/jobrecord.go
@@ -0,0 +1,167 @@
+package storage
+
+import (
+	"dunestand/internal/protocol"
+	"dunestand/internal/units"
+	"encoding/base64"
+	"errors"
+	"fmt"
+)
+
+// ErrOutOfRange says that a number in a record cannot be.
+var ErrOutOfRange = errors.New("out of range")
+
+// JobRecord is a live job as it is stored. Durations are in microseconds. The sizes as JSON
+// decide how a job is divided into records, so the json names stay as the cbor names do.
+type JobRecord struct {
+	Format             Format       `cbor:"v" json:"v"`
+	WriteID            string       `cbor:"save" json:"save"`
+	ID                 string       `cbor:"id" json:"id"`
+	Class              string       `cbor:"class" json:"class"`
+	Team               string       `cbor:"team" json:"team"`
+	Kind               uint8        `cbor:"shape" json:"shape"`
+	Priority           uint8        `cbor:"priority" json:"priority"`
+	Tasks              int          `cbor:"tasks" json:"tasks"`
+	CPU                units.Amount `cbor:"cpu" json:"cpu"`
+	GPU                units.Amount `cbor:"gpu" json:"gpu"`
+	Memory             units.Amount `cbor:"memory" json:"memory"`
+	InstanceTypes      []string     `cbor:"types" json:"types"`
+	Zone               string       `cbor:"zone" json:"zone"`
+	ZoneAffinity       bool         `cbor:"one_zone" json:"one_zone"`
+	ZoneSpread         bool         `cbor:"spread" json:"spread"`
+	AllowSpot          bool         `cbor:"spot" json:"spot"`
+	Image              string       `cbor:"image" json:"image"`
+	ImageSize          units.Amount `cbor:"image_size" json:"image_size"`
+	Estimate           units.Micros `cbor:"estimate" json:"estimate"`
+	CheckpointInterval units.Micros `cbor:"checkpoint" json:"checkpoint"`
+	CheckpointDuration units.Micros `cbor:"save_time" json:"save_time"`
+	Deadline           units.Micros `cbor:"deadline" json:"deadline"`
+	Submitted          units.Micros `cbor:"submitted" json:"submitted"` // time of day
+	Cancelled          bool         `cbor:"cancelled" json:"cancelled"`
+	Machines           []string     `cbor:"machines" json:"machines"` // may hold tasks of the job
+	Done               string       `cbor:"done" json:"done"`         // the done set, or the first page of it in the old format
+	Pages              int          `cbor:"pages" json:"pages"`       // further pages, in the old format
+}
+
+// MachineNamesRecord is a further part of the names of machines.
+type MachineNamesRecord struct {
+	Format   Format   `cbor:"v" json:"v"`
+	WriteID  string   `cbor:"save" json:"save"`
+	Machines []string `cbor:"machines" json:"machines"`
+}
+
+// DonePageRecord is a part of a large array's done set.
+type DonePageRecord struct {
+	Format  Format `cbor:"v,omitempty" json:"v"` // not in the old format
+	WriteID string `cbor:"save,omitempty" json:"save"`
+	Done    string `cbor:"done" json:"done"`
+}
+
+const (
+	// OldPageTasks is how many tasks a page covers in the old format: 2 KiB of bits,
+	// 2.7 KiB as the text that the key-value store can hold.
+	OldPageTasks = 16 << 10
+	// PageTasks is the same in the new format: 0.7 KiB as text.
+	PageTasks = 4 << 10
+	// InlineTasks is the largest array whose done set is in its own record.
+	InlineTasks = 1 << 10
+)
+
+// EncodeDonePage returns a page of the done set as text, without the zeros at its end.
+func EncodeDonePage(b []byte) string {
+	end := len(b)
+	for end > 0 && b[end-1] == 0 {
+		end--
+	}
+	return base64.RawStdEncoding.EncodeToString(b[:end])
+}
+
+// DecodeDonePage adds the tasks of an encoded page to a part of the done set.
+func DecodeDonePage(text string, into []byte) error {
+	raw, err := base64.RawStdEncoding.DecodeString(text)
+	if err != nil {
+		return err
+	}
+	if len(raw) > len(into) {
+		return errors.New("done set is longer than the job")
+	}
+	for i, x := range raw {
+		into[i] |= x // the same tasks may be in pages of both formats
+	}
+	return nil
+}
+
+// NewJobRecord returns the record of a job that is not cancelled, names no machines and has
+// no completed tasks.
+func NewJobRecord(spec *protocol.JobSpec, format Format) JobRecord {
+	return JobRecord{
+		Format:             format,
+		Pages:              OldPageCount(spec.Tasks, format),
+		ID:                 spec.ID,
+		Class:              spec.Class,
+		Team:               spec.Team,
+		Kind:               uint8(spec.Kind),
+		Priority:           uint8(spec.Priority),
+		Tasks:              spec.Tasks,
+		CPU:                spec.Request.CPU,
+		GPU:                spec.Request.GPU,
+		Memory:             spec.Request.Memory,
+		InstanceTypes:      spec.InstanceTypes,
+		Zone:               spec.Zone,
+		ZoneAffinity:       spec.ZoneAffinity,
+		ZoneSpread:         spec.ZoneSpread,
+		AllowSpot:          spec.AllowSpot,
+		Image:              spec.Image,
+		ImageSize:          spec.ImageSize,
+		Estimate:           spec.Estimate,
+		CheckpointInterval: spec.CheckpointInterval,
+		CheckpointDuration: spec.CheckpointDuration,
+		Deadline:           spec.Deadline,
+	}
+}
+
+// OldPageCount returns the number of further done pages that a reader of the old format
+// expects.
+func OldPageCount(tasks int, format Format) int {
+	if format == FormatOld {
+		return (tasks - 1) / OldPageTasks
+	}
+	return 0
+}
+
+// Check reports why a record is not one of a job under its key, or nil.
+func (r *JobRecord) Check(key string) error {
+	switch {
+	case r.Format != FormatOld && r.Format != FormatNew:
+		return UnknownFormatError(r.Format)
+	case !protocol.ValidJobID(r.ID) || KeyJob(r.ID) != key:
+		return fmt.Errorf("names job %q", r.ID)
+	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.Priorities || int(r.Kind) >= protocol.JobKinds:
+		return ErrOutOfRange
+	}
+	return nil
+}
+
+// Spec returns what the user submitted.
+func (r *JobRecord) Spec() protocol.JobSpec {
+	return protocol.JobSpec{
+		ID:                 r.ID,
+		Class:              r.Class,
+		Team:               r.Team,
+		Kind:               protocol.JobKind(r.Kind),
+		Priority:           protocol.Priority(r.Priority),
+		Tasks:              r.Tasks,
+		Request:            units.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory},
+		InstanceTypes:      r.InstanceTypes,
+		Zone:               r.Zone,
+		ZoneAffinity:       r.ZoneAffinity,
+		ZoneSpread:         r.ZoneSpread,
+		AllowSpot:          r.AllowSpot,
+		Image:              r.Image,
+		ImageSize:          r.ImageSize,
+		Estimate:           r.Estimate,
+		CheckpointInterval: r.CheckpointInterval,
+		CheckpointDuration: r.CheckpointDuration,
+		Deadline:           r.Deadline,
+	}
+}
