--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -15,14 +15,14 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// idleConnection is how long an unused connection is kept.
-const idleConnection = 60 * time.Second
+// idleConnTimeout is how long an unused connection is kept.
+const idleConnTimeout = 60 * time.Second
 
 // dialTimeout is how long opening a connection may take.
 const dialTimeout = time.Second
 
-// or gives the machine's own network where no other is given.
-func (d DialFunc) or() DialFunc {
+// orDefault returns d, or a dialer on the machine's own network if d is nil.
+func (d DialFunc) orDefault() DialFunc {
 	if d != nil {
 		return d
 	}
@@ -31,75 +31,75 @@
 
 // Client sends requests to one server over a few kept connections.
 type Client struct {
-	base string
-	http *http.Client
-	most int64
+	baseURL          string
+	http             *http.Client
+	maxResponseBytes int64
 }
 
 // NewClient makes a client for the server at addr (IP:port). It opens at most
-// conns connections, by dial, and reads answers of at most maxAnswer bytes.
-func NewClient(dial DialFunc, addr string, conns int, maxAnswer int64) *Client {
+// maxConns connections, by dial, and reads responses of at most maxResponseBytes.
+func NewClient(dial DialFunc, addr string, maxConns int, maxResponseBytes int64) *Client {
 	t := &http.Transport{
-		DialContext:         dial.or(),
-		MaxConnsPerHost:     conns,
-		MaxIdleConnsPerHost: conns,
-		IdleConnTimeout:     idleConnection,
+		DialContext:         dial.orDefault(),
+		MaxConnsPerHost:     maxConns,
+		MaxIdleConnsPerHost: maxConns,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: t}, most: maxAnswer}
+	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}
 }
 
-// Do sends one request and reads the whole answer. An error means that the
+// Do sends one request and reads the whole response. An error means that the
 // request may or may not have been carried out.
-func (c *Client) Do(ctx context.Context, method, path string, body []byte, limit units.Micros) (int, []byte, error) {
-	return do(ctx, c.http, method, c.base+path, body, limit, c.most)
+func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout units.Micros) (int, []byte, error) {
+	return do(ctx, c.http, method, c.baseURL+path, body, timeout, c.maxResponseBytes)
 }
 
 // Caller sends single requests to many servers, each on a connection of its own.
 type Caller struct {
-	http *http.Client
-	most int64
+	http             *http.Client
+	maxResponseBytes int64
 }
 
-// NewCaller makes a caller that reads answers of at most maxAnswer bytes.
-func NewCaller(dial DialFunc, maxAnswer int64) *Caller {
-	t := &http.Transport{DialContext: dial.or(), DisableKeepAlives: true, DisableCompression: true}
-	return &Caller{http: &http.Client{Transport: t}, most: maxAnswer}
+// NewCaller makes a caller that reads responses of at most maxResponseBytes.
+func NewCaller(dial DialFunc, maxResponseBytes int64) *Caller {
+	t := &http.Transport{DialContext: dial.orDefault(), DisableKeepAlives: true, DisableCompression: true}
+	return &Caller{http: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}
 }
 
 // Post sends one request to the server at addr (IP:port).
-func (c *Caller) Post(ctx context.Context, addr, path string, body []byte, limit units.Micros) (int, []byte, error) {
-	return do(ctx, c.http, http.MethodPost, "http://"+addr+path, body, limit, c.most)
+func (c *Caller) Post(ctx context.Context, addr, path string, body []byte, timeout units.Micros) (int, []byte, error) {
+	return do(ctx, c.http, http.MethodPost, "http://"+addr+path, body, timeout, c.maxResponseBytes)
 }
 
-func do(ctx context.Context, client *http.Client, method, url string, body []byte, limit units.Micros, most int64) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit.Duration())
+func do(ctx context.Context, client *http.Client, method, url string, body []byte, timeout units.Micros, maxResponseBytes int64) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	var r io.Reader
+	var reader io.Reader
 	if body != nil {
-		r = bytes.NewReader(body)
+		reader = bytes.NewReader(body)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, r)
+	request, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
 		return 0, nil, err
 	}
 	if body != nil {
-		req.Header.Set("Content-Type", "application/cbor")
+		request.Header.Set("Content-Type", "application/cbor")
 		// The standard client repeats a request on a fresh connection when it
 		// thinks that safe. Here a repeat is the caller's decision alone.
-		req.GetBody = nil
+		request.GetBody = nil
 	}
-	resp, err := client.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
+	defer response.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
 		return 0, nil, err
 	}
-	if int64(len(answer)) > most {
-		return 0, nil, fmt.Errorf("answer of %s is over %d bytes", url, most)
+	if int64(len(content)) > maxResponseBytes {
+		return 0, nil, fmt.Errorf("answer of %s is over %d bytes", url, maxResponseBytes)
 	}
-	return resp.StatusCode, answer, nil
+	return response.StatusCode, content, nil
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -15,11 +15,11 @@
 
 // Bounds of a connection with a client.
 const (
-	readBuffer   = 4 << 10
-	maxHeader    = 8 << 10
-	maxBodyInput = 2 * MaxBody // a body in chunks carries their lengths, too
-	maxDiscard   = 256 << 10   // of a refused request, read so that the client sees the answer
-	discardTime  = 500 * time.Millisecond
+	readBufferBytes  = 4 << 10
+	maxHeaderBytes   = 8 << 10
+	maxBodyWireBytes = 2 * MaxBodyBytes // a body in chunks carries their lengths, too
+	maxDiscardBytes  = 256 << 10        // of a refused request, read so that the client sees the answer
+	discardTimeout   = 500 * time.Millisecond
 )
 
 // connection serves one client's requests, one after the other, in one goroutine.
@@ -30,25 +30,25 @@
 // each such step of each report delays all else that the node does. No handler here
 // runs for more than a few seconds, so none needs to be told that its client is gone.
 type connection struct {
-	conn     net.Conn
-	handler  http.Handler
-	idle     time.Duration
-	log      *slog.Logger
-	input    *io.LimitedReader // bounds what the current request may take
-	reader   *bufio.Reader
-	response *responseBuffer
+	conn        net.Conn
+	handler     http.Handler
+	idleTimeout time.Duration
+	log         *slog.Logger
+	limited     *io.LimitedReader // bounds what the current request may read
+	reader      *bufio.Reader
+	response    bufferedResponse
 }
 
-func newConnection(conn net.Conn, handler http.Handler, idle time.Duration, log *slog.Logger) *connection {
-	input := &io.LimitedReader{R: conn}
+func newConnection(conn net.Conn, handler http.Handler, idleTimeout time.Duration, log *slog.Logger) *connection {
+	limited := &io.LimitedReader{R: conn}
 	return &connection{
-		conn:     conn,
-		handler:  handler,
-		idle:     idle,
-		log:      log,
-		input:    input,
-		reader:   bufio.NewReaderSize(input, readBuffer),
-		response: newResponseBuffer(),
+		conn:        conn,
+		handler:     handler,
+		idleTimeout: idleTimeout,
+		log:         log,
+		limited:     limited,
+		reader:      bufio.NewReaderSize(limited, readBufferBytes),
+		response:    bufferedResponse{header: http.Header{}},
 	}
 }
 
@@ -68,7 +68,7 @@
 	if cause == nil {
 		return
 	}
-	c.log.Error("request failed", "client", c.conn.RemoteAddr().String(), "cause", cause, "stack", string(debug.Stack()))
+	c.log.Error("request handler panicked", "client", c.conn.RemoteAddr().String(), "cause", cause, "stack", string(debug.Stack()))
 }
 
 // serveRequest answers one request and tells whether the connection goes on.
@@ -76,7 +76,7 @@
 	if err := c.extendDeadline(); err != nil {
 		return false
 	}
-	c.input.N = maxHeader
+	c.limited.N = maxHeaderBytes
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
 		c.refuseUnreadable(err)
@@ -86,20 +86,20 @@
 		c.refuse(http.StatusBadRequest)
 		return false
 	}
-	c.input.N = maxBodyInput
+	c.limited.N = maxBodyWireBytes
 	if err := c.extendDeadline(); err != nil {
 		return false
 	}
 	if !c.confirmExpectation(request) {
 		return false
 	}
-	body := &trackedBody{ReadCloser: request.Body, ended: request.Body == http.NoBody}
+	body := &trackedBody{ReadCloser: request.Body, atEOF: request.Body == http.NoBody}
 	request.Body = body
 	c.response.reset()
-	c.handler.ServeHTTP(c.response, request.WithContext(ctx))
-	tooMuchLeft := !body.ended && (request.ContentLength < 0 || request.ContentLength > maxBodyInput)
-	last := request.Close || tooMuchLeft
-	if last {
+	c.handler.ServeHTTP(&c.response, request.WithContext(ctx))
+	tooMuchLeft := !body.atEOF && (request.ContentLength < 0 || request.ContentLength > maxBodyWireBytes)
+	closing := request.Close || tooMuchLeft
+	if closing {
 		c.response.header.Set("Connection", "close")
 	}
 	if err := c.response.send(c.conn, request.Method != http.MethodHead); err != nil {
@@ -111,13 +111,13 @@
 	}
 	// The next request begins behind what the handler has left of this one.
 	_, _ = io.Copy(io.Discard, body)
-	return !last && body.ended
+	return !closing && body.atEOF
 }
 
 // extendDeadline gives the client's next step, and the answer to it, as much time as a
 // client may be idle.
 func (c *connection) extendDeadline() error {
-	return c.conn.SetDeadline(time.Now().Add(c.idle))
+	return c.conn.SetDeadline(time.Now().Add(c.idleTimeout))
 }
 
 // confirmExpectation tells a client that waits for it to send the body.
@@ -131,11 +131,11 @@
 
 // refuseUnreadable answers what is not a request, unless the client has gone.
 func (c *connection) refuseUnreadable(err error) {
-	var broken net.Error
+	var netErr net.Error
 	switch {
-	case c.input.N <= 0:
+	case c.limited.N <= 0:
 		c.refuse(http.StatusRequestHeaderFieldsTooLarge)
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &broken):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &netErr):
 	default:
 		c.refuse(http.StatusBadRequest)
 	}
@@ -154,23 +154,23 @@
 // discardInput reads what a refused client still sends. A connection that is closed
 // with unread input is reset, and the client might never see the answer.
 func (c *connection) discardInput() {
-	if half, ok := c.conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if conn, ok := c.conn.(closeWriter); ok {
+		_ = conn.CloseWrite()
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(discardTime))
-	_, _ = io.CopyN(io.Discard, c.conn, maxDiscard)
+	_ = c.conn.SetDeadline(time.Now().Add(discardTimeout))
+	_, _ = io.CopyN(io.Discard, c.conn, maxDiscardBytes)
 }
 
 // trackedBody notes whether a request's body was read to its end.
 type trackedBody struct {
 	io.ReadCloser
-	ended bool
+	atEOF bool
 }
 
-func (b *trackedBody) Read(p []byte) (int, error) {
-	n, err := b.ReadCloser.Read(p)
+func (b *trackedBody) Read(buffer []byte) (int, error) {
+	n, err := b.ReadCloser.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		b.ended = true
+		b.atEOF = true
 	}
 	return n, err
 }
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -86,9 +86,9 @@
 		{"a body that nobody reads", "PUT /echo/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\na" + head + "Content-Length: 1\r\n\r\nb", []int{405, 200}, "b"},
 		{"no host", "POST /echo/x HTTP/1.1\r\nContent-Length: 1\r\n\r\na", []int{400}, ""},
 		{"no request", "hello\r\n\r\n", []int{400}, ""},
-		{"too long a header", head + "X: " + strings.Repeat("a", 2*maxHeader) + "\r\n\r\n", []int{431}, ""},
-		{"too long a body", head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", MaxBody+1, strings.Repeat("a", MaxBody+1)) + head + "Content-Length: 1\r\n\r\nb", []int{400, 200}, "b"},
-		{"too long a body in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", MaxBody+1, strings.Repeat("a", MaxBody+1)), []int{400}, ""},
+		{"too long a header", head + "X: " + strings.Repeat("a", 2*maxHeaderBytes) + "\r\n\r\n", []int{431}, ""},
+		{"too long a body", head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", MaxBodyBytes+1, strings.Repeat("a", MaxBodyBytes+1)) + head + "Content-Length: 1\r\n\r\nb", []int{400, 200}, "b"},
+		{"too long a body in chunks", head + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", MaxBodyBytes+1, strings.Repeat("a", MaxBodyBytes+1)), []int{400}, ""},
 		{"cut off in the header", "POST /echo/x HTTP/1.1\r\nHo", []int{400}, ""},
 		{"nothing at all", "", nil, ""},
 		{"cut off in the body", head + "Content-Length: 10\r\n\r\nabc", []int{400}, ""},
@@ -223,7 +223,7 @@
 	server.Handle(http.MethodPost, "/echo/:id", echoBody)
 	f.Fuzz(func(t *testing.T, input []byte) {
 		conn := &memoryConn{input: bytes.NewReader(input)}
-		newConnection(conn, server.echo, time.Minute, server.log).serve(t.Context())
+		newConnection(conn, server.router, time.Minute, server.log).serve(t.Context())
 		if !conn.closed {
 			t.Error("the connection is left open")
 		}
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -10,16 +10,16 @@
 )
 
 // acceptRetry spaces attempts to accept while the process is out of sockets.
-const acceptRetry = 100 * time.Millisecond
+const acceptRetryDelay = 100 * time.Millisecond
 
-// acceptLoop serves each connection of l in a goroutine of its own until ctx ends or
-// the listener fails for good. It closes connections beyond the bound at once.
-func acceptLoop(ctx context.Context, l net.Listener, bound int, log *slog.Logger, serve func(net.Conn)) error {
-	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
+// acceptLoop serves each connection of listener in a goroutine of its own until ctx ends or
+// the listener fails for good. It closes connections beyond maxConns at once.
+func acceptLoop(ctx context.Context, listener net.Listener, maxConns int, log *slog.Logger, serve func(net.Conn)) error {
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
-	bounded := &boundedListener{Listener: l, most: int64(bound)}
+	limited := &limitListener{Listener: listener, maxOpen: int64(maxConns)}
 	for {
-		conn, err := bounded.Accept()
+		conn, err := limited.Accept()
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
@@ -29,53 +29,58 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil:
-			log.Error("connection not accepted", "address", l.Addr().String(), "error", err)
-			time.Sleep(acceptRetry)
+			log.Error("accept failed", "address", listener.Addr().String(), "error", err)
+			time.Sleep(acceptRetryDelay)
 		default:
 			go serve(conn)
 		}
 	}
 }
 
-// boundedListener closes connections beyond its bound at once: a client that
+// limitListener closes connections beyond maxOpen at once: a client that
 // waits in a backlog learns nothing, one that is refused tries another node.
-type boundedListener struct {
+type limitListener struct {
 	net.Listener
-	most, open int64
+	maxOpen int64
+	open    atomic.Int64
 }
 
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if atomic.AddInt64(&l.open, 1) > l.most {
-			atomic.AddInt64(&l.open, -1)
-			_ = c.Close()
+		if l.open.Add(1) > l.maxOpen {
+			l.open.Add(-1)
+			_ = conn.Close()
 			continue
 		}
-		return &boundedConn{Conn: c, l: l}, nil
+		return &limitedConn{Conn: conn, listener: l}, nil
 	}
 }
 
-type boundedConn struct {
+// limitedConn frees its place in the listener's limit when it is first closed.
+type limitedConn struct {
 	net.Conn
-	l      *boundedListener
-	closed atomic.Bool
+	listener *limitListener
+	closed   atomic.Bool
 }
 
-func (c *boundedConn) Close() error {
+func (c *limitedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		atomic.AddInt64(&c.l.open, -1)
+		c.listener.open.Add(-1)
 	}
 	return c.Conn.Close()
 }
 
-// CloseWrite tells the other side that nothing more comes.
-func (c *boundedConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+// closeWriter is a connection that can end its outgoing half alone, as *net.TCPConn can.
+type closeWriter interface{ CloseWrite() error }
+
+// CloseWrite ends the outgoing half of the connection, if it can be ended alone.
+func (c *limitedConn) CloseWrite() error {
+	if conn, ok := c.Conn.(closeWriter); ok {
+		return conn.CloseWrite()
 	}
 	return nil
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -15,112 +15,112 @@
 
 // Bounds of the links between controllers.
 const (
-	linkQueue    = 64 // frames waiting to be written
-	linkWorkers  = 64 // requests of one peer served at a time
-	linkWrite    = 3 * time.Second
-	linkIdle     = 20 * time.Second // pings come far more often
-	redialFirst  = 100 * time.Millisecond
-	redialMost   = time.Second
-	maxMeshConns = 16
+	linkQueueFrames    = 64 // frames waiting to be written
+	maxRequestsPerConn = 64 // requests of one peer served at a time
+	frameWriteTimeout  = 3 * time.Second
+	frameReadTimeout   = 20 * time.Second // pings come far more often
+	minRedialDelay     = 100 * time.Millisecond
+	maxRedialDelay     = time.Second
+	maxMeshConnections = 16
 )
 
-// ErrLinkDown tells that the peer cannot be reached now.
+// ErrLinkDown means that the peer cannot be reached now.
 var ErrLinkDown = errors.New("link is down")
 
 // Link is a connection to one other controller, redialled when it fails. It
 // carries frames; pairing answers with requests is the caller's.
 type Link struct {
-	dial    DialFunc
-	addr    string
-	out     chan []byte
-	up      atomic.Bool
-	refused atomic.Bool
-	receive func(frame []byte)
-	down    func()
-	log     *slog.Logger
-	random  *rand.Rand
+	dial      DialFunc
+	addr      string
+	outgoing  chan []byte
+	connected atomic.Bool
+	refused   atomic.Bool
+	onFrame   func(frame []byte)
+	onLost    func()
+	log       *slog.Logger
+	random    *rand.Rand
 }
 
-// NewLink makes a link to addr. receive gets every frame; down is called when
-// the connection is lost.
-func NewLink(dial DialFunc, addr string, receive func([]byte), down func(), random *rand.Rand, log *slog.Logger) *Link {
+// NewLink makes a link to addr. onFrame gets every frame; onLost is called when
+// a connection is lost.
+func NewLink(dial DialFunc, addr string, onFrame func([]byte), onLost func(), random *rand.Rand, log *slog.Logger) *Link {
 	return &Link{
-		dial:    dial.or(),
-		addr:    addr,
-		out:     make(chan []byte, linkQueue),
-		receive: receive,
-		down:    down,
-		random:  random,
-		log:     log,
+		dial:     dial.orDefault(),
+		addr:     addr,
+		outgoing: make(chan []byte, linkQueueFrames),
+		onFrame:  onFrame,
+		onLost:   onLost,
+		random:   random,
+		log:      log,
 	}
 }
 
 // Send queues a frame; it never waits.
 func (l *Link) Send(frame []byte) error {
-	if !l.up.Load() {
+	if !l.connected.Load() {
 		return ErrLinkDown
 	}
 	select {
-	case l.out <- frame:
+	case l.outgoing <- frame:
 		return nil
 	default:
 		return ErrLinkDown
 	}
 }
 
-// Up tells whether the link is connected, as far as this side knows.
-func (l *Link) Up() bool { return l.up.Load() }
+// Up reports whether the link is connected, as far as this side knows.
+func (l *Link) Up() bool { return l.connected.Load() }
 
-// Refused tells whether the peer's machine answers but its process does not:
+// Refused reports whether the peer's machine answers but its process does not:
 // the last try to connect was refused at once.
 func (l *Link) Refused() bool { return l.refused.Load() }
 
 // Run keeps the link connected until ctx ends.
 func (l *Link) Run(ctx context.Context) {
-	wait := redialFirst
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		c, err := l.dial(ctx, "tcp", l.addr)
+		conn, err := l.dial(ctx, "tcp", l.addr)
 		l.refused.Store(errors.Is(err, syscall.ECONNREFUSED))
 		if err == nil {
 			began := time.Now()
-			l.serve(ctx, c)
-			if time.Since(began) > redialMost {
-				wait = redialFirst
+			l.serve(ctx, conn)
+			if time.Since(began) > maxRedialDelay {
+				delay = minRedialDelay
 			}
 		}
-		jitter := time.Duration(l.random.Int64N(int64(wait)))
+		jitter := time.Duration(l.random.Int64N(int64(delay)))
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait/2 + jitter):
+		case <-time.After(delay/2 + jitter):
 		}
-		wait = min(2*wait, redialMost)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-func (l *Link) serve(ctx context.Context, c net.Conn) {
-	defer c.Close()
-	for len(l.out) > 0 { // frames of the former connection
-		<-l.out
+func (l *Link) serve(ctx context.Context, conn net.Conn) {
+	defer conn.Close()
+	for len(l.outgoing) > 0 { // frames of the former connection
+		<-l.outgoing
 	}
-	l.up.Store(true)
+	l.connected.Store(true)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r := bufio.NewReaderSize(c, 4<<10)
+		reader := bufio.NewReaderSize(conn, readBufferBytes)
 		for {
-			_ = c.SetReadDeadline(time.Now().Add(linkIdle))
-			frame, err := ReadFrame(r)
+			_ = conn.SetReadDeadline(time.Now().Add(frameReadTimeout))
+			frame, err := ReadFrame(reader)
 			if err != nil {
 				return
 			}
-			l.receive(frame)
+			l.onFrame(frame)
 		}
 	}()
 	defer func() {
-		l.up.Store(false)
-		_ = c.Close()
+		l.connected.Store(false)
+		_ = conn.Close()
 		<-done
-		l.down()
+		l.onLost()
 	}()
 	for {
 		select {
@@ -128,9 +128,9 @@
 			return
 		case <-done:
 			return
-		case frame := <-l.out:
-			_ = c.SetWriteDeadline(time.Now().Add(linkWrite))
-			if err := WriteFrame(c, frame); err != nil {
+		case frame := <-l.outgoing:
+			_ = conn.SetWriteDeadline(time.Now().Add(frameWriteTimeout))
+			if err := WriteFrame(conn, frame); err != nil {
 				return
 			}
 		}
@@ -138,27 +138,27 @@
 }
 
 // ServeMesh answers the frames of other controllers until ctx ends. A handler
-// that reports an error ends the connection its frame came on; one that gives
-// nothing leaves the frame unanswered.
-func ServeMesh(ctx context.Context, l net.Listener, log *slog.Logger, handle func(ctx context.Context, frame []byte) ([]byte, error)) error {
-	return acceptLoop(ctx, l, maxMeshConns, log, func(conn net.Conn) {
+// that returns an error ends the connection its frame came on; one that returns
+// nil leaves the frame unanswered.
+func ServeMesh(ctx context.Context, listener net.Listener, log *slog.Logger, handle func(ctx context.Context, frame []byte) ([]byte, error)) error {
+	return acceptLoop(ctx, listener, maxMeshConnections, log, func(conn net.Conn) {
 		serveMeshConn(ctx, conn, log, handle)
 	})
 }
 
-func serveMeshConn(ctx context.Context, c net.Conn, log *slog.Logger, handle func(context.Context, []byte) ([]byte, error)) {
+func serveMeshConn(ctx context.Context, conn net.Conn, log *slog.Logger, handle func(context.Context, []byte) ([]byte, error)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer c.Close()
-	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	var write sync.Mutex
-	slots := make(chan struct{}, linkWorkers)
-	r := bufio.NewReaderSize(c, 4<<10)
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
+	var writing sync.Mutex
+	slots := make(chan struct{}, maxRequestsPerConn)
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(linkIdle))
-		frame, err := ReadFrame(r)
+		_ = conn.SetReadDeadline(time.Now().Add(frameReadTimeout))
+		frame, err := ReadFrame(reader)
 		if err != nil {
-			log.Debug("mesh connection ended", "peer", c.RemoteAddr().String(), "error", err)
+			log.Debug("mesh connection ended", "peer", conn.RemoteAddr().String(), "error", err)
 			return
 		}
 		select {
@@ -168,19 +168,19 @@
 		}
 		go func() {
 			defer func() { <-slots }()
-			answer, err := handle(ctx, frame)
+			response, err := handle(ctx, frame)
 			if err != nil {
-				log.Info("mesh connection dropped", "peer", c.RemoteAddr().String(), "error", err)
+				log.Info("mesh connection dropped", "peer", conn.RemoteAddr().String(), "error", err)
 				cancel()
 				return
 			}
-			if answer == nil {
+			if response == nil {
 				return
 			}
-			write.Lock()
-			defer write.Unlock()
-			_ = c.SetWriteDeadline(time.Now().Add(linkWrite))
-			if WriteFrame(c, answer) != nil {
+			writing.Lock()
+			defer writing.Unlock()
+			_ = conn.SetWriteDeadline(time.Now().Add(frameWriteTimeout))
+			if WriteFrame(conn, response) != nil {
 				cancel()
 			}
 		}()
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -8,58 +8,56 @@
 	"time"
 )
 
-// responseBuffer is a http.ResponseWriter that gathers a whole response, so that it
+// bufferedResponse is an http.ResponseWriter that collects a whole response, so that it
 // goes out in a single write. It is used again for each response of a connection.
-type responseBuffer struct {
-	header  http.Header
-	status  int // 0: not chosen yet
-	body    []byte
-	message bytes.Buffer
+type bufferedResponse struct {
+	header http.Header
+	status int // 0: not chosen yet
+	body   []byte
+	wire   bytes.Buffer
 }
 
-func newResponseBuffer() *responseBuffer { return &responseBuffer{header: http.Header{}} }
-
-func (r *responseBuffer) reset() {
+func (r *bufferedResponse) reset() {
 	clear(r.header)
 	r.status = 0
 	r.body = r.body[:0]
 }
 
 // Header implements http.ResponseWriter.
-func (r *responseBuffer) Header() http.Header { return r.header }
+func (r *bufferedResponse) Header() http.Header { return r.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (r *responseBuffer) WriteHeader(status int) {
+func (r *bufferedResponse) WriteHeader(status int) {
 	if r.status == 0 {
 		r.status = status
 	}
 }
 
 // Write implements http.ResponseWriter.
-func (r *responseBuffer) Write(p []byte) (int, error) {
+func (r *bufferedResponse) Write(content []byte) (int, error) {
 	r.WriteHeader(http.StatusOK)
-	r.body = append(r.body, p...)
-	return len(p), nil
+	r.body = append(r.body, content...)
+	return len(content), nil
 }
 
 // send writes the response to w. The answer to a HEAD request has no body.
-func (r *responseBuffer) send(w io.Writer, withBody bool) error {
+func (r *bufferedResponse) send(w io.Writer, withBody bool) error {
 	r.WriteHeader(http.StatusOK)
-	r.message.Reset()
-	r.message.WriteString("HTTP/1.1 ")
-	r.message.WriteString(strconv.Itoa(r.status))
-	r.message.WriteByte(' ')
-	r.message.WriteString(http.StatusText(r.status))
-	r.message.WriteString("\r\nDate: ")
-	r.message.Write(time.Now().UTC().AppendFormat(r.message.AvailableBuffer(), http.TimeFormat))
-	r.message.WriteString("\r\nContent-Length: ")
-	r.message.Write(strconv.AppendInt(r.message.AvailableBuffer(), int64(len(r.body)), 10))
-	r.message.WriteString("\r\n")
-	_ = r.header.Write(&r.message) // a buffer takes everything
-	r.message.WriteString("\r\n")
+	r.wire.Reset()
+	r.wire.WriteString("HTTP/1.1 ")
+	r.wire.WriteString(strconv.Itoa(r.status))
+	r.wire.WriteByte(' ')
+	r.wire.WriteString(http.StatusText(r.status))
+	r.wire.WriteString("\r\nDate: ")
+	r.wire.Write(time.Now().UTC().AppendFormat(r.wire.AvailableBuffer(), http.TimeFormat))
+	r.wire.WriteString("\r\nContent-Length: ")
+	r.wire.Write(strconv.AppendInt(r.wire.AvailableBuffer(), int64(len(r.body)), 10))
+	r.wire.WriteString("\r\n")
+	_ = r.header.Write(&r.wire) // writes to a bytes.Buffer do not fail
+	r.wire.WriteString("\r\n")
 	if withBody {
-		r.message.Write(r.body)
+		r.wire.Write(r.body)
 	}
-	_, err := w.Write(r.message.Bytes())
+	_, err := w.Write(r.wire.Bytes())
 	return err
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -43,7 +43,7 @@
 	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff})); err == nil {
 		t.Error("a frame of 4 GiB is taken")
 	}
-	if err := WriteFrame(io.Discard, make([]byte, MaxFrame+1)); err == nil {
+	if err := WriteFrame(io.Discard, make([]byte, MaxFrameBytes+1)); err == nil {
 		t.Error("an oversized frame is written")
 	}
 }
@@ -72,7 +72,7 @@
 	if err != nil || status != http.StatusOK || string(body) != "x:hello" {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
-	if status, _, err = c.Do(t.Context(), http.MethodPost, "/echo/x", make([]byte, MaxBody+1), 5*units.Second); err != nil || status != http.StatusBadRequest {
+	if status, _, err = c.Do(t.Context(), http.MethodPost, "/echo/x", make([]byte, MaxBodyBytes+1), 5*units.Second); err != nil || status != http.StatusBadRequest {
 		t.Fatalf("large body: %d %v", status, err)
 	}
 	if status, _, err = c.Do(t.Context(), http.MethodPost, "/none", []byte("x"), 5*units.Second); err != nil || status != http.StatusNotFound {
