--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -29,11 +29,11 @@
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext
 }
 
-// Client sends requests to one server over a few kept connections.
+// Client sends requests to one server over a few kept connections. It may be used from
+// several goroutines.
 type Client struct {
-	baseURL          string
-	http             *http.Client
-	maxResponseBytes int64
+	baseURL   string
+	exchanger exchanger
 }
 
 // NewClient makes a client for the server at addr (IP:port). It opens at most
@@ -46,60 +46,75 @@
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}
+	return &Client{
+		baseURL:   "http://" + addr,
+		exchanger: exchanger{client: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes},
+	}
 }
 
 // Do sends one request and reads the whole response. An error means that the
 // request may or may not have been carried out.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout units.Micros) (int, []byte, error) {
-	return do(ctx, c.http, method, c.baseURL+path, body, timeout, c.maxResponseBytes)
+	return c.exchanger.do(ctx, method, c.baseURL+path, body, timeout)
 }
 
 // Caller sends single requests to many servers, each on a connection of its own.
+// It may be used from several goroutines.
 type Caller struct {
-	http             *http.Client
-	maxResponseBytes int64
+	exchanger exchanger
 }
 
 // NewCaller makes a caller that reads responses of at most maxResponseBytes.
 func NewCaller(dial DialFunc, maxResponseBytes int64) *Caller {
 	t := &http.Transport{DialContext: dial.orDefault(), DisableKeepAlives: true, DisableCompression: true}
-	return &Caller{http: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}
+	return &Caller{exchanger{client: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}}
 }
 
 // Post sends one request to the server at addr (IP:port).
 func (c *Caller) Post(ctx context.Context, addr, path string, body []byte, timeout units.Micros) (int, []byte, error) {
-	return do(ctx, c.http, http.MethodPost, "http://"+addr+path, body, timeout, c.maxResponseBytes)
+	return c.exchanger.do(ctx, http.MethodPost, "http://"+addr+path, body, timeout)
 }
 
-func do(ctx context.Context, client *http.Client, method, url string, body []byte, timeout units.Micros, maxResponseBytes int64) (int, []byte, error) {
+// exchanger sends requests and reads their responses whole.
+type exchanger struct {
+	client           *http.Client
+	maxResponseBytes int64
+}
+
+// do sends one request; a nil body stands for none.
+func (e exchanger) do(ctx context.Context, method, url string, body []byte, timeout units.Micros) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	var reader io.Reader
-	if body != nil {
-		reader = bytes.NewReader(body)
-	}
-	request, err := http.NewRequestWithContext(ctx, method, url, reader)
+	request, err := newRequest(ctx, method, url, body)
 	if err != nil {
 		return 0, nil, err
 	}
-	if body != nil {
-		request.Header.Set("Content-Type", "application/cbor")
-		// The standard client repeats a request on a fresh connection when it
-		// thinks that safe. Here a repeat is the caller's decision alone.
-		request.GetBody = nil
-	}
-	response, err := client.Do(request)
+	response, err := e.client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	content, err := io.ReadAll(io.LimitReader(response.Body, e.maxResponseBytes+1))
 	if err != nil {
 		return 0, nil, err
 	}
-	if int64(len(content)) > maxResponseBytes {
-		return 0, nil, fmt.Errorf("answer of %s is over %d bytes", url, maxResponseBytes)
+	if int64(len(content)) > e.maxResponseBytes {
+		return 0, nil, fmt.Errorf("answer of %s is over %d bytes", url, e.maxResponseBytes)
 	}
 	return response.StatusCode, content, nil
 }
+
+func newRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
+	if body == nil {
+		return http.NewRequestWithContext(ctx, method, url, nil)
+	}
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("Content-Type", "application/cbor")
+	// The standard client repeats a request on a fresh connection when it
+	// thinks that safe. Here a repeat is the caller's decision alone.
+	request.GetBody = nil
+	return request, nil
+}
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -71,22 +71,12 @@
 	c.log.Error("request handler panicked", "client", c.conn.RemoteAddr().String(), "cause", cause, "stack", string(debug.Stack()))
 }
 
-// serveRequest answers one request and tells whether the connection goes on.
+// serveRequest answers one request and reports whether the connection goes on.
 func (c *connection) serveRequest(ctx context.Context) bool {
-	if err := c.extendDeadline(); err != nil {
-		return false
-	}
-	c.limited.N = maxHeaderBytes
-	request, err := http.ReadRequest(c.reader)
-	if err != nil {
-		c.refuseUnreadable(err)
+	request, ok := c.readRequest()
+	if !ok {
 		return false
 	}
-	if request.ProtoAtLeast(1, 1) && request.Host == "" {
-		c.refuse(http.StatusBadRequest)
-		return false
-	}
-	c.limited.N = maxBodyWireBytes
 	if err := c.extendDeadline(); err != nil {
 		return false
 	}
@@ -114,6 +104,26 @@
 	return !closing && body.atEOF
 }
 
+// readRequest reads a request up to its body, which it leaves to be read within
+// maxBodyWireBytes. It refuses what is not a request.
+func (c *connection) readRequest() (request *http.Request, ok bool) {
+	if err := c.extendDeadline(); err != nil {
+		return nil, false
+	}
+	c.limited.N = maxHeaderBytes
+	request, err := http.ReadRequest(c.reader)
+	if err != nil {
+		c.refuseUnreadable(err)
+		return nil, false
+	}
+	if request.ProtoAtLeast(1, 1) && request.Host == "" {
+		c.refuse(http.StatusBadRequest)
+		return nil, false
+	}
+	c.limited.N = maxBodyWireBytes
+	return request, true
+}
+
 // extendDeadline gives the client's next step, and the answer to it, as much time as a
 // client may be idle.
 func (c *connection) extendDeadline() error {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -55,19 +55,21 @@
 func NewServer(maxConns int, idleTimeout units.Micros, log *slog.Logger) *Server {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
-	router.HTTPErrorHandler = func(err error, c echo.Context) {
-		status := http.StatusInternalServerError
-		var httpError *echo.HTTPError
-		if errors.As(err, &httpError) {
-			status = httpError.Code
-		}
-		if !c.Response().Committed {
-			_ = c.NoContent(status)
-		}
-	}
+	router.HTTPErrorHandler = sendErrorStatus
 	return &Server{router: router, maxConns: maxConns, idleTimeout: idleTimeout.Duration(), log: log}
 }
 
+// sendErrorStatus answers a request that no handler has answered with its status alone.
+func sendErrorStatus(err error, c echo.Context) {
+	status := http.StatusInternalServerError
+	if httpError, ok := errors.AsType[*echo.HTTPError](err); ok {
+		status = httpError.Code
+	}
+	if !c.Response().Committed {
+		_ = c.NoContent(status)
+	}
+}
+
 // Handle adds a route. A path may hold one parameter, ":id".
 func (s *Server) Handle(method, path string, handler Handler) {
 	s.router.Add(method, path, func(c echo.Context) error {
