--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -37,7 +37,8 @@
 }
 
 // NewClient makes a client for the server at addr (IP:port). It opens at most
-// maxConns connections, by dial, and reads responses of at most maxResponseBytes.
+// maxConns connections, by dial, and reads responses of at most maxResponseBytes. A nil
+// dial stands for the machine's own network.
 func NewClient(dial DialFunc, addr string, maxConns int, maxResponseBytes int64) *Client {
 	t := &http.Transport{
 		DialContext:         dial.orDefault(),
@@ -52,8 +53,9 @@
 	}
 }
 
-// Do sends one request and reads the whole response. An error means that the
-// request may or may not have been carried out.
+// Do sends one request and returns the status and the whole body of the response; a nil
+// body stands for none. It gives up after timeout, or when ctx ends. An error, such as a
+// *ResponseTooLargeError, means that the request may or may not have been carried out.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout units.Micros) (int, []byte, error) {
 	return c.exchanger.do(ctx, method, c.baseURL+path, body, timeout)
 }
@@ -64,17 +66,29 @@
 	exchanger exchanger
 }
 
-// NewCaller makes a caller that reads responses of at most maxResponseBytes.
+// NewCaller makes a caller that reads responses of at most maxResponseBytes. A nil dial
+// stands for the machine's own network.
 func NewCaller(dial DialFunc, maxResponseBytes int64) *Caller {
 	t := &http.Transport{DialContext: dial.orDefault(), DisableKeepAlives: true, DisableCompression: true}
 	return &Caller{exchanger{client: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}}
 }
 
-// Post sends one request to the server at addr (IP:port).
+// Post sends one request to the server at addr (IP:port). Its results and errors are those
+// of Client.Do.
 func (c *Caller) Post(ctx context.Context, addr, path string, body []byte, timeout units.Micros) (int, []byte, error) {
 	return c.exchanger.do(ctx, http.MethodPost, "http://"+addr+path, body, timeout)
 }
 
+// ResponseTooLargeError reports a response that is longer than its client reads.
+type ResponseTooLargeError struct {
+	URL        string
+	LimitBytes int64
+}
+
+func (e *ResponseTooLargeError) Error() string {
+	return fmt.Sprintf("response of %s is over %d bytes", e.URL, e.LimitBytes)
+}
+
 // exchanger sends requests and reads their responses whole.
 type exchanger struct {
 	client           *http.Client
@@ -99,7 +113,7 @@
 		return 0, nil, err
 	}
 	if int64(len(content)) > e.maxResponseBytes {
-		return 0, nil, fmt.Errorf("answer of %s is over %d bytes", url, e.maxResponseBytes)
+		return 0, nil, &ResponseTooLargeError{URL: url, LimitBytes: e.maxResponseBytes}
 	}
 	return response.StatusCode, content, nil
 }
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -13,11 +13,19 @@
 // frameHeaderBytes is the length of a frame's header: the size of its content, big-endian.
 const frameHeaderBytes = 4
 
+// FrameSizeError reports a frame that is empty or longer than MaxFrameBytes.
+type FrameSizeError struct{ Bytes int64 }
+
+func (e *FrameSizeError) Error() string {
+	return fmt.Sprintf("frame of %d bytes is not between 1 and %d", e.Bytes, MaxFrameBytes)
+}
+
 // WriteFrame writes one frame: its length in four bytes, then its content.
-// Header and content go out in a single write.
+// Header and content go out in a single write. It returns a *FrameSizeError, and writes
+// nothing, if the frame is over MaxFrameBytes.
 func WriteFrame(w io.Writer, frame []byte) error {
 	if len(frame) > MaxFrameBytes {
-		return fmt.Errorf("frame of %d bytes is over the limit", len(frame))
+		return &FrameSizeError{Bytes: int64(len(frame))}
 	}
 	wire := make([]byte, frameHeaderBytes+len(frame))
 	binary.BigEndian.PutUint32(wire, uint32(len(frame)))
@@ -27,7 +35,8 @@
 }
 
 // ReadFrame reads one frame. The declared length is checked before anything
-// is allocated for it.
+// is allocated for it: it returns a *FrameSizeError if that is out of bounds, and
+// otherwise the error of the reader.
 func ReadFrame(r io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -35,7 +44,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size == 0 || size > MaxFrameBytes {
-		return nil, fmt.Errorf("frame declares %d bytes", size)
+		return nil, &FrameSizeError{Bytes: int64(size)}
 	}
 	frame := make([]byte, size)
 	_, err := io.ReadFull(r, frame)
