--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -5,6 +5,7 @@
 	"errors"
 	"log/slog"
 	"net"
+	"sync"
 	"sync/atomic"
 	"time"
 )
@@ -13,8 +14,13 @@
 const acceptRetryDelay = 100 * time.Millisecond
 
 // acceptLoop serves each connection of listener in a goroutine of its own until ctx ends or
-// the listener fails for good. It closes connections beyond maxConns at once.
-func acceptLoop(ctx context.Context, listener net.Listener, maxConns int, log *slog.Logger, serve func(net.Conn)) error {
+// the listener fails for good. It closes connections beyond maxConns at once. Before it
+// returns it ends the context of those that are still served and waits for them.
+func acceptLoop(ctx context.Context, listener net.Listener, maxConns int, log *slog.Logger, serve func(context.Context, net.Conn)) error {
+	connCtx, cancel := context.WithCancel(ctx)
+	var serving sync.WaitGroup
+	defer serving.Wait()
+	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	limited := &limitListener{Listener: listener, maxOpen: int64(maxConns)}
@@ -32,7 +38,7 @@
 			log.Error("accept failed", "address", listener.Addr().String(), "error", err)
 			time.Sleep(acceptRetryDelay)
 		default:
-			go serve(conn)
+			serving.Go(func() { serve(connCtx, conn) })
 		}
 	}
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -19,11 +19,11 @@
 // connection that the frame came on. It is called from several goroutines at once.
 type FrameHandler func(ctx context.Context, frame []byte) ([]byte, error)
 
-// ServeMesh answers the frames of other controllers until ctx ends. A handler
-// that returns an error ends the connection its frame came on; one that returns
-// nil leaves the frame unanswered.
+// ServeMesh answers the frames of other controllers until ctx ends, whose end it does not
+// report as an error, or the listener fails for good. It closes its connections and waits
+// for the handlers that still run, so that none is left behind.
 func ServeMesh(ctx context.Context, listener net.Listener, log *slog.Logger, handle FrameHandler) error {
-	return acceptLoop(ctx, listener, maxMeshConnections, log, func(conn net.Conn) {
+	return acceptLoop(ctx, listener, maxMeshConnections, log, func(ctx context.Context, conn net.Conn) {
 		peer := &meshConnection{conn: conn, handle: handle, log: log}
 		peer.serve(ctx)
 	})
@@ -40,9 +40,11 @@
 // serve answers frames until the connection fails, a handler returns an error or ctx ends.
 func (m *meshConnection) serve(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
 	defer m.conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = m.conn.Close() })()
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
+	defer cancel()
 	slots := make(chan struct{}, maxRequestsPerConn)
 	reader := bufio.NewReaderSize(m.conn, readBufferBytes)
 	for {
@@ -57,12 +59,12 @@
 		case <-ctx.Done():
 			return
 		}
-		go func() {
+		handlers.Go(func() {
 			defer func() { <-slots }()
 			if err := m.answer(ctx, frame); err != nil {
 				cancel()
 			}
-		}()
+		})
 	}
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -25,23 +25,23 @@
 // Request is an HTTP request whose body was read whole.
 type Request struct {
 	ID       string // the path's {id}, if the route has one
-	Body     []byte
-	TooLarge bool
+	Body     []byte // of a POST request; nil if TooLarge
+	TooLarge bool   // the body is over MaxBodyBytes
 }
 
-// Response is the answer to a Request. RetryAfter, in seconds, is sent when
-// it is positive.
+// Response is the answer to a Request.
 type Response struct {
 	Status      int
 	Body        []byte
-	ContentType string
-	RetryAfter  int
+	ContentType string // "": application/cbor
+	RetryAfter  int    // in seconds, sent if positive
 }
 
-// Handler answers requests.
+// Handler answers requests. It is called from several goroutines at once.
 type Handler func(ctx context.Context, r Request) Response
 
-// Server is an HTTP server with a bound on its connections.
+// Server is an HTTP server with a bound on its connections. Routes are added before Serve
+// is called.
 type Server struct {
 	router      *echo.Echo
 	maxConns    int
@@ -50,7 +50,7 @@
 }
 
 // NewServer makes a server that holds at most maxConns connections, and closes
-// those on which nothing was asked for the time given: half of a connection is
+// those on which nothing was asked for idleTimeout: half of a connection is
 // left when its client was cut off or gave up, and thousands may be at once.
 func NewServer(maxConns int, idleTimeout units.Micros, log *slog.Logger) *Server {
 	router := echo.New()
@@ -95,10 +95,12 @@
 	})
 }
 
+// typicalBodyBytes is as much as is set aside at once for a body that declares its length.
 const typicalBodyBytes = 8 << 10
 
 var errBodyTooLarge = errors.New("body too large")
 
+// readBody reads a whole body. It returns errBodyTooLarge if that is over MaxBodyBytes.
 func readBody(reader io.Reader, declaredBytes int64) ([]byte, error) {
 	if declaredBytes > MaxBodyBytes {
 		return nil, errBodyTooLarge
@@ -116,9 +118,12 @@
 	return body.Bytes(), nil
 }
 
-// Serve answers requests on listener until ctx ends.
+// Serve answers requests on listener until ctx ends, whose end it does not report as an
+// error, or the listener fails for good. The context of each request ends with ctx. Serve
+// closes its connections and waits for the handlers that still run, so that none is left
+// behind.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
-	return acceptLoop(ctx, listener, s.maxConns, s.log, func(conn net.Conn) {
+	return acceptLoop(ctx, listener, s.maxConns, s.log, func(ctx context.Context, conn net.Conn) {
 		newConnection(conn, s.router, s.idleTimeout, s.log).serve(ctx)
 	})
 }
