--- a/cmd/dunestand/main.go
+++ b/cmd/dunestand/main.go
@@ -143,7 +143,7 @@
 	}
 	p, err := config.LoadPolicy(policyFile)
 	if err == nil {
-		err = p.Check(&s.Fleet)
+		err = p.CheckShares(&s.Fleet)
 	}
 	if err != nil {
 		return nil, nil, badInput{err}
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -1,11 +1,8 @@
 package config
 
 import (
-	"fmt"
 	"math"
 	"slices"
-	"strings"
-	"unicode/utf8"
 
 	"github.com/expr-lang/expr"
 	"github.com/expr-lang/expr/ast"
@@ -14,35 +11,30 @@
 	"dunestand/internal/units"
 )
 
-// AdmissionPolicy says how new jobs are admitted while there is more work than room.
+// AdmissionPolicy says how new jobs are admitted under overload. Its zero value admits all.
 type AdmissionPolicy struct {
 	// Horizon is for how much time ahead work is admitted; 0: all jobs are.
-	Horizon     units.Micros
+	Horizon units.Micros
+	// TeamShares and ClassShares are the weights of fair sharing, in the order of the file;
+	// the weights are positive.
 	TeamShares  []Share
 	ClassShares []Share
 }
 
 // Share is the weight of a team or class, and where the policy says so.
 type Share struct {
-	Name   string
-	Weight float64
-	at     string // file, line and column
-}
-
-// admissionSettings are the settings of an AdmissionPolicy. They are worked out once.
-var admissionSettings = map[string]func(*AdmissionPolicy, policySource) error{
-	"admission_horizon_s":    (*AdmissionPolicy).setHorizon,
-	"admission_team_shares":  (*AdmissionPolicy).setTeamShares,
-	"admission_class_shares": (*AdmissionPolicy).setClassShares,
+	Name     string
+	Weight   float64
+	position Position
 }
 
 // Bounds on the horizon, in seconds. A shorter one would be gone between two plans.
 const (
-	leastHorizonS = 10
-	mostHorizonS  = 7 * 24 * 3600
+	minHorizonS = 10
+	maxHorizonS = 7 * 24 * 3600
 )
 
-func (a *AdmissionPolicy) setHorizon(source policySource) error {
+func (p *Policy) parseHorizon(source policySource) error {
 	program, err := source.compileNumber(struct{}{})
 	if err != nil {
 		return err
@@ -51,40 +43,23 @@
 	if err != nil {
 		return source.locate(err)
 	}
-	if seconds != 0 && !(seconds >= leastHorizonS && seconds <= mostHorizonS) {
-		return fmt.Errorf("%s: %v is neither 0 nor between %d and %d",
-			source.place(source.start()), seconds, leastHorizonS, mostHorizonS)
+	if seconds != 0 && !(seconds >= minHorizonS && seconds <= maxHorizonS) {
+		return source.expressionStart().errorf("%v is neither 0 nor between %d and %d", seconds, minHorizonS, maxHorizonS)
 	}
-	a.Horizon = units.Seconds(seconds)
+	p.Admission.Horizon = units.Seconds(seconds)
 	return nil
 }
 
-func (a *AdmissionPolicy) setTeamShares(source policySource) (err error) {
-	a.TeamShares, err = source.shares()
+func (p *Policy) parseTeamShares(source policySource) (err error) {
+	p.Admission.TeamShares, err = source.shares()
 	return err
 }
 
-func (a *AdmissionPolicy) setClassShares(source policySource) (err error) {
-	a.ClassShares, err = source.shares()
+func (p *Policy) parseClassShares(source policySource) (err error) {
+	p.Admission.ClassShares, err = source.shares()
 	return err
 }
 
-// start is where the expression begins.
-func (s policySource) start() int { return len(s.text) - len(strings.TrimLeft(s.text, " \t\n")) }
-
-// place names the file, line and column of a place in the text, in characters.
-func (s policySource) place(offset int) string {
-	before := []rune(s.text)[:min(offset, utf8.RuneCountInString(s.text))]
-	line, column := s.first+1, 1
-	for _, r := range before {
-		column++
-		if r == '\n' {
-			line, column = line+1, 1
-		}
-	}
-	return fmt.Sprintf("%s:%d:%d", s.file, line, column)
-}
-
 // shares reads a map of names to weights, such as {"planning": 3, "dyehouse": 1}.
 func (s policySource) shares() ([]Share, error) {
 	program, err := expr.Compile(s.text, expr.Env(struct{}{}), expr.Optimize(false))
@@ -102,50 +77,62 @@
 	}
 	node, isLiteral := tree.Node.(*ast.MapNode)
 	if !isMap || !isLiteral {
-		return nil, fmt.Errorf(`%s: expected shares by name: {"name": 2, ...}`, s.place(s.start()))
+		return nil, s.expressionStart().errorf(`expected shares by name: {"name": 2, ...}`)
 	}
 	return s.readShares(node, weights)
 }
 
+// readShares checks the shares of a map whose expressions are in node and whose values are
+// in weights.
 func (s policySource) readShares(node *ast.MapNode, weights map[string]any) ([]Share, error) {
 	var shares []Share
 	sum := 0.0
-	for _, n := range node.Pairs {
-		pair, isPair := n.(*ast.PairNode)
+	for _, child := range node.Pairs {
+		pair, isPair := child.(*ast.PairNode)
 		if !isPair {
 			continue
 		}
-		at := s.place(pair.Key.Location().From)
+		share := Share{position: s.position(pair.Key.Location().From)}
 		key, isText := pair.Key.(*ast.StringNode)
 		if !isText || key.Value == "" {
-			return nil, fmt.Errorf("%s: expected a name in quotes", at)
+			return nil, share.position.errorf("expected a name in quotes")
 		}
-		if slices.ContainsFunc(shares, func(other Share) bool { return other.Name == key.Value }) {
-			return nil, fmt.Errorf("%s: %q has a share already", at, key.Value)
+		share.Name = key.Value
+		if slices.ContainsFunc(shares, func(other Share) bool { return other.Name == share.Name }) {
+			return nil, share.position.errorf("%q has a share already", share.Name)
 		}
-		weight, isNumber := numberOf(weights[key.Value])
-		if !isNumber || math.IsNaN(weight) || math.IsInf(weight, 0) {
-			return nil, fmt.Errorf("%s: the share of %q is not a number", at, key.Value)
+		if err := share.setWeight(weights[share.Name]); err != nil {
+			return nil, err
 		}
-		if weight < 0 {
-			return nil, fmt.Errorf("%s: the share of %q is negative", at, key.Value)
-		}
-		sum += weight
-		shares = append(shares, Share{Name: key.Value, Weight: weight, at: at})
+		sum += share.Weight
+		shares = append(shares, share)
 	}
 	if len(shares) > 0 && sum == 0 {
-		return nil, fmt.Errorf("%s: the shares come to 0 together", s.place(s.start()))
+		return nil, s.expressionStart().errorf("the shares come to 0 together")
 	}
 	for _, share := range shares {
 		if share.Weight == 0 {
-			return nil, fmt.Errorf("%s: the share of %q is 0, which would starve it", share.at, share.Name)
+			return nil, share.position.errorf("the share of %q is 0, which would starve it", share.Name)
 		}
 	}
 	return shares, nil
 }
 
-// numberOf gives the number that an expression has worked out.
-func numberOf(value any) (float64, bool) {
+// setWeight checks a weight. It may be 0 here, as all shares together have their own error.
+func (s *Share) setWeight(value any) error {
+	weight, isNumber := asNumber(value)
+	if !isNumber || math.IsNaN(weight) || math.IsInf(weight, 0) {
+		return s.position.errorf("the share of %q is not a number", s.Name)
+	}
+	if weight < 0 {
+		return s.position.errorf("the share of %q is negative", s.Name)
+	}
+	s.Weight = weight
+	return nil
+}
+
+// asNumber converts the result of an expression.
+func asNumber(value any) (number float64, ok bool) {
 	switch n := value.(type) {
 	case int:
 		return float64(n), true
@@ -155,17 +142,17 @@
 	return 0, false
 }
 
-// Check holds a policy against the settings: shares are for teams and classes that there
-// are.
-func (p *Policy) Check(f *Fleet) error {
+// CheckShares checks a policy against the settings: shares are for teams and classes that
+// exist. A mistake is a *PolicyError.
+func (p *Policy) CheckShares(f *Fleet) error {
 	for _, share := range p.Admission.TeamShares {
 		if !slices.ContainsFunc(f.Teams, func(t Team) bool { return t.Name == share.Name }) {
-			return fmt.Errorf("%s: %q is no team of the settings", share.at, share.Name)
+			return share.position.errorf("%q is no team of the settings", share.Name)
 		}
 	}
 	for _, share := range p.Admission.ClassShares {
 		if !slices.ContainsFunc(f.Objectives, func(o Objective) bool { return o.Class == share.Name }) {
-			return fmt.Errorf("%s: %q is no class of the settings' objectives", share.at, share.Name)
+			return share.position.errorf("%q is no class of the settings' objectives", share.Name)
 		}
 	}
 	return nil
--- a/internal/config/admission_test.go
+++ b/internal/config/admission_test.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = p.Check(&s.Fleet)
+		err = p.CheckShares(&s.Fleet)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.HasPrefix(err.Error(), want)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
