--- /dev/null
+++ b/internal/config/load.go
@@ -0,0 +1,43 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+)
+
+// Load reads and checks a settings file. Its errors fit on one line and name the file. One
+// about a value is a *FieldError; one about the file wraps that of the system, such as
+// fs.ErrNotExist.
+func Load(path string) (*Settings, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		if pathError, ok := errors.AsType[*fs.PathError](err); ok {
+			err = pathError.Err
+		}
+		return nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	settings, err := Parse(raw)
+	if err != nil {
+		return nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	return settings, nil
+}
+
+// Parse reads and checks the text of a settings file. An error about a value is a
+// *FieldError.
+func Parse(raw []byte) (*Settings, error) {
+	settings := new(Settings)
+	if err := json.Unmarshal(raw, settings); err != nil {
+		if typeError, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
+			return nil, fieldErrorf(typeError.Field, "%s is not a valid value", typeError.Value)
+		}
+		return nil, fmt.Errorf("not JSON: %w", err)
+	}
+	if err := settings.validate(); err != nil {
+		return nil, err
+	}
+	return settings, nil
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,18 +2,10 @@
 // operators' own policy.
 package config
 
-import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"net/netip"
-	"os"
-	"slices"
+import "dunestand/internal/units"
 
-	"dunestand/internal/units"
-)
-
-// Settings is the settings file, checked. Unknown fields are ignored.
+// Settings is the settings file, checked. Unknown fields are ignored. Names of fields that
+// end in S are in seconds, MS in milliseconds, KB in KiB and MB in MiB.
 type Settings struct {
 	Node         string   `json:"node_name"`
 	Zone         string   `json:"area"`
@@ -50,7 +42,8 @@
 	TimeBoundMS float64     `json:"time_bound_ms"`
 }
 
-// Team is a group of users with a guarantee and a limit. A guarantee or limit of 0 is none.
+// Team is a group of users with a guaranteed quota, in CPUs and GPUs, and a quota limit, in
+// CPUsMax and GPUsMax. A quota or limit of 0 is none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -59,56 +52,59 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is one of the users' aims.
+// Objective is one of the users' service-level objectives.
 type Objective struct {
-	Kind    string  `json:"kind"`
-	Class   string  `json:"class"`
-	WithinS float64 `json:"within_s"`
-	Share   float64 `json:"share"`
-	Times   float64 `json:"times"`
+	Kind    ObjectiveKind `json:"kind"`
+	Class   string        `json:"class"` // of jobs
+	WithinS float64       `json:"within_s"`
+	Share   float64       `json:"share"` // of the jobs, that meet it
+	Times   float64       `json:"times"` // for ObjectiveDeadline: multiple of a job's own deadline
 }
 
-// Workers holds the pace of the workers' reports and leases.
+// Workers holds the pace of the workers' heartbeats and leases.
 type Workers struct {
 	ReportS float64 `json:"report_s"`
 	LeaseS  float64 `json:"lease_s"`
 	CancelS float64 `json:"cancel_s"`
 }
 
-// Report is how often a worker reports.
+// Report is the interval of a worker's heartbeats.
 func (w Workers) Report() units.Micros { return units.Seconds(w.ReportS) }
 
-// Lease is how long a worker goes on without an answer.
+// Lease is how long a worker goes on without a response to its heartbeats.
 func (w Workers) Lease() units.Micros { return units.Seconds(w.LeaseS) }
 
-// Cancel is how long after its user was told a cancelled job's tasks may be there.
+// Cancel is how long the tasks of a cancelled job may still run after its user got the
+// confirmation.
 func (w Workers) Cancel() units.Micros { return units.Seconds(w.CancelS) }
 
 // State holds the limits of the state service.
 type State struct {
-	RPS      float64 `json:"rps"`
-	WriteRPS float64 `json:"write_rps"`
+	RPS      float64 `json:"rps"`       // requests per second
+	WriteRPS float64 `json:"write_rps"` // of those, writes
 	ValueKB  float64 `json:"value_kb"`
-	TxnOps   int     `json:"txn_ops"`
+	TxnOps   int     `json:"txn_ops"` // operations in one transaction
 	// Next holds limits that the service will have from some moment on, without
-	// notice. What it leaves out stays as it is.
+	// notice. What it leaves out, or sets to 0, stays as it is.
 	Next *State `json:"next"`
 }
 
-// ValueBytes is the largest value.
+// ValueBytes is the size of the largest value that can be stored.
 func (s State) ValueBytes() int { return int(s.ValueKB * 1024) }
 
-// Both gives limits that hold now and will go on holding.
+// Both returns limits that hold now and will go on holding: the lower ones of now and Next.
 func (s State) Both() State {
-	if n := s.Next; n != nil {
-		s.RPS, s.WriteRPS = lower(s.RPS, n.RPS), lower(s.WriteRPS, n.WriteRPS)
-		s.ValueKB, s.TxnOps = lower(s.ValueKB, n.ValueKB), lower(s.TxnOps, n.TxnOps)
+	if next := s.Next; next != nil {
+		s.RPS = lower(s.RPS, next.RPS)
+		s.WriteRPS = lower(s.WriteRPS, next.WriteRPS)
+		s.ValueKB = lower(s.ValueKB, next.ValueKB)
+		s.TxnOps = lower(s.TxnOps, next.TxnOps)
 		s.Next = nil
 	}
 	return s
 }
 
-// lower gives the lower of two limits; 0 is none.
+// lower returns the lower of two limits; a next of 0 changes nothing.
 func lower[T int | float64](now, next T) T {
 	if next == 0 {
 		return now
@@ -116,222 +112,15 @@
 	return min(now, next)
 }
 
-// The least that the state service must take: a job's record with short texts
-// fits into a value, and the end of a job that is in the inbox into a
-// transaction.
-const (
-	leastValueKB = 1
-	leastTxnOps  = 3
-)
-
-// checkLimits holds for the limits of now and of later.
-func (s State) checkLimits(field string) error {
-	if s.TxnOps < leastTxnOps {
-		return fmt.Errorf("%s.txn_ops: %d is below %d, the least a job's end takes", field, s.TxnOps, leastTxnOps)
-	}
-	if s.ValueKB < leastValueKB {
-		return fmt.Errorf("%s.value_kb: %v is below %v, the least a job's record takes", field, s.ValueKB, leastValueKB)
-	}
-	return nil
-}
-
-func (s State) checkNext() error {
-	const field = "settings.state.next"
-	if s.Next == nil {
-		return nil
-	}
-	for _, v := range []struct {
-		name        string
-		value, most float64
-	}{
-		{"rps", s.Next.RPS, 1e9},
-		{"write_rps", s.Next.WriteRPS, 1e9},
-		{"value_kb", s.Next.ValueKB, 1e6},
-		{"txn_ops", float64(s.Next.TxnOps), 1e6},
-	} {
-		if v.value < 0 || v.value > v.most {
-			return fmt.Errorf("%s.%s: %v is out of range", field, v.name, v.value)
-		}
-	}
-	return s.Both().checkLimits(field)
-}
-
 // Cloud holds the limits of the cloud.
 type Cloud struct {
-	RPS      float64 `json:"rps"`
-	ListLagS float64 `json:"list_lag_s"`
+	RPS      float64 `json:"rps"`        // requests per second
+	ListLagS float64 `json:"list_lag_s"` // how old a list of instances may be
 }
 
 // Resources is what this process may use.
 type Resources struct {
-	CoreShare      float64 `json:"core_share"`
+	CoreShare      float64 `json:"core_share"` // 1: a whole core
 	RAMMB          float64 `json:"ram_mb"`
 	MaxConnections int     `json:"max_connections"`
 }
-
-// Load reads and checks a settings file. Its errors fit on one line and name
-// the field.
-func Load(path string) (*Settings, error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		var pe *os.PathError
-		if errors.As(err, &pe) {
-			err = pe.Err
-		}
-		return nil, fmt.Errorf("settings %s: %w", path, err)
-	}
-	s, err := Parse(raw)
-	if err != nil {
-		return nil, fmt.Errorf("settings %s: %w", path, err)
-	}
-	return s, nil
-}
-
-// Parse reads and checks the text of a settings file.
-func Parse(raw []byte) (*Settings, error) {
-	s := new(Settings)
-	if err := json.Unmarshal(raw, s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("%s: %s is not a valid value", te.Field, te.Value)
-		}
-		return nil, fmt.Errorf("not JSON: %w", err)
-	}
-	if err := s.check(); err != nil {
-		return nil, err
-	}
-	return s, nil
-}
-
-func (s *Settings) check() error {
-	if s.Node == "" {
-		return errors.New("node_name: missing")
-	}
-	for _, a := range []struct{ field, value string }{
-		{"client_listen", s.ClientListen}, {"mesh_addr", s.MeshListen},
-		{"services.cloud", s.Services.Cloud}, {"services.state", s.Services.State},
-	} {
-		if err := checkAddress(a.field, a.value); err != nil {
-			return err
-		}
-	}
-	seen := map[string]bool{s.Node: true}
-	for i, p := range s.Others {
-		field := fmt.Sprintf("others[%d]", i)
-		if p.Node == "" || seen[p.Node] {
-			return fmt.Errorf("%s.node_name: missing or repeated", field)
-		}
-		seen[p.Node] = true
-		if err := checkAddress(field+".endpoint", p.Endpoint); err != nil {
-			return err
-		}
-	}
-	return s.Fleet.check()
-}
-
-func (f *Fleet) check() error {
-	for _, v := range []struct {
-		field       string
-		value, most float64
-	}{
-		{"workers.report_s", f.Workers.ReportS, 3600},
-		{"workers.lease_s", f.Workers.LeaseS, 86400},
-		{"workers.cancel_s", f.Workers.CancelS, 86400},
-		{"state.rps", f.State.RPS, 1e9},
-		{"state.write_rps", f.State.WriteRPS, 1e9},
-		{"state.value_kb", f.State.ValueKB, 1e6},
-		{"state.txn_ops", float64(f.State.TxnOps), 1e6},
-		{"cloud.rps", f.Cloud.RPS, 1e9},
-		{"resources.core_share", f.Resources.CoreShare, 1e6},
-		{"resources.ram_mb", f.Resources.RAMMB, 1e9},
-		{"resources.max_connections", float64(f.Resources.MaxConnections), 1e9},
-	} {
-		if v.value <= 0 || v.value > v.most {
-			return fmt.Errorf("settings.%s: %v is missing or out of range", v.field, v.value)
-		}
-	}
-	if f.Workers.LeaseS <= f.Workers.ReportS {
-		return fmt.Errorf("settings.workers.lease_s: %v is not longer than report_s, %v", f.Workers.LeaseS, f.Workers.ReportS)
-	}
-	if f.Cloud.ListLagS < 0 {
-		return fmt.Errorf("settings.cloud.list_lag_s: %v is negative", f.Cloud.ListLagS)
-	}
-	if err := f.State.checkLimits("settings.state"); err != nil {
-		return err
-	}
-	if err := f.State.checkNext(); err != nil {
-		return err
-	}
-	if len(f.Zones) == 0 {
-		return errors.New("settings.zones: missing")
-	}
-	names := map[string]bool{}
-	for i, t := range f.Teams {
-		field := fmt.Sprintf("settings.teams[%d]", i)
-		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("%s.name: missing or repeated", field)
-		}
-		names[t.Name] = true
-		if t.CPUs < 0 || t.GPUs < 0 || t.CPUsMax < 0 || t.GPUsMax < 0 {
-			return fmt.Errorf("%s: negative amount", field)
-		}
-	}
-	for i, o := range f.Objectives {
-		if o.WithinS < 0 || o.Times < 0 {
-			return fmt.Errorf("settings.objectives[%d]: negative time", i)
-		}
-	}
-	return nil
-}
-
-func checkAddress(field, value string) error {
-	if value == "" {
-		return fmt.Errorf("%s: missing", field)
-	}
-	if _, err := netip.ParseAddrPort(value); err != nil {
-		return fmt.Errorf("%s: %q is not an IP address and port", field, value)
-	}
-	return nil
-}
-
-// Dues lists when a job should be complete, from its submission, the earliest
-// first: its own deadline and the multiples of it that the users' aims name,
-// or what the aims say of its class. Empty: nothing is said.
-func (f *Fleet) Dues(class string, deadline units.Micros) []units.Micros {
-	var dues []units.Micros
-	for _, o := range f.Objectives {
-		switch {
-		case o.Class != class:
-		case o.Kind == "finished" && o.WithinS > 0:
-			dues = append(dues, units.Seconds(o.WithinS))
-		case o.Kind == "deadline" && deadline > 0 && o.Times > 0:
-			dues = append(dues, units.Micros(float64(deadline)*o.Times))
-		}
-	}
-	if len(dues) == 0 && deadline > 0 {
-		dues = append(dues, deadline)
-	}
-	slices.Sort(dues)
-	return dues
-}
-
-// GuaranteeDue is when work within a guarantee should have started, 0 if
-// nothing is said.
-func (f *Fleet) GuaranteeDue() units.Micros {
-	for _, o := range f.Objectives {
-		if o.Kind == "guarantee" {
-			return units.Seconds(o.WithinS)
-		}
-	}
-	return 0
-}
-
-// StartDue is when a job's tasks should have started, 0 if nothing is said.
-func (f *Fleet) StartDue(class string) units.Micros {
-	for _, o := range f.Objectives {
-		if o.Kind == "wait" && o.Class == class {
-			return units.Seconds(o.WithinS)
-		}
-	}
-	return 0
-}
