--- a/internal/config/admission_test.go
+++ b/internal/config/admission_test.go
@@ -4,6 +4,8 @@
 	"os"
 	"strings"
 	"testing"
+
+	"dunestand/internal/units"
 )
 
 func TestAdmissionPolicy(t *testing.T) {
@@ -16,9 +18,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := p.Admission
-	if a.Horizon.Seconds() != 300 || len(a.TeamShares) != 2 || a.TeamShares[1].Weight != 0.5 || a.ClassShares[0].Name != "rushorder" {
-		t.Errorf("%+v", a)
+	admission := p.Admission
+	if admission.Horizon != 300*units.Second || len(admission.TeamShares) != 2 || admission.TeamShares[1].Weight != 0.5 || admission.ClassShares[0].Name != "rushorder" {
+		t.Errorf("%+v", admission)
 	}
 	if DefaultPolicy().Admission.Horizon != 0 {
 		t.Error("admission is on in the built-in policy")
@@ -42,10 +44,12 @@
 		`admission_team_shares = {"": 1}`:                                  `p:1:26: expected a name`,
 		"admission_team_shares = {}\nadmission_team_shares = {}":           `p:2:1: admission_team_shares is set twice`,
 	} {
-		_, err := ParsePolicy("p", text, DefaultPolicy())
-		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %s", text, err, want)
-		}
+		t.Run(text, func(t *testing.T) {
+			_, err := ParsePolicy("p", text, DefaultPolicy())
+			if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want %s", err, want)
+			}
+		})
 	}
 }
 
@@ -60,14 +64,16 @@
 		"rank = 1\nadmission_team_shares = {\"t\": 1, \"x\": 2}": `p:2:34: "x" is no team`,
 		`admission_class_shares = {"e": 2}`:                      `p:1:27: "e" is no class`,
 	} {
-		p, err := ParsePolicy("p", text, DefaultPolicy())
-		if err != nil {
-			t.Fatal(err)
-		}
-		err = p.CheckShares(&s.Fleet)
-		if want == "" && err != nil || want != "" && (err == nil || !strings.HasPrefix(err.Error(), want)) {
-			t.Errorf("%q: %v, want %q", text, err, want)
-		}
+		t.Run(text, func(t *testing.T) {
+			p, err := ParsePolicy("p", text, DefaultPolicy())
+			if err != nil {
+				t.Fatal(err)
+			}
+			err = p.CheckShares(&s.Fleet)
+			if want == "" && err != nil || want != "" && (err == nil || !strings.HasPrefix(err.Error(), want)) {
+				t.Errorf("%v, want %q", err, want)
+			}
+		})
 	}
 }
 
