--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,6 +1,7 @@
 // Package units holds the few quantities that every layer shares: time in
 // whole microseconds, resource amounts in whole millionths, and the clock
-// that is passed to whatever needs the time.
+// that is passed to whatever needs the time. Whole numbers add up exactly and the same on
+// every machine.
 package units
 
 import (
@@ -17,80 +18,94 @@
 	Second      Micros = 1_000_000
 )
 
-// Seconds turns a number of seconds, as it appears on the wire, into Micros.
-// Values beyond what a schedule could mean are clamped.
-func Seconds(s float64) Micros {
-	const most = 1e12
-	if math.IsNaN(s) {
-		return 0
-	}
-	return Micros(math.Round(math.Max(-most, math.Min(most, s)) * 1e6))
+// Seconds converts a number of seconds, as it appears on the wire. It clamps values beyond
+// what a schedule could mean to 1e12 seconds either way, and converts NaN to 0.
+func Seconds(seconds float64) Micros {
+	const maxSeconds = 1e12
+	return Micros(millionths(seconds, maxSeconds))
 }
 
-// Seconds gives the length in seconds, for display and for policies.
-func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
+// Seconds returns the length in seconds, for display and for policies.
+func (m Micros) Seconds() float64 { return float64(m) / perUnit }
 
-// Duration gives the length for the standard library.
+// Duration returns the length for the standard library.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Share gives the part num/den of a length.
-func (m Micros) Share(num, den int64) Micros { return m * Micros(num) / Micros(den) }
+// Share returns the fraction numerator/denominator of a length, rounded towards zero.
+func (m Micros) Share(numerator, denominator int64) Micros {
+	return m * Micros(numerator) / Micros(denominator)
+}
 
 // Amount is a quantity of a resource (processors, cards, GB) in millionths,
 // so that sums are exact.
 type Amount int64
 
-// AmountOf turns a number on the wire into an Amount.
-func AmountOf(f float64) Amount {
-	const most = 1e9
-	if math.IsNaN(f) {
+// AmountOf converts a number on the wire. It clamps values to 1e9 either way, and converts
+// NaN to 0.
+func AmountOf(number float64) Amount {
+	const maxAmount = 1e9
+	return Amount(millionths(number, maxAmount))
+}
+
+// Float returns the amount as a number for the wire and for policies.
+func (a Amount) Float() float64 { return float64(a) / perUnit }
+
+// perUnit is the number of Micros in a second, and of millionths in an Amount of one.
+const perUnit = 1e6
+
+// millionths rounds a number to whole millionths after clamping it to limit either way.
+func millionths(number, limit float64) int64 {
+	if math.IsNaN(number) {
 		return 0
 	}
-	return Amount(math.Round(math.Max(-most, math.Min(most, f)) * 1e6))
+	return int64(math.Round(math.Max(-limit, math.Min(limit, number)) * perUnit))
 }
 
-// Float gives the amount as a number for the wire and for policies.
-func (a Amount) Float() float64 { return float64(a) / 1e6 }
-
-// Resources is what a task takes or a machine has.
+// Resources is what a task requests or a machine has.
 type Resources struct {
-	CPU, GPU, Memory Amount
+	CPU, GPU, Memory Amount // Memory in GB
 }
 
-// Plus adds o, n times.
+// Plus returns r with o added n times; a negative n subtracts.
 func (r Resources) Plus(o Resources, n int) Resources {
-	k := Amount(n)
-	return Resources{r.CPU + o.CPU*k, r.GPU + o.GPU*k, r.Memory + o.Memory*k}
+	times := Amount(n)
+	return Resources{r.CPU + o.CPU*times, r.GPU + o.GPU*times, r.Memory + o.Memory*times}
 }
 
-// Fits tells how many times need fits into r.
-func (r Resources) Fits(need Resources) int {
-	if need.CPU > r.CPU || need.Memory > r.Memory || need.GPU > r.GPU {
-		return 0 // the most frequent case, for little
+// Fits returns how many times a request fits into the free capacity r: math.MaxInt32 if the
+// request is zero, and 0 if r is negative anywhere.
+func (r Resources) Fits(request Resources) int {
+	if request.CPU > r.CPU || request.Memory > r.Memory || request.GPU > r.GPU {
+		return 0 // the most frequent case, at little cost
 	}
-	n := math.MaxInt32
-	for _, p := range [...][2]Amount{{r.CPU, need.CPU}, {r.GPU, need.GPU}, {r.Memory, need.Memory}} {
-		if p[0] < 0 {
+	times := math.MaxInt32
+	for _, resource := range [...]struct{ free, requested Amount }{
+		{r.CPU, request.CPU},
+		{r.GPU, request.GPU},
+		{r.Memory, request.Memory},
+	} {
+		if resource.free < 0 {
 			return 0
 		}
-		if p[1] > 0 {
-			n = min(n, int(p[0]/p[1]))
+		if resource.requested > 0 {
+			times = min(times, int(resource.free/resource.requested))
 		}
 	}
-	return n
+	return times
 }
 
-// Clock tells the time. Steady is for lengths of time and never steps back;
-// Wall is the time of day, correct only within the bound in the settings.
+// Clock reads the time. It may be used from several goroutines.
 type Clock interface {
+	// Steady is a monotonic time from an arbitrary start, for lengths of time.
 	Steady() Micros
+	// Wall is the time since the Unix epoch, correct only within the bound in the settings.
 	Wall() Micros
 }
 
-// SystemClock is the machine's own clock.
+// SystemClock is the machine's own clock. NewSystemClock makes one that can be used.
 type SystemClock struct{ start time.Time }
 
-// NewSystemClock starts a clock at zero.
+// NewSystemClock makes a clock whose steady time starts at zero now.
 func NewSystemClock() *SystemClock { return &SystemClock{start: time.Now()} }
 
 // Steady implements Clock.
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -12,31 +12,42 @@
 func TestFitsIsTheMostThatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, least int64) Resources {
-			a := rapid.Int64Range(least, 1000)
-			return Resources{Amount(a.Draw(t, name)), Amount(a.Draw(t, name)), Amount(a.Draw(t, name))}
+			amount := rapid.Int64Range(least, 1000)
+			return Resources{Amount(amount.Draw(t, name)), Amount(amount.Draw(t, name)), Amount(amount.Draw(t, name))}
 		}
-		room, need := draw("room", -5), draw("need", 0)
-		n := room.Fits(need)
-		inside := func(r Resources) bool { return r.CPU >= 0 && r.GPU >= 0 && r.Memory >= 0 }
+		free, request := draw("free", -5), draw("request", 0)
+		n := free.Fits(request)
+		notNegative := func(r Resources) bool { return r.CPU >= 0 && r.GPU >= 0 && r.Memory >= 0 }
 		if n == math.MaxInt32 {
-			if need != (Resources{}) {
-				t.Fatalf("%v fits into %v without end", need, room)
+			if request != (Resources{}) {
+				t.Fatalf("%v fits into %v without end", request, free)
 			}
 			return
 		}
-		if n > 0 && !inside(room.Plus(need, -n)) || n >= 0 && inside(room) && inside(room.Plus(need, -n-1)) {
-			t.Fatalf("%v into %v: %d", need, room, n)
+		if n > 0 && !notNegative(free.Plus(request, -n)) || n >= 0 && notNegative(free) && notNegative(free.Plus(request, -n-1)) {
+			t.Fatalf("%v into %v: %d", request, free, n)
 		}
 	})
 }
 
-func TestHostileNumbers(t *testing.T) {
-	for _, f := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e300} {
-		if s := Seconds(f); s < -Micros(1e18) || s > Micros(1e18) {
-			t.Errorf("Seconds(%v) = %d", f, s)
+func TestNumbersOfTheWireAreClamped(t *testing.T) {
+	for _, c := range []struct {
+		number float64
+		micros Micros
+		amount Amount
+	}{
+		{math.NaN(), 0, 0},
+		{math.Inf(1), 1e18, 1e15},
+		{math.Inf(-1), -1e18, -1e15},
+		{1e300, 1e18, 1e15},
+		{1.0000005, 1_000_001, 1_000_001}, // rounded, not cut off
+		{-2.5, -2_500_000, -2_500_000},
+	} {
+		if got := Seconds(c.number); got != c.micros {
+			t.Errorf("Seconds(%v) = %d, expected %d", c.number, got, c.micros)
 		}
-		if a := AmountOf(f); a < -Amount(1e15) || a > Amount(1e15) {
-			t.Errorf("AmountOf(%v) = %d", f, a)
+		if got := AmountOf(c.number); got != c.amount {
+			t.Errorf("AmountOf(%v) = %d, expected %d", c.number, got, c.amount)
 		}
 	}
 }
