--- a/internal/runtimestats/runtimestats.go
+++ b/internal/runtimestats/runtimestats.go
@@ -8,7 +8,8 @@
 )
 
 // Snapshot holds the runtime's figures since the process started. The runtime
-// brings its processor seconds up to date at the end of each collection.
+// updates its processor seconds at the end of each collection. A figure that this version
+// of Go does not have is 0.
 type Snapshot struct {
 	UserSeconds      float64 // processor time in this program's own code
 	CollectorSeconds float64 // processor time of the garbage collector
@@ -20,6 +21,7 @@
 	Goroutines       uint64
 }
 
+// The names of the figures in runtime/metrics.
 const (
 	userSeconds      = "/cpu/classes/user:cpu-seconds"
 	collectorSeconds = "/cpu/classes/gc/total:cpu-seconds"
@@ -31,48 +33,40 @@
 	goroutines       = "/sched/goroutines:goroutines"
 )
 
-// Read takes a snapshot.
+// Read takes a snapshot. It may be called from several goroutines.
 func Read() Snapshot {
-	samples := []metrics.Sample{
-		{Name: userSeconds},
-		{Name: collectorSeconds},
-		{Name: idleSeconds},
-		{Name: collections},
-		{Name: heapBytes},
-		{Name: stackBytes},
-		{Name: totalBytes},
-		{Name: goroutines},
+	var s Snapshot
+	figures := []struct {
+		name    string
+		seconds *float64 // where the value goes, if it is of this kind
+		count   *uint64
+	}{
+		{name: userSeconds, seconds: &s.UserSeconds},
+		{name: collectorSeconds, seconds: &s.CollectorSeconds},
+		{name: idleSeconds, seconds: &s.IdleSeconds},
+		{name: collections, count: &s.Collections},
+		{name: heapBytes, count: &s.HeapBytes},
+		{name: stackBytes, count: &s.StackBytes},
+		{name: totalBytes, count: &s.TotalBytes},
+		{name: goroutines, count: &s.Goroutines},
 	}
-	metrics.Read(samples)
-	return Snapshot{
-		UserSeconds:      seconds(samples[0]),
-		CollectorSeconds: seconds(samples[1]),
-		IdleSeconds:      seconds(samples[2]),
-		Collections:      count(samples[3]),
-		HeapBytes:        count(samples[4]),
-		StackBytes:       count(samples[5]),
-		TotalBytes:       count(samples[6]),
-		Goroutines:       count(samples[7]),
-	}
-}
-
-// seconds gives a sample's value, 0 if this version of Go does not have it.
-func seconds(sample metrics.Sample) float64 {
-	if sample.Value.Kind() != metrics.KindFloat64 {
-		return 0
+	samples := make([]metrics.Sample, len(figures))
+	for i, figure := range figures {
+		samples[i].Name = figure.name
 	}
-	return sample.Value.Float64()
-}
-
-// count gives a sample's value, 0 if this version of Go does not have it.
-func count(sample metrics.Sample) uint64 {
-	if sample.Value.Kind() != metrics.KindUint64 {
-		return 0
+	metrics.Read(samples)
+	for i, figure := range figures {
+		switch value := samples[i].Value; {
+		case figure.seconds != nil && value.Kind() == metrics.KindFloat64:
+			*figure.seconds = value.Float64()
+		case figure.count != nil && value.Kind() == metrics.KindUint64:
+			*figure.count = value.Uint64()
+		}
 	}
-	return sample.Value.Uint64()
+	return s
 }
 
-// LogValue lists the figures for a log line.
+// LogValue implements slog.LogValuer.
 func (s Snapshot) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Float64("user_s", s.UserSeconds),
--- a/internal/runtimestats/runtimestats_test.go
+++ b/internal/runtimestats/runtimestats_test.go
@@ -9,14 +9,16 @@
 func TestReadFindsEveryFigure(t *testing.T) {
 	runtime.GC()
 	s := Read()
-	switch {
-	case s.UserSeconds <= 0 || s.CollectorSeconds <= 0:
+	if s.UserSeconds <= 0 || s.CollectorSeconds <= 0 {
 		t.Errorf("processor seconds are missing: %+v", s)
-	case s.Collections == 0:
+	}
+	if s.Collections == 0 {
 		t.Errorf("collections are missing: %+v", s)
-	case s.HeapBytes == 0 || s.StackBytes == 0 || s.TotalBytes <= s.HeapBytes:
+	}
+	if s.HeapBytes == 0 || s.StackBytes == 0 || s.TotalBytes <= s.HeapBytes {
 		t.Errorf("memory is missing: %+v", s)
-	case s.Goroutines == 0:
+	}
+	if s.Goroutines == 0 {
 		t.Errorf("goroutines are missing: %+v", s)
 	}
 }
