--- a/cmd/dunestand/admission.go
+++ b/cmd/dunestand/admission.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 
@@ -13,27 +12,20 @@
 	"dunestand/node"
 )
 
-// admissionCommand looks at the admission plan of a running fleet.
-func admissionCommand() *cobra.Command {
-	admission := &cobra.Command{
+func newAdmissionCommand() *cobra.Command {
+	return groupCommand(&cobra.Command{
 		Use:   "admission",
 		Short: "Look at the admission plan of a fleet",
 		Long: `Look at the plan by which controllers admit jobs under overload. It is read from the
 state service that the settings name; no controller is asked and nothing is changed.`,
-		Args: oneArgument,
-		RunE: func(*cobra.Command, []string) error {
-			return badInput{errors.New("admission: use dunestand admission show or explain")}
-		},
-	}
-	admission.AddCommand(showCommand(), explainCommand())
-	return admission
+	}, "dunestand admission show or explain", newShowCommand(), newExplainCommand())
 }
 
-func showCommand() *cobra.Command {
+func newShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show SETTINGS",
 		Short: "Show the plan: quotas, what is restricted, whose turn it is",
-		Args:  oneArgument,
+		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			plan, err := readPlan(cmd, args[0])
 			if err != nil {
@@ -44,23 +36,17 @@
 	}
 }
 
-func explainCommand() *cobra.Command {
+func newExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain SETTINGS JOB",
 		Short: "Tell what the plan says about a job, and why",
 		Long: `Tell what the plan says about a job that is not known yet. JOB is a file with the
 submission as JSON.`,
-		Args: func(cmd *cobra.Command, args []string) error {
-			const files = 2
-			if len(args) != files {
-				return badInput{fmt.Errorf("%s: expected a settings file and a job", cmd.CommandPath())}
-			}
-			return nil
-		},
+		Args: exactArgs(2, "a settings file and a job"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			job, err := readJob(args[1])
 			if err != nil {
-				return badInput{err}
+				return inputError{err}
 			}
 			plan, err := readPlan(cmd, args[0])
 			if err != nil {
@@ -75,7 +61,7 @@
 func readPlan(cmd *cobra.Command, settingsFile string) (*node.AdmissionPlan, error) {
 	settings, err := config.Load(settingsFile)
 	if err != nil {
-		return nil, badInput{err}
+		return nil, inputError{err}
 	}
 	return node.ReadAdmissionPlan(cmd.Context(), settings, nil)
 }
@@ -90,7 +76,7 @@
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		return nil, fmt.Errorf("job %s: not JSON: %w", path, err)
 	}
-	wholeNumbers(fields)
+	convertTaskCount(fields)
 	job, err := protocol.ParseSubmission(protocol.Encode(fields))
 	if err != nil {
 		return nil, fmt.Errorf("job %s: %w", path, err)
@@ -98,11 +84,11 @@
 	return job, nil
 }
 
-// wholeNumbers turns the number of tasks into an integer, as the protocol has it: JSON does
+// convertTaskCount makes the number of tasks an integer, as the protocol has it: JSON does
 // not tell it from other numbers.
-func wholeNumbers(fields map[string]any) {
-	const tasks = "bolts"
-	if n, ok := fields[tasks].(float64); ok && n == float64(int64(n)) {
-		fields[tasks] = int64(n)
+func convertTaskCount(fields map[string]any) {
+	const taskCount = "bolts"
+	if count, ok := fields[taskCount].(float64); ok && count == float64(int64(count)) {
+		fields[taskCount] = int64(count)
 	}
 }
--- a/cmd/dunestand/cells.go
+++ b/cmd/dunestand/cells.go
@@ -1,38 +1,27 @@
 package main
 
 import (
-	"errors"
-
 	"github.com/spf13/cobra"
 
 	"dunestand/internal/federation"
 )
 
-func cellsCommand() *cobra.Command {
-	cells := &cobra.Command{
-		Use:   "cells",
-		Short: "Work with cells files",
-		Args:  oneArgument,
-		RunE: func(*cobra.Command, []string) error {
-			return badInput{errors.New("cells: use dunestand cells check FILE")}
-		},
-	}
-	cells.AddCommand(cellsCheckCommand())
-	return cells
+func newCellsCommand() *cobra.Command {
+	return groupCommand(&cobra.Command{Use: "cells", Short: "Work with cells files"}, "dunestand cells check FILE", newCellsCheckCommand())
 }
 
-func cellsCheckCommand() *cobra.Command {
+func newCellsCheckCommand() *cobra.Command {
 	var settingsFile string
 	check := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a cells file",
 		Long: `Check a cells file, and with --config whether it goes together with the settings of the
 cell. Prints nothing but what is wrong, and then exits with status 2.`,
-		Args: oneArgument,
+		Args: oneFile,
 		RunE: func(_ *cobra.Command, args []string) error {
 			cells, err := federation.LoadCells(args[0])
 			if err != nil {
-				return badInput{err}
+				return inputError{err}
 			}
 			if settingsFile == "" {
 				return nil
@@ -42,7 +31,7 @@
 				return err
 			}
 			if err := cells.CheckSettings(settings); err != nil {
-				return badInput{err}
+				return inputError{err}
 			}
 			return nil
 		},
--- /dev/null
+++ b/cmd/dunestand/root.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"fmt"
+	"runtime"
+
+	"github.com/spf13/cobra"
+
+	"dunestand/internal/config"
+)
+
+func newRootCommand() *cobra.Command {
+	var settingsFile, policyFile string
+	root := &cobra.Command{
+		Use:   "dunestand --config FILE",
+		Short: "Run one controller of the cluster scheduler",
+		Long: `dunestand schedules batch jobs on rented machines.
+
+Start one process per controller node, each with its own settings file. All
+state is in the state service that the settings name; a process can be killed
+and started again at any time. It logs to standard error, as much as the
+variable LOG_LEVEL says: error, info or debug.`,
+		Example: `  dunestand check settings.json      # is the settings file valid?
+  dunestand policy check site.policy # is the policy valid?
+  LOG_LEVEL=info dunestand --config settings.json`,
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		Args: func(_ *cobra.Command, args []string) error {
+			if len(args) > 0 {
+				return inputErrorf("unknown command %q; see dunestand --help", args[0])
+			}
+			return nil
+		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return run(cmd.Context(), settingsFile, policyFile) },
+	}
+	root.Flags().StringVar(&settingsFile, "config", "", "settings file (JSON) as the platform hands it over")
+	root.Flags().StringVar(&policyFile, "policy", "", "policy file, in place of the settings' policy_file")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return inputError{err} })
+	root.CompletionOptions.DisableDefaultCmd = true
+
+	root.AddCommand(newCheckCommand(), newPolicyCommand(), newAdmissionCommand(), newCellsCommand(), newVersionCommand())
+	return root
+}
+
+// groupCommand completes a command that only holds others; without one of them it fails with
+// the usage given.
+func groupCommand(group *cobra.Command, usage string, members ...*cobra.Command) *cobra.Command {
+	group.Args = oneFile
+	group.RunE = func(*cobra.Command, []string) error { return inputErrorf("%s: use %s", group.Use, usage) }
+	group.AddCommand(members...)
+	return group
+}
+
+// exactArgs accepts count arguments; expected names them.
+func exactArgs(count int, expected string) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, args []string) error {
+		if len(args) != count {
+			return inputErrorf("%s: expected %s", cmd.CommandPath(), expected)
+		}
+		return nil
+	}
+}
+
+var oneFile = exactArgs(1, "one file")
+
+func newCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a settings file",
+		Long:  "Check a settings file, and the policy that it names. Prints nothing but what is wrong, and then exits with status 2.",
+		Args:  oneFile,
+		RunE: func(_ *cobra.Command, args []string) error {
+			_, _, err := load(args[0], "")
+			return err
+		},
+	}
+}
+
+func newPolicyCommand() *cobra.Command {
+	check := &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a policy file",
+		Args:  oneFile,
+		RunE: func(_ *cobra.Command, args []string) error {
+			if _, err := config.LoadPolicy(args[0]); err != nil {
+				return inputError{err}
+			}
+			return nil
+		},
+	}
+	return groupCommand(&cobra.Command{Use: "policy", Short: "Work with policy files"}, "dunestand policy check FILE", check)
+}
+
+func newVersionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  exactArgs(0, "no arguments"),
+		Run: func(cmd *cobra.Command, _ []string) {
+			fmt.Fprintln(cmd.OutOrStdout(), "dunestand", Version, runtime.Version())
+		},
+	}
+}
