--- a/cmd/dunestand/admission_test.go
+++ b/cmd/dunestand/admission_test.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -16,60 +13,88 @@
 	"dunestand/node"
 )
 
-// The commands show the plan that is stored, and what it says about a job.
-func TestAdmissionCommands(t *testing.T) {
+// startState starts a state service and returns it and its address.
+func startState(t *testing.T) (*standin.State, string) {
+	t.Helper()
 	state := standin.NewState()
 	server := httptest.NewServer(state)
 	t.Cleanup(server.Close)
-	dir := t.TempDir()
-	write := func(name string, content any) string {
-		raw, err := json.Marshal(content)
-		if err != nil {
-			t.Fatal(err)
-		}
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, raw, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
-	}
-	settings := write("settings.json", processSettings(0, "127.0.0.1:1", []string{"127.0.0.1:2"}, strings.TrimPrefix(server.URL, "http://"), "127.0.0.1:4"))
-	job := write("job.json", processJob(7, "mill", 1))
-	if _, err := execute("admission", "show", settings); !errors.Is(err, node.ErrNoPlan) {
-		t.Errorf("without a plan: %v", err)
-	}
-	teams := []admission.Team{{Name: "mill", Guarantee: admission.Amounts{units.AmountOf(8)}, Limit: admission.Amounts{units.AmountOf(16)}}}
-	bulk := admission.Cell{Team: "mill", Class: "q"}
-	plan := admission.NewPlanner(admission.Options{Horizon: 100 * units.Second}, teams, nil, 0).Next(3, 2, admission.Measurement{
-		Loads: []admission.Load{{Cell: bulk, Work: admission.WorkOf(800, units.AmountOf(1), 10*units.Second)}},
-	}).Plan
+	return state, strings.TrimPrefix(server.URL, "http://")
+}
+
+// encodedPlan is plan 3 of term 2, which restricts the team mill.
+func encodedPlan(t *testing.T) []byte {
+	t.Helper()
+	teams := []admission.Team{{
+		Name:      "mill",
+		Guarantee: admission.Amounts{units.AmountOf(8)},
+		Limit:     admission.Amounts{units.AmountOf(16)},
+	}}
+	planner := admission.NewPlanner(admission.Options{Horizon: 100 * units.Second}, teams, nil, 0)
+	plan := planner.Next(3, 2, admission.Measurement{Loads: []admission.Load{{
+		Cell: admission.Cell{Team: "mill", Class: "q"},
+		Work: admission.WorkOf(800, units.AmountOf(1), 10*units.Second),
+	}}}).Plan
 	raw, _, err := admission.Encode(plan, 8<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	state.Put(admission.KeyPlan, raw)
-	for command, want := range map[string][]string{
-		"show":    {"plan 3 of term 2", "restricted", "mill"},
-		"explain": {"j-000007", "wait by plan 3", "small job of mill, class q, by cpu"},
+	return raw
+}
+
+// The commands show the plan that is stored, and what it says about a job.
+func TestAdmissionCommands(t *testing.T) {
+	state, address := startState(t)
+	settings := writeSettings(t, address)
+	job := writeJSON(t, "job.json", processJob(7, "mill", 1))
+	if _, err := execute("admission", "show", settings); !errors.Is(err, node.ErrNoPlan) {
+		t.Errorf("without a plan: %v", err)
+	}
+	state.Put(admission.KeyPlan, encodedPlan(t))
+	for _, c := range []struct {
+		args   []string
+		output []string
+	}{
+		{[]string{"show", settings}, []string{"plan 3 of term 2", "restricted", "mill"}},
+		{[]string{"explain", settings, job}, []string{"j-000007", "wait by plan 3", "small job of mill, class q, by cpu"}},
 	} {
-		args := []string{"admission", command, settings}
-		if command == "explain" {
-			args = append(args, job)
-		}
-		out, err := execute(args...)
-		if err != nil {
-			t.Errorf("%s: %v", command, err)
-		}
-		for _, text := range want {
-			if !strings.Contains(out, text) {
-				t.Errorf("%s prints no %q:\n%s", command, text, out)
+		t.Run(c.args[0], func(t *testing.T) {
+			output, err := execute(append([]string{"admission"}, c.args...)...)
+			if err != nil {
+				t.Error(err)
+			}
+			for _, text := range c.output {
+				if !strings.Contains(output, text) {
+					t.Errorf("no %q:\n%s", text, output)
+				}
 			}
-		}
+		})
 	}
 	state.Put(admission.KeyPlan, protocol.Encode("nonsense"))
 	if _, err := execute("admission", "show", settings); err == nil {
 		t.Error("a plan that is not readable is shown")
 	}
+}
+
+func TestReadJob(t *testing.T) {
+	job := processJob(7, "mill", 3)
+	spec, err := readJob(writeJSON(t, "job.json", job))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if spec.Tasks != 3 {
+		t.Errorf("%d tasks", spec.Tasks)
+	}
+	job["bolts"] = 2.5
+	if _, err := readJob(writeJSON(t, "job.json", job)); err == nil {
+		t.Error("a job with half a task is read")
+	}
+}
+
+func TestBadInputOfAdmissionCommands(t *testing.T) {
+	_, address := startState(t)
+	settings := writeSettings(t, address)
+	job := writeJSON(t, "job.json", processJob(7, "mill", 1))
 	for _, args := range [][]string{
 		{"admission"},
 		{"admission", "show"},
@@ -77,9 +102,9 @@
 		{"admission", "explain", settings},
 		{"admission", "explain", settings, settings},
 	} {
-		var bad badInput
-		if _, err := execute(args...); !errors.As(err, &bad) {
-			t.Errorf("%v: %v is not bad input", args, err)
-		}
+		t.Run(strings.Join(args, " "), func(t *testing.T) {
+			_, err := execute(args...)
+			expectInputError(t, err)
+		})
 	}
 }
--- a/cmd/dunestand/main_test.go
+++ b/cmd/dunestand/main_test.go
@@ -4,36 +4,77 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"io/fs"
+	"log/slog"
 	"os"
+	"os/exec"
 	"path/filepath"
+	"runtime"
+	"runtime/debug"
 	"strings"
 	"testing"
+
+	"dunestand/internal/config"
 )
 
-func execute(args ...string) (string, error) {
+// execute runs the program's command line in this process.
+func execute(args ...string) (output string, err error) {
 	var out bytes.Buffer
-	c := command()
-	c.SetArgs(args)
-	c.SetOut(&out)
-	c.SetErr(&out)
-	err := c.Execute()
+	root := newRootCommand()
+	root.SetArgs(args)
+	root.SetOut(&out)
+	root.SetErr(&out)
+	err = root.Execute()
 	return out.String(), err
 }
 
-// Bad input at the command line is told in one line and ends with status 2.
-func TestBadInput(t *testing.T) {
-	dir := t.TempDir()
-	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
+// writeFile writes a file in a directory of the test's own, and returns its path.
+func writeFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// writeJSON writes a value as a JSON file, and returns its path.
+func writeJSON(t *testing.T, name string, content any) string {
+	t.Helper()
+	raw, err := json.Marshal(content)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return writeFile(t, name, string(raw))
+}
+
+// writeSettings writes valid settings that name a state service, and returns the path.
+func writeSettings(t *testing.T, stateService string) string {
+	t.Helper()
+	return writeJSON(t, "settings.json",
+		processSettings(0, "127.0.0.1:1", []string{"127.0.0.1:2"}, stateService, "127.0.0.1:4"))
+}
+
+// expectInputError fails the test if an error is not the operator's to correct or not one
+// line.
+func expectInputError(t *testing.T, err error) {
+	t.Helper()
+	if _, ok := errors.AsType[inputError](err); !ok {
+		t.Errorf("%v is not an input error", err)
+	} else if strings.Contains(err.Error(), "\n") {
+		t.Errorf("%q is not one line", err)
 	}
-	broken, badPolicy := write("broken.json", `{"node_name": 7}`), write("bad.policy", "rank = 1 +\n")
+}
+
+// Bad input at the command line is told in one line and ends with status 2.
+func TestBadInputIsAnInputError(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "none")
+	broken := writeFile(t, "broken.json", `{"node_name": 7}`)
+	badPolicy := writeFile(t, "bad.policy", "rank = 1 +\n")
+	badCells := writeFile(t, "bad.toml", "complete_by_hour = 24")
 	for _, args := range [][]string{
 		{},
-		{"--config", filepath.Join(dir, "none.json")},
+		{"--config", missing},
 		{"--config", broken},
 		{"check", broken},
 		{"check"},
@@ -41,44 +82,140 @@
 		{"policy"},
 		{"policy", "check"},
 		{"policy", "check", badPolicy},
-		{"policy", "check", filepath.Join(dir, "none")},
+		{"policy", "check", missing},
 		{"cells"},
 		{"cells", "check"},
-		{"cells", "check", filepath.Join(dir, "none")},
-		{"cells", "check", write("bad.toml", "complete_by_hour = 24")},
+		{"cells", "check", missing},
+		{"cells", "check", badCells},
 		{"--colour"},
 		{"frobnicate"},
 		{"version", "x"},
 	} {
-		_, err := execute(args...)
-		var bad badInput
-		if !errors.As(err, &bad) {
-			t.Errorf("%v: %v is not bad input", args, err)
-		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %q is not one line", args, err)
+		t.Run(strings.Join(args, " "), func(t *testing.T) {
+			_, err := execute(args...)
+			expectInputError(t, err)
+		})
+	}
+}
+
+func TestExitStatus(t *testing.T) {
+	program := buildProgram(t)
+	for _, c := range []struct {
+		name   string
+		args   []string
+		status int
+	}{
+		{"success", []string{"version"}, 0},
+		{"failure", []string{"admission", "show", writeSettings(t, freeAddress(t))}, exitFailure},
+		{"bad input", []string{"frobnicate"}, exitBadInput},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cmd := exec.CommandContext(t.Context(), program, c.args...)
+			var stderr bytes.Buffer
+			cmd.Stderr = &stderr
+			_ = cmd.Run() // the status is looked at below
+			if status := cmd.ProcessState.ExitCode(); status != c.status {
+				t.Errorf("status %d, expected %d", status, c.status)
+			}
+			if message := stderr.String(); c.status != 0 && (!strings.HasPrefix(message, "dunestand: ") || strings.Count(message, "\n") != 1) {
+				t.Errorf("message %q", message)
+			}
+		})
+	}
+}
+
+func TestGroupCommandsNameTheirMembers(t *testing.T) {
+	for group, want := range map[string]string{
+		"policy":    "policy: use dunestand policy check FILE",
+		"cells":     "cells: use dunestand cells check FILE",
+		"admission": "admission: use dunestand admission show or explain",
+	} {
+		_, err := execute(group, "frobnicate")
+		expectInputError(t, err)
+		if err == nil || err.Error() != want {
+			t.Errorf("%s: %v, expected %s", group, err, want)
 		}
 	}
-	settings, err := json.Marshal(processSettings(0, "127.0.0.1:1", []string{"127.0.0.1:2"}, "127.0.0.1:3", "127.0.0.1:4"))
-	if err != nil {
-		t.Fatal(err)
+}
+
+func TestInputErrorKeepsItsCause(t *testing.T) {
+	if _, err := execute("check", filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("a missing file: %v", err)
+	}
+	_, err := execute("check", writeFile(t, "broken.json", `{"node_name": 7}`))
+	if fieldError, ok := errors.AsType[*config.FieldError](err); !ok || fieldError.Field != "node_name" {
+		t.Errorf("a bad field: %v", err)
 	}
-	unknown := write("unknown.policy", "rank = 1\nadmission_team_shares = {\"nobody\": 1}\n")
-	_, err = execute("--config", write("settings.json", string(settings)), "--policy", unknown)
-	var bad badInput
-	if want := unknown + ":2:26: "; !errors.As(err, &bad) || !strings.HasPrefix(err.Error(), want) {
+}
+
+func TestPolicyWithUnknownTeamIsAnInputError(t *testing.T) {
+	policy := writeFile(t, "unknown.policy", "rank = 1\nadmission_team_shares = {\"nobody\": 1}\n")
+	_, err := execute("--config", writeSettings(t, "127.0.0.1:3"), "--policy", policy)
+	expectInputError(t, err)
+	if want := policy + ":2:26: "; err == nil || !strings.HasPrefix(err.Error(), want) {
 		t.Errorf("a share for an unknown team: %v, want %s", err, want)
 	}
-	if _, err := execute("policy", "check", write("good.policy", "rank = waited_s * -1\n")); err != nil {
-		t.Errorf("a good policy: %v", err)
+}
+
+func TestCellsThatDoNotFitTheSettingsAreAnInputError(t *testing.T) {
+	_, err := execute("cells", "check", "../../deploy/cells.toml", "--config", writeSettings(t, "127.0.0.1:3"))
+	expectInputError(t, err)
+	if err == nil || !strings.HasPrefix(err.Error(), "lease_s: ") {
+		t.Errorf("a cells file that does not fit the settings: %v", err)
 	}
-	if _, err := execute("cells", "check", "../../deploy/cells.toml"); err != nil {
-		t.Errorf("the cells file that is delivered: %v", err)
+}
+
+func TestGoodInput(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		args   []string
+		output string
+	}{
+		{"policy", []string{"policy", "check", writeFile(t, "good.policy", "rank = waited_s * -1\n")}, ""},
+		{"the cells file that is delivered", []string{"cells", "check", "../../deploy/cells.toml"}, ""},
+		{"settings", []string{"check", writeSettings(t, "127.0.0.1:3")}, ""},
+		{"version", []string{"version"}, "dunestand " + Version + " " + runtime.Version() + "\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			output, err := execute(c.args...)
+			if err != nil {
+				t.Error(err)
+			}
+			if output != c.output {
+				t.Errorf("prints %q, expected %q", output, c.output)
+			}
+		})
 	}
-	unfit := []string{"cells", "check", "../../deploy/cells.toml", "--config", write("settings.json", string(settings))}
-	if _, err := execute(unfit...); !errors.As(err, &bad) || !strings.HasPrefix(err.Error(), "lease_s: ") {
-		t.Errorf("a cells file that does not fit the settings: %v", err)
+}
+
+func TestLogLevel(t *testing.T) {
+	for name, want := range map[string]slog.Level{
+		"":      slog.LevelInfo,
+		"error": slog.LevelError,
+		"debug": slog.LevelDebug,
+	} {
+		if level, err := logLevel(name); err != nil || level != want {
+			t.Errorf("%q: %v %v", name, level, err)
+		}
+	}
+	_, err := logLevel("loud")
+	expectInputError(t, err)
+}
+
+func TestThreadsFollowTheCoreShare(t *testing.T) {
+	threads, gc, memory := runtime.GOMAXPROCS(0), debug.SetGCPercent(gcPercent), debug.SetMemoryLimit(-1)
+	t.Cleanup(func() {
+		runtime.GOMAXPROCS(threads)
+		debug.SetGCPercent(gc)
+		debug.SetMemoryLimit(memory)
+	})
+	for share, want := range map[float64]int{0.06: 1, 1: 1, 1.005: 1, 1.5: 2, 2: 2} {
+		limitProcess(config.Resources{CoreShare: share, RAMMB: 1000})
+		if got := runtime.GOMAXPROCS(0); got != want {
+			t.Errorf("%v cores: %d threads, expected %d", share, got, want)
+		}
 	}
-	if _, err := execute("version"); err != nil {
-		t.Errorf("version: %v", err)
+	if limit := debug.SetMemoryLimit(-1); limit != 700<<20 {
+		t.Errorf("memory limit of %d bytes", limit)
 	}
 }
--- a/cmd/dunestand/processes_test.go
+++ b/cmd/dunestand/processes_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -36,54 +35,59 @@
 	policyFile  = "../../deploy/fair-admission.policy"
 )
 
-// startProcesses builds the program and starts the controllers.
-func startProcesses(t *testing.T) *processes {
-	dir := t.TempDir()
-	program := filepath.Join(dir, "dunestand")
+// buildProgram builds the program and returns its path.
+func buildProgram(t *testing.T) string {
+	t.Helper()
+	program := filepath.Join(t.TempDir(), "dunestand")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	state := standin.NewState()
-	p := &processes{t: t, checker: admissioncheck.New(state)}
-	stateServer, cloudServer := httptest.NewServer(state), httptest.NewServer(standin.NewCloud(protocol.Catalog{
+	return program
+}
+
+// startProcesses builds the program and starts the controllers.
+func startProcesses(t *testing.T) *processes {
+	t.Helper()
+	program := buildProgram(t)
+	state, stateAddress := startState(t)
+	cloud := httptest.NewServer(standin.NewCloud(protocol.Catalog{
 		Types: []protocol.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootS: 1, Zones: []string{"a"}}},
 	}, 0))
-	t.Cleanup(stateServer.Close)
-	t.Cleanup(cloudServer.Close)
+	t.Cleanup(cloud.Close)
+	p := &processes{t: t, checker: admissioncheck.New(state)}
 	meshes := make([]string, controllers)
 	for i := range meshes {
 		p.addrs, meshes[i] = append(p.addrs, freeAddress(t)), freeAddress(t)
 	}
 	for i := range controllers {
-		settings := processSettings(i, p.addrs[i], meshes, strings.TrimPrefix(stateServer.URL, "http://"), strings.TrimPrefix(cloudServer.URL, "http://"))
-		path := filepath.Join(dir, fmt.Sprintf("settings-%d.json", i))
-		raw, err := json.Marshal(settings)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, raw, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		cmd := exec.Command(program, "--config", path, "--policy", policyFile)
-		cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
-		cmd.Stderr = os.Stderr
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() {
-			_ = cmd.Process.Kill()
-			_ = cmd.Wait()
-		})
-		p.running = append(p.running, cmd)
+		settings := processSettings(i, p.addrs[i], meshes, stateAddress, strings.TrimPrefix(cloud.URL, "http://"))
+		p.running = append(p.running, startProcess(t, program, writeJSON(t, "settings.json", settings)))
 	}
 	return p
 }
 
+// startProcess starts a controller that is killed at the end of the test.
+func startProcess(t *testing.T, program, settingsFile string) *exec.Cmd {
+	t.Helper()
+	cmd := exec.Command(program, "--config", settingsFile, "--policy", policyFile)
+	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
+	cmd.Stderr = os.Stderr
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
+	})
+	return cmd
+}
+
+// processSettings returns the settings of controller i, whose peers' addresses are in meshes.
 func processSettings(i int, client string, meshes []string, state, cloud string) map[string]any {
 	var others []any
-	for k, mesh := range meshes {
-		if k != i {
-			others = append(others, map[string]any{"node_name": fmt.Sprintf("dune-%d", k), "area": "a", "endpoint": mesh})
+	for peer, mesh := range meshes {
+		if peer != i {
+			others = append(others, map[string]any{"node_name": fmt.Sprintf("dune-%d", peer), "area": "a", "endpoint": mesh})
 		}
 	}
 	return map[string]any{
@@ -108,15 +112,16 @@
 }
 
 func freeAddress(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-// shows tells whether a controller's metrics have a text.
+// shows reports whether a controller's metrics contain a text.
 func (p *processes) shows(i int, text string) bool {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + p.addrs[i] + "/metrics")
@@ -128,24 +133,25 @@
 	return bytes.Contains(body, []byte(text))
 }
 
-// leader is the controller that shows a term, other than one that is left out.
-func (p *processes) leader(but int) int {
+// leader waits for a controller that shows a term, other than the excluded one.
+func (p *processes) leader(excluded int) int {
 	p.t.Helper()
 	for range 300 {
 		for i := range controllers {
-			if i != but && p.shows(i, "dunestand_term ") {
+			if i != excluded && p.shows(i, "dunestand_term ") {
 				return i
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	p.t.Fatal("nobody leads")
+	p.t.Fatal("no controller is the leader")
 	return 0
 }
 
-// submit sends a job to a controller, as user does, and has the checker hear the answer.
-func (p *processes) submit(user, node int, job map[string]any) admissioncheck.AnswerKind {
-	reply := p.checker.Submit(p.t.Context(), user, p.addrs[node], job)
+// submit sends a job to a controller, as user does, through the checker, which judges the
+// response.
+func (p *processes) submit(user, controller int, job map[string]any) admissioncheck.AnswerKind {
+	reply := p.checker.Submit(p.t.Context(), user, p.addrs[controller], job)
 	if seconds := reply.RetryAfter.Seconds(); reply.Kind == admissioncheck.SaysWait && (seconds < 1 || seconds > 30) {
 		p.t.Errorf("a job that waits is to come back after %v s", seconds)
 	}
@@ -156,95 +162,114 @@
 	return standin.Submission(fmt.Sprintf("j-%06d", id), team, "q", tasks, 60)
 }
 
-// flood has users of a team submit jobs one after the other through two controllers, with
-// repeats through any, until told to stop.
-func (p *processes) flood(stop <-chan struct{}, wg *sync.WaitGroup) {
+// announce has the checker know a job before it is submitted.
+func (p *processes) announce(job map[string]any) {
+	if err := p.checker.Announce(job); err != nil {
+		p.t.Error(err)
+	}
+}
+
+// startFlood has users of a team submit jobs one after the other through two controllers,
+// with repeats through any. The function that it returns ends that and waits for it.
+func (p *processes) startFlood() (stop func()) {
 	const users = 8
+	stopped := make(chan struct{})
+	var flood sync.WaitGroup
 	for user := range users {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		flood.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-stop:
+				case <-stopped:
 					return
 				default:
 				}
 				job := processJob(100_000*(user+1)+n, "mill", 5)
-				p.submitted(job)
-				for node := range 3 {
-					p.submit(user, (user+node*n)%controllers, job)
+				p.announce(job)
+				for controller := range 3 {
+					p.submit(user, (user+controller*n)%controllers, job)
 				}
 			}
-		}()
+		})
 	}
-}
-
-func (p *processes) submitted(job map[string]any) {
-	if err := p.checker.Announce(job); err != nil {
-		p.t.Error(err)
+	return func() {
+		close(stopped)
+		flood.Wait()
 	}
 }
 
-// The program, started as the page for operators says, admits by a plan. While one team
-// floods it the leader stands still for longer than its lease and the plan's lifetime, and
-// comes back; another one is killed. Answers stay consistent, and the other team is served
-// all the time but while a new leader is found.
-func TestProcessesAdmitByThePlanWhileTheLeaderStandsStill(t *testing.T) {
-	p := startProcesses(t)
+// waitForPlan waits until each controller admits by the plan.
+func (p *processes) waitForPlan() {
+	p.t.Helper()
 	for i := range controllers {
 		for try := 0; !p.shows(i, "dunestand_admission_active 1"); try++ {
 			if try == 300 {
-				t.Fatalf("controller %d does not admit by the plan", i)
+				p.t.Fatalf("controller %d does not admit by the plan", i)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	stop := make(chan struct{})
-	var wg sync.WaitGroup
-	p.flood(stop, &wg)
-	next := 0
-	served := func() {
-		t.Helper()
-		next++
-		job := processJob(next, "dye", 1)
-		p.submitted(job)
-		for try := 0; p.submit(-next, (next+try)%controllers, job) != admissioncheck.SaysAccepted; try++ {
-			if try == 60 {
-				t.Fatal("a job within its team's guarantee is not accepted")
-			}
-			time.Sleep(250 * time.Millisecond)
+}
+
+// serveWithinGuarantee submits job number id of a team that stays within its guaranteed
+// quota, until it is accepted.
+func (p *processes) serveWithinGuarantee(id int) {
+	p.t.Helper()
+	job := processJob(id, "dye", 1)
+	p.announce(job)
+	for try := 0; p.submit(-id, (id+try)%controllers, job) != admissioncheck.SaysAccepted; try++ {
+		if try == 60 {
+			p.t.Fatal("a job within its team's guarantee is not accepted")
 		}
+		time.Sleep(250 * time.Millisecond)
+	}
+}
+
+func (p *processes) signal(controller int, signal os.Signal) {
+	p.t.Helper()
+	if err := p.running[controller].Process.Signal(signal); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// The program, started as the page for operators says, admits by a plan. While one team
+// floods it the leader is paused for longer than its lease and the plan's lifetime, and
+// resumed; another one is killed. Answers stay consistent, and the other team is served
+// all the time but during a failover.
+func TestProcessesAdmitByThePlanWhileTheLeaderIsPaused(t *testing.T) {
+	p := startProcesses(t)
+	p.waitForPlan()
+	stopFlood := p.startFlood()
+	jobs := 0
+	serve := func() {
+		t.Helper()
+		jobs++
+		p.serveWithinGuarantee(jobs)
 	}
 	for range 5 {
-		served()
+		serve()
 	}
 	paused := p.leader(-1)
-	if err := p.running[paused].Process.Signal(syscall.SIGSTOP); err != nil {
-		t.Fatal(err)
-	}
-	const standstill = 12 * time.Second // longer than the lease and a plan's lifetime
-	for began := time.Now(); time.Since(began) < standstill; time.Sleep(time.Second) {
-		served()
+	p.signal(paused, syscall.SIGSTOP)
+	const pause = 12 * time.Second // longer than the lease and a plan's lifetime
+	for began := time.Now(); time.Since(began) < pause; time.Sleep(time.Second) {
+		serve()
 	}
 	successor := p.leader(paused)
-	if err := p.running[paused].Process.Signal(syscall.SIGCONT); err != nil {
-		t.Fatal(err)
-	}
-	served()
-	if err := p.running[successor].Process.Kill(); err != nil {
-		t.Fatal(err)
-	}
+	p.signal(paused, syscall.SIGCONT)
+	serve()
+	p.signal(successor, syscall.SIGKILL)
 	for range 5 {
-		served()
+		serve()
 	}
-	close(stop)
-	wg.Wait()
+	stopFlood()
 	for _, broken := range p.checker.Verdicts() {
 		t.Error(broken)
 	}
-	if p.checker.Waits() == 0 || p.checker.Plans() < 5 {
-		t.Errorf("%d waits, %d plans", p.checker.Waits(), p.checker.Plans())
+	if p.checker.Waits() == 0 {
+		t.Error("no job had to wait")
+	}
+	if plans := p.checker.Plans(); plans < 5 {
+		t.Errorf("%d plans", plans)
 	}
 	t.Logf("%d accepted, %d waits, %d plans", len(p.checker.Accepted()), p.checker.Waits(), p.checker.Plans())
 }
