--- a/cmd/dunestand/admission.go
+++ b/cmd/dunestand/admission.go
@@ -85,7 +85,7 @@
 }
 
 // convertTaskCount makes the number of tasks an integer, as the protocol has it: JSON does
-// not tell it from other numbers.
+// not distinguish it from other numbers.
 func convertTaskCount(fields map[string]any) {
 	const taskCount = "bolts"
 	if count, ok := fields[taskCount].(float64); ok && count == float64(int64(count)) {
--- a/cmd/dunestand/main_test.go
+++ b/cmd/dunestand/main_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Bad input at the command line is told in one line and ends with status 2.
+// Bad input at the command line is reported in one line and ends with status 2.
 func TestBadInputIsAnInputError(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	broken := writeFile(t, "broken.json", `{"node_name": 7}`)
--- a/cmd/dunestand/run.go
+++ b/cmd/dunestand/run.go
@@ -39,7 +39,7 @@
 	return settings, policy, nil
 }
 
-// run runs the controller until ctx ends or the process is told to end.
+// run runs the controller until ctx ends or the process gets a signal to end.
 func run(ctx context.Context, settingsFile, policyFile string) error {
 	settings, policy, err := load(settingsFile, policyFile)
 	if err != nil {
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -65,7 +65,7 @@
 	"admission_class_shares": (*Policy).parseClassShares,
 }
 
-// numberSetting parses an expression of the variables in env that gives a number.
+// numberSetting parses an expression of the variables in env whose result is a number.
 func numberSetting(env any, field func(*Policy) **vm.Program) func(*Policy, policySource) error {
 	return func(p *Policy, source policySource) error {
 		program, err := source.compileNumber(env)
--- a/internal/config/policysource.go
+++ b/internal/config/policysource.go
@@ -98,7 +98,7 @@
 	return &PolicyError{Position: at, Err: err}
 }
 
-// compileNumber compiles an expression that gives a number, and tries it.
+// compileNumber compiles an expression whose result is a number, and tries it.
 func (s policySource) compileNumber(env any) (*vm.Program, error) {
 	program, err := expr.Compile(s.text, expr.Env(env), expr.AsFloat64())
 	if err != nil {
@@ -110,7 +110,7 @@
 	return program, nil
 }
 
-// evaluate runs a program that gives a number.
+// evaluate runs a program whose result is a number.
 func evaluate(program *vm.Program, env any) (float64, error) {
 	value, err := expr.Run(program, env)
 	if err != nil {
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -18,7 +18,7 @@
 	readBufferBytes  = 4 << 10
 	maxHeaderBytes   = 8 << 10
 	maxBodyWireBytes = 2 * MaxBodyBytes // a body in chunks carries their lengths, too
-	maxDiscardBytes  = 256 << 10        // of a refused request, read so that the client sees the answer
+	maxDiscardBytes  = 256 << 10        // of a refused request, read so that the client sees the response
 	discardTimeout   = 500 * time.Millisecond
 )
 
@@ -26,9 +26,11 @@
 //
 // It stands in place of http.Server, which starts a second goroutine for every
 // request to watch for the client to go away, and sets four deadlines. On a node with
-// a few percent of a core, hundreds of workers report at the same time, and
-// each such step of each report delays all else that the node does. No handler here
-// runs for more than a few seconds, so none needs to be told that its client is gone.
+// a few percent of a core, hundreds of workers send heartbeats at the same time, and
+// each such step of each heartbeat delays all else that the node does. No handler here
+// runs for more than a few seconds, so none needs to know that its client is gone.
+//
+// It belongs to the goroutine that calls serve.
 type connection struct {
 	conn        net.Conn
 	handler     http.Handler
@@ -124,13 +126,14 @@
 	return request, true
 }
 
-// extendDeadline gives the client's next step, and the answer to it, as much time as a
+// extendDeadline allows the client's next step, and the response to it, as much time as a
 // client may be idle.
 func (c *connection) extendDeadline() error {
 	return c.conn.SetDeadline(time.Now().Add(c.idleTimeout))
 }
 
-// confirmExpectation tells a client that waits for it to send the body.
+// confirmExpectation asks a client that waits for it to send the body. It reports whether
+// the connection goes on.
 func (c *connection) confirmExpectation(request *http.Request) bool {
 	if !strings.EqualFold(request.Header.Get("Expect"), "100-continue") {
 		return true
@@ -139,7 +142,7 @@
 	return err == nil
 }
 
-// refuseUnreadable answers what is not a request, unless the client has gone.
+// refuseUnreadable responds to what is not a request, unless the client has gone.
 func (c *connection) refuseUnreadable(err error) {
 	var netErr net.Error
 	switch {
@@ -162,7 +165,7 @@
 }
 
 // discardInput reads what a refused client still sends. A connection that is closed
-// with unread input is reset, and the client might never see the answer.
+// with unread input is reset, and the client might never see the response.
 func (c *connection) discardInput() {
 	if conn, ok := c.conn.(closeWriter); ok {
 		_ = conn.CloseWrite()
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// The load of a node is hundreds of workers that report at the same time. A second
-// goroutine for each of their requests costs memory, and each turn that it takes
+// The load of a node is hundreds of workers that send heartbeats at the same time. A second
+// goroutine for each of their requests costs memory, and scheduling it
 // delays everything else.
 func TestRequestTakesOneGoroutine(t *testing.T) {
 	const clients = 50
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -40,7 +40,7 @@
 	return len(content), nil
 }
 
-// send writes the response to w. The answer to a HEAD request has no body.
+// send writes the response to w. The response to a HEAD request has no body.
 func (r *bufferedResponse) send(w io.Writer, withBody bool) error {
 	r.WriteHeader(http.StatusOK)
 	r.wire.Reset()
