--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -15,91 +15,120 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// idleConnection is how long an unused connection is kept.
-const idleConnection = 60 * time.Second
+// idleConnTimeout is how long an unused connection is kept.
+const idleConnTimeout = 60 * time.Second
 
 // dialTimeout is how long opening a connection may take.
 const dialTimeout = time.Second
 
-// or gives the machine's own network where no other is given.
-func (d DialFunc) or() DialFunc {
+// orDefault returns d, or a dialer on the machine's own network if d is nil.
+func (d DialFunc) orDefault() DialFunc {
 	if d != nil {
 		return d
 	}
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext
 }
 
-// Client sends requests to one server over a few kept connections.
+// Client sends requests to one server over a few kept connections. It may be used from
+// several goroutines.
 type Client struct {
-	base string
-	http *http.Client
-	most int64
+	baseURL   string
+	exchanger exchanger
 }
 
 // NewClient makes a client for the server at addr (IP:port). It opens at most
-// conns connections, by dial, and reads answers of at most maxAnswer bytes.
-func NewClient(dial DialFunc, addr string, conns int, maxAnswer int64) *Client {
+// maxConns connections, by dial, and reads responses of at most maxResponseBytes. A nil
+// dial stands for the machine's own network.
+func NewClient(dial DialFunc, addr string, maxConns int, maxResponseBytes int64) *Client {
 	t := &http.Transport{
-		DialContext:         dial.or(),
-		MaxConnsPerHost:     conns,
-		MaxIdleConnsPerHost: conns,
-		IdleConnTimeout:     idleConnection,
+		DialContext:         dial.orDefault(),
+		MaxConnsPerHost:     maxConns,
+		MaxIdleConnsPerHost: maxConns,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: t}, most: maxAnswer}
+	return &Client{
+		baseURL:   "http://" + addr,
+		exchanger: exchanger{client: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes},
+	}
 }
 
-// Do sends one request and reads the whole answer. An error means that the
-// request may or may not have been carried out.
-func (c *Client) Do(ctx context.Context, method, path string, body []byte, limit units.Micros) (int, []byte, error) {
-	return do(ctx, c.http, method, c.base+path, body, limit, c.most)
+// Do sends one request and returns the status and the whole body of the response; a nil
+// body stands for none. It gives up after timeout, or when ctx ends. An error, such as a
+// *ResponseTooLargeError, means that the request may or may not have been carried out.
+func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout units.Micros) (int, []byte, error) {
+	return c.exchanger.do(ctx, method, c.baseURL+path, body, timeout)
 }
 
 // Caller sends single requests to many servers, each on a connection of its own.
+// It may be used from several goroutines.
 type Caller struct {
-	http *http.Client
-	most int64
+	exchanger exchanger
+}
+
+// NewCaller makes a caller that reads responses of at most maxResponseBytes. A nil dial
+// stands for the machine's own network.
+func NewCaller(dial DialFunc, maxResponseBytes int64) *Caller {
+	t := &http.Transport{DialContext: dial.orDefault(), DisableKeepAlives: true, DisableCompression: true}
+	return &Caller{exchanger{client: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}}
+}
+
+// Post sends one request to the server at addr (IP:port). Its results and errors are those
+// of Client.Do.
+func (c *Caller) Post(ctx context.Context, addr, path string, body []byte, timeout units.Micros) (int, []byte, error) {
+	return c.exchanger.do(ctx, http.MethodPost, "http://"+addr+path, body, timeout)
+}
+
+// ResponseTooLargeError reports a response that is longer than its client reads.
+type ResponseTooLargeError struct {
+	URL        string
+	LimitBytes int64
 }
 
-// NewCaller makes a caller that reads answers of at most maxAnswer bytes.
-func NewCaller(dial DialFunc, maxAnswer int64) *Caller {
-	t := &http.Transport{DialContext: dial.or(), DisableKeepAlives: true, DisableCompression: true}
-	return &Caller{http: &http.Client{Transport: t}, most: maxAnswer}
+func (e *ResponseTooLargeError) Error() string {
+	return fmt.Sprintf("response of %s is over %d bytes", e.URL, e.LimitBytes)
 }
 
-// Post sends one request to the server at addr (IP:port).
-func (c *Caller) Post(ctx context.Context, addr, path string, body []byte, limit units.Micros) (int, []byte, error) {
-	return do(ctx, c.http, http.MethodPost, "http://"+addr+path, body, limit, c.most)
+// exchanger sends requests and reads their responses whole.
+type exchanger struct {
+	client           *http.Client
+	maxResponseBytes int64
 }
 
-func do(ctx context.Context, client *http.Client, method, url string, body []byte, limit units.Micros, most int64) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit.Duration())
+// do sends one request; a nil body stands for none.
+func (e exchanger) do(ctx context.Context, method, url string, body []byte, timeout units.Micros) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	var r io.Reader
-	if body != nil {
-		r = bytes.NewReader(body)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, url, r)
+	request, err := newRequest(ctx, method, url, body)
 	if err != nil {
 		return 0, nil, err
 	}
-	if body != nil {
-		req.Header.Set("Content-Type", "application/cbor")
-		// The standard client repeats a request on a fresh connection when it
-		// thinks that safe. Here a repeat is the caller's decision alone.
-		req.GetBody = nil
-	}
-	resp, err := client.Do(req)
+	response, err := e.client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
+	defer response.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(response.Body, e.maxResponseBytes+1))
 	if err != nil {
 		return 0, nil, err
 	}
-	if int64(len(answer)) > most {
-		return 0, nil, fmt.Errorf("answer of %s is over %d bytes", url, most)
+	if int64(len(content)) > e.maxResponseBytes {
+		return 0, nil, &ResponseTooLargeError{URL: url, LimitBytes: e.maxResponseBytes}
+	}
+	return response.StatusCode, content, nil
+}
+
+func newRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
+	if body == nil {
+		return http.NewRequestWithContext(ctx, method, url, nil)
+	}
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
 	}
-	return resp.StatusCode, answer, nil
+	request.Header.Set("Content-Type", "application/cbor")
+	// The standard client repeats a request on a fresh connection when it
+	// thinks that safe. Here a repeat is the caller's decision alone.
+	request.GetBody = nil
+	return request, nil
 }
