--- /dev/null
+++ b/cmd/dunestand/layers_test.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const module = "dunestand"
+
+// packageColumn matches the first column of CONTRIBUTING's table of packages, and packageName
+// a package in it.
+var (
+	packageColumn = regexp.MustCompile("(?m)^\\| (`[^|]+`) \\|")
+	packageName   = regexp.MustCompile("`([^`]+)`")
+)
+
+// documentedLayers returns the packages of CONTRIBUTING's table, each with its line there,
+// counted from the top.
+func documentedLayers(t *testing.T, root string) map[string]int {
+	t.Helper()
+	page, err := os.ReadFile(filepath.Join(root, "CONTRIBUTING.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	layers := map[string]int{}
+	for line, column := range packageColumn.FindAllStringSubmatch(string(page), -1) {
+		for _, name := range packageName.FindAllStringSubmatch(column[1], -1) {
+			layers[name[1]] = line
+		}
+	}
+	return layers
+}
+
+// layerOf returns the line of a package, which is that of its parent if it has none itself.
+func layerOf(layers map[string]int, name string) (line int, found bool) {
+	for ; name != "."; name = filepath.Dir(name) {
+		if line, found := layers[name]; found {
+			return line, true
+		}
+	}
+	return 0, false
+}
+
+// importsOf returns the packages of this module that a source file imports.
+func importsOf(t *testing.T, path string) []string {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var imports []string
+	for _, spec := range file.Imports {
+		imported, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if name, ours := strings.CutPrefix(imported, module+"/"); ours {
+			imports = append(imports, name)
+		}
+	}
+	return imports
+}
+
+// Packages import only downwards in CONTRIBUTING's table, and every package is in it. Tests may
+// use the fakes, which stand apart.
+func TestImportsPointDownwards(t *testing.T) {
+	root := filepath.Join("..", "..")
+	layers := documentedLayers(t, root)
+	checked := 0
+	check := func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		relative, err := filepath.Rel(root, path)
+		if err != nil {
+			return err
+		}
+		importer := filepath.Dir(relative)
+		line, found := layerOf(layers, importer)
+		if !found {
+			t.Errorf("%s is not in CONTRIBUTING's table", importer)
+		}
+		for _, imported := range importsOf(t, path) {
+			importedLine, found := layerOf(layers, imported)
+			inside := imported == importer || strings.HasPrefix(imported, importer+"/")
+			if !found || importedLine <= line && !inside && !strings.HasPrefix(importer, "internal/fake") {
+				t.Errorf("%s imports %s, which does not stand below it", relative, imported)
+			}
+		}
+		checked++
+		return nil
+	}
+	for _, dir := range []string{"cmd", "node", "internal"} {
+		if err := filepath.WalkDir(filepath.Join(root, dir), check); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if checked < len(layers) {
+		t.Fatalf("only %d files were found", checked)
+	}
+}
