--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -161,3 +161,39 @@
 		})
 	}
 }
+
+// Where a worker may run a cancelled job for longer than its user may be told, a cancellation is
+// not confirmed while one of the job's tasks runs, though it is durable.
+func TestCancellationIsNotConfirmedWhileTasksRun(t *testing.T) {
+	leader := newStoredLeader(t, 1, standin.NewState(), func(d *Deps) {
+		d.Settings.Fleet.Workers.CancelS = d.Settings.Fleet.Workers.LeaseS / 2
+	})
+	ctx := t.Context()
+	if !leader.persister.Restore(ctx) {
+		t.Fatal("not restored")
+	}
+	leader.state.SetInstanceTypes(modelCatalog.Types)
+	start(t, leader.persister.Run)
+	if a := leader.Submit(ctx, modelSpec(testJob)); a.Status != http.StatusCreated {
+		t.Fatalf("submit: %d %s", a.Status, a.Body)
+	}
+	leader.state.Lock()
+	job := leader.state.Jobs[testJob]
+	attempt := leader.state.Assign(job, leader.state.EnsureMachine("i-000001", "m", "a", true, 0), 7, 0)
+	attempt.Stage = cluster.Running
+	leader.state.Unlock()
+	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+		t.Errorf("cancel while a task runs: %d %s", a.Status, a.Body)
+	}
+	leader.state.Lock()
+	if !job.CancelDurable {
+		t.Error("the cancellation is not durable")
+	}
+	leader.state.AttemptGone(attempt, 0)
+	job.MarkChanged(0, true)
+	leader.state.Unlock()
+	leader.writeSignal.Raise()
+	if !eventually(5*time.Second, func() bool { return leader.Cancel(ctx, testJob).Status == http.StatusOK }) {
+		t.Error("the cancellation is not confirmed once no task runs")
+	}
+}
