--- /dev/null
+++ b/internal/fake/machine.go
@@ -0,0 +1,186 @@
+package fake
+
+import (
+	"context"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"dunestand/internal/protocol"
+)
+
+// UsersPort is the port on which the controllers of a Network serve users and workers.
+const UsersPort = ":8000"
+
+// Timing is what the settings prescribe to workers.
+type Timing struct{ HeartbeatInterval, LeaseDuration time.Duration }
+
+// Times of the workers' protocol that no setting changes.
+const (
+	heartbeatTimeout     = 4 * time.Second        // from sending to the end of the response
+	retryDelay           = time.Second            // before the next controller is tried
+	minHeartbeatInterval = 500 * time.Millisecond // however often something changes
+)
+
+const (
+	tickInterval      = 50 * time.Millisecond // resolution of a machine's clock
+	defaultImageFetch = 600 * time.Millisecond
+)
+
+// MachineSpec describes a machine.
+type MachineSpec struct {
+	MachineInfo
+	InstanceType string
+	Spot         bool
+	CPUs         float64
+	Timing       Timing
+	Controllers  []string // names, reached at NAME and UsersPort
+}
+
+// Machine simulates a machine with a worker that follows the whole protocol: incarnations
+// and leases, fencing tokens, one heartbeat in flight, pushed commands, image fetches. It
+// informs an InvariantChecker of every task that starts or ends.
+type Machine struct {
+	MachineSpec
+	network    *Network
+	invariants *InvariantChecker
+	client     *http.Client
+	background sync.WaitGroup // Run waits for it
+
+	mu             sync.Mutex // guards all below
+	random         *rand.Rand
+	killed         bool
+	incarnation    uint64
+	sequence       uint64    // of the last heartbeat
+	fencingToken   uint64    // the highest seen
+	tokenChangedAt time.Time // when a higher token last counted as a change
+	leaseStart     time.Time
+	changed        bool // since the last heartbeat
+	tasks          map[string]*machineTask
+	fault          Fault
+	hungUntil      time.Time
+}
+
+type machineTask struct {
+	job       JobInfo
+	index     int
+	attempt   uint64
+	stage     protocol.TaskStage
+	exitCause protocol.ExitCause
+	stageEnd  time.Time // when the stage ends by itself; zero: never
+	runTime   time.Duration
+}
+
+// NewMachine returns a machine in its first incarnation; Run starts its worker. The machine
+// owns random.
+func NewMachine(spec MachineSpec, network *Network, invariants *InvariantChecker, random *rand.Rand) *Machine {
+	return &Machine{
+		MachineSpec: spec,
+		network:     network,
+		invariants:  invariants,
+		random:      random,
+		client: &http.Client{Transport: &http.Transport{
+			DialContext:       network.Dialer(spec.ID),
+			DisableKeepAlives: true,
+		}},
+		incarnation: 1,
+		leaseStart:  time.Now(),
+		tasks:       map[string]*machineTask{},
+	}
+}
+
+// Endpoint returns the address at which the worker accepts pushed commands.
+func (m *Machine) Endpoint() string { return m.ID + ":9000" }
+
+// Kill ends the machine and every task on it, at once and for good.
+func (m *Machine) Kill() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.dropTasksLocked()
+	m.killed = true
+}
+
+// RunningTasks counts the tasks that run on the machine.
+func (m *Machine) RunningTasks() int { return m.tasksInStage(protocol.TaskRunning) }
+
+// FetchingTasks counts the tasks that wait for their images.
+func (m *Machine) FetchingTasks() int { return m.tasksInStage(protocol.TaskFetching) }
+
+func (m *Machine) tasksInStage(stage protocol.TaskStage) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	n := 0
+	for _, t := range m.tasks {
+		if t.stage == stage {
+			n++
+		}
+	}
+	return n
+}
+
+func (m *Machine) dropTasksLocked() {
+	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
+		if t := m.tasks[name]; t.stage == protocol.TaskRunning {
+			m.invariants.TaskEnded(t.job.ID, t.index, m.ID, false)
+		}
+	}
+	clear(m.tasks)
+}
+
+// Run simulates the machine until ctx ends or the machine is killed, and returns once all
+// that it started has ended.
+func (m *Machine) Run(ctx context.Context) {
+	listener := m.network.Listen(m.Endpoint())
+	server := &http.Server{Handler: http.HandlerFunc(m.serveCommands)}
+	m.background.Go(func() { _ = server.Serve(listener) })
+	m.background.Go(func() { m.heartbeatLoop(ctx) })
+	for ctx.Err() == nil && m.tick() {
+		sleep(ctx, tickInterval)
+	}
+	_ = server.Close()
+	m.background.Wait()
+}
+
+// sleep returns after d or when ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
+
+// tick advances leases and tasks to the present. It reports whether the machine still
+// exists.
+func (m *Machine) tick() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.killed || m.hungLocked() {
+		return !m.killed
+	}
+	now := time.Now()
+	if now.Sub(m.leaseStart) > m.Timing.LeaseDuration {
+		m.dropTasksLocked()
+		m.incarnation++
+		m.leaseStart, m.changed = now, true
+	}
+	for _, t := range m.tasks {
+		if t.stageEnd.IsZero() || now.Before(t.stageEnd) {
+			continue
+		}
+		m.changed = true
+		switch t.stage {
+		case protocol.TaskFetching:
+			t.stage, t.stageEnd = protocol.TaskRunning, now.Add(t.runTime)
+			m.invariants.TaskStarted(t.job.ID, t.index, &m.MachineInfo)
+		case protocol.TaskRunning:
+			t.stage, t.exitCause, t.stageEnd = protocol.TaskExited, protocol.CauseDone, time.Time{}
+			m.invariants.TaskEnded(t.job.ID, t.index, m.ID, true)
+		}
+	}
+	return true
+}
