--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -165,7 +165,7 @@
 // Where a worker may run a cancelled job for longer than its user may be told, a cancellation is
 // not confirmed while one of the job's tasks runs, though it is durable.
 func TestCancellationIsNotConfirmedWhileTasksRun(t *testing.T) {
-	leader := newStoredLeader(t, 1, standin.NewState(), func(d *Deps) {
+	leader := newStoredLeader(t, 1, fake.NewKVServer(), func(d *Deps) {
 		d.Settings.Fleet.Workers.CancelS = d.Settings.Fleet.Workers.LeaseS / 2
 	})
 	ctx := t.Context()
