--- a/cmd/dunestand/run.go
+++ b/cmd/dunestand/run.go
@@ -24,7 +24,7 @@
 		return nil, nil, inputError{err}
 	}
 	if policyFile == "" {
-		policyFile = settings.Policy
+		policyFile = settings.PolicyFile
 	}
 	if policyFile == "" {
 		return settings, config.DefaultPolicy(), nil
--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -57,7 +57,7 @@
 	a := &Admitter{
 		options:      deps.Options,
 		teams:        teams,
-		planStore:    admission.NewPlanStore(deps.Options, teams, 1+len(deps.Settings.Others)),
+		planStore:    admission.NewPlanStore(deps.Options, teams, 1+len(deps.Settings.Peers)),
 		client:       deps.KV.WithOwnConnections(),
 		format:       deps.Format,
 		clock:        deps.Clock,
@@ -84,10 +84,10 @@
 	return a.planStore.Decide(spec, role, a.clock.Steady())
 }
 
-// DecideAlone decides without the leader, and returns what an acceptance must be conditional on.
+// DecideIsolated decides without the leader, and returns what an acceptance must be conditional on.
 // A controller that does not know yet that the fleet admits by a plan, as after its start, accepts
 // a job only on condition that there is none.
-func (a *Admitter) DecideAlone(spec *protocol.JobSpec) (admission.Decision, protocol.Condition) {
+func (a *Admitter) DecideIsolated(spec *protocol.JobSpec) (admission.Decision, protocol.Condition) {
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
 	}
--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -116,10 +116,10 @@
 	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUncertain, RetryAfter: units.Second}
 }
 
-// IsSurelyUnknown reports whether it is certain that no record names a job that waits: none did
+// IsCertainlyUnrecorded reports whether it is certain that no record names a job that waits: none did
 // when this leader looked, and since then nobody could accept it. Another controller may, once the
 // plan has expired; long before that the records are read each time.
-func (la *LeaderAdmission) IsSurelyUnknown(id string) bool {
+func (la *LeaderAdmission) IsCertainlyUnrecorded(id string) bool {
 	la.State.Lock()
 	defer la.State.Unlock()
 	state := la.Admitter.State()
--- a/internal/admissioncontrol/options.go
+++ b/internal/admissioncontrol/options.go
@@ -7,8 +7,8 @@
 	"dunestand/internal/units"
 )
 
-// AdmissionOptions returns a policy's choices as package admission has them.
-func AdmissionOptions(p config.AdmissionPolicy) admission.Options {
+// OptionsOf returns a policy's choices as package admission has them.
+func OptionsOf(p config.AdmissionPolicy) admission.Options {
 	return admission.Options{
 		Horizon:     p.Horizon,
 		TeamShares:  weightsOf(p.TeamShares),
@@ -31,7 +31,7 @@
 	for i, t := range teams {
 		out[i] = admission.Team{
 			Name:            t.Name,
-			GuaranteedQuota: admission.Amounts{admission.CPU: units.AmountOf(t.CPUs), admission.GPU: units.AmountOf(t.GPUs)},
+			GuaranteedQuota: admission.Amounts{admission.CPU: units.AmountOf(t.GuaranteedCPUs), admission.GPU: units.AmountOf(t.GuaranteedGPUs)},
 			QuotaLimit:      admission.AmountsOf(cluster.QuotaLimitOf(t)),
 		}
 	}
--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -25,10 +25,10 @@
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	clock := &fake.Clock{Now: 100 * units.Second}
-	limits := config.State{RPS: 1e4, WriteRPS: 1e4}
+	limits := config.KVLimits{RPS: 1e4, WriteRPS: 1e4}
 	return NewAdmitter(AdmitterDeps{
 		Settings: &config.Settings{Node: "n", Fleet: config.Fleet{
-			Teams: []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}},
+			Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}},
 			State: limits,
 		}},
 		Options: admission.Options{Horizon: horizon},
@@ -140,11 +140,11 @@
 	if err := follower.Step(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if _, condition := admitter.DecideAlone(spec); condition.Key != admission.KeyPlan || condition.Version != server.Revision() {
+	if _, condition := admitter.DecideIsolated(spec); condition.Key != admission.KeyPlan || condition.Version != server.Revision() {
 		t.Errorf("condition %+v, want the plan's version %d", condition, server.Revision())
 	}
 	admitter.format.(*fake.RecordFormat).Level.Store(int64(storage.FormatOld))
-	if d, condition := admitter.DecideAlone(spec); d.Verdict != admission.Admit || condition.Key != admission.KeyPlan || condition.Version != 0 {
+	if d, condition := admitter.DecideIsolated(spec); d.Verdict != admission.Admit || condition.Key != admission.KeyPlan || condition.Version != 0 {
 		t.Errorf("%+v on condition %+v, want that there is no plan", d, condition)
 	}
 }
--- a/internal/admissioncontrol/planpublisher.go
+++ b/internal/admissioncontrol/planpublisher.go
@@ -116,7 +116,7 @@
 
 // publish encodes and writes a plan.
 func (p *planPublisher) publish(ctx context.Context, plan *admission.Plan) error {
-	raw, encoded, err := admission.Encode(plan, p.Settings.Fleet.State.Both().ValueBytes())
+	raw, encoded, err := admission.Encode(plan, p.Settings.Fleet.State.Lowest().ValueBytes())
 	if err != nil {
 		if !p.loggedTooLarge {
 			p.Admitter.log.Error("admission plan not written; jobs are admitted by the built-in fallback", "error", err)
--- a/internal/admissioncontrol/response.go
+++ b/internal/admissioncontrol/response.go
@@ -15,5 +15,5 @@
 	r := answer.ErrorResponse(http.StatusTooManyRequests, d.Reason.String())
 	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.PlanVersion})
 	r.RetryAfter = int((d.RetryAfter + units.Second - 1) / units.Second) // whole seconds, rounded up
-	return answer.Plain(r)
+	return answer.WithoutEvidence(r)
 }
--- a/internal/answer/evidence.go
+++ b/internal/answer/evidence.go
@@ -35,12 +35,12 @@
 	Evidence Evidence
 }
 
-// Plain returns an answer that says nothing of a job's state.
-func Plain(r transport.Response) Answer { return Answer{Response: r} }
+// WithoutEvidence returns an answer that says nothing of a job's state.
+func WithoutEvidence(r transport.Response) Answer { return Answer{Response: r} }
 
 // Unavailable returns an answer that refuses a request for now.
 func Unavailable(why string) Answer {
-	return Plain(ErrorResponse(http.StatusServiceUnavailable, why))
+	return WithoutEvidence(ErrorResponse(http.StatusServiceUnavailable, why))
 }
 
 // Provisional returns an answer about a job, or the lack of one, whose state was read at the steady
@@ -57,20 +57,20 @@
 	}
 }
 
-// Relayed returns what the leader answered to a request that was forwarded to it at the steady
+// Forwarded returns what the leader answered to a request that was forwarded to it at the steady
 // time sentAt. The leader itself holds a terminal answer back until it is stable.
-func Relayed(r transport.Response, sentAt units.Micros) Answer {
+func Forwarded(r transport.Response, sentAt units.Micros) Answer {
 	switch r.Status {
 	case http.StatusOK, http.StatusCreated:
 		var state protocol.JobState
 		if err := protocol.Decode(r.Body, &state); err == nil && state.Stage.IsTerminal() {
-			return Plain(r)
+			return WithoutEvidence(r)
 		}
 		return Provisional(r, sentAt)
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		return Provisional(r, sentAt)
 	}
-	return Plain(r)
+	return WithoutEvidence(r)
 }
 
 // LiveJob returns the answer about a job that is not finished, whose state was read at the steady
--- a/internal/answer/gate_test.go
+++ b/internal/answer/gate_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("%s: %d once it is old", name, got.Status)
 		}
 	}
-	if got := gate.Check(Plain(ErrorResponse(http.StatusTooManyRequests, "full"))); got.Status != http.StatusTooManyRequests {
+	if got := gate.Check(WithoutEvidence(ErrorResponse(http.StatusTooManyRequests, "full"))); got.Status != http.StatusTooManyRequests {
 		t.Errorf("a refusal: %d", got.Status)
 	}
 }
@@ -88,15 +88,15 @@
 		ErrorResponse(http.StatusNotFound, "no such job"),
 		ErrorResponse(http.StatusUnprocessableEntity, "crew: unknown team"),
 	} {
-		if got := gate.Check(Relayed(r, sentAt)); got.Status != http.StatusServiceUnavailable {
+		if got := gate.Check(Forwarded(r, sentAt)); got.Status != http.StatusServiceUnavailable {
 			t.Errorf("%d %s is forwarded late", got.Status, got.Body)
 		}
-		if got := gate.Check(Relayed(r, clock.Now)); got.Status != r.Status {
+		if got := gate.Check(Forwarded(r, clock.Now)); got.Status != r.Status {
 			t.Errorf("%d in time, of %d", got.Status, r.Status)
 		}
 	}
 	for _, stage := range []protocol.JobStage{protocol.StageDone, protocol.StageCancelled} {
-		if got := gate.Check(Relayed(stateResponse(stage), sentAt)); got.Status != http.StatusOK {
+		if got := gate.Check(Forwarded(stateResponse(stage), sentAt)); got.Status != http.StatusOK {
 			t.Errorf("%s is not forwarded: %d", stage, got.Status)
 		}
 	}
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -20,9 +20,9 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
 		Zones:   []string{"a"},
-		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: 9}},
-		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
+		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
+		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
 	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
 	state.SetInstanceTypes([]protocol.InstanceType{{
@@ -80,7 +80,7 @@
 
 // The machine list takes a third of the cloud's requests at most, however long it is.
 func TestMachineListLeavesRequestsToScaleOut(t *testing.T) {
-	cloud := config.Cloud{RPS: 6, ListLagS: 4}
+	cloud := config.CloudLimits{RPS: 6, ListLagS: 4}
 	for _, machines := range []int{0, 400, 1700, largestFleet, 3 * largestFleet} {
 		pages := float64(1 + machines/protocol.MaxListPage)
 		interval := listInterval(cloud, machines)
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -32,7 +32,7 @@
 // storeCatalog stores the catalog for a leader that begins during an outage of
 // the cloud. Whether it succeeds matters to nobody now.
 func (as *Autoscaler) storeCatalog(ctx context.Context, catalog protocol.Catalog, format storage.Format) {
-	bounds := as.Settings.Fleet.State.Both()
+	bounds := as.Settings.Fleet.State.Lowest()
 	versions := as.provisioning.catalogStored
 	changes := storage.CatalogChanges(catalog.Types, format, bounds.ValueBytes(), versions)
 	for part := range slices.Chunk(changes, bounds.TxnOps) {
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		left := quotaLeft[job.Spec.Team]
-		if count := min(job.Unfinished(), left.Fits(job.Spec.Request)); count > 0 {
+		if count := min(job.Unfinished(), left.CountFitting(job.Spec.Request)); count > 0 {
 			quotaLeft[job.Spec.Team] = left.Plus(job.Spec.Request, -count)
 			demand = append(demand, TaskDemand{&job.Spec, count})
 		}
@@ -80,7 +80,7 @@
 	now := as.Clock.Steady()
 	for _, m := range as.State.Machines {
 		bootGrace := bootGraceFactor*as.bootTime(m) + bootGraceMargin
-		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.RentedAt > bootGrace {
+		if m.Releasing || m.Quarantined || m.TerminatesAt > 0 || !m.Registered && now-m.LaunchedAt > bootGrace {
 			continue
 		}
 		view.Machines[offeringOf(m)]++
--- a/internal/autoscaler/idle.go
+++ b/internal/autoscaler/idle.go
@@ -16,7 +16,7 @@
 // first, as long as what is left covers the demand and the reserve.
 func (as *Autoscaler) IdleMachines(now units.Micros) []*cluster.Machine {
 	in := as.PolicyInput()
-	candidates := as.idleCandidates(as.Policy.IdleReturn(in), now)
+	candidates := as.idleCandidates(as.Policy.IdleTimeout(in), now)
 	keepCPU := max(units.AmountOf(in.DemandCPUs), as.Policy.ReserveCPUs(in))
 	fleetCPU := units.AmountOf(in.FleetCPUs)
 	// What is left must be of the right offerings: services may not be allowed on
--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -24,7 +24,7 @@
 )
 
 // listInterval returns how often the machine list is read.
-func listInterval(cloud config.Cloud, machines int) units.Micros {
+func listInterval(cloud config.CloudLimits, machines int) units.Micros {
 	pages := 1 + machines/protocol.MaxListPage
 	paced := units.Seconds(float64(pages) / (cloud.RPS * listRateShare))
 	return max(minListInterval, units.Seconds(cloud.ListLagS)/2, paced)
@@ -56,7 +56,7 @@
 	_, known := as.State.Machines[listed.ID]
 	m := as.State.EnsureMachine(listed.ID, listed.InstanceType, listed.Zone, listed.Spot, now)
 	if !known {
-		m.RentedAt = now - units.Seconds(listed.AgeSeconds)
+		m.LaunchedAt = now - units.Seconds(listed.AgeSeconds)
 		as.Log.Debug("machine listed", "machine", listed.ID, "type", listed.InstanceType, "zone", listed.Zone, "stage", listed.Stage)
 	}
 	if !m.Registered {
@@ -82,7 +82,7 @@
 func (as *Autoscaler) removeUnlisted(present map[string]bool, now units.Micros) {
 	unlistedAfter := unlistedLagFactor*units.Seconds(as.Settings.Fleet.Cloud.ListLagS) + unlistedMargin
 	for _, m := range as.State.Machines {
-		if !m.Registered && !present[m.ID] && now-m.RentedAt > unlistedAfter && !as.State.Unreconciled.Contains(m.ID) {
+		if !m.Registered && !present[m.ID] && now-m.LaunchedAt > unlistedAfter && !as.State.Unreconciled.Contains(m.ID) {
 			as.removeMachine(m, now)
 		}
 	}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -93,7 +93,7 @@
 	for i := range p.offerings {
 		o := &p.offerings[i]
 		free := p.freeCapacity[o.offering]
-		if fit := min(left, free.Fits(demand.Spec.Request)); fit > 0 && o.allows(demand) {
+		if fit := min(left, free.CountFitting(demand.Spec.Request)); fit > 0 && o.allows(demand) {
 			p.freeCapacity[o.offering] = free.Plus(demand.Spec.Request, -fit)
 			left -= fit
 		}
@@ -113,7 +113,7 @@
 	bestCost, bestFits := 0.0, 0
 	for i := range p.offerings {
 		o := &p.offerings[i]
-		fits := o.capacity.Fits(demand.Spec.Request)
+		fits := o.capacity.CountFitting(demand.Spec.Request)
 		if fits == 0 || p.view.Unavailable(o.offering) || !o.allows(demand) {
 			continue
 		}
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -124,7 +124,7 @@
 // bootTimedOut reports whether a machine should have come up long ago.
 func (as *Autoscaler) bootTimedOut(m *cluster.Machine, now units.Micros) bool {
 	return !m.Registered && m.Stage != protocol.MachineRunning &&
-		now-m.RentedAt > bootTimeoutFactor*as.bootTime(m)+bootTimeoutMargin &&
+		now-m.LaunchedAt > bootTimeoutFactor*as.bootTime(m)+bootTimeoutMargin &&
 		now-as.ElectedAt > bootTimeoutElected
 }
 
@@ -132,5 +132,5 @@
 // no heartbeat for so long that it is given up: its zone may have been cut off, for a while.
 func (as *Autoscaler) neverRegistered(m *cluster.Machine, now units.Micros) bool {
 	return !m.Registered &&
-		now-max(as.ElectedAt, m.RentedAt) > election.WithDrift(as.Settings.Fleet.Workers.Lease(), failuredetector.ZoneCutGrace)
+		now-max(as.ElectedAt, m.LaunchedAt) > election.WithDrift(as.Settings.Fleet.Workers.LeaseDuration(), failuredetector.ZoneCutGrace)
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -50,7 +50,7 @@
 }
 
 // NewClient returns a client of the cloud at an address.
-func NewClient(dial transport.DialFunc, addr string, limits config.Cloud) *Client {
+func NewClient(dial transport.DialFunc, addr string, limits config.CloudLimits) *Client {
 	return &Client{
 		client:  transport.NewClient(dial, addr, maxConns, maxResponse),
 		limiter: rate.NewLimiter(rate.Limit(limits.RPS*requestShare), max(int(limits.RPS*requestBurst), 1)),
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
-	return NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.Cloud{RPS: 1e4})
+	return NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.CloudLimits{RPS: 1e4})
 }
 
 // What the cloud's response means is told apart by the error.
--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -113,7 +113,7 @@
 		if w.shard == j.records.main {
 			size = storage.JSONSize(j.record(storage.LongestWriteID, w.machines))
 		}
-		return size > b.rules.limits.Both().ValueBytes()
+		return size > b.rules.limits.Lowest().ValueBytes()
 	})
 }
 
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -40,7 +40,7 @@
 	BlockedUntil     units.Micros // it had no capacity for a start: our count is off
 
 	Stage        protocol.MachineStage // as the cloud lists it
-	RentedAt     units.Micros
+	LaunchedAt   units.Micros
 	IdleSince    units.Micros
 	Releasing    bool
 	failedJobs   map[string]bool // jobs that failed here since the last success
--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -11,7 +11,7 @@
 // A machine stays named as long as it may hold a task, and a start may follow
 // only once the name is durable.
 func TestMachinesAreRecordedBeforeStarts(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2}, 0, 0)
 	build := func() *WriteBatch {
@@ -53,7 +53,7 @@
 // record goes with it: a batch that was carried out and not answered must be recognised,
 // or its leader mistakes it for another's.
 func TestOldPagesAreWrittenWithTheirJob(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40_000}, 0, 0)
 	state.BatchCommitted(state.BuildWriteBatch("1-1", bucketVersions, BatchLimits{}, 0), 1)
--- a/internal/cluster/machines.go
+++ b/internal/cluster/machines.go
@@ -28,7 +28,7 @@
 			InstanceType: instanceType,
 			Zone:         zone,
 			Spot:         spot,
-			RentedAt:     now,
+			LaunchedAt:   now,
 			IdleSince:    now,
 			Attempts:     map[AttemptKey]*Attempt{},
 			failedJobs:   map[string]bool{},
--- a/internal/cluster/memory.go
+++ b/internal/cluster/memory.go
@@ -15,5 +15,5 @@
 	return jobBytes + int64(spec.Tasks)*bitsPerTask/8
 }
 
-// Memory returns what all live jobs are estimated to take, in bytes.
-func (s *State) Memory() int64 { return s.memory }
+// EstimatedMemory returns what all live jobs are estimated to take, in bytes.
+func (s *State) EstimatedMemory() int64 { return s.memory }
--- a/internal/cluster/outcomes_test.go
+++ b/internal/cluster/outcomes_test.go
@@ -12,7 +12,7 @@
 // A machine that runs its tasks slower than their siblings elsewhere is detected,
 // and does not distort what is known of the job.
 func TestSlowMachineIsDetected(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
 	run := func(machine string, length units.Micros) {
 		a := state.Assign(j, state.EnsureMachine(machine, "m", "a", true, 0), 1, 0)
@@ -49,7 +49,7 @@
 
 // A machine on which several jobs fail is faulty; one on which one job fails is not.
 func TestMachineOnWhichSeveralJobsFailIsQuarantined(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	first := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 10}, 0, 0)
 	second := state.NewJob(protocol.JobSpec{ID: "j-000002", Tasks: 10}, 0, 0)
 	failAttempt(state, first, "i-1", 0)
@@ -64,7 +64,7 @@
 // A job that fails wherever it runs is tried again ever more slowly, within a bound, and no
 // machine is blamed for it.
 func TestJobThatFailsEverywhereIsDelayed(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 100}, 0, 0)
 	last := units.Micros(0)
 	for i := range 40 {
@@ -83,7 +83,7 @@
 
 // A replica that keeps ending soon is started ever more slowly, until it has run for long.
 func TestReplicaThatKeepsEndingIsDelayed(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 1, Kind: protocol.Service}, 0, 0)
 	run := func(from, length units.Micros) {
 		a := state.Assign(j, state.EnsureMachine("i-1", "m", "a", true, 0), 1, from)
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -89,7 +89,7 @@
 // divided before it has to be changed. Wherever that stops, all 600 machines are
 // named and all completions kept.
 func TestLargeOldRecordsAreDivided(t *testing.T) {
-	limits := config.State{ValueKB: 16, TxnOps: 12, Next: &config.State{ValueKB: 2, TxnOps: 4}}
+	limits := config.KVLimits{ValueKB: 16, TxnOps: 12, Next: &config.KVLimits{ValueKB: 2, TxnOps: 4}}
 	for crash := range 40 {
 		s := &store{items: production(t), revision: 100}
 		for restart := 0; ; restart++ {
@@ -114,7 +114,7 @@
 				if save == nil || restart == 0 && n == crash {
 					break
 				}
-				l.BatchCommitted(save, s.apply(t, save.Txn, limits.Both()))
+				l.BatchCommitted(save, s.apply(t, save.Txn, limits.Lowest()))
 			}
 			if restart > 0 {
 				break
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -51,11 +51,11 @@
 // is tried after each of them.
 type restoreModel struct {
 	t              *rapid.T
-	settings       config.State
+	settings       config.KVLimits
 	state          *State
 	store          *store
 	bucketVersions []uint64
-	limits         config.State // that hold now
+	limits         config.KVLimits // that hold now
 	format         storage.Format
 	batches        int
 	attempts       uint64
@@ -67,8 +67,8 @@
 // that was durable is lost, and no record or transaction is over its limit.
 func TestWrittenJobsAreRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := config.State{ValueKB: 16, TxnOps: 12}
-		now.Next = rapid.SampledFrom([]*config.State{nil, {
+		now := config.KVLimits{ValueKB: 16, TxnOps: 12}
+		now.Next = rapid.SampledFrom([]*config.KVLimits{nil, {
 			ValueKB: 2,
 			TxnOps:  4,
 		}, {ValueKB: 1, TxnOps: 3}}).Draw(t, "next limits")
@@ -99,8 +99,8 @@
 // upgrade raises the format of the records, and the next limits come into force.
 func (m *restoreModel) upgrade() {
 	m.state.UpgradeFormat(storage.FormatNew, 1)
-	m.format, m.limits = storage.FormatNew, m.settings.Both()
-	m.limits.ValueKB, m.limits.TxnOps = m.settings.Both().ValueKB, m.settings.Both().TxnOps
+	m.format, m.limits = storage.FormatNew, m.settings.Lowest()
+	m.limits.ValueKB, m.limits.TxnOps = m.settings.Lowest().ValueKB, m.settings.Lowest().TxnOps
 }
 
 func (m *restoreModel) submit() {
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -8,16 +8,16 @@
 // recordRules are the format and the limits that write batches keep to. State's lock guards
 // them.
 type recordRules struct {
-	limits            config.State // of the key-value store
+	limits            config.KVLimits // of the key-value store
 	nameBudget        storage.NameBudgetFunc
 	format            storage.Format // of the fleet: the newest that every leader reads
 	nextLimitsApplied bool           // the announced limits are known to be in force
 }
 
-func newRecordRules(limits config.State) recordRules {
+func newRecordRules(limits config.KVLimits) recordRules {
 	return recordRules{
 		limits:     limits,
-		nameBudget: storage.NewNameBudgetFunc(limits.ValueBytes(), limits.Both().ValueBytes()),
+		nameBudget: storage.NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes()),
 		format:     storage.FormatOld,
 	}
 }
@@ -28,7 +28,7 @@
 // maxChanges returns the most changes in a transaction.
 func (r *recordRules) maxChanges() int {
 	if r.nextLimitsApplied || !r.oldLeadersPossible() {
-		return r.limits.Both().TxnOps
+		return r.limits.Lowest().TxnOps
 	}
 	return r.limits.TxnOps
 }
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -53,7 +53,7 @@
 
 // NewState returns an empty state for records in the old format, within the limits of the
 // key-value store.
-func NewState(teams []config.Team, limits config.State) *State {
+func NewState(teams []config.Team, limits config.KVLimits) *State {
 	s := &State{
 		Released:      ReleasedMachines{},
 		Jobs:          map[string]*Job{},
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -14,7 +14,7 @@
 // machines or both pending and placed, through any order of events.
 func TestUsageIsTheSumOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		state := NewState([]config.Team{{Name: "team", CPUsMax: 100}}, config.State{ValueKB: 8, TxnOps: 12})
+		state := NewState([]config.Team{{Name: "team", LimitCPUs: 100}}, config.KVLimits{ValueKB: 8, TxnOps: 12})
 		state.SetInstanceTypes([]protocol.InstanceType{{Name: "m", CPUs: 64, MemoryGB: 64, CacheGB: 2}})
 		var attempts []*Attempt
 		jobs := []*Job{}
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -19,7 +19,7 @@
 }
 
 // apply checks a transaction against its conditions and the limits, with sizes as the key-value store counts them.
-func (s *store) apply(t testingT, txn protocol.Txn, limits config.State) uint64 {
+func (s *store) apply(t testingT, txn protocol.Txn, limits config.KVLimits) uint64 {
 	for _, c := range txn.If {
 		if !strings.HasPrefix(c.Key, storage.PrefixBucketHeads) && s.items[c.Key].Version != c.Version {
 			t.Fatalf("condition on %s: version %d, expected %d", c.Key, s.items[c.Key].Version, c.Version)
--- a/internal/cluster/unreconciled_test.go
+++ b/internal/cluster/unreconciled_test.go
@@ -11,7 +11,7 @@
 // The index follows the jobs: a job leaves it with its last unreconciled machine, and a
 // machine with its last job.
 func TestUnreconciledIndexFollowsMachinesAndJobs(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	u := &state.Unreconciled
 	first := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 5}, 0, 0)
 	second := state.NewJob(protocol.JobSpec{ID: "j-000002", Tasks: 5}, 0, 0)
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -30,8 +30,8 @@
 		Name:       t.Name,
 		QuotaLimit: QuotaLimitOf(t),
 		GuaranteedQuota: units.Resources{
-			CPU:    units.AmountOf(t.CPUs),
-			GPU:    units.AmountOf(t.GPUs),
+			CPU:    units.AmountOf(t.GuaranteedCPUs),
+			GPU:    units.AmountOf(t.GuaranteedGPUs),
 			Memory: unlimited,
 		},
 	}
@@ -45,8 +45,8 @@
 // is none: guests, for instance, have neither guarantee nor limit.
 func QuotaLimitOf(t config.Team) units.Resources {
 	return units.Resources{
-		CPU:    quotaAmount(t.CPUsMax),
-		GPU:    quotaAmount(t.GPUsMax),
+		CPU:    quotaAmount(t.LimitCPUs),
+		GPU:    quotaAmount(t.LimitGPUs),
 		Memory: unlimited,
 	}
 }
--- a/internal/cluster/writebatchorder_test.go
+++ b/internal/cluster/writebatchorder_test.go
@@ -21,7 +21,7 @@
 // When hundreds of small jobs came at once, the names of their machines filled the rate of
 // writes for half a minute, and urgent jobs began after all of them.
 func TestUrgentJobsAreWrittenBeforeABurstOfOthers(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	m := state.EnsureMachine("i-000001", "m", "a", true, 0)
 	var burst []*Job
 	for i := range 40 {
@@ -42,7 +42,7 @@
 // The head start is bounded: a change of a job that is not urgent goes first once it has
 // waited that much longer.
 func TestUrgentJobsDoNotStarveOthers(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	m := state.EnsureMachine("i-000001", "m", "a", true, 0)
 	low, high := storedJob(state, "j-000002", protocol.Low), storedJob(state, "j-000001", protocol.High)
 	state.Assign(low, m, 1, units.Second)
@@ -55,7 +55,7 @@
 
 // A batch holds no more changes than the rate of writes has space for.
 func TestWriteBatchKeepsWithinTheChangesAllowed(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	for i := range 10 {
 		state.NewJob(protocol.JobSpec{ID: fmt.Sprintf("j-%06d", i), Tasks: 1}, 0, 0)
 	}
@@ -71,7 +71,7 @@
 // A job that was accepted by the leader and is in the pending-submission queue as well is only
 // removed from there: without a write of its own record, and when nobody waits for writes.
 func TestJobAcceptedTwiceIsRemovedFromThePendingQueue(t *testing.T) {
-	state := NewState(nil, config.State{ValueKB: 8, TxnOps: 12})
+	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := storedJob(state, "j-000001", protocol.Low)
 	state.AddPending(PendingSubmission{Spec: j.Spec}, units.Second)
 	if batch := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, units.Second); batch != nil {
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -24,10 +24,10 @@
 // String returns the name in the settings.
 func (k ObjectiveKind) String() string { return string(k) }
 
-// Dues lists when a job should be complete, from its submission, the earliest
+// CompletionObjectives lists when a job should be complete, from its submission, the earliest
 // first: its own deadline and the multiples of it that the service-level objectives name,
 // or what these say of its class. It is empty if nothing is said. A deadline of 0 is none.
-func (f *Fleet) Dues(class string, deadline units.Micros) []units.Micros {
+func (f *Fleet) CompletionObjectives(class string, deadline units.Micros) []units.Micros {
 	var dues []units.Micros
 	for _, o := range f.Objectives {
 		switch {
@@ -45,15 +45,15 @@
 	return dues
 }
 
-// GuaranteeDue is within what time work inside a guaranteed quota should start, 0 if
+// GuaranteedStartObjective is within what time work inside a guaranteed quota should start, 0 if
 // nothing is said.
-func (f *Fleet) GuaranteeDue() units.Micros {
+func (f *Fleet) GuaranteedStartObjective() units.Micros {
 	return f.firstWithin(func(o Objective) bool { return o.Kind == ObjectiveGuarantee })
 }
 
-// StartDue is within what time of its submission a job's tasks should start, 0 if nothing
+// StartObjective is within what time of its submission a job's tasks should start, 0 if nothing
 // is said.
-func (f *Fleet) StartDue(class string) units.Micros {
+func (f *Fleet) StartObjective(class string) units.Micros {
 	return f.firstWithin(func(o Objective) bool { return o.Kind == ObjectiveWait && o.Class == class })
 }
 
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -149,8 +149,8 @@
 	return units.AmountOf(atLeastZero(p.reserve, in))
 }
 
-// IdleReturn is how long a machine may be idle before it is scaled in.
-func (p *Policy) IdleReturn(in FleetInput) units.Micros {
+// IdleTimeout is how long a machine may be idle before it is scaled in.
+func (p *Policy) IdleTimeout(in FleetInput) units.Micros {
 	return units.Seconds(atLeastZero(p.idle, in))
 }
 
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -70,8 +70,8 @@
 			t.Fatal("rank is not a number")
 		}
 		in := FleetInput{GuaranteedCPUs: rapid.Float64().Draw(t, "cpus")}
-		if p.ReserveCPUs(in) != 0 || p.IdleReturn(in) <= 0 || p.SpotPreference(in) != 0 {
-			t.Fatalf("%v %v %v", p.ReserveCPUs(in), p.IdleReturn(in), p.SpotPreference(in))
+		if p.ReserveCPUs(in) != 0 || p.IdleTimeout(in) <= 0 || p.SpotPreference(in) != 0 {
+			t.Fatalf("%v %v %v", p.ReserveCPUs(in), p.IdleTimeout(in), p.SpotPreference(in))
 		}
 	})
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,9 +11,9 @@
 	Zone         string   `json:"area"`
 	ClientListen string   `json:"client_listen"`
 	MeshListen   string   `json:"mesh_addr"`
-	Others       []Peer   `json:"others"`
+	Peers        []Peer   `json:"others"`
 	Services     Services `json:"services"`
-	Policy       string   `json:"policy_file"`
+	PolicyFile   string   `json:"policy_file"`
 	Fleet        Fleet    `json:"settings"`
 }
 
@@ -36,20 +36,20 @@
 	Teams       []Team      `json:"teams"`
 	Objectives  []Objective `json:"objectives"`
 	Workers     Workers     `json:"workers"`
-	State       State       `json:"state"`
-	Cloud       Cloud       `json:"cloud"`
+	State       KVLimits    `json:"state"`
+	Cloud       CloudLimits `json:"cloud"`
 	Resources   Resources   `json:"resources"`
 	TimeBoundMS float64     `json:"time_bound_ms"`
 }
 
-// Team is a group of users with a guaranteed quota, in CPUs and GPUs, and a quota limit, in
-// CPUsMax and GPUsMax. A quota or limit of 0 is none.
+// Team is a group of users with a guaranteed quota, in GuaranteedCPUs and GuaranteedGPUs, and a quota limit, in
+// LimitCPUs and LimitGPUs. A quota or limit of 0 is none.
 type Team struct {
-	Name    string  `json:"name"`
-	CPUs    float64 `json:"cpus"`
-	CPUsMax float64 `json:"cpus_max"`
-	GPUs    float64 `json:"gpus"`
-	GPUsMax float64 `json:"gpus_max"`
+	Name           string  `json:"name"`
+	GuaranteedCPUs float64 `json:"cpus"`
+	LimitCPUs      float64 `json:"cpus_max"`
+	GuaranteedGPUs float64 `json:"gpus"`
+	LimitGPUs      float64 `json:"gpus_max"`
 }
 
 // Objective is one of the users' service-level objectives.
@@ -63,37 +63,37 @@
 
 // Workers holds the pace of the workers' heartbeats and leases.
 type Workers struct {
-	ReportS float64 `json:"report_s"`
-	LeaseS  float64 `json:"lease_s"`
-	CancelS float64 `json:"cancel_s"`
+	HeartbeatS float64 `json:"report_s"`
+	LeaseS     float64 `json:"lease_s"`
+	CancelS    float64 `json:"cancel_s"`
 }
 
-// Report is the interval of a worker's heartbeats.
-func (w Workers) Report() units.Micros { return units.Seconds(w.ReportS) }
+// HeartbeatInterval is the interval of a worker's heartbeats.
+func (w Workers) HeartbeatInterval() units.Micros { return units.Seconds(w.HeartbeatS) }
 
-// Lease is how long a worker goes on without a response to its heartbeats.
-func (w Workers) Lease() units.Micros { return units.Seconds(w.LeaseS) }
+// LeaseDuration is how long a worker goes on without a response to its heartbeats.
+func (w Workers) LeaseDuration() units.Micros { return units.Seconds(w.LeaseS) }
 
-// Cancel is how long the tasks of a cancelled job may still run after its user got the
+// CancelBound is how long the tasks of a cancelled job may still run after its user got the
 // confirmation.
-func (w Workers) Cancel() units.Micros { return units.Seconds(w.CancelS) }
+func (w Workers) CancelBound() units.Micros { return units.Seconds(w.CancelS) }
 
-// State holds the limits of the state service.
-type State struct {
+// KVLimits holds the limits of the state service.
+type KVLimits struct {
 	RPS      float64 `json:"rps"`       // requests per second
 	WriteRPS float64 `json:"write_rps"` // of those, writes
 	ValueKB  float64 `json:"value_kb"`
 	TxnOps   int     `json:"txn_ops"` // operations in one transaction
 	// Next holds limits that the service will have from some moment on, without
 	// notice. What it leaves out, or sets to 0, stays as it is.
-	Next *State `json:"next"`
+	Next *KVLimits `json:"next"`
 }
 
 // ValueBytes is the size of the largest value that can be stored.
-func (s State) ValueBytes() int { return int(s.ValueKB * 1024) }
+func (s KVLimits) ValueBytes() int { return int(s.ValueKB * 1024) }
 
-// Both returns limits that hold now and will go on holding: the lower ones of now and Next.
-func (s State) Both() State {
+// Lowest returns limits that hold now and will go on holding: the lower ones of now and Next.
+func (s KVLimits) Lowest() KVLimits {
 	if next := s.Next; next != nil {
 		s.RPS = lower(s.RPS, next.RPS)
 		s.WriteRPS = lower(s.WriteRPS, next.WriteRPS)
@@ -112,8 +112,8 @@
 	return min(now, next)
 }
 
-// Cloud holds the limits of the cloud.
-type Cloud struct {
+// CloudLimits holds the limits of the cloud.
+type CloudLimits struct {
 	RPS      float64 `json:"rps"`        // requests per second
 	ListLagS float64 `json:"list_lag_s"` // how old a list of instances may be
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Node != "dune-0" || s.Others[0].Endpoint != "10.0.0.2:8081" || s.Fleet.Workers.Lease() != 26*units.Second {
+	if s.Node != "dune-0" || s.Peers[0].Endpoint != "10.0.0.2:8081" || s.Fleet.Workers.LeaseDuration() != 26*units.Second {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -75,22 +75,22 @@
 		{"neither", "e", 0, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := s.Fleet.Dues(c.class, c.deadline); !slices.Equal(got, c.want) {
+			if got := s.Fleet.CompletionObjectives(c.class, c.deadline); !slices.Equal(got, c.want) {
 				t.Errorf("%v, expected %v", got, c.want)
 			}
 		})
 	}
-	if due := s.Fleet.GuaranteeDue(); due != 0 {
+	if due := s.Fleet.GuaranteedStartObjective(); due != 0 {
 		t.Errorf("work within a guarantee is due after %v without an objective", due)
 	}
 	s.Fleet.Objectives = append(s.Fleet.Objectives,
 		Objective{Kind: ObjectiveGuarantee, WithinS: 30},
 		Objective{Kind: ObjectiveWait, Class: "c", WithinS: 20},
 		Objective{Kind: ObjectiveWait, Class: "d", WithinS: 10})
-	if due := s.Fleet.GuaranteeDue(); due != 30*units.Second {
+	if due := s.Fleet.GuaranteedStartObjective(); due != 30*units.Second {
 		t.Errorf("work within a guarantee is due after %v", due)
 	}
-	if due := s.Fleet.StartDue("d"); due != 10*units.Second {
+	if due := s.Fleet.StartObjective("d"); due != 10*units.Second {
 		t.Errorf("the start of a job is due after %v", due)
 	}
 }
@@ -119,7 +119,7 @@
 
 func TestManyNodesAndTeams(t *testing.T) {
 	parsed, err := Parse(encode(t, grownSettings()))
-	if err != nil || len(parsed.Others) != 4 || len(parsed.Fleet.Teams) != 12 {
+	if err != nil || len(parsed.Peers) != 4 || len(parsed.Fleet.Teams) != 12 {
 		t.Fatalf("%v %+v", err, parsed)
 	}
 }
@@ -222,17 +222,17 @@
 func TestLimitsToCome(t *testing.T) {
 	for _, c := range []struct {
 		next any
-		want State
+		want KVLimits
 	}{
-		{nil, State{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}},
-		{map[string]any{}, State{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}},
+		{nil, KVLimits{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}},
+		{map[string]any{}, KVLimits{RPS: 150, WriteRPS: 60, ValueKB: 16, TxnOps: 12}},
 		{
 			map[string]any{"value_kb": 2.0, "txn_ops": 4, "since": "noon"},
-			State{RPS: 150, WriteRPS: 60, ValueKB: 2, TxnOps: 4},
+			KVLimits{RPS: 150, WriteRPS: 60, ValueKB: 2, TxnOps: 4},
 		},
 		{
 			map[string]any{"write_rps": 42.0, "value_kb": 64.0},
-			State{RPS: 150, WriteRPS: 42, ValueKB: 16, TxnOps: 12},
+			KVLimits{RPS: 150, WriteRPS: 42, ValueKB: 16, TxnOps: 12},
 		},
 	} {
 		s := goodSettings()
@@ -246,7 +246,7 @@
 		parsed, err := Parse(encode(t, s))
 		if err != nil {
 			t.Errorf("%v: %v", c.next, err)
-		} else if got := parsed.Fleet.State.Both(); got != c.want {
+		} else if got := parsed.Fleet.State.Lowest(); got != c.want {
 			t.Errorf("%v: %+v", c.next, got)
 		}
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -40,7 +40,7 @@
 		}
 	}
 	names := nameSet{s.Node: true}
-	for i, peer := range s.Others {
+	for i, peer := range s.Peers {
 		field := fmt.Sprintf("others[%d]", i)
 		if err := names.add(field+".node_name", peer.Node); err != nil {
 			return err
@@ -56,8 +56,8 @@
 	if err := f.validateAmounts(); err != nil {
 		return err
 	}
-	if f.Workers.LeaseS <= f.Workers.ReportS {
-		return fieldErrorf("settings.workers.lease_s", "%v is not longer than report_s, %v", f.Workers.LeaseS, f.Workers.ReportS)
+	if f.Workers.LeaseS <= f.Workers.HeartbeatS {
+		return fieldErrorf("settings.workers.lease_s", "%v is not longer than report_s, %v", f.Workers.LeaseS, f.Workers.HeartbeatS)
 	}
 	if f.Cloud.ListLagS < 0 {
 		return fieldErrorf("settings.cloud.list_lag_s", "%v is negative", f.Cloud.ListLagS)
@@ -91,7 +91,7 @@
 // validateAmounts checks the numbers that must be given and positive.
 func (f *Fleet) validateAmounts() error {
 	amounts := []amount{
-		{"settings.workers.report_s", f.Workers.ReportS, maxHeartbeatS},
+		{"settings.workers.report_s", f.Workers.HeartbeatS, maxHeartbeatS},
 		{"settings.workers.lease_s", f.Workers.LeaseS, maxLeaseS},
 		{"settings.workers.cancel_s", f.Workers.CancelS, maxLeaseS},
 	}
@@ -117,7 +117,7 @@
 		if err := names.add(field+".name", team.Name); err != nil {
 			return err
 		}
-		if min(team.CPUs, team.GPUs, team.CPUsMax, team.GPUsMax) < 0 {
+		if min(team.GuaranteedCPUs, team.GuaranteedGPUs, team.LimitCPUs, team.LimitGPUs) < 0 {
 			return fieldErrorf(field, "negative amount")
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // amounts lists the limits; field is the setting that holds them.
-func (s State) amounts(field string) []amount {
+func (s KVLimits) amounts(field string) []amount {
 	return []amount{
 		{field + ".rps", s.RPS, maxRate},
 		{field + ".write_rps", s.WriteRPS, maxRate},
@@ -136,7 +136,7 @@
 
 // validateMinimum checks limits against what controllers need; field is the setting that
 // holds them.
-func (s State) validateMinimum(field string) error {
+func (s KVLimits) validateMinimum(field string) error {
 	if s.TxnOps < minTxnOps {
 		return fieldErrorf(field+".txn_ops", "%d is below %d, the least a job's end takes", s.TxnOps, minTxnOps)
 	}
@@ -147,7 +147,7 @@
 }
 
 // validateNext checks the limits to come, each of which may be left out.
-func (s State) validateNext() error {
+func (s KVLimits) validateNext() error {
 	const field = "settings.state.next"
 	if s.Next == nil {
 		return nil
@@ -157,7 +157,7 @@
 			return fieldErrorf(a.field, "%v is out of range", a.value)
 		}
 	}
-	return s.Both().validateMinimum(field)
+	return s.Lowest().validateMinimum(field)
 }
 
 // nameSet holds the names that a list must not repeat.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,7 +19,7 @@
 )
 
 // Controller is one controller node: it serves users, workers and the other
-// controllers, and leads while it holds the leader lease. Use [NewController] to make
+// controllers, and leads while it holds the leader lease. Use [New] to make
 // one. Run must be called once; the handlers that it serves run concurrently.
 type Controller struct {
 	deps             Deps
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -36,7 +36,7 @@
 	const maxShare = 0.5 // of the estimate
 	for _, c := range []struct{ jobs, tasks int }{{400, 1}, {400, 3000}, {20, protocol.MaxTasks}} {
 		leader, clock := newLeaderWithJob(t, 1)
-		heapBefore, estimateBefore := heapInUse(), leader.state.Memory()
+		heapBefore, estimateBefore := heapInUse(), leader.state.EstimatedMemory()
 		for i := range c.jobs {
 			spec := *modelSpec(fmt.Sprintf("j-%06d", i+100))
 			spec.Tasks = c.tasks
@@ -46,7 +46,7 @@
 			}
 		}
 		writeAllRecords(leader)
-		taken, estimate := float64(heapInUse()-heapBefore), float64(leader.state.Memory()-estimateBefore)
+		taken, estimate := float64(heapInUse()-heapBefore), float64(leader.state.EstimatedMemory()-estimateBefore)
 		if taken > estimate*maxShare {
 			t.Errorf("%d jobs of %d tasks take %.0f bytes, the estimate is %.0f", c.jobs, c.tasks, taken, estimate)
 		}
--- a/internal/controller/cycleloop.go
+++ b/internal/controller/cycleloop.go
@@ -45,7 +45,7 @@
 		return
 	}
 	l.lastTimeoutCheck = now
-	l.detector.ExpireLeases(now)
+	l.detector.ExpireWorkerLeases(now)
 	l.detector.CheckHeartbeatLoss(now)
 	if now-l.lastSummary >= summaryInterval {
 		l.lastSummary = now
--- a/internal/controller/failuredetector_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -62,8 +62,8 @@
 	for _, seconds := range []float64{3, 5, 10, 30} {
 		t.Run(fmt.Sprintf("every %vs", seconds), func(t *testing.T) {
 			leader, clock := newLeaderWithJob(t, 1)
-			leader.Settings.Fleet.Workers.ReportS = seconds
-			interval := units.Seconds(seconds).Share(5, 4)
+			leader.Settings.Fleet.Workers.HeartbeatS = seconds
+			interval := units.Seconds(seconds).Fraction(5, 4)
 			for i := range 5 {
 				leader.reconciler.Reconcile(testHeartbeat(machineID(i), 1, 1, 7), clock.Now)
 			}
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -42,7 +42,7 @@
 	if rejection := checkFeasible(spec, l.Settings, l.state.InstanceTypes, l.Format.Current()); rejection != nil {
 		return rejection
 	}
-	if l.state.Memory()+cluster.JobMemory(spec) > jobMemoryLimit(l.Settings) {
+	if l.state.EstimatedMemory()+cluster.JobMemory(spec) > jobMemoryLimit(l.Settings) {
 		return errTooManyJobs
 	}
 	return nil
@@ -55,7 +55,7 @@
 	if i < 0 {
 		return errUnknownTeam
 	}
-	switch tasks := cluster.QuotaLimitOf(s.Fleet.Teams[i]).Fits(spec.Request); {
+	switch tasks := cluster.QuotaLimitOf(s.Fleet.Teams[i]).CountFitting(spec.Request); {
 	case tasks == 0:
 		return errTaskOverQuota
 	case spec.Kind == protocol.Service && tasks < spec.Tasks:
@@ -80,7 +80,7 @@
 func fitsAnyType(spec *protocol.JobSpec, types map[string]protocol.InstanceType) bool {
 	for name, instanceType := range types {
 		for _, zone := range instanceType.Zones {
-			if scheduler.PlacementAllowed(spec, name, zone, false) && cluster.CapacityOf(instanceType).Fits(spec.Request) > 0 {
+			if scheduler.PlacementAllowed(spec, name, zone, false) && cluster.CapacityOf(instanceType).CountFitting(spec.Request) > 0 {
 				return true
 			}
 		}
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -14,7 +14,7 @@
 func TestLargestFleetIsRestored(t *testing.T) {
 	leader, heartbeats := reconciledFleet(largestFleet)
 	records := writeAllRecords(leader)
-	limit := leader.Settings.Fleet.State.Both().ValueBytes()
+	limit := leader.Settings.Fleet.State.Lowest().ValueBytes()
 	for _, record := range records {
 		if len(record.Value) > limit {
 			t.Fatalf("record %s has %d bytes, %d are allowed", record.Key, len(record.Value), limit)
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -85,12 +85,12 @@
 	store.SetLimits(16<<10, 12, 1000)
 	leader := newStoredLeader(t, 1, store, func(d *Deps) {
 		d.Format = fake.NewRecordFormat(storage.FormatOld)
-		d.Settings.Fleet.State = config.State{
+		d.Settings.Fleet.State = config.KVLimits{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 			ValueKB:  16,
 			TxnOps:   12,
-			Next:     &config.State{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
+			Next:     &config.KVLimits{ValueKB: 2, TxnOps: 4, WriteRPS: 600},
 		}
 	})
 	if !leader.persister.Restore(t.Context()) {
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -24,7 +24,7 @@
 	}
 	c.deps.Log.Debug("request forwarded", "leader", leader, "kind", kind.String(), "status", response.Status,
 		"took_us", int64(c.deps.Clock.Steady()-sentAt))
-	return answer.Relayed(response, sentAt)
+	return answer.Forwarded(response, sentAt)
 }
 
 // servePeer answers a frame of another controller: a ping, or a request that it forwarded.
--- a/internal/controller/harness_admission_test.go
+++ b/internal/controller/harness_admission_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	leader := newStoredLeader(t, token, store, func(d *Deps) {
 		d.Format = fake.NewRecordFormat(storage.FormatAdmission)
-		d.Settings.Fleet.Teams = []config.Team{{Name: "team", CPUs: 4, CPUsMax: 8}, {Name: "other", CPUs: 4, CPUsMax: 8}}
+		d.Settings.Fleet.Teams = []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}, {Name: "other", GuaranteedCPUs: 4, LimitCPUs: 8}}
 		d.Admitter = newTestAdmitter(*d)
 	})
 	if !leader.persister.Restore(t.Context()) {
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -34,7 +34,7 @@
 func newTestController(leader *Leader) *Controller {
 	settings := modelSettings()
 	settings.Services.State, settings.Services.Cloud = unusedAddress, unusedAddress
-	c := NewController(settings, testEnvironment(leader.Clock))
+	c := New(settings, testEnvironment(leader.Clock))
 	c.leader.Store(leader)
 	return c
 }
@@ -61,7 +61,7 @@
 	refusing := closed.Addr().String()
 	closed.Close()
 	settings := modelSettings()
-	settings.Others = []config.Peer{{Node: "leader", Endpoint: refusing}}
+	settings.Peers = []config.Peer{{Node: "leader", Endpoint: refusing}}
 	if store != nil {
 		server := httptest.NewServer(store)
 		t.Cleanup(server.Close)
@@ -70,7 +70,7 @@
 		settings.Services.State = listenHanging(t)
 	}
 	clock := &fake.Clock{Now: 100 * units.Second}
-	c := NewController(settings, testEnvironment(clock))
+	c := New(settings, testEnvironment(clock))
 	start(t, c.peers.Run)
 	if !eventually(10*time.Second, func() bool { return c.peers.RefusesConnections("leader") }) {
 		t.Fatal("the link is not refused")
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -30,14 +30,14 @@
 // modelSettings returns the settings of a fleet of one team and one zone.
 func modelSettings() *config.Settings {
 	return &config.Settings{Node: "n", Fleet: config.Fleet{Zones: []string{"a"},
-		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: modelQuotaCPUs}},
-		Workers: config.Workers{ReportS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancelGrace.Seconds()},
-		State: config.State{
+		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: modelQuotaCPUs}},
+		Workers: config.Workers{HeartbeatS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancelGrace.Seconds()},
+		State: config.KVLimits{
 			RPS:      100,
 			WriteRPS: 50,
 			ValueKB:  8,
 			TxnOps:   12,
-			Next:     &config.State{ValueKB: 1, TxnOps: 3},
+			Next:     &config.KVLimits{ValueKB: 1, TxnOps: 3},
 		},
 		Resources: config.Resources{CoreShare: 1, RAMMB: 100, MaxConnections: 100}}}
 }
@@ -125,7 +125,7 @@
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	clock := &fake.Clock{Now: units.Second}
-	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.KVLimits{
 		RPS:      1e4,
 		WriteRPS: 1e4,
 	}, 0, clock)
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -29,7 +29,7 @@
 	switch {
 	case refusedSince != 0 && now-refusedSince >= refusalTolerance:
 		return answer.Unavailable("the leader refuses this node's links").Response
-	case len(c.deps.Settings.Others) > 0 && !c.peers.AnyReachable() && unansweredFor > leaseDuration:
+	case len(c.deps.Settings.Peers) > 0 && !c.peers.AnyReachable() && unansweredFor > leaseDuration:
 		return answer.Unavailable("cut off from the state service and the other controllers").Response
 	case now-units.Micros(c.leaderReachedAt.Load()) <= 2*leaseDuration+restartTime:
 		return transport.Response{Status: http.StatusOK}
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -83,8 +83,8 @@
 	})
 	settings := modelSettings()
 	settings.Services.State = unusedAddress
-	settings.Others = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
-	c := NewController(settings, env)
+	settings.Peers = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
+	c := New(settings, env)
 	record := storage.LeaseRecord{Holder: settings.Node, Incarnation: 3}
 	c.elector.ObserveRecord(record, 1)
 	clock.Now += leaseRecordTTL + units.Millisecond
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -18,7 +18,7 @@
 // be durable before the starts that it is to carry. Starts that miss it go with the
 // next heartbeat, so the wait is longer where heartbeats are seldom.
 func (l *Leader) startDurableWait() units.Micros {
-	return min(max(l.Settings.Fleet.Workers.Report()/10, minStartDurableWait), maxStartDurableWait)
+	return min(max(l.Settings.Fleet.Workers.HeartbeatInterval()/10, minStartDurableWait), maxStartDurableWait)
 }
 
 // restoreTimeout is how long a heartbeat waits for the restore of the records: mostly
--- a/internal/controller/jobhandlers.go
+++ b/internal/controller/jobhandlers.go
@@ -42,7 +42,7 @@
 	rejection := answer.ErrorResponse(http.StatusBadRequest, err.Error())
 	id, ok := protocol.SubmissionID(body)
 	if !ok {
-		return answer.Plain(rejection)
+		return answer.WithoutEvidence(rejection)
 	}
 	known := c.poll(ctx, id, origin)
 	if known.Status != http.StatusNotFound {
@@ -55,7 +55,7 @@
 // lately reached the key-value store, answers from the records.
 func (c *Controller) poll(ctx context.Context, id string, origin requestOrigin) answer.Answer {
 	if !protocol.ValidJobID(id) {
-		return answer.Plain(noSuchJob())
+		return answer.WithoutEvidence(noSuchJob())
 	}
 	if leader := c.activeLeader(); leader != nil {
 		return leader.Poll(ctx, id)
@@ -72,7 +72,7 @@
 // until the answer is stable enough to pass the gate.
 func (c *Controller) cancel(ctx context.Context, id string, origin requestOrigin) answer.Answer {
 	if !protocol.ValidJobID(id) {
-		return answer.Plain(noSuchJob())
+		return answer.WithoutEvidence(noSuchJob())
 	}
 	if leader := c.activeLeader(); leader != nil {
 		until := c.deps.Clock.Steady() + writeTimeout
--- a/internal/controller/leaderless.go
+++ b/internal/controller/leaderless.go
@@ -86,15 +86,15 @@
 		Submitted: c.deps.Clock.Wall(),
 	})
 	if admitter := c.deps.Admitter; admitter != nil {
-		decision, condition := admitter.DecideAlone(spec)
+		decision, condition := admitter.DecideIsolated(spec)
 		if decision.Verdict != admission.Admit {
 			return c.deferWithoutLeader(ctx, spec.ID, decision, refused)
 		}
 		txn.If = append(txn.If, condition)
 	}
-	share := jobMemoryLimit(c.deps.Settings) / int64(1+len(c.deps.Settings.Others))
+	share := jobMemoryLimit(c.deps.Settings) / int64(1+len(c.deps.Settings.Peers))
 	if c.leaderlessJobs.acceptedBytes.Add(cluster.JobMemory(spec)) > share {
-		return answer.Plain(answer.ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
+		return answer.WithoutEvidence(answer.ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
 	return c.storePending(ctx, spec, txn, refused)
 }
--- a/internal/controller/model_end_test.go
+++ b/internal/controller/model_end_test.go
@@ -57,7 +57,7 @@
 	for range 4 {
 		m.advanceWrite()
 	}
-	m.leader.detector.ExpireLeases(m.clock.Now)
+	m.leader.detector.ExpireWorkerLeases(m.clock.Now)
 	for i, worker := range m.workers {
 		m.expireLeaseOf(worker)
 		if machine := m.leader.state.Machines[worker.id]; machine != nil && (machine.Quarantined || machine.UndeliveredCommands >= cluster.MaxUndeliveredCommands) {
--- a/internal/controller/model_fault_test.go
+++ b/internal/controller/model_fault_test.go
@@ -82,7 +82,7 @@
 	if rapid.Bool().Draw(m.t, "a new leader") {
 		m.failOver()
 	}
-	m.runWithout(isolated, modelLease.Share(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
+	m.runWithout(isolated, modelLease.Fraction(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
 }
 
 // delayAnswerPastFailover has a leader die while its answer is in flight to a worker. The
@@ -121,7 +121,7 @@
 		m.clock.Now += step
 		m.advanceWrite()
 		m.advanceWrite()
-		m.leader.detector.ExpireLeases(m.clock.Now)
+		m.leader.detector.ExpireWorkerLeases(m.clock.Now)
 		for _, worker := range m.workers {
 			m.expireLeaseOf(worker)
 			if worker == isolated || !worker.alive || worker.heartbeatsLost || m.isHanging(worker) {
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -167,7 +167,7 @@
 	for _, worker := range m.workers {
 		m.expireLeaseOf(worker)
 	}
-	m.leader.detector.ExpireLeases(m.clock.Now)
+	m.leader.detector.ExpireWorkerLeases(m.clock.Now)
 }
 
 // submit has a user submit a new job to the leader.
--- a/internal/controller/model_store_test.go
+++ b/internal/controller/model_store_test.go
@@ -17,7 +17,7 @@
 type modelStore struct {
 	items    map[string]protocol.Item
 	revision uint64
-	limits   config.State
+	limits   config.KVLimits
 }
 
 // withinLimits reports whether a transaction is within the limits.
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -67,7 +67,7 @@
 		clock: &fake.Clock{Now: units.Second},
 		store: &modelStore{
 			items:  map[string]protocol.Item{},
-			limits: config.State{ValueKB: 8, TxnOps: 12, Next: &config.State{ValueKB: 1, TxnOps: 3}},
+			limits: config.KVLimits{ValueKB: 8, TxnOps: 12, Next: &config.KVLimits{ValueKB: 1, TxnOps: 3}},
 		},
 		controllers:    make([]modelController, modelControllers),
 		services:       map[string]bool{},
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -94,7 +94,7 @@
 // lowerLimits lowers the limits of the key-value store, some time after the upgrade.
 func (m *model) lowerLimits() {
 	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatNew {
-		m.store.limits = m.store.limits.Both()
+		m.store.limits = m.store.limits.Lowest()
 	}
 }
 
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -111,7 +111,7 @@
 	if machine == nil {
 		return nil
 	}
-	leader.detector.ExpireLeases(now)
+	leader.detector.ExpireWorkerLeases(now)
 	leader.scheduler.RunCycle(now, machine)
 	return &protocol.HeartbeatResponse{FencingToken: leader.token, Commands: leader.reconciler.Commands(machine, heartbeat, now)}
 }
@@ -248,7 +248,7 @@
 func (m *model) deliverBroadcastAnswers() {
 	for _, answer := range m.broadcastAnswers {
 		if answer.to == m.leader {
-			answer.to.broadcaster.Answered(answer.heartbeat)
+			answer.to.broadcaster.ReconcileAnswer(answer.heartbeat)
 		}
 	}
 	m.broadcastAnswers = nil
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -45,12 +45,12 @@
 	if e.Admission != nil {
 		return *e.Admission
 	}
-	return admissioncontrol.AdmissionOptions(e.Policy.Admission)
+	return admissioncontrol.OptionsOf(e.Policy.Admission)
 }
 
-// NewController returns a node with the given settings. It makes no request before Run.
-func NewController(s *config.Settings, env Environment) *Controller {
-	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Others), env.Clock)
+// New returns a node with the given settings. It makes no request before Run.
+func New(s *config.Settings, env Environment) *Controller {
+	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Peers), env.Clock)
 	format := newNegotiator(s, env, client)
 	c := &Controller{
 		deps:             newDeps(s, env, client, format),
@@ -58,9 +58,9 @@
 		elector:          newElector(s, env, client),
 		heartbeatReader:  protocol.NewHeartbeatReader(),
 		heartbeatLimiter: newHeartbeatLimiter(),
-		peers:            peers.New(env.Dial, s.Others, env.Clock, env.Random, env.Log),
+		peers:            peers.New(env.Dial, s.Peers, env.Clock, env.Random, env.Log),
 		server: transport.NewServer(clientConnectionLimit(s.Fleet.Resources.MaxConnections),
-			3*s.Fleet.Workers.Report()+maxUserPollInterval, env.Log),
+			3*s.Fleet.Workers.HeartbeatInterval()+maxUserPollInterval, env.Log),
 	}
 	c.deps.UnreachablePeers, c.deps.PeerReachable = c.peers.UnreachableCount, c.peers.AnyReachable
 	c.lastHeartbeatAt.Store(neverHeard)
@@ -80,7 +80,7 @@
 		Node:   s.Node,
 		KV:     client.WithOwnConnections(),
 		Clock:  env.Clock,
-		Timing: election.TimingFor(s.Fleet.Workers.Lease()),
+		Timing: election.TimingFor(s.Fleet.Workers.LeaseDuration()),
 		Random: env.Random,
 		Log:    env.Log,
 	})
@@ -88,8 +88,8 @@
 
 // newNegotiator returns what finds out which format of records the controllers use.
 func newNegotiator(s *config.Settings, env Environment, client *kv.Client) *recordformat.Negotiator {
-	others := make([]string, len(s.Others))
-	for i, other := range s.Others {
+	others := make([]string, len(s.Peers))
+	for i, other := range s.Peers {
 		others[i] = other.Node
 	}
 	supported := storage.FormatNew
@@ -127,7 +127,7 @@
 // connected reports whether this node hears workers or other controllers, or has no others.
 func (c *Controller) connected() bool {
 	sinceHeartbeat := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeatAt.Load())
-	return len(c.deps.Settings.Others) == 0 || c.peers.AnyReachable() || sinceHeartbeat < peers.LinkFreshness
+	return len(c.deps.Settings.Peers) == 0 || c.peers.AnyReachable() || sinceHeartbeat < peers.LinkFreshness
 }
 
 // addMetrics registers the metrics of the node's own state and of its use of the key-value
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -39,7 +39,7 @@
 	if a, known := l.pollLive(id); known {
 		return a
 	}
-	record, found, err := l.terminals.TerminalJob(ctx, id)
+	record, found, err := l.terminals.Lookup(ctx, id)
 	if err != nil {
 		return storeUnreachable()
 	}
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -95,7 +95,7 @@
 	maps.DeleteFunc(fleet.machines, func(id string, _ *protocol.Heartbeat) bool { return lost[id] != nil })
 	for range 25 {
 		fleet.exchangeAll()
-		leader.detector.ExpireLeases(clock.Now)
+		leader.detector.ExpireWorkerLeases(clock.Now)
 		if fleet.running() > 1 {
 			t.Fatalf("%d replicas run in one zone: %v", fleet.running(), fleet.zones())
 		}
@@ -167,7 +167,7 @@
 // worker carries out, whenever it comes, since the job has no such task.
 func TestPushedCommandsStartNothing(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, false)
-	leader.Settings.Fleet.Workers.ReportS = 5
+	leader.Settings.Fleet.Workers.HeartbeatS = 5
 	for _, heartbeat := range fleet.machines {
 		heartbeat.Endpoint = unusedAddress
 		heartbeat.Sequence++
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -98,9 +98,9 @@
 	if decision.Verdict == admission.Undecided {
 		// Not 503: another controller that forwarded the request would take that for a
 		// leader that cannot decide, and admit the job beyond the quota.
-		return answer.Plain(answer.ErrorResponse(http.StatusTooManyRequests, decision.Reason.String()))
+		return answer.WithoutEvidence(answer.ErrorResponse(http.StatusTooManyRequests, decision.Reason.String()))
 	}
-	if !l.admission.IsSurelyUnknown(id) {
+	if !l.admission.IsCertainlyUnrecorded(id) {
 		known := l.Poll(ctx, id)
 		if known.Status != http.StatusNotFound {
 			return known
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -21,7 +21,7 @@
 				leader.state.Unreconciled.Mark(job, machineID(k))
 			}
 		}
-		return testing.AllocsPerRun(20, func() { leader.detector.ExpireLeases(clock.Now) })
+		return testing.AllocsPerRun(20, func() { leader.detector.ExpireWorkerLeases(clock.Now) })
 	}
 	if few, many := allocs(2, 10), allocs(100, 1000); many > few+1 {
 		t.Errorf("%v allocations for 100 jobs on 1,000 machines, %v for 2 on 10", many, few)
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -42,7 +42,7 @@
 // newTestElector returns the elector of a controller, or of a further process of it with
 // another seed, on a fake key-value store.
 func newTestElector(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
-	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.State{
+	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.KVLimits{
 		RPS:      1e6,
 		WriteRPS: 1e6,
 	}, 0, clock)
--- a/internal/election/timing.go
+++ b/internal/election/timing.go
@@ -36,7 +36,7 @@
 // the workers' own lease; a longer leader lease only helps through outages of the key-value
 // store, which the workers' lease bridges too.
 func TimingFor(workerLease units.Micros) LeaseTiming {
-	duration := min(max(workerLease.Share(3, 10), minLeaseDuration), maxLeaseDuration)
+	duration := min(max(workerLease.Fraction(3, 10), minLeaseDuration), maxLeaseDuration)
 	return LeaseTiming{
 		Duration:       duration,
 		RenewEvery:     duration / renewalsPerLease,
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -59,7 +59,7 @@
 // latestHeartbeat returns the longest time between two heartbeats of a machine: they come up
 // to a quarter of their interval early or late.
 func (d *Detector) latestHeartbeat() units.Micros {
-	return d.Settings.Fleet.Workers.Report().Share(5, 4)
+	return d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(5, 4)
 }
 
 // SuspectAfter returns how long a machine may be silent before it is suspected to be
@@ -67,7 +67,7 @@
 // come seldom, one heartbeat and what one costs that gets no response (the worker
 // waits 4 s and turns to the next controller a second later).
 func (d *Detector) SuspectAfter() units.Micros {
-	twoHeartbeats := d.Settings.Fleet.Workers.Report().Share(5, 2)
+	twoHeartbeats := d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(5, 2)
 	return min(twoHeartbeats+reconnectTime, d.latestHeartbeat()+unansweredHeartbeatTime)
 }
 
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -18,7 +18,7 @@
 // may still reach them before their leases expire. This must not wait for
 // anything that the same cut may hold up, such as a call to the cloud.
 func (d *Detector) CheckHeartbeatLoss(now units.Micros) {
-	quiet := d.Settings.Fleet.Workers.Report().Share(3, 2) + heartbeatLossMargin
+	quiet := d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(3, 2) + heartbeatLossMargin
 	// Before the first heartbeat the workers have to find this controller. Whom to
 	// expect, the records say.
 	lastHeartbeat, expected := d.ElectedAt+workerReturnTime, 0
--- a/internal/failuredetector/leases.go
+++ b/internal/failuredetector/leases.go
@@ -2,9 +2,9 @@
 
 import "dunestand/internal/units"
 
-// ExpireLeases drops what silent machines held once their leases have expired, and ends what
+// ExpireWorkerLeases drops what silent machines held once their leases have expired, and ends what
 // waited for that: the reconciliation after a failover, and cancellations.
-func (d *Detector) ExpireLeases(now units.Micros) {
+func (d *Detector) ExpireWorkerLeases(now units.Micros) {
 	d.emptyExpiredMachines(now)
 	d.reconcileExpired(now)
 	d.endCancelledJobs(now)
--- a/internal/failuredetector/lostmachines.go
+++ b/internal/failuredetector/lostmachines.go
@@ -145,5 +145,5 @@
 // anyway and some time more, as long as there are several.
 func (d *Detector) mayReleaseInZone(m *cluster.Machine, zone *heartbeatHealth, now units.Micros) bool {
 	return zone == nil || zone.healthyPerMissing(healthyPerMissingInZone) || zone.lost+zone.suspected < minZoneCutMachines ||
-		now-max(m.LastHeartbeat, d.ElectedAt) > election.WithDrift(d.Settings.Fleet.Workers.Lease(), ZoneCutGrace)
+		now-max(m.LastHeartbeat, d.ElectedAt) > election.WithDrift(d.Settings.Fleet.Workers.LeaseDuration(), ZoneCutGrace)
 }
--- a/internal/failuredetector/lostmachines_test.go
+++ b/internal/failuredetector/lostmachines_test.go
@@ -22,8 +22,8 @@
 func newTestDetector(t *testing.T) *Detector {
 	t.Helper()
 	settings := &config.Settings{Fleet: config.Fleet{
-		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
+		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
 	state := cluster.NewState(nil, settings.Fleet.State)
 	for i := range 14 {
@@ -148,7 +148,7 @@
 			m := d.State.Machines[machineID(0)]
 			job := d.State.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 1, Request: fake.CPUs(1)}, testNow, testNow)
 			d.State.Assign(job, m, 1, testNow)
-			d.ExpireLeases(testNow + c.after)
+			d.ExpireWorkerLeases(testNow + c.after)
 			if len(m.Attempts) != c.attempts {
 				t.Errorf("%d attempts, want %d", len(m.Attempts), c.attempts)
 			}
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -82,11 +82,11 @@
 // nil if it does. Its error is a *FieldError.
 func (c *Config) CheckSettings(settings *config.Settings) error {
 	workers := settings.Fleet.Workers
-	if c.Timing.StopGrace < withDrift(workers.Lease()) {
+	if c.Timing.StopGrace < withDrift(workers.LeaseDuration()) {
 		return fieldErrorf("stop_s", "%v s is shorter than the workers' lease of %v s, drift included",
 			c.Timing.StopGrace.Seconds(), workers.LeaseS)
 	}
-	if delay := c.Timing.ReclaimDelay(); delay > workers.Cancel() {
+	if delay := c.Timing.ReclaimDelay(); delay > workers.CancelBound() {
 		return fieldErrorf("lease_s", "lease and stop take %v s, drift included, and do not fit cancel_s of %v s",
 			delay.Seconds(), workers.CancelS)
 	}
--- a/internal/federation/estimates.go
+++ b/internal/federation/estimates.go
@@ -54,5 +54,5 @@
 	if histogram == nil || histogram.TotalCount() < minRatioSamples {
 		return estimate
 	}
-	return estimate.Share(histogram.ValueAtQuantile(ratioQuantile), ratioScale)
+	return estimate.Fraction(histogram.ValueAtQuantile(ratioQuantile), ratioScale)
 }
--- a/internal/federation/timing_test.go
+++ b/internal/federation/timing_test.go
@@ -9,7 +9,7 @@
 // The reclaim delay covers clocks that drift apart by the bound, and more.
 func TestReclaimDelayCoversDrift(t *testing.T) {
 	for _, timing := range []Timing{modelTiming, {Lease: units.Second, StopGrace: 600 * units.Second}} {
-		slowest := (timing.Lease + timing.StopGrace).Share(1_000_000+maxDriftPPM, 1_000_000)
+		slowest := (timing.Lease + timing.StopGrace).Fraction(1_000_000+maxDriftPPM, 1_000_000)
 		if timing.ReclaimDelay() <= slowest {
 			t.Errorf("%+v: reclaimed after %d, a slow clock may take %d", timing, timing.ReclaimDelay(), slowest)
 		}
--- a/internal/kv/budget.go
+++ b/internal/kv/budget.go
@@ -27,14 +27,14 @@
 // rateBudget keeps a node within its share of the store's rates. It may be used concurrently.
 type rateBudget struct {
 	mu       sync.Mutex // guards all below
-	limits   config.State
+	limits   config.KVLimits
 	others   int // controllers beside this one
 	leading  bool
 	requests *rate.Limiter
 	writes   *rate.Limiter
 }
 
-func newRateBudget(limits config.State, others int) *rateBudget {
+func newRateBudget(limits config.KVLimits, others int) *rateBudget {
 	b := &rateBudget{limits: limits, others: others}
 	b.resetLimiters()
 	return b
@@ -80,7 +80,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.limits.Next != nil {
-		b.limits = b.limits.Both()
+		b.limits = b.limits.Lowest()
 		b.resetLimiters()
 	}
 }
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -56,7 +56,7 @@
 
 // NewClient returns a client of the key-value store at an address. others is the number of
 // controllers beside this one.
-func NewClient(dial transport.DialFunc, addr string, limits config.State, others int, clock units.Clock) *Client {
+func NewClient(dial transport.DialFunc, addr string, limits config.KVLimits, others int, clock units.Clock) *Client {
 	return &Client{
 		client:    transport.NewClient(dial, addr, maxConns, maxResponse),
 		dial:      dial,
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -21,7 +21,7 @@
 		_, _ = w.Write(body)
 	}))
 	t.Cleanup(server.Close)
-	limits := config.State{RPS: 1e4, WriteRPS: 1e4, TxnOps: 12}
+	limits := config.KVLimits{RPS: 1e4, WriteRPS: 1e4, TxnOps: 12}
 	return NewClient(nil, strings.TrimPrefix(server.URL, "http://"), limits, 0, &steppedClock{now: units.Second})
 }
 
@@ -103,7 +103,7 @@
 // The leader has its share of the writes and the followers divide theirs, before and after
 // the limits change.
 func TestWriteShares(t *testing.T) {
-	b := newRateBudget(config.State{RPS: 100, WriteRPS: 100, TxnOps: 12, Next: &config.State{RPS: 50, WriteRPS: 50, TxnOps: 12}}, 4)
+	b := newRateBudget(config.KVLimits{RPS: 100, WriteRPS: 100, TxnOps: 12, Next: &config.KVLimits{RPS: 50, WriteRPS: 50, TxnOps: 12}}, 4)
 	c := &Client{budget: b}
 	check := func(when string, want float64) {
 		t.Helper()
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -18,7 +18,7 @@
 )
 
 // persisterLimits are far above what the tests write.
-var persisterLimits = config.State{RPS: 1e4, WriteRPS: 1e4, ValueKB: 8, TxnOps: 12}
+var persisterLimits = config.KVLimits{RPS: 1e4, WriteRPS: 1e4, ValueKB: 8, TxnOps: 12}
 
 // newTestClient returns a client of a fake key-value store.
 func newTestClient(t *testing.T, server *fake.KVServer, clock units.Clock) *kv.Client {
@@ -29,10 +29,10 @@
 }
 
 // newTestPersister returns the persister of a leader that has restored nothing yet.
-func newTestPersister(client *kv.Client, clock units.Clock, token uint64, limits config.State) *Persister {
+func newTestPersister(client *kv.Client, clock units.Clock, token uint64, limits config.KVLimits) *Persister {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
-		Teams: []config.Team{{Name: "team", CPUs: 4, CPUsMax: 9}},
+		Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
 		State: limits,
 	}}
 	state := cluster.NewState(settings.Fleet.Teams, limits)
--- a/internal/persister/persister_test.go
+++ b/internal/persister/persister_test.go
@@ -16,7 +16,7 @@
 // newPacedPersister returns a restored persister whose write budget is small and used up.
 func newPacedPersister(t *testing.T) *Persister {
 	t.Helper()
-	limits := config.State{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
+	limits := config.KVLimits{RPS: 1e4, WriteRPS: 20, ValueKB: 8, TxnOps: 12}
 	clock := &fake.Clock{Now: units.Second}
 	p := newTestPersister(kv.NewClient(nil, "127.0.0.1:1", limits, 0, clock), clock, 1, limits)
 	p.InstallRecords(nil, protocol.Catalog{})
--- a/internal/persister/terminaljobs.go
+++ b/internal/persister/terminaljobs.go
@@ -27,10 +27,10 @@
 	return &TerminalJobs{state: state, client: client, cache: newTerminalCache(terminalCacheSize)}
 }
 
-// TerminalJob returns the terminal record of a job, and whether there is one. It fails with
+// Lookup returns the terminal record of a job, and whether there is one. It fails with
 // kv.ErrRefused where the request budget is short, and otherwise as ReadTerminal does. It must
 // be called without the lock of the state.
-func (tj *TerminalJobs) TerminalJob(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
+func (tj *TerminalJobs) Lookup(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
 	tj.state.Lock()
 	record, ok := tj.cache.get(id)
 	tj.state.Unlock()
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -141,17 +141,17 @@
 			return
 		}
 		if status == http.StatusOK {
-			b.Answered(heartbeat)
+			b.ReconcileAnswer(heartbeat)
 			return
 		}
 		incarnation = heartbeat.Incarnation
 	}
 }
 
-// Answered reconciles the heartbeat that a machine sent as the answer to a broadcast. Only
+// ReconcileAnswer reconciles the heartbeat that a machine sent as the answer to a broadcast. Only
 // the first word of a machine may come this way: once it has sent a heartbeat by
 // itself, a response may be on its way to it that this one does not show.
-func (b *TokenBroadcaster) Answered(heartbeat *protocol.Heartbeat) {
+func (b *TokenBroadcaster) ReconcileAnswer(heartbeat *protocol.Heartbeat) {
 	b.State.Lock()
 	defer b.State.Unlock()
 	if m := b.State.Machines[heartbeat.Machine]; m != nil && !m.Registered && b.Leadership.Valid() {
--- a/internal/push/pusher.go
+++ b/internal/push/pusher.go
@@ -69,7 +69,7 @@
 // which tasks to stop, and, if a task of the job starts waits to be started there, to
 // send a heartbeat. starts is nil if none does.
 func (p *CommandPusher) RequestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
-	if m.Endpoint == "" || m.LastHeartbeat+p.Settings.Fleet.Workers.Report()-now <= minPushLead {
+	if m.Endpoint == "" || m.LastHeartbeat+p.Settings.Fleet.Workers.HeartbeatInterval()-now <= minPushLead {
 		return
 	}
 	if _, requested := p.requests[m.ID]; !requested || starts != nil {
--- a/internal/push/pusher_test.go
+++ b/internal/push/pusher_test.go
@@ -20,8 +20,8 @@
 func newTestPusher(t *testing.T) (*CommandPusher, *cluster.Machine, *cluster.Attempt) {
 	t.Helper()
 	settings := &config.Settings{Fleet: config.Fleet{
-		Workers: config.Workers{ReportS: 4, LeaseS: 20, CancelS: 21},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+		Workers: config.Workers{HeartbeatS: 4, LeaseS: 20, CancelS: 21},
+		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
 	state := cluster.NewState(nil, settings.Fleet.State)
 	m := state.EnsureMachine("i-000001", "m", "a", false, testNow)
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -27,9 +27,9 @@
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
-		Teams:   []config.Team{{Name: "team", CPUs: 4, CPUsMax: 9}},
-		Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
+		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
+		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
 	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
 	rc := New(Deps{
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -23,7 +23,7 @@
 	t.Cleanup(listener.Close)
 	negotiators := map[string]*Negotiator{}
 	for i, node := range nodes {
-		client := kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), config.State{
+		client := kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), config.KVLimits{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 		}, len(nodes)-1, units.NewSystemClock())
--- a/internal/scheduler/eviction.go
+++ b/internal/scheduler/eviction.go
@@ -45,6 +45,6 @@
 		return true // it ends by itself in time
 	}
 	spec := &attempt.Job.Spec
-	heartbeatInterval := sc.Settings.Fleet.Workers.Report()
+	heartbeatInterval := sc.Settings.Fleet.Workers.HeartbeatInterval()
 	return spec.CheckpointInterval > 0 && timeLeft > spec.CheckpointDuration+evictionLeadHeartbeats*heartbeatInterval
 }
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -47,7 +47,7 @@
 // tasksWithinQuota returns how many more tasks of the job its team's quota limit allows.
 func (p *planner) tasksWithinQuota(job *JobView) int {
 	team := &p.snapshot.Teams[job.Team]
-	return team.QuotaLimit.Plus(team.Used, -1).Fits(job.Spec.Request)
+	return team.QuotaLimit.Plus(team.Used, -1).CountFitting(job.Spec.Request)
 }
 
 // tasksWithinZone returns how many more tasks of the job may be in a zone; none where the
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -47,7 +47,7 @@
 			x, y := &machines[a], &machines[b]
 			return cmp.Or(
 				compareBools(neededWhole[x.InstanceType], neededWhole[y.InstanceType]),
-				-compareBools(x.Free.Fits(replica.Request) > 0, y.Free.Fits(replica.Request) > 0),
+				-compareBools(x.Free.CountFitting(replica.Request) > 0, y.Free.CountFitting(replica.Request) > 0),
 				-compareBools(chosenBefore(a), chosenBefore(b)),
 				-compareBools(x.HasImage(replica.Image), y.HasImage(replica.Image)),
 				-cmp.Compare(x.Capacity.CPU, y.Capacity.CPU))
@@ -68,7 +68,7 @@
 		}
 		besideReplica := m.Capacity.Plus(replica.Request, -1)
 		neededWhole[m.InstanceType] = slices.ContainsFunc(jobs, func(job JobView) bool {
-			return m.Capacity.Fits(job.Spec.Request) > 0 && besideReplica.Fits(job.Spec.Request) == 0
+			return m.Capacity.CountFitting(job.Spec.Request) > 0 && besideReplica.CountFitting(job.Spec.Request) == 0
 		})
 	}
 	return neededWhole
@@ -84,7 +84,7 @@
 			continue
 		}
 		fleetCPU += m.Capacity.CPU
-		if !m.Slow && m.Capacity.Fits(replica.Request) > 0 && PlacementAllowed(replica, m.InstanceType, m.Zone, m.Spot) {
+		if !m.Slow && m.Capacity.CountFitting(replica.Request) > 0 && PlacementAllowed(replica, m.InstanceType, m.Zone, m.Spot) {
 			byZone[m.Zone] = append(byZone[m.Zone], i)
 		}
 	}
--- a/internal/scheduler/onemachine.go
+++ b/internal/scheduler/onemachine.go
@@ -54,7 +54,7 @@
 	index := &snapshotIndex{machines: []*cluster.Machine{m}}
 	for _, queued := range queue {
 		job := queued.job
-		if snapshot.Machines[0].Free.Fits(job.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !jobSchedulable(job, now) {
+		if snapshot.Machines[0].Free.CountFitting(job.Spec.Request) == 0 && m.Freeing == (units.Resources{}) || !jobSchedulable(job, now) {
 			continue
 		}
 		view := queued.view
--- a/internal/scheduler/patience.go
+++ b/internal/scheduler/patience.go
@@ -41,10 +41,10 @@
 // patience returns how long a job waits for others to end by themselves.
 func (sc *Scheduler) patience(job *cluster.Job) units.Micros {
 	if job.Spec.Priority < protocol.High {
-		if due := sc.Settings.Fleet.GuaranteeDue(); due > 0 {
+		if due := sc.Settings.Fleet.GuaranteedStartObjective(); due > 0 {
 			return due / guaranteePatienceShare
 		}
-	} else if due := sc.Settings.Fleet.StartDue(job.Spec.Class); due > 0 {
+	} else if due := sc.Settings.Fleet.StartObjective(job.Spec.Class); due > 0 {
 		return due / startPatienceShare
 	}
 	return defaultPatience
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -46,7 +46,7 @@
 // placeableOn returns how many of the job's tasks may be placed on a feasible machine.
 func (p *planner) placeableOn(job *JobView, machine int) int {
 	m := &p.snapshot.Machines[machine]
-	return min(p.placeableTasks(job), m.freeFor(job).Fits(job.Spec.Request), tasksWithinZone(job, m.Zone))
+	return min(p.placeableTasks(job), m.freeFor(job).CountFitting(job.Spec.Request), tasksWithinZone(job, m.Zone))
 }
 
 // placeGang places all of a gang's tasks or none. While some of its tasks may
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -147,7 +147,7 @@
 	}
 	for i, u := range used {
 		// What a team used before is not the plan's doing.
-		if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).Fits(fake.CPUs(0)) == 0 {
+		if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).CountFitting(fake.CPUs(0)) == 0 {
 			t.Fatalf("team %d uses %v of %v", i, u, before.Teams[i].QuotaLimit)
 		}
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -68,7 +68,7 @@
 func (p *planner) preemptWithinTeam(jobIndex int, job *JobView) int {
 	team := &p.snapshot.Teams[job.Team]
 	allowed := func() int {
-		return min(job.Pending, team.QuotaLimit.Plus(team.Used, -1).Plus(team.Freeing, 1).Fits(job.Spec.Request))
+		return min(job.Pending, team.QuotaLimit.Plus(team.Used, -1).Plus(team.Freeing, 1).CountFitting(job.Spec.Request))
 	}
 	if allowed() == job.Pending || !job.urgent() || job.AwaitsCompletions {
 		return allowed()
@@ -93,7 +93,7 @@
 			break
 		}
 		m := &p.snapshot.Machines[i]
-		fit := min(m.freeFor(job).Plus(m.Freeing, 1).Fits(job.Spec.Request), n-claimed)
+		fit := min(m.freeFor(job).Plus(m.Freeing, 1).CountFitting(job.Spec.Request), n-claimed)
 		if fit > 0 && p.feasible(i, job) {
 			p.claimCapacity(m, job.Spec.Request, fit)
 			claimed += fit
@@ -131,7 +131,7 @@
 		}
 		free = free.Plus(victim.Request, 1)
 		chosen = append(chosen, victim)
-		if fit := min(free.Fits(job.Spec.Request), n); fit > fitting {
+		if fit := min(free.CountFitting(job.Spec.Request), n); fit > fitting {
 			for _, victim := range chosen {
 				p.preemptVictim(m, victim, jobIndex)
 			}
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -33,7 +33,7 @@
 		in.FinishS = max(in.RunS, in.WorkS/team.QuotaLimit.CPU.Float())
 	}
 	in.DueS, in.Late = sc.nextDue(spec.Class, spec.Deadline, waited, in.FinishS)
-	if due := sc.Settings.Fleet.StartDue(spec.Class); due > 0 {
+	if due := sc.Settings.Fleet.StartObjective(spec.Class); due > 0 {
 		in.StartDueS = (due - waited).Seconds()
 	}
 	return in
@@ -43,7 +43,7 @@
 // takes finishS seconds from now on, else until the last one, which it misses then.
 func (sc *Scheduler) nextDue(class string, deadline, waited units.Micros, finishS float64) (dueS float64, late bool) {
 	dueS = config.NoDeadline
-	for _, due := range sc.Settings.Fleet.Dues(class, deadline) {
+	for _, due := range sc.Settings.Fleet.CompletionObjectives(class, deadline) {
 		dueS = (due - waited).Seconds()
 		late = dueS < finishS*trustedEstimateShare
 		if !late {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -15,8 +15,8 @@
 	var machines []int
 	for i := range p.snapshot.Machines {
 		m := &p.snapshot.Machines[i]
-		fitsNow := m.freeFor(job).Plus(m.Freeing, 1).Fits(job.Spec.Request) > 0
-		if !m.Reserved && m.Capacity.Fits(job.Spec.Request) > 0 && !fitsNow && p.feasible(i, job) {
+		fitsNow := m.freeFor(job).Plus(m.Freeing, 1).CountFitting(job.Spec.Request) > 0
+		if !m.Reserved && m.Capacity.CountFitting(job.Spec.Request) > 0 && !fitsNow && p.feasible(i, job) {
 			machines = append(machines, i)
 		}
 	}
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -61,7 +61,7 @@
 	p.candidates = p.candidates[:0]
 	for i := range p.snapshot.Machines {
 		m := &p.snapshot.Machines[i]
-		if m.Reserved || m.freeFor(job).Fits(job.Spec.Request) == 0 || !p.feasible(i, job) {
+		if m.Reserved || m.freeFor(job).CountFitting(job.Spec.Request) == 0 || !p.feasible(i, job) {
 			continue
 		}
 		p.candidates = append(p.candidates, candidate{machine: i, score: scoreMachine(job, i, m)})
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -177,7 +177,7 @@
 // machineView returns a view of a machine. answering reports whether its heartbeat is being
 // answered.
 func (sc *Scheduler) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
-	untilHeartbeat := max(0, m.LastHeartbeat+sc.Settings.Fleet.Workers.Report()-now)
+	untilHeartbeat := max(0, m.LastHeartbeat+sc.Settings.Fleet.Workers.HeartbeatInterval()-now)
 	return MachineView{
 		ID:                     m.ID,
 		InstanceType:           m.InstanceType,
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -59,8 +59,8 @@
 
 // FitsRecords reports whether a job can be kept in records of a format, however far the
 // job gets.
-func FitsRecords(spec *protocol.JobSpec, format Format, limits config.State) bool {
-	budget := NewNameBudgetFunc(limits.ValueBytes(), limits.Both().ValueBytes())(spec, format)
+func FitsRecords(spec *protocol.JobSpec, format Format, limits config.KVLimits) bool {
+	budget := NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes())(spec, format)
 	if format != FormatOld {
 		return budget.Main >= 0
 	}
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -31,8 +31,8 @@
 // Duration returns the length for the standard library.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Share returns the fraction numerator/denominator of a length, rounded towards zero.
-func (m Micros) Share(numerator, denominator int64) Micros {
+// Fraction returns the fraction numerator/denominator of a length, rounded towards zero.
+func (m Micros) Fraction(numerator, denominator int64) Micros {
 	return m * Micros(numerator) / Micros(denominator)
 }
 
@@ -72,9 +72,9 @@
 	return Resources{r.CPU + o.CPU*times, r.GPU + o.GPU*times, r.Memory + o.Memory*times}
 }
 
-// Fits returns how many times a request fits into the free capacity r: math.MaxInt32 if the
+// CountFitting returns how many times a request fits into the free capacity r: math.MaxInt32 if the
 // request is zero, and 0 if r is negative anywhere.
-func (r Resources) Fits(request Resources) int {
+func (r Resources) CountFitting(request Resources) int {
 	if request.CPU > r.CPU || request.Memory > r.Memory || request.GPU > r.GPU {
 		return 0 // the most frequent case, at little cost
 	}
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -16,7 +16,7 @@
 			return Resources{Amount(amount.Draw(t, name)), Amount(amount.Draw(t, name)), Amount(amount.Draw(t, name))}
 		}
 		free, request := draw("free", -5), draw("request", 0)
-		n := free.Fits(request)
+		n := free.CountFitting(request)
 		notNegative := func(r Resources) bool { return r.CPU >= 0 && r.GPU >= 0 && r.Memory >= 0 }
 		if n == math.MaxInt32 {
 			if request != (Resources{}) {
--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -80,8 +80,8 @@
 		runTime:  time.Second,
 		memoryMB: memoryMB,
 		teams: []config.Team{
-			{Name: floodingTeam, CPUs: burstCPUs, CPUsMax: 2 * burstCPUs},
-			{Name: steadyTeam, CPUs: burstCPUs, CPUsMax: 2 * burstCPUs},
+			{Name: floodingTeam, GuaranteedCPUs: burstCPUs, LimitCPUs: 2 * burstCPUs},
+			{Name: steadyTeam, GuaranteedCPUs: burstCPUs, LimitCPUs: 2 * burstCPUs},
 		},
 		policy: policy,
 		kv:     store,
@@ -272,11 +272,11 @@
 	time.Sleep(3 * time.Second)
 	b.nodes[stale].rejectKV(false)
 	leader = b.leader()
-	for _, other := range b.nodes[leader].settings.Others {
+	for _, other := range b.nodes[leader].settings.Peers {
 		b.nodes[leader].dialer.setPartitioned(other.Endpoint, true)
 	}
 	time.Sleep(3 * time.Second)
-	for _, other := range b.nodes[leader].settings.Others {
+	for _, other := range b.nodes[leader].settings.Peers {
 		b.nodes[leader].dialer.setPartitioned(other.Endpoint, false)
 	}
 	b.users.Wait()
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -81,7 +81,7 @@
 		cpus:     4,
 		runTime:  300 * time.Millisecond,
 		memoryMB: 100,
-		teams:    []config.Team{{Name: "team", CPUs: 8, CPUsMax: 12}},
+		teams:    []config.Team{{Name: "team", GuaranteedCPUs: 8, LimitCPUs: 12}},
 		kv:       fake.NewKVServer(),
 	})
 }
@@ -107,7 +107,7 @@
 	for i, n := range c.nodes {
 		for k, other := range c.nodes {
 			if k != i {
-				n.settings.Others = append(n.settings.Others, config.Peer{
+				n.settings.Peers = append(n.settings.Peers, config.Peer{
 					Node:     other.settings.Node,
 					Zone:     "a",
 					Endpoint: other.settings.MeshListen,
@@ -163,9 +163,9 @@
 		Fleet: config.Fleet{
 			Zones:     []string{"a"},
 			Teams:     c.options.teams,
-			Workers:   config.Workers{ReportS: 0.1, LeaseS: 8, CancelS: 10},
-			State:     config.State{RPS: 1000, WriteRPS: 800, ValueKB: 8, TxnOps: 12},
-			Cloud:     config.Cloud{RPS: 50},
+			Workers:   config.Workers{HeartbeatS: 0.1, LeaseS: 8, CancelS: 10},
+			State:     config.KVLimits{RPS: 1000, WriteRPS: 800, ValueKB: 8, TxnOps: 12},
+			Cloud:     config.CloudLimits{RPS: 50},
 			Resources: config.Resources{CoreShare: 1, RAMMB: c.options.memoryMB, MaxConnections: 400},
 		},
 	}
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -62,7 +62,7 @@
 	}
 	for k := range d.nodes {
 		if k != i {
-			settings.Others = append(settings.Others, config.Peer{
+			settings.Peers = append(settings.Peers, config.Peer{
 				Node:     d.nodes[k].name,
 				Zone:     zones[k%len(zones)],
 				Endpoint: endpoint(k, meshPort),
@@ -134,7 +134,7 @@
 		Spot:         m.Spot,
 		CPUs:         machineCPUs,
 		Timing: fake.Timing{
-			HeartbeatInterval: units.Seconds(d.fleet.Workers.ReportS).Duration(),
+			HeartbeatInterval: units.Seconds(d.fleet.Workers.HeartbeatS).Duration(),
 			LeaseDuration:     workerLease,
 		},
 		Controllers: names,
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -168,16 +168,16 @@
 		Zones: zones,
 		// The other team has no work; its guarantee keeps all machines provisioned.
 		Teams: []config.Team{
-			{Name: "team", CPUs: o.quotaLimit, CPUsMax: o.quotaLimit},
-			{Name: "other", CPUs: totalCPUs, CPUsMax: totalCPUs},
+			{Name: "team", GuaranteedCPUs: o.quotaLimit, LimitCPUs: o.quotaLimit},
+			{Name: "other", GuaranteedCPUs: totalCPUs, LimitCPUs: totalCPUs},
 		},
 		Workers: config.Workers{
-			ReportS: o.heartbeatInterval.Seconds(),
-			LeaseS:  workerLease.Seconds(),
-			CancelS: o.cancelTimeout.Seconds(),
+			HeartbeatS: o.heartbeatInterval.Seconds(),
+			LeaseS:     workerLease.Seconds(),
+			CancelS:    o.cancelTimeout.Seconds(),
 		},
-		State:     config.State{RPS: 500, WriteRPS: 400, ValueKB: 8, TxnOps: 12},
-		Cloud:     config.Cloud{RPS: 50, ListLagS: 1},
+		State:     config.KVLimits{RPS: 500, WriteRPS: 400, ValueKB: 8, TxnOps: 12},
+		Cloud:     config.CloudLimits{RPS: 50, ListLagS: 1},
 		Resources: config.Resources{CoreShare: 1, RAMMB: o.memoryMB, MaxConnections: 400},
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -117,7 +117,7 @@
 	}
 	defer mesh.Close()
 	d.Log.Info("node starts", "node", s.Node, "zone", s.Zone, "clients", s.ClientListen, "mesh", s.MeshListen)
-	return controller.NewController(s, controller.Environment{
+	return controller.New(s, controller.Environment{
 		Policy:    d.Policy,
 		Clock:     d.Clock,
 		Random:    d.Random,
