--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -68,6 +68,15 @@
 	if !eventually(10*time.Second, func() bool { return len(store.Keys(storage.PrefixPending)) == 0 }) {
 		t.Fatal("it stays in the pending-submission queue")
 	}
+	// The store has removed it from the queue; the leader learns of that by the response only.
+	accepted := func() bool {
+		leader.state.Lock()
+		defer leader.state.Unlock()
+		return leader.state.Jobs[testJob].Accepted()
+	}
+	if !eventually(10*time.Second, accepted) {
+		t.Fatal("the leader does not learn that it is stored")
+	}
 	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 		t.Errorf("cancellation: %d %s", a.Status, a.Body)
 	}
