--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -76,7 +76,7 @@
 // NewLeader returns the leader of an election that was just won. It answers nobody until Run
 // has restored the records.
 func NewLeader(leadership election.Leadership, deps Deps) *Leader {
-	deps.Log = deps.Log.With("term", leadership.Token())
+	deps.Log = deps.Log.With("token", leadership.Token())
 	l := &Leader{
 		Deps:        deps,
 		leadership:  leadership,
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -27,7 +27,7 @@
 	}
 	stored := awaitDurable(ctx, entry.durable)
 	l.Log.Debug("submission awaited its write", "job", spec.ID, "stored", stored,
-		"lock_us", int64(entry.at-receivedAt), "save_us", int64(l.Clock.Steady()-entry.at))
+		"lock_us", int64(entry.at-receivedAt), "write_us", int64(l.Clock.Steady()-entry.at))
 	if !stored {
 		return storeSlow()
 	}
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -24,7 +24,7 @@
 		"cpus_running", runningRequests(l.state).CPU.Float(),
 		"pending_low", pending[protocol.Low], "pending_normal", pending[protocol.Normal],
 		"pending_high", pending[protocol.High], "pending_prod", pending[protocol.Production],
-		"jobs", len(l.state.Jobs), "teams_near_limit", teamsNearLimit(l.state), "round_cost_us", int64(l.scheduler.CycleCost),
+		"jobs", len(l.state.Jobs), "teams_near_limit", teamsNearLimit(l.state), "cycle_cost_us", int64(l.scheduler.CycleCost),
 		"state_requests", l.KV.Stats.Requests.Load(), "state_writes", l.KV.Stats.Writes.Load())
 }
 
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -101,7 +101,7 @@
 	e.leading, e.steppingDown = true, false
 	e.token, e.recordVersion, e.handedOverAt = record.Incarnation, newVersion, record.HandedOverAt
 	e.validUntil = sentAt + e.timing.Duration
-	e.log.Info("leader lease acquired", "term", e.token, "from", old.Holder)
+	e.log.Info("leader lease acquired", "token", e.token, "from", old.Holder)
 	return e.timing.RenewEvery
 }
 
--- a/internal/election/renew.go
+++ b/internal/election/renew.go
@@ -23,7 +23,7 @@
 	version, ours, err := e.compareAndSwap(ctx, record, base)
 	if err != nil {
 		if !storeUnavailable(err) {
-			e.log.Error("leader lease not renewed", "term", record.Incarnation, "error", err)
+			e.log.Error("leader lease not renewed", "token", record.Incarnation, "error", err)
 		}
 		return leaseRetryDelay
 	}
@@ -74,7 +74,7 @@
 
 // loseLease makes this controller a follower. It needs the lock held.
 func (e *Elector) loseLease(why string) {
-	e.log.Info("leader lease lost", "term", e.token, "why", why)
+	e.log.Info("leader lease lost", "token", e.token, "why", why)
 	e.leading, e.steppingDown, e.validUntil = false, false, 0
 	e.monitor = leaseMonitor{timing: e.timing}
 }
