--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -38,7 +38,7 @@
 func ParsePendingSubmission(item protocol.Item) (PendingSubmission, error) {
 	id, ok := strings.CutPrefix(item.Key, storage.PrefixPending)
 	if !ok {
-		return PendingSubmission{}, &storage.RecordError{Key: item.Key, Err: errors.New("is not in the inbox")}
+		return PendingSubmission{}, &storage.RecordError{Key: item.Key, Err: errors.New("is not a pending submission")}
 	}
 	j, _, err := parseRecord(storage.KeyJob(id), item.Value)
 	if err != nil {
--- a/internal/federation/apply.go
+++ b/internal/federation/apply.go
@@ -72,7 +72,7 @@
 	return ok
 }
 
-// nextWriteID identifies the write that comes next, in all terms of the cell's leaders.
+// nextWriteID identifies the write that comes next, under all leaders of the cell.
 func (m *Manager) nextWriteID() string {
 	return fmt.Sprintf("%d-%d", m.FencingToken, m.Stats.Writes.Load()+1)
 }
--- a/internal/federation/dependencies.go
+++ b/internal/federation/dependencies.go
@@ -70,7 +70,7 @@
 	Clock     units.Clock
 	Log       *slog.Logger // nil: nothing is logged
 	// FencingToken is the leader's, greater than those of all leaders before.
-	// LeaseAcquiredAt is the steady time at which it acquired the fleet lease.
+	// LeaseAcquiredAt is the steady time at which it acquired the leader lease.
 	FencingToken    uint64
 	LeaseAcquiredAt units.Micros
 	// OnSuperseded is called once when another leader has written a record, with the
--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -18,12 +18,12 @@
 //   - No transfer ends without the job being done, cancelled, or back at its origin.
 //
 // OriginRecord and TargetRecord are the two state machines. They do no I/O and read no
-// clock: each event returns a Decision. Manager carries decisions out during one term of a
+// clock: each event returns a Decision. Manager carries decisions out under one leader of a
 // cell's leader, over the interfaces Store, Transport and Scheduler. Config is the cells
 // file; Config.ChooseTarget decides which job goes where.
 //
 // Whoever carries decisions out keeps three rules: a decision's record is written by a
 // compare-and-swap on the version that it was made from, before its messages are sent and
 // before anything else is done on account of it; messages are decided on only while the
-// fleet lease is held; a record that cannot be read blocks its job and is never replaced.
+// leader lease is held; a record that cannot be read blocks its job and is never replaced.
 package federation
--- a/internal/federation/lease.go
+++ b/internal/federation/lease.go
@@ -3,12 +3,12 @@
 import "dunestand/internal/units"
 
 // LeaseGrantor is what an origin's leader knows of the leases that were granted on one
-// transfer. Its predecessor may have granted leases until the fleet lease was acquired, so
+// transfer. Its predecessor may have granted leases until the leader lease was acquired, so
 // a new leader counts that time as a grant. All times are of the leader's steady clock.
 // It is not safe for concurrent use.
 type LeaseGrantor struct{ lastGrant units.Micros }
 
-// NewLeaseGrantor returns the grantor of a leader that acquired the fleet lease at a time.
+// NewLeaseGrantor returns the grantor of a leader that acquired the leader lease at a time.
 func NewLeaseGrantor(acquiredAt units.Micros) LeaseGrantor {
 	return LeaseGrantor{lastGrant: acquiredAt}
 }
--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-// Manager carries out the transfers of a cell during one term of its leader: it writes
+// Manager carries out the transfers of a cell under one leader: it writes
 // records, sends messages, sends again what is not answered, and calls the scheduler. It is
 // safe for concurrent use. It starts no goroutine; what it does waits for the store.
 type Manager struct {
@@ -23,7 +23,7 @@
 	incoming      map[TransferID]*incomingTransfer
 	unreadable    map[string]error // by key, of records that cannot be read
 	reservations  *Reservations
-	transferCount uint64 // of transfers that began in this term
+	transferCount uint64 // of transfers that began under this leader
 	superseded    bool   // another leader has written a record: nothing more is decided
 }
 
@@ -67,12 +67,12 @@
 	// reclaimAfterLeases is for how many lengths of the lease a target may be silent until
 	// the job is reclaimed.
 	reclaimAfterLeases = 3
-	// incarnationBits is how many bits of an incarnation count the transfers of one term;
+	// incarnationBits is how many bits of an incarnation count the transfers of one leader;
 	// the fencing token is above them.
 	incarnationBits = 24
 )
 
-// NewManager returns the Manager of a term. Restore is to be called before anything else.
+// NewManager returns the Manager of a leader. Restore is to be called before anything else.
 func NewManager(options Options) *Manager {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
