--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -110,3 +110,34 @@
 		}
 	})
 }
+
+// encodeTasks returns a heartbeat's list of tasks as a worker sends it, all of them running.
+// BenchmarkExchange encodes it once a machine, so that its figures are those of the server more
+// than those of the client; protocol.EncodeHeartbeat encodes all anew each time.
+func encodeTasks(heartbeat *protocol.Heartbeat) protocol.Raw {
+	tasks := make([]map[string]any, len(heartbeat.Tasks))
+	for i, task := range heartbeat.Tasks {
+		tasks[i] = map[string]any{
+			"bolt":  protocol.TaskName(task.Job, task.Index),
+			"try":   task.Attempt,
+			"stage": "running",
+		}
+	}
+	return protocol.Encode(tasks)
+}
+
+// encodeHeartbeat returns a heartbeat as a worker sends it, with a list of tasks.
+func encodeHeartbeat(heartbeat *protocol.Heartbeat, tasks protocol.Raw) []byte {
+	return protocol.Encode(map[string]any{
+		"dune":     heartbeat.Machine,
+		"endpoint": "10.1.0.1:9000",
+		"loom":     heartbeat.InstanceType,
+		"yard":     heartbeat.Zone,
+		"borrowed": heartbeat.Spot,
+		"shift":    heartbeat.Incarnation,
+		"tally":    heartbeat.Sequence,
+		"baton":    heartbeat.FencingToken,
+		"recall_s": nil,
+		"bolts":    tasks,
+	})
+}
--- a/internal/controller/broadcast_test.go
+++ b/internal/controller/broadcast_test.go
@@ -16,7 +16,7 @@
 	job := leader.state.Jobs[testJob]
 	const last = "i-000099"
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(encodeHeartbeat(testHeartbeat(last, 1, 1, leader.token), nil))
+		_, _ = w.Write(encodeReachable(testHeartbeat(last, 1, 1, leader.token)))
 	}))
 	t.Cleanup(worker.Close)
 	addUnreconciled := func(id, endpoint string) {
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -84,33 +84,10 @@
 	c.elector.ObserveRecord(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version)
 }
 
-// encodeTasks returns a heartbeat's list of tasks as a worker sends it, all of them running.
-func encodeTasks(heartbeat *protocol.Heartbeat) protocol.Raw {
-	tasks := make([]map[string]any, len(heartbeat.Tasks))
-	for i, task := range heartbeat.Tasks {
-		tasks[i] = map[string]any{
-			"bolt":  protocol.TaskName(task.Job, task.Index),
-			"try":   task.Attempt,
-			"stage": "running",
-		}
-	}
-	return protocol.Encode(tasks)
-}
-
-// encodeHeartbeat returns a heartbeat as a worker sends it, with a list of tasks.
-func encodeHeartbeat(heartbeat *protocol.Heartbeat, tasks protocol.Raw) []byte {
-	return protocol.Encode(map[string]any{
-		"dune":     heartbeat.Machine,
-		"endpoint": "10.1.0.1:9000",
-		"loom":     heartbeat.InstanceType,
-		"yard":     heartbeat.Zone,
-		"borrowed": heartbeat.Spot,
-		"shift":    heartbeat.Incarnation,
-		"tally":    heartbeat.Sequence,
-		"baton":    heartbeat.FencingToken,
-		"recall_s": nil,
-		"bolts":    tasks,
-	})
+// encodeReachable returns a heartbeat as a worker sends it, with an endpoint for commands.
+func encodeReachable(heartbeat *protocol.Heartbeat) []byte {
+	heartbeat.Endpoint = "10.1.0.1:9000"
+	return protocol.EncodeHeartbeat(heartbeat)
 }
 
 // encodeSubmission returns a job's submission by a team as a user sends it.
