--- a/cmd/dunestand/admission.go
+++ b/cmd/dunestand/admission.go
@@ -87,8 +87,7 @@
 // convertTaskCount makes the number of tasks an integer, as the protocol has it: JSON does
 // not distinguish it from other numbers.
 func convertTaskCount(fields map[string]any) {
-	const taskCount = "bolts"
-	if count, ok := fields[taskCount].(float64); ok && count == float64(int64(count)) {
-		fields[taskCount] = int64(count)
+	if count, ok := fields[protocol.FieldTasks].(float64); ok && count == float64(int64(count)) {
+		fields[protocol.FieldTasks] = int64(count)
 	}
 }
--- a/cmd/dunestand/admission_test.go
+++ b/cmd/dunestand/admission_test.go
@@ -85,7 +85,7 @@
 	if spec.Tasks != 3 {
 		t.Errorf("%d tasks", spec.Tasks)
 	}
-	job["bolts"] = 2.5
+	job[protocol.FieldTasks] = 2.5
 	if _, err := readJob(writeJSON(t, "job.json", job)); err == nil {
 		t.Error("a job with half a task is read")
 	}
