--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -18,23 +18,9 @@
 func newTestAutoscaler(tasks int) (*Autoscaler, *fake.Clock) {
 	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
-		Zones:   []string{"a"},
-		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
-		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
-	}}
+	settings := fake.Settings()
 	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
-	state.SetInstanceTypes([]protocol.InstanceType{{
-		Name:      "m",
-		CPUs:      4,
-		MemoryGB:  64,
-		CacheGB:   10,
-		Price:     1,
-		SpotPrice: 1,
-		BootS:     5,
-		Zones:     []string{"a"},
-	}})
+	state.SetInstanceTypes(fake.Catalog().Types)
 	policy := config.DefaultPolicy()
 	as := New(Deps{
 		State:      state,
@@ -47,7 +33,8 @@
 		Token:      7,
 		ElectedAt:  clock.Now,
 	})
-	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: tasks, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
+	spec := *fake.JobSpec("j-000001")
+	spec.Tasks = tasks
 	state.NewJob(spec, clock.Now, clock.Now)
 	batch := state.BuildWriteBatch("7-1", make([]uint64, storage.Buckets), cluster.BatchLimits{}, clock.Now)
 	state.BatchCommitted(batch, 1)
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
 	"dunestand/internal/scheduler"
 	"dunestand/internal/units"
@@ -38,7 +39,7 @@
 		leader, clock := newLeaderWithJob(t, 1)
 		heapBefore, estimateBefore := heapInUse(), leader.state.EstimatedMemory()
 		for i := range c.jobs {
-			spec := *modelSpec(fmt.Sprintf("j-%06d", i+100))
+			spec := *fake.JobSpec(fmt.Sprintf("j-%06d", i+100))
 			spec.Tasks = c.tasks
 			job := leader.state.NewJob(spec, clock.Now, clock.Now)
 			for index := range c.tasks / 2 {
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -56,7 +56,7 @@
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	leader := newTestLeader(1, &fake.Clock{})
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	service := *modelSpec(testJob)
+	service := *fake.JobSpec(testJob)
 	service.Kind, service.Tasks = protocol.Service, modelQuotaCPUs
 	for _, c := range []struct {
 		level  storage.Format
@@ -130,7 +130,7 @@
 // submitUntilAccepted submits a job, and again while it is refused, for 20 times at most.
 func submitUntilAccepted(t *testing.T, leader *Leader, id string, tasks int) {
 	t.Helper()
-	spec := *modelSpec(id)
+	spec := *fake.JobSpec(id)
 	spec.Tasks = tasks
 	for try := 0; ; try++ {
 		if a := leader.Submit(t.Context(), &spec); a.Status == http.StatusCreated || a.Status == http.StatusOK {
--- a/internal/controller/harness_admission_test.go
+++ b/internal/controller/harness_admission_test.go
@@ -55,7 +55,7 @@
 
 // admittedSpec returns a job of a team with an estimate.
 func admittedSpec(id, team string, tasks int) *protocol.JobSpec {
-	spec := modelSpec(id)
+	spec := fake.JobSpec(id)
 	spec.Team, spec.Tasks, spec.Estimate = team, tasks, 10*units.Second
 	return spec
 }
--- a/internal/controller/harness_fleet_test.go
+++ b/internal/controller/harness_fleet_test.go
@@ -29,7 +29,7 @@
 	leader.state.Teams["team"].QuotaLimit = fake.CPUs(32 * machines * 2)
 	const jobs = 300
 	for i := range jobs {
-		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
+		spec := *fake.JobSpec(fmt.Sprintf("j-%06d", i))
 		spec.Tasks, spec.Request, spec.Priority = 1+i*3000/jobs, fake.CPUs(2), protocol.Priority(i%3)
 		leader.state.NewJob(spec, clock.Now, clock.Now)
 	}
@@ -66,7 +66,7 @@
 	leader.state.Teams["team"].QuotaLimit = fake.CPUs(perMachine * machines)
 	var running []*cluster.Job
 	for i := range jobs {
-		spec := *modelSpec(fmt.Sprintf("j-%06d", i))
+		spec := *fake.JobSpec(fmt.Sprintf("j-%06d", i))
 		spec.Tasks = machines * perMachine / jobs
 		running = append(running, leader.state.NewJob(spec, clock.Now, clock.Now))
 	}
--- a/internal/controller/harness_service_test.go
+++ b/internal/controller/harness_service_test.go
@@ -19,7 +19,7 @@
 	leader := newTestLeader(7, clock)
 	leader.setFormat(storage.FormatNew)
 	leader.persister.InstallRecords(nil, modelCatalog)
-	spec := *modelSpec(testJob)
+	spec := *fake.JobSpec(testJob)
 	spec.Kind, spec.Tasks, spec.ZoneSpread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
 	leader.state.NewJob(spec, clock.Now, clock.Now)
 	leader.commitWrites()
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -55,19 +55,6 @@
 		Zones:     []string{"a"},
 	}}}
 
-// modelSpec returns a job of two tasks of that fleet's team.
-func modelSpec(id string) *protocol.JobSpec {
-	return &protocol.JobSpec{
-		ID:        id,
-		Class:     "c",
-		Team:      "team",
-		Tasks:     2,
-		Request:   fake.CPUs(1),
-		AllowSpot: true,
-		Image:     "i",
-	}
-}
-
 // testHeartbeat returns a heartbeat without tasks of a spot instance of that fleet.
 func testHeartbeat(machine string, incarnation, sequence, token uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
@@ -112,7 +99,7 @@
 func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *fake.Clock) {
 	t.Helper()
 	leader, clock := newEmptyLeader(7, 100*units.Second)
-	spec := *modelSpec(testJob)
+	spec := *fake.JobSpec(testJob)
 	spec.Tasks = tasks
 	leader.state.NewJob(spec, clock.Now, clock.Now)
 	leader.commitWrites()
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/protocol"
 	"dunestand/internal/units"
 )
@@ -35,7 +36,7 @@
 func TestAttemptOutlivesItsJob(t *testing.T) {
 	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
-	spec := *modelSpec(testJob)
+	spec := *fake.JobSpec(testJob)
 	spec.Tasks = 1
 	job := state.NewJob(spec, clock.Now, clock.Now)
 	leader.commitWrites()
@@ -68,7 +69,7 @@
 func TestCompletionsAreForgottenOnlyOnceDurable(t *testing.T) {
 	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
-	job := state.NewJob(*modelSpec(testJob), clock.Now, clock.Now)
+	job := state.NewJob(*fake.JobSpec(testJob), clock.Now, clock.Now)
 	commit := func() {
 		state.BatchCommitted(state.BuildWriteBatch("2-1", leader.persister.BucketVersions(), cluster.BatchLimits{Background: true}, clock.Now), 1)
 	}
--- a/internal/controller/heartbeatlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -71,7 +71,7 @@
 	}
 
 	// i-1 gets a task whose write batch is not committed.
-	spec := *modelSpec(testJob)
+	spec := *fake.JobSpec(testJob)
 	spec.Tasks = 1
 	job := leader.state.NewJob(spec, leader.Clock.Wall(), leader.Clock.Steady())
 	leader.commitWrites()
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -27,18 +27,18 @@
 	c, _ := newRefusedController(t, store)
 	ctx := t.Context()
 	for _, want := range []int{http.StatusCreated, http.StatusOK} {
-		if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), fromUser); a.Status != want || decodeState(t, a).Stage != protocol.StagePending {
+		if a := c.submit(ctx, encodeSubmission(fake.JobSpec(testJob), "team"), fromUser); a.Status != want || decodeState(t, a).Stage != protocol.StagePending {
 			t.Fatalf("submission: %d %s, want %d", a.Status, a.Body, want)
 		}
 	}
-	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000009"), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
+	if a := c.submit(ctx, encodeSubmission(fake.JobSpec("j-000009"), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
 		t.Errorf("a job in a terminal state: %d %s", a.Status, a.Body)
 	}
 	// Only a leader rejects for good: it knows whether the job was accepted before.
-	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000002"), "nobody"), fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+	if a := c.submit(ctx, encodeSubmission(fake.JobSpec("j-000002"), "nobody"), fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("an infeasible job: %d", a.Status)
 	}
-	if a := c.submit(ctx, encodeSubmission(modelSpec("j-000003"), "team"), fromPeer); a.Status != http.StatusServiceUnavailable {
+	if a := c.submit(ctx, encodeSubmission(fake.JobSpec("j-000003"), "team"), fromPeer); a.Status != http.StatusServiceUnavailable {
 		t.Errorf("forwarded by another node: %d", a.Status)
 	}
 	if a := c.poll(ctx, testJob, fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
@@ -58,7 +58,7 @@
 	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusServiceUnavailable {
 		t.Errorf("cancellation before it is ingested: %d", a.Status)
 	}
-	infeasible := modelSpec(testJob)
+	infeasible := fake.JobSpec(testJob)
 	infeasible.Team = "nobody"
 	if a := leader.Submit(ctx, infeasible); a.Status == http.StatusUnprocessableEntity {
 		t.Error("the duplicate of an accepted job is rejected")
@@ -80,7 +80,7 @@
 	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 		t.Errorf("cancellation: %d %s", a.Status, a.Body)
 	}
-	if a := c.submit(ctx, encodeSubmission(modelSpec(testJob), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+	if a := c.submit(ctx, encodeSubmission(fake.JobSpec(testJob), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 		t.Errorf("duplicate of a cancelled job: %d %s", a.Status, a.Body)
 	}
 }
@@ -97,7 +97,7 @@
 		}
 		return false
 	}
-	a := c.submit(t.Context(), encodeSubmission(modelSpec(testJob), "team"), fromUser)
+	a := c.submit(t.Context(), encodeSubmission(fake.JobSpec(testJob), "team"), fromUser)
 	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("%d %s", got.Status, got.Body)
 	}
@@ -110,7 +110,7 @@
 // cleared away and never answered for: the job's terminal state stands.
 func TestLatePendingSubmissionOfAFinishedJob(t *testing.T) {
 	store := fake.NewKVServer()
-	spec := modelSpec(testJob)
+	spec := fake.JobSpec(testJob)
 	for _, change := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
 		store.Put(change.Set, change.Value)
 	}
--- a/internal/controller/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -29,7 +29,7 @@
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	start(t, leader.persister.Run)
-	spec := modelSpec(testJob)
+	spec := fake.JobSpec(testJob)
 	spec.Team = "guest"
 	spec.Tasks = guestTaskCount
 	spec.Request = units.Resources{CPU: units.AmountOf(0.25)}
@@ -92,7 +92,7 @@
 	leader := newGuestLeader(t)
 	var log bytes.Buffer
 	leader.Log = slog.New(slog.NewTextHandler(&log, nil))
-	spec := modelSpec("j-000002")
+	spec := fake.JobSpec("j-000002")
 	spec.Team = "nobody"
 	if a := leader.Submit(t.Context(), spec); a.Status != http.StatusUnprocessableEntity {
 		t.Fatalf("a job of an unknown team: %d", a.Status)
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -56,7 +56,7 @@
 
 // submit submits a job that must start within four minutes.
 func (f *overloadedFleet) submit(t *rapid.T, id string) {
-	spec := *modelSpec(id)
+	spec := *fake.JobSpec(id)
 	spec.Tasks = rapid.IntRange(40, 90).Draw(t, "tasks")
 	spec.Request = fake.CPUs(rapid.IntRange(1, 3).Draw(t, "cpus"))
 	spec.Priority = protocol.Priority(rapid.IntRange(0, 1).Draw(t, "priority"))
@@ -115,7 +115,7 @@
 func TestUserRequestsAreWrittenFirst(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
 	for i := range 40 {
-		leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
+		leader.state.NewJob(*fake.JobSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 	}
 	leader.commitWrites()
 	for _, job := range leader.state.Jobs {
@@ -123,7 +123,7 @@
 		job.MarkChanged(clock.Now, true)
 	}
 	clock.Now += units.Second
-	leader.state.NewJob(*modelSpec("j-000100"), clock.Now, clock.Now)
+	leader.state.NewJob(*fake.JobSpec("j-000100"), clock.Now, clock.Now)
 	leader.cancelJob(leader.state.Jobs["j-000030"])
 	batch := leader.state.BuildWriteBatch("x", leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
 	if first := batch.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"dunestand/internal/cluster"
+	"dunestand/internal/fake"
 	"dunestand/internal/units"
 )
 
@@ -15,7 +16,7 @@
 	fail := func(jobID, machineID string) *cluster.Job {
 		job := state.Jobs[jobID]
 		if job == nil {
-			job = state.NewJob(*modelSpec(jobID), clock.Now, clock.Now)
+			job = state.NewJob(*fake.JobSpec(jobID), clock.Now, clock.Now)
 		}
 		machine := state.EnsureMachine(machineID, "m", "a", true, clock.Now)
 		attempt := state.Assign(job, machine, leader.token<<32|uint64(len(jobID)), clock.Now)
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -136,7 +136,7 @@
 // A record of a service that a version before has taken for an array, with some
 // tasks done, is that of a service all the same, and all its replicas run.
 func TestServicesAreRestoredAsServices(t *testing.T) {
-	spec := *modelSpec(testJob)
+	spec := *fake.JobSpec(testJob)
 	spec.Tasks = 3
 	writer := newTestLeader(7, &fake.Clock{Now: units.Second})
 	writer.state.NewJob(spec, 0, 0)
@@ -215,7 +215,7 @@
 		fleet.machines[heartbeat.Machine] = heartbeat
 	}
 	leader.state.Teams["team"].GuaranteedQuota, leader.state.Teams["team"].QuotaLimit = fake.CPUs(100), fake.CPUs(200)
-	array := *modelSpec("j-000002")
+	array := *fake.JobSpec("j-000002")
 	leader.state.NewJob(array, clock.Now, clock.Now)
 	for range 60 {
 		fleet.exchangeAll()
--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -32,16 +32,16 @@
 		t.Fatalf("unknown job: %d", a.Status)
 	}
 	for _, id := range []string{"j-000001", "j-000002", "j-000003"} {
-		if a := leader.Submit(ctx, modelSpec(id)); a.Status != http.StatusCreated {
+		if a := leader.Submit(ctx, fake.JobSpec(id)); a.Status != http.StatusCreated {
 			t.Fatalf("submit: %d %s", a.Status, a.Body)
 		}
-		if a := leader.Submit(ctx, modelSpec(id)); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
+		if a := leader.Submit(ctx, fake.JobSpec(id)); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 			t.Fatalf("duplicate: %d %s", a.Status, a.Body)
 		}
 		if a := leader.Cancel(ctx, id); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 			t.Fatalf("cancel: %d %s", a.Status, a.Body)
 		}
-		if a := leader.Submit(ctx, modelSpec(id)); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
+		if a := leader.Submit(ctx, fake.JobSpec(id)); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 			t.Fatalf("duplicate after cancel: %d %s", a.Status, a.Body)
 		}
 	}
@@ -69,9 +69,9 @@
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	start(t, leader.persister.Run)
-	infeasible := modelSpec(id)
+	infeasible := fake.JobSpec(id)
 	infeasible.Team = "nobody"
-	for _, spec := range []*protocol.JobSpec{modelSpec(id), infeasible} {
+	for _, spec := range []*protocol.JobSpec{fake.JobSpec(id), infeasible} {
 		if a := leader.Submit(ctx, spec); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
 			t.Fatalf("duplicate: %d %s", a.Status, a.Body)
 		}
@@ -113,7 +113,7 @@
 	}
 	leader.lease().Lost = true
 	for name, a := range map[string]answer.Answer{
-		"submit": leader.Submit(t.Context(), modelSpec(testJob)),
+		"submit": leader.Submit(t.Context(), fake.JobSpec(testJob)),
 		"poll":   leader.Poll(t.Context(), testJob),
 		"cancel": leader.Cancel(t.Context(), testJob),
 	} {
@@ -174,7 +174,7 @@
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	start(t, leader.persister.Run)
-	if a := leader.Submit(ctx, modelSpec(testJob)); a.Status != http.StatusCreated {
+	if a := leader.Submit(ctx, fake.JobSpec(testJob)); a.Status != http.StatusCreated {
 		t.Fatalf("submit: %d %s", a.Status, a.Body)
 	}
 	leader.state.Lock()
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -6,6 +6,7 @@
 
 	"pgregory.net/rapid"
 
+	"dunestand/internal/fake"
 	"dunestand/internal/sorted"
 )
 
@@ -16,7 +17,7 @@
 	allocs := func(jobs, machines int) float64 {
 		leader, clock := newLeaderWithJob(t, 1)
 		for i := range jobs {
-			job := leader.state.NewJob(*modelSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
+			job := leader.state.NewJob(*fake.JobSpec(fmt.Sprintf("j-%06d", i+2)), clock.Now, clock.Now)
 			for k := range machines {
 				leader.state.Unreconciled.Mark(job, machineID(k))
 			}
@@ -36,7 +37,7 @@
 		state := leader.state
 		named := map[string]map[string]bool{}
 		for i := range rapid.IntRange(1, 8).Draw(rt, "jobs") {
-			spec := *modelSpec(fmt.Sprintf("j-%06d", i+2))
+			spec := *fake.JobSpec(fmt.Sprintf("j-%06d", i+2))
 			job := state.NewJob(spec, clock.Now, clock.Now)
 			for _, k := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 12).Draw(rt, "machines") {
 				state.Unreconciled.Mark(job, machineID(k))
--- a/internal/persister/commit_test.go
+++ b/internal/persister/commit_test.go
@@ -14,7 +14,7 @@
 func newAcceptance(t *testing.T, p *Persister, id string) (*cluster.Job, *cluster.WriteBatch) {
 	t.Helper()
 	p.State.Lock()
-	job := p.State.NewJob(testSpec(id), p.Clock.Wall(), p.Clock.Steady())
+	job := p.State.NewJob(*fake.JobSpec(id), p.Clock.Wall(), p.Clock.Steady())
 	p.State.Unlock()
 	batch := p.nextBatch()
 	if batch == nil {
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -12,7 +12,6 @@
 	"dunestand/internal/fake"
 	"dunestand/internal/kv"
 	"dunestand/internal/loop"
-	"dunestand/internal/protocol"
 	"dunestand/internal/storage"
 	"dunestand/internal/units"
 )
@@ -86,8 +85,3 @@
 	}
 	return p, clock
 }
-
-// testSpec returns a job of two tasks of one processor each.
-func testSpec(id string) protocol.JobSpec {
-	return protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
-}
--- a/internal/persister/pendingwatcher_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -16,7 +16,7 @@
 // does.
 func acceptWithoutLeader(t *testing.T, server *fake.KVServer, id string) {
 	t.Helper()
-	if _, ok := server.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: testSpec(id)})); !ok {
+	if _, ok := server.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *fake.JobSpec(id)})); !ok {
 		t.Fatalf("%s is not put into the queue", id)
 	}
 }
--- a/internal/persister/persister_test.go
+++ b/internal/persister/persister_test.go
@@ -34,14 +34,14 @@
 	p := newPacedPersister(t)
 	machine := p.State.EnsureMachine("i-000001", "m", "a", true, 0)
 	for i := range 30 {
-		spec := testSpec("j-0000" + string(rune('0'+i/10)) + string(rune('0'+i%10)))
+		spec := *fake.JobSpec("j-0000" + string(rune('0'+i/10)) + string(rune('0'+i%10)))
 		job := p.State.NewJob(spec, 0, 0)
 		batch := p.State.BuildWriteBatch("accept", p.BucketVersions(), cluster.BatchLimits{}, 0)
 		p.State.BatchCommitted(batch, uint64(i+1))
 		p.State.Assign(job, machine, uint64(i+1), units.Second)
 	}
 	awaitWrites(t, p, minChangesPerBatch)
-	p.State.NewJob(testSpec("j-900001"), p.Clock.Wall(), p.Clock.Steady())
+	p.State.NewJob(*fake.JobSpec("j-900001"), p.Clock.Wall(), p.Clock.Steady())
 	batch := p.nextBatch()
 	if batch == nil {
 		t.Fatal("nothing is written though there is room")
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -6,7 +6,6 @@
 	"testing"
 
 	"dunestand/internal/cluster"
-	"dunestand/internal/config"
 	"dunestand/internal/failuredetector"
 	"dunestand/internal/fake"
 	"dunestand/internal/loop"
@@ -26,11 +25,7 @@
 func newTestReconciler(t *testing.T) (*Reconciler, *cluster.Job) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
-		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
-		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
-	}}
+	settings := fake.Settings()
 	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
 	rc := New(Deps{
 		State:       state,
@@ -40,7 +35,7 @@
 		WriteSignal: loop.NewSignal(),
 		CycleSignal: loop.NewSignal(),
 	})
-	spec := protocol.JobSpec{ID: "j-000001", Class: "c", Team: "team", Tasks: 2, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
+	spec := *fake.JobSpec("j-000001")
 	job := state.NewJob(spec, testNow, testNow)
 	commit(state)
 	return rc, job
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -33,7 +33,7 @@
 
 // headroomReplica returns a job like the replicas that capacity is reserved for.
 func headroomReplica() *protocol.JobSpec {
-	replica := arraySpec("j-000001")
+	replica := fake.JobSpec("j-000001")
 	replica.AllowSpot, replica.Request = false, fake.CPUs(2)
 	return replica
 }
@@ -59,7 +59,7 @@
 		}
 	})
 	t.Run("not on whole machines that a task needs", func(t *testing.T) {
-		machines, whole := headroomFleet(), arraySpec("j-000003")
+		machines, whole := headroomFleet(), fake.JobSpec("j-000003")
 		whole.Request = fake.CPUs(8)
 		for _, i := range []int{1, 3, 5} {
 			machines[i].InstanceType, machines[i].Capacity = "large", fake.CPUs(16)
@@ -74,7 +74,7 @@
 func TestHeadroomIsUsedByReplicasAndStarvedJobs(t *testing.T) {
 	machine, replica := headroomFleet()[4], headroomReplica()
 	machine.Headroom = replica.Request
-	array, service := arraySpec("j-000002"), *replica
+	array, service := fake.JobSpec("j-000002"), *replica
 	array.Request, service.Kind = fake.CPUs(2), protocol.Service
 	for _, c := range []struct {
 		name    string
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -17,11 +17,7 @@
 func newTestScheduler(tasks int) (*Scheduler, *fake.Clock, *cluster.Job) {
 	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
-		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
-		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
-	}}
+	settings := fake.Settings()
 	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
 	scheduler := New(Deps{
 		State:    state,
@@ -31,7 +27,7 @@
 		Log:      log,
 		Token:    7,
 	})
-	spec := arraySpec("j-000001")
+	spec := fake.JobSpec("j-000001")
 	spec.Tasks = tasks
 	job := state.NewJob(*spec, clock.Now, clock.Now)
 	batch := state.BuildWriteBatch("7-1", make([]uint64, storage.Buckets), cluster.BatchLimits{}, clock.Now)
@@ -39,11 +35,6 @@
 	return scheduler, clock, job
 }
 
-// arraySpec returns a job array of two tasks of a processor.
-func arraySpec(id string) *protocol.JobSpec {
-	return &protocol.JobSpec{ID: id, Class: "c", Team: "team", Tasks: 2, Request: fake.CPUs(1), AllowSpot: true, Image: "i"}
-}
-
 // A job that is late only if its estimate is right is not called late: on a day
 // of the grown mills a job of 97 s by its estimate, due after 120 s, was put
 // behind everything once it had waited 23 s.
--- a/internal/scheduler/score_test.go
+++ b/internal/scheduler/score_test.go
@@ -55,7 +55,7 @@
 		Teams:         []TeamView{{GuaranteedQuota: fake.CPUs(100), QuotaLimit: fake.CPUs(100)}},
 		Machines:      []MachineView{machine("now", false, 32, 0), machine("late", true, 32, 9), machine("soon", true, 4, 1)},
 		Jobs: []JobView{{
-			Spec:    arraySpec("j-000001"),
+			Spec:    fake.JobSpec("j-000001"),
 			Pending: 2,
 			Avoid:   func(string) bool { return false },
 		}},
