--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -18,8 +18,9 @@
 const (
 	releaseQuarantined releaseReason = "quarantined" // it is faulty
 	releaseBootTimeout releaseReason = "boot timeout"
-	releaseLost        releaseReason = "lost" // its heartbeats are missing, or it ignores commands
-	releaseIdle        releaseReason = "idle"
+	// releaseLost: its heartbeats are missing or never came, or it ignores commands.
+	releaseLost releaseReason = "lost"
+	releaseIdle releaseReason = "idle"
 )
 
 // String returns the reason as it is logged.
--- a/internal/cluster/donetasks.go
+++ b/internal/cluster/donetasks.go
@@ -1,8 +1,9 @@
 package cluster
 
 import (
-	"dunestand/internal/bitset"
 	"math/bits"
+
+	"dunestand/internal/bitset"
 )
 
 // doneTasks is the set of a job's completed tasks, and how far it is durable.
@@ -20,7 +21,7 @@
 func (d *doneTasks) has(i int) bool       { return d.set.Has(i) }
 func (d *doneTasks) isDurable(i int) bool { return !d.unwritten.Has(i) && !d.inFlight.Has(i) }
 
-// Add notes that a task is done which was not.
+// add notes that a task is done which was not.
 func (d *doneTasks) add(i int) {
 	d.set.Add(i)
 	d.count++
--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -43,7 +43,7 @@
 	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start though the name is being removed")
 	}
-	state.BatchRefused(batch, 0)
+	state.BatchConflicted(batch, 0)
 	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start after a refused batch that removed the name")
 	}
--- a/internal/cluster/outcomes.go
+++ b/internal/cluster/outcomes.go
@@ -137,8 +137,8 @@
 // are thought to be in order.
 const steadyRuntime = 20 * units.Second
 
-// maxAvoidedMachines bounds the machines that a service avoids because a replica ended there.
-const maxAvoidedMachines = 3
+// maxServiceFailedMachines bounds the machines that a service avoids because a replica ended there.
+const maxServiceFailedMachines = 3
 
 // isSteady reports whether a replica has run for long.
 func (a *Attempt) isSteady(now units.Micros) bool {
@@ -154,7 +154,7 @@
 	clear(a.Machine.failedJobs)
 	delete(j.shortRuns, a.Index)
 	j.ConsecutiveErrors, j.Succeeded = 0, true
-	if len(j.FailedMachines) >= maxAvoidedMachines {
+	if len(j.FailedMachines) >= maxServiceFailedMachines {
 		clear(j.FailedMachines) // machines to be avoided, while they are few
 	}
 }
--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -47,9 +47,9 @@
 	return PendingSubmission{j.Spec, j.Submitted}, nil
 }
 
-// AddPending adds a pending submission, unless it is known already. The next write
+// AddPendingSubmission adds a pending submission, unless it is known already. The next write
 // of the job removes it from the queue.
-func (s *State) AddPending(p PendingSubmission, now units.Micros) {
+func (s *State) AddPendingSubmission(p PendingSubmission, now units.Micros) {
 	j := s.Jobs[p.Spec.ID]
 	if j == nil {
 		j = s.NewJob(p.Spec, p.Submitted, now)
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -147,7 +147,7 @@
 			return
 		}
 		if rapid.IntRange(0, 5).Draw(m.t, "refused") == 0 {
-			m.state.BatchRefused(b, 1)
+			m.state.BatchConflicted(b, 1)
 			continue
 		}
 		revision := m.store.apply(m.t, b.Txn, m.limits)
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -19,7 +19,7 @@
 	Freeing units.Resources // part of Used, held by attempts that are to be stopped
 }
 
-// Add adds a request so many times to Used and to Freeing.
+// add adds a request so many times to Used and to Freeing.
 func (u *Usage) add(request units.Resources, used, freeing int) {
 	u.Used = u.Used.Plus(request, used)
 	u.Freeing = u.Freeing.Plus(request, freeing)
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -73,7 +73,7 @@
 // BuildWriteBatch gathers what is to be written now, what somebody waits for first.
 // bucketVersions are the versions of the buckets' heads, on which every batch is
 // conditional. It returns nil if there is nothing to write. Every batch must be passed to
-// BatchCommitted, BatchRefused or BatchRejected once its outcome is known.
+// BatchCommitted, BatchConflicted or BatchRejected once its outcome is known.
 func (s *State) BuildWriteBatch(id string, bucketVersions []uint64, limits BatchLimits, now units.Micros) *WriteBatch {
 	b := &batchBuilder{
 		state:          s,
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// Remove deletes a record; withPrevious: only together with the write before.
+// remove deletes a record; withPrevious: only together with the write before.
 func (w *jobWrites) remove(key string, withPrevious bool) {
 	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, withPrevious: withPrevious})
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// Main writes the job's own record, if it has changed.
+// main writes the job's own record, if it has changed.
 func (w *jobWrites) main() {
 	sh := w.records.main
 	if !sh.dirty {
--- a/internal/cluster/writebatchorder_test.go
+++ b/internal/cluster/writebatchorder_test.go
@@ -64,7 +64,7 @@
 		if len(batch.Txn.Then) != limit {
 			t.Errorf("%d changes with space for %d", len(batch.Txn.Then), limit)
 		}
-		state.BatchRefused(batch, 0)
+		state.BatchConflicted(batch, 0)
 	}
 }
 
@@ -73,7 +73,7 @@
 func TestJobAcceptedTwiceIsRemovedFromThePendingQueue(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := storedJob(state, "j-000001", protocol.Low)
-	state.AddPending(PendingSubmission{Spec: j.Spec}, units.Second)
+	state.AddPendingSubmission(PendingSubmission{Spec: j.Spec}, units.Second)
 	if batch := state.BuildWriteBatch("1-1", make([]uint64, storage.Buckets), BatchLimits{}, units.Second); batch != nil {
 		t.Fatalf("it is written while there is no space for what nobody waits for: %v", batch.Txn.Then)
 	}
@@ -86,7 +86,7 @@
 		t.Errorf("it is removed again: %v", batch.Txn.Then)
 	}
 	// One that only the queue has is accepted by the same batch that removes it.
-	state.AddPending(PendingSubmission{Spec: protocol.JobSpec{ID: "j-000002", Tasks: 1}}, units.Second)
+	state.AddPendingSubmission(PendingSubmission{Spec: protocol.JobSpec{ID: "j-000002", Tasks: 1}}, units.Second)
 	batch = state.BuildWriteBatch("1-3", make([]uint64, storage.Buckets), BatchLimits{}, units.Second)
 	if batch == nil || len(batch.Txn.Then) != 2 || batch.Txn.Then[1].Delete != storage.KeyPending("j-000002") {
 		t.Fatalf("the batch of one from the queue: %+v", batch)
--- a/internal/cluster/writebatchoutcome.go
+++ b/internal/cluster/writebatchoutcome.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// BatchRefused notes that a batch was certainly not carried out and never
+// BatchConflicted notes that a batch was certainly not carried out and never
 // will be: its changes are due again.
-func (s *State) BatchRefused(batch *WriteBatch, now units.Micros) {
+func (s *State) BatchConflicted(batch *WriteBatch, now units.Micros) {
 	s.staleRecords = append(s.staleRecords, batch.stale...)
 	for _, p := range batch.parts {
 		j := p.job
@@ -79,10 +79,10 @@
 	}
 }
 
-// BatchRejected is BatchRefused for a batch that the key-value store will not accept as it is.
+// BatchRejected is BatchConflicted for a batch that the key-value store will not accept as it is.
 // It is built anew, each job by itself: one must not hold up the rest.
 func (s *State) BatchRejected(batch *WriteBatch, now units.Micros) {
-	s.BatchRefused(batch, now)
+	s.BatchConflicted(batch, now)
 	for _, p := range batch.parts {
 		p.job.write.alone = true
 	}
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -75,7 +75,7 @@
 	now := l.Clock.Steady()
 	for _, attempt := range job.LiveAttempts {
 		if attempt.Stage == cluster.Sent || attempt.Stage == cluster.Fetching {
-			l.pusher.RequestPush(attempt.Machine, nil, now) // or it would begin yet
+			l.pusher.RequestPush(attempt.Machine, nil, now) // else it may still start
 		}
 	}
 	job.MarkChanged(now, true)
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -12,7 +12,8 @@
 )
 
 // The functions of this file make the leader's components, each with the dependencies that
-// it names. NewLeader calls them in order; each component uses only those made before it.
+// it names. NewLeader calls them in order; each component is given those made before it,
+// but for the persister: NewLeader gives it the admission control, which needs the persister itself.
 
 func newDetector(l *Leader) *failuredetector.Detector {
 	return failuredetector.New(failuredetector.Deps{
--- a/internal/controller/failuredetector_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -89,7 +89,7 @@
 	leader, clock := newEmptyLeader(1, 100*units.Second)
 	send := func(machines int, sequence uint64) {
 		for i := range machines {
-			if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat(machineID(i), 1, sequence, 1), nil); !accepted {
+			if _, err := leader.Heartbeat(t.Context(), testHeartbeat(machineID(i), 1, sequence, 1), nil); err != nil {
 				t.Fatal("heartbeat refused")
 			}
 		}
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
 	"dunestand/internal/protocol"
@@ -45,27 +46,34 @@
 	return false
 }
 
+// Why a heartbeat is not accepted. The worker is told to come back in each case.
+var (
+	errNotRestored    = errors.New("the records are not restored yet")
+	errNotLeader      = errors.New("the controller does not lead, or the worker has seen a later leader")
+	errStaleHeartbeat = errors.New("a newer heartbeat was handled, or the machine was released")
+)
+
 // Heartbeat reconciles the state with a worker's heartbeat and returns the commands for that
-// worker. It returns false if this node may not command, or if the heartbeat is older than
-// one that was handled before. It releases the slot before it waits for anything.
+// worker. It fails with errNotRestored, errNotLeader or errStaleHeartbeat. It releases the slot
+// before it waits for anything.
 //
 // An answer renews the worker's lease, and with it whatever runs there. So none
 // is given before the records are restored: this node might not know yet of a
 // cancellation that a former leader has confirmed to its user.
-func (l *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, bool) {
+func (l *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, error) {
 	response := protocol.HeartbeatResponse{FencingToken: l.token, Commands: []protocol.Command{}}
 	if !l.awaitRestore(ctx, slot) {
-		return response, false
+		return response, errNotRestored
 	}
 	l.state.Lock()
 	defer l.state.Unlock()
 	now := l.Clock.Steady()
 	if !l.leadership.Valid() || heartbeat.FencingToken > l.token {
-		return response, false
+		return response, errNotLeader
 	}
 	machine := l.reconciler.Reconcile(heartbeat, now)
 	if machine == nil {
-		return response, false
+		return response, errStaleHeartbeat
 	}
 	if l.scheduler.CycleDue(now) {
 		l.scheduler.RunCycle(now, machine)
@@ -82,10 +90,13 @@
 		case <-time.After(l.startDurableWait().Duration()):
 		}
 		l.state.Lock()
-		if machine.Incarnation != heartbeat.Incarnation || machine.Sequence != heartbeat.Sequence || !l.leadership.Valid() {
-			return response, false
+		if machine.Incarnation != heartbeat.Incarnation || machine.Sequence != heartbeat.Sequence {
+			return response, errStaleHeartbeat
+		}
+		if !l.leadership.Valid() {
+			return response, errNotLeader
 		}
 	}
 	response.Commands = l.reconciler.Commands(machine, heartbeat, now)
-	return response, true
+	return response, nil
 }
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"slices"
 	"testing"
 
@@ -14,18 +15,18 @@
 // fencing token is not answered.
 func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
 	leader, _ := newEmptyLeader(5, units.Second)
-	if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-1", 2, 7, 0), nil); !accepted {
+	if _, err := leader.Heartbeat(t.Context(), testHeartbeat("i-1", 2, 7, 0), nil); err != nil {
 		t.Fatal("fresh heartbeat refused")
 	}
 	for _, old := range []struct{ incarnation, sequence uint64 }{{2, 7}, {2, 6}, {1, 99}} {
-		if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-1", old.incarnation, old.sequence, 0), nil); accepted {
+		if _, err := leader.Heartbeat(t.Context(), testHeartbeat("i-1", old.incarnation, old.sequence, 0), nil); !errors.Is(err, errStaleHeartbeat) {
 			t.Errorf("old heartbeat %d/%d accepted", old.incarnation, old.sequence)
 		}
 	}
 	if machine := leader.state.Machines["i-1"]; machine.Incarnation != 2 || machine.Sequence != 7 {
 		t.Errorf("machine at %d/%d", machine.Incarnation, machine.Sequence)
 	}
-	if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-2", 1, 1, 6), nil); accepted {
+	if _, err := leader.Heartbeat(t.Context(), testHeartbeat("i-2", 1, 1, 6), nil); !errors.Is(err, errNotLeader) {
 		t.Error("a worker that has seen a later fencing token was answered")
 	}
 }
@@ -55,7 +56,7 @@
 	} {
 		heartbeat := testHeartbeat(machine.ID, 1, uint64(i+1), 2)
 		heartbeat.Tasks = []protocol.TaskStatus{task}
-		if _, accepted := leader.Heartbeat(t.Context(), heartbeat, nil); !accepted {
+		if _, err := leader.Heartbeat(t.Context(), heartbeat, nil); err != nil {
 			t.Fatal("heartbeat refused")
 		}
 	}
@@ -89,8 +90,8 @@
 			Stage:   protocol.TaskExited,
 			Cause:   protocol.CauseDone,
 		}}
-		response, accepted := leader.Heartbeat(t.Context(), heartbeat, nil)
-		if !accepted {
+		response, err := leader.Heartbeat(t.Context(), heartbeat, nil)
+		if err != nil {
 			t.Fatal("heartbeat refused")
 		}
 		return slices.ContainsFunc(response.Commands, func(c protocol.Command) bool { return c.Verb == protocol.VerbForget })
--- a/internal/controller/heartbeathandler.go
+++ b/internal/controller/heartbeathandler.go
@@ -32,8 +32,8 @@
 			Body:   protocol.Encode(protocol.LeaderRedirect{Leader: c.redirectTarget()}),
 		}
 	}
-	response, accepted := leader.Heartbeat(ctx, heartbeat, slot)
-	if !accepted || !leader.leadership.Valid() {
+	response, err := leader.Heartbeat(ctx, heartbeat, slot)
+	if err != nil || !leader.leadership.Valid() {
 		return answer.Unavailable("no right to command, or an old report").Response
 	}
 	return transport.Response{Status: http.StatusOK, Body: protocol.Encode(response)}
--- a/internal/controller/heartbeatlimiter.go
+++ b/internal/controller/heartbeatlimiter.go
@@ -33,7 +33,7 @@
 	released bool
 }
 
-// releaseAnyWorker lets the next heartbeat through, and everything else that can run before it.
+// release lets the next heartbeat through, and everything else that can run before it.
 // Whoever is about to wait for something releases first. A second call does nothing.
 func (s *heartbeatSlot) release() {
 	if s == nil || s.released {
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -130,7 +130,7 @@
 // refuseBatch has the leader learn that a write batch met conflicts. They may only be with
 // terminal records: the job was still in the pending-submission queue.
 func (m *model) refuseBatch(batch *cluster.WriteBatch, conflicts []string) {
-	m.leader.state.BatchRefused(batch, m.clock.Now)
+	m.leader.state.BatchConflicted(batch, m.clock.Now)
 	for _, key := range conflicts {
 		id, terminal := storage.JobOfTerminalKey(key)
 		if !terminal || m.terminalStages[id] == "" {
--- a/internal/controller/model_store_test.go
+++ b/internal/controller/model_store_test.go
@@ -112,7 +112,7 @@
 			delete(m.store.items, item.Key)
 			continue
 		}
-		m.leader.state.AddPending(pending, m.clock.Now)
+		m.leader.state.AddPendingSubmission(pending, m.clock.Now)
 	}
 }
 
--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"testing"
@@ -121,7 +122,7 @@
 			t.Errorf("%s: %d", name, a.Status)
 		}
 	}
-	if _, accepted := leader.Heartbeat(t.Context(), testHeartbeat("i-1", 1, 1, 0), nil); accepted {
+	if _, err := leader.Heartbeat(t.Context(), testHeartbeat("i-1", 1, 1, 0), nil); !errors.Is(err, errNotLeader) {
 		t.Error("a heartbeat was accepted")
 	}
 }
@@ -153,7 +154,7 @@
 			if committed {
 				leader.persister.BatchCommitted(batch, 5)
 			} else {
-				leader.state.BatchRefused(batch, clock.Now)
+				leader.state.BatchConflicted(batch, clock.Now)
 			}
 			if got := status(); got != http.StatusOK {
 				t.Errorf("after the outcome is known: %d", got)
--- a/internal/failuredetector/lostmachines.go
+++ b/internal/failuredetector/lostmachines.go
@@ -52,10 +52,10 @@
 	lost  map[string]bool
 }
 
-// LostMachines returns, by ID, the machines that should send heartbeats and do not, or that
-// carry no command out, those of which only a record tells among them, as far as
-// they are to be released: only while most others send theirs, in the fleet and in
-// their zone. A zone that is cut off from everything must not be released.
+// LostMachines returns the IDs of the machines that may be released as lost: silent for too
+// long, unresponsive to commands, or known only from a record. It returns none where too many
+// of the fleet or of a zone are silent at once: then the network is the likelier cause, and a
+// zone that is cut off from everything must not be released.
 func (d *Detector) LostMachines(now units.Micros) map[string]bool {
 	if now < d.judgeSilenceFrom {
 		return map[string]bool{}
--- a/internal/persister/commit.go
+++ b/internal/persister/commit.go
@@ -115,16 +115,16 @@
 	finished map[string]storage.StoredTerminalRecord
 }
 
-// batchConflicted handles a batch that was certainly not carried out: it submits the id of a
-// finished job, or it accepts a job by an admission plan that has been replaced, or another
-// leader has claimed the buckets and this one steps down.
+// batchConflicted applies a conflict: the batch was certainly not carried out. Its causes: a new
+// job has the ID of a finished one; the admission plan that a job was accepted by was replaced;
+// or another leader claimed the buckets, and this one steps down.
 func (p *Persister) batchConflicted(ctx context.Context, batch *cluster.WriteBatch, conflict *kv.VersionConflictError) {
 	causes, ok := p.findCauses(ctx, batch, conflict)
 	if !ok {
 		return
 	}
 	p.State.Lock()
-	p.State.BatchRefused(batch, p.Clock.Steady())
+	p.State.BatchConflicted(batch, p.Clock.Steady())
 	if causes.plan {
 		p.Admission.Reconsider()
 	}
@@ -137,7 +137,7 @@
 	for id, record := range causes.finished {
 		p.Terminals.Remember(id, record)
 		p.State.DropUnaccepted(id)
-		p.Ingester.pendingUncleared.Store(true) // it may have come from there
+		p.Ingester.resyncNeeded.Store(true) // it may have come from there
 	}
 }
 
--- a/internal/persister/ingester.go
+++ b/internal/persister/ingester.go
@@ -40,8 +40,8 @@
 type Ingester struct {
 	IngesterDeps
 
-	// pendingUncleared: the queue may hold what should have been removed from it.
-	pendingUncleared atomic.Bool
+	// resyncNeeded: the queue may hold what should have been removed from it.
+	resyncNeeded atomic.Bool
 }
 
 // NewIngester returns the ingester of a leader.
@@ -86,7 +86,7 @@
 	if len(finished.Then) > 0 {
 		if _, err := in.KV.CompareAndSwap(ctx, finished, kv.Paced, kv.CallTimeout); err != nil {
 			in.Log.Debug("pending submissions not cleared", "error", err)
-			in.pendingUncleared.Store(true)
+			in.resyncNeeded.Store(true)
 		}
 	}
 	return err
@@ -109,12 +109,12 @@
 			if in.State.Jobs[spec.ID] == nil {
 				in.Log.Info("pending submission ingested", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 			}
-			in.State.AddPending(pending, in.Clock.Steady())
+			in.State.AddPendingSubmission(pending, in.Clock.Steady())
 		} else if len(finished.Then) < in.Settings.Fleet.State.Lowest().TxnOps {
 			finished.If = append(finished.If, protocol.Condition{Key: item.Key, Version: item.Version})
 			finished.Then = append(finished.Then, protocol.Change{Delete: item.Key})
 		} else {
-			in.pendingUncleared.Store(true)
+			in.resyncNeeded.Store(true)
 		}
 	}
 	return finished, unreadable
--- a/internal/persister/pendingwatcher.go
+++ b/internal/persister/pendingwatcher.go
@@ -25,7 +25,7 @@
 // next returns what is new in the queue; after a read of the whole, all that is in it.
 func (w *pendingWatcher) next(ctx context.Context, in *Ingester) ([]protocol.Item, error) {
 	now := in.Clock.Steady()
-	if w.revision == 0 || now-w.lastReadAll >= pendingResyncInterval || in.pendingUncleared.Swap(false) {
+	if w.revision == 0 || now-w.lastReadAll >= pendingResyncInterval || in.resyncNeeded.Swap(false) {
 		return w.readAll(ctx, in, now)
 	}
 	list, err := in.KV.Watch(ctx, storage.PrefixPending, w.revision, 0)
--- a/internal/persister/pendingwatcher_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -51,7 +51,7 @@
 	expect("one came and went, one came", third)
 	server.Put("other/key", protocol.Encode("x"))
 	expect("a change elsewhere")
-	p.Ingester.pendingUncleared.Store(true)
+	p.Ingester.resyncNeeded.Store(true)
 	expect("something was not cleared", first, third)
 	expect("and then no more")
 	clock.Now += pendingResyncInterval
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/protocol"
 )
 
-// jobOrder returns the places of the jobs in the snapshot, the one that goes first first.
+// jobOrder returns the places of the jobs in the snapshot, in the order in which they go.
 func (p *planner) jobOrder() []int {
 	order := make([]int, len(p.snapshot.Jobs))
 	for i := range order {
@@ -17,7 +17,7 @@
 	return order
 }
 
-// compareJobs orders jobs, the one that goes first first. The first task of a job that has
+// compareJobs orders jobs in the order in which they go. The first task of a job that has
 // waited too long goes before everything: under a long overload the order alone
 // would leave some jobs waiting for ever. The urgent priorities go first then.
 // Of the others, what can still be in time goes before what is late anyway,
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -88,7 +88,7 @@
 	}
 	switch {
 	case s.hasImage:
-		// Many may hold it, in a large fleet with free capacity: the soonest reached.
+		// Many may hold it, in a large fleet with free capacity: prefer the earliest heartbeat.
 		s.startDelayFirst = true
 	case service:
 		// Each second counts: the one on which the replica is up soonest.
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -60,8 +60,7 @@
 	victim  *Victim
 }
 
-// victimsOnMachine returns the tasks on a machine that could be preempted, the one to be
-// preempted first first.
+// victimsOnMachine returns the tasks on a machine that could be preempted, in preemption order.
 func (p *planner) victimsOnMachine(machine int) []Victim {
 	if p.victimsByMachine == nil {
 		p.victimsByMachine = make([][]Victim, len(p.snapshot.Machines))
@@ -79,8 +78,7 @@
 	return p.victimsByMachine[machine]
 }
 
-// victimsInTeam returns a team's tasks that could be preempted, the one to be preempted
-// first first.
+// victimsInTeam returns a team's tasks that could be preempted, in preemption order.
 func (p *planner) victimsInTeam(team int) []machineVictim {
 	if p.victimsByTeam == nil {
 		p.victimsByTeam = map[int][]machineVictim{}
@@ -98,7 +96,7 @@
 	return p.victimsByTeam[team]
 }
 
-// compareVictims orders victims, the one to be preempted first first.
+// compareVictims orders victims in the order in which they are preempted.
 func compareVictims(a, b Victim) int {
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.Ref, b.Ref))
 }
