--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller runs one controller node of the fleet. A node serves users, workers and
+// Package controller runs one controller of the fleet. A controller serves users, workers and
 // the other controllers. While it holds the leader lease it composes the components of the
 // leader; at other times it forwards users' requests to the leader.
 package controller
@@ -27,13 +27,13 @@
 	format           *recordformat.Negotiator
 	peers            *peers.Peers
 	server           *transport.Server
-	leader           atomic.Pointer[Leader] // nil while this node does not lead
+	leader           atomic.Pointer[Leader] // nil while this controller does not lead
 	lastHeartbeatAt  atomic.Int64           // steady time of the last worker's heartbeat
-	leaderReachedAt  atomic.Int64           // steady time when this node last led or reached the leader
+	leaderReachedAt  atomic.Int64           // steady time when this controller last led or reached the leader
 	leaderlessJobs   leaderlessJobs
 	heartbeatReader  *protocol.HeartbeatReader
 	heartbeatLimiter *heartbeatLimiter
-	refusedSince     atomic.Int64 // steady time since which the leader has refused this node's links; 0: it does not
+	refusedSince     atomic.Int64 // steady time since which the leader has refused this controller's links; 0: it does not
 }
 
 // maxUserPollInterval is longer than users wait between two polls. Workers send
@@ -42,7 +42,7 @@
 
 // Run serves users and workers on clients, and the other controllers on mesh, until ctx ends
 // or a listener fails. It returns the error of the listener that ended first, once all of
-// the node's goroutines have returned.
+// the controller's goroutines have returned.
 func (c *Controller) Run(ctx context.Context, clients, mesh net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,7 +59,7 @@
 	} {
 		wg.Go(run)
 	}
-	err := <-errs // a listener that fails ends the node
+	err := <-errs // a listener that fails ends the controller
 	cancel()
 	wg.Wait()
 	return err
@@ -78,8 +78,8 @@
 // leaseRecordTTL is for how long a lease record that was read counts as naming the leader.
 const leaseRecordTTL = 2 * units.Second
 
-// leaderName returns the name of the leader as far as this node knows, "" if it knows none.
-// It is the holder that the lease record names. A node that has lost the key-value store
+// leaderName returns the name of the leader as far as this controller knows, "" if it knows none.
+// It is the holder that the lease record names. A controller that has lost the key-value store
 // would not learn of a failover from there, and goes by the peer that says that it leads.
 func (c *Controller) leaderName() string {
 	if c.elector.UnansweredFor() > leaseRecordTTL {
@@ -90,7 +90,7 @@
 	return c.elector.Leader()
 }
 
-// activeLeader returns the leader that this node is now, nil if it does not lead.
+// activeLeader returns the leader that this controller is now, nil if it does not lead.
 func (c *Controller) activeLeader() *Leader {
 	if leader := c.leader.Load(); leader != nil && leader.leadership.Valid() {
 		return leader
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -14,7 +14,7 @@
 )
 
 // Records of a format that this version does not know are neither skipped nor
-// taken for less than they are: the node leaves the lease to others and does not
+// taken for less than they are: the controller leaves the lease to others and does not
 // campaign while the fleet has a later format.
 func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
 	for what, put := range map[string]func(store *fake.KVServer){
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// redirectTarget returns the node that workers should send their heartbeats to, "" if it is
-// not known. A leader that refuses this node's links may serve workers all the same: it
+// redirectTarget returns the controller that workers should send their heartbeats to, "" if it is
+// not known. A leader that refuses this controller's links may serve workers all the same: it
 // counts while its lease record is seen to be renewed.
 func (c *Controller) redirectTarget() string {
 	leader := c.leaderName()
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -20,7 +20,7 @@
 // unusedAddress is where nothing listens.
 const unusedAddress = "127.0.0.1:1"
 
-// testEnvironment returns the environment of a node with the default policy.
+// testEnvironment returns the environment of a controller with the default policy.
 func testEnvironment(clock units.Clock) Environment {
 	return Environment{
 		Policy: config.DefaultPolicy(),
@@ -30,7 +30,7 @@
 	}
 }
 
-// newTestController returns a node that leads, without a key-value store or a cloud.
+// newTestController returns a controller that leads, without a key-value store or a cloud.
 func newTestController(leader *Leader) *Controller {
 	settings := modelSettings()
 	settings.Services.State, settings.Services.Cloud = unusedAddress, unusedAddress
@@ -50,7 +50,7 @@
 	return listener.Addr().String()
 }
 
-// newRefusedController returns a node whose only peer, "leader", refuses its links.
+// newRefusedController returns a controller whose only peer, "leader", refuses its links.
 // Its key-value store does not answer if none is given.
 func newRefusedController(t *testing.T, store *fake.KVServer) (*Controller, *fake.Clock) {
 	t.Helper()
@@ -79,7 +79,7 @@
 	return c, clock
 }
 
-// sawRenewal has the node read the leader's lease record at the given version.
+// sawRenewal has the controller read the leader's lease record at the given version.
 func (c *Controller) sawRenewal(version uint64) {
 	c.elector.ObserveRecord(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version)
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -11,15 +11,15 @@
 // restartTime is how long a controller takes to be back after it was stopped.
 const restartTime = 4 * units.Second
 
-// refusalTolerance is for how long a leader may refuse this node's links while
+// refusalTolerance is for how long a leader may refuse this controller's links while
 // it renews its lease. A leader that was just restarted is redialled sooner.
 const refusalTolerance = 3 * units.Second
 
-// health answers the load balancer. A node is healthy while it leads or reaches the
-// leader, and for a while after. A failover takes a few seconds; were every node to
+// health answers the load balancer. A controller is healthy while it leads or reaches the
+// leader, and for a while after. A failover takes a few seconds; were every controller to
 // report itself unhealthy meanwhile, the load balancer would take all of them out for
-// longer than that, and longer each time. A node is unhealthy, and says so soon, while
-// another node leads that refuses its links, or while it is itself cut off from the
+// longer than that, and longer each time. A controller is unhealthy, and says so soon, while
+// another controller leads that refuses its links, or while it is itself cut off from the
 // key-value store and all other controllers.
 func (c *Controller) health() transport.Response {
 	now, leader := c.deps.Clock.Steady(), c.leaderName()
@@ -37,7 +37,7 @@
 	return answer.Unavailable("no leader in reach").Response
 }
 
-// noteLeaderContact notes whether this node leads or reaches the leader now, and since when
+// noteLeaderContact notes whether this controller leads or reaches the leader now, and since when
 // the leader has refused its links.
 func (c *Controller) noteLeaderContact(now units.Micros, leaderName string) {
 	if leader := c.activeLeader(); leader != nil && leader.Ready() || c.peers.Reachable(leaderName) {
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -17,9 +17,9 @@
 	"dunestand/internal/units"
 )
 
-// While the leader refuses this node's links and renews its lease, workers are
-// redirected to it and the node is unhealthy. Once the lease record is stale nobody
-// leads: then workers are not redirected, and the node stays in use for the election.
+// While the leader refuses this controller's links and renews its lease, workers are
+// redirected to it and the controller is unhealthy. Once the lease record is stale nobody
+// leads: then workers are not redirected, and the controller stays in use for the election.
 func TestNodeThatTheLeaderRefuses(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
 	for version := uint64(1); version <= 2; version++ {
@@ -47,7 +47,7 @@
 	}
 }
 
-// A node without the key-value store and all other controllers is soon unhealthy, and
+// A controller without the key-value store and all other controllers is soon unhealthy, and
 // answers at once instead of asking the store.
 func TestNodeCutOffFromStateAndPeers(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
@@ -64,7 +64,7 @@
 	}
 }
 
-// A node that has lost the key-value store still takes the former leader for the leader,
+// A controller that has lost the key-value store still takes the former leader for the leader,
 // itself perhaps. It learns of the present one from that one's answers
 // to its pings, forwards requests to it and redirects workers to it.
 func TestLeaderIsKnownWithoutTheStateService(t *testing.T) {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -23,7 +23,7 @@
 }
 
 // restoreTimeout is how long a heartbeat waits for the restore of the records: mostly
-// it is done sooner, and the worker would only come back to this node.
+// it is done sooner, and the worker would only come back to this controller.
 const restoreTimeout = 2 * units.Second
 
 // awaitRestore waits until the records are restored, and reports whether they are. It releases
@@ -58,7 +58,7 @@
 // before it waits for anything.
 //
 // An answer renews the worker's lease, and with it whatever runs there. So none
-// is given before the records are restored: this node might not know yet of a
+// is given before the records are restored: this controller might not know yet of a
 // cancellation that a former leader has confirmed to its user.
 func (l *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, error) {
 	response := protocol.HeartbeatResponse{FencingToken: l.token, Commands: []protocol.Command{}}
--- a/internal/controller/jobhandlers.go
+++ b/internal/controller/jobhandlers.go
@@ -16,7 +16,7 @@
 	fromPeer                      // another controller has forwarded it: it is not forwarded again
 )
 
-// submit answers a user's submission. A node that does not lead forwards it, and may accept
+// submit answers a user's submission. A controller that does not lead forwards it, and may accept
 // the job by itself if no leader is in reach.
 func (c *Controller) submit(ctx context.Context, body []byte, origin requestOrigin) answer.Answer {
 	spec, err := protocol.ParseSubmission(body)
@@ -51,7 +51,7 @@
 	return answer.Answer{Response: rejection, Evidence: known.Evidence}
 }
 
-// poll answers a user who asks for a job's state. A node that reaches no leader, but has
+// poll answers a user who asks for a job's state. A controller that reaches no leader, but has
 // lately reached the key-value store, answers from the records.
 func (c *Controller) poll(ctx context.Context, id string, origin requestOrigin) answer.Answer {
 	if !protocol.ValidJobID(id) {
--- a/internal/controller/leaderless.go
+++ b/internal/controller/leaderless.go
@@ -26,9 +26,9 @@
 // instanceTypesTTL is for how long the instance types that were read are not read again.
 const instanceTypesTTL = 60 * units.Second
 
-// leaderlessJobs is what a node needs to accept jobs without a leader.
+// leaderlessJobs is what a controller needs to accept jobs without a leader.
 type leaderlessJobs struct {
-	acceptedBytes atomic.Int64 // memory of the jobs accepted so since this node last reached a leader
+	acceptedBytes atomic.Int64 // memory of the jobs accepted so since this controller last reached a leader
 
 	mu              sync.Mutex // guards the fields below
 	instanceTypes   map[string]protocol.InstanceType
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -13,7 +13,7 @@
 	"dunestand/internal/units"
 )
 
-// A node that reaches no leader accepts a job by itself. From then on nobody answers
+// A controller that reaches no leader accepts a job by itself. From then on nobody answers
 // that it is unknown, or anything older than what its user was told: not this
 // node, and not a leader, whether or not it has ingested the job.
 func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -20,15 +20,15 @@
 	"dunestand/internal/units"
 )
 
-// clientConnectionLimit returns how many of a node's connections are for users and workers.
+// clientConnectionLimit returns how many of a controller's connections are for users and workers.
 func clientConnectionLimit(maxConnections int) int {
 	return max(maxConnections-push.ReservedSockets(maxConnections), maxConnections/2)
 }
 
-// neverHeard is a steady time long before any that a node can see.
+// neverHeard is a steady time long before any that a controller can see.
 const neverHeard = -1 << 50
 
-// Environment is what a node gets from the program around it.
+// Environment is what a controller gets from the program around it.
 type Environment struct {
 	Policy *config.Policy
 	Clock  units.Clock
@@ -48,7 +48,7 @@
 	return admissioncontrol.OptionsOf(e.Policy.Admission)
 }
 
-// New returns a node with the given settings. It makes no request before Run.
+// New returns a controller with the given settings. It makes no request before Run.
 func New(s *config.Settings, env Environment) *Controller {
 	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Peers), env.Clock)
 	format := newNegotiator(s, env, client)
@@ -64,7 +64,7 @@
 	}
 	c.deps.UnreachablePeers, c.deps.PeerReachable = c.peers.UnreachableCount, c.peers.AnyReachable
 	c.lastHeartbeatAt.Store(neverHeard)
-	// A node begins as if it had just reached the leader: when all were restarted, the
+	// A controller begins as if it had just reached the leader: when all were restarted, the
 	// load balancer is to count them as healthy again by the time one of them leads.
 	c.leaderReachedAt.Store(int64(env.Clock.Steady()))
 	c.elector.Connected = c.connected
@@ -124,13 +124,13 @@
 	}
 }
 
-// connected reports whether this node hears workers or other controllers, or has no others.
+// connected reports whether this controller hears workers or other controllers, or has no others.
 func (c *Controller) connected() bool {
 	sinceHeartbeat := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeatAt.Load())
 	return len(c.deps.Settings.Peers) == 0 || c.peers.AnyReachable() || sinceHeartbeat < peers.LinkFreshness
 }
 
-// addMetrics registers the metrics of the node's own state and of its use of the key-value
+// addMetrics registers the metrics of the controller's own state and of its use of the key-value
 // store.
 func (c *Controller) addMetrics() {
 	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.State
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/answer"
 )
 
-// canAnswer reports whether this node may answer for the fleet. It needs the lock of state
+// canAnswer reports whether this controller may answer for the fleet. It needs the lock of state
 // held.
 func (l *Leader) canAnswer() bool { return l.state.Restored && l.leadership.Valid() }
 
--- a/internal/controller/recordreader.go
+++ b/internal/controller/recordreader.go
@@ -15,7 +15,7 @@
 	"dunestand/internal/units"
 )
 
-// recordReader answers polls from the records alone, for a node that does not lead and
+// recordReader answers polls from the records alone, for a controller that does not lead and
 // cannot reach the leader. What they say was committed before any user was told of it.
 type recordReader struct {
 	store   *kv.Client
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// metricsText returns this node's metrics, those of the leader included while it leads.
+// metricsText returns this controller's metrics, those of the leader included while it leads.
 func (c *Controller) metricsText() []byte {
 	if leader := c.activeLeader(); leader != nil {
 		return c.deps.Metrics.Text(leader.WriteMetrics)
--- a/internal/kv/budget.go
+++ b/internal/kv/budget.go
@@ -24,7 +24,7 @@
 // well be made later.
 const spareRequests = 4
 
-// rateBudget keeps a node within its share of the store's rates. It may be used concurrently.
+// rateBudget keeps a controller within its share of the store's rates. It may be used concurrently.
 type rateBudget struct {
 	mu       sync.Mutex // guards all below
 	limits   config.KVLimits
@@ -65,7 +65,7 @@
 	return b.writes
 }
 
-// SetLeader sets whether this node has the leader's share or that of a follower.
+// SetLeader sets whether this controller has the leader's share or that of a follower.
 func (c *Client) SetLeader(leading bool) {
 	b := c.budget
 	b.mu.Lock()
@@ -86,15 +86,15 @@
 }
 
 // HasRequestBudget reports whether a request that could as well be made later fits into
-// the node's share now.
+// the controller's share now.
 func (c *Client) HasRequestBudget() bool {
 	return c.budget.requestLimiter().TokensAt(time.Now()) > spareRequests
 }
 
-// ReserveWrites counts writes that are about to be sent against the node's share.
+// ReserveWrites counts writes that are about to be sent against the controller's share.
 func (c *Client) ReserveWrites(n int) { c.budget.writeLimiter().ReserveN(time.Now(), n) }
 
-// WritesAvailable returns how many writes fit into the node's share now.
+// WritesAvailable returns how many writes fit into the controller's share now.
 func (c *Client) WritesAvailable() int {
 	return max(0, int(c.budget.writeLimiter().TokensAt(time.Now())))
 }
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -1,5 +1,5 @@
 // Package kv is the client of the consensus-backed key-value store in which the
-// controllers keep their records. It keeps a node within its share of the store's request
+// controllers keep their records. It keeps a controller within its share of the store's request
 // and write rates, and tells apart the outcomes of a request: carried out, refused,
 // in conflict with another version, or unknown.
 package kv
@@ -39,7 +39,7 @@
 	ownConnsLimit = 1 << 20
 )
 
-// Client is a controller's client of the key-value store, within the node's share
+// Client is a controller's client of the key-value store, within the controller's share
 // of the store's limits. It may be used concurrently.
 type Client struct {
 	client *transport.Client
@@ -142,7 +142,7 @@
 	return protocol.Item{}, list.Revision, nil
 }
 
-// Pacing is how a transaction is counted against the node's share of the writes.
+// Pacing is how a transaction is counted against the controller's share of the writes.
 type Pacing uint8
 
 const (
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -25,9 +25,9 @@
 // connection serves one client's requests, one after the other, in one goroutine.
 //
 // It stands in place of http.Server, which starts a second goroutine for every
-// request to watch for the client to go away, and sets four deadlines. On a node with
+// request to watch for the client to go away, and sets four deadlines. On a controller with
 // a few percent of a core, hundreds of workers send heartbeats at the same time, and
-// each such step of each heartbeat delays all else that the node does. No handler here
+// each such step of each heartbeat delays all else that the controller does. No handler here
 // runs for more than a few seconds, so none needs to know that its client is gone.
 //
 // It belongs to the goroutine that calls serve.
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// The load of a node is hundreds of workers that send heartbeats at the same time. A second
+// The load of a controller is hundreds of workers that send heartbeats at the same time. A second
 // goroutine for each of their requests costs memory, and scheduling it
 // delays everything else.
 func TestRequestTakesOneGoroutine(t *testing.T) {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -44,7 +44,7 @@
 }
 
 // limitListener closes connections beyond maxOpen at once: a client that
-// waits in a backlog learns nothing, one that is refused tries another node.
+// waits in a backlog learns nothing, one that is refused tries another controller.
 type limitListener struct {
 	net.Listener
 	maxOpen int64
--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -89,7 +89,7 @@
 	return b
 }
 
-// waitUntilActive waits until every node admits by the plan.
+// waitUntilActive waits until every controller admits by the plan.
 func (b *burst) waitUntilActive() {
 	b.t.Helper()
 	for i := range b.nodes {
@@ -113,7 +113,7 @@
 	return fake.Submission(fmt.Sprintf("j-%06d", id), team, class, burstTasks, 1)
 }
 
-// submitOnce submits a job to one node and checks the response. retryAfter is how long the
+// submitOnce submits a job to one controller and checks the response. retryAfter is how long the
 // user is to wait.
 func (b *burst) submitOnce(user, node int, job map[string]any) (kind admissioncheck.ResponseKind, retryAfter time.Duration) {
 	reply := b.checker.Submit(b.ctx, user, b.nodes[node].settings.ClientListen, job)
@@ -126,7 +126,7 @@
 
 const (
 	burstUserTimeout = 15 * time.Second
-	duplicateEvery   = 4 // one user in so many sends each submission through two nodes at once
+	duplicateEvery   = 4 // one user in so many sends each submission through two controllers at once
 )
 
 // runUser submits a job, through the given nodes at first and then any, until it is
--- a/node/cluster_network_test.go
+++ b/node/cluster_network_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// dialer opens a node's connections and partitions it from addresses, one way.
+// dialer opens a controller's connections and partitions it from addresses, one way.
 type dialer struct {
 	mu          sync.Mutex
 	partitioned map[string]bool
@@ -37,7 +37,7 @@
 	return conn, nil
 }
 
-// setPartitioned partitions the node from an address, or joins them again. Connections that
+// setPartitioned partitions the controller from an address, or joins them again. Connections that
 // it had opened there are lost.
 func (d *dialer) setPartitioned(addr string, partitioned bool) {
 	d.mu.Lock()
--- a/node/cluster_requests_test.go
+++ b/node/cluster_requests_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// request sends a node one request, as a user does.
+// request sends a controller one request, as a user does.
 func (c *cluster) request(node int, method, path string, body any) response {
 	return send(c.ctx, http.DefaultClient, method, "http://"+c.nodes[node].settings.ClientListen+path, body)
 }
 
-// metrics returns a node's metrics; "" if it does not respond.
+// metrics returns a controller's metrics; "" if it does not respond.
 func (c *cluster) metrics(node int) string {
 	return string(c.request(node, http.MethodGet, metricsPath, nil).body)
 }
 
-// leader waits until a node leads, by its metrics, and returns it.
+// leader waits until a controller leads, by its metrics, and returns it.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	for range 100 {
@@ -32,7 +32,7 @@
 	return -1
 }
 
-// requestUntil repeats a request on the nodes in turn until a response is as wanted, and
+// requestUntil repeats a request on the controllers in turn until a response is as wanted, and
 // fails the test if none is after 25 s.
 func (c *cluster) requestUntil(t *testing.T, description string, nodes []int, method, path string, body any, wanted func(response) bool) {
 	t.Helper()
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -22,13 +22,13 @@
 	machines int
 	cpus     float64       // of a machine
 	runTime  time.Duration // of a task
-	memoryMB float64       // of a node
+	memoryMB float64       // of a controller
 	teams    []config.Team
 	policy   *config.Policy // nil: the built-in one
 	kv       *fake.KVServer
 }
 
-// cluster is several nodes in this process, on loopback sockets and the real clock, with
+// cluster is several controllers in this process, on loopback sockets and the real clock, with
 // fakes around them.
 type cluster struct {
 	t            *testing.T
@@ -42,23 +42,23 @@
 // clusterNode is one node of a cluster and the faults that it meets.
 type clusterNode struct {
 	settings *config.Settings
-	kvServer *httptest.Server // the key-value store as this node meets it
+	kvServer *httptest.Server // the key-value store as this controller meets it
 	dialer   *dialer
 	stop     context.CancelFunc
 	stopped  chan struct{}
 
 	mu        sync.Mutex
-	kvRejects bool // the key-value store responds 503 to this node
+	kvRejects bool // the key-value store responds 503 to this controller
 }
 
-// rejectKV makes the key-value store reject a node's requests, or serve them again.
+// rejectKV makes the key-value store reject a controller's requests, or serve them again.
 func (n *clusterNode) rejectKV(rejected bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.kvRejects = rejected
 }
 
-// kvHandler is the key-value store as a node meets it.
+// kvHandler is the key-value store as a controller meets it.
 func (c *cluster) kvHandler(n *clusterNode) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.mu.Lock()
@@ -72,7 +72,7 @@
 	})
 }
 
-// newDefaultCluster starts three nodes with one team and three small machines.
+// newDefaultCluster starts three controllers with one team and three small machines.
 func newDefaultCluster(t *testing.T) *cluster {
 	t.Helper()
 	return newCluster(t, clusterOptions{
@@ -172,7 +172,7 @@
 	return n
 }
 
-// start starts a node, for the first time or again.
+// start starts a controller, for the first time or again.
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	ctx, stop := context.WithCancel(c.ctx)
@@ -191,13 +191,13 @@
 	}()
 }
 
-// stop stops a node and waits for its end; start starts it again.
+// stop stops a controller and waits for its end; start starts it again.
 func (c *cluster) stop(i int) {
 	c.nodes[i].stop()
 	<-c.nodes[i].stopped
 }
 
-// addresses returns where the nodes serve users and workers.
+// addresses returns where the controllers serve users and workers.
 func (c *cluster) addresses() []string {
 	var out []string
 	for _, n := range c.nodes {
--- a/node/http_test.go
+++ b/node/http_test.go
@@ -58,7 +58,7 @@
 
 const metricsPath = "/metrics"
 
-// nodeLog is a node's log: on stderr with -v, otherwise nil.
+// nodeLog is a controller's log: on stderr with -v, otherwise nil.
 func nodeLog(node string) *slog.Logger {
 	if !testing.Verbose() {
 		return nil
--- a/node/node.go
+++ b/node/node.go
@@ -23,10 +23,10 @@
 type Deps struct {
 	// Clock is a steady clock. nil: the system's.
 	Clock units.Clock
-	// Random draws jitter and unique names. The node owns it. nil: a generator seeded by the
+	// Random draws jitter and unique names. The controller owns it. nil: a generator seeded by the
 	// system.
 	Random *rand.Rand
-	// Log receives the node's log. nil: nothing is logged.
+	// Log receives the controller's log. nil: nothing is logged.
 	Log *slog.Logger
 	// Policy holds the operators' choices. nil: the built-in policy.
 	Policy *config.Policy
@@ -36,7 +36,7 @@
 	// Listen opens a TCP listener at HOST:PORT, once for users and workers and once for
 	// other controllers. nil: the system's network, retried for some seconds.
 	Listen func(ctx context.Context, addr string) (net.Listener, error)
-	// Dial opens every connection of the node. nil: the system's network.
+	// Dial opens every connection of the controller. nil: the system's network.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
@@ -51,7 +51,7 @@
 	deps     Deps
 }
 
-// New returns a node that does not run yet. The settings must have been checked, and must not
+// New returns a controller that does not run yet. The settings must have been checked, and must not
 // be changed afterwards.
 func New(settings *config.Settings, deps Deps) *Node {
 	if deps.Clock == nil {
@@ -72,7 +72,7 @@
 	return &Node{settings: settings, deps: deps}
 }
 
-// newSeededRandom returns a generator seeded by the system, so that no two nodes draw alike.
+// newSeededRandom returns a generator seeded by the system, so that no two controllers draw alike.
 func newSeededRandom() *rand.Rand {
 	var seed [16]byte
 	_, _ = crand.Read(seed[:]) // never fails
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -16,7 +16,7 @@
 	return job
 }
 
-// The whole service end to end: any node accepts, tasks run, the leader stops, and its
+// The whole service end to end: any controller accepts, tasks run, the leader stops, and its
 // successor knows every job.
 func TestJobsSurviveLeaderFailover(t *testing.T) {
 	c := newDefaultCluster(t)
@@ -40,7 +40,7 @@
 	c.requestUntil(t, "cancel of a finished job", rest, http.MethodPost, cancelPath("j-000001"), nil, done)
 }
 
-// Invalid submissions get their status from every node, and nothing is stored.
+// Invalid submissions get their status from every controller, and nothing is stored.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	c := newDefaultCluster(t)
 	all := []int{0, 1, 2}
