--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"dunestand/internal/protocol"
+	"dunestand/internal/units"
 )
 
 // place places as many of the job's tasks as there is room for, on the candidates in their
@@ -55,22 +56,46 @@
 	if job.LiveTasks > 0 || p.tasksWithinQuota(job) < job.Pending {
 		return
 	}
-	team := &p.snapshot.Teams[job.Team]
-	machines, pending := slices.Clone(p.snapshot.Machines), job.Pending
-	placementsLeft, placements := p.placementsLeft, len(p.decisions.Placements)
-	used, usageAfterPreemption := team.Used, p.usageAfterPreemption[job.Team]
-
+	before := p.checkpoint(job)
 	// A gang may be larger than what is left of the cycle, or it would never start.
-	p.placementsLeft = max(p.placementsLeft, pending)
+	p.placementsLeft = max(p.placementsLeft, job.Pending)
 	p.place(jobIndex, job)
-	if job.Pending == 0 {
-		return
+	if job.Pending > 0 {
+		p.rollback(job, before)
 	}
+}
+
+// checkpoint is what placing a job's tasks changes.
+type checkpoint struct {
+	machines             []MachineView
+	pending              int
+	placementsLeft       int
+	placements           int // made so far
+	used                 units.Resources
+	usageAfterPreemption units.Resources
+}
+
+// checkpoint returns what rollback needs to undo all placements of a job from here on. None of
+// the job's tasks may be on a machine.
+func (p *planner) checkpoint(job *JobView) checkpoint {
+	return checkpoint{
+		machines:             slices.Clone(p.snapshot.Machines),
+		pending:              job.Pending,
+		placementsLeft:       p.placementsLeft,
+		placements:           len(p.decisions.Placements),
+		used:                 p.snapshot.Teams[job.Team].Used,
+		usageAfterPreemption: p.usageAfterPreemption[job.Team],
+	}
+}
 
-	copy(p.snapshot.Machines, machines)
-	job.Pending = pending
-	p.placementsLeft, p.decisions.Placements = placementsLeft, p.decisions.Placements[:placements]
-	team.Used, p.usageAfterPreemption[job.Team] = used, usageAfterPreemption
+// rollback undoes all placements of a job since a checkpoint.
+func (p *planner) rollback(job *JobView, before checkpoint) {
+	copy(p.snapshot.Machines, before.machines)
+	job.Pending = before.pending
+	p.placementsLeft = before.placementsLeft
+	p.decisions.Placements = p.decisions.Placements[:before.placements]
+	p.snapshot.Teams[job.Team].Used = before.used
+	p.usageAfterPreemption[job.Team] = before.usageAfterPreemption
 	clear(job.LiveByZone)
 }
 
