--- a/internal/controller/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -97,7 +97,7 @@
 	if a := leader.Submit(t.Context(), spec); a.Status != http.StatusUnprocessableEntity {
 		t.Fatalf("a job of an unknown team: %d", a.Status)
 	}
-	for _, part := range []string{"submission refused", "job=j-000002", "status=422", "unknown team"} {
+	for _, part := range []string{"submission rejected", "job=j-000002", "status=422", "unknown team"} {
 		if !strings.Contains(log.String(), part) {
 			t.Errorf("%q is not in the log: %s", part, log.String())
 		}
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -87,7 +87,7 @@
 	if known.Status != http.StatusNotFound {
 		return known
 	}
-	l.Log.Warn("submission refused", "job", spec.ID, "class", spec.Class, "team", spec.Team,
+	l.Log.Warn("submission rejected", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"status", rejection.status, "why", rejection.Error())
 	return answer.Answer{Response: answer.ErrorResponse(rejection.status, rejection.Error()), Evidence: known.Evidence}
 }
