--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -5,11 +5,12 @@
 	"dunestand/internal/units"
 )
 
-// checkpointMargin is the grace period of a task that is preempted, beyond the time that its
-// owner states for a checkpoint.
-const checkpointMargin = 2 * units.Second
+// preemptionGraceMargin is added to a job's checkpoint duration to give the grace period of a
+// preempted task.
+const preemptionGraceMargin = 2 * units.Second
 
-// apply applies a plan to the state.
+// apply applies the placements and preemptions of a plan to the state. RunCycle itself stores
+// the reservations.
 func (sc *Scheduler) apply(decisions Decisions, index *snapshotIndex, now units.Micros) {
 	sc.applyPlacements(decisions.Placements, index, now)
 	sc.applyPreemptions(decisions.Preemptions, index, now)
@@ -21,7 +22,7 @@
 	for _, placement := range placements {
 		job, machine := index.jobs[placement.Job], index.machines[placement.Machine]
 		for range placement.Count {
-			// A gang's tasks find each other by the attempt number they share.
+			// The tasks of a gang share an attempt number, by which they find each other.
 			if job.Spec.Kind != protocol.Gang || !gangsStarted[placement.Job] {
 				number = sc.State.NextAttempt(sc.Token)
 				gangsStarted[placement.Job] = true
@@ -45,7 +46,7 @@
 func (sc *Scheduler) applyPreemptions(preemptions []Preemption, index *snapshotIndex, now units.Micros) {
 	for _, preemption := range preemptions {
 		attempt, job := index.victims[preemption.Victim], index.jobs[preemption.Job]
-		sc.State.StopAttempt(attempt, attempt.Job.Spec.CheckpointDuration+checkpointMargin)
+		sc.State.StopAttempt(attempt, attempt.Job.Spec.CheckpointDuration+preemptionGraceMargin)
 		sc.Pusher.RequestPush(attempt.Machine, nil, now)
 		sc.Log.Info("task preempted", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", attempt.Machine.ID,
 			"class", attempt.Job.Spec.Class, "for", job.Spec.ID, "for_class", job.Spec.Class)
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -5,33 +5,33 @@
 	"dunestand/internal/units"
 )
 
-// MinCycleInterval is the least time between two scheduling cycles.
+// MinCycleInterval is the minimum time from the end of a scheduling cycle to the next one.
 const MinCycleInterval = 25 * units.Millisecond
 
 const (
-	// cycleSpacingFactor is the time from one cycle to the next, in costs of a cycle, so that
-	// most of the leader's time is left for heartbeats and requests.
+	// cycleSpacingFactor is the time from one cycle to the next as a multiple of CycleCost. It
+	// leaves most of the leader's time for heartbeats and requests.
 	cycleSpacingFactor = 8
-	maxCycleSpacing    = units.Second // however much a cycle costs
+	maxCycleSpacing    = units.Second // upper bound, whatever CycleCost is
 
-	// The most placements of a cycle: what it may decide at least, one more for each
-	// pendingPerPlacement pending tasks, and never more than the bound.
+	// The limit of a cycle's placements is minCyclePlacements, plus one for every
+	// pendingPerPlacement pending tasks, up to maxCyclePlacements.
 	minCyclePlacements  = 48
 	maxCyclePlacements  = 512
 	pendingPerPlacement = 8
 
-	cycleCostWeight = 8 // a cycle counts one part in so many in the mean cost
+	cycleCostDivisor = 8 // the latest cycle has a weight of 1/cycleCostDivisor in CycleCost
 )
 
-// CycleDue reports whether the next cycle may run. Cycles are spaced by what they cost, so
-// that under load they run less often and decide more each.
+// CycleDue reports whether the next cycle may run. The time between cycles is proportional to
+// their mean cost, so that under load cycles run less often and each places more tasks.
 func (sc *Scheduler) CycleDue(now units.Micros) bool {
 	return now-sc.lastCycle >= max(MinCycleInterval, min(sc.CycleCost*cycleSpacingFactor, maxCycleSpacing))
 }
 
 // RunCycle runs one scheduling cycle: it takes a snapshot of the state, plans on it, and
 // applies the decisions to the state. answering is the machine whose heartbeat is being
-// answered, nil if none is.
+// answered, nil if there is none.
 func (sc *Scheduler) RunCycle(now units.Micros, answering *cluster.Machine) {
 	began := sc.Clock.Steady()
 	snapshot, index := sc.TakeSnapshot(now, answering)
@@ -43,5 +43,5 @@
 	}
 	sc.apply(decisions, index, now)
 	sc.lastCycle = sc.Clock.Steady()
-	sc.CycleCost = ((cycleCostWeight-1)*sc.CycleCost + (sc.lastCycle - began)) / cycleCostWeight
+	sc.CycleCost = ((cycleCostDivisor-1)*sc.CycleCost + (sc.lastCycle - began)) / cycleCostDivisor
 }
--- a/internal/scheduler/eviction.go
+++ b/internal/scheduler/eviction.go
@@ -6,16 +6,18 @@
 )
 
 const (
-	// evictionGraceMargin is the grace period of a task that is evicted, beyond the time that
-	// its owner states for a checkpoint.
+	// evictionGraceMargin is added to a job's checkpoint duration to give the grace period of
+	// an evicted task.
 	evictionGraceMargin = units.Second
-	// evictionLeadHeartbeats is how many heartbeat intervals before the last moment for a
-	// checkpoint a task is evicted: the stop command travels with a heartbeat's response.
+	// evictionLeadHeartbeats is the number of heartbeat intervals before the latest start of a
+	// checkpoint at which a task is evicted, since a heartbeat's response carries the stop
+	// command.
 	evictionLeadHeartbeats = 3
 )
 
-// evictBeforeTermination stops the tasks that would be lost when a machine is taken away, in
-// time for a checkpoint or a start elsewhere. A quarantined machine is emptied at once.
+// evictBeforeTermination stops the tasks that would be lost when a machine terminates, early
+// enough for a checkpoint or a start elsewhere. It stops all tasks on a quarantined machine at
+// once.
 func (sc *Scheduler) evictBeforeTermination(m *cluster.Machine, now units.Micros) {
 	if m.TerminatesAt == 0 && !m.Quarantined {
 		return
@@ -29,11 +31,11 @@
 	}
 }
 
-// evictionCanWait reports whether a task need not be stopped yet on a machine that is
-// quarantined or to be taken away.
+// evictionCanWait reports whether a task on a machine that is quarantined or about to
+// terminate need not be stopped yet.
 func (sc *Scheduler) evictionCanWait(attempt *cluster.Attempt, now units.Micros) bool {
 	if attempt.Machine.Quarantined || attempt.Job.IsService() {
-		// A replica starts elsewhere once this one is gone: the sooner the better.
+		// The replacement starts only once this replica has stopped, so stop it at once.
 		return false
 	}
 	timeLeft := attempt.Machine.TerminatesAt - now
@@ -42,7 +44,7 @@
 		remaining -= now - attempt.RunningSince
 	}
 	if remaining > 0 && remaining < timeLeft {
-		return true // it ends by itself in time
+		return true // expected to complete before the machine terminates
 	}
 	spec := &attempt.Job.Spec
 	heartbeatInterval := sc.Settings.Fleet.Workers.HeartbeatInterval()
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -8,17 +8,20 @@
 	"dunestand/internal/units"
 )
 
-// Why a job is not placed: jobSchedulable says whether it is considered at all,
-// MachineSchedulable whether a machine is, feasible whether the two go together,
-// tasksWithinQuota what its team's limit leaves, and freeFor what the machine has free for it.
-// A job of a team that is blocked by another of its jobs (planner.blockFullTeam) waits, too.
+// A job's task is placed on a machine only if the job is schedulable (jobSchedulable), the
+// machine is schedulable (MachineSchedulable), the machine is feasible for the job (feasible),
+// the team's quota limit has room for the task (tasksWithinQuota), the machine has enough free
+// capacity for it (freeFor), and no earlier job of the team blocks the team
+// (planner.blockFullTeam).
 
 // jobSchedulable reports whether tasks of a job may be placed now.
 func jobSchedulable(job *cluster.Job, now units.Micros) bool {
 	return job.HasTasksToPlace() && now >= job.RetryAt && len(job.UnreconciledMachines) == 0
 }
 
-// MachineSchedulable reports whether a machine may be given work.
+// MachineSchedulable reports whether a machine may be given work now. A machine that has not
+// reported the leader's fencing token may not, nor one that is suspected to be lost, is
+// faulty, is being released or is about to terminate.
 func (sc *Scheduler) MachineSchedulable(m *cluster.Machine, now units.Micros) bool {
 	return m.Registered && m.FencingToken == sc.Token && m.Capacity.CPU > 0 &&
 		!m.Quarantined && !m.Releasing && m.TerminatesAt == 0 &&
@@ -26,8 +29,8 @@
 		now-m.LastHeartbeat < sc.Detector.SuspectAfter()
 }
 
-// feasible reports whether a job may be placed on a machine of the snapshot, free capacity
-// and quota aside. A slow machine gets no urgent work.
+// feasible reports whether a job may be placed on a machine of the snapshot, without regard to
+// free capacity and quota. A slow machine gets no urgent work.
 func (p *planner) feasible(machine int, job *JobView) bool {
 	m := &p.snapshot.Machines[machine]
 	return m.Schedulable &&
@@ -37,21 +40,22 @@
 		!job.Avoid(m.ID)
 }
 
-// PlacementAllowed reports whether a job's tasks may be on machines of an offering: an
-// instance type in a zone, as a spot instance or not.
+// PlacementAllowed reports whether a job's specification allows its tasks to run on machines
+// of an instance type in a zone, as spot instances or not.
 func PlacementAllowed(spec *protocol.JobSpec, instanceType, zone string, spot bool) bool {
 	return (spec.InstanceTypes == nil || slices.Contains(spec.InstanceTypes, instanceType)) &&
 		(spec.Zone == "" || spec.Zone == zone) && (spec.AllowSpot || !spot)
 }
 
-// tasksWithinQuota returns how many more tasks of the job its team's quota limit allows.
+// tasksWithinQuota returns how many more tasks of the job fit into its team's quota limit.
 func (p *planner) tasksWithinQuota(job *JobView) int {
 	team := &p.snapshot.Teams[job.Team]
 	return team.QuotaLimit.Plus(team.Used, -1).CountFitting(job.Spec.Request)
 }
 
-// tasksWithinZone returns how many more tasks of the job may be in a zone; none where the
-// zone is not allowed at all.
+// tasksWithinZone returns an upper bound on how many more tasks of the job may be placed in a
+// zone by its zone, topology spread and zone affinity. It is not positive if the zone is not
+// allowed or has its share already.
 func tasksWithinZone(job *JobView, zone string) int {
 	if job.Spec.Zone != "" && job.Spec.Zone != zone {
 		return 0
@@ -70,8 +74,8 @@
 	return allowed
 }
 
-// freeFor returns the free capacity of a machine that a job may use: the headroom is for
-// replicas of services, and for jobs that have waited too long.
+// freeFor returns the free capacity of a machine that a job may use. Only services and starved
+// jobs may use the headroom.
 func (m *MachineView) freeFor(job *JobView) units.Resources {
 	if job.Spec.Kind == protocol.Service || job.Starved {
 		return m.Free
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -10,26 +10,27 @@
 	"dunestand/internal/units"
 )
 
-// A replica that is lost with its machine, or that is new, is to be up within
-// seconds. In a full fleet capacity for it would first have to be made, by stopping
-// something. So where there are urgent services, some free capacity is reserved for
-// replicas in each zone: little next to the fleet.
+// A new replica, or the replacement of one that was lost with its machine, is to run within
+// seconds. In a full fleet, tasks would have to be preempted first. If there are urgent
+// services, the scheduler therefore reserves headroom for replicas in each zone: free capacity
+// that is a small part of the fleet's.
 
 const (
-	headroomReplicasPerZone = 2 // replicas in each zone that capacity is reserved for
-	// headroomFleetShare bounds the headroom to one processor in so many of the fleet.
-	headroomFleetShare = 32
-	// headroomServiceShare: the fleet as a whole is scaled out for one replica more in so
-	// many that there are.
-	headroomServiceShare = 3
+	headroomReplicasPerZone = 2 // maximum number of replicas per zone to reserve capacity for
+	// headroomFleetDivisor limits the headroom to 1/headroomFleetDivisor of the fleet's
+	// processors.
+	headroomFleetDivisor = 32
+	// headroomServiceDivisor is the number of existing replicas for which the fleet is scaled
+	// out by capacity for one more.
+	headroomServiceDivisor = 3
 )
 
-// reserveHeadroom chooses the machines on which capacity for one more replica is reserved,
-// by their places in machines: in each zone those that have it free already, else
-// those where it becomes free soonest, among them the ones that were chosen before. Instance
-// types of which a waiting task needs nearly a whole machine are left to such tasks, where
-// there are others. replica is a service whose replicas are as large as any; nil reserves
-// nothing.
+// reserveHeadroom returns the indexes in machines of those on which capacity for one more
+// replica is to be reserved. In each zone it prefers machines on which a replica fits already,
+// then machines that were chosen before, then machines that hold the image, then the largest,
+// where capacity becomes free soonest. Machines of an instance type that a waiting task needs
+// nearly whole come last. replica is the service with the largest replicas; if it is nil,
+// nothing is reserved.
 func reserveHeadroom(machines []MachineView, jobs []JobView, replica *protocol.JobSpec, chosenBefore func(machine int) bool) []int {
 	if replica == nil {
 		return nil
@@ -37,7 +38,7 @@
 	neededWhole := instanceTypesNeededWhole(machines, jobs, replica)
 	byZone, fleetCPU := headroomCandidates(machines, replica)
 	perZone := headroomReplicasPerZone
-	if bound := replica.Request.CPU * headroomFleetShare * units.Amount(len(byZone)); bound > 0 {
+	if bound := replica.Request.CPU * headroomFleetDivisor * units.Amount(len(byZone)); bound > 0 {
 		perZone = int(min(units.Amount(perZone), fleetCPU/bound))
 	}
 	var chosen []int
@@ -57,8 +58,8 @@
 	return chosen
 }
 
-// instanceTypesNeededWhole returns the instance types of which some waiting task needs so much
-// of a machine that a replica does not fit beside it.
+// instanceTypesNeededWhole returns the instance types on which the task of some waiting job
+// fits, but not together with a replica.
 func instanceTypesNeededWhole(machines []MachineView, jobs []JobView, replica *protocol.JobSpec) map[string]bool {
 	neededWhole := map[string]bool{}
 	for i := range machines {
@@ -66,16 +67,16 @@
 		if _, seen := neededWhole[m.InstanceType]; seen {
 			continue
 		}
-		besideReplica := m.Capacity.Plus(replica.Request, -1)
+		capacityWithoutReplica := m.Capacity.Plus(replica.Request, -1)
 		neededWhole[m.InstanceType] = slices.ContainsFunc(jobs, func(job JobView) bool {
-			return m.Capacity.CountFitting(job.Spec.Request) > 0 && besideReplica.CountFitting(job.Spec.Request) == 0
+			return m.Capacity.CountFitting(job.Spec.Request) > 0 && capacityWithoutReplica.CountFitting(job.Spec.Request) == 0
 		})
 	}
 	return neededWhole
 }
 
-// headroomCandidates returns by zone the machines on which capacity for a replica may be
-// reserved, and the processors of all machines that may be given work.
+// headroomCandidates returns the indexes of the machines on which capacity for a replica may
+// be reserved, by zone, and the total processors of all schedulable machines.
 func headroomCandidates(machines []MachineView, replica *protocol.JobSpec) (byZone map[string][]int, fleetCPU units.Amount) {
 	byZone = map[string][]int{}
 	for i := range machines {
@@ -91,8 +92,8 @@
 	return byZone, fleetCPU
 }
 
-// HeadroomReplica returns the urgent service whose replicas request most, nil if there is
-// none.
+// HeadroomReplica returns the urgent service with the largest resource request per replica:
+// most processors, then most memory. It returns nil if there is no urgent service.
 func (sc *Scheduler) HeadroomReplica() *protocol.JobSpec {
 	var largest *protocol.JobSpec
 	for _, job := range sc.State.Jobs {
@@ -110,9 +111,10 @@
 	return largest
 }
 
-// HeadroomReplicaCount returns how many replicas more than there are the fleet is to have
-// capacity for: enough in each zone for a new service, and for the loss of some machines
-// together, since scaling out takes a boot.
+// HeadroomReplicaCount returns the number of additional replicas, each of the size of replica,
+// that the fleet is to have capacity for. It is enough for a new service in each zone and for
+// the simultaneous loss of several machines, since a machine that is scaled out has to boot
+// first.
 func (sc *Scheduler) HeadroomReplicaCount(replica *protocol.JobSpec) int {
 	var servicesCPU units.Amount
 	for _, job := range sc.State.Jobs {
@@ -122,13 +124,13 @@
 	}
 	count := headroomReplicasPerZone * len(sc.Settings.Fleet.Zones)
 	if replica.Request.CPU > 0 {
-		count = max(count, int(servicesCPU/replica.Request.CPU/headroomServiceShare))
+		count = max(count, int(servicesCPU/replica.Request.CPU/headroomServiceDivisor))
 	}
 	return count
 }
 
-// updateHeadroom reserves the headroom on the machines of a snapshot. machines are the same
-// ones in the state.
+// updateHeadroom reserves the headroom on the machines of a snapshot and records it in
+// sc.headroom. machines holds the machines of the state by their index in the snapshot.
 func (sc *Scheduler) updateHeadroom(snapshot *Snapshot, machines []*cluster.Machine) {
 	replica := sc.HeadroomReplica()
 	chosen := reserveHeadroom(snapshot.Machines, snapshot.Jobs, replica, func(machine int) bool {
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -8,8 +8,8 @@
 	"dunestand/internal/protocol"
 )
 
-// headroomFleet returns forty machines in two zones, half of them spot instances, of which
-// i-000004 and i-000009 have room for a replica and i-000007 has the image.
+// headroomFleet returns forty machines in two zones, half of them spot instances. A replica
+// fits on i-000004 and i-000009, and i-000007 holds the image.
 func headroomFleet() []MachineView {
 	var machines []MachineView
 	for i := range 40 {
@@ -31,15 +31,16 @@
 	return machines
 }
 
-// headroomReplica returns a job like the replicas that capacity is reserved for.
+// headroomReplica returns the specification of a replica of two processors that may not run on
+// spot instances.
 func headroomReplica() *protocol.JobSpec {
 	replica := fake.JobSpec("j-000001")
 	replica.AllowSpot, replica.Request = false, fake.CPUs(2)
 	return replica
 }
 
-// Capacity for replicas is reserved in each zone that may be used, little next to the
-// fleet, and on the machines that were chosen before where it still has to become free.
+// Capacity for replicas is reserved in each allowed zone, within a small part of the fleet. It
+// stays on machines that were chosen before if a replica does not fit yet.
 func TestHeadroomIsReservedForReplicas(t *testing.T) {
 	machines, replica := headroomFleet(), headroomReplica()
 	never := func(int) bool { return false }
@@ -58,7 +59,7 @@
 			t.Errorf("reserved on %v without a service", got)
 		}
 	})
-	t.Run("not on whole machines that a task needs", func(t *testing.T) {
+	t.Run("not on machines that a task needs whole", func(t *testing.T) {
 		machines, whole := headroomFleet(), fake.JobSpec("j-000003")
 		whole.Request = fake.CPUs(8)
 		for _, i := range []int{1, 3, 5} {
@@ -70,7 +71,7 @@
 	})
 }
 
-// Nothing is placed on the headroom but replicas and jobs that have waited too long.
+// Only replicas and starved jobs are placed on the headroom.
 func TestHeadroomIsUsedByReplicasAndStarvedJobs(t *testing.T) {
 	machine, replica := headroomFleet()[4], headroomReplica()
 	machine.Headroom = replica.Request
--- a/internal/scheduler/onemachine.go
+++ b/internal/scheduler/onemachine.go
@@ -7,15 +7,16 @@
 	"dunestand/internal/units"
 )
 
-// jobsPerPlan is how many jobs of the queue are planned for one machine at a time: the first
-// few mostly use up its free capacity.
+// jobsPerPlan is the number of queued jobs that are planned together for one machine: the
+// first few jobs usually use up its free capacity.
 const jobsPerPlan = 12
 
-// PlaceOnMachine plans for one machine between two cycles, in the order of the last one.
-// Every other machine with free capacity was considered then, or when it sent its own
-// heartbeat, so that this one is the best candidate whatever image it holds. It costs little
-// next to a cycle: a machine whose heartbeat reports the end of a task has the next one
-// in the response, however large the fleet is.
+// PlaceOnMachine plans for one machine, whose heartbeat is being answered, between two cycles.
+// It takes the queue of the last cycle in its order. Every other machine with free capacity was
+// considered in that cycle or while its own heartbeat was answered, so this machine is the best
+// candidate whether it holds a job's image or not. The cost is small compared with a cycle and
+// does not grow with the fleet: the response to a heartbeat that reports the end of a task can
+// carry the next one. It does nothing if the last cycle did not consider every machine.
 func (sc *Scheduler) PlaceOnMachine(m *cluster.Machine, now units.Micros) {
 	if !sc.allMachinesConsidered || len(sc.queue) == 0 || m.Free().CPU <= 0 || !sc.MachineSchedulable(m, now) {
 		return
@@ -33,8 +34,8 @@
 	}
 }
 
-// queueFor returns the part of the queue that may be placed on a machine: where its free
-// capacity is reserved for a job, none that comes after that job.
+// queueFor returns the part of the queue that may be placed on a machine. If the machine is
+// reserved for a job, the part ends with that job.
 func (sc *Scheduler) queueFor(m *cluster.Machine, now units.Micros) []queuedJob {
 	reservedFor := sc.reservations[m]
 	if reservedFor == nil || !jobSchedulable(reservedFor, now) {
@@ -47,8 +48,8 @@
 	return sc.queue[:i+1]
 }
 
-// placeJobsOnMachine plans a part of the queue for the one machine of a snapshot, and applies
-// the decisions. teams holds the teams' places in the snapshot.
+// placeJobsOnMachine plans a part of the queue for the only machine of a snapshot, and applies
+// the decisions. teams holds the teams' indexes in the snapshot, by name.
 func (sc *Scheduler) placeJobsOnMachine(queue []queuedJob, m *cluster.Machine, snapshot *Snapshot, teams map[string]int, now units.Micros) {
 	snapshot.Jobs = snapshot.Jobs[:0]
 	index := &snapshotIndex{machines: []*cluster.Machine{m}}
@@ -59,12 +60,12 @@
 		}
 		view := queued.view
 		if view.Starved && len(job.LiveAttempts) > 0 {
-			continue // it has begun; the next cycle finds the place of the rest
+			continue // no longer starved; the next cycle determines its new order
 		}
 		view.Pending, view.LiveTasks, view.Team = job.Pending(), len(job.LiveAttempts), teams[job.Spec.Team]
 		fillTopology(&view, job)
 		if view.LiveByMachine != nil {
-			continue // replicas are placed with all machines in view
+			continue // spreading replicas needs a snapshot of all machines
 		}
 		snapshot.Jobs = append(snapshot.Jobs, view)
 		index.jobs = append(index.jobs, job)
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/protocol"
 )
 
-// jobOrder returns the places of the jobs in the snapshot, in the order in which they go.
+// jobOrder returns the indexes of the jobs in Snapshot.Jobs, in scheduling order.
 func (p *planner) jobOrder() []int {
 	order := make([]int, len(p.snapshot.Jobs))
 	for i := range order {
@@ -17,12 +17,11 @@
 	return order
 }
 
-// compareJobs orders jobs in the order in which they go. The first task of a job that has
-// waited too long goes before everything: under a long overload the order alone
-// would leave some jobs waiting for ever. The urgent priorities go first then.
-// Of the others, what can still be in time goes before what is late anyway,
-// whatever their priority; then jobs within their team's guarantee, then by
-// priority, then by rank.
+// compareJobs orders jobs in scheduling order. Starved jobs come first, since in a long
+// overload the other criteria would leave some jobs waiting indefinitely. Urgent jobs come next,
+// by priority. Of the others, jobs that can still meet a deadline come before jobs that miss
+// theirs, whatever their priority; then jobs within their team's guaranteed quota come before
+// jobs beyond it; then jobs are ordered by priority and by rank. Ties are broken by submission.
 func compareJobs(a, b *JobView) int {
 	if a.Starved && b.Starved {
 		return compareSubmissions(a, b)
@@ -40,15 +39,15 @@
 	return compareSubmissions(a, b)
 }
 
-// compareSubmissions orders jobs by when they were submitted, and by ID.
+// compareSubmissions orders jobs by time of submission, then by ID.
 func compareSubmissions(a, b *JobView) int {
 	return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 }
 
-// urgent reports whether a job has one of the urgent priorities.
+// urgent reports whether a job's priority is protocol.High or higher.
 func (j *JobView) urgent() bool { return j.Spec.Priority >= protocol.High }
 
-// urgency is the priority of an urgent job, and 0 for all others.
+// urgency returns the priority of an urgent job, and 0 for all other jobs.
 func (j *JobView) urgency() protocol.Priority {
 	if j.urgent() {
 		return j.Spec.Priority
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -7,8 +7,8 @@
 	"dunestand/internal/units"
 )
 
-// place places as many of the job's tasks as there is room for, on the candidates in their
-// order. Each replica of a service changes the order for the next one.
+// place places as many of the job's tasks as fit, on the best candidates first. Replicas of a
+// service are placed one by one, since each changes the scores for the next.
 func (p *planner) place(jobIndex int, job *JobView) {
 	if job.Spec.Kind == protocol.Service {
 		for p.placeReplica(jobIndex, job) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// placeReplica places one replica of a service and reports whether it could.
+// placeReplica places one replica of a service and reports whether it fitted anywhere.
 func (p *planner) placeReplica(jobIndex int, job *JobView) bool {
 	if p.placeableTasks(job) <= 0 {
 		return false
@@ -39,25 +39,27 @@
 	return false
 }
 
-// placeableTasks returns how many of the job's tasks may be placed, wherever there is room.
+// placeableTasks returns how many of the job's tasks the cycle's limit and the team's quota
+// limit allow to be placed.
 func (p *planner) placeableTasks(job *JobView) int {
 	return min(job.Pending, p.placementsLeft, p.tasksWithinQuota(job))
 }
 
-// placeableOn returns how many of the job's tasks may be placed on a feasible machine.
+// placeableOn returns how many of the job's tasks may be placed on a machine that is feasible
+// for the job.
 func (p *planner) placeableOn(job *JobView, machine int) int {
 	m := &p.snapshot.Machines[machine]
 	return min(p.placeableTasks(job), m.freeFor(job).CountFitting(job.Spec.Request), tasksWithinZone(job, m.Zone))
 }
 
-// placeGang places all of a gang's tasks or none. While some of its tasks may
-// still be on machines, the rest waits for them to end.
+// placeGang places all of a gang's tasks or none. It places none while some of the gang's
+// tasks may still be on machines.
 func (p *planner) placeGang(jobIndex int, job *JobView) {
 	if job.LiveTasks > 0 || p.tasksWithinQuota(job) < job.Pending {
 		return
 	}
 	before := p.checkpoint(job)
-	// A gang may be larger than what is left of the cycle, or it would never start.
+	// A gang may exceed the cycle's limit: one larger than the limit would never start.
 	p.placementsLeft = max(p.placementsLeft, job.Pending)
 	p.place(jobIndex, job)
 	if job.Pending > 0 {
@@ -65,18 +67,18 @@
 	}
 }
 
-// checkpoint is what placing a job's tasks changes.
+// checkpoint is a copy of the planner's state that placing a job's tasks changes.
 type checkpoint struct {
 	machines             []MachineView
 	pending              int
 	placementsLeft       int
-	placements           int // made so far
+	placements           int // length of Decisions.Placements
 	used                 units.Resources
 	usageAfterPreemption units.Resources
 }
 
-// checkpoint returns what rollback needs to undo all placements of a job from here on. None of
-// the job's tasks may be on a machine.
+// checkpoint returns the state to which rollback returns. The job must have no live tasks,
+// since rollback clears their counts by zone.
 func (p *planner) checkpoint(job *JobView) checkpoint {
 	return checkpoint{
 		machines:             slices.Clone(p.snapshot.Machines),
@@ -88,7 +90,7 @@
 	}
 }
 
-// rollback undoes all placements of a job since a checkpoint.
+// rollback undoes all placements of a job since the checkpoint before.
 func (p *planner) rollback(job *JobView, before checkpoint) {
 	copy(p.snapshot.Machines, before.machines)
 	job.Pending = before.pending
@@ -99,7 +101,7 @@
 	clear(job.LiveByZone)
 }
 
-// placeTasks places n of a job's tasks on a machine.
+// placeTasks adds a placement of n of a job's tasks on a machine and updates the views.
 func (p *planner) placeTasks(jobIndex int, job *JobView, machine, n int) {
 	m := &p.snapshot.Machines[machine]
 	m.Free = m.Free.Plus(job.Spec.Request, -n)
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -5,42 +5,43 @@
 	"dunestand/internal/units"
 )
 
-// Placement starts Count of a job's tasks on a machine. Job and Machine are places in the
-// snapshot, here and in the other decisions.
+// Placement starts Count of a job's tasks on a machine. Job and Machine are indexes in
+// Snapshot.Jobs and Snapshot.Machines, here and in the other decisions.
 type Placement struct{ Job, Machine, Count int }
 
-// Preemption stops a victim, by its Victim.Ref, to make room for a job.
+// Preemption stops the victim with the Ref Victim to free capacity for a job.
 type Preemption struct{ Victim, Job int }
 
-// Reservation keeps a machine's free capacity together for a job, until a task of the job
-// fits.
+// Reservation reserves a machine's free capacity for a job, so that it accumulates until a
+// task of the job fits.
 type Reservation struct{ Machine, Job int }
 
-// Decisions is the outcome of a cycle.
+// Decisions is the result of Plan.
 type Decisions struct {
 	Placements   []Placement
 	Preemptions  []Preemption
 	Reservations []Reservation
-	Truncated    bool // the cycle ended at MaxPlacements: more might have been placed
+	Truncated    bool // MaxPlacements was reached before all jobs were considered
 }
 
-// planner is a plan in the making. It changes the views of its snapshot.
+// planner holds the state of one call of Plan. It modifies the views of its snapshot.
 type planner struct {
 	snapshot             *Snapshot
 	decisions            Decisions
 	placementsLeft       int
-	preempted            map[int]bool      // victims chosen, by Ref
-	usageAfterPreemption []units.Resources // what each team has left once its victims are gone
+	preempted            map[int]bool      // chosen victims, by Ref
+	usageAfterPreemption []units.Resources // usage without the chosen victims, by team
 
-	candidates       []candidate             // reused from job to job
-	victimsByMachine [][]Victim              // by machine, once asked
-	victimsByTeam    map[int][]machineVictim // by team, once asked
-	capacityFreeing  bool                    // some machine has capacity that is about to be free
+	candidates       []candidate             // buffer of rankCandidates
+	victimsByMachine [][]Victim              // cache of victimsOnMachine
+	victimsByTeam    map[int][]machineVictim // cache of victimsInTeam
+	capacityFreeing  bool                    // tasks are being stopped on some machine
 }
 
-// Plan decides what to start and what to stop: it takes the jobs in their order, places what
-// it can of each, preempts for the rest where that is allowed, and reserves machines for what
-// must not wait longer.
+// Plan decides which tasks to start and which to stop. It takes the jobs in scheduling order,
+// places as many tasks of each as fit, preempts victims for the rest where that is allowed,
+// and reserves machines for starved jobs and for urgent jobs that await completions. It
+// modifies the snapshot.
 func Plan(snapshot *Snapshot) Decisions {
 	p := newPlanner(snapshot)
 	for _, i := range p.jobOrder() {
@@ -71,8 +72,9 @@
 	return p
 }
 
-// planJob places what it can of a job, and makes room for the rest where that is allowed.
-// jobIndex is the job's place in the snapshot, here and below.
+// planJob places as many of a job's tasks as fit, and preempts victims or reserves machines for
+// the rest where that is allowed. jobIndex is the job's index in Snapshot.Jobs, as in the
+// other methods of planner.
 func (p *planner) planJob(jobIndex int, job *JobView) {
 	switch {
 	case job.Spec.Kind == protocol.Gang:
@@ -93,8 +95,8 @@
 	}
 }
 
-// planStarved has one task of a job that has waited too long go before everything; the
-// rest goes in its turn, in later cycles.
+// planStarved plans only one task of a starved job. That task precedes all other jobs; the
+// rest of the job is planned in later cycles, in the order of a job that is not starved.
 func (p *planner) planStarved(jobIndex int, job *JobView) {
 	rest := job.Pending - 1
 	job.Pending = 1
@@ -107,8 +109,9 @@
 	job.Pending += rest
 }
 
-// blockFullTeam keeps the jobs that come after one whose team's limit has no room for it
-// from taking what is left of the limit bit by bit: a larger task would wait for ever.
+// blockFullTeam blocks the team's later jobs in this cycle if the job's tasks exceed what is
+// left of the team's quota limit. Otherwise smaller tasks would keep using up the remaining
+// quota, and a larger task would never fit.
 func (p *planner) blockFullTeam(job *JobView) {
 	p.snapshot.Teams[job.Team].Blocked = p.tasksWithinQuota(job) == 0
 }
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -60,7 +60,7 @@
 	return m
 }
 
-// drawVictim draws a task that could be preempted, of one of some teams.
+// drawVictim draws a task that could be preempted, of one of the given number of teams.
 func drawVictim(t *rapid.T, ref, teams int) Victim {
 	v := Victim{
 		Ref:      ref,
@@ -78,7 +78,7 @@
 	return v
 }
 
-// drawJob draws a job array of which nothing runs, of one of some teams.
+// drawJob draws a job array without live tasks, of one of the given number of teams.
 func drawJob(t *rapid.T, index, teams int) JobView {
 	tasks := rapid.IntRange(1, 12).Draw(t, "tasks")
 	return JobView{
@@ -103,7 +103,7 @@
 	}
 }
 
-// cloneSnapshot copies what Plan changes.
+// cloneSnapshot returns a copy of a snapshot that shares nothing that Plan modifies.
 func cloneSnapshot(s Snapshot) Snapshot {
 	s.Teams, s.Machines, s.Jobs = slices.Clone(s.Teams), slices.Clone(s.Machines), slices.Clone(s.Jobs)
 	for i := range s.Jobs {
@@ -112,10 +112,9 @@
 	return s
 }
 
-// A plan keeps the invariants whatever the snapshot is: no team over its limit with
-// the victims still counted (they run until they are gone; this was broken
-// once), no machine beyond its free capacity, no task where its job does not
-// allow it, nobody preempted without the right.
+// For every snapshot a plan keeps the invariants: no team exceeds its quota limit, with victims
+// counted as used because they run until they have stopped; no machine exceeds its free
+// capacity; each task is placed where its job allows it; and each preemption is allowed.
 func TestPlanKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
@@ -127,8 +126,8 @@
 	})
 }
 
-// checkCapacity checks that placements keep within quotas, free capacity and the cycle's
-// bound.
+// checkCapacity checks that placements stay within the teams' quota limits, the machines' free
+// capacity and the cycle's limit.
 func checkCapacity(t *rapid.T, before Snapshot, decisions Decisions) {
 	used := make([]units.Resources, len(before.Teams))
 	free := make([]units.Resources, len(before.Machines))
@@ -146,23 +145,23 @@
 		total += placement.Count
 	}
 	for i, u := range used {
-		// What a team used before is not the plan's doing.
+		// A team may exceed its limit before the plan; only the plan's additions are checked.
 		if u != before.Teams[i].Used && before.Teams[i].QuotaLimit.Plus(u, -1).CountFitting(fake.CPUs(0)) == 0 {
-			t.Fatalf("team %d uses %v of %v", i, u, before.Teams[i].QuotaLimit)
+			t.Fatalf("team %d uses %v, with a quota limit of %v", i, u, before.Teams[i].QuotaLimit)
 		}
 	}
 	for i, f := range free {
 		if f.CPU < 0 || f.Memory < 0 {
-			t.Fatalf("machine %d has %v left", i, f)
+			t.Fatalf("machine %d is overcommitted: %v free", i, f)
 		}
 	}
 	if total > before.MaxPlacements {
-		t.Fatalf("%d tasks placed in a cycle of %d", total, before.MaxPlacements)
+		t.Fatalf("%d tasks placed in a cycle with a limit of %d", total, before.MaxPlacements)
 	}
 }
 
-// checkTopology checks that tasks are placed only where their jobs allow it, and no more than
-// are pending.
+// checkTopology checks that tasks are placed only where their jobs allow it, and that no job
+// has more tasks placed than pending.
 func checkTopology(t *rapid.T, before Snapshot, decisions Decisions) {
 	byZone := make([]map[string]int, len(before.Jobs))
 	placed := map[int]int{}
@@ -180,21 +179,21 @@
 	for i, zones := range byZone {
 		spec := before.Jobs[i].Spec
 		if spec.ZoneAffinity && len(zones) > 1 {
-			t.Fatalf("job %d is in zones %v", i, zones)
+			t.Fatalf("job %d with zone affinity is placed in several zones: %v", i, zones)
 		}
 		for zone, n := range zones {
 			if spec.ZoneSpread && n > (spec.Tasks+1)/2 {
-				t.Fatalf("job %d has %d of %d tasks in %s", i, n, spec.Tasks, zone)
+				t.Fatalf("job %d with topology spread has %d of %d tasks in zone %s", i, n, spec.Tasks, zone)
 			}
 		}
 		if placed[i] > before.Jobs[i].Pending {
-			t.Fatalf("job %d: %d placed of %d", i, placed[i], before.Jobs[i].Pending)
+			t.Fatalf("job %d: %d tasks placed, %d pending", i, placed[i], before.Jobs[i].Pending)
 		}
 	}
 }
 
-// checkPreemptions checks that every victim is preempted once, for a job that may have its
-// capacity and that can use it.
+// checkPreemptions checks that every victim is preempted at most once, and for a job that is
+// allowed to preempt it and to run on its machine.
 func checkPreemptions(t *rapid.T, before Snapshot, decisions Decisions) {
 	preempted := map[int]bool{}
 	for _, preemption := range decisions.Preemptions {
@@ -208,39 +207,39 @@
 				if v.Ref != ref {
 					continue
 				}
-				// Capacity on a machine that the job may not use helps nobody:
-				// urgent jobs went on preempting tasks on slow machines, 2,700
-				// on one day.
+				// Preempting on a machine that the job may not use frees nothing for
+				// the job, and is repeated in each cycle: urgent jobs preempted 2,700
+				// tasks on slow machines in one day.
 				if !m.Schedulable || m.Slow && job.Spec.Priority >= protocol.High || !PlacementAllowed(job.Spec, m.InstanceType, m.Zone, m.Spot) {
 					t.Fatalf("victim %+v preempted for %+v, which may not use its machine", v, job)
 				}
 				if v.Priority >= job.Spec.Priority && !job.WithinGuarantee {
 					t.Fatalf("victim %+v preempted for %+v, which does not outrank it", v, job)
 				}
-				// A victim that comes first in the order would get the capacity
-				// back in the next cycle: the two took turns 28,000 times on
+				// A victim that comes first in scheduling order gets the capacity back
+				// in the next cycle: two jobs preempted each other 28,000 times in
 				// one day.
 				if compareJobs(&job, v.Job) >= 0 {
-					t.Fatalf("victim %+v preempted for %+v, which comes after it", v, job)
+					t.Fatalf("victim %+v preempted for %+v, which does not precede it", v, job)
 				}
 			}
 		}
 	}
 }
 
-// The same snapshot gives the same plan: nothing depends on the order of maps.
+// Plans of equal snapshots are equal: no decision depends on the iteration order of a map.
 func TestPlanIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
 		first, second := cloneSnapshot(s), cloneSnapshot(s)
 		if x, y := Plan(&first), Plan(&second); !reflect.DeepEqual(x, y) {
-			t.Fatalf("%+v and then %+v", x, y)
+			t.Fatalf("plans of the same snapshot differ: %+v and %+v", x, y)
 		}
 	})
 }
 
-// A task that needs two processors never finds them where tasks of one end one
-// by one, unless the free capacity is reserved for it.
+// A machine is reserved for a starved job whose tasks do not fit. Otherwise tasks of one
+// processor would take each processor as it becomes free, and a task of two would never start.
 func TestMachinesAreReservedForStarvedJobs(t *testing.T) {
 	s := Snapshot{MaxPlacements: 10, Teams: []TeamView{{QuotaLimit: fake.CPUs(100)}}}
 	for range 2 {
@@ -262,6 +261,6 @@
 	s.Jobs = []JobView{job("j-000001", 1, false), job("j-000002", 2, true)}
 	got := Plan(&s)
 	if len(got.Reservations) != 1 || got.Reservations[0].Job != 1 || len(got.Placements) != 1 || got.Placements[0].Machine == got.Reservations[0].Machine {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want one machine reserved for job 1 and one placement on the other machine", got)
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -5,12 +5,12 @@
 	"dunestand/internal/units"
 )
 
-// preempt chooses tasks to be stopped for what place found no room for: first
-// of the job's own team, as far as the team's limit is what lacks, then on the
-// machines. Capacity that stopped tasks are about to free is used first,
-// so that no cycle stops tasks again for the same request.
+// preempt chooses victims to make room for the job's tasks that place left pending. It first
+// preempts tasks of the job's own team if the team's quota limit is too low for the job, then
+// tasks on the machines. Capacity that tasks being stopped are about to free is claimed first:
+// otherwise each cycle would preempt again for the same tasks.
 func (p *planner) preempt(jobIndex int, job *JobView) {
-	mayPreempt := !job.AwaitsCompletions && p.mayPreemptSome(job)
+	mayPreempt := !job.AwaitsCompletions && p.mayPreemptAny(job)
 	if !mayPreempt && !p.capacityFreeing {
 		return
 	}
@@ -23,8 +23,9 @@
 	}
 }
 
-// mayPreemptSome reports whether any task at all could be stopped for the job.
-func (p *planner) mayPreemptSome(job *JobView) bool {
+// mayPreemptAny reports whether there may be any victim for the job. It is a cheap check before
+// the victims are listed.
+func (p *planner) mayPreemptAny(job *JobView) bool {
 	if job.urgent() {
 		return true
 	}
@@ -40,19 +41,19 @@
 	return false
 }
 
-// mayPreempt reports whether a task may be stopped to make room for a job: one of
-// lower priority, or one that its team runs beyond its guarantee while the
-// job is within its own. The victim waits again once it is stopped, so it must
-// come after the job in the order: else the next cycle would give it the capacity
-// again, and the two would go on taking turns.
+// mayPreempt reports whether a task may be preempted for a job. The job must be urgent and of
+// a higher priority, or be entitled to the capacity by its team's guaranteed quota
+// (mayReclaimGuarantee). The victim waits again once it is stopped, so its job must also come
+// after the other in scheduling order: otherwise the next cycle would return the capacity to
+// the victim, and the two would preempt each other in turn.
 func (p *planner) mayPreempt(job *JobView, victim Victim) bool {
 	outranked := job.urgent() && victim.Priority < job.Spec.Priority
 	return (outranked || p.mayReclaimGuarantee(job, victim)) && compareJobs(job, victim.Job) < 0
 }
 
-// mayReclaimGuarantee reports whether a job within its team's guarantee may have the capacity
-// of a task that another team runs beyond its own. Urgent tasks of a higher priority are
-// spared.
+// mayReclaimGuarantee reports whether a job within its team's guaranteed quota may take the
+// capacity of a task of another team, which must keep its own guaranteed quota without the
+// task. Urgent tasks of a higher priority than the job's are exempt.
 func (p *planner) mayReclaimGuarantee(job *JobView, victim Victim) bool {
 	spared := victim.Priority > job.Spec.Priority && victim.Priority >= protocol.High
 	if !job.WithinGuarantee || victim.Team == job.Team || spared {
@@ -63,8 +64,9 @@
 	return rest.CPU >= guarantee.CPU && rest.GPU >= guarantee.GPU
 }
 
-// preemptWithinTeam stops tasks of the job's own team until its limit has room for
-// the job, and returns how many of the job's tasks it then has room for.
+// preemptWithinTeam preempts tasks of the job's own team until all of the job's pending tasks
+// fit into the team's quota limit or there are no more victims. It returns how many of them
+// fit then.
 func (p *planner) preemptWithinTeam(jobIndex int, job *JobView) int {
 	team := &p.snapshot.Teams[job.Team]
 	allowed := func() int {
@@ -84,8 +86,8 @@
 	return allowed()
 }
 
-// claimFreeing claims capacity that is free or about to be for up to n of the job's tasks,
-// and returns for how many it found some.
+// claimFreeing claims capacity that is free, or held by tasks being stopped, for up to n of
+// the job's tasks. It returns the number of tasks for which it claimed capacity.
 func (p *planner) claimFreeing(job *JobView, n int) int {
 	claimed := 0
 	for i := range p.snapshot.Machines {
@@ -102,8 +104,8 @@
 	return claimed
 }
 
-// preemptOnMachines stops tasks on one machine after the other until n of the job's tasks
-// have room.
+// preemptOnMachines preempts tasks on one machine after another until n of the job's tasks
+// fit or no machine is left.
 func (p *planner) preemptOnMachines(jobIndex int, job *JobView, n int) {
 	for i := range p.snapshot.Machines {
 		if n <= 0 {
@@ -115,8 +117,9 @@
 	}
 }
 
-// preemptOnMachine stops tasks on a machine to make room for up to n of the job's tasks, and
-// returns for how many it made some. It stops none whose capacity makes no room.
+// preemptOnMachine preempts tasks on a machine until up to n of the job's tasks fit, and
+// claims the capacity. It returns how many fit. It preempts only victims that let one more of
+// the job's tasks fit.
 func (p *planner) preemptOnMachine(machine, jobIndex int, job *JobView, n int) int {
 	m := &p.snapshot.Machines[machine]
 	fitting := 0
@@ -145,8 +148,8 @@
 	return fitting
 }
 
-// preemptVictim preempts a victim for a job. It counts against its team's limit and on its
-// machine until it is gone.
+// preemptVictim preempts a victim for a job. The victim's request still counts as used by its
+// team and on its machine until the victim has stopped.
 func (p *planner) preemptVictim(m *MachineView, victim Victim, jobIndex int) {
 	p.preempted[victim.Ref] = true
 	p.decisions.Preemptions = append(p.decisions.Preemptions, Preemption{Victim: victim.Ref, Job: jobIndex})
@@ -157,8 +160,8 @@
 	p.usageAfterPreemption[victim.Team] = p.usageAfterPreemption[victim.Team].Plus(victim.Request, -1)
 }
 
-// claimCapacity takes the requests of n tasks from the capacity of a machine that is free or
-// about to be: from what is free first.
+// claimCapacity subtracts the requests of n tasks from a machine's free capacity, and what
+// exceeds it from the capacity held by tasks being stopped.
 func (p *planner) claimCapacity(m *MachineView, request units.Resources, n int) {
 	total := m.Free.Plus(m.Freeing, 1).Plus(request, -n)
 	m.Freeing = units.Resources{
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -7,10 +7,10 @@
 	"dunestand/internal/protocol"
 )
 
-// A task may be preempted for an urgent job of a higher priority, or for one within its team's
-// guarantee if its own team is beyond its own; and only if it comes after that job in the
-// order, or the two would take turns.
-func TestMayPreempt(t *testing.T) {
+// A task may be preempted for an urgent job of a higher priority, or for a job within its
+// team's guaranteed quota if the task's team exceeds its own. In both cases the task must come
+// after the job in scheduling order, or the two would preempt each other in turn.
+func TestOnlyOutrankedOrReclaimedTasksMayBePreempted(t *testing.T) {
 	const ownTeam, beyondGuarantee, withinGuarantee = 0, 1, 2
 	snapshot := Snapshot{Teams: []TeamView{
 		ownTeam:         {GuaranteedQuota: fake.CPUs(4), Used: fake.CPUs(8)},
@@ -29,7 +29,7 @@
 		{"urgent for lower priority", protocol.High, false, withinGuarantee, protocol.Normal, false, true},
 		{"urgent for its own team's lower priority", protocol.High, false, ownTeam, protocol.Low, false, true},
 		{"urgent for equal priority", protocol.High, false, beyondGuarantee, protocol.High, false, false},
-		{"urgent for a task that goes first", protocol.High, false, withinGuarantee, protocol.Low, true, false},
+		{"urgent for a task that precedes it", protocol.High, false, withinGuarantee, protocol.Low, true, false},
 		{"normal for lower priority", protocol.Normal, false, beyondGuarantee, protocol.Low, false, false},
 		{"guaranteed for a team beyond its guarantee", protocol.Normal, true, beyondGuarantee, protocol.Normal, false, true},
 		{"guaranteed for a team within its guarantee", protocol.Normal, true, withinGuarantee, protocol.Low, false, false},
--- a/internal/scheduler/rank.go
+++ b/internal/scheduler/rank.go
@@ -6,12 +6,13 @@
 	"dunestand/internal/units"
 )
 
-// trustedEstimateShare is the part of an estimate that is relied on to call a job late:
-// estimates are often wrong by half, and what is called late waits behind all
-// the rest, though it might have been in time.
-const trustedEstimateShare = 2.0 / 3
+// lateEstimateFraction is the fraction of a job's estimated time to finish that must exceed
+// the time left until a deadline for the job to count as late. Estimates are often wrong by
+// half, and a job that is wrongly counted as late is scheduled after all others and misses a
+// deadline that it could have met.
+const lateEstimateFraction = 2.0 / 3
 
-// rankInput returns what the policy's rank of a job is worked out from.
+// rankInput returns the values from which the policy computes the rank of a job.
 func (sc *Scheduler) rankInput(job *cluster.Job) config.RankInput {
 	spec := &job.Spec
 	waited := max(0, sc.Clock.Wall()-job.Submitted)
@@ -39,13 +40,14 @@
 	return in
 }
 
-// nextDue returns the seconds left until the first deadline that a job can still meet when it
-// takes finishS seconds from now on, else until the last one, which it misses then.
+// nextDue returns the seconds left until the first deadline that a job can still meet if it
+// finishes finishS seconds from now. If it misses all of them, nextDue returns the seconds
+// until the last one and late is true. Without a deadline it returns config.NoDeadline.
 func (sc *Scheduler) nextDue(class string, deadline, waited units.Micros, finishS float64) (dueS float64, late bool) {
 	dueS = config.NoDeadline
 	for _, due := range sc.Settings.Fleet.CompletionObjectives(class, deadline) {
 		dueS = (due - waited).Seconds()
-		late = dueS < finishS*trustedEstimateShare
+		late = dueS < finishS*lateEstimateFraction
 		if !late {
 			break
 		}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// reserve keeps the free capacity of up to n machines together for a job, or small tasks would
-// go on taking it bit by bit: of the largest, where tasks end most often, those
-// that have most free.
+// reserve reserves the free capacity of up to n machines for a job: otherwise smaller tasks
+// would keep taking it before a task of the job fits. It chooses the machines with the largest
+// capacity, where tasks end most often, and among those of equal capacity the ones with the
+// most free.
 func (p *planner) reserve(jobIndex int, job *JobView, n int) {
 	if p.snapshot.Partial {
 		return
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,18 +1,20 @@
 // Package scheduler decides which tasks start on which machines.
 //
-// A scheduling cycle (cycle.go) reads from top to bottom as its files do:
+// The files of the package follow the steps of a scheduling cycle (cycle.go):
 //
-//   - snapshot.go copies what the decisions depend on from the state into the views of
-//     views.go. With it, rank.go ranks the jobs by the policy, patience.go marks those that
-//     have waited too long or should go on waiting, headroom.go reserves free capacity for
-//     replicas of services, and eviction.go stops what would be lost with its machine.
+//   - snapshot.go copies the state that the decisions depend on into the views of views.go.
+//     In this step rank.go ranks the jobs by the policy, waiting.go marks the jobs that are
+//     starved and those that wait for running tasks to complete, headroom.go reserves free
+//     capacity for replicas of services, and eviction.go stops tasks on machines that are
+//     about to terminate.
 //   - planner.go plans on the snapshot, as a pure function: order.go sorts the jobs, filter.go
-//     says why a job is not placed on a machine, score.go ranks the machines that are left,
-//     place.go assigns tasks to them, preemption.go and victims.go choose what is stopped for
-//     the job, and reserve.go keeps free capacity together for it.
+//     excludes jobs and machines, score.go ranks the candidate machines, place.go assigns
+//     tasks to them, preemption.go and victims.go choose the tasks to preempt for the job, and
+//     reserve.go reserves machines for it.
 //   - apply.go applies the decisions to the state.
 //
-// Between two cycles, onemachine.go plans for the one machine whose heartbeat is answered.
+// Between two cycles, onemachine.go plans for a single machine while its heartbeat is being
+// answered.
 package scheduler
 
 import (
@@ -27,7 +29,7 @@
 	"dunestand/internal/units"
 )
 
-// Deps is what a Scheduler works with.
+// Deps holds the dependencies of a Scheduler.
 type Deps struct {
 	State    *cluster.State
 	Detector *failuredetector.Detector
@@ -38,31 +40,33 @@
 	Log      *slog.Logger
 	Metrics  *telemetry.Metrics
 	Tracer   cluster.AttemptTracer
-	// Token is the leader's fencing token. Machines that have not seen it get no work.
+	// Token is the leader's fencing token. Machines whose heartbeats have not reported it get
+	// no work.
 	Token       uint64
 	WriteSignal loop.Signal // wakes the persister
 }
 
 // Scheduler decides which tasks start on which machine. It plans on a snapshot of the state
-// and applies the decisions to the state. Its fields are guarded by the lock of State, and
-// its methods need that lock held. Make it with New.
+// and applies the decisions to the state. The lock of State guards its fields, and callers
+// must hold that lock when they call its methods. Create one with New.
 type Scheduler struct {
 	Deps
 
-	lastCycle units.Micros // when the last cycle ended, by the steady clock
-	// CycleCost is the moving mean of how long a cycle takes.
+	lastCycle units.Micros // steady time at which the last cycle ended
+	// CycleCost is the moving mean of the duration of a cycle.
 	CycleCost units.Micros
-	queue     []queuedJob // waiting jobs as the last cycle saw them, in their order
-	// reservations holds the machines whose free capacity the last cycle keeps together, and
-	// for which job.
+	queue     []queuedJob // jobs that waited in the last cycle, in scheduling order
+	// reservations maps each machine that the last cycle reserved to the job that it is
+	// reserved for.
 	reservations map[*cluster.Machine]*cluster.Job
-	// allMachinesConsidered: the last cycle considered every machine for each waiting job.
+	// allMachinesConsidered reports whether the last cycle considered every machine for each
+	// waiting job, that is, whether it did not end at MaxPlacements.
 	allMachinesConsidered bool
 	// headroom is the free capacity that the last cycle reserved for replicas of services.
 	headroom map[*cluster.Machine]units.Resources
 }
 
-// New returns a scheduler that has not run a cycle yet.
+// New returns a scheduler that has not run a cycle.
 func New(deps Deps) *Scheduler {
 	return &Scheduler{
 		Deps:         deps,
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -8,27 +8,28 @@
 	"dunestand/internal/units"
 )
 
-// candidate is a machine that has room for a job's tasks.
+// candidate is a machine on which at least one of a job's tasks fits.
 type candidate struct {
-	machine int // place in the snapshot
+	machine int // index in Snapshot.Machines
 	score   score
 }
 
-// score says how good a machine is for a job's tasks. Its fields stand in the order in which
-// they are compared, but for the last two: startDelayFirst swaps these.
+// score rates a machine for a job's tasks. The fields are listed in the order in which they
+// are compared; startDelayFirst swaps freeCPU and startDelay.
 type score struct {
 	liveInZone       int  // the service's replicas in the zone; 0 for other jobs
-	liveOnMachine    int  // and on the machine; 0 for other jobs
-	slow             bool // the machine is slower than its siblings
+	liveOnMachine    int  // the service's replicas on the machine; 0 for other jobs
+	slow             bool // the machine runs tasks slower than other machines do
 	hasImage         bool
-	heartbeatPending bool // a start reaches the machine at once
+	heartbeatPending bool // a start is delivered at once
 	freeCPU          units.Amount
-	startDelay       int64 // half seconds until a start reaches the machine, or until the replica is up
-	startDelayFirst  bool  // startDelay goes before freeCPU
+	startDelay       int64 // half seconds until a start is delivered or, see scoreMachine, the replica runs
+	startDelayFirst  bool  // compare startDelay before freeCPU
 }
 
-// compare orders scores, the better one first. Scores that agree in hasImage agree in
-// startDelayFirst, too, as they are of one job.
+// compare returns a negative number if s is the better score, a positive one if other is, and
+// 0 if they are equal. Both must be scores for the same job: then those with the same hasImage
+// also have the same startDelayFirst.
 func (s *score) compare(other *score) int {
 	if c := cmp.Compare(s.liveInZone, other.liveInZone); c != 0 {
 		return c
@@ -52,11 +53,11 @@
 	return cmp.Or(byFreeCPU, byStartDelay)
 }
 
-// rankCandidates returns the machines that have room for the job, the best one first: the one
-// that holds the image, else the one with most free capacity (docs/design.md); among several
-// that hold it, the one whose heartbeat comes soonest, since starts travel with the responses,
-// and then the one with most free capacity. A slow machine comes last. The slice is valid
-// until the next call.
+// rankCandidates returns the machines on which at least one of the job's tasks fits, the best
+// first. Machines that hold the image come first, and those with the most free capacity next
+// (docs/design.md). Machines that hold the image are ordered by their next heartbeat, whose
+// response delivers a start, and then by free capacity. Slow machines come last. The slice is
+// valid until the next call.
 func (p *planner) rankCandidates(job *JobView) []candidate {
 	p.candidates = p.candidates[:0]
 	for i := range p.snapshot.Machines {
@@ -72,7 +73,8 @@
 	return p.candidates
 }
 
-// scoreMachine scores a machine of the snapshot for a job.
+// scoreMachine returns the score of the machine m, with the given index in the snapshot, for a
+// job.
 func scoreMachine(job *JobView, machine int, m *MachineView) score {
 	s := score{
 		slow:             m.Slow,
@@ -83,26 +85,28 @@
 	}
 	service := job.Spec.Kind == protocol.Service
 	if service {
-		// Replicas go to different zones, then to different machines.
+		// Replicas are spread over zones first, then over machines.
 		s.liveInZone, s.liveOnMachine = job.LiveByZone[m.Zone], job.LiveByMachine[machine]
 	}
 	switch {
 	case s.hasImage:
-		// Many may hold it, in a large fleet with free capacity: prefer the earliest heartbeat.
+		// In a large fleet with free capacity many machines may hold the image. The one with
+		// the most free capacity may send its heartbeat seconds later than others.
 		s.startDelayFirst = true
 	case service:
-		// Each second counts: the one on which the replica is up soonest.
+		// A replica is to run within seconds, so image download time matters more than free
+		// capacity.
 		s.startDelayFirst, s.startDelay = true, m.startDelay(job.Spec.ImageSize)
 	}
 	return s
 }
 
-// maxPushDelay is how long a replica's start takes to reach its machine, in half seconds: a
-// push makes the machine send a heartbeat (package push).
+// maxPushDelay is the longest time, in half seconds, that a replica's start takes to reach its
+// machine: a push makes the machine send a heartbeat at once (package push).
 const maxPushDelay = 1
 
-// startDelay returns when a replica with an image of that size would run on the machine, in
-// half seconds from now, image fetch included.
+// startDelay returns the time until a replica would run on the machine, in half seconds,
+// including the download of its image of the given size in GB.
 func (m *MachineView) startDelay(image units.Amount) int64 {
 	delay := min(int64(m.HalfSecondsToHeartbeat), maxPushDelay)
 	if m.FetchRate <= 0 {
--- a/internal/scheduler/score_test.go
+++ b/internal/scheduler/score_test.go
@@ -8,8 +8,7 @@
 	"dunestand/internal/protocol"
 )
 
-// Of two machines with free capacity, the one that holds the image goes first, though the other
-// has more.
+// A machine that holds the image is preferred to one with more free capacity.
 func TestPlanPrefersMachineWithImage(t *testing.T) {
 	hasImage := func(yes bool) func(string) bool { return func(string) bool { return yes } }
 	s := Snapshot{
@@ -33,10 +32,11 @@
 	}
 }
 
-// Placements travel with the responses to heartbeats. In a large fleet with free capacity many
-// machines hold an image, and the one with most of it may send its heartbeat seconds later
-// than others: half of all starts on a calm day of the fleet's waited for that.
-// An image still goes before a heartbeat.
+// Among machines that hold the image, the one with the next heartbeat is preferred, since
+// responses to heartbeats deliver placements. In a large fleet with free capacity many machines
+// hold an image, and the one with the most free capacity may send its heartbeat seconds later
+// than others: half of all starts in a lightly loaded fleet were delayed by that. A machine
+// without the image is not preferred for its earlier heartbeat.
 func TestPlanPrefersMachineWithNextHeartbeat(t *testing.T) {
 	machine := func(id string, image bool, free, halfSeconds int) MachineView {
 		return MachineView{
@@ -61,11 +61,11 @@
 		}},
 	}
 	if got := Plan(&s).Placements; len(got) != 1 || got[0].Machine != 2 || got[0].Count != 2 {
-		t.Errorf("placements: %+v", got)
+		t.Errorf("got placements %+v, want both tasks on machine 2", got)
 	}
 }
 
-// Each field of a score goes before those that follow it.
+// Each field of a score takes precedence over the fields after it.
 func TestScoresCompareInTheOrderOfTheirFields(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -83,10 +83,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.better.compare(&c.worse) >= 0 || c.worse.compare(&c.better) <= 0 {
-				t.Errorf("%+v does not go before %+v", c.better, c.worse)
+				t.Errorf("%+v does not compare as better than %+v", c.better, c.worse)
 			}
 			if c.better.compare(&c.better) != 0 {
-				t.Errorf("%+v differs from itself", c.better)
+				t.Errorf("%+v does not compare as equal to itself", c.better)
 			}
 		})
 	}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -8,25 +8,26 @@
 	"dunestand/internal/units"
 )
 
-// snapshotIndex leads from the places in a snapshot back to the state, and the other way.
+// snapshotIndex maps the indexes in a snapshot to the objects of the state, and back.
 type snapshotIndex struct {
-	jobs     []*cluster.Job
-	machines []*cluster.Machine
-	victims  []*cluster.Attempt // by Victim.Ref; grows as machines are asked for theirs
-	teams    map[string]int     // places of the teams, by name
-	// views are all jobs of known teams, whether they wait or not.
+	jobs     []*cluster.Job     // by index in Snapshot.Jobs
+	machines []*cluster.Machine // by index in Snapshot.Machines
+	victims  []*cluster.Attempt // by Victim.Ref; extended by each call of MachineView.Victims
+	teams    map[string]int     // indexes in Snapshot.Teams, by name
+	// views holds the views of all jobs of known teams, also of jobs that do not wait.
 	views map[*cluster.Job]*JobView
 }
 
-// queuedJob is a waiting job as the last cycle saw it.
+// queuedJob is a waiting job with its view in the last cycle.
 type queuedJob struct {
 	job  *cluster.Job
 	view JobView
 }
 
-// TakeSnapshot returns a snapshot of what a cycle decides on. answering is the machine whose
-// heartbeat is being answered, nil if none is. It also updates the queue and the headroom,
-// and evicts tasks from machines that are to be taken away.
+// TakeSnapshot returns a snapshot of the state that a cycle's decisions depend on. answering
+// is the machine whose heartbeat is being answered, nil if there is none. TakeSnapshot also
+// updates the queue and the headroom, and evicts tasks from machines that are about to
+// terminate or are quarantined.
 func (sc *Scheduler) TakeSnapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
 	var snapshot Snapshot
 	index := new(snapshotIndex)
@@ -43,13 +44,13 @@
 	return snapshot, index
 }
 
-// snapshotTeams adds the teams to a snapshot and returns their places in it, by name. Tasks
-// that unreconciled machines may hold count as used.
+// snapshotTeams adds the teams to a snapshot and returns their indexes in it, by name. Tasks
+// that may be running on unreconciled machines count towards their team's usage.
 func (sc *Scheduler) snapshotTeams(snapshot *Snapshot) map[string]int {
-	places := make(map[string]int, len(sc.State.Teams))
+	indexes := make(map[string]int, len(sc.State.Teams))
 	for _, name := range sorted.Keys(sc.State.Teams) {
 		team := sc.State.Teams[name]
-		places[name] = len(snapshot.Teams)
+		indexes[name] = len(snapshot.Teams)
 		snapshot.Teams = append(snapshot.Teams, TeamView{
 			GuaranteedQuota: team.GuaranteedQuota,
 			QuotaLimit:      team.QuotaLimit,
@@ -58,25 +59,25 @@
 		})
 	}
 	if sc.Detector.AllReconciled() {
-		return places
+		return indexes
 	}
 	for job := range sc.State.Unreconciled.Jobs() {
-		if i, ok := places[job.Spec.Team]; ok {
+		if i, ok := indexes[job.Spec.Team]; ok {
 			team := &snapshot.Teams[i]
 			team.Used = team.Used.Plus(job.Spec.Request, job.UnreconciledTasks())
 		}
 	}
-	return places
+	return indexes
 }
 
-// snapshotJobs adds the jobs that wait and may be placed, and updates the queue of all that
-// wait.
+// snapshotJobs adds the waiting jobs that may be placed, and updates the queue of all waiting
+// jobs.
 func (sc *Scheduler) snapshotJobs(snapshot *Snapshot, index *snapshotIndex, now units.Micros) {
 	jobs := sc.State.JobsBySubmission()
 	snapshot.Jobs = make([]JobView, 0, len(jobs))
 	index.jobs = make([]*cluster.Job, 0, len(jobs))
 	index.views = make(map[*cluster.Job]*JobView, len(jobs))
-	committed := make([]units.Resources, len(snapshot.Teams)) // by the jobs so far, by team
+	committed := make([]units.Resources, len(snapshot.Teams)) // requested by earlier submissions, by team
 	sc.queue = sc.queue[:0]
 	for _, job := range jobs {
 		team, ok := index.teams[job.Spec.Team]
@@ -102,11 +103,11 @@
 	slices.SortFunc(sc.queue, func(a, b queuedJob) int { return compareJobs(&a.view, &b.view) })
 }
 
-// maxAvoidedMachines is how many machines a job avoids because its tasks failed there. Where
-// they fail on more, the job is to blame.
+// maxAvoidedMachines is the number of machines up to which a job avoids those on which its
+// tasks failed. If they failed on more machines, the cause is the job rather than a machine.
 const maxAvoidedMachines = 2
 
-// jobView returns a view of a job without its topology.
+// jobView returns a view of a job without its topology (see fillTopology).
 func (sc *Scheduler) jobView(job *cluster.Job, team int, withinGuarantee bool, now units.Micros) *JobView {
 	in := sc.rankInput(job)
 	return &JobView{
@@ -126,7 +127,8 @@
 	}
 }
 
-// fillTopology fills in where a job's tasks are, for jobs whose placement depends on it.
+// fillTopology counts a job's live tasks by zone if its placement depends on them, and for a
+// service prepares LiveByMachine.
 func fillTopology(view *JobView, job *cluster.Job) {
 	view.LiveByZone, view.LiveByMachine = nil, nil
 	if job.Spec.ZoneAffinity || job.Spec.ZoneSpread || job.IsService() {
@@ -136,12 +138,12 @@
 		}
 	}
 	if job.IsService() {
-		view.LiveByMachine = map[int]int{} // snapshotMachines fills it
+		view.LiveByMachine = map[int]int{} // filled by snapshotMachines
 	}
 }
 
-// snapshotMachines adds the machines that have sent a heartbeat, and counts the replicas on
-// each.
+// snapshotMachines adds the registered machines, and counts the replicas of waiting services
+// on each.
 func (sc *Scheduler) snapshotMachines(snapshot *Snapshot, index *snapshotIndex, now units.Micros, answering *cluster.Machine) {
 	machines := sc.State.SortedMachines()
 	snapshot.Machines = make([]MachineView, 0, len(machines))
@@ -164,18 +166,18 @@
 	}
 }
 
-// countReplicas counts a machine's tasks in the views of their jobs, under the machine's
-// place in the snapshot.
-func (x *snapshotIndex) countReplicas(m *cluster.Machine, place int) {
+// countReplicas adds a machine's tasks to LiveByMachine of their services. machineIndex is the
+// machine's index in the snapshot.
+func (x *snapshotIndex) countReplicas(m *cluster.Machine, machineIndex int) {
 	for _, attempt := range m.Attempts {
 		if view := x.views[attempt.Job]; view != nil && view.LiveByMachine != nil {
-			view.LiveByMachine[place]++
+			view.LiveByMachine[machineIndex]++
 		}
 	}
 }
 
-// machineView returns a view of a machine. answering reports whether its heartbeat is being
-// answered.
+// machineView returns a view of a machine without its headroom and victims. answering reports
+// whether its heartbeat is being answered.
 func (sc *Scheduler) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
 	untilHeartbeat := max(0, m.LastHeartbeat+sc.Settings.Fleet.Workers.HeartbeatInterval()-now)
 	return MachineView{
@@ -195,6 +197,6 @@
 	}
 }
 
-// halfSecond is the unit of delays that candidate machines are compared by. Shorter
-// differences do not matter next to the free capacity.
+// halfSecond is the unit in which the start delays of candidate machines are compared: machines
+// whose delays differ by less are compared by free capacity.
 const halfSecond = units.Second / 2
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -8,12 +8,13 @@
 	"dunestand/internal/units"
 )
 
-// replicaLostWork puts replicas of services last among the tasks of their priority
-// that could be preempted: what they lose is not work that can be done again.
+// replicaLostWork is added to the lost work of a service's replica, so that replicas are
+// preempted last among the tasks of their priority: a replica that is down is an outage for
+// its users, which no rerun makes up for.
 const replicaLostWork = 1_000_000 * units.Second
 
-// preemptionVictims lists the tasks on a machine that could be preempted. It fills in
-// index.victims.
+// preemptionVictims returns the tasks on a machine that could be preempted. It appends their
+// attempts to index.victims.
 func (sc *Scheduler) preemptionVictims(m *cluster.Machine, index *snapshotIndex, now units.Micros) []Victim {
 	victims := make([]Victim, 0, len(m.Attempts))
 	for _, attempt := range m.SortedAttempts() {
@@ -24,7 +25,7 @@
 			continue
 		}
 		if sc.starved(job) && len(job.LiveAttempts) == 1 {
-			continue // all that its job has, after a long wait
+			continue // the only live task of a job that has waited for it too long
 		}
 		victims = append(victims, Victim{
 			Ref:      len(index.victims),
@@ -39,7 +40,8 @@
 	return victims
 }
 
-// lostWork returns the work that is lost when an attempt is stopped.
+// lostWork returns the run time that is lost when an attempt is stopped: the time for which it has
+// been running, or for a job with checkpoints the time that a checkpoint takes.
 func lostWork(attempt *cluster.Attempt, now units.Micros) units.Micros {
 	var lost units.Micros
 	if attempt.Stage == cluster.Running {
@@ -56,17 +58,18 @@
 
 // machineVictim is a victim and its machine.
 type machineVictim struct {
-	machine int
+	machine int // index in Snapshot.Machines
 	victim  *Victim
 }
 
 // victimsOnMachine returns the tasks on a machine that could be preempted, in preemption order.
+// It caches them.
 func (p *planner) victimsOnMachine(machine int) []Victim {
 	if p.victimsByMachine == nil {
 		p.victimsByMachine = make([][]Victim, len(p.snapshot.Machines))
 	}
 	if p.victimsByMachine[machine] == nil {
-		victims := []Victim{} // asked, and none
+		victims := []Victim{} // not nil, so that an empty list is cached too
 		if list := p.snapshot.Machines[machine].Victims; list != nil {
 			if listed := list(); listed != nil {
 				victims = listed
@@ -78,7 +81,8 @@
 	return p.victimsByMachine[machine]
 }
 
-// victimsInTeam returns a team's tasks that could be preempted, in preemption order.
+// victimsInTeam returns a team's tasks that could be preempted, in preemption order. It caches
+// them.
 func (p *planner) victimsInTeam(team int) []machineVictim {
 	if p.victimsByTeam == nil {
 		p.victimsByTeam = map[int][]machineVictim{}
@@ -96,7 +100,7 @@
 	return p.victimsByTeam[team]
 }
 
-// compareVictims orders victims in the order in which they are preempted.
+// compareVictims orders victims in preemption order: by priority, then by lost work.
 func compareVictims(a, b Victim) int {
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.Ref, b.Ref))
 }
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -5,71 +5,71 @@
 	"dunestand/internal/units"
 )
 
-// Snapshot is all that a cycle decides on. Planning is a pure function of it: no clock, no
-// input or output, no chance. Plan changes the views as it decides.
+// Snapshot is the complete input of Plan, which is a pure function of it: it uses no clock, no
+// input or output and no random numbers. Plan modifies the views while it decides.
 type Snapshot struct {
 	Teams         []TeamView
 	Machines      []MachineView
 	Jobs          []JobView
-	MaxPlacements int  // the most tasks to be placed in this cycle
-	Partial       bool // not all machines are in view: none is reserved for a job
+	MaxPlacements int  // maximum number of tasks to place in this cycle
+	Partial       bool // some machines are left out, so Plan makes no reservations
 }
 
-// TeamView is a team's quota and its usage.
+// TeamView is a team's quota and usage.
 type TeamView struct {
 	GuaranteedQuota units.Resources
 	QuotaLimit      units.Resources
 	Used            units.Resources // by tasks that may be running
 	Freeing         units.Resources // part of Used, held by tasks that are being stopped
-	Blocked         bool            // a job that goes first does not fit the limit: the rest waits
+	Blocked         bool            // a job that exceeds the limit blocks the jobs after it
 }
 
-// MachineView is a machine.
+// MachineView is a machine's capacity and the properties that placement depends on.
 type MachineView struct {
 	ID                     string
 	InstanceType           string
 	Zone                   string
 	Spot                   bool
 	Schedulable            bool // may be given work
-	HeartbeatPending       bool // its heartbeat is being answered: a start reaches it now
-	HalfSecondsToHeartbeat int  // a start reaches it with its next heartbeat, in so many half seconds
-	Slow                   bool // slower than its siblings
-	Reserved               bool // its free capacity is kept for a job that goes before the rest
+	HeartbeatPending       bool // its heartbeat is being answered, so a start is delivered at once
+	HalfSecondsToHeartbeat int  // time until its next heartbeat, which delivers a start
+	Slow                   bool // runs tasks slower than other machines do
+	Reserved               bool // its free capacity is reserved for a job of this cycle
 	Capacity               units.Resources
 	Free                   units.Resources
 	Freeing                units.Resources // held by tasks that are being stopped
-	Headroom               units.Resources // part of Free, for replicas of services alone
-	FetchRate              units.Amount    // of images, in GB a second
+	Headroom               units.Resources // reserved for replicas and starved jobs; may exceed Free
+	FetchRate              units.Amount    // image download rate in GB per second; 0 if unknown
 	HasImage               func(name string) bool
-	// Victims lists the tasks that could be preempted; nil if none may be. It is
-	// called once, and only if capacity has to be freed; the list is the planner's.
+	// Victims returns the tasks that could be preempted; it is nil if none may be. Plan calls it
+	// at most once, and only if capacity has to be freed. Plan owns the returned slice.
 	Victims func() []Victim
 }
 
 // Victim is a task that could be preempted.
 type Victim struct {
-	Ref      int // the caller's own number for it
-	Team     int // place in the snapshot
+	Ref      int // identifies the victim in Preemption; assigned by the creator of the snapshot
+	Team     int // index in Snapshot.Teams
 	Priority protocol.Priority
 	Request  units.Resources
-	LostWork units.Micros // the work that is lost by stopping it
-	Job      *JobView     // what it would be planned as, once stopped
+	LostWork units.Micros // run time that preemption would lose
+	Job      *JobView     // the victim's job, for its scheduling order once the victim waits again
 }
 
-// JobView is a job that has pending tasks.
+// JobView is a job and the properties that its placement depends on.
 type JobView struct {
 	Spec              *protocol.JobSpec
-	Team              int            // place in the snapshot
+	Team              int            // index in Snapshot.Teams
 	WithinGuarantee   bool           // within its team's guaranteed quota
-	MissesDeadline    bool           // cannot be in time any more
-	AwaitsCompletions bool           // tasks that end by themselves may still make room in time
-	Starved           bool           // has waited too long for its first task to begin
-	Rank              float64        // by the policy: the lower rank first
-	SubmittedAt       int64          // settles ties: the earlier submission first
+	MissesDeadline    bool           // expected to miss every deadline
+	AwaitsCompletions bool           // waits for running tasks to complete before preempting any
+	Starved           bool           // has waited too long for its first task to start
+	Rank              float64        // by the policy; lower ranks come first
+	SubmittedAt       int64          // time of day in microseconds; breaks ties, earlier first
 	Pending           int            // tasks to be placed
 	LiveTasks         int            // tasks that may be on machines
-	LiveByZone        map[string]int // the same by zone, for jobs whose placement depends on it
-	LiveByMachine     map[int]int    // and by the machine's place in the snapshot, for services
-	// Avoid reports whether the job must not be placed on a machine.
+	LiveByZone        map[string]int // live tasks by zone; nil if placement does not depend on it
+	LiveByMachine     map[int]int    // live tasks by index in Snapshot.Machines; nil unless a service
+	// Avoid reports whether the job must not be placed on the machine with the given ID.
 	Avoid func(machine string) bool
 }
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -13,7 +13,8 @@
 	"dunestand/internal/units"
 )
 
-// newTestScheduler returns a scheduler of one job that is stored and waits.
+// newTestScheduler returns a scheduler with one stored, waiting job of the given number of
+// tasks.
 func newTestScheduler(tasks int) (*Scheduler, *fake.Clock, *cluster.Job) {
 	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -35,40 +36,40 @@
 	return scheduler, clock, job
 }
 
-// A job that is late only if its estimate is right is not called late: on a day
-// of the grown mills a job of 97 s by its estimate, due after 120 s, was put
-// behind everything once it had waited 23 s.
-func TestJobALittleLateByItsEstimateIsNotLate(t *testing.T) {
+// A job counts as late only if it would be late even with a shorter runtime than estimated.
+// Otherwise a job with an estimate of 97 s and a deadline of 120 s would be scheduled after all
+// others as soon as it has waited 23 s, and would miss a deadline that it can still meet.
+func TestJobSlightlyLateByItsEstimateIsNotMarkedLate(t *testing.T) {
 	sc, clock, job := newTestScheduler(1)
 	sc.Settings.Fleet.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 120}}
 	job.Spec.Estimate = 97 * units.Second
 	for waited, late := range map[units.Micros]bool{10: false, 40: false, 70: true} {
 		job.Submitted = clock.Now - waited*units.Second
 		if in := sc.rankInput(job); in.Late != late {
-			t.Errorf("after %d s: late %v", waited, in.Late)
+			t.Errorf("after waiting %d s: counted as late: %v", waited, in.Late)
 		}
 	}
 }
 
-// A job waits for tasks to end by themselves only where enough of them do: in a
-// small fleet its tasks would start late for nothing.
-func TestAwaitingCompletionsNeedsCompletions(t *testing.T) {
+// A job waits for running tasks to complete only if completions free enough capacity in that
+// time. In a small fleet they do not, and waiting would only delay its start.
+func TestJobAwaitsCompletionsOnlyIfEnoughCapacityIsFreed(t *testing.T) {
 	sc, clock, job := newTestScheduler(10)
 	job.Spec.Priority = protocol.High
 	for range 20 {
 		sc.State.Completions.Advance(clock.Now)
 		clock.Now += units.Second
-		sc.State.Completions.Freed(fake.CPUs(4).CPU) // a second, 8 in the patience of 2 s
+		sc.State.Completions.Freed(fake.CPUs(4).CPU) // 4 processors per second, 8 within the maximum wait of 2 s
 	}
 	job.LearnedAt = clock.Now
 	if sc.awaitsCompletions(job, clock.Now) {
-		t.Error("a job of ten processors waits for eight")
+		t.Error("a job that requests ten processors waits for completions that free eight")
 	}
 	job.Spec.Tasks = 7
 	if !sc.awaitsCompletions(job, clock.Now) {
-		t.Error("a job of seven processors does not wait for eight")
+		t.Error("a job that requests seven processors does not wait for completions that free eight")
 	}
 	if sc.awaitsCompletions(job, clock.Now+2*units.Second) {
-		t.Error("it waits for ever")
+		t.Error("the job still waits for completions after the maximum wait")
 	}
 }
