--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,10 +1,11 @@
-// Package autoscaler keeps the rented machines as the demand and the policy want them: it
-// plans which offerings to scale out, chooses machines to scale in, and keeps the catalog of
-// instance types.
+// Package autoscaler adjusts the rented machines to the demand and the policy. It plans which
+// offerings to scale out, chooses the machines to scale in, and reads the cloud's catalog of
+// instance types and its list of machines.
 //
-// demand.go says what capacity is wanted, plan.go what is ordered for it, scaleout.go sends the
-// orders; scalein.go says when a machine is scaled in, and idle.go which ones are idle;
-// machinelist.go and catalog.go read what the cloud has.
+//   - demand.go computes the demand for capacity, plan.go chooses machines to order for it,
+//     offering.go compares the offerings by price, and scaleout.go sends the orders.
+//   - scalein.go decides when a machine is released, and idle.go finds idle machines.
+//   - machinelist.go and catalog.go read the cloud's machine list and catalog.
 package autoscaler
 
 import (
@@ -25,7 +26,7 @@
 	"dunestand/internal/units"
 )
 
-// Deps is what an Autoscaler works with.
+// Deps holds the dependencies of an Autoscaler.
 type Deps struct {
 	State      *cluster.State
 	Leadership election.Leadership
@@ -38,26 +39,28 @@
 	Format     recordformat.Source
 	Clock      units.Clock
 	Log        *slog.Logger
-	// Token is the leader's fencing token. It makes the IDs of scale-out requests unique, and
-	// only a machine that has shown it is scaled in as idle.
+	// Token is the leader's fencing token. It makes the IDs of scale-out requests unique. Only
+	// machines whose heartbeats have reported it are scaled in as idle.
 	Token       uint64
 	ElectedAt   units.Micros // steady time at which this leader was elected
 	CycleSignal loop.Signal  // wakes the scheduler
 }
 
-// Autoscaler keeps the rented machines as the demand and the policy want them: it scales
-// out, scales in, and keeps the catalog of instance types. Its methods need the lock of State
-// held, but for Run, which takes it where it must and never holds it during a call to the
-// cloud. Make it with New.
+// Autoscaler scales the rented machines out and in according to the demand and the policy, and
+// refreshes the catalog of instance types. Callers must hold the lock of State when they call
+// its methods, except for Run, which takes the lock itself and does not hold it during calls to
+// the cloud. Create one with New.
 type Autoscaler struct {
 	Deps
 
 	provisioning     provisioningState
-	scaleOutRequests uint64       // sent so far; guarded by the lock of State
-	lastFiniteJobAt  units.Micros // when there last was an unfinished job that ends by itself; guarded likewise
+	scaleOutRequests uint64 // number of request IDs used; guarded by the lock of State
+	// lastFiniteJobAt is the last steady time at which an unfinished job other than a service
+	// was seen. The lock of State guards it.
+	lastFiniteJobAt units.Micros
 }
 
-// New returns an autoscaler that has read nothing from the cloud yet.
+// New returns an autoscaler that has not read the catalog or the machine list.
 func New(deps Deps) *Autoscaler {
 	return &Autoscaler{
 		Deps:            deps,
@@ -66,17 +69,18 @@
 	}
 }
 
-// provisioningState is what Run remembers of the cloud. Only Run's own goroutine uses it, but
-// for unavailable and unanswered, which the lock of State guards.
+// provisioningState holds what Run has read from the cloud and its outstanding requests. Only
+// the goroutine of Run uses it, except for unavailable and unanswered, which the lock of State
+// guards.
 type provisioningState struct {
 	catalog        protocol.Catalog
-	catalogStored  map[string]uint64 // versions of its records, by key
-	catalogFormat  storage.Format    // format in which it was stored last
-	catalogReadAt  units.Micros      // 0: not read yet
-	listReadAt     units.Micros      // 0: not read yet
-	listedMachines int               // machines in the last list
+	catalogStored  map[string]uint64 // versions of the stored catalog's records, by key
+	catalogFormat  storage.Format    // format of the stored catalog
+	catalogReadAt  units.Micros      // steady time of the last read; 0 if not read
+	listReadAt     units.Micros      // steady time of the last read; 0 if not read
+	listedMachines int               // number of machines in the last list
 	unavailable    map[Offering]capacityBackoff
-	unanswered     []protocol.ScaleOutRequest // sent, and not answered yet
+	unanswered     []protocol.ScaleOutRequest // to be sent, or sent without an answer
 }
 
 func newProvisioningState() provisioningState {
@@ -88,7 +92,8 @@
 	catalogInterval   = 60 * units.Second
 )
 
-// Run keeps the rented machines as wanted. It returns when ctx ends.
+// Run refreshes the catalog and the machine list, scales in and scales out at regular intervals
+// while the leadership is valid. It returns when ctx is cancelled.
 func (as *Autoscaler) Run(ctx context.Context) {
 	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = autoscaleInterval {
 		if !as.Leadership.Valid() {
@@ -106,5 +111,6 @@
 	}
 }
 
-// due reports whether something that was last done at last, 0 for never, is to be done again.
+// due reports whether a periodic action that was last performed at last is to be performed
+// again. A last of 0 means never.
 func due(last, interval, now units.Micros) bool { return last == 0 || now-last >= interval }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -14,7 +14,8 @@
 	"dunestand/internal/units"
 )
 
-// newTestAutoscaler returns an autoscaler of a leader with one job that is stored and waits.
+// newTestAutoscaler returns an autoscaler of a leader with one stored, waiting job of the given
+// number of tasks.
 func newTestAutoscaler(tasks int) (*Autoscaler, *fake.Clock) {
 	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -41,8 +42,9 @@
 	return as, clock
 }
 
-// An offering that was refused is left alone, the longer the more often. Once a machine of it
-// is gone, there may be capacity for another at once.
+// An offering of which the cloud had too few machines is not ordered during its back-off. The
+// loss of a machine of the offering ends the back-off, since the cloud may have capacity for a
+// replacement at once.
 func TestLostMachineIsReplacedAtOnce(t *testing.T) {
 	as, clock := newTestAutoscaler(40)
 	as.provisioning.listReadAt = clock.Now
@@ -54,25 +56,26 @@
 		}
 	}
 	if orders := as.scaleOutOrders(clock.Now); len(orders) != 0 {
-		t.Fatalf("asked for what was refused: %v", orders)
+		t.Fatalf("ordered offerings during their back-off: %v", orders)
 	}
 	as.removeMachine(m, clock.Now)
 	if orders := as.scaleOutOrders(clock.Now); len(orders) != 1 || !orders[0].Spot {
-		t.Errorf("orders after a loss: %v", orders)
+		t.Errorf("orders after the loss of a spot instance: %v, want one for a spot instance", orders)
 	}
 }
 
-// largestFleet is the most machines that the service is built for.
+// largestFleet is the maximum number of machines that the system is designed for.
 const largestFleet = 4000
 
-// The machine list takes a third of the cloud's requests at most, however long it is.
-func TestMachineListLeavesRequestsToScaleOut(t *testing.T) {
+// Reading the machine list takes at most a third of the cloud's request rate limit, however
+// long the list is.
+func TestMachineListLeavesRequestRateForScaling(t *testing.T) {
 	cloud := config.CloudLimits{RPS: 6, ListLagS: 4}
 	for _, machines := range []int{0, 400, 1700, largestFleet, 3 * largestFleet} {
 		pages := float64(1 + machines/protocol.MaxListPage)
 		interval := listInterval(cloud, machines)
 		if rate := pages / interval.Seconds(); rate > cloud.RPS/3 {
-			t.Errorf("%d machines: the list takes %.2f requests a second of %.0f", machines, rate, cloud.RPS)
+			t.Errorf("%d machines: the list takes %.2f of %.0f requests per second", machines, rate, cloud.RPS)
 		}
 		if machines <= 1499 && interval != minListInterval {
 			t.Errorf("%d machines are listed every %v", machines, interval.Duration())
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -15,7 +15,7 @@
 func (as *Autoscaler) refreshCatalog(ctx context.Context) {
 	catalog, err := as.Cloud.Catalog(ctx)
 	if err != nil || len(catalog.Types) == 0 {
-		as.Log.Info("catalog not read", "error", err)
+		as.Log.Info("failed to read the instance type catalog, or it is empty", "error", err)
 		return
 	}
 	as.State.Lock()
@@ -29,8 +29,8 @@
 	}
 }
 
-// storeCatalog stores the catalog for a leader that begins during an outage of
-// the cloud. Whether it succeeds matters to nobody now.
+// storeCatalog stores the catalog for a leader that is elected during an outage of the cloud.
+// Errors are only logged, since this leader does not need the stored catalog.
 func (as *Autoscaler) storeCatalog(ctx context.Context, catalog protocol.Catalog, format storage.Format) {
 	bounds := as.Settings.Fleet.State.Lowest()
 	versions := as.provisioning.catalogStored
@@ -38,12 +38,12 @@
 	for part := range slices.Chunk(changes, bounds.TxnOps) {
 		txn := protocol.Txn{Then: part}
 		for _, change := range part {
-			key := change.Set + change.Delete // one of them
+			key := change.Set + change.Delete // the other is empty
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: versions[key]})
 		}
 		version, err := as.KV.CompareAndSwap(ctx, txn, kv.Paced, kv.CallTimeout)
 		if err != nil {
-			as.Log.Info("catalog not stored", "error", err)
+			as.Log.Info("failed to store the instance type catalog", "error", err)
 			return
 		}
 		for _, change := range part {
@@ -57,7 +57,8 @@
 	as.provisioning.catalogFormat = format
 }
 
-// equalInstanceTypes compares catalogs but for the spot prices, which move all the time.
+// equalInstanceTypes reports whether two catalogs are equal, without regard to spot prices,
+// which change continuously.
 func equalInstanceTypes(a, b protocol.Catalog) bool {
 	return slices.EqualFunc(a.Types, b.Types, func(x, y protocol.InstanceType) bool {
 		x.SpotPrice, y.SpotPrice = 0, 0
@@ -67,8 +68,8 @@
 	})
 }
 
-// CatalogRestored notes which records hold the stored catalog, by key, with their versions. It
-// is called before Run, with the lock of State held.
+// CatalogRestored sets the versions of the records that hold the stored catalog, by key. It must
+// be called before Run, with the lock of State held. The Autoscaler takes ownership of the map.
 func (as *Autoscaler) CatalogRestored(versions map[string]uint64) {
 	as.provisioning.catalogStored = versions
 }
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -6,14 +6,14 @@
 	"dunestand/internal/units"
 )
 
-// TaskDemand is a number of tasks that request the same.
+// TaskDemand is a number of tasks of the same specification.
 type TaskDemand struct {
 	Spec  *protocol.JobSpec
 	Count int
 }
 
-// Demand returns the tasks that are not done, as far as their teams' quota limits let
-// them run, and the replicas that headroom is wanted for.
+// Demand returns the unfinished tasks that fit into their teams' quota limits, earlier
+// submissions first, and the replicas for which the fleet is to have headroom.
 func (as *Autoscaler) Demand() []TaskDemand {
 	quotaLeft := map[string]units.Resources{}
 	for name, team := range as.State.Teams {
@@ -36,7 +36,8 @@
 	return demand
 }
 
-// PolicyInput returns what the policy's settings of the fleet are worked out from.
+// PolicyInput returns the values from which the policy computes the reserve, the spot
+// preference and the idle timeout.
 func (as *Autoscaler) PolicyInput() config.FleetInput {
 	in := config.FleetInput{Hour: int(as.Clock.Wall() / units.Second / 3600 % 24)}
 	for _, job := range as.State.Jobs {
@@ -61,14 +62,14 @@
 	return in
 }
 
-// How long a machine that is not up yet counts as capacity.
+// A machine that has not registered counts as capacity for bootGraceFactor boot times plus
+// bootGraceMargin after its launch.
 const (
-	bootGraceFactor = 3 // times its instance type's boot time
+	bootGraceFactor = 3 // multiple of its instance type's boot time
 	bootGraceMargin = 10 * units.Second
 )
 
-// capacityView returns what a scale-out is planned on, but for the offerings that are
-// unavailable.
+// capacityView returns the input of PlanScaleOut without Unavailable, which the caller sets.
 func (as *Autoscaler) capacityView(in config.FleetInput) CapacityView {
 	view := CapacityView{
 		InstanceTypes:  as.State.InstanceTypes,
--- a/internal/autoscaler/idle.go
+++ b/internal/autoscaler/idle.go
@@ -8,29 +8,30 @@
 	"dunestand/internal/units"
 )
 
-// maxIdleCandidates bounds the machines that are considered in one go: for each of them a
-// scale-out is planned.
+// maxIdleCandidates limits the machines that one call of IdleMachines considers, since it plans
+// a scale-out for each of them.
 const maxIdleCandidates = 50
 
-// IdleMachines returns machines that nothing has needed for a while, the most expensive ones
-// first, as long as what is left covers the demand and the reserve.
+// IdleMachines returns the machines that have been idle for longer than the policy's idle
+// timeout and without which the fleet still covers the demand and the reserve. The most
+// expensive machines come first.
 func (as *Autoscaler) IdleMachines(now units.Micros) []*cluster.Machine {
 	in := as.PolicyInput()
 	candidates := as.idleCandidates(as.Policy.IdleTimeout(in), now)
 	keepCPU := max(units.AmountOf(in.DemandCPUs), as.Policy.ReserveCPUs(in))
 	fleetCPU := units.AmountOf(in.FleetCPUs)
-	// What is left must be of the right offerings: services may not be allowed on
-	// those that are cheapest.
+	// The remaining machines must be of offerings that the tasks allow, as well as have enough
+	// processors: services may not be allowed on the cheapest offerings.
 	view := as.capacityView(in)
 	view.ReserveCPUs, view.Unavailable = 0, func(Offering) bool { return false }
-	lacking := lackingMachines(&view)
+	missing := missingMachineCount(&view)
 	idle := candidates[:0]
 	for _, m := range candidates[:min(len(candidates), maxIdleCandidates)] {
 		if fleetCPU-m.Capacity.CPU < keepCPU {
 			continue
 		}
 		offering := offeringOf(m)
-		if view.Machines[offering]--; lackingMachines(&view) > lacking {
+		if view.Machines[offering]--; missingMachineCount(&view) > missing {
 			view.Machines[offering]++
 			continue
 		}
@@ -40,8 +41,8 @@
 	return idle
 }
 
-// idleCandidates returns the machines that have been idle for longer than a time, the most
-// expensive ones first.
+// idleCandidates returns the reconciled machines that have been idle for longer than longerThan
+// under this leader, the most expensive first.
 func (as *Autoscaler) idleCandidates(longerThan, now units.Micros) []*cluster.Machine {
 	var candidates []*cluster.Machine
 	for _, m := range as.State.Machines {
@@ -57,8 +58,9 @@
 	return candidates
 }
 
-// lackingMachines returns how many machines the demand of a view lacks.
-func lackingMachines(view *CapacityView) int {
+// missingMachineCount returns how many machines would have to be rented to cover the demand of
+// a view.
+func missingMachineCount(view *CapacityView) int {
 	count := 0
 	for _, order := range PlanScaleOut(view) {
 		count += order.Count
--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -9,21 +9,22 @@
 	"dunestand/internal/units"
 )
 
-// The pace of the machine list. It is read page by page, and the list of a large fleet
-// must leave the cloud's rate of requests to scaling out and in.
+// The machine list is read page by page. For a large fleet the interval is longer, so that the
+// list leaves most of the cloud's request rate limit to scale-out and scale-in requests.
 const (
 	minListInterval = 2 * units.Second
-	listRateShare   = 0.3 // of the cloud's rate of requests
+	listRateShare   = 0.3 // maximum share of the cloud's request rate limit
 )
 
-// When a machine that never registered counts as gone since the list does not name it: the list
-// may be as old as the cloud's lag, several times over to be sure.
+// A machine that never registered and is missing from the list counts as gone this long after
+// its launch. The list may lag behind by ListLagS; the factor and the margin allow for a longer
+// lag.
 const (
-	unlistedLagFactor = 4 // times the list's lag
+	unlistedLagFactor = 4 // multiple of the list's lag
 	unlistedMargin    = 20 * units.Second
 )
 
-// listInterval returns how often the machine list is read.
+// listInterval returns the time between two reads of the machine list.
 func listInterval(cloud config.CloudLimits, machines int) units.Micros {
 	pages := 1 + machines/protocol.MaxListPage
 	paced := units.Seconds(float64(pages) / (cloud.RPS * listRateShare))
@@ -67,8 +68,8 @@
 	}
 }
 
-// machineFailed drops what was on a machine that has stopped on its own: nothing runs there
-// any more. Its release only takes it off the list.
+// machineFailed removes the attempts of a machine that the cloud reports as failed, since
+// nothing runs on it any more, and marks it for release, which removes it from the list.
 func (as *Autoscaler) machineFailed(m *cluster.Machine, now units.Micros) {
 	as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
 	as.State.MachineEmptied(m, now)
@@ -77,8 +78,9 @@
 	as.CycleSignal.Raise()
 }
 
-// removeUnlisted removes the machines that were reclaimed or deleted before they were up. That
-// a machine is not listed proves nothing about one that may hold tasks: its lease decides.
+// removeUnlisted removes machines that were reclaimed or deleted before they registered. For a
+// machine that may hold tasks, its absence from the list is no proof that it is gone; only the
+// expiry of its lease is.
 func (as *Autoscaler) removeUnlisted(present map[string]bool, now units.Micros) {
 	unlistedAfter := unlistedLagFactor*units.Seconds(as.Settings.Fleet.Cloud.ListLagS) + unlistedMargin
 	for _, m := range as.State.Machines {
@@ -88,9 +90,9 @@
 	}
 }
 
-// removeMachine drops a machine that is gone. The cloud may have capacity for another of
-// its offering now, whatever it said before: after a wave of losses, waiting for the
-// refusal to pass once left a quarter of the fleet away for half a minute.
+// removeMachine removes a machine that is gone and ends the back-off of its offering, since the
+// cloud may have capacity for a replacement now. When many machines were lost at once, waiting
+// for the back-off left the fleet without a quarter of its machines for half a minute.
 func (as *Autoscaler) removeMachine(m *cluster.Machine, now units.Micros) {
 	as.State.RemoveMachine(m, now)
 	delete(as.provisioning.unavailable, offeringOf(m))
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -7,22 +7,22 @@
 	"dunestand/internal/units"
 )
 
-// Offering is what the cloud rents machines of: an instance type in a zone, as a spot instance
-// or not.
+// Offering is a kind of machine that the cloud rents: an instance type in a zone, as a spot
+// instance or not.
 type Offering struct {
 	InstanceType, Zone string
 	Spot               bool
 }
 
-// offeringOf returns the offering that a machine is of.
+// offeringOf returns the offering of a machine.
 func offeringOf(m *cluster.Machine) Offering { return Offering{m.InstanceType, m.Zone, m.Spot} }
 
-// bootTime returns how long a machine's instance type takes to boot.
+// bootTime returns the boot time of a machine's instance type; 0 if the catalog lacks the type.
 func (as *Autoscaler) bootTime(m *cluster.Machine) units.Micros {
 	return units.Seconds(as.State.InstanceTypes[m.InstanceType].BootS)
 }
 
-// price returns what a machine costs, as the catalog states it.
+// price returns a machine's price in the catalog.
 func (as *Autoscaler) price(m *cluster.Machine) float64 {
 	instanceType := as.State.InstanceTypes[m.InstanceType]
 	if m.Spot {
@@ -31,19 +31,19 @@
 	return instanceType.Price
 }
 
-// minSpotPreference keeps the cost of spot instances above zero, so that they are still
-// compared by price.
+// minSpotPreference is the lowest weight of spot prices. A weight of 0 would make the cost of
+// all spot instances equal, and their prices would not be compared.
 const minSpotPreference = 0.01
 
-// pricedOffering is an offering with its machines' capacity and what one costs, for a spot
-// instance weighted by the policy's preference.
+// pricedOffering is an offering with the capacity and the cost of one machine. The cost is the
+// price in the catalog, multiplied by the policy's spot preference for a spot instance.
 type pricedOffering struct {
 	offering Offering
 	capacity units.Resources
 	cost     float64
 }
 
-// pricedOfferings returns all offerings, in a fixed order.
+// pricedOfferings returns all offerings of the catalog in a deterministic order.
 func pricedOfferings(view *CapacityView) []pricedOffering {
 	var offerings []pricedOffering
 	for _, name := range sorted.Keys(view.InstanceTypes) {
@@ -59,7 +59,7 @@
 	return offerings
 }
 
-// allows reports whether tasks may be on machines of the offering.
+// allows reports whether the tasks may run on machines of the offering.
 func (o *pricedOffering) allows(demand TaskDemand) bool {
 	return scheduler.PlacementAllowed(demand.Spec, o.offering.InstanceType, o.offering.Zone, o.offering.Spot)
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -8,14 +8,14 @@
 	"dunestand/internal/units"
 )
 
-// CapacityView is what a scale-out is planned on.
+// CapacityView is the input of PlanScaleOut.
 type CapacityView struct {
 	InstanceTypes  map[string]protocol.InstanceType // by name
-	Machines       map[Offering]int                 // machines that work or are thought to come up
+	Machines       map[Offering]int                 // number of machines, including those expected to finish booting
 	Demand         []TaskDemand
-	ReserveCPUs    units.Amount // processors to keep whatever the demand is
+	ReserveCPUs    units.Amount // minimum processors of the fleet, whatever the demand is
 	SpotPreference float64      // weight of a spot instance's price
-	// Unavailable reports whether the cloud refused machines of an offering a short time ago.
+	// Unavailable reports whether the cloud recently had too few machines of an offering.
 	Unavailable func(Offering) bool
 }
 
@@ -25,14 +25,15 @@
 	Count    int
 }
 
-// PlanScaleOut returns what to rent: what the tasks need beyond what there
-// is, of the cheapest offerings that they allow and that were not refused lately,
-// and then the reserve. The free capacity of an offering's machines is reckoned as one pool.
+// PlanScaleOut returns the machines to rent: first those that the demand needs in addition to
+// the existing machines, of the cheapest available offering that the tasks allow, then those
+// that are missing from the reserve. It treats the free capacity of an offering's machines as
+// one pool and ignores fragmentation between machines.
 func PlanScaleOut(view *CapacityView) []Order {
 	p := newScaleOutPlan(view)
 	demands := slices.Clone(view.Demand)
-	// What has the fewest offerings to choose from chooses first.
-	slices.SortStableFunc(demands, func(a, b TaskDemand) int { return cmp.Compare(p.choices(a), p.choices(b)) })
+	// Tasks that allow the fewest offerings go first, before others use up the capacity there.
+	slices.SortStableFunc(demands, func(a, b TaskDemand) int { return cmp.Compare(p.allowedOfferingCount(a), p.allowedOfferingCount(b)) })
 	for _, demand := range demands {
 		if left := p.useFreeCapacity(demand); left > 0 {
 			p.orderFor(demand, left)
@@ -42,13 +43,13 @@
 	return p.result()
 }
 
-// scaleOutPlan is a scale-out in the making.
+// scaleOutPlan holds the state of one call of PlanScaleOut.
 type scaleOutPlan struct {
 	view         *CapacityView
 	offerings    []pricedOffering
-	freeCapacity map[Offering]units.Resources // left, of what there is and what is ordered
-	orders       map[Offering]int             // machines
-	totalCPU     units.Amount                 // of what there is and what is ordered
+	freeCapacity map[Offering]units.Resources // unclaimed capacity of existing and ordered machines
+	orders       map[Offering]int             // number of machines
+	totalCPU     units.Amount                 // processors of existing and ordered machines
 }
 
 func newScaleOutPlan(view *CapacityView) *scaleOutPlan {
@@ -64,20 +65,20 @@
 	return p
 }
 
-// addMachines adds the capacity of some machines.
+// addMachines adds the capacity of count machines of an offering.
 func (p *scaleOutPlan) addMachines(o pricedOffering, count int) {
 	p.freeCapacity[o.offering] = p.freeCapacity[o.offering].Plus(o.capacity, count)
 	p.totalCPU += o.capacity.CPU * units.Amount(count)
 }
 
-// order orders some machines.
+// order orders count machines of an offering.
 func (p *scaleOutPlan) order(o pricedOffering, count int) {
 	p.orders[o.offering] += count
 	p.addMachines(o, count)
 }
 
-// choices counts the offerings that tasks may be on.
-func (p *scaleOutPlan) choices(demand TaskDemand) int {
+// allowedOfferingCount returns the number of offerings that the tasks allow.
+func (p *scaleOutPlan) allowedOfferingCount(demand TaskDemand) int {
 	count := 0
 	for i := range p.offerings {
 		if p.offerings[i].allows(demand) {
@@ -87,7 +88,8 @@
 	return count
 }
 
-// useFreeCapacity claims free capacity for tasks and returns how many of them find none.
+// useFreeCapacity claims free capacity for tasks and returns the number of tasks that do not
+// fit.
 func (p *scaleOutPlan) useFreeCapacity(demand TaskDemand) int {
 	left := demand.Count
 	for i := range p.offerings {
@@ -101,13 +103,14 @@
 	return left
 }
 
-// planned returns how many machines of an offering there are and are ordered.
+// planned returns the number of existing and ordered machines of an offering.
 func (p *scaleOutPlan) planned(offering Offering) int {
 	return p.view.Machines[offering] + p.orders[offering]
 }
 
-// orderFor orders machines for a number of tasks, of the offering that is cheapest for each
-// task. Of those alike it is the one with fewer machines.
+// orderFor orders machines for a number of tasks, of the available offering with the lowest
+// cost per task. Of offerings with equal cost it takes the one with fewer planned machines. It
+// orders nothing if there is no such offering.
 func (p *scaleOutPlan) orderFor(demand TaskDemand, tasks int) {
 	var best *pricedOffering
 	bestCost, bestFits := 0.0, 0
@@ -129,7 +132,8 @@
 	p.freeCapacity[best.offering] = p.freeCapacity[best.offering].Plus(demand.Spec.Request, -tasks)
 }
 
-// orderReserve orders what lacks to the reserve, machine by machine.
+// orderReserve orders machines one by one until the fleet has the processors of the reserve or
+// no offering is available.
 func (p *scaleOutPlan) orderReserve() {
 	for p.totalCPU < p.view.ReserveCPUs {
 		best := p.cheapestPerCPU()
@@ -140,8 +144,9 @@
 	}
 }
 
-// cheapestPerCPU returns the offering of which more may be ordered whose processors cost
-// least; of those alike, the one with fewer machines. It returns nil if there is none.
+// cheapestPerCPU returns the offering with the lowest cost per processor of those that are
+// available and not yet ordered up to the limit of a request. Of offerings with equal cost it
+// returns the one with fewer planned machines. It returns nil if there is none.
 func (p *scaleOutPlan) cheapestPerCPU() *pricedOffering {
 	var best *pricedOffering
 	for i := range p.offerings {
@@ -153,7 +158,7 @@
 			best = o
 			continue
 		}
-		// Multiplied out, since quotients of equal costs may differ in their last digit.
+		// Equality is tested on products: quotients of equal costs may differ by rounding.
 		cost, bestCost := o.cost*best.capacity.CPU.Float(), best.cost*o.capacity.CPU.Float()
 		if o.costPerCPU() < best.costPerCPU() || cost == bestCost && p.planned(o.offering) < p.planned(best.offering) {
 			best = o
@@ -162,7 +167,7 @@
 	return best
 }
 
-// result returns the orders, in the order of the offerings.
+// result returns the orders, sorted like the offerings and limited to the size of a request.
 func (p *scaleOutPlan) result() []Order {
 	var orders []Order
 	for _, o := range p.offerings {
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -17,8 +17,8 @@
 	"big":   {Name: "big", CPUs: 32, MemoryGB: 128, Price: 7, SpotPrice: 2, Zones: []string{"a"}},
 }
 
-// drawCapacityView draws a view of an empty fleet. At least one offering that every task
-// allows is never refused.
+// drawCapacityView draws a view of an empty fleet. At least one offering that all tasks allow
+// is always available.
 func drawCapacityView(t *rapid.T) *CapacityView {
 	refused := map[Offering]bool{}
 	for _, offering := range []Offering{{"small", "a", true}, {"small", "a", false}, {"big", "a", true}} {
@@ -42,26 +42,26 @@
 	return view
 }
 
-// What is ordered covers the demand and the reserve, of offerings that were not
-// refused lately, and ordering comes to an end.
-func TestScaleOutCoversTheDemand(t *testing.T) {
+// The ordered machines are of available offerings and cover the demand and the reserve, and
+// repeated planning soon orders nothing more.
+func TestScaleOutCoversDemandAndReserve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := drawCapacityView(t)
 		for _, order := range PlanScaleOut(view) {
 			if view.Unavailable(order.Offering) || order.Count <= 0 || order.Count > protocol.MaxScaleOut {
-				t.Fatalf("order %+v", order)
+				t.Fatalf("order %+v is empty, too large or of an unavailable offering", order)
 			}
 			view.Machines[order.Offering] += order.Count
 		}
-		// The free capacity of an offering is reckoned as one pool, so a later pass may find
-		// that tasks pack worse than thought; but it must come to an end.
+		// Each pass treats the free capacity of an offering as one pool. A later pass may find
+		// that tasks pack worse than assumed, but the number of passes must be small.
 		for pass := 0; ; pass++ {
 			again := PlanScaleOut(view)
 			if len(again) == 0 {
 				break
 			}
 			if pass == 5 {
-				t.Fatalf("still ordering: %+v", again)
+				t.Fatalf("repeated planning still orders machines: %+v", again)
 			}
 			for _, order := range again {
 				view.Machines[order.Offering] += order.Count
@@ -75,7 +75,7 @@
 			have += units.AmountOf(testInstanceTypes[offering.InstanceType].CPUs) * units.Amount(count)
 		}
 		if have < max(wanted, view.ReserveCPUs) {
-			t.Fatalf("%v processors for a demand of %v and a reserve of %v", have, wanted, view.ReserveCPUs)
+			t.Fatalf("ordered %v processors for a demand of %v and a reserve of %v", have, wanted, view.ReserveCPUs)
 		}
 	})
 }
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -11,14 +11,14 @@
 	"dunestand/internal/units"
 )
 
-// releaseReason says why a machine is released.
+// releaseReason is the reason for which a machine is released.
 type releaseReason string
 
-// The reasons.
 const (
-	releaseQuarantined releaseReason = "quarantined" // it is faulty
+	releaseQuarantined releaseReason = "quarantined" // the machine is faulty
 	releaseBootTimeout releaseReason = "boot timeout"
-	// releaseLost: its heartbeats are missing or never came, or it ignores commands.
+	// releaseLost means that the machine's heartbeats are missing, that it never sent one to
+	// this leader, or that it ignores commands.
 	releaseLost releaseReason = "lost"
 	releaseIdle releaseReason = "idle"
 )
@@ -26,17 +26,19 @@
 // String returns the reason as it is logged.
 func (r releaseReason) String() string { return string(r) }
 
-// When a machine that does not come up is given up.
+// A machine that has not finished booting is released bootTimeoutFactor boot times plus
+// bootTimeoutMargin after its launch.
 const (
-	bootTimeoutFactor = 6 // times its instance type's boot time
+	bootTimeoutFactor = 6 // multiple of its instance type's boot time
 	bootTimeoutMargin = 30 * units.Second
-	// bootTimeoutElected is how long after its election a leader gives none up: those that
-	// are up have to find it first.
-	bootTimeoutElected = 30 * units.Second
+	// bootTimeoutAfterElection is the time after its election in which a leader releases no
+	// machine for a boot timeout: machines that already run need it to send their first
+	// heartbeat to the new leader.
+	bootTimeoutAfterElection = 30 * units.Second
 )
 
-// scaleIn releases machines that are faulty, lost, never came up, or
-// are idle beyond what is to be kept.
+// scaleIn releases machines that are faulty, lost, did not finish booting, or are idle and not
+// needed for the demand or the reserve.
 func (as *Autoscaler) scaleIn(ctx context.Context) {
 	as.State.Lock()
 	ids := as.MachinesToRelease(as.Clock.Steady())
@@ -52,7 +54,7 @@
 	}
 }
 
-// machinesReleased removes machines that the cloud has released.
+// machinesReleased removes machines that the cloud has released from the state.
 func (as *Autoscaler) machinesReleased(ids []string) {
 	as.State.Lock()
 	now := as.Clock.Steady()
@@ -69,9 +71,9 @@
 	as.CycleSignal.Raise()
 }
 
-// MachinesToRelease returns the IDs of the machines to be released. A machine once chosen gets
-// no work and stays chosen, since a release that got no answer may be carried
-// out at any time.
+// MachinesToRelease returns the IDs of the machines to release, in ascending order. A machine
+// that has been chosen gets no more work and stays chosen, since the cloud may carry out a
+// release request that got no answer at any time.
 func (as *Autoscaler) MachinesToRelease(now units.Micros) []string {
 	chosen := map[string]bool{}
 	lost := as.Detector.LostMachines(now)
@@ -86,7 +88,7 @@
 	}
 	for id := range lost {
 		if as.State.Machines[id] == nil {
-			chosen[id] = true // only a record tells of it
+			chosen[id] = true // known only from a stored record
 		}
 	}
 	for _, m := range as.IdleMachines(now) {
@@ -96,7 +98,7 @@
 	return sorted.Keys(chosen)
 }
 
-// markReleasing notes that a machine is to be released.
+// markReleasing marks a machine as being released and logs the reason the first time.
 func (as *Autoscaler) markReleasing(m *cluster.Machine, reason releaseReason) {
 	if !m.Releasing {
 		as.Log.Info("machine chosen for scale-in", "machine", m.ID, "why", reason, "tasks", len(m.Attempts))
@@ -104,8 +106,8 @@
 	}
 }
 
-// releaseReason reports whether a machine is to be released that may hold tasks or has never
-// been up, and why. lost are the machines that the failure detector gives up.
+// releaseReason reports whether a machine is to be released for a reason other than being idle,
+// and for which. lost holds the machines that the failure detector reports as lost.
 func (as *Autoscaler) releaseReason(m *cluster.Machine, lost map[string]bool, now units.Micros) (releaseReason, bool) {
 	switch {
 	case m.Registered && m.Quarantined && len(m.Attempts) == 0:
@@ -115,22 +117,22 @@
 	case as.neverRegistered(m, now):
 		return releaseLost, true
 	case lost[m.ID]:
-		// Waiting for its lease would take longer, and what is known to
-		// be gone can start elsewhere.
+		// Tasks may start elsewhere once the machine is known to be gone. The release makes
+		// sure of that earlier than the lease expiry would.
 		return releaseLost, true
 	}
 	return "", false
 }
 
-// bootTimedOut reports whether a machine should have come up long ago.
+// bootTimedOut reports whether a machine has exceeded the time in which it should have booted.
 func (as *Autoscaler) bootTimedOut(m *cluster.Machine, now units.Micros) bool {
 	return !m.Registered && m.Stage != protocol.MachineRunning &&
 		now-m.LaunchedAt > bootTimeoutFactor*as.bootTime(m)+bootTimeoutMargin &&
-		now-as.ElectedAt > bootTimeoutElected
+		now-as.ElectedAt > bootTimeoutAfterElection
 }
 
-// neverRegistered reports whether a machine runs, as the cloud says, but has sent this leader
-// no heartbeat for so long that it is given up: its zone may have been cut off, for a while.
+// neverRegistered reports whether a machine has sent this leader no heartbeat for longer than
+// its lease plus the grace period of a zone that is cut off from the network, and so is lost.
 func (as *Autoscaler) neverRegistered(m *cluster.Machine, now units.Micros) bool {
 	return !m.Registered &&
 		now-max(as.ElectedAt, m.LaunchedAt) > election.WithDrift(as.Settings.Fleet.Workers.LeaseDuration(), failuredetector.ZoneCutGrace)
--- a/internal/autoscaler/scalein_test.go
+++ b/internal/autoscaler/scalein_test.go
@@ -8,14 +8,15 @@
 	"dunestand/internal/units"
 )
 
-// When a machine is scaled in that is not idle.
-func TestReleaseReason(t *testing.T) {
+// A machine that is not idle is released if it is quarantined, lost, or did not boot or register
+// in time, and otherwise kept.
+func TestOnlyUnhealthyMachinesAreReleased(t *testing.T) {
 	const never = releaseReason("")
 	for _, c := range []struct {
 		name   string
 		change func(m *cluster.Machine)
 		lost   bool
-		after  units.Micros // the machine was rented and the leader elected
+		after  units.Micros // since the launch of the machine and the election of the leader
 		want   releaseReason
 	}{
 		{"healthy", func(m *cluster.Machine) { m.Registered = true }, false, 1000 * units.Second, never},
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -12,26 +12,29 @@
 )
 
 const (
-	// scaleOutPasses bounds how often in a row the plan is made anew after refusals.
-	scaleOutPasses = 8
-	// maxScaleOutCalls is how many requests to the cloud are on their way at a time.
+	// maxScaleOutPasses limits how often scaleOut plans again after the cloud had too few
+	// machines of an offering.
+	maxScaleOutPasses = 8
+	// maxScaleOutCalls is the maximum number of concurrent requests to the cloud.
 	maxScaleOutCalls = 3
 
-	// How long an offering is left alone that had too few machines: twice as long each time.
+	// Bounds of the time for which an offering is not ordered after the cloud had too few
+	// machines of it. The time doubles with each further refusal.
 	minCapacityBackoff = 8 * units.Second
 	maxCapacityBackoff = 40 * units.Second
 )
 
-// capacityBackoff says until when an offering is left alone, and how long that is in all.
+// capacityBackoff is the back-off of an offering of which the cloud had too few machines.
 type capacityBackoff struct {
-	until units.Micros
-	delay units.Micros
+	until units.Micros // steady time until which the offering is not ordered
+	delay units.Micros // total length of the back-off
 }
 
-// scaleOut rents what is wanted. What one offering refuses is asked of the next
-// at once: a boot takes long enough.
+// scaleOut plans and requests machines. If the cloud has too few machines of an offering,
+// scaleOut at once requests the rest from the next best offering: the boot alone delays the
+// capacity enough. It returns early if a request gets no answer.
 func (as *Autoscaler) scaleOut(ctx context.Context) {
-	for range scaleOutPasses {
+	for range maxScaleOutPasses {
 		orders := as.ordersToSend()
 		if len(orders) == 0 {
 			return
@@ -46,8 +49,8 @@
 	}
 }
 
-// ordersToSend returns the requests that got no answer, to be sent again under the same IDs,
-// or, if there are none, new ones.
+// ordersToSend returns the unanswered requests, to be sent again under the same IDs, or new
+// requests if there are none.
 func (as *Autoscaler) ordersToSend() []protocol.ScaleOutRequest {
 	as.State.Lock()
 	defer as.State.Unlock()
@@ -57,8 +60,8 @@
 	return as.provisioning.unanswered
 }
 
-// sendOrders sends the requests, some at a time, waits for all of them, and returns those that
-// got no answer.
+// sendOrders sends the requests, at most maxScaleOutCalls concurrently, waits for all of them,
+// and returns those that got no answer.
 func (as *Autoscaler) sendOrders(ctx context.Context, orders []protocol.ScaleOutRequest) []protocol.ScaleOutRequest {
 	var calls sync.WaitGroup
 	slots := make(chan struct{}, maxScaleOutCalls)
@@ -80,7 +83,8 @@
 	return unanswered
 }
 
-// requestMachines sends one request and reports whether it was answered.
+// requestMachines sends one request, adds the machines in the answer to the state, and reports
+// whether the request was answered. A lack of capacity is an answer.
 func (as *Autoscaler) requestMachines(ctx context.Context, request protocol.ScaleOutRequest) bool {
 	ids, err := as.Cloud.ScaleOut(ctx, request)
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
@@ -90,7 +94,7 @@
 	as.State.Lock()
 	defer as.State.Unlock()
 	now := as.Clock.Steady()
-	as.noteCapacity(Offering{request.InstanceType, request.Zone, request.Spot}, len(ids) < request.Count, now)
+	as.updateCapacityBackoff(Offering{request.InstanceType, request.Zone, request.Spot}, len(ids) < request.Count, now)
 	for _, id := range ids {
 		if as.State.Released.Has(id) {
 			continue
@@ -105,8 +109,9 @@
 	return true
 }
 
-// noteCapacity notes whether the cloud had too few machines of an offering.
-func (as *Autoscaler) noteCapacity(offering Offering, exhausted bool, now units.Micros) {
+// updateCapacityBackoff starts or prolongs the back-off of an offering if it is exhausted, that
+// is, if the cloud had too few machines of it, and ends the back-off otherwise.
+func (as *Autoscaler) updateCapacityBackoff(offering Offering, exhausted bool, now units.Micros) {
 	if !exhausted {
 		delete(as.provisioning.unavailable, offering)
 		return
@@ -116,11 +121,12 @@
 	as.provisioning.unavailable[offering] = capacityBackoff{until: now + delay, delay: delay}
 }
 
-// scaleOutOrders returns what is wanted as requests with IDs never used before: the
-// fencing token is in them, and no two leaders have the same one.
+// scaleOutOrders plans a scale-out and returns it as requests. Their IDs are unique, also
+// between leaders, since they contain the fencing token. It returns none until the catalog and
+// the machine list have been read.
 func (as *Autoscaler) scaleOutOrders(now units.Micros) []protocol.ScaleOutRequest {
 	if len(as.State.InstanceTypes) == 0 || as.provisioning.listReadAt == 0 {
-		return nil // what there is, is not known yet
+		return nil // the existing capacity is unknown
 	}
 	view := as.capacityView(as.PolicyInput())
 	view.Unavailable = func(offering Offering) bool { return now < as.provisioning.unavailable[offering].until }
