--- a/internal/bitset/bitset_test.go
+++ b/internal/bitset/bitset_test.go
@@ -9,8 +9,8 @@
 	_ "dunestand/internal/fake/fixedseed"
 )
 
-// A set holds what a map of the same numbers holds, page by page too.
-func TestSetAgreesWithAMap(t *testing.T) {
+// A set has the same members as a map with the same changes, as a whole and in its pages.
+func TestSetMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 200).Draw(t, "n")
 		set, other, want := New(n), New(n), map[int]bool{}
@@ -44,7 +44,7 @@
 			for i, b := range set.Page(page, size) {
 				for bit := range 8 {
 					if member := page*size + 8*i + bit; b&(1<<bit) != 0 != want[member] {
-						t.Fatalf("page %d tells %v of %d", page, !want[member], member)
+						t.Fatalf("page %d reports %v for membership of %d", page, !want[member], member)
 					}
 				}
 			}
--- a/internal/sorted/sorted.go
+++ b/internal/sorted/sorted.go
@@ -1,5 +1,5 @@
-// Package sorted lists the keys of maps in a fixed order, so that the same state leads to the
-// same decisions.
+// Package sorted lists the keys of maps in ascending order, so that decisions on the same state
+// do not depend on the iteration order of maps.
 package sorted
 
 import "slices"
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,7 +1,6 @@
-// Package units holds the few quantities that every layer shares: time in
-// whole microseconds, resource amounts in whole millionths, and the clock
-// that is passed to whatever needs the time. Whole numbers add up exactly and the same on
-// every machine.
+// Package units defines the quantities that all layers share: time in whole microseconds,
+// resource amounts in whole millionths, and the clock interface through which code reads the
+// time. Sums of whole numbers are exact and the same on every machine.
 package units
 
 import (
@@ -9,39 +8,39 @@
 	"time"
 )
 
-// Micros is a point on a clock, or a length of time, in whole microseconds.
+// Micros is a point in time on a Clock, or a duration, in whole microseconds.
 type Micros int64
 
-// Lengths of time.
+// Durations.
 const (
 	Millisecond Micros = 1_000
 	Second      Micros = 1_000_000
 )
 
-// Seconds converts a number of seconds, as it appears on the wire. It clamps values beyond
-// what a schedule could mean to 1e12 seconds either way, and converts NaN to 0.
+// Seconds converts a number of seconds on the wire. It clamps the number to the range from
+// -1e12 to 1e12, which exceeds any meaningful time, and converts NaN to 0.
 func Seconds(seconds float64) Micros {
 	const maxSeconds = 1e12
 	return Micros(millionths(seconds, maxSeconds))
 }
 
-// Seconds returns the length in seconds, for display and for policies.
+// Seconds returns the duration in seconds, for display and for policies.
 func (m Micros) Seconds() float64 { return float64(m) / perUnit }
 
-// Duration returns the length for the standard library.
+// Duration converts the duration for the standard library.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Fraction returns the fraction numerator/denominator of a length, rounded towards zero.
+// Fraction returns the duration times numerator/denominator, rounded towards zero.
 func (m Micros) Fraction(numerator, denominator int64) Micros {
 	return m * Micros(numerator) / Micros(denominator)
 }
 
-// Amount is a quantity of a resource (processors, cards, GB) in millionths,
-// so that sums are exact.
+// Amount is a quantity of a resource (processors, GPUs or GB) in whole millionths, so that sums
+// are exact.
 type Amount int64
 
-// AmountOf converts a number on the wire. It clamps values to 1e9 either way, and converts
-// NaN to 0.
+// AmountOf converts a number on the wire. It clamps the number to the range from -1e9 to 1e9,
+// and converts NaN to 0.
 func AmountOf(number float64) Amount {
 	const maxAmount = 1e9
 	return Amount(millionths(number, maxAmount))
@@ -50,10 +49,11 @@
 // Float returns the amount as a number for the wire and for policies.
 func (a Amount) Float() float64 { return float64(a) / perUnit }
 
-// perUnit is the number of Micros in a second, and of millionths in an Amount of one.
+// perUnit is the number of microseconds per second, and of millionths per unit of an Amount.
 const perUnit = 1e6
 
-// millionths rounds a number to whole millionths after clamping it to limit either way.
+// millionths clamps a number to the range from -limit to limit and rounds it to whole
+// millionths. It converts NaN to 0.
 func millionths(number, limit float64) int64 {
 	if math.IsNaN(number) {
 		return 0
@@ -61,7 +61,8 @@
 	return int64(math.Round(math.Max(-limit, math.Min(limit, number)) * perUnit))
 }
 
-// Resources is what a task requests or a machine has.
+// Resources is an amount of each kind of resource: a task's request or a machine's capacity,
+// for example.
 type Resources struct {
 	CPU, GPU, Memory Amount // Memory in GB
 }
@@ -72,11 +73,11 @@
 	return Resources{r.CPU + o.CPU*times, r.GPU + o.GPU*times, r.Memory + o.Memory*times}
 }
 
-// CountFitting returns how many times a request fits into the free capacity r: math.MaxInt32 if the
-// request is zero, and 0 if r is negative anywhere.
+// CountFitting returns how many times a request fits into the free capacity r. It returns
+// math.MaxInt32 if the request is zero, and 0 if any resource of r is negative.
 func (r Resources) CountFitting(request Resources) int {
 	if request.CPU > r.CPU || request.Memory > r.Memory || request.GPU > r.GPU {
-		return 0 // the most frequent case, at little cost
+		return 0 // fast path for the most frequent case
 	}
 	times := math.MaxInt32
 	for _, resource := range [...]struct{ free, requested Amount }{
@@ -94,18 +95,19 @@
 	return times
 }
 
-// Clock reads the time. It may be used from several goroutines.
+// Clock reads the time. It is safe for concurrent use.
 type Clock interface {
-	// Steady is a monotonic time from an arbitrary start, for lengths of time.
+	// Steady returns a monotonic time since an arbitrary start, for measuring durations.
 	Steady() Micros
-	// Wall is the time since the Unix epoch, correct only within the bound in the settings.
+	// Wall returns the time since the Unix epoch. Its error is within the bound in the
+	// settings.
 	Wall() Micros
 }
 
-// SystemClock is the machine's own clock. NewSystemClock makes one that can be used.
+// SystemClock is the clock of the operating system. Create one with NewSystemClock.
 type SystemClock struct{ start time.Time }
 
-// NewSystemClock makes a clock whose steady time starts at zero now.
+// NewSystemClock returns a clock whose steady time starts at zero now.
 func NewSystemClock() *SystemClock { return &SystemClock{start: time.Now()} }
 
 // Steady implements Clock.
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -9,7 +9,7 @@
 	_ "dunestand/internal/fake/fixedseed"
 )
 
-func TestFitsIsTheMostThatFits(t *testing.T) {
+func TestCountFittingReturnsTheLargestCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, least int64) Resources {
 			amount := rapid.Int64Range(least, 1000)
@@ -20,17 +20,17 @@
 		notNegative := func(r Resources) bool { return r.CPU >= 0 && r.GPU >= 0 && r.Memory >= 0 }
 		if n == math.MaxInt32 {
 			if request != (Resources{}) {
-				t.Fatalf("%v fits into %v without end", request, free)
+				t.Fatalf("non-zero request %v fits into %v without limit", request, free)
 			}
 			return
 		}
 		if n > 0 && !notNegative(free.Plus(request, -n)) || n >= 0 && notNegative(free) && notNegative(free.Plus(request, -n-1)) {
-			t.Fatalf("%v into %v: %d", request, free, n)
+			t.Fatalf("request %v fits into %v %d times by CountFitting", request, free, n)
 		}
 	})
 }
 
-func TestNumbersOfTheWireAreClamped(t *testing.T) {
+func TestOutOfRangeWireNumbersAreClamped(t *testing.T) {
 	for _, c := range []struct {
 		number float64
 		micros Micros
@@ -40,7 +40,7 @@
 		{math.Inf(1), 1e18, 1e15},
 		{math.Inf(-1), -1e18, -1e15},
 		{1e300, 1e18, 1e15},
-		{1.0000005, 1_000_001, 1_000_001}, // rounded, not cut off
+		{1.0000005, 1_000_001, 1_000_001}, // rounded, not truncated
 		{-2.5, -2_500_000, -2_500_000},
 	} {
 		if got := Seconds(c.number); got != c.micros {
