--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -9,15 +9,15 @@
 	"dunestand/internal/units"
 )
 
-// observation is what a follower knows after a read of the lease record.
+// observation is a follower's view of the leader lease after one read of its record.
 type observation struct {
 	record       storage.LeaseRecord
-	version      uint64       // 0: there is no record
-	unchangedFor units.Micros // for how long this controller has seen it at this version
+	version      uint64       // of the record; 0 if there is none
+	unchangedFor units.Micros // time since this controller first read this version
 	mayCampaign  bool
 }
 
-// watch reads the lease record once, and campaigns if the lease is free. It returns the time
+// watch reads the lease record once, and campaigns if the lease is free. It returns the delay
 // until the next step.
 func (e *Elector) watch(ctx context.Context) units.Micros {
 	record, version, err := e.readRecord(ctx)
@@ -29,15 +29,16 @@
 	if !seen.mayCampaign {
 		return e.pollDelay(seen.unchangedFor)
 	}
-	// A controller that hears nobody leaves the lease to the others for a while: it may be
-	// cut off, and could do nothing with the lease.
+	// A controller that receives no messages lets the others campaign first: it may be
+	// partitioned from the workers, and could not do a leader's work.
 	if seen.version != 0 && !e.Connected() && seen.unchangedFor < e.disconnectedPatience(seen.record.Holder) {
 		return leasePollJitter
 	}
 	return e.campaign(ctx, seen.record, seen.version)
 }
 
-// observe notes a read of the lease record and returns what is known with it.
+// observe records the result of a successful read of the lease record and returns the
+// follower's updated view of the lease.
 func (e *Elector) observe(record storage.LeaseRecord, version uint64) observation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -53,26 +54,26 @@
 	}
 }
 
-// observeFailure notes a read of the lease record that failed.
+// observeFailure records that a read of the lease record failed with err.
 func (e *Elector) observeFailure(err error) {
 	e.mu.Lock()
 	e.monitor.observeFailure()
 	e.mu.Unlock()
 	if !storeUnavailable(err) {
-		e.log.Error("leader lease not readable", "error", err)
+		e.log.Error("failed to read leader lease", "error", err)
 	}
 }
 
-// pollDelay returns the time until a follower reads the record again: sooner near the end of
-// the lease, and spread so that controllers do not race.
+// pollDelay returns the delay until a follower reads the record again: shorter near the end of
+// the lease, and with jitter so that controllers do not campaign at the same moment.
 func (e *Elector) pollDelay(unchangedFor units.Micros) units.Micros {
 	remaining := WithDrift(e.timing.Duration, e.timing.CampaignMargin) - unchangedFor
 	jitter := units.Micros(e.random.Int64N(int64(leasePollJitter)))
 	return max(minLeasePollInterval, min(e.timing.PollEvery, remaining)) + jitter
 }
 
-// disconnectedPatience returns for how long a record must be unchanged until a controller that
-// hears nobody campaigns: longer if another controller held the lease.
+// disconnectedPatience returns how long the record must have been unchanged before a
+// controller that receives no messages campaigns: longer if another controller held the lease.
 func (e *Elector) disconnectedPatience(holder string) units.Micros {
 	if holder == e.node {
 		return e.timing.Duration
@@ -81,7 +82,7 @@
 }
 
 // campaign tries to win the lease by a compare-and-swap that raises the incarnation by one.
-// The lease counts from when the write was sent, as a renewal's does.
+// The lease starts when the write is sent, as with a renewal.
 func (e *Elector) campaign(ctx context.Context, old storage.LeaseRecord, version uint64) units.Micros {
 	e.mu.Lock()
 	record := storage.LeaseRecord{
@@ -106,8 +107,8 @@
 	return e.timing.RenewEvery
 }
 
-// storeUnavailable reports whether an error only says that the key-value store refused or did
-// not answer, which an outage of it explains.
+// storeUnavailable reports whether err means only that the key-value store refused the request
+// or did not answer it, as it does during an outage. Such errors are not logged.
 func storeUnavailable(err error) bool {
 	return errors.Is(err, kv.ErrRefused) || errors.Is(err, kv.ErrOutcomeUnknown)
 }
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,11 +1,11 @@
-// Package election decides which controller leads. A controller campaigns for the leader
-// lease, a record in the key-value store, by a compare-and-swap that raises the record's
-// incarnation; the winner renews the record until it steps down or another controller has
-// won, and the others watch it. The incarnation is the leader's fencing token.
+// Package election elects the leader among the controllers. A controller campaigns for the
+// leader lease, a record in the key-value store, by a compare-and-swap that raises the record's
+// incarnation. The winner renews the record until it steps down or another controller wins;
+// the others watch the record. The incarnation is the leader's fencing token.
 //
-// No clocks of different machines are compared: a holder counts its lease from when it sent
-// the last renewal, and a follower campaigns only once it has itself seen the record unchanged
-// for the whole lease, a margin and the drift between two clocks.
+// Clocks of different machines are never compared. A holder counts its lease from the moment at
+// which it sent the last renewal. A follower campaigns only once it has itself seen the record
+// unchanged for the lease duration plus a margin and the drift between two clocks.
 package election
 
 import (
@@ -20,7 +20,7 @@
 	"dunestand/internal/units"
 )
 
-// Deps is what an Elector works with.
+// Deps holds the dependencies of an Elector.
 type Deps struct {
 	Node string // this controller's name
 	// KV should have connections of its own, so that a renewal does not wait behind other
@@ -28,7 +28,7 @@
 	KV     *kv.Client
 	Clock  units.Clock
 	Timing LeaseTiming
-	Random *rand.Rand // used by NewElector and Run alone
+	Random *rand.Rand // used only by NewElector and Run
 	Log    *slog.Logger
 }
 
@@ -41,34 +41,33 @@
 	timing LeaseTiming
 	random *rand.Rand
 	log    *slog.Logger
-	// nonce begins the id of every write of this process, so that it knows its own writes
-	// from those of a former process of the same controller.
+	// nonce is the prefix of all write IDs of this process. It distinguishes them from the
+	// write IDs of a former process of the same controller.
 	nonce string
 
-	// Connected reports whether this controller hears workers or other controllers. One that
-	// hears nobody lets the others campaign first. It is set before Run, and must be safe for
-	// concurrent use.
+	// Connected reports whether this controller receives messages from workers or other
+	// controllers. A controller that does not lets the others campaign first. Connected must
+	// be set before Run and be safe for concurrent use.
 	Connected func() bool
-	// Eligible reports whether this controller could lead at all; nil means that it always
-	// could. It is set before Run, is called with the elector's lock held, and must not call
-	// the elector.
+	// Eligible reports whether this controller is able to lead; nil means always. It must be
+	// set before Run. It is called with the elector's lock held and must not call the elector.
 	Eligible func() bool
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	monitor       leaseMonitor
 	leading       bool
-	recordVersion uint64 // of the lease record, as this leader last wrote it
+	recordVersion uint64 // version of the lease record that this leader last wrote
 	token         uint64
 	validUntil    units.Micros // on this controller's steady clock
 	steppingDown  bool         // the next renewal resigns
 	campaignAfter units.Micros // steady time before which this controller does not campaign
-	abstainFor    units.Micros // once resigned, longer than usual
+	abstainFor    units.Micros // minimum time without campaigning after the resignation
 	handedOverAt  units.Micros // time of day of the last hand-over by any holder, as in the record
-	writes        uint64       // numbers the writes of this process
-	answeredAt    units.Micros // when the key-value store last answered a read or a renewal
+	writes        uint64       // number of write IDs issued by this process
+	answeredAt    units.Micros // steady time of the key-value store's last answer to a read or renewal
 }
 
-// NewElector returns the elector of a controller, which begins as a follower.
+// NewElector returns the elector of a controller, which starts as a follower.
 func NewElector(deps Deps) *Elector {
 	return &Elector{
 		node:       deps.Node,
@@ -85,10 +84,11 @@
 }
 
 // Run renews the lease while this controller leads, and watches it and campaigns while it
-// does not, until ctx ends. After each election won, lead runs with the fencing token and a
-// context that ends once the lease is lost for good; Run waits for it to return before it
-// campaigns again, and before it returns itself. A lease that only expired, with the record
-// unchanged, is renewed with the same token, and lead runs on.
+// does not, until ctx ends. After each election that this controller wins, Run calls lead in a
+// goroutine with the fencing token and a context that is cancelled once the lease is resigned or
+// another controller has acquired it. Run waits for lead to return before it campaigns again,
+// and before it returns itself. A lease that expired while the record stayed unchanged is
+// renewed with the same token, and lead keeps running.
 func (e *Elector) Run(ctx context.Context, lead func(ctx context.Context, token uint64)) {
 	stopLeader := func() {}
 	defer func() { stopLeader() }()
@@ -108,8 +108,8 @@
 	}
 }
 
-// startLeader runs lead in a goroutine and returns a function that cancels it and waits for
-// it.
+// startLeader runs lead in a goroutine and returns a function that cancels its context and
+// waits until it has returned.
 func startLeader(ctx context.Context, token uint64, lead func(ctx context.Context, token uint64)) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -123,8 +123,8 @@
 	}
 }
 
-// holdsLease reports whether this controller has won the last election, as far as it knows.
-// Its lease may have expired; Valid tells that.
+// holdsLease reports whether this controller won the last election that it knows of. Its lease
+// may have expired since; Valid checks that.
 func (e *Elector) holdsLease() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -20,18 +20,17 @@
 	"dunestand/internal/units"
 )
 
-// testController is one controller's elector with a clock of its own, which starts anywhere
-// and runs up to 0.05% off.
+// testController is a controller's elector with its own drifting clock.
 type testController struct {
 	elector *Elector
 	clock   *driftingClock
 }
 
-// driftingClock follows the true time at an offset and a rate of its own.
+// driftingClock derives its time from the true time by an offset and a rate error.
 type driftingClock struct {
 	truth  *units.Micros
 	offset units.Micros
-	rate   int64 // millionths fast
+	rate   int64 // gain on the true time, in parts per million
 }
 
 func (c *driftingClock) Steady() units.Micros {
@@ -39,8 +38,8 @@
 }
 func (c *driftingClock) Wall() units.Micros { return c.Steady() }
 
-// newTestElector returns the elector of a controller, or of a further process of it with
-// another seed, on a fake key-value store.
+// newTestElector returns an elector of the named controller on a fake key-value store. Each
+// process of a controller needs a seed of its own, since write IDs are derived from it.
 func newTestElector(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
 	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.KVLimits{
 		RPS:      1e6,
@@ -56,7 +55,7 @@
 	})
 }
 
-// step does what Run does between two pauses.
+// step executes one iteration of Run, without starting a leader.
 func (c *testController) step(ctx context.Context) {
 	if c.elector.holdsLease() {
 		c.elector.renew(ctx)
@@ -65,14 +64,14 @@
 	}
 }
 
-// holderCheck fails a test in which two controllers hold the lease at a time, or a fencing token
-// falls or has two owners.
+// holderCheck is an invariant checker: at most one controller holds the lease at a time, valid
+// fencing tokens never decrease, and each token belongs to a single process.
 type holderCheck struct {
 	owners map[uint64]*Elector // by token
-	newest uint64              // token
+	newest uint64              // the highest token that was valid so far
 }
 
-// observe checks who holds the lease now.
+// observe checks the invariants for the current state of all controllers.
 func (c *holderCheck) observe(t *rapid.T, controllers []*testController) {
 	t.Helper()
 	holders := 0
@@ -87,7 +86,7 @@
 		}
 		c.newest = token
 		if owner := c.owners[token]; owner != nil && owner != controller.elector {
-			t.Fatalf("token %d was another process's", token)
+			t.Fatalf("token %d was also valid in another process", token)
 		}
 		c.owners[token] = controller.elector
 	}
@@ -96,11 +95,11 @@
 	}
 }
 
-// At no moment do two controllers hold the lease, whatever their clocks, their pauses, the
-// key-value store's outages, and writes without an answer or that are carried out late; and
-// fencing tokens only rise. A process that is back at once, also between its campaign and the
-// outcome, never goes on with a token of its former process: the token must tell a worker's
-// heartbeat to the one from a heartbeat to the other.
+// Two controllers never hold the lease at the same time, and fencing tokens never decrease,
+// under clock drift, pauses, outages of the key-value store, lost responses and delayed writes.
+// A restarted process never reuses a token of its former process, even if the restart falls
+// between a campaign and its outcome: otherwise workers could not tell heartbeats to the two
+// processes apart.
 func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := t.Context()
@@ -139,8 +138,8 @@
 	})
 }
 
-// A lease that expired in an outage is renewed with the same token, if nobody else acquired
-// it meanwhile.
+// A lease that expired during an outage is renewed with the same token if no other controller
+// has acquired it. A leader that steps down then resigns it.
 func TestExpiredLeaseIsRenewedWithSameToken(t *testing.T) {
 	state := fake.NewKVServer()
 	down := false
@@ -158,16 +157,16 @@
 	truth += 20 * units.Second
 	elector.renew(t.Context())
 	if elector.Valid(token) {
-		t.Fatal("still valid after the outage outlasted it")
+		t.Fatal("still valid after an outage longer than the lease")
 	}
 	down = false
 	elector.renew(t.Context())
 	if !elector.Valid(token) {
-		t.Fatal("not renewed with its token")
+		t.Fatal("not renewed with the same token")
 	}
 	elector.StepDown()
 	if elector.Valid(token) {
-		t.Fatal("valid though the leader steps down")
+		t.Fatal("valid although the leader is stepping down")
 	}
 	elector.renew(t.Context())
 	var record storage.LeaseRecord
@@ -177,8 +176,8 @@
 	}
 }
 
-// A controller that was cut off, ended, and came back still cut off must not acquire its own
-// lease again at once: it would hold it without hearing a worker.
+// A controller that restarts while it is partitioned from the workers must not acquire its
+// former process's lease at once: it would lead without receiving a heartbeat.
 func TestDisconnectedControllerWaitsBeforeCampaign(t *testing.T) {
 	state := fake.NewKVServer()
 	server := httptest.NewServer(state)
@@ -191,11 +190,11 @@
 	again.Connected = func() bool { return connected }
 	again.watch(t.Context())
 	if again.holdsLease() {
-		t.Fatal("acquired while it hears nobody")
+		t.Fatal("acquired while disconnected")
 	}
 	connected = true
 	again.watch(t.Context())
 	if !again.holdsLease() || again.Token() != 2 {
-		t.Fatal("not acquired though it hears others")
+		t.Fatal("not acquired although connected")
 	}
 }
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -10,7 +10,8 @@
 	"dunestand/internal/units"
 )
 
-// holdingElector returns an elector that holds the lease.
+// holdingElector returns an elector that holds the lease with the given token and never loses it
+// by expiry.
 func holdingElector(token uint64, clock units.Clock) *Elector {
 	e := NewElector(Deps{
 		Node:   "n",
@@ -23,8 +24,8 @@
 	return e
 }
 
-// The lease is handed over at most once in minHandOverInterval, whoever holds it: the time of
-// the last hand-over goes with the record.
+// The lease is handed over at most once per minHandOverInterval, also across holders: the lease
+// record carries the time of the last hand-over.
 func TestHandOversAreSpaced(t *testing.T) {
 	clock := &fake.Clock{Now: 1000 * units.Second}
 	lease := holdingElector(1, clock)
@@ -35,10 +36,10 @@
 	next.handedOverAt = lease.handedOverAt // as read from the record
 	clock.Now += minHandOverInterval - units.Second
 	if next.HandOver(clock.Now) || !next.Valid(2) {
-		t.Error("handed over again at once")
+		t.Error("handed over again within the interval")
 	}
 	clock.Now += 2 * units.Second
 	if !next.HandOver(clock.Now) {
-		t.Error("not handed over long after")
+		t.Error("not handed over after the interval")
 	}
 }
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -8,18 +8,18 @@
 	// Token returns the fencing token: the incarnation of the leader lease.
 	Token() uint64
 	// Valid reports whether this controller holds the lease of this election at this moment.
-	// See Elector.Valid for what the answer proves.
+	// See Elector.Valid for the guarantees of the result.
 	Valid() bool
-	// StepDown gives the lease up, for a leader that could not do its work.
+	// StepDown resigns the lease. A leader that could not do its work calls it.
 	StepDown()
-	// Abstain gives the lease up and leaves it to the others for at least d.
+	// Abstain resigns the lease and does not campaign again for at least d.
 	Abstain(d units.Micros)
-	// HandOver gives the lease up for a leader that has fallen behind, and reports whether it
-	// did: not if any holder did so a short time ago. wall is the time of day.
+	// HandOver resigns the lease of a leader that has fallen behind, and reports whether it
+	// did. It does not if any holder handed the lease over recently. wall is the time of day.
 	HandOver(wall units.Micros) bool
 }
 
-// Leadership returns the leadership of an election that this controller won.
+// Leadership returns the leadership of the election that this controller won with token.
 func (e *Elector) Leadership(token uint64) Leadership { return leadership{e, token} }
 
 type leadership struct {
--- a/internal/election/monitor.go
+++ b/internal/election/monitor.go
@@ -6,19 +6,19 @@
 )
 
 // leaseMonitor is a follower's view of the leader lease record. It has no clock and does no
-// I/O: reads are passed to it with their times. It never compares clocks of different
-// machines: what counts is for how long this controller itself has seen the record unchanged.
+// I/O: its caller passes it the result and the time of each read. It compares no clocks of
+// different machines; it measures for how long this controller has seen the record unchanged.
 type leaseMonitor struct {
 	timing         LeaseTiming
 	record         storage.LeaseRecord
 	version        uint64
-	seen           bool         // a read was answered
-	unchangedSince units.Micros // when this version was first seen
-	graceUntil     units.Micros // after an outage the holder may renew first
+	seen           bool         // a read has succeeded
+	unchangedSince units.Micros // when this version was first read
+	graceUntil     units.Micros // end of the grace period in which the holder may renew after an outage
 	readFailed     bool         // the last read failed
 }
 
-// observe notes a read of the record that was answered at now.
+// observe records the result of a read of the record that succeeded at now.
 func (m *leaseMonitor) observe(record storage.LeaseRecord, version uint64, now units.Micros) {
 	if m.readFailed {
 		m.readFailed, m.graceUntil = false, now+outageGrace
@@ -28,12 +28,13 @@
 	}
 }
 
-// observeFailure notes a read that failed.
+// observeFailure records that a read failed.
 func (m *leaseMonitor) observeFailure() { m.readFailed = true }
 
-// mayCampaign reports whether the lease is free for a controller: there is no record, its
-// holder resigned or was a former process of this controller, or the record has not changed
-// for the whole lease.
+// mayCampaign reports whether the lease is free for the controller named self: there is no
+// record, its holder resigned or was a former process of the same controller, or the record has
+// not changed for the lease duration, the clock drift and the campaign margin. It is not free
+// after a failed read, nor during the grace period that follows an outage.
 func (m *leaseMonitor) mayCampaign(self string, now units.Micros) bool {
 	switch {
 	case !m.seen || m.readFailed || now < m.graceUntil:
--- a/internal/election/record.go
+++ b/internal/election/record.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// leaseCallTimeout bounds one request for the lease record. It is below the shortest
-	// lease by enough for further tries.
+	// leaseCallTimeout is the timeout of one request for the lease record. It leaves time for
+	// retries within the shortest lease.
 	leaseCallTimeout = 900 * units.Millisecond
 	leaseRetryDelay  = 150 * units.Millisecond
 )
 
-// readRecord reads the lease record and its version, which is 0 if there is none.
+// readRecord returns the lease record and its version, which is 0 if there is no record. It
+// fails with a *storage.RecordError if the record cannot be decoded.
 func (e *Elector) readRecord(ctx context.Context) (storage.LeaseRecord, uint64, error) {
 	var record storage.LeaseRecord
 	item, ok, err := e.client.Get(ctx, storage.KeyLeaderLease, leaseCallTimeout)
@@ -32,9 +33,9 @@
 	return record, item.Version, nil
 }
 
-// compareAndSwap writes the lease record if its version is still the given one. Where the
-// outcome is not certain it reads the record. It returns the version that now stands, and
-// whether the record is the one written.
+// compareAndSwap writes the lease record if its stored version is still version. If that fails
+// with a version conflict or an unknown outcome, it reads the record back. It returns the
+// current version, and whether the current record is the one that this call wrote.
 func (e *Elector) compareAndSwap(ctx context.Context, record storage.LeaseRecord, version uint64) (newVersion uint64, ours bool, err error) {
 	newVersion, err = e.client.CompareAndSwap(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.KeyLeaderLease, Version: version}},
@@ -45,8 +46,8 @@
 	case err == nil:
 		return newVersion, true, nil
 	case errors.As(err, &conflict), errors.Is(err, kv.ErrOutcomeUnknown):
-		// Either another controller was faster, or an earlier write of this one that got no
-		// answer was carried out after all. The record tells which.
+		// Either another controller wrote the record first, or a write of this controller that
+		// was not answered was carried out. The record's write ID tells which.
 		current, currentVersion, err := e.readRecord(ctx)
 		if err != nil {
 			return 0, false, err
@@ -56,13 +57,13 @@
 	return 0, false, err
 }
 
-// nextWriteID returns a new id for a write of the record. It needs the lock held.
+// nextWriteID returns a new ID for a write of the record. The caller must hold e.mu.
 func (e *Elector) nextWriteID() string {
 	e.writes++
 	return fmt.Sprintf("%s-%d", e.nonce, e.writes)
 }
 
-// isOwnWrite reports whether a write id is one of this process.
+// isOwnWrite reports whether a write ID was issued by this process.
 func (e *Elector) isOwnWrite(id string) bool {
 	return len(id) > len(e.nonce) && strings.HasPrefix(id, e.nonce)
 }
--- a/internal/election/renew.go
+++ b/internal/election/renew.go
@@ -7,8 +7,8 @@
 	"dunestand/internal/units"
 )
 
-// renew prolongs the lease by one write of the record, or resigns if the leader is stepping
-// down. It returns the time until the next step.
+// renew writes the record once to renew the lease, or to resign if the leader is stepping down.
+// It returns the delay until the next step.
 func (e *Elector) renew(ctx context.Context) units.Micros {
 	e.mu.Lock()
 	record := storage.LeaseRecord{
@@ -23,7 +23,7 @@
 	version, ours, err := e.compareAndSwap(ctx, record, base)
 	if err != nil {
 		if !storeUnavailable(err) {
-			e.log.Error("leader lease not renewed", "token", record.Incarnation, "error", err)
+			e.log.Error("failed to renew leader lease", "token", record.Incarnation, "error", err)
 		}
 		return leaseRetryDelay
 	}
@@ -35,13 +35,14 @@
 	}
 	e.mu.Unlock()
 	if version == base {
-		return leaseRetryDelay // not carried out yet; the next write decides
+		return leaseRetryDelay // the write has not been carried out yet; retry it
 	}
 	return e.resolveConflict(ctx)
 }
 
-// renewed notes that a renewal sent at sentAt was carried out. The lease counts from when the
-// write was sent, since nobody can have seen it earlier. It needs the lock held.
+// renewed records that a write sent at sentAt was carried out: a renewal, or the resignation.
+// A renewed lease starts at sentAt, since no follower can have read the record before then. It
+// returns the delay until the next step. The caller must hold e.mu.
 func (e *Elector) renewed(record storage.LeaseRecord, version uint64, sentAt units.Micros) units.Micros {
 	e.recordVersion = version
 	if record.Resigned {
@@ -54,8 +55,9 @@
 	return e.timing.RenewEvery
 }
 
-// resolveConflict finds out why a renewal met another version of the record: an earlier write
-// of this process was carried out late, or another controller has won the lease.
+// resolveConflict reads the record to determine why a renewal met a version conflict: an earlier
+// write of this process was carried out late, or another controller has won the lease. It
+// returns the delay until the next step.
 func (e *Elector) resolveConflict(ctx context.Context) units.Micros {
 	record, version, err := e.readRecord(ctx)
 	e.mu.Lock()
@@ -72,7 +74,7 @@
 	return 0
 }
 
-// loseLease makes this controller a follower. It needs the lock held.
+// loseLease makes this controller a follower. The caller must hold e.mu.
 func (e *Elector) loseLease(why string) {
 	e.log.Info("leader lease lost", "token", e.token, "why", why)
 	e.leading, e.steppingDown, e.validUntil = false, false, 0
--- a/internal/election/run_test.go
+++ b/internal/election/run_test.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-// Run leads with the token that it won, and waits for the leader to end before it returns.
+// Run calls lead with the token that it won, and returns only after lead has returned.
 func TestRunWaitsForTheLeaderToEnd(t *testing.T) {
 	server := httptest.NewServer(fake.NewKVServer())
 	t.Cleanup(server.Close)
@@ -30,10 +30,10 @@
 	select {
 	case token := <-leading:
 		if leadership := elector.Leadership(token); token != 1 || !leadership.Valid() || leadership.Token() != token {
-			t.Errorf("leads with token %d, which is not valid", token)
+			t.Errorf("leads with token %d, which is not 1 or not valid", token)
 		}
 		if elector.Remaining() <= 0 || elector.Remaining() > elector.LeaseDuration() || elector.Leader() != "a" {
-			t.Errorf("the lease of %q holds for %d us", elector.Leader(), elector.Remaining())
+			t.Errorf("the lease of %q has %d us remaining", elector.Leader(), elector.Remaining())
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatal("does not lead")
@@ -41,12 +41,12 @@
 	cancel()
 	<-returned
 	if !ended {
-		t.Error("returned while the leader went on")
+		t.Error("returned before lead did")
 	}
 }
 
-// A leader that steps down stops leading, and another controller acquires the lease at once; this
-// one sees that it is renewed.
+// Another controller acquires a resigned lease at once. The former leader, as a follower, then
+// reports the new holder and whether it has seen a renewal within the lease duration.
 func TestResignedLeaseIsAcquiredAtOnce(t *testing.T) {
 	server := httptest.NewServer(fake.NewKVServer())
 	t.Cleanup(server.Close)
@@ -56,20 +56,20 @@
 	first.watch(t.Context())
 	second.watch(t.Context())
 	if !first.holdsLease() || second.holdsLease() || second.Leader() != "a" || !second.SeesRenewals() {
-		t.Fatal("the first controller's lease is not seen")
+		t.Fatal("the second controller does not see the first one's lease")
 	}
 	first.Abstain(20 * units.Second)
 	first.renew(t.Context())
 	second.watch(t.Context())
 	if first.holdsLease() || !second.Valid(2) {
-		t.Fatal("the resigned lease is not acquired")
+		t.Fatal("the resigned lease was not acquired")
 	}
 	first.watch(t.Context())
 	if first.Leader() != "b" || !first.SeesRenewals() || first.UnansweredFor() != 0 {
-		t.Errorf("the leader is %q", first.Leader())
+		t.Errorf("the known leader is %q, want b, renewed just now", first.Leader())
 	}
 	now += first.timing.Duration
 	if first.SeesRenewals() || first.UnansweredFor() != first.timing.Duration {
-		t.Error("a renewal is seen though none was read for the whole lease")
+		t.Error("reports a recent renewal although none was read for the lease duration")
 	}
 }
--- a/internal/election/status.go
+++ b/internal/election/status.go
@@ -6,18 +6,18 @@
 )
 
 // Valid reports whether this controller holds the lease with the given fencing token at this
-// moment. true proves that no other controller held a lease when the call began; it proves
-// nothing about later moments, so what must not happen without the lease is fenced by the
-// token in the key-value store and on the workers as well. false proves nothing: the lease may
-// hold while a renewal has not been answered yet.
+// moment. True guarantees that no other controller held the lease when the call began. It
+// guarantees nothing about later moments, so the key-value store and the workers also check the
+// fencing token of every action that requires the lease. False guarantees nothing: the lease may
+// be held while a renewal has not been answered yet.
 func (e *Elector) Valid(token uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leading && !e.steppingDown && e.token == token && e.clock.Steady() < e.validUntil
 }
 
-// Remaining returns how long the lease still holds without a renewal, 0 if it has expired, is
-// being given up or is not held.
+// Remaining returns the time until the lease expires unless it is renewed. It is 0 if the lease
+// has expired or is not held, or if this controller is stepping down.
 func (e *Elector) Remaining() units.Micros {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -27,20 +27,19 @@
 	return max(0, e.validUntil-e.clock.Steady())
 }
 
-// LeaseDuration returns for how long a renewal of the lease holds.
+// LeaseDuration returns for how long a renewal extends the lease.
 func (e *Elector) LeaseDuration() units.Micros { return e.timing.Duration }
 
-// Token returns the fencing token of the last election that this controller won, 0 if it has
-// won none. It does not prove that the lease is still held; Valid does.
+// Token returns the fencing token of the last election that this controller won, or 0 if it has
+// won none. The lease may have been lost since; Valid checks that.
 func (e *Elector) Token() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.token
 }
 
-// Leader returns the name of the controller that holds the lease as far as this one knows, ""
-// if it knows of none. It proves nothing: the lease may have expired or have been lost since
-// the record was read.
+// Leader returns the name of the last known holder of the lease, or "" if none is known. It
+// guarantees nothing: the lease may have expired or been lost since the record was read.
 func (e *Elector) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -53,9 +52,9 @@
 	return e.monitor.record.Holder
 }
 
-// SeesRenewals reports whether another controller led a moment ago: this one has itself seen
-// the holder renew the record within the last lease duration, and the last read was answered.
-// false does not prove that nobody leads.
+// SeesRenewals reports whether another controller led a moment ago: this controller has itself
+// seen the record change within the last lease duration, and the last read succeeded. False
+// does not guarantee that there is no leader.
 func (e *Elector) SeesRenewals() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,16 +63,16 @@
 		e.clock.Steady()-m.unchangedSince < e.timing.Duration
 }
 
-// UnansweredFor returns for how long the key-value store has answered neither a read nor a
-// renewal of the record. A large value tells that this controller is cut off from the store
-// or that the store is down, not which of the two.
+// UnansweredFor returns the time since the key-value store last answered a read or a renewal of
+// the record. A large value means that this controller is partitioned from the store or that
+// the store is down; it does not tell which.
 func (e *Elector) UnansweredFor() units.Micros {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.clock.Steady() - e.answeredAt
 }
 
-// ObserveRecord notes what a read of the lease record by another component showed just now.
+// ObserveRecord passes in a lease record that another component has just read, with its version.
 func (e *Elector) ObserveRecord(record storage.LeaseRecord, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/timing.go
+++ b/internal/election/timing.go
@@ -2,39 +2,42 @@
 
 import "dunestand/internal/units"
 
-// LeaseTiming is the pace of the leader lease.
+// LeaseTiming holds the duration and the intervals of the leader lease.
 type LeaseTiming struct {
-	// Duration is the length of the lease, counted by the holder from when a renewal was
-	// sent.
-	Duration   units.Micros
+	// Duration is the length of the lease, counted by the holder from the moment at which it
+	// sent the renewal.
+	Duration units.Micros
+	// RenewEvery is the time between two renewals by the holder.
 	RenewEvery units.Micros
-	// PollEvery is the time between two reads by a follower.
+	// PollEvery is the longest time between two reads by a follower, before jitter.
 	PollEvery units.Micros
-	// CampaignMargin is how much longer than the duration, and the drift of clocks, a
-	// follower waits until it campaigns.
+	// CampaignMargin is added to the duration and the clock drift for which a follower must see
+	// the record unchanged before it campaigns.
 	CampaignMargin units.Micros
 }
 
-// The bounds of the leader lease, and the pace of those who watch it.
+// Limits and intervals of the leader lease.
 const (
 	minLeaseDuration  = 3 * units.Second
 	maxLeaseDuration  = 5 * units.Second
 	leasePollInterval = 400 * units.Millisecond
 	campaignMargin    = 300 * units.Millisecond
-	// renewalsPerLease is how often the holder renews in the length of a lease.
+	// renewalsPerLease is the number of renewals by the holder per lease duration.
 	renewalsPerLease = 5
-	// outageGrace is the time that a holder has to renew once an outage is over.
+	// outageGrace is the grace period in which the holder may renew once an outage is over.
 	outageGrace = 800 * units.Millisecond
-	// A follower reads the record more often as its end comes near, no sooner than
-	// minLeasePollInterval, and spread over leasePollJitter so that controllers do not race.
+	// minLeasePollInterval is the shortest time between two reads by a follower, which polls
+	// faster near the end of the lease.
 	minLeasePollInterval = 20 * units.Millisecond
-	leasePollJitter      = 100 * units.Millisecond
+	// leasePollJitter is the range of the random delay that is added to each poll interval, so
+	// that controllers do not campaign at the same moment.
+	leasePollJitter = 100 * units.Millisecond
 )
 
-// TimingFor returns the timing of the leader lease for a length of the workers' lease. The
-// loss of a leader costs the leader lease and the workers' way to its successor, all within
-// the workers' own lease; a longer leader lease only helps through outages of the key-value
-// store, which the workers' lease bridges too.
+// TimingFor returns the timing of the leader lease for the duration of a worker lease. After
+// the loss of a leader, its lease must expire and the workers must reach the new leader, all
+// within the worker lease. A longer leader lease would only help to survive outages of the
+// key-value store, which the worker lease survives as well.
 func TimingFor(workerLease units.Micros) LeaseTiming {
 	duration := min(max(workerLease.Fraction(3, 10), minLeaseDuration), maxLeaseDuration)
 	return LeaseTiming{
--- a/internal/election/workerlease.go
+++ b/internal/election/workerlease.go
@@ -5,21 +5,21 @@
 	"dunestand/internal/units"
 )
 
-// workerLeaseMargin covers the way of a heartbeat and of its response.
+// workerLeaseMargin allows for the network delay of a heartbeat and of its response.
 const workerLeaseMargin = 500 * units.Millisecond
 
-// WorkerLeaseBound returns how long a machine's tasks may run on after its last answered
-// heartbeat arrived at this controller, by any machine's clock.
+// WorkerLeaseBound returns the longest time, by any machine's clock, for which a machine's tasks
+// can continue to run after its last answered heartbeat arrived at this controller.
 func WorkerLeaseBound(w config.Workers) units.Micros {
 	return WithDrift(w.LeaseDuration(), workerLeaseMargin)
 }
 
-// ConfirmsCancellationWhenDurable reports whether a user may be told of a cancellation as soon
-// as it is durable. From then on every controller that prolongs a worker's lease knows of it:
-// the leader that stored it had noted it before, former leaders have no lease any more, and
-// later ones answer no worker before they have read the records. So a task that no command
-// reaches ends with the worker's lease, and that must be within cancel_s. Otherwise the user is
-// told once nothing of the job is left on any machine.
+// ConfirmsCancellationWhenDurable reports whether a cancellation may be confirmed to the user as
+// soon as it is durable. From then on every controller that renews a worker's lease knows of the
+// cancellation: the leader that stored it knew it before, former leaders no longer hold the
+// leader lease, and later leaders answer no worker before they have read the records. So a task
+// that no stop command reaches ends when its worker's lease expires, which must be within
+// cancel_s. Otherwise the cancellation is confirmed once no machine runs any task of the job.
 func ConfirmsCancellationWhenDurable(w config.Workers) bool {
 	return WorkerLeaseBound(w) <= w.CancelBound()
 }
