--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -31,7 +31,7 @@
 	}
 	// A controller that receives no messages lets the others campaign first: it may be
 	// partitioned from the workers, and could not do a leader's work.
-	if seen.version != 0 && !e.Connected() && seen.unchangedFor < e.disconnectedPatience(seen.record.Holder) {
+	if seen.version != 0 && !e.Connected() && seen.unchangedFor < e.disconnectedCampaignDelay(seen.record.Holder) {
 		return leasePollJitter
 	}
 	return e.campaign(ctx, seen.record, seen.version)
@@ -49,7 +49,7 @@
 		record:       e.monitor.record,
 		version:      e.monitor.version,
 		unchangedFor: now - e.monitor.unchangedSince,
-		mayCampaign: e.monitor.mayCampaign(e.node, now) && now >= e.campaignAfter &&
+		mayCampaign: e.monitor.mayCampaign(e.name, now) && now >= e.campaignAfter &&
 			(e.Eligible == nil || e.Eligible()),
 	}
 }
@@ -72,10 +72,10 @@
 	return max(minLeasePollInterval, min(e.timing.PollEvery, remaining)) + jitter
 }
 
-// disconnectedPatience returns how long the record must have been unchanged before a
+// disconnectedCampaignDelay returns how long the record must have been unchanged before a
 // controller that receives no messages campaigns: longer if another controller held the lease.
-func (e *Elector) disconnectedPatience(holder string) units.Micros {
-	if holder == e.node {
+func (e *Elector) disconnectedCampaignDelay(holder string) units.Micros {
+	if holder == e.name {
 		return e.timing.Duration
 	}
 	return 3 * e.timing.Duration
@@ -86,7 +86,7 @@
 func (e *Elector) campaign(ctx context.Context, old storage.LeaseRecord, version uint64) units.Micros {
 	e.mu.Lock()
 	record := storage.LeaseRecord{
-		Holder:       e.node,
+		Holder:       e.name,
 		Incarnation:  old.Incarnation + 1,
 		WriteID:      e.nextWriteID(),
 		HandedOverAt: old.HandedOverAt,
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -35,7 +35,7 @@
 // Elector holds the leader lease, or watches it and campaigns for it. Run does the work;
 // the other methods may be called concurrently with it and with each other.
 type Elector struct {
-	node   string
+	name   string
 	client *kv.Client
 	clock  units.Clock
 	timing LeaseTiming
@@ -70,7 +70,7 @@
 // NewElector returns the elector of a controller, which starts as a follower.
 func NewElector(deps Deps) *Elector {
 	return &Elector{
-		node:       deps.Node,
+		name:       deps.Node,
 		client:     deps.KV,
 		clock:      deps.Clock,
 		timing:     deps.Timing,
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -28,13 +28,13 @@
 
 // driftingClock derives its time from the true time by an offset and a rate error.
 type driftingClock struct {
-	truth  *units.Micros
-	offset units.Micros
-	rate   int64 // gain on the true time, in parts per million
+	trueTime *units.Micros
+	offset   units.Micros
+	rate     int64 // gain on the true time, in parts per million
 }
 
 func (c *driftingClock) Steady() units.Micros {
-	return c.offset + *c.truth + *c.truth*units.Micros(c.rate)/1_000_000
+	return c.offset + *c.trueTime + *c.trueTime*units.Micros(c.rate)/1_000_000
 }
 func (c *driftingClock) Wall() units.Micros { return c.Steady() }
 
@@ -64,15 +64,15 @@
 	}
 }
 
-// holderCheck is an invariant checker: at most one controller holds the lease at a time, valid
+// holderChecker is an invariant checker: at most one controller holds the lease at a time, valid
 // fencing tokens never decrease, and each token belongs to a single process.
-type holderCheck struct {
+type holderChecker struct {
 	owners map[uint64]*Elector // by token
 	newest uint64              // the highest token that was valid so far
 }
 
 // observe checks the invariants for the current state of all controllers.
-func (c *holderCheck) observe(t *rapid.T, controllers []*testController) {
+func (c *holderChecker) observe(t *rapid.T, controllers []*testController) {
 	t.Helper()
 	holders := 0
 	for _, controller := range controllers {
@@ -100,7 +100,7 @@
 // A restarted process never reuses a token of its former process, even if the restart falls
 // between a campaign and its outcome: otherwise workers could not tell heartbeats to the two
 // processes apart.
-func TestAtMostOneHolder(t *testing.T) {
+func TestFaultsAndClockDriftNeverYieldTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := t.Context()
 		state := fake.NewKVServer()
@@ -114,20 +114,20 @@
 		truth := units.Second
 		var controllers []*testController
 		for i, name := range []string{"a", "b", "c"} {
-			clock := &driftingClock{truth: &truth, offset: units.Micros(i) * 1000 * units.Second,
+			clock := &driftingClock{trueTime: &truth, offset: units.Micros(i) * 1000 * units.Second,
 				rate: rapid.Int64Range(0, 500).Draw(t, "rate")}
 			controllers = append(controllers, &testController{newTestElector(name, server, clock, uint64(i)), clock})
 		}
 		late := rapid.SliceOfN(rapid.IntRange(0, 3), 13, 13).Draw(t, "late")
 		state.DelayCommit = func(n int) bool { return late[n%13] == 0 }
 		flush := rapid.SliceOfN(rapid.IntRange(0, 2), 17, 17).Draw(t, "carried out")
-		check := holderCheck{owners: map[uint64]*Elector{}}
+		check := holderChecker{owners: map[uint64]*Elector{}}
 		step := 0
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
 			truth += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
 			i := rapid.IntRange(0, 2).Draw(t, "node")
 			if rapid.IntRange(0, 7).Draw(t, "restart") == 0 {
-				controllers[i].elector = newTestElector(controllers[i].elector.node, server, controllers[i].clock, uint64(100+calls))
+				controllers[i].elector = newTestElector(controllers[i].elector.name, server, controllers[i].clock, uint64(100+calls))
 			}
 			controllers[i].step(ctx)
 			if step++; flush[step%17] == 0 {
@@ -147,7 +147,7 @@
 	server := httptest.NewServer(state)
 	defer server.Close()
 	truth := units.Second
-	elector := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
+	elector := newTestElector("a", server, &driftingClock{trueTime: &truth}, 1)
 	elector.watch(t.Context())
 	token := elector.Token()
 	if !elector.Valid(token) {
@@ -183,9 +183,9 @@
 	server := httptest.NewServer(state)
 	defer server.Close()
 	truth := units.Second
-	first := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
+	first := newTestElector("a", server, &driftingClock{trueTime: &truth}, 1)
 	first.watch(t.Context())
-	again := newTestElector("a", server, &driftingClock{truth: &truth}, 2)
+	again := newTestElector("a", server, &driftingClock{trueTime: &truth}, 2)
 	connected := false
 	again.Connected = func() bool { return connected }
 	again.watch(t.Context())
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -26,7 +26,7 @@
 
 // The lease is handed over at most once per minHandOverInterval, also across holders: the lease
 // record carries the time of the last hand-over.
-func TestHandOversAreSpaced(t *testing.T) {
+func TestSecondHandOverWithinTheIntervalIsRefused(t *testing.T) {
 	clock := &fake.Clock{Now: 1000 * units.Second}
 	lease := holdingElector(1, clock)
 	if !lease.HandOver(clock.Now) || lease.Valid(1) {
--- a/internal/election/monitor_test.go
+++ b/internal/election/monitor_test.go
@@ -10,7 +10,7 @@
 // A controller may campaign against another holder only once it has seen the record unchanged for
 // the lease, the drift and the margin, and against its own former process at once. After an
 // outage it must leave the holder a grace period to renew.
-func TestLeaseMonitorAllowsCampaign(t *testing.T) {
+func TestCampaignIsAllowedOnlyForAFreeLease(t *testing.T) {
 	m := leaseMonitor{timing: TimingFor(10 * units.Second)}
 	due := WithDrift(m.timing.Duration, m.timing.CampaignMargin)
 	if m.mayCampaign("me", 0) {
--- a/internal/election/renew.go
+++ b/internal/election/renew.go
@@ -12,7 +12,7 @@
 func (e *Elector) renew(ctx context.Context) units.Micros {
 	e.mu.Lock()
 	record := storage.LeaseRecord{
-		Holder:       e.node,
+		Holder:       e.name,
 		Incarnation:  e.token,
 		WriteID:      e.nextWriteID(),
 		Resigned:     e.steppingDown,
@@ -65,7 +65,7 @@
 	if err != nil {
 		return leaseRetryDelay
 	}
-	if record.Holder == e.node && record.Incarnation == e.token && e.isOwnWrite(record.WriteID) {
+	if record.Holder == e.name && record.Incarnation == e.token && e.isOwnWrite(record.WriteID) {
 		e.recordVersion = version
 		return 0
 	}
--- a/internal/election/run_test.go
+++ b/internal/election/run_test.go
@@ -11,7 +11,7 @@
 )
 
 // Run calls lead with the token that it won, and returns only after lead has returned.
-func TestRunWaitsForTheLeaderToEnd(t *testing.T) {
+func TestRunReturnsOnlyAfterLeadReturned(t *testing.T) {
 	server := httptest.NewServer(fake.NewKVServer())
 	t.Cleanup(server.Close)
 	elector := newTestElector("a", server, units.NewSystemClock(), 1)
@@ -51,7 +51,7 @@
 	server := httptest.NewServer(fake.NewKVServer())
 	t.Cleanup(server.Close)
 	now := units.Second
-	clock := &driftingClock{truth: &now}
+	clock := &driftingClock{trueTime: &now}
 	first, second := newTestElector("a", server, clock, 1), newTestElector("b", server, clock, 2)
 	first.watch(t.Context())
 	second.watch(t.Context())
--- a/internal/election/status.go
+++ b/internal/election/status.go
@@ -44,7 +44,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.leading {
-		return e.node
+		return e.name
 	}
 	if !e.monitor.seen || e.monitor.record.Resigned {
 		return ""
--- a/internal/kv/budget.go
+++ b/internal/kv/budget.go
@@ -9,47 +9,48 @@
 	"dunestand/internal/config"
 )
 
-// The shares of the key-value store's rates. All of the leader's writes stay below half of
-// its rate (docs/design.md), and those of all controllers together within it, bursts
-// included; most of the requests are the leader's.
+// Shares of the key-value store's rate limits. The leader's writes stay below half of the write
+// limit (docs/design.md), and the writes of all controllers together stay within it, including
+// bursts. Each controller may use most of the request limit, since most requests are the leader's.
 const (
 	leaderWriteShare   = 0.47
-	followerWriteShare = 0.4 // of all the others together
+	followerWriteShare = 0.4 // divided among all followers
 	requestShare       = 0.6
-	minLeaderBurst     = 16 // writes or requests
+	minLeaderBurst     = 16 // writes, or requests of any controller
 	minFollowerBurst   = 2  // writes
 )
 
-// spareRequests is how many requests must fit into the share before one is made that could as
-// well be made later.
-const spareRequests = 4
+// minSpareRequests is the number of requests that must be available in the share before a request
+// that can be deferred is made.
+const minSpareRequests = 4
 
-// rateBudget keeps a controller within its share of the store's rates. It may be used concurrently.
+// rateBudget limits a controller to its share of the store's rates. It may be used concurrently.
 type rateBudget struct {
-	mu       sync.Mutex // guards all below
-	limits   config.KVLimits
-	others   int // controllers beside this one
-	leading  bool
-	requests *rate.Limiter
-	writes   *rate.Limiter
+	mu               sync.Mutex // guards the fields below
+	limits           config.KVLimits
+	otherControllers int // number of the others that share the limits
+	leading          bool
+	requests         *rate.Limiter
+	writes           *rate.Limiter
 }
 
 func newRateBudget(limits config.KVLimits, others int) *rateBudget {
-	b := &rateBudget{limits: limits, others: others}
+	b := &rateBudget{limits: limits, otherControllers: others}
 	b.resetLimiters()
 	return b
 }
 
-// resetLimiters replaces the limiters by such for the present share. It needs the lock held.
+// resetLimiters replaces the limiters by new ones for the current limits and role. The caller must
+// hold b.mu, unless b is not shared yet.
 func (b *rateBudget) resetLimiters() {
 	r := b.limits.RPS * requestShare
 	b.requests = rate.NewLimiter(rate.Limit(r), max(int(r/2), minLeaderBurst))
-	if b.leading || b.others == 0 {
+	if b.leading || b.otherControllers == 0 {
 		w := b.limits.WriteRPS * leaderWriteShare
 		b.writes = rate.NewLimiter(rate.Limit(w), max(int(w/2), minLeaderBurst, b.limits.TxnOps))
 		return
 	}
-	w := b.limits.WriteRPS * followerWriteShare / float64(b.others)
+	w := b.limits.WriteRPS * followerWriteShare / float64(b.otherControllers)
 	b.writes = rate.NewLimiter(rate.Limit(w), max(int(w), minFollowerBurst))
 }
 
@@ -65,7 +66,7 @@
 	return b.writes
 }
 
-// SetLeader sets whether this controller has the leader's share or that of a follower.
+// SetLeader sets whether this controller has the leader's share or a follower's share.
 func (c *Client) SetLeader(leading bool) {
 	b := c.budget
 	b.mu.Lock()
@@ -74,7 +75,8 @@
 	b.resetLimiters()
 }
 
-// ApplyNextLimits keeps within the announced next limits from now on.
+// ApplyNextLimits makes the client stay, from now on, within both the present limits and the next
+// limits that are announced in the settings, if any.
 func (c *Client) ApplyNextLimits() {
 	b := c.budget
 	b.mu.Lock()
@@ -85,21 +87,23 @@
 	}
 }
 
-// HasRequestBudget reports whether a request that could as well be made later fits into
-// the controller's share now.
+// HasRequestBudget reports whether the controller's share currently allows a request that can be
+// deferred.
 func (c *Client) HasRequestBudget() bool {
-	return c.budget.requestLimiter().TokensAt(time.Now()) > spareRequests
+	return c.budget.requestLimiter().TokensAt(time.Now()) > minSpareRequests
 }
 
-// ReserveWrites counts writes that are about to be sent against the controller's share.
+// ReserveWrites counts n writes that are about to be sent against the controller's share. It does
+// not wait.
 func (c *Client) ReserveWrites(n int) { c.budget.writeLimiter().ReserveN(time.Now(), n) }
 
-// WritesAvailable returns how many writes fit into the controller's share now.
+// WritesAvailable returns the number of writes that the controller's share currently allows.
 func (c *Client) WritesAvailable() int {
 	return max(0, int(c.budget.writeLimiter().TokensAt(time.Now())))
 }
 
-// HasWriteBudget reports whether there is budget for writes that nobody waits for.
+// HasWriteBudget reports whether the controller's share currently allows background writes, which
+// no caller waits for: they leave half of the burst to other writes.
 func (c *Client) HasWriteBudget() bool {
 	writes := c.budget.writeLimiter()
 	return writes.TokensAt(time.Now()) > float64(writes.Burst())/2
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -1,7 +1,6 @@
-// Package kv is the client of the consensus-backed key-value store in which the
-// controllers keep their records. It keeps a controller within its share of the store's request
-// and write rates, and tells apart the outcomes of a request: carried out, refused,
-// in conflict with another version, or unknown.
+// Package kv is the client of the consensus-backed key-value store in which the controllers keep
+// their records. It limits a controller to its share of the store's request and write rates, and
+// distinguishes the outcomes of a request: success, refusal, version conflict, or unknown.
 package kv
 
 import (
@@ -20,42 +19,44 @@
 )
 
 const (
-	// CallTimeout is how long a controller waits for one response of the store, unless more or
-	// less is at stake.
+	// CallTimeout is the default timeout of one request to the store.
 	CallTimeout = 1500 * units.Millisecond
-	// listTimeout bounds the read of one page of a list.
+	// listTimeout is the timeout of the read of one page of a list by ListAll.
 	listTimeout = 3 * units.Second
-	// listPage is the number of items on a page, the most that the store returns.
+	// listPage is the number of items per page, the most that the store returns.
 	listPage = 1000
-	// revisionsKept is how far back the ages of records are told apart.
-	revisionsKept = 2 * units.Second
+	// revisionRetention is the largest age of a record that Revisions measures.
+	revisionRetention = 2 * units.Second
 )
 
-// Connections to the store, and the most that is read of a response, in bytes.
+// Limits of the connections to the store: their number, and the size of a response in bytes. Those
+// named own are for the clients that WithOwnConnections returns.
 const (
-	maxConns      = 8
-	maxResponse   = 4 << 20
-	ownConns      = 2
-	ownConnsLimit = 1 << 20
+	maxConns            = 8
+	maxResponse         = 4 << 20
+	ownConns            = 2
+	ownConnsMaxResponse = 1 << 20
 )
 
-// Client is a controller's client of the key-value store, within the controller's share
-// of the store's limits. It may be used concurrently.
+// Client is a controller's client of the key-value store. It counts its requests and writes against
+// the controller's share of the store's limits. It may be used concurrently.
 type Client struct {
 	client *transport.Client
 	dial   transport.DialFunc
 	addr   string
 	budget *rateBudget
 	Stats  *Stats
-	// Revisions knows for how long a record has been durable.
+	// Revisions holds when the client first saw recent revisions of the store. From it follows
+	// for how long a record has been durable.
 	Revisions *RevisionHistory
 }
 
-// Stats counts what was sent, since the start of the process.
+// Stats counts the requests since the start of the process, the writes in them, and the requests
+// that were refused or whose outcome is unknown.
 type Stats struct{ Requests, Writes, Refused, OutcomeUnknown atomic.Uint64 }
 
-// NewClient returns a client of the key-value store at an address. others is the number of
-// controllers beside this one.
+// NewClient returns a client of the key-value store at addr. others is the number of other
+// controllers, which share the limits with this one.
 func NewClient(dial transport.DialFunc, addr string, limits config.KVLimits, others int, clock units.Clock) *Client {
 	return &Client{
 		client:    transport.NewClient(dial, addr, maxConns, maxResponse),
@@ -63,19 +64,19 @@
 		addr:      addr,
 		budget:    newRateBudget(limits, others),
 		Stats:     new(Stats),
-		Revisions: NewRevisionHistory(clock, revisionsKept),
+		Revisions: NewRevisionHistory(clock, revisionRetention),
 	}
 }
 
-// WithOwnConnections returns a client with the same share over connections of its own: a lease
-// must not wait behind requests that hang.
+// WithOwnConnections returns a client that shares the limits and statistics of c but has its own
+// connections: a renewal of a lease must not wait behind requests that hang.
 func (c *Client) WithOwnConnections() *Client {
 	own := *c
-	own.client = transport.NewClient(c.dial, c.addr, ownConns, ownConnsLimit)
+	own.client = transport.NewClient(c.dial, c.addr, ownConns, ownConnsMaxResponse)
 	return &own
 }
 
-// Get reads a key, and reports whether it exists.
+// Get returns the item with the given key, and whether it exists.
 func (c *Client) Get(ctx context.Context, key string, timeout units.Micros) (item protocol.Item, ok bool, err error) {
 	status, err := c.call(ctx, http.MethodGet, protocol.PathKeys+"/"+key, nil, timeout, &item)
 	switch {
@@ -88,7 +89,7 @@
 	return item, true, nil
 }
 
-// List reads one page of the keys with a prefix, beginning after from.
+// List returns one page of the items whose keys begin with prefix, starting after the key from.
 func (c *Client) List(ctx context.Context, prefix, from string, timeout units.Micros) (protocol.ItemList, error) {
 	q := url.Values{"prefix": {prefix}, "limit": {strconv.Itoa(listPage)}}
 	if from != "" {
@@ -107,8 +108,8 @@
 	return list, err
 }
 
-// ListAll reads all keys with a prefix, page by page. revision is that of the first page:
-// changes from there on may be missing from the items.
+// ListAll returns all items whose keys begin with prefix, read page by page. revision is that of
+// the first page: changes after it may be missing from the items.
 func (c *Client) ListAll(ctx context.Context, prefix string) (items []protocol.Item, revision uint64, err error) {
 	from := ""
 	for {
@@ -127,8 +128,8 @@
 	}
 }
 
-// ReadAtRevision reads a key and the revision of the whole store that the response shows: changes
-// are to be asked for from there. A key that does not exist has the version 0.
+// ReadAtRevision returns the item with the given key, and the revision of the store at which it was
+// read: a Watch for later changes starts there. A key that does not exist has version 0.
 func (c *Client) ReadAtRevision(ctx context.Context, key string, timeout units.Micros) (item protocol.Item, revision uint64, err error) {
 	list, err := c.List(ctx, key, "", timeout)
 	if err != nil {
@@ -142,20 +143,21 @@
 	return protocol.Item{}, list.Revision, nil
 }
 
-// Pacing is how a transaction is counted against the controller's share of the writes.
+// Pacing says how a transaction is counted against the controller's share of the writes.
 type Pacing uint8
 
 const (
-	// Paced waits until the share has budget for it.
+	// Paced transactions wait until the share allows their writes.
 	Paced Pacing = iota
-	// Urgent is counted and does not wait: a renewal of the leader lease.
+	// Urgent transactions, such as a renewal of the leader lease, are counted but do not wait.
 	Urgent
-	// Prepaid was counted by ReserveWrites.
+	// Prepaid transactions were counted before, by ReserveWrites.
 	Prepaid
 )
 
-// CompareAndSwap carries out a transaction and returns its revision. It fails with
-// ErrRefused, ErrOutcomeUnknown, ErrInvalidRequest or a *VersionConflictError.
+// CompareAndSwap commits a transaction if its conditions hold, and returns its revision. It fails
+// with ErrRefused, ErrOutcomeUnknown, ErrInvalidRequest, a *VersionConflictError if a condition does
+// not hold, or a *StatusError.
 func (c *Client) CompareAndSwap(ctx context.Context, txn protocol.Txn, pacing Pacing, timeout units.Micros) (uint64, error) {
 	switch pacing {
 	case Urgent:
@@ -183,8 +185,8 @@
 	return response.Revision, nil
 }
 
-// call sends a request and decodes its response. A status that it returns without an error is
-// one of OK, Conflict, NotFound and Gone; only the first two have a response.
+// call sends a request and decodes its response. If it returns no error, the status is OK,
+// Conflict, NotFound or Gone; response is set only for OK and Conflict.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, timeout units.Micros, response any) (status int, err error) {
 	c.budget.requestLimiter().ReserveN(time.Now(), 1)
 	c.Stats.Requests.Add(1)
--- a/internal/kv/client_test.go
+++ b/internal/kv/client_test.go
@@ -13,7 +13,7 @@
 	"dunestand/internal/units"
 )
 
-// newTestClient returns a client of a store that responds to each request in the same way.
+// newTestClient returns a client of a store that gives the same response to every request.
 func newTestClient(t *testing.T, status int, body []byte) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -22,10 +22,10 @@
 	}))
 	t.Cleanup(server.Close)
 	limits := config.KVLimits{RPS: 1e4, WriteRPS: 1e4, TxnOps: 12}
-	return NewClient(nil, strings.TrimPrefix(server.URL, "http://"), limits, 0, &steppedClock{now: units.Second})
+	return NewClient(nil, strings.TrimPrefix(server.URL, "http://"), limits, 0, &fakeClock{now: units.Second})
 }
 
-// The outcomes of a compare-and-swap are told apart by their errors, and counted.
+// Each outcome of a compare-and-swap has its own error and is counted.
 func TestCompareAndSwapTellsOutcomesApart(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -73,14 +73,14 @@
 		t.Errorf("%v, want %v", err, ErrOutcomeUnknown)
 	}
 	if n := client.Stats.OutcomeUnknown.Load(); n != 1 {
-		t.Errorf("%d requests of unknown outcome are counted by both clients together", n)
+		t.Errorf("the clients' shared statistics count %d requests of unknown outcome, want 1", n)
 	}
 }
 
 func TestMissingKeyIsNoError(t *testing.T) {
 	client := newTestClient(t, http.StatusNotFound, nil)
 	if item, ok, err := client.Get(t.Context(), "key", CallTimeout); ok || err != nil {
-		t.Errorf("%+v, %v, %v", item, ok, err)
+		t.Errorf("got %+v, %v, %v, want no item and no error", item, ok, err)
 	}
 }
 
@@ -100,9 +100,9 @@
 	}
 }
 
-// The leader has its share of the writes and the followers divide theirs, before and after
-// the limits change.
-func TestWriteShares(t *testing.T) {
+// The leader gets its whole share of the writes and each follower an equal part of the followers'
+// share, under the present limits and under the next ones.
+func TestWriteShareFollowsRoleAndLimits(t *testing.T) {
 	b := newRateBudget(config.KVLimits{RPS: 100, WriteRPS: 100, TxnOps: 12, Next: &config.KVLimits{RPS: 50, WriteRPS: 50, TxnOps: 12}}, 4)
 	c := &Client{budget: b}
 	check := func(when string, want float64) {
--- a/internal/kv/errors.go
+++ b/internal/kv/errors.go
@@ -5,29 +5,33 @@
 	"fmt"
 )
 
-// Outcomes of a request to the key-value store that are not success. A compare-and-swap whose
-// versions did not match fails with a *VersionConflictError.
+// Errors of a request to the key-value store. A compare-and-swap whose conditions do not hold fails
+// with a *VersionConflictError.
 var (
-	// ErrRefused: the request was not carried out.
+	// ErrRefused means that the request was not carried out.
 	ErrRefused = errors.New("key-value store refused the request")
-	// ErrOutcomeUnknown: it may have been carried out, or may be still.
-	ErrOutcomeUnknown = errors.New("key-value store did not answer")
-	// ErrInvalidRequest: it was not carried out, and will not be as it is.
+	// ErrOutcomeUnknown means that the request may have been carried out, or may still be carried
+	// out later: there was no response, or it could not be decoded.
+	ErrOutcomeUnknown = errors.New("no usable response from the key-value store")
+	// ErrInvalidRequest means that the request was not carried out; a retry would fail as well.
 	ErrInvalidRequest = errors.New("key-value store rejected the request as invalid")
-	// ErrCompacted: the store does not keep changes from so far back; the keys
-	// have to be read again.
-	ErrCompacted = errors.New("changes are no longer kept")
+	// ErrCompacted means that the store no longer keeps changes from the requested revision on.
+	// The keys must be read again.
+	ErrCompacted = errors.New("changes after the requested revision have been compacted")
 )
 
-// VersionConflictError holds the keys whose version was not the expected one.
+// VersionConflictError is a compare-and-swap that was not carried out because the versions of Keys
+// did not match its conditions.
 type VersionConflictError struct{ Keys []string }
 
 func (e *VersionConflictError) Error() string { return fmt.Sprintf("version conflict on %v", e.Keys) }
 
-// StatusError is a status that the store does not have for such a request.
+// StatusError is a response with an HTTP status that is not expected for the request.
 type StatusError struct {
-	Request string // its method and path, or what it does
-	Status  int    // HTTP
+	Request string // method and path, or a description of the request
+	Status  int    // HTTP status code
 }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("%s: status %d", e.Request, e.Status) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("%s: unexpected HTTP status %d", e.Request, e.Status)
+}
--- a/internal/kv/revisions.go
+++ b/internal/kv/revisions.go
@@ -6,17 +6,17 @@
 	"dunestand/internal/units"
 )
 
-// RevisionHistory remembers when this controller first knew of revisions of the key-value
-// store. Revisions count all changes there, so a record is at least as old as any
-// revision from its own version on. That shows for how long a record has surely been
-// durable, without comparing clocks of two machines, whoever wrote it. It may be used
-// concurrently.
+// RevisionHistory stores when this controller first saw recent revisions of the key-value store.
+// The store's revision rises with every change, and a record's version is the revision of its last
+// change. So once a revision at or above a record's version has been seen, the record is durable.
+// This gives a lower bound for how long a record has been durable, whichever controller wrote it,
+// without comparing clocks of different machines. It may be used concurrently.
 type RevisionHistory struct {
-	clock units.Clock
-	keep  units.Micros
+	clock     units.Clock
+	retention units.Micros
 
 	mu           sync.Mutex    // guards observations
-	observations []observation // both fields rise
+	observations []observation // both fields increase
 }
 
 type observation struct {
@@ -24,12 +24,13 @@
 	at       units.Micros
 }
 
-// NewRevisionHistory returns an empty history that tells ages up to keep apart.
-func NewRevisionHistory(clock units.Clock, keep units.Micros) *RevisionHistory {
-	return &RevisionHistory{clock: clock, keep: keep}
+// NewRevisionHistory returns an empty history. It measures ages up to retention exactly; larger ages
+// are reported as some value from retention up to the true age.
+func NewRevisionHistory(clock units.Clock, retention units.Micros) *RevisionHistory {
+	return &RevisionHistory{clock: clock, retention: retention}
 }
 
-// Observe notes that a revision exists.
+// Observe records that revision exists at this moment.
 func (h *RevisionHistory) Observe(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -38,15 +39,16 @@
 	}
 	now := h.clock.Steady()
 	h.observations = append(h.observations, observation{revision: revision, at: now})
-	// One observation as old as keep answers for all before it.
+	// Of the observations at least as old as retention, only the newest is needed.
 	old := 0
-	for old+1 < len(h.observations) && now-h.observations[old+1].at >= h.keep {
+	for old+1 < len(h.observations) && now-h.observations[old+1].at >= h.retention {
 		old++
 	}
 	h.observations = append(h.observations[:0], h.observations[old:]...)
 }
 
-// Age returns for how long a revision has surely existed, at least; 0 if it was never seen.
+// Age returns a lower bound for the time for which revision has existed; 0 if neither it nor a later
+// revision has been seen.
 func (h *RevisionHistory) Age(revision uint64) units.Micros {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/kv/watch.go
+++ b/internal/kv/watch.go
@@ -10,12 +10,12 @@
 	"dunestand/internal/units"
 )
 
-// watchMargin is what a response may take beyond the time that was asked for.
+// watchMargin is added to the wait of a watch to get the timeout of its request.
 const watchMargin = 1500 * units.Millisecond
 
-// Watch waits until a key with a prefix has changed after a revision, for a time at the
-// longest, and returns the changes and the revision to ask from next. It fails with
-// ErrCompacted if changes from so far back are no longer kept.
+// Watch waits, for at most the given time, until a key that begins with prefix has changed after the
+// revision from. It returns the changes and the revision from which to watch next. It fails with
+// ErrCompacted if the store no longer keeps changes from the revision on.
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64, wait units.Micros) (protocol.ChangeList, error) {
 	q := url.Values{
 		"prefix":  {prefix},
--- a/internal/recordformat/negotiator.go
+++ b/internal/recordformat/negotiator.go
@@ -1,5 +1,6 @@
-// Package recordformat negotiates among the controllers which format of records may be
-// written, so that a rolling upgrade never leaves a leader with records that it cannot read.
+// Package recordformat negotiates the fleet format: the format in which the controllers write
+// their records. It ensures that a rolling upgrade never leaves a leader with records that it
+// cannot read.
 package recordformat
 
 import (
@@ -14,50 +15,51 @@
 	"dunestand/internal/units"
 )
 
-// Source says which format of records may be read and written. *Negotiator is the one of a
-// controller. Its methods may be called concurrently.
+// Source provides the fleet format. A controller uses a *Negotiator. The methods may be called
+// concurrently.
 type Source interface {
-	// Current returns the format that may be written.
+	// Current returns the format in which records may be written, as far as it is known.
 	Current() storage.Format
-	// TooNew reports whether records may have a format that this version does not know. Then
-	// this controller must not lead: what it cannot read it would forget.
+	// TooNew reports whether records may have a format that this version does not support. The
+	// controller must not lead then: it would lose the state in records that it cannot read.
 	TooNew() bool
-	// Refresh reads from the key-value store what the fleet's format is now. It fails if the
-	// store does not answer, or a record of a format is not readable.
+	// Refresh reads the fleet format from the key-value store. It fails if the store does not
+	// answer, or if a format record cannot be decoded.
 	Refresh(ctx context.Context) error
 }
 
-// Negotiator answers one question, for all that is written: which format of records does every
-// controller read that may ever lead again? During an upgrade controllers of the version before
-// are among them, and any of them may lead at any moment. Each controller says in a record of its
-// own, durably, which format it reads; once all that are configured have said so, the leader
-// raises the fleet's format. It is never lowered, so that a later leader decides the same.
+// Negotiator determines the newest record format that every controller can read. During a rolling
+// upgrade some controllers still run the previous version, and any of them may become the leader
+// at any moment. Each controller announces the newest format that it reads in a durable record of
+// its own. Once all configured controllers have announced a format, the leader raises the fleet
+// format to it. The fleet format is never lowered, so that later leaders come to the same result.
 //
 // Run must be called once; the methods of Source may be called concurrently with it.
 type Negotiator struct {
-	node      string
-	nodes     []string // all controllers that are configured, this one included
-	client    *kv.Client
-	log       *slog.Logger
-	supported storage.Format // the newest format that this controller announces
+	name        string
+	controllers []string // all configured controllers, including this one
+	client      *kv.Client
+	log         *slog.Logger
+	supported   storage.Format // the newest format that this controller announces
 
 	current   atomic.Int64
 	tooNew    atomic.Bool
-	announced bool // supported is durable; used by Run alone
+	announced bool // supported is durable; used only by Run
 }
 
-// negotiationInterval is the time between two reads of the formats.
+// negotiationInterval is the time between two reads of the format records.
 const negotiationInterval = units.Second
 
-// NewNegotiator returns the negotiator of a controller, which knows of the oldest format only.
-// It will announce that the controller reads the supported format and all before it.
-func NewNegotiator(node string, others []string, supported storage.Format, client *kv.Client, log *slog.Logger) *Negotiator {
+// NewNegotiator returns the negotiator of the controller called name, starting from the oldest
+// format. Run will announce that the controller reads supported and all earlier formats. others
+// are the names of the other configured controllers.
+func NewNegotiator(name string, others []string, supported storage.Format, client *kv.Client, log *slog.Logger) *Negotiator {
 	n := &Negotiator{
-		node:      node,
-		nodes:     slices.Concat([]string{node}, others),
-		client:    client,
-		log:       log,
-		supported: supported,
+		name:        name,
+		controllers: slices.Concat([]string{name}, others),
+		client:      client,
+		log:         log,
+		supported:   supported,
 	}
 	n.current.Store(int64(storage.FormatOld))
 	return n
@@ -75,14 +77,14 @@
 	return err
 }
 
-// Run announces the format that this controller reads, and raises the fleet's while it leads,
-// until the fleet has reached the announced format or ctx ends. isLeader reports whether this
-// controller leads.
+// Run announces the format that this controller reads, and raises the fleet format while the
+// controller leads, until the fleet format has reached the announced one or ctx ends. isLeader
+// reports whether this controller leads.
 func (n *Negotiator) Run(ctx context.Context, isLeader func() bool) {
 	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = negotiationInterval {
 		err := n.step(ctx, isLeader())
 		if err != nil {
-			n.log.Debug("fleet record format not known for certain", "error", err)
+			n.log.Debug("failed to negotiate the fleet record format", "error", err)
 		}
 		if err == nil && n.announced && n.Current() >= n.supported {
 			return
@@ -90,8 +92,8 @@
 	}
 }
 
-// step reads all formats and writes what is due: this controller's announcement, and the
-// fleet's format if it leads.
+// step reads all format records, announces this controller's format if that is not yet durable,
+// and raises the fleet format if this controller leads and all controllers support a newer one.
 func (n *Negotiator) step(ctx context.Context, leading bool) error {
 	known, err := n.readRecords(ctx)
 	if err != nil {
@@ -100,7 +102,7 @@
 	if err := n.announce(ctx, known); err != nil {
 		return err
 	}
-	format := SupportedByAll(n.nodes, known)
+	format := SupportedByAll(n.controllers, known)
 	if !leading || format <= n.Current() {
 		return nil
 	}
@@ -111,29 +113,29 @@
 	return nil
 }
 
-// announce makes durable which format this controller reads, if it is not yet, and notes it
-// among the known ones.
+// announce writes the format that this controller reads to its own record, unless known shows
+// that it is stored already, and then adds it to known.
 func (n *Negotiator) announce(ctx context.Context, known map[string]StoredFormat) error {
-	own := storage.KeyFormat(n.node)
+	own := storage.KeyFormat(n.name)
 	if known[own].Format < n.supported {
 		if err := n.write(ctx, own, n.supported, known[own].Version); err != nil {
 			return err
 		}
-		n.log.Info("record format announced", "node", n.node, "format", n.supported)
+		n.log.Info("record format announced", "node", n.name, "format", n.supported)
 		known[own] = StoredFormat{Format: n.supported}
 	}
 	n.announced = true
 	return nil
 }
 
-// adopt makes a format of the fleet the current one, if it is newer.
+// adopt makes format, read or written as the fleet format, the current one if it is newer.
 func (n *Negotiator) adopt(format storage.Format) {
 	if format > storage.NewestFormat && !n.tooNew.Swap(true) {
-		n.log.Error("fleet record format is of a later version; this controller does not lead", "format", format, "known", storage.NewestFormat)
+		n.log.Error("fleet record format is newer than this version supports; this controller will not lead", "format", format, "known", storage.NewestFormat)
 	}
 	if format > n.Current() {
 		n.current.Store(int64(format))
 		n.client.ApplyNextLimits()
-		n.log.Info("fleet record format", "format", format)
+		n.log.Info("fleet record format changed", "format", format)
 	}
 }
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -16,47 +16,48 @@
 	"dunestand/internal/units"
 )
 
-// newNegotiators returns the negotiators of some controllers on a fake key-value store, by name.
-func newNegotiators(t *testing.T, server *fake.KVServer, nodes ...string) map[string]*Negotiator {
+// newNegotiators returns the negotiators of the named controllers, by name, on a fake key-value
+// store.
+func newNegotiators(t *testing.T, server *fake.KVServer, names ...string) map[string]*Negotiator {
 	t.Helper()
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	negotiators := map[string]*Negotiator{}
-	for i, node := range nodes {
+	for i, name := range names {
 		client := kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), config.KVLimits{
 			RPS:      1e4,
 			WriteRPS: 1e4,
-		}, len(nodes)-1, units.NewSystemClock())
-		others := slices.Concat(nodes[:i], nodes[i+1:])
-		negotiators[node] = NewNegotiator(node, others, storage.FormatNew, client, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		}, len(names)-1, units.NewSystemClock())
+		others := slices.Concat(names[:i], names[i+1:])
+		negotiators[name] = NewNegotiator(name, others, storage.FormatNew, client, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	return negotiators
 }
 
-// The fleet's format is raised only once every configured controller has announced that it reads
-// the new one, and by a leader alone; whoever comes later reads the same, and nothing lowers it.
+// The fleet format is raised only once every configured controller has announced that it reads the
+// new one, and only by a leader. It is not lowered when a controller announces an older format.
 func TestFormatIsRaisedOnceAllAreUpgraded(t *testing.T) {
 	server := fake.NewKVServer()
 	negotiators := newNegotiators(t, server, "a", "b", "c")
-	step := func(node string, leading bool, want storage.Format) {
+	step := func(name string, leading bool, want storage.Format) {
 		t.Helper()
-		if err := negotiators[node].step(t.Context(), leading); err != nil {
+		if err := negotiators[name].step(t.Context(), leading); err != nil {
 			t.Fatal(err)
 		}
-		if got := negotiators[node].Current(); got != want {
-			t.Errorf("%s has format %d, want %d", node, got, want)
+		if got := negotiators[name].Current(); got != want {
+			t.Errorf("%s has format %d, want %d", name, got, want)
 		}
 	}
 	step("a", true, storage.FormatOld)
 	step("b", false, storage.FormatOld)
-	step("a", true, storage.FormatOld) // c is not upgraded, or has never been heard of
+	step("a", true, storage.FormatOld) // c is not upgraded, or has never started
 	step("c", false, storage.FormatOld)
-	step("b", false, storage.FormatOld) // only a leader raises it
+	step("b", false, storage.FormatOld) // a follower does not raise it
 	step("a", true, storage.FormatNew)
 	step("b", false, storage.FormatNew)
 	server.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
 	later := newNegotiators(t, server, "a", "b", "c")["b"]
 	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatNew {
-		t.Errorf("%d, %v", later.Current(), err)
+		t.Errorf("a restarted leader has format %d, %v; want %d", later.Current(), err, storage.FormatNew)
 	}
 }
--- a/internal/recordformat/records.go
+++ b/internal/recordformat/records.go
@@ -9,24 +9,25 @@
 	"dunestand/internal/storage"
 )
 
-// StoredFormat is a format as a record has it: the one that a controller reads, or the fleet's.
+// StoredFormat is a format record as it was read: the newest format that a controller reads, or the
+// fleet format.
 type StoredFormat struct {
 	Format  storage.Format
 	Version uint64 // of the record
 }
 
-// SupportedByAll returns the newest format that every controller reads, given the formats in
-// the store by key. A controller without a record reads the oldest only.
-func SupportedByAll(nodes []string, known map[string]StoredFormat) storage.Format {
+// SupportedByAll returns the newest format that every one of the controllers reads. known holds
+// the stored formats by key. A controller without a record reads only the oldest format.
+func SupportedByAll(controllers []string, known map[string]StoredFormat) storage.Format {
 	format := storage.NewestFormat
-	for _, node := range nodes {
-		format = min(format, max(known[storage.KeyFormat(node)].Format, storage.FormatOld))
+	for _, name := range controllers {
+		format = min(format, max(known[storage.KeyFormat(name)].Format, storage.FormatOld))
 	}
 	return format
 }
 
-// readRecords reads the formats of all controllers and of the fleet, by key, and adopts the
-// fleet's.
+// readRecords returns the stored formats of all controllers and of the fleet, by key, and adopts
+// the fleet format. It fails with a *storage.RecordError if a record cannot be decoded.
 func (n *Negotiator) readRecords(ctx context.Context) (map[string]StoredFormat, error) {
 	list, err := n.client.List(ctx, storage.PrefixFormats, "", kv.CallTimeout)
 	if err != nil {
@@ -44,14 +45,14 @@
 	return known, nil
 }
 
-// write writes a record of a format if its version is still the given one. After a
-// kv.VersionConflictError the next step reads what another controller wrote.
+// write stores a format record under key if its stored version is still version. After a
+// *kv.VersionConflictError the next step reads the record that another controller wrote.
 func (n *Negotiator) write(ctx context.Context, key string, format storage.Format, version uint64) error {
 	_, err := n.client.CompareAndSwap(ctx, protocol.Txn{
 		If: []protocol.Condition{{Key: key, Version: version}},
 		Then: []protocol.Change{{
 			Set:   key,
-			Value: protocol.Encode(storage.FormatRecord{Format: format, WrittenBy: n.node}),
+			Value: protocol.Encode(storage.FormatRecord{Format: format, WrittenBy: n.name}),
 		}},
 	}, kv.Urgent, kv.CallTimeout)
 	if err != nil {
--- a/internal/storage/catalog.go
+++ b/internal/storage/catalog.go
@@ -9,22 +9,20 @@
 	"dunestand/internal/protocol"
 )
 
-// The catalog grows with the instance types, so in the new format it is divided
-// into records that each hold some of them.
-
-// keyCatalogPart returns the key of a part of the catalog.
+// keyCatalogPart returns the key of the n-th record of the catalog. In the new format the catalog is
+// divided into several records, since its size grows with the number of instance types.
 func keyCatalogPart(n int) string { return fmt.Sprintf("%s/%d", KeyCatalog, n) }
 
-// Bounds of what a catalog takes beside the types as JSONSize counts them, in bytes.
+// Upper bounds, in bytes of JSON, of the size of a catalog record beyond the JSONSize of its types.
 const (
-	catalogFrame = 16 // around the types
-	typeOverhead = 32 // of a type: the names on the wire are a little longer
+	catalogOverhead = 16 // per record, around the types
+	typeOverhead    = 32 // per type: its stored field names are a little longer
 )
 
-// CatalogChanges returns what is to be written so that the key-value store holds a
-// catalog in a format: sets first, so that no type is missing meanwhile. stored holds the
-// versions of what is there now, by key. valueBytes bounds a record in the new format, as
-// bytes of JSON; a type that fits no record is left out.
+// CatalogChanges returns the changes that replace the stored catalog by one of the given types in
+// the given format. Sets come before deletions, so that no type is missing at any moment. stored
+// holds the versions of the present catalog records by key. valueBytes is the largest size of a
+// record in the new format, in bytes of JSON; a type that does not fit into a record is omitted.
 func CatalogChanges(types []protocol.InstanceType, format Format, valueBytes int, stored map[string]uint64) []protocol.Change {
 	if format == FormatOld {
 		return []protocol.Change{{Set: KeyCatalog, Value: protocol.Encode(protocol.Catalog{Types: types})}}
@@ -47,20 +45,20 @@
 	return changes
 }
 
-// divideCatalog divides the types among records of a size, in their order. A type that fits
-// no record is left out.
+// divideCatalog divides the types, in their order, into records of up to valueBytes of JSON. A type
+// that does not fit into a record is omitted.
 func divideCatalog(types []protocol.InstanceType, valueBytes int) [][]protocol.InstanceType {
 	var parts [][]protocol.InstanceType
 	var part []protocol.InstanceType
-	size := catalogFrame
+	size := catalogOverhead
 	for _, t := range types {
 		add := JSONSize(t) + typeOverhead
-		if catalogFrame+add > valueBytes {
+		if catalogOverhead+add > valueBytes {
 			continue
 		}
 		if size+add > valueBytes {
 			parts = append(parts, part)
-			part, size = nil, catalogFrame
+			part, size = nil, catalogOverhead
 		}
 		part = append(part, t)
 		size += add
@@ -71,13 +69,13 @@
 	return parts
 }
 
-// ParseCatalog decodes the records under the catalog's key, in either format, and returns
-// their versions by key. A record that cannot be decoded is left out and reported as a
-// *RecordError, the first of the keys if there are several.
+// ParseCatalog decodes the catalog from records of either format, and returns the versions of these
+// records by key. Items with other keys are ignored. A record that cannot be decoded is omitted from
+// the catalog and reported as a *RecordError: if there are several, the one that is first in items.
 func ParseCatalog(items []protocol.Item) (catalog protocol.Catalog, stored map[string]uint64, err error) {
 	stored = map[string]uint64{}
 	seen := map[string]bool{}
-	for _, item := range slices.Backward(items) { // the old record, which comes first, may be older
+	for _, item := range slices.Backward(items) { // the record in the old format comes first and may be outdated
 		if item.Key != KeyCatalog && !strings.HasPrefix(item.Key, KeyCatalog+"/") {
 			continue
 		}
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// RecordError says that a record cannot be read: it is not well-formed, is of a format that
-// this version does not know, or contradicts its key or other records.
+// RecordError is a stored record that cannot be used: it is malformed, has a format that this
+// version does not support, or contradicts its key or other records.
 type RecordError struct {
 	Key string // of the record
 	Err error
@@ -11,11 +11,13 @@
 
 func (e *RecordError) Error() string { return fmt.Sprintf("record %s: %v", e.Key, e.Err) }
 
-// Unwrap returns what is wrong with the record.
+// Unwrap returns the reason why the record cannot be used.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// UnknownFormatError is the format of a record that this version does not know: a later
-// version may have written it.
+// UnknownFormatError is a record format that this version does not support; a later version may
+// have written the record.
 type UnknownFormatError Format
 
-func (e UnknownFormatError) Error() string { return fmt.Sprintf("format %d is not known", int(e)) }
+func (e UnknownFormatError) Error() string {
+	return fmt.Sprintf("unsupported record format %d", int(e))
+}
--- a/internal/storage/formats.go
+++ b/internal/storage/formats.go
@@ -1,18 +1,20 @@
 package storage
 
-// Format is a format of records. It is stored as its number.
+// Format is the version number of a record format. It is stored as an integer.
 type Format int
 
-// Formats of a job's records. In the old one a single record names all
-// machines, and the pages of a large done set follow it. Controllers that know
-// no other may lead until the fleet's format is raised. In the new one every
-// record has a bounded size, however large the job is and whatever machines it is on.
+// Record formats. A later format has a larger number.
 const (
+	// FormatOld, "the old format", keeps the names of all of a job's machines in a single record,
+	// followed by the pages of a large done set. Controllers that support only this format may
+	// lead until the fleet format is raised.
 	FormatOld Format = 1
+	// FormatNew, "the new format", bounds the size of every record, regardless of the size of the
+	// job and the number of its machines.
 	FormatNew Format = 2
-	// FormatAdmission has the records of FormatNew. All controllers of such a fleet
-	// admit jobs by the admission plan; one that does not know it must not lead.
+	// FormatAdmission has the records of FormatNew. All controllers of a fleet in this format
+	// admit jobs by the admission plan; one that does not support the plan must not lead.
 	FormatAdmission Format = 3
-	// NewestFormat is the newest that this version reads and writes.
+	// NewestFormat is the newest format that this version reads and writes.
 	NewestFormat = FormatAdmission
 )
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -8,11 +8,12 @@
 	"fmt"
 )
 
-// ErrOutOfRange says that a number in a record cannot be.
+// ErrOutOfRange means that a number in a record is outside its valid range.
 var ErrOutOfRange = errors.New("out of range")
 
-// JobRecord is a live job as it is stored. Durations are in microseconds. The sizes as JSON
-// decide how a job is divided into records, so the json names stay as the cbor names do.
+// JobRecord is the stored record of a job that has not reached a terminal state. Durations are in
+// microseconds. The size of the record as JSON decides how a job is divided into records, so the
+// json names must not change, nor must the cbor names, under which the fields are stored.
 type JobRecord struct {
 	Format             Format       `cbor:"v" json:"v"`
 	WriteID            string       `cbor:"save" json:"save"`
@@ -38,36 +39,39 @@
 	Deadline           units.Micros `cbor:"deadline" json:"deadline"`
 	Submitted          units.Micros `cbor:"submitted" json:"submitted"` // time of day
 	Cancelled          bool         `cbor:"cancelled" json:"cancelled"`
-	Machines           []string     `cbor:"machines" json:"machines"` // may hold tasks of the job
-	Done               string       `cbor:"done" json:"done"`         // the done set, or the first page of it in the old format
-	Pages              int          `cbor:"pages" json:"pages"`       // further pages, in the old format
+	Machines           []string     `cbor:"machines" json:"machines"` // those that may hold tasks of the job
+	Done               string       `cbor:"done" json:"done"`         // the done set as base64 if it is stored here, or its first page in the old format
+	Pages              int          `cbor:"pages" json:"pages"`       // number of further pages, in the old format
 }
 
-// MachineNamesRecord is a further part of the names of machines.
+// MachineNamesRecord holds the names of a job's machines that did not fit into its JobRecord, or
+// a part of them.
 type MachineNamesRecord struct {
 	Format   Format   `cbor:"v" json:"v"`
 	WriteID  string   `cbor:"save" json:"save"`
 	Machines []string `cbor:"machines" json:"machines"`
 }
 
-// DonePageRecord is a part of a large array's done set.
+// DonePageRecord is one page of the done set of a large job array: one bit per task, set if the task
+// has completed.
 type DonePageRecord struct {
-	Format  Format `cbor:"v,omitempty" json:"v"` // not in the old format
+	Format  Format `cbor:"v,omitempty" json:"v"` // 0 in the old format
 	WriteID string `cbor:"save,omitempty" json:"save"`
 	Done    string `cbor:"done" json:"done"`
 }
 
 const (
-	// OldPageTasks is how many tasks a page covers in the old format: 2 KiB of bits,
-	// 2.7 KiB as the text that the key-value store can hold.
+	// OldPageTasks is the number of tasks per page in the old format: 2 KiB of bits, stored as
+	// 2.7 KiB of base64, since the key-value store holds only text.
 	OldPageTasks = 16 << 10
-	// PageTasks is the same in the new format: 0.7 KiB as text.
+	// PageTasks is the number of tasks per page in the new format: 0.7 KiB of base64.
 	PageTasks = 4 << 10
-	// InlineTasks is the largest array whose done set is in its own record.
+	// InlineTasks is the largest number of tasks of a job whose done set is stored in its
+	// JobRecord, in the new format.
 	InlineTasks = 1 << 10
 )
 
-// EncodeDonePage returns a page of the done set as text, without the zeros at its end.
+// EncodeDonePage returns a page of the done set as base64, without trailing zero bytes.
 func EncodeDonePage(b []byte) string {
 	end := len(b)
 	for end > 0 && b[end-1] == 0 {
@@ -76,7 +80,8 @@
 	return base64.RawStdEncoding.EncodeToString(b[:end])
 }
 
-// DecodeDonePage adds the tasks of an encoded page to a part of the done set.
+// DecodeDonePage sets the bits of an encoded page in into, the part of the done set that the page
+// covers. It fails if text is not base64 or is longer than into, which it then leaves unchanged.
 func DecodeDonePage(text string, into []byte) error {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
@@ -86,13 +91,13 @@
 		return errors.New("done set is longer than the job")
 	}
 	for i, x := range raw {
-		into[i] |= x // the same tasks may be in pages of both formats
+		into[i] |= x // pages of both formats may cover the same tasks
 	}
 	return nil
 }
 
-// NewJobRecord returns the record of a job that is not cancelled, names no machines and has
-// no completed tasks.
+// NewJobRecord returns the record, in the given format, of a job that is not cancelled, has no
+// machines and has no completed tasks.
 func NewJobRecord(spec *protocol.JobSpec, format Format) JobRecord {
 	return JobRecord{
 		Format:             format,
@@ -120,8 +125,8 @@
 	}
 }
 
-// OldPageCount returns the number of further done pages that a reader of the old format
-// expects.
+// OldPageCount returns the number of done pages after the first that a reader of the old format
+// expects; 0 in other formats.
 func OldPageCount(tasks int, format Format) int {
 	if format == FormatOld {
 		return (tasks - 1) / OldPageTasks
@@ -129,20 +134,21 @@
 	return 0
 }
 
-// Check reports why a record is not one of a job under its key, or nil.
+// Check returns an error if the record is not a valid job record for the given key: an
+// UnknownFormatError, ErrOutOfRange, or one that says that the job ID does not match the key.
 func (r *JobRecord) Check(key string) error {
 	switch {
 	case r.Format != FormatOld && r.Format != FormatNew:
 		return UnknownFormatError(r.Format)
 	case !protocol.ValidJobID(r.ID) || KeyJob(r.ID) != key:
-		return fmt.Errorf("names job %q", r.ID)
+		return fmt.Errorf("job ID %q is invalid or does not match the key", r.ID)
 	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.Priorities || int(r.Kind) >= protocol.JobKinds:
 		return ErrOutOfRange
 	}
 	return nil
 }
 
-// Spec returns what the user submitted.
+// Spec returns the job's specification as the user submitted it.
 func (r *JobRecord) Spec() protocol.JobSpec {
 	return protocol.JobSpec{
 		ID:                 r.ID,
--- a/internal/storage/jsonsize.go
+++ b/internal/storage/jsonsize.go
@@ -5,13 +5,13 @@
 	"unicode/utf8"
 )
 
-// escapeBytes is what a character beyond ASCII takes more, at most, as a pair of escapes in
-// place of its UTF-8 bytes.
-const escapeBytes = 8
+// maxEscapeOverhead is the largest number of bytes by which the JSON escapes of a non-ASCII
+// character, a surrogate pair, are longer than its UTF-8 encoding.
+const maxEscapeOverhead = 8
 
-// JSONSize returns the size in bytes of a record as the key-value store counts it, at most: how
-// the store writes what is not ASCII is not specified. The record is a struct of texts and
-// numbers; it panics on what JSON cannot hold.
+// JSONSize returns an upper bound for the size in bytes that the key-value store counts for a
+// record. It is not exact because it is unspecified whether the store escapes non-ASCII characters.
+// r must be a struct that JSON can represent; JSONSize panics otherwise.
 func JSONSize(r any) int {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -20,7 +20,7 @@
 	size := len(raw)
 	for _, c := range string(raw) {
 		if c >= utf8.RuneSelf {
-			size += escapeBytes
+			size += maxEscapeOverhead
 		}
 	}
 	return size
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -1,7 +1,7 @@
-// Package storage holds the names and formats of the records in the key-value store that
-// every controller of every version must agree on: keys, the leader lease, bucket heads,
-// terminal states of jobs, the format of the fleet and the catalog of instance types. The
-// names on the wire that differ from the field's terms stay in the cbor tags and keys here.
+// Package storage defines the keys and formats of the records in the key-value store, on which
+// controllers of all versions must agree: live jobs, terminal states of jobs, the leader lease,
+// bucket heads, the fleet format and the catalog of instance types. Stored names that differ from
+// the Go names are kept in cbor tags and key constants.
 package storage
 
 import (
@@ -13,25 +13,25 @@
 	"strings"
 )
 
-// Keys of the records. Jobs are kept in buckets under their bucket's head; terminal
-// states are kept apart, so that a restore does not grow with them.
+// Keys and key prefixes of the records. The live jobs are divided into buckets, each of which has a
+// head. Terminal states have a prefix of their own, so that the time of a restore does not grow with
+// them.
 const (
 	KeyLeaderLease = "fleet"
-	KeyCatalog     = "catalog" // and what begins with it
-	// Below PrefixFormats are the formats that each controller reads, and the
-	// fleet's.
+	KeyCatalog     = "catalog" // in the new format, the prefix of the catalog's keys
+	// PrefixFormats is the prefix of the records of the formats that the controllers read, and
+	// of the fleet format.
 	PrefixFormats     = "format/"
 	KeyFleetFormat    = "format/fleet"
 	PrefixBucketHeads = "bucket/"
 	PrefixJobs        = "job/"
-	// PrefixPending holds the queue of pending submissions: jobs that a controller accepted
-	// while it could not reach a leader. Only the leader writes jobs' own records; it
-	// ingests the queue.
+	// PrefixPending is the prefix of the pending submissions: jobs that a controller accepted
+	// while it could not reach a leader. Only the leader writes job records, so it ingests them.
 	PrefixPending  = "inbox/"
 	prefixTerminal = "final/"
 )
 
-// Buckets is the number of buckets, see docs/design.md.
+// Buckets is the number of buckets among which jobs are divided; see docs/design.md.
 const Buckets = 16
 
 // BucketOf returns the bucket of a job.
@@ -41,10 +41,10 @@
 	return int(h.Sum32() % Buckets)
 }
 
-// KeyFormat returns the key of the format that a controller reads.
-func KeyFormat(node string) string { return PrefixFormats + "node/" + url.PathEscape(node) }
+// KeyFormat returns the key of the record of the format that a controller reads.
+func KeyFormat(controller string) string { return PrefixFormats + "node/" + url.PathEscape(controller) }
 
-// KeyBucketHead returns the key of a bucket's head.
+// KeyBucketHead returns the key of the head of a bucket.
 func KeyBucketHead(bucket int) string { return fmt.Sprintf("%s%02d", PrefixBucketHeads, bucket) }
 
 // KeyJob returns the key of a live job's record.
@@ -56,37 +56,36 @@
 // KeyTerminal returns the key of a finished job's terminal state.
 func KeyTerminal(job string) string { return prefixTerminal + job }
 
-// JobOfTerminalKey returns the job whose terminal state a key holds, and whether it is such a
-// key.
+// JobOfTerminalKey returns the ID of the job whose terminal state is stored under key. ok is false
+// if key is not the key of a terminal state.
 func JobOfTerminalKey(key string) (job string, ok bool) {
 	return strings.CutPrefix(key, prefixTerminal)
 }
 
-// The kinds of a job's further records, which are kept below its own: parts of the names of
-// machines, pages of the set of completed tasks, and such pages in the old format.
+// Kinds of the part records of a job, whose keys are below the key of its JobRecord.
 const (
-	PartMachineNames = 'm'
-	PartDonePage     = 'd'
-	PartOldDonePage  = 'p'
+	PartMachineNames = 'm' // a MachineNamesRecord
+	PartDonePage     = 'd' // a DonePageRecord
+	PartOldDonePage  = 'p' // a DonePageRecord in the old format
 )
 
-// partKinds are all kinds of further records.
+// partKinds contains all kinds of part records.
 var partKinds = string([]rune{PartMachineNames, PartDonePage, PartOldDonePage})
 
-// KeyJobPart returns the key of a job's further record: the n-th of a kind.
+// KeyJobPart returns the key of the n-th part record of a kind of a job.
 func KeyJobPart(job string, kind byte, n int) string {
 	return fmt.Sprintf("%s/%c%d", KeyJob(job), kind, n)
 }
 
-// JobPart is what the key of a job's further record says.
+// JobPart is the parsed key of a part record.
 type JobPart struct {
-	JobKey string // of the job's own record
+	JobKey string // key of the job's JobRecord
 	Kind   byte   // PartMachineNames, PartDonePage or PartOldDonePage
 	Number int    // 0 or above
 }
 
-// ParseJobPart parses a key below a job's. It fails with a *RecordError if the key is not one
-// that KeyJobPart makes.
+// ParseJobPart parses the key of a part record. It fails with a *RecordError if KeyJobPart cannot
+// have returned the key. It panics if the key contains no slash.
 func ParseJobPart(key string) (JobPart, error) {
 	cut := strings.LastIndexByte(key, '/')
 	job, name := key[:cut], key[cut+1:]
@@ -98,5 +97,5 @@
 			return part, nil
 		}
 	}
-	return JobPart{}, &RecordError{Key: key, Err: errors.New("not of a known kind")}
+	return JobPart{}, &RecordError{Key: key, Err: errors.New("not the key of a known kind of part record")}
 }
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -5,40 +5,40 @@
 	"dunestand/internal/protocol"
 )
 
-// maxRecordBytes bounds a record whatever the key-value store would accept: with
-// the pages of the largest array it must fit into a transaction. maxPartBytes
-// keeps it cheap to name one more machine. Both are bytes of JSON.
+// Limits of the sizes of records, in bytes of JSON.
 const (
+	// maxRecordBytes is the limit of a JobRecord, even if the key-value store accepts larger
+	// values: the record must fit into one transaction with the pages of the largest job array.
 	maxRecordBytes = 24 << 10
-	maxPartBytes   = 8 << 10
+	// maxPartBytes is the limit of a MachineNamesRecord. It keeps it cheap to add a machine, which
+	// rewrites the record.
+	maxPartBytes = 8 << 10
+	// minNameBytes is the space for machine names that a job needs in order to be accepted in the
+	// old format.
+	minNameBytes = 1000
+	// recordMargin is the space that is left free in a JobRecord.
+	recordMargin = 64
 )
 
-// minNameBytes is the space for names, in bytes of JSON, without which a job is
-// not accepted in the old format.
-const minNameBytes = 1000
-
-// recordMargin is left free in a job's own record, in bytes.
-const recordMargin = 64
-
-// LongestWriteID is as long as the ID of any write batch.
+// LongestWriteID has the length of the longest ID of a write batch.
 const LongestWriteID = "00000000000000000000-00000000000000000000"
 
-// NameBudget is the space left for the names of machines, in bytes of JSON: in a job's own
-// record, however far the job gets, and in a further part. It is negative where the record
-// does not fit even without names.
+// NameBudget is the space that is left for the names of machines, in bytes of JSON: Main in a
+// JobRecord, even when all tasks are done, and Part in a MachineNamesRecord. It is negative if the
+// record does not fit even without names.
 type NameBudget struct{ Main, Part int }
 
-// NameBudgetFunc returns the space for names in the records of a job in a format.
+// NameBudgetFunc returns the space for machine names in the records of a job in a format.
 type NameBudgetFunc func(spec *protocol.JobSpec, format Format) NameBudget
 
-// NewNameBudgetFunc returns the function for a store that takes values of so many bytes now, and
-// of so many both now and under the announced next limits. Records in the old format, which
-// are not divided, may fill what the store takes now.
-func NewNameBudgetFunc(valueNow, valueBoth int) NameBudgetFunc {
+// NewNameBudgetFunc returns the NameBudgetFunc for the value sizes, in bytes, that the store accepts:
+// currentValueBytes now, lowestValueBytes both now and under the announced next limits. Records in
+// the old format, which cannot be divided, may use the current value size.
+func NewNameBudgetFunc(currentValueBytes, lowestValueBytes int) NameBudgetFunc {
 	return func(spec *protocol.JobSpec, format Format) NameBudget {
-		value, inlineDone := valueNow, min(spec.Tasks, OldPageTasks)
+		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
 		if format != FormatOld {
-			if value, inlineDone = valueBoth, spec.Tasks; inlineDone > InlineTasks {
+			if value, inlineDone = lowestValueBytes, spec.Tasks; inlineDone > InlineTasks {
 				inlineDone = 0
 			}
 		}
@@ -57,8 +57,7 @@
 	}
 }
 
-// FitsRecords reports whether a job can be kept in records of a format, however far the
-// job gets.
+// FitsRecords reports whether a job fits into records of a format until its end, with all tasks done.
 func FitsRecords(spec *protocol.JobSpec, format Format, limits config.KVLimits) bool {
 	budget := NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes())(spec, format)
 	if format != FormatOld {
@@ -68,5 +67,5 @@
 	return budget.Main >= minNameBytes && 3+(spec.Tasks-1)/OldPageTasks <= limits.TxnOps
 }
 
-// NameSize is what a name takes in JSON, with its quotes and comma.
+// NameSize returns the size in bytes of a machine name in a JSON list, with its quotes and comma.
 func NameSize(machine string) int { return len(machine) + 3 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -28,17 +28,17 @@
 			part, err := ParseJobPart(key)
 			var record *RecordError
 			if !errors.As(err, &record) || record.Key != key {
-				t.Errorf("%s: %+v, %v, want a RecordError with the key", key, part, err)
+				t.Errorf("%s: got %+v, %v, want a RecordError with the key", key, part, err)
 			}
 		})
 	}
 }
 
-// A type that fits no record is left out, and the others are still stored.
+// A type that does not fit into a record is omitted, and the others are still stored.
 func TestCatalogLeavesOutATypeThatFitsNoRecord(t *testing.T) {
 	small := protocol.InstanceType{Name: "small", CPUs: 4}
 	large := protocol.InstanceType{Name: "large", Zones: make([]string, 1000)}
-	limit := catalogFrame + JSONSize(small) + typeOverhead
+	limit := catalogOverhead + JSONSize(small) + typeOverhead
 	changes := CatalogChanges([]protocol.InstanceType{small, large, small}, FormatNew, limit, nil)
 	if len(changes) != 2 || changes[0].Set != "catalog/0" || changes[1].Set != "catalog/1" {
 		t.Fatalf("changes: %+v", changes)
@@ -51,8 +51,8 @@
 	}
 }
 
-// What can be read of a catalog is used although one of its records cannot.
-func TestUnreadablePartOfTheCatalogIsReported(t *testing.T) {
+// The readable records of a catalog are used although another record cannot be decoded.
+func TestUnreadablePartOfTheCatalogIsReportedAndTheRestUsed(t *testing.T) {
 	good := protocol.Encode(protocol.Catalog{Types: []protocol.InstanceType{{Name: "m"}}})
 	catalog, stored, err := ParseCatalog([]protocol.Item{
 		{Key: "catalog/0", Value: good, Version: 7},
