--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -111,10 +111,10 @@
 		state.DropResponse = func(n int) bool { return silent[n%11] && n%40 < 20 }
 		server := httptest.NewServer(state)
 		defer server.Close()
-		truth := units.Second
+		trueTime := units.Second
 		var controllers []*testController
 		for i, name := range []string{"a", "b", "c"} {
-			clock := &driftingClock{trueTime: &truth, offset: units.Micros(i) * 1000 * units.Second,
+			clock := &driftingClock{trueTime: &trueTime, offset: units.Micros(i) * 1000 * units.Second,
 				rate: rapid.Int64Range(0, 500).Draw(t, "rate")}
 			controllers = append(controllers, &testController{newTestElector(name, server, clock, uint64(i)), clock})
 		}
@@ -124,7 +124,7 @@
 		check := holderChecker{owners: map[uint64]*Elector{}}
 		step := 0
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
-			truth += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
+			trueTime += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
 			i := rapid.IntRange(0, 2).Draw(t, "node")
 			if rapid.IntRange(0, 7).Draw(t, "restart") == 0 {
 				controllers[i].elector = newTestElector(controllers[i].elector.name, server, controllers[i].clock, uint64(100+calls))
@@ -146,15 +146,15 @@
 	state.RejectRequest = func(string, string) bool { return down }
 	server := httptest.NewServer(state)
 	defer server.Close()
-	truth := units.Second
-	elector := newTestElector("a", server, &driftingClock{trueTime: &truth}, 1)
+	trueTime := units.Second
+	elector := newTestElector("a", server, &driftingClock{trueTime: &trueTime}, 1)
 	elector.watch(t.Context())
 	token := elector.Token()
 	if !elector.Valid(token) {
 		t.Fatal("not acquired")
 	}
 	down = true
-	truth += 20 * units.Second
+	trueTime += 20 * units.Second
 	elector.renew(t.Context())
 	if elector.Valid(token) {
 		t.Fatal("still valid after an outage longer than the lease")
@@ -182,10 +182,10 @@
 	state := fake.NewKVServer()
 	server := httptest.NewServer(state)
 	defer server.Close()
-	truth := units.Second
-	first := newTestElector("a", server, &driftingClock{trueTime: &truth}, 1)
+	trueTime := units.Second
+	first := newTestElector("a", server, &driftingClock{trueTime: &trueTime}, 1)
 	first.watch(t.Context())
-	again := newTestElector("a", server, &driftingClock{trueTime: &truth}, 2)
+	again := newTestElector("a", server, &driftingClock{trueTime: &trueTime}, 2)
 	connected := false
 	again.Connected = func() bool { return connected }
 	again.watch(t.Context())
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -58,6 +58,6 @@
 	server.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
 	later := newNegotiators(t, server, "a", "b", "c")["b"]
 	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatNew {
-		t.Errorf("a restarted leader has format %d, %v; want %d", later.Current(), err, storage.FormatNew)
+		t.Errorf("a restarted leader has format %d, %v, want the raised format", later.Current(), err)
 	}
 }
