--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -151,8 +151,8 @@
 	Paced Pacing = iota
 	// Urgent transactions, such as a renewal of the leader lease, are counted but do not wait.
 	Urgent
-	// Prepaid transactions were counted before, by ReserveWrites.
-	Prepaid
+	// Reserved transactions were counted before by ReserveWrites.
+	Reserved
 )
 
 // CompareAndSwap commits a transaction if its conditions hold, and returns its revision. It fails
--- a/internal/persister/commit.go
+++ b/internal/persister/commit.go
@@ -29,7 +29,7 @@
 // been reserved. It must be called without the lock of the state.
 func (p *Persister) CommitBatch(ctx context.Context, batch *cluster.WriteBatch) {
 	began := p.Clock.Steady()
-	pacing, uncertain := kv.Prepaid, false
+	pacing, uncertain := kv.Reserved, false
 	for backoff := commitBackoff; ; backoff = min(2*backoff, maxCommitBackoff) {
 		version, err := p.KV.CompareAndSwap(ctx, batch.Txn, pacing, kv.CallTimeout)
 		pacing = kv.Paced
