--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -77,7 +77,7 @@
 // newElector returns the elector of a controller, over connections of its own.
 func newElector(s *config.Settings, env Environment, client *kv.Client) *election.Elector {
 	return election.NewElector(election.Deps{
-		Node:   s.Node,
+		Name:   s.Node,
 		KV:     client.WithOwnConnections(),
 		Clock:  env.Clock,
 		Timing: election.TimingFor(s.Fleet.Workers.LeaseDuration()),
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -22,7 +22,7 @@
 
 // Deps holds the dependencies of an Elector.
 type Deps struct {
-	Node string // this controller's name
+	Name string // this controller's name
 	// KV should have connections of its own, so that a renewal does not wait behind other
 	// requests.
 	KV     *kv.Client
@@ -70,13 +70,13 @@
 // NewElector returns the elector of a controller, which starts as a follower.
 func NewElector(deps Deps) *Elector {
 	return &Elector{
-		name:       deps.Node,
+		name:       deps.Name,
 		client:     deps.KV,
 		clock:      deps.Clock,
 		timing:     deps.Timing,
 		random:     deps.Random,
 		log:        deps.Log,
-		nonce:      fmt.Sprintf("%s-%016x", deps.Node, deps.Random.Uint64()),
+		nonce:      fmt.Sprintf("%s-%016x", deps.Name, deps.Random.Uint64()),
 		monitor:    leaseMonitor{timing: deps.Timing},
 		answeredAt: deps.Clock.Steady(),
 		Connected:  func() bool { return true },
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -46,7 +46,7 @@
 		WriteRPS: 1e6,
 	}, 0, clock)
 	return NewElector(Deps{
-		Node:   name,
+		Name:   name,
 		KV:     client,
 		Clock:  clock,
 		Timing: TimingFor(10 * units.Second),
--- a/internal/election/handover_test.go
+++ b/internal/election/handover_test.go
@@ -14,7 +14,7 @@
 // by expiry.
 func holdingElector(token uint64, clock units.Clock) *Elector {
 	e := NewElector(Deps{
-		Node:   "n",
+		Name:   "n",
 		Clock:  clock,
 		Timing: TimingFor(10 * units.Second),
 		Random: rand.New(rand.NewPCG(1, token)),
