--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -20,34 +20,33 @@
 	"dunestand/internal/units"
 )
 
-// testController is one controller's elector with a clock of its own, which starts anywhere
-// and runs up to 0.05% off.
+// testController is a controller's elector with its own drifting clock.
 type testController struct {
 	elector *Elector
 	clock   *driftingClock
 }
 
-// driftingClock follows the true time at an offset and a rate of its own.
+// driftingClock derives its time from the true time by an offset and a rate error.
 type driftingClock struct {
-	truth  *units.Micros
-	offset units.Micros
-	rate   int64 // millionths fast
+	trueTime *units.Micros
+	offset   units.Micros
+	rate     int64 // gain on the true time, in parts per million
 }
 
 func (c *driftingClock) Steady() units.Micros {
-	return c.offset + *c.truth + *c.truth*units.Micros(c.rate)/1_000_000
+	return c.offset + *c.trueTime + *c.trueTime*units.Micros(c.rate)/1_000_000
 }
 func (c *driftingClock) Wall() units.Micros { return c.Steady() }
 
-// newTestElector returns the elector of a controller, or of a further process of it with
-// another seed, on a fake key-value store.
+// newTestElector returns an elector of the named controller on a fake key-value store. Each
+// process of a controller needs a seed of its own, since write IDs are derived from it.
 func newTestElector(name string, server *httptest.Server, clock units.Clock, seed uint64) *Elector {
 	client := kv.NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.KVLimits{
 		RPS:      1e6,
 		WriteRPS: 1e6,
 	}, 0, clock)
 	return NewElector(Deps{
-		Node:   name,
+		Name:   name,
 		KV:     client,
 		Clock:  clock,
 		Timing: TimingFor(10 * units.Second),
@@ -56,7 +55,7 @@
 	})
 }
 
-// step does what Run does between two pauses.
+// step executes one iteration of Run, without starting a leader.
 func (c *testController) step(ctx context.Context) {
 	if c.elector.holdsLease() {
 		c.elector.renew(ctx)
@@ -65,15 +64,15 @@
 	}
 }
 
-// holderCheck fails a test in which two controllers hold the lease at a time, or a fencing token
-// falls or has two owners.
-type holderCheck struct {
+// holderChecker is an invariant checker: at most one controller holds the lease at a time, valid
+// fencing tokens never decrease, and each token belongs to a single process.
+type holderChecker struct {
 	owners map[uint64]*Elector // by token
-	newest uint64              // token
+	newest uint64              // the highest token that was valid so far
 }
 
-// observe checks who holds the lease now.
-func (c *holderCheck) observe(t *rapid.T, controllers []*testController) {
+// observe checks the invariants for the current state of all controllers.
+func (c *holderChecker) observe(t *rapid.T, controllers []*testController) {
 	t.Helper()
 	holders := 0
 	for _, controller := range controllers {
@@ -87,7 +86,7 @@
 		}
 		c.newest = token
 		if owner := c.owners[token]; owner != nil && owner != controller.elector {
-			t.Fatalf("token %d was another process's", token)
+			t.Fatalf("token %d was also valid in another process", token)
 		}
 		c.owners[token] = controller.elector
 	}
@@ -96,12 +95,12 @@
 	}
 }
 
-// At no moment do two controllers hold the lease, whatever their clocks, their pauses, the
-// key-value store's outages, and writes without an answer or that are carried out late; and
-// fencing tokens only rise. A process that is back at once, also between its campaign and the
-// outcome, never goes on with a token of its former process: the token must tell a worker's
-// heartbeat to the one from a heartbeat to the other.
-func TestAtMostOneHolder(t *testing.T) {
+// Two controllers never hold the lease at the same time, and fencing tokens never decrease,
+// under clock drift, pauses, outages of the key-value store, lost responses and delayed writes.
+// A restarted process never reuses a token of its former process, even if the restart falls
+// between a campaign and its outcome: otherwise workers could not tell heartbeats to the two
+// processes apart.
+func TestFaultsAndClockDriftNeverYieldTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := t.Context()
 		state := fake.NewKVServer()
@@ -112,23 +111,23 @@
 		state.DropResponse = func(n int) bool { return silent[n%11] && n%40 < 20 }
 		server := httptest.NewServer(state)
 		defer server.Close()
-		truth := units.Second
+		trueTime := units.Second
 		var controllers []*testController
 		for i, name := range []string{"a", "b", "c"} {
-			clock := &driftingClock{truth: &truth, offset: units.Micros(i) * 1000 * units.Second,
+			clock := &driftingClock{trueTime: &trueTime, offset: units.Micros(i) * 1000 * units.Second,
 				rate: rapid.Int64Range(0, 500).Draw(t, "rate")}
 			controllers = append(controllers, &testController{newTestElector(name, server, clock, uint64(i)), clock})
 		}
 		late := rapid.SliceOfN(rapid.IntRange(0, 3), 13, 13).Draw(t, "late")
 		state.DelayCommit = func(n int) bool { return late[n%13] == 0 }
 		flush := rapid.SliceOfN(rapid.IntRange(0, 2), 17, 17).Draw(t, "carried out")
-		check := holderCheck{owners: map[uint64]*Elector{}}
+		check := holderChecker{owners: map[uint64]*Elector{}}
 		step := 0
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
-			truth += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
+			trueTime += units.Micros(rapid.SampledFrom([]int64{10, 300, 700, 2900, 3100, 3400, 9000}).Draw(t, "ms")) * units.Millisecond
 			i := rapid.IntRange(0, 2).Draw(t, "node")
 			if rapid.IntRange(0, 7).Draw(t, "restart") == 0 {
-				controllers[i].elector = newTestElector(controllers[i].elector.node, server, controllers[i].clock, uint64(100+calls))
+				controllers[i].elector = newTestElector(controllers[i].elector.name, server, controllers[i].clock, uint64(100+calls))
 			}
 			controllers[i].step(ctx)
 			if step++; flush[step%17] == 0 {
@@ -139,35 +138,35 @@
 	})
 }
 
-// A lease that expired in an outage is renewed with the same token, if nobody else acquired
-// it meanwhile.
+// A lease that expired during an outage is renewed with the same token if no other controller
+// has acquired it. A leader that steps down then resigns it.
 func TestExpiredLeaseIsRenewedWithSameToken(t *testing.T) {
 	state := fake.NewKVServer()
 	down := false
 	state.RejectRequest = func(string, string) bool { return down }
 	server := httptest.NewServer(state)
 	defer server.Close()
-	truth := units.Second
-	elector := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
+	trueTime := units.Second
+	elector := newTestElector("a", server, &driftingClock{trueTime: &trueTime}, 1)
 	elector.watch(t.Context())
 	token := elector.Token()
 	if !elector.Valid(token) {
 		t.Fatal("not acquired")
 	}
 	down = true
-	truth += 20 * units.Second
+	trueTime += 20 * units.Second
 	elector.renew(t.Context())
 	if elector.Valid(token) {
-		t.Fatal("still valid after the outage outlasted it")
+		t.Fatal("still valid after an outage longer than the lease")
 	}
 	down = false
 	elector.renew(t.Context())
 	if !elector.Valid(token) {
-		t.Fatal("not renewed with its token")
+		t.Fatal("not renewed with the same token")
 	}
 	elector.StepDown()
 	if elector.Valid(token) {
-		t.Fatal("valid though the leader steps down")
+		t.Fatal("valid although the leader is stepping down")
 	}
 	elector.renew(t.Context())
 	var record storage.LeaseRecord
@@ -177,25 +176,25 @@
 	}
 }
 
-// A controller that was cut off, ended, and came back still cut off must not acquire its own
-// lease again at once: it would hold it without hearing a worker.
+// A controller that restarts while it is partitioned from the workers must not acquire its
+// former process's lease at once: it would lead without receiving a heartbeat.
 func TestDisconnectedControllerWaitsBeforeCampaign(t *testing.T) {
 	state := fake.NewKVServer()
 	server := httptest.NewServer(state)
 	defer server.Close()
-	truth := units.Second
-	first := newTestElector("a", server, &driftingClock{truth: &truth}, 1)
+	trueTime := units.Second
+	first := newTestElector("a", server, &driftingClock{trueTime: &trueTime}, 1)
 	first.watch(t.Context())
-	again := newTestElector("a", server, &driftingClock{truth: &truth}, 2)
+	again := newTestElector("a", server, &driftingClock{trueTime: &trueTime}, 2)
 	connected := false
 	again.Connected = func() bool { return connected }
 	again.watch(t.Context())
 	if again.holdsLease() {
-		t.Fatal("acquired while it hears nobody")
+		t.Fatal("acquired while disconnected")
 	}
 	connected = true
 	again.watch(t.Context())
 	if !again.holdsLease() || again.Token() != 2 {
-		t.Fatal("not acquired though it hears others")
+		t.Fatal("not acquired although connected")
 	}
 }
