--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -7,11 +7,11 @@
 	"dunestand/internal/units"
 )
 
-// AttemptStage is the progress of an attempt as far as the leader knows.
+// AttemptStage is the last known stage of an attempt.
 type AttemptStage uint8
 
-// The stages of an attempt. The start of an attempt in the stage Sent may or may not have
-// reached its machine; only a later heartbeat shows which.
+// The stages of an attempt in order. For an attempt in the stage Sent it is not known whether
+// the start command reached the machine until a later heartbeat shows it.
 const (
 	Assigned AttemptStage = iota
 	Sent
@@ -20,7 +20,7 @@
 	Checkpointing
 )
 
-// String returns the stage's name for logs and test failures.
+// String returns the stage's name in lower case.
 func (s AttemptStage) String() string {
 	switch s {
 	case Assigned:
@@ -37,26 +37,26 @@
 	return fmt.Sprintf("AttemptStage(%d)", uint8(s))
 }
 
-// Attempt is one try of a task on a machine. It counts against the machine's capacity and
-// the team's quota limit from its assignment until it is known to be gone.
+// Attempt is one execution of a task on a machine. It counts against the machine's capacity
+// and the team's quota limit from its assignment until it is known to be gone.
 type Attempt struct {
 	Job     *Job
 	Index   int    // of the task in the job
-	Number  uint64 // unique among all leaders, see State.NextAttempt
+	Number  uint64 // unique across all leaders, see State.NextAttempt
 	Machine *Machine
 	Stage   AttemptStage
 
-	SentSequence uint64       // the heartbeat whose response carried the start
-	SeenSequence uint64       // the last heartbeat that listed the attempt
+	SentSequence uint64       // sequence number of the heartbeat whose response carried the start
+	SeenSequence uint64       // sequence number of the last heartbeat that listed the attempt
 	AssignedAt   units.Micros // steady time
-	RunningSince units.Micros // steady time, 0 until it was seen running
+	RunningSince units.Micros // steady time, 0 until a heartbeat shows it running
 	Stopping     bool         // it is to be stopped
-	GracePeriod  units.Micros // for its checkpoint, once it is to be stopped
+	GracePeriod  units.Micros // for its checkpoint, if it is to be stopped
 
-	earlier *Attempt // of the same task, see LiveAttempts
+	earlier *Attempt // of the same task, with the next lower number, see LiveAttempts
 }
 
-// HasRival reports whether another attempt of the same task may be on a machine.
+// HasRival reports whether the task has another live attempt.
 func (a *Attempt) HasRival() bool {
 	return a.earlier != nil || a.Job.LiveAttempts[a.Index] != a
 }
@@ -67,8 +67,8 @@
 func (a *Attempt) key() AttemptKey { return AttemptKey{a.Job.Spec.ID, a.Index, a.Number} }
 
 // Assign places the next pending task of a job on a machine. It returns nil if the job has no
-// pending task. If the machine is not yet in the job's records, an urgent write becomes due:
-// the start may be sent only once Job.MachineIsDurable.
+// pending task. If the job's records do not name the machine, it marks an urgent write: the
+// start may be sent only once Job.MachineIsDurable returns true.
 func (s *State) Assign(j *Job, m *Machine, number uint64, now units.Micros) *Attempt {
 	i, ok := j.nextPendingTask()
 	if !ok {
@@ -81,10 +81,9 @@
 	return s.attach(&Attempt{Job: j, Index: i, Number: number, Machine: m, Stage: Assigned, AssignedAt: now})
 }
 
-// Adopt adds an attempt that a machine listed in a heartbeat and that this leader did not
-// start. It is added whether it is wanted or not, since what may be on a machine counts: an
-// attempt left out is on no machine that the leader knows, and its task starts once more. One
-// that is not wanted is to be stopped.
+// Adopt adds an attempt that a heartbeat listed and that this leader did not start. It adds
+// even an unwanted attempt, because the task of an attempt that the state does not contain
+// would be started a second time. Unwanted attempts of the task are marked to be stopped.
 func (s *State) Adopt(j *Job, i int, number uint64, m *Machine, now units.Micros) *Attempt {
 	if j.records.recordMachine(m.ID) {
 		j.MarkChanged(now, false)
@@ -94,9 +93,9 @@
 	return a
 }
 
-// StopUnwanted stops the attempts of a task that are not wanted: all but the latest, or all of
-// them if the task is done. A leader starts a task again only once every earlier attempt is
-// known to be gone, so an earlier one that a heartbeat shows is over, or must be.
+// StopUnwanted marks the unwanted attempts of a task to be stopped: all but the latest, or all
+// of them if the task is done. A leader starts a task again only once every earlier attempt is
+// known to be gone, so an earlier attempt that a heartbeat lists is obsolete.
 func (s *State) StopUnwanted(j *Job, i int) {
 	latest := j.LiveAttempts[i]
 	for a := range j.LiveAttempts.Of(i) {
@@ -106,6 +105,7 @@
 	}
 }
 
+// attach adds an attempt to its job, its machine and the usage of machine and team.
 func (s *State) attach(a *Attempt) *Attempt {
 	if a.Job.LiveAttempts.add(a) && a.Job.IsDone(a.Index) {
 		a.Job.doneAndLive++
@@ -116,7 +116,8 @@
 	return a
 }
 
-// StopAttempt notes that an attempt is to be stopped, with a grace period for its checkpoint.
+// StopAttempt marks an attempt to be stopped, with a grace period for its checkpoint. For an
+// attempt that is already to be stopped it replaces the grace period.
 func (s *State) StopAttempt(a *Attempt, grace units.Micros) {
 	if !a.Stopping {
 		a.Stopping = true
@@ -125,9 +126,9 @@
 	a.GracePeriod = grace
 }
 
-// AttemptGone removes an attempt that is certainly not on its machine any more. The task is
-// pending again once no attempt of it is left, unless it is done. An attempt that was removed
-// before is left alone.
+// AttemptGone removes an attempt that is known to have left its machine. Once no attempt of
+// the task is left, the task is pending again unless it is done. AttemptGone has no effect on
+// an attempt that was already removed.
 func (s *State) AttemptGone(a *Attempt, now units.Micros) {
 	key := a.key()
 	if a.Machine.Attempts[key] != a {
@@ -136,7 +137,7 @@
 	delete(a.Machine.Attempts, key)
 	a.Job.records.attemptGone(a.Machine.ID)
 	if a.Job.LiveAttempts.remove(a) {
-		a.Job.taskOffMachines(a.Index)
+		a.Job.requeueTask(a.Index)
 	}
 	freeing := 0
 	if a.Stopping {
@@ -148,11 +149,12 @@
 	}
 }
 
-// tokenShift leaves the lower half of an attempt's number to a leader's own count.
+// tokenShift is the number of low bits of an attempt's number that hold the leader's own
+// count; the fencing token is in the bits above.
 const tokenShift = 32
 
-// NextAttempt returns a number for an attempt that no leader has used before: the fencing
-// token is in it, and no two leaders have the same one.
+// NextAttempt returns a new attempt number, unique across leaders because it contains the
+// leader's fencing token, which no other leader has.
 func (s *State) NextAttempt(token uint64) uint64 {
 	s.AttemptsStarted++
 	return token<<tokenShift | s.AttemptsStarted
--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -8,71 +8,71 @@
 )
 
 const (
-	// maxBatchBytes bounds a batch. A transaction may hold 64 KiB as JSON, which is at most
-	// about half larger than CBOR.
+	// maxBatchBytes bounds the size of a batch as CBOR. The key-value store limits a transaction
+	// to 64 KiB as JSON, which is about 1.5 times as large as CBOR at most.
 	maxBatchBytes = 36 << 10
-	// changeOverhead is what a change takes beside its value, in bytes.
+	// changeOverhead is the estimated size of a change without its value, in bytes.
 	changeOverhead = 64
 )
 
 // batchBuilder fills a batch up to the limits of a transaction.
 type batchBuilder struct {
-	state          *State
-	rules          *recordRules
-	batch          *WriteBatch
-	bucketVersions []uint64
-	heads          map[int]bool // buckets whose heads are among the conditions
-	accepts        bool         // it accepts a job, on State.AcceptCondition
-	maxChanges     int          // changes that a transaction may hold
-	bytes          int          // used up
+	state                *State
+	rules                *recordRules
+	batch                *WriteBatch
+	bucketVersions       []uint64
+	heads                map[int]bool // buckets whose heads are among the conditions
+	acceptConditionAdded bool         // State.AcceptCondition is among the conditions
+	maxChanges           int          // upper limit of the changes in the batch
+	bytes                int          // size of the changes so far
 }
 
-// addJob adds what there is to write of a job, as far as there is space, and reports
-// whether there may be space for another one.
+// addJob adds the due writes of a job, as far as they fit. It returns false if the batch is
+// full, so that no further job needs to be tried.
 func (b *batchBuilder) addJob(j *Job) bool {
-	first := len(b.batch.parts) == 0
-	if !first && (j.write.alone || b.batch.parts[0].job.write.alone) {
+	first := len(b.batch.entries) == 0
+	if !first && (j.write.alone || b.batch.entries[0].job.write.alone) {
 		return true
 	}
-	part, all := collectWrites(j, b.batch.ID, b.rules)
+	entry, all := collectWrites(j, b.batch.ID, b.rules)
 	if b.tooLarge(j, all) {
-		return true // until it may be divided
+		return true // its write stays due until the record may be split
 	}
 	if len(all) == 0 {
-		j.write.nothingDue()
+		j.write.clearDue()
 		return true
 	}
-	n, bytes := cut(all, b.maxChanges-len(b.batch.Txn.Then), maxBatchBytes-b.bytes, first)
+	n, bytes := fittingWrites(all, b.maxChanges-len(b.batch.Txn.Then), maxBatchBytes-b.bytes, first)
 	if n < len(all) && !first {
 		return false
 	}
 	b.bytes += bytes
-	part.writes, part.whole = all[:n], n == len(all)
-	b.addConditions(&part)
-	for _, w := range part.writes {
+	entry.writes, entry.complete = all[:n], n == len(all)
+	b.addConditions(&entry)
+	for _, w := range entry.writes {
 		b.batch.Txn.Then = append(b.batch.Txn.Then, w.change)
 	}
-	part.begin()
-	b.batch.parts = append(b.batch.parts, part)
+	entry.markInFlight()
+	b.batch.entries = append(b.batch.entries, entry)
 	return true
 }
 
-// addConditions adds what a job's writes are conditional on: its bucket is still this
-// leader's, the job has not ended, and each record is as this leader knows it.
-func (b *batchBuilder) addConditions(part *batchPart) {
-	j := part.job
-	b.addHead(storage.BucketOf(j.Spec.ID))
-	if j.isNew() && !b.accepts && b.state.AcceptCondition != nil {
-		b.accepts = true
+// addConditions adds the conditions of a job's writes: its bucket still belongs to this leader,
+// the job has not ended, and each record has the version that this leader knows.
+func (b *batchBuilder) addConditions(entry *batchEntry) {
+	j := entry.job
+	b.addHeadCondition(storage.BucketOf(j.Spec.ID))
+	if j.isNew() && !b.acceptConditionAdded && b.state.AcceptCondition != nil {
+		b.acceptConditionAdded = true
 		b.batch.Txn.If = append(b.batch.Txn.If, *b.state.AcceptCondition)
 	}
-	if !j.stored || part.terminal != nil {
+	if !j.stored || entry.terminal != nil {
 		b.addCondition(storage.KeyTerminal(j.Spec.ID), 0)
 	}
-	if part.terminal != nil {
+	if entry.terminal != nil {
 		b.addCondition(j.records.main.key, j.records.main.version)
 	}
-	for _, w := range part.writes {
+	for _, w := range entry.writes {
 		if w.shard != nil {
 			b.addCondition(w.shard.key, w.shard.version)
 		}
@@ -83,7 +83,7 @@
 	b.batch.Txn.If = append(b.batch.Txn.If, protocol.Condition{Key: key, Version: version})
 }
 
-func (b *batchBuilder) addHead(bucket int) {
+func (b *batchBuilder) addHeadCondition(bucket int) {
 	if b.heads[bucket] {
 		return
 	}
@@ -91,19 +91,19 @@
 	b.addCondition(storage.KeyBucketHead(bucket), b.bucketVersions[bucket])
 }
 
-// addStaleRecords deletes what is left of jobs that have ended, as far as there is space.
+// addStaleRecords adds deletions of stale records, as far as they fit.
 func (b *batchBuilder) addStaleRecords() {
 	for len(b.batch.Txn.Then) < b.maxChanges && len(b.state.staleRecords) > 0 {
 		stale := b.state.staleRecords[0]
 		b.state.staleRecords = b.state.staleRecords[1:]
-		b.addHead(stale.bucket)
+		b.addHeadCondition(stale.bucket)
 		b.batch.Txn.Then = append(b.batch.Txn.Then, protocol.Change{Delete: stale.key})
 		b.batch.stale = append(b.batch.stale, stale)
 	}
 }
 
-// tooLarge reports whether a job has a record in the old format that the key-value
-// store does not accept any more, while it must not be divided yet.
+// tooLarge reports whether a job has a record in the old format that exceeds the new limits of
+// the key-value store and must not be split yet, because an old leader may still read it.
 func (b *batchBuilder) tooLarge(j *Job, all []write) bool {
 	if !b.rules.nextLimitsApplied || !b.rules.oldLeadersPossible() {
 		return false
@@ -117,10 +117,11 @@
 	})
 }
 
-// cut returns how many of a job's writes go into a transaction that has space for so many
-// changes and bytes, and their size. What must go together does, even where nothing else is
-// in the transaction and it is over its limit: the key-value store then rejects it.
-func cut(all []write, changes, bytes int, first bool) (n, size int) {
+// fittingWrites returns the number and size of the leading writes of a job that fit into a
+// transaction with space for the given changes and bytes. Writes with withPrevious stay together
+// with their predecessors. If first is set, the transaction is empty and gets at least the
+// first such group, even over the limit: the key-value store then rejects it.
+func fittingWrites(all []write, changes, bytes int, first bool) (n, size int) {
 	for i := 0; i < len(all); {
 		k, add := i, 0
 		for {
--- a/internal/cluster/completionrate.go
+++ b/internal/cluster/completionrate.go
@@ -2,15 +2,15 @@
 
 import "dunestand/internal/units"
 
-// CompletionRate is the rate at which tasks that end by themselves free processors, as
-// observed. The lock of the State that owns it guards it; its zero value is ready for use.
+// CompletionRate is the observed rate at which tasks that end without being stopped free
+// processors. The mutex of its State guards it. Its zero value is ready for use.
 type CompletionRate struct {
-	freedCPU  units.Amount // since the last update
-	since     units.Micros // the last update
-	perSecond units.Amount // processors, moving mean
+	freedCPU  units.Amount // processors freed since the last update
+	since     units.Micros // steady time of the last update
+	perSecond units.Amount // moving mean of the processors freed per second
 }
 
-// Advance brings the mean up to date.
+// Advance updates the moving mean, once at least a second has passed since its last update.
 func (r *CompletionRate) Advance(now units.Micros) {
 	if passed := now - r.since; passed >= units.Second {
 		rate := r.freedCPU * units.Amount(units.Second/units.Millisecond) / units.Amount(passed/units.Millisecond)
@@ -18,10 +18,10 @@
 	}
 }
 
-// Within returns the processors that tasks are expected to free in a time.
+// Within returns the number of processors that tasks are expected to free within d.
 func (r *CompletionRate) Within(d units.Micros) units.Amount {
 	return r.perSecond * units.Amount(d/units.Millisecond) / units.Amount(units.Second/units.Millisecond)
 }
 
-// Freed notes that a task which ended by itself freed some processors.
+// Freed records the processors of a task that ended without being stopped.
 func (r *CompletionRate) Freed(cpu units.Amount) { r.freedCPU += cpu }
--- a/internal/cluster/donetasks.go
+++ b/internal/cluster/donetasks.go
@@ -6,11 +6,11 @@
 	"dunestand/internal/bitset"
 )
 
-// doneTasks is the set of a job's completed tasks, and how far it is durable.
+// doneTasks is the set of a job's completed tasks. It tracks which completions are durable.
 type doneTasks struct {
 	set       bitset.Set
 	count     int
-	unwritten bitset.Set // done, but in no write batch yet
+	unwritten bitset.Set // done, but not in a write batch
 	inFlight  bitset.Set // done, and in a write batch whose outcome is not known
 }
 
@@ -21,14 +21,14 @@
 func (d *doneTasks) has(i int) bool       { return d.set.Has(i) }
 func (d *doneTasks) isDurable(i int) bool { return !d.unwritten.Has(i) && !d.inFlight.Has(i) }
 
-// add notes that a task is done which was not.
+// add adds a task that is not in the set.
 func (d *doneTasks) add(i int) {
 	d.set.Add(i)
 	d.count++
 	d.unwritten.Add(i)
 }
 
-// recount counts the tasks that were read from the records.
+// recount sets count to the number of tasks in the set, after they were decoded from records.
 func (d *doneTasks) recount() {
 	d.count = 0
 	for _, b := range d.set {
@@ -36,9 +36,9 @@
 	}
 }
 
-// sent moves the tasks whose records are in a write batch now to those in flight: the ones
-// on pages that are not dirty any more.
-func (d *doneTasks) sent(records *jobRecords) {
+// markInFlight moves the unwritten tasks whose pages are no longer dirty to those in flight: a
+// write batch now contains these pages.
+func (d *doneTasks) markInFlight(records *jobRecords) {
 	for i := range d.unwritten.All() {
 		if !records.pageOf(i).dirty {
 			d.inFlight.Add(i)
@@ -47,11 +47,11 @@
 	}
 }
 
-// committed notes that the write batch in flight was carried out.
+// committed records that the write batch in flight was committed.
 func (d *doneTasks) committed() { clear(d.inFlight) }
 
-// refused notes that the write batch in flight was not carried out.
-func (d *doneTasks) refused() {
+// aborted records that the write batch in flight was not committed.
+func (d *doneTasks) aborted() {
 	d.unwritten.AddAll(d.inFlight)
 	clear(d.inFlight)
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -6,44 +6,45 @@
 	"dunestand/internal/units"
 )
 
-// Job is a live job: one that is not in a terminal state. The lock of the State that it
-// belongs to guards it.
+// Job is a live job: one that is not in a terminal state. The mutex of its State guards it.
 type Job struct {
 	Spec      protocol.JobSpec
 	Submitted units.Micros // time of day
 	Cancelled bool
-	// CancelDurable: the cancellation is durable, so its user may be told.
+	// CancelDurable is set once the cancellation is durable and can be confirmed to the user.
 	CancelDurable bool
 	LiveAttempts  LiveAttempts
-	// UnreconciledMachines may hold tasks of the job that no heartbeat has shown.
+	// UnreconciledMachines are the IDs of machines that may hold tasks of the job which no
+	// heartbeat has listed.
 	UnreconciledMachines map[string]bool
-	LearnedAt            units.Micros // steady time when this leader learnt of it
+	LearnedAt            units.Micros // steady time at which this leader learnt of it
 	JobOutcomes
 
 	done        doneTasks
-	doneAndLive int // tasks that are done and have live attempts
+	doneAndLive int // number of tasks that are done and still have live attempts
 	pending     pendingTasks
 	records     jobRecords
 	write       writeState
 
 	stored bool // a record exists in the key-value store
-	// inPendingQueue: the store's queue of pending submissions holds it, to be deleted there.
+	// inPendingQueue is set while the job has a record in the queue of pending submissions,
+	// which is to be deleted.
 	inPendingQueue bool
-	// cancelVersion is a version of its record that contains the cancellation.
+	// cancelVersion is a version of the job's record that contains the cancellation.
 	cancelVersion uint64
 }
 
-// JobOutcomes is what the outcomes of a job's attempts taught about it, see Outcomes.
+// JobOutcomes are the statistics of a job's finished attempts, see Outcomes.
 type JobOutcomes struct {
-	ConsecutiveErrors int             // without a success between
-	FailedMachines    map[string]bool // machines on which it failed
-	Succeeded         bool            // an attempt has succeeded, or a replica has run long
+	ConsecutiveErrors int             // failed attempts since the last success
+	FailedMachines    map[string]bool // IDs of the machines on which attempts failed
+	Succeeded         bool            // an attempt has completed, or a replica is steady
 	RetryAt           units.Micros    // steady time before which no task is placed
-	Started           bool            // one of its tasks was seen running
+	Started           bool            // a heartbeat has shown one of its tasks running
 
-	totalRuntime units.Micros
+	totalRuntime units.Micros // sum over the observed runs
 	observedRuns int
-	shortRuns    map[int]int // by replica of a service: runs in a row that ended soon
+	shortRuns    map[int]int // by replica of a service: consecutive runs shorter than steadyRuntime
 }
 
 func newJob(spec protocol.JobSpec, submitted units.Micros, format storage.Format) *Job {
@@ -66,28 +67,29 @@
 // Accepted reports whether the job is durable.
 func (j *Job) Accepted() bool { return j.stored }
 
-// isNew reports whether the job's next write accepts it. One from the pending-submission
-// queue was accepted there.
+// isNew reports whether the job's next write accepts it. A job in the queue of pending
+// submissions is already accepted.
 func (j *Job) isNew() bool { return !j.stored && !j.inPendingQueue }
 
-// CancelVersion returns a version of the job's record that contains its cancellation, 0
-// until that is stored.
+// CancelVersion returns a version of the job's record that contains its cancellation, or 0
+// while no stored record does.
 func (j *Job) CancelVersion() uint64 { return j.cancelVersion }
 
 // DoneCount returns the number of completed tasks.
 func (j *Job) DoneCount() int { return j.done.count }
 
-// Complete reports whether every task is done. Those of a service never are.
+// Complete reports whether every task is done. A service is never complete.
 func (j *Job) Complete() bool { return !j.IsService() && j.done.count == j.Spec.Tasks }
 
-// Pending returns the number of tasks that are neither done nor on a machine. A
-// task can be both until its last attempt is known to be gone.
+// Pending returns the number of tasks that are neither done nor have a live attempt. A done
+// task keeps its live attempts until they are known to be gone; doneAndLive corrects for
+// counting it twice.
 func (j *Job) Pending() int {
 	return j.Spec.Tasks - j.done.count - len(j.LiveAttempts) + j.doneAndLive
 }
 
-// taskOffMachines notes that no attempt of a task is left. Unless it is done it is pending.
-func (j *Job) taskOffMachines(i int) {
+// requeueTask makes a task whose last attempt was removed pending again, unless it is done.
+func (j *Job) requeueTask(i int) {
 	if j.IsDone(i) {
 		j.doneAndLive--
 		return
@@ -95,10 +97,11 @@
 	j.pending.retries = append(j.pending.retries, i)
 }
 
-// HasTasksToPlace reports whether tasks of the job are to be placed.
+// HasTasksToPlace reports whether the job is accepted, not cancelled and has pending tasks.
 func (j *Job) HasTasksToPlace() bool { return j.stored && !j.Cancelled && j.Pending() > 0 }
 
-// UnreconciledTasks returns the number of tasks that unreconciled machines hold at worst.
+// UnreconciledTasks returns an upper bound on the number of tasks that unreconciled machines
+// hold.
 func (j *Job) UnreconciledTasks() int {
 	if len(j.UnreconciledMachines) == 0 {
 		return 0
@@ -112,10 +115,10 @@
 // IsDone reports whether a task is done.
 func (j *Job) IsDone(i int) bool { return i < j.Spec.Tasks && j.done.has(i) }
 
-// DoneIsDurable reports whether a task's completion is stored.
+// DoneIsDurable reports whether a task is done and its completion is durable.
 func (j *Job) DoneIsDurable(i int) bool { return j.IsDone(i) && j.done.isDurable(i) }
 
-// Running returns the number of tasks that run.
+// Running returns the number of tasks that have a running attempt.
 func (j *Job) Running() int {
 	n := 0
 	for task := range j.LiveAttempts {
@@ -126,7 +129,7 @@
 	return n
 }
 
-// taskRuns reports whether an attempt of a task runs.
+// taskRuns reports whether an attempt of a task runs or writes a checkpoint.
 func (j *Job) taskRuns(task int) bool {
 	for a := range j.LiveAttempts.Of(task) {
 		if a.Stage == Running || a.Stage == Checkpointing {
@@ -136,7 +139,7 @@
 	return false
 }
 
-// MeanRuntime returns the mean run time of the tasks seen, 0 if none was.
+// MeanRuntime returns the mean run time of the job's observed runs, or 0 if there are none.
 func (j *Job) MeanRuntime() units.Micros {
 	if j.observedRuns == 0 {
 		return 0
@@ -144,14 +147,15 @@
 	return j.totalRuntime / units.Micros(j.observedRuns)
 }
 
-// pendingTasks yields the tasks of a job that are to be placed, those to be tried again
-// first and the others in their order.
+// pendingTasks is the queue of a job's tasks to be placed: first the tasks to be retried, then
+// those never placed by this leader, by index. It can contain tasks that are no longer pending.
 type pendingTasks struct {
-	retries []int // the last one goes first
-	next    int   // no task from here on was ever placed by this leader
+	retries []int // a stack: the last task is placed first
+	next    int   // this leader has placed no task from this index on
 }
 
-// nextPendingTask removes the next pending task from the queue.
+// nextPendingTask removes the next pending task from the queue and returns its index. ok is
+// false if no task is pending.
 func (j *Job) nextPendingTask() (task int, ok bool) {
 	p := &j.pending
 	for len(p.retries) > 0 {
@@ -171,10 +175,11 @@
 	return 0, false
 }
 
-// isPending reports whether a task is neither done nor on a machine.
+// isPending reports whether a task is neither done nor has a live attempt.
 func (j *Job) isPending(i int) bool { return !j.done.has(i) && j.LiveAttempts[i] == nil }
 
-// markDone notes that a task is done, and reports whether that is new.
+// markDone marks a task as done and reports whether it was not done before. It has no effect
+// on a service.
 func (j *Job) markDone(i int) bool {
 	if i >= j.Spec.Tasks || j.IsService() || j.done.has(i) {
 		return false
@@ -187,35 +192,38 @@
 	return true
 }
 
-// MarkChanged notes that the job's records are to be written; at once if urgent.
+// MarkChanged marks the job as due to be written. An urgent write is not delayed to coalesce
+// changes.
 func (j *Job) MarkChanged(now units.Micros, urgent bool) { j.write.mark(now, urgent) }
 
-// Durable returns a channel that is closed once all changes made until now are durable, or
-// the job is dropped.
+// Durable returns a channel that is closed once all changes made so far are durable or the
+// job is dropped.
 func (j *Job) Durable() <-chan struct{} { return j.write.durableSignal() }
 
 // EndInFlight reports whether the job's terminal state or cancellation is in a write batch
-// whose outcome is not known: other controllers may read it already.
+// whose outcome is not yet known. Other controllers may already read it from the key-value
+// store.
 func (j *Job) EndInFlight() bool { return j.write.endInFlight }
 
 // WritePending reports whether a write of the job's records is due or in flight.
 func (j *Job) WritePending() bool { return j.write.inFlight || j.write.due }
 
-// CanRecordMachine reports whether the job's records have space to name the machine.
+// CanRecordMachine reports whether the job's records name the machine or have space for its
+// name.
 func (j *Job) CanRecordMachine(machine string) bool { return j.records.hasSpaceFor(machine) }
 
-// MachineIsDurable reports whether a record durably names the machine, so that a later
-// leader would know to look for the job's tasks there.
+// MachineIsDurable reports whether a record durably names the machine, so that a later leader
+// expects the job's tasks there.
 func (j *Job) MachineIsDurable(machine string) bool {
 	return j.stored && j.records.isDurable(machine)
 }
 
-// RecordVersion returns the version at which the job's own record was last stored or read, 0 if
-// it never was.
+// RecordVersion returns the version at which the job's main record was last stored or read, or
+// 0 if it was never stored.
 func (j *Job) RecordVersion() uint64 { return j.records.main.version }
 
-// terminalRecord returns the record of a job in a terminal state: complete, or cancelled
-// and with nothing left on any machine. It is nil for any other job.
+// terminalRecord returns the terminal record of a job that is complete, or that is cancelled
+// and can have no attempt on any machine. It returns nil for any other job.
 func (j *Job) terminalRecord(writeID string) *storage.TerminalRecord {
 	var stage protocol.JobStage
 	switch {
--- a/internal/cluster/jobrecord.go
+++ b/internal/cluster/jobrecord.go
@@ -2,7 +2,7 @@
 
 import "dunestand/internal/storage"
 
-// record returns the job's own record, which names the given machines.
+// record returns the job's main record, which names the given machines.
 func (j *Job) record(writeID string, machines []string) storage.JobRecord {
 	record := storage.NewJobRecord(&j.Spec, j.records.format)
 	record.WriteID = writeID
--- a/internal/cluster/liveattempts.go
+++ b/internal/cluster/liveattempts.go
@@ -2,13 +2,14 @@
 
 import "iter"
 
-// LiveAttempts are the attempts of a job that may be on machines, by task. A task has one
-// mostly, and several where heartbeats show it on more than one machine: a copy of an old
-// heartbeat shows what was there once. The map holds the attempt of a task with the highest
-// number, the latest one; the others are chained to it.
+// LiveAttempts are the attempts of a job that may be on machines, by task index. A task usually
+// has one. It has several if heartbeats list it on more than one machine, which a delayed copy
+// of an old heartbeat can cause. The map contains the latest attempt of each task, which is the
+// one with the highest number; the others are linked from it in descending order.
 type LiveAttempts map[int]*Attempt
 
-// All yields all attempts, in no order. An attempt may be removed while it is yielded.
+// All returns an iterator over all attempts, in no order. The loop body may remove the current
+// attempt.
 func (l LiveAttempts) All() iter.Seq[*Attempt] {
 	return func(yield func(*Attempt) bool) {
 		for task := range l {
@@ -21,8 +22,8 @@
 	}
 }
 
-// Of yields the attempts of a task, the latest first. An attempt may be removed while it is
-// yielded.
+// Of returns an iterator over the attempts of a task, the latest first. The loop body may
+// remove the current attempt.
 func (l LiveAttempts) Of(task int) iter.Seq[*Attempt] {
 	return func(yield func(*Attempt) bool) {
 		for a := l[task]; a != nil; {
@@ -51,7 +52,7 @@
 	return false
 }
 
-// remove removes an attempt and reports whether it was the last one of its task.
+// remove removes an attempt and reports whether it was the only one of its task.
 func (l LiveAttempts) remove(a *Attempt) bool {
 	if l[a.Index] != a {
 		for other := range l.Of(a.Index) {
--- a/internal/cluster/liveattempts_test.go
+++ b/internal/cluster/liveattempts_test.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/units"
 )
 
-// newStateWithJob returns a state with a job of so many tasks that run on machines of type m.
+// newStateWithJob returns a state and a job in it with the given number of tasks.
 func newStateWithJob(tasks int) (*State, *Job) {
 	state := NewState([]config.Team{{Name: "team", LimitCPUs: 100}}, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	return state, state.NewJob(protocol.JobSpec{
@@ -22,9 +22,9 @@
 	}, 0, 0)
 }
 
-// Whatever the order in which machines show attempts of a task and prove that these are gone,
-// each attempt counts until then, the latest one alone may go on, and the task is pending
-// again only once none is left.
+// Heartbeats can list the attempts of a task, and prove that they are gone, in any order. Each
+// attempt counts as usage until it is gone, all but the latest are stopped, and the task is
+// pending again only once no attempt is left.
 func TestTaskIsPendingOnceNoAttemptIsLeft(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, job := newStateWithJob(1)
@@ -46,7 +46,7 @@
 	})
 }
 
-// checkAttempts checks what the state keeps of a job of one task whose attempts are live.
+// checkAttempts checks the state of a job with one task against its live attempts.
 func checkAttempts(t *rapid.T, state *State, job *Job, live []*Attempt) {
 	want := slices.SortedFunc(slices.Values(live), func(a, b *Attempt) int { return int(b.Number) - int(a.Number) })
 	if got := slices.Collect(job.LiveAttempts.Of(0)); !slices.Equal(got, want) {
@@ -60,7 +60,7 @@
 	}
 	for i, a := range want {
 		if i > 0 && !a.Stopping {
-			t.Fatalf("attempt %d goes on beside %d", a.Number, want[0].Number)
+			t.Fatalf("attempt %d is not stopped in favor of attempt %d", a.Number, want[0].Number)
 		}
 		if a.HasRival() != (len(want) > 1) {
 			t.Fatalf("attempt %d of %d: rival %v", a.Number, len(want), a.HasRival())
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -8,49 +8,49 @@
 	"dunestand/internal/units"
 )
 
-// Machine is a machine that sent a heartbeat, is listed by the cloud, or was requested from it.
-// Times are steady times. The lock of the State that it belongs to guards it.
+// Machine is a machine that sent a heartbeat, is listed by the cloud, or was requested from
+// the cloud. Its times are steady times. The mutex of its State guards it.
 type Machine struct {
 	ID           string
 	InstanceType string
 	Zone         string
 	Spot         bool
-	Endpoint     string // as the cloud lists it
+	Endpoint     string // as listed by the cloud
 	Capacity     units.Resources
 	ImageCache   units.Amount // bytes
 	Usage
 	Attempts map[AttemptKey]*Attempt
-	Ended    int // ended tasks in its last heartbeat
+	Ended    int // number of ended tasks in its last heartbeat
 
-	Registered   bool   // it sent a heartbeat to this leader
-	FencingToken uint64 // the highest that it had seen by its last heartbeat
+	Registered   bool   // it has sent a heartbeat to this leader
+	FencingToken uint64 // the highest that its agent had seen by its last heartbeat
 	Incarnation  uint64 // of its agent
 	Sequence     uint64 // of its last heartbeat in that incarnation
-	// LastHeartbeat is when its last heartbeat that was answered arrived.
+	// LastHeartbeat is the time at which its last answered heartbeat arrived.
 	LastHeartbeat       units.Micros
 	LastCommand         SentCommand  // in the last response
-	UndeliveredCommands int          // responses in a row that had no effect
-	UndeliveredAt       units.Micros // when the last of these showed, or its incarnation began
-	// MayHoldCancelled: it held tasks of a cancelled job when its lease expired, and has
-	// sent no heartbeat since. If it hangs they are on it still.
+	UndeliveredCommands int          // consecutive responses that had no effect
+	UndeliveredAt       units.Micros // when the last of these was detected, or its incarnation began
+	// MayHoldCancelled is set if the machine held tasks of a cancelled job when its lease
+	// expired and has sent no heartbeat since. If it only hangs, the tasks are still on it.
 	MayHoldCancelled bool
-	TerminatesAt     units.Micros // when the cloud takes it away; 0: no notice
+	TerminatesAt     units.Micros // when the cloud terminates it, 0 without a notice
 	Quarantined      bool         // faulty: gets no work and is released
-	Slow             bool         // it runs tasks slower than their siblings elsewhere
-	BlockedUntil     units.Micros // it had no capacity for a start: our count is off
+	Slow             bool         // runs tasks slower than other machines run tasks of the same job
+	BlockedUntil     units.Micros // it rejected a start for lack of capacity, so Used is wrong
 
-	Stage        protocol.MachineStage // as the cloud lists it
+	Stage        protocol.MachineStage // as listed by the cloud
 	LaunchedAt   units.Micros
 	IdleSince    units.Micros
 	Releasing    bool
-	failedJobs   map[string]bool // jobs that failed here since the last success
-	slowness     float64         // run time against siblings elsewhere, moving mean of its log2
+	failedJobs   map[string]bool // IDs of jobs that failed here since the last success
+	slowness     float64         // moving mean of log2(run time / mean run time of the job)
 	comparedRuns int
-	images       []image // the most recently used one last
+	images       []image // from the least to the most recently used
 	imageBytes   units.Amount
 }
 
-// CapacityOf returns the capacity of a machine of a type.
+// CapacityOf returns the capacity of a machine of an instance type.
 func CapacityOf(t protocol.InstanceType) units.Resources {
 	return units.Resources{
 		CPU:    units.AmountOf(t.CPUs),
@@ -59,7 +59,7 @@
 	}
 }
 
-// SortedAttempts returns the machine's attempts in the order of their jobs' IDs and of tasks.
+// SortedAttempts returns the machine's attempts ordered by job ID and task index.
 func (m *Machine) SortedAttempts() []*Attempt {
 	attempts := make([]*Attempt, 0, len(m.Attempts))
 	for _, a := range m.Attempts {
@@ -71,16 +71,16 @@
 	return attempts
 }
 
-// AttemptKey names an attempt on its machine.
+// AttemptKey identifies an attempt on its machine.
 type AttemptKey struct {
 	Job    string
 	Index  int
 	Number uint64
 }
 
-// SentCommand is the first command of a response that was sent to a machine.
+// SentCommand is the first command in a response to a machine's heartbeat.
 type SentCommand struct {
-	Pending bool // no later heartbeat has shown yet whether it arrived
+	Pending bool // no later heartbeat has shown whether it arrived
 	Verb    protocol.Verb
 	Key     AttemptKey
 }
@@ -90,30 +90,32 @@
 	size units.Amount
 }
 
-// setInstanceType sets the machine's capacity to that of its type, if the type is known.
+// setInstanceType sets the capacity and image cache of the machine's instance type, if the
+// type is known.
 func (m *Machine) setInstanceType(types map[string]protocol.InstanceType) {
 	if t, ok := types[m.InstanceType]; ok {
 		m.Capacity, m.ImageCache = CapacityOf(t), units.AmountOf(t.CacheGB)
 	}
 }
 
-// Free returns the free capacity.
+// Free returns the capacity that no attempt has requested. It is negative where attempts
+// request more than the capacity.
 func (m *Machine) Free() units.Resources { return m.Capacity.Plus(m.Used, -1) }
 
-// HasImage reports whether the machine is thought to hold an image.
+// HasImage reports whether the machine's image cache is expected to contain an image.
 func (m *Machine) HasImage(name string) bool {
 	return slices.ContainsFunc(m.images, func(i image) bool { return i.name == name })
 }
 
-// RecordImage notes that a machine has a job's image.
+// RecordImage records that the machine has used a job's image.
 func (m *Machine) RecordImage(j *Job) {
 	if j.Spec.ImageSize > 0 {
 		m.touchImage(j.Spec.Image, j.Spec.ImageSize)
 	}
 }
 
-// touchImage notes that an image is used, as the machine's cache does: the images used least
-// recently are evicted.
+// touchImage mirrors a use of an image in the machine's cache, which evicts the least recently
+// used images.
 func (m *Machine) touchImage(name string, size units.Amount) {
 	for k, i := range m.images {
 		if i.name == name {
@@ -129,10 +131,10 @@
 	}
 }
 
-// MaxUndeliveredCommands is how many responses in a row may have no effect on a machine until
-// it counts as unresponsive to commands.
+// MaxUndeliveredCommands is the number of consecutive responses without effect after which a
+// machine counts as unresponsive to commands.
 const MaxUndeliveredCommands = 2
 
-// IgnoresCommands reports whether the machine sends heartbeats and carries no command out.
-// It then gets no work and is released as a lost machine is.
+// IgnoresCommands reports whether the machine sends heartbeats but executes no commands. Such
+// a machine gets no work and is released like a lost machine.
 func (m *Machine) IgnoresCommands() bool { return m.UndeliveredCommands >= MaxUndeliveredCommands }
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-func TestImagesAreEvictedAsInTheCache(t *testing.T) {
+func TestLeastRecentlyUsedImageIsEvicted(t *testing.T) {
 	m := &Machine{ImageCache: 10}
 	m.touchImage("a", 4)
 	m.touchImage("b", 4)
 	m.touchImage("a", 4)
-	m.touchImage("c", 4) // b is the one not used for longest
+	m.touchImage("c", 4) // evicts b
 	if !m.HasImage("a") || m.HasImage("b") || !m.HasImage("c") {
 		t.Fatalf("holds %v", m.images)
 	}
--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -8,22 +8,22 @@
 )
 
 // A job's records name every machine that may hold one of its tasks, so that a later leader
-// asks there. Names are added before a start and left out of later writes once they are not
-// in use any more.
+// reconciles these machines. A name is added before a task starts on the machine, and omitted
+// from writes once it is no longer in use.
 
 // inUse reports whether a machine may hold a task of the job.
 func (r *jobRecords) inUse(machine string) bool {
 	return r.attempts[machine] > 0 || r.unreconciled[machine]
 }
 
-// attemptGone counts down the job's attempts on a machine.
+// attemptGone decrements the number of the job's attempts on a machine.
 func (r *jobRecords) attemptGone(machine string) {
 	if r.attempts[machine]--; r.attempts[machine] == 0 {
 		delete(r.attempts, machine)
 	}
 }
 
-// restoreNames adds the names that were read from a record.
+// restoreNames adds the machines that a stored record names, and marks them as unreconciled.
 func (r *jobRecords) restoreNames(sh *shard, machines []string) {
 	if sh.machines == nil {
 		sh.machines = map[string]bool{}
@@ -36,7 +36,7 @@
 	}
 }
 
-// setNameLimits sets the space for names in each record.
+// setNameLimits sets the maximum size of the names in each record.
 func (r *jobRecords) setNameLimits(budget storage.NameBudgetFunc) {
 	available := budget(r.spec, r.format)
 	r.main.nameLimit, r.partNameLimit = available.Main, available.Part
@@ -45,6 +45,7 @@
 	}
 }
 
+// addName adds a name to a record, which becomes dirty.
 func (r *jobRecords) addName(sh *shard, machine string, durable bool) {
 	sh.machines[machine] = durable
 	sh.nameBytes += storage.NameSize(machine)
@@ -52,7 +53,8 @@
 	r.shardOf[machine] = sh
 }
 
-// dropName removes a name. The record that holds it need not be written for that.
+// dropName removes a name from its record. It does not mark the record as dirty, because a
+// name that is not in use is harmless in the stored record.
 func (r *jobRecords) dropName(machine string) {
 	sh := r.shardOf[machine]
 	delete(sh.machines, machine)
@@ -60,7 +62,7 @@
 	delete(r.shardOf, machine)
 }
 
-// dropUnused removes the names in a record that are not in use any more.
+// dropUnused removes the names in a record that are no longer in use.
 func (r *jobRecords) dropUnused(sh *shard) {
 	for _, m := range sortedNames(sh.machines) {
 		if !r.inUse(m) {
@@ -69,8 +71,8 @@
 	}
 }
 
-// recordMachine adds a machine to the records to be written, and reports whether it was
-// missing there.
+// recordMachine adds a machine to the records unless one already names it, and reports whether
+// it added the machine.
 func (r *jobRecords) recordMachine(machine string) bool {
 	if r.shardOf[machine] != nil {
 		return false
@@ -79,14 +81,14 @@
 	return true
 }
 
-// shardFor chooses a record for a new name: the one that got the last, else one
-// in which names that are not needed any more leave space, else a new part.
+// shardFor selects the record for a new name: the one that got the last new name if it has
+// space, else the record with the most space once unused names are removed, else a new part.
 func (r *jobRecords) shardFor(machine string) *shard {
 	size := storage.NameSize(machine)
 	if r.format == storage.FormatOld || r.openShard.nameBytes+size <= r.openShard.nameLimit {
 		return r.openShard
 	}
-	best := r.emptiestShard()
+	best := r.shardWithMostSpace()
 	if free := best.nameLimit - best.nameBytes; free < size || free < best.nameLimit/4 {
 		best = r.newNamePart()
 	}
@@ -94,9 +96,9 @@
 	return best
 }
 
-// emptiestShard returns the record with the most space for names, after those not in use
-// have been removed from all of them.
-func (r *jobRecords) emptiestShard() *shard {
+// shardWithMostSpace removes the unused names from all records, and returns the record with the
+// most space for names.
+func (r *jobRecords) shardWithMostSpace() *shard {
 	best := r.main
 	for n := 0; n <= len(r.nameParts); n++ {
 		sh := r.main
@@ -114,7 +116,7 @@
 	return best
 }
 
-// newNamePart adds a further record for names, with the lowest free number.
+// newNamePart adds a part for names with the lowest free number.
 func (r *jobRecords) newNamePart() *shard {
 	n := 1
 	for r.nameParts[n] != nil {
@@ -129,7 +131,7 @@
 	return sh
 }
 
-// moveExcessNames moves the names that the job's own record has no space for to others.
+// moveExcessNames moves the names that do not fit into the main record to parts.
 func (r *jobRecords) moveExcessNames() {
 	var excess []string
 	kept := 0
@@ -147,19 +149,19 @@
 	}
 }
 
-// hasSpaceFor reports whether a machine is named, or can be. In the new format there is
-// always space, in a new part if need be.
+// hasSpaceFor reports whether a record names the machine or has space for its name. In the new
+// format there is always space, because parts can be added.
 func (r *jobRecords) hasSpaceFor(machine string) bool {
 	return r.format != storage.FormatOld || r.main.nameBytes+storage.NameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
 }
 
-// isDurable reports whether a stored record names the machine and goes on to.
+// isDurable reports whether a stored record names the machine and no later write omits the name.
 func (r *jobRecords) isDurable(machine string) bool {
 	sh := r.shardOf[machine]
 	return sh != nil && sh.machines[machine]
 }
 
-// namesToWrite returns the machines that a record is to name.
+// namesToWrite returns the machines that the next write of a record names: those in use.
 func (r *jobRecords) namesToWrite(sh *shard) []string {
 	var out []string
 	for m := range sh.machines {
--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -8,8 +8,9 @@
 	"dunestand/internal/storage"
 )
 
-// A machine stays named as long as it may hold a task, and a start may follow
-// only once the name is durable.
+// If a task started on a machine that no stored record names, a later leader would not know of
+// it and start the task a second time. So a start must wait until the name is durable, and must
+// not follow a write that omits the name, committed or not.
 func TestMachinesAreRecordedBeforeStarts(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
@@ -39,20 +40,19 @@
 	}
 	state.AttemptGone(a, 0)
 	state.TaskDone(j, 0, 0)
-	batch = build() // leaves the name out
+	batch = build() // omits the name
 	if j.MachineIsDurable(m.ID) {
 		t.Fatal("may start though the name is being removed")
 	}
 	state.BatchConflicted(batch, 0)
 	if j.MachineIsDurable(m.ID) {
-		t.Fatal("may start after a refused batch that removed the name")
+		t.Fatal("may start after a conflicted batch that removed the name")
 	}
 }
 
-// A page in the old format does not say which write batch it belongs to, so the job's own
-// record goes with it: a batch that was carried out and not answered must be recognised,
-// or its leader mistakes it for another's.
-func TestOldPagesAreWrittenWithTheirJob(t *testing.T) {
+// A page in the old format has no write ID. Unless the main record is written with it, a leader
+// that got no response to a committed batch does not recognise the batch as its own.
+func TestOldPagesAreWrittenWithMainRecord(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40_000}, 0, 0)
@@ -60,6 +60,6 @@
 	state.TaskDone(j, 20_000, 0)
 	batch := state.BuildWriteBatch("1-2", bucketVersions, BatchLimits{Background: true}, 10)
 	if batch.ProbeKey() != storage.KeyJob("j-000001") || len(batch.Txn.Then) != 2 {
-		t.Errorf("recognised by %s, %d changes", batch.ProbeKey(), len(batch.Txn.Then))
+		t.Errorf("probe key %s, %d changes", batch.ProbeKey(), len(batch.Txn.Then))
 	}
 }
--- a/internal/cluster/machines.go
+++ b/internal/cluster/machines.go
@@ -8,8 +8,8 @@
 	"dunestand/internal/units"
 )
 
-// SetInstanceTypes adds the types of the cloud's catalog and sets the capacity of the machines
-// that have one of them.
+// SetInstanceTypes adds the instance types of the cloud's catalog and updates the capacity of
+// the machines of these types.
 func (s *State) SetInstanceTypes(types []protocol.InstanceType) {
 	for _, t := range types {
 		s.InstanceTypes[t.Name] = t
@@ -19,7 +19,8 @@
 	}
 }
 
-// EnsureMachine returns the machine of that ID, which it adds if it is not known.
+// EnsureMachine returns the machine with the given ID. It adds the machine if it is unknown;
+// otherwise it ignores the other arguments.
 func (s *State) EnsureMachine(id, instanceType, zone string, spot bool, now units.Micros) *Machine {
 	m := s.Machines[id]
 	if m == nil {
@@ -41,16 +42,17 @@
 	return m
 }
 
-// findMachine returns where a machine is, or belongs, in a list ordered by ID.
+// findMachine returns the position of a machine in a list ordered by ID, or the position at
+// which to insert it, and whether the list contains it.
 func findMachine(sorted []*Machine, id string) (int, bool) {
 	return slices.BinarySearchFunc(sorted, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
 }
 
-// SortedMachines returns the machines in the order of their IDs. It is the state's own
-// list, to be read only and under the state's lock.
+// SortedMachines returns the machines ordered by ID. The state owns the list: callers must not
+// modify it, and may read it only while they hold the state's mutex.
 func (s *State) SortedMachines() []*Machine { return s.sortedMachines }
 
-// RemoveMachine removes a machine that is certainly gone, with its attempts.
+// RemoveMachine removes a machine that is known to be gone, and its attempts.
 func (s *State) RemoveMachine(m *Machine, now units.Micros) {
 	s.MachineEmptied(m, now)
 	s.Unreconciled.Resolve(m.ID)
@@ -60,14 +62,15 @@
 	}
 }
 
-// MachineEmptied removes the machine's attempts: none of them is there any more.
+// MachineEmptied removes all attempts of a machine that is known to run none of them.
 func (s *State) MachineEmptied(m *Machine, now units.Micros) {
 	for _, a := range m.SortedAttempts() {
 		s.AttemptGone(a, now)
 	}
 }
 
-// HoldsCancelled reports whether a machine may hold tasks of a cancelled job.
+// HoldsCancelled reports whether the machine with the given ID may hold tasks of a cancelled
+// job.
 func (s *State) HoldsCancelled(id string) bool {
 	if m := s.Machines[id]; m != nil {
 		if m.MayHoldCancelled {
--- a/internal/cluster/memory.go
+++ b/internal/cluster/memory.go
@@ -2,18 +2,17 @@
 
 import "dunestand/internal/protocol"
 
-// What a live job is estimated to take in memory. Both figures are more than twice what a
-// job takes by itself, so that there is space for its attempts, the write batches in flight
-// and the garbage collector.
+// Estimated memory of a live job. Both values are at least twice the memory of the Job itself,
+// to include its attempts, write batches in flight and the overhead of the garbage collector.
 const (
 	jobBytes    = 13 << 10
-	bitsPerTask = 6 // three sets of tasks have a bit for each
+	bitsPerTask = 6 // twice one bit in each of the three sets of tasks
 )
 
-// JobMemory returns what a job is estimated to take in memory, in bytes.
+// JobMemory returns the estimated memory of a live job, in bytes.
 func JobMemory(spec *protocol.JobSpec) int64 {
 	return jobBytes + int64(spec.Tasks)*bitsPerTask/8
 }
 
-// EstimatedMemory returns what all live jobs are estimated to take, in bytes.
+// EstimatedMemory returns the estimated memory of all live jobs, in bytes.
 func (s *State) EstimatedMemory() int64 { return s.memory }
--- a/internal/cluster/outcomes.go
+++ b/internal/cluster/outcomes.go
@@ -6,15 +6,15 @@
 	"dunestand/internal/units"
 )
 
-// Outcomes learns from the ends of attempts: how long tasks run, when to try again, and which
-// machines are slow or faulty. What concerns one job or machine is kept there. The lock of
-// the State that owns it guards it.
+// Outcomes evaluates finished attempts: it estimates run times, sets the time of retries and
+// detects slow and faulty machines. Statistics of one job or machine are stored in the Job or
+// Machine. The mutex of its State guards it.
 type Outcomes struct {
-	// OnRunObserved, if set, is called for each task that was seen to run from its start to
-	// its end, with the state's lock held.
+	// OnRunObserved, if set, is called with the state's mutex held for each completed attempt
+	// that a heartbeat has shown running.
 	OnRunObserved func(j *Job, run units.Micros)
 
-	runtimeRatios map[string]float64 // by class: run time against the owners' estimates, moving mean
+	runtimeRatios map[string]float64 // by class: moving mean of run time / owner's estimate
 	machines      map[string]*Machine
 }
 
@@ -22,7 +22,8 @@
 	return Outcomes{runtimeRatios: map[string]float64{}, machines: machines}
 }
 
-// Exponential backoff of jobs whose tasks fail, and of replicas that keep ending.
+// Bounds of the exponential backoff for jobs whose tasks fail and for replicas that end soon
+// after their start.
 const (
 	errorBackoff      = units.Second / 4
 	maxErrorBackoff   = 60 * units.Second
@@ -31,24 +32,26 @@
 	maxBackoffShift   = 8
 )
 
-// A machine counts as slow after so many runs that took, on a moving mean, 1.5
-// times as long as their siblings elsewhere.
+// A machine counts as slow if, after minComparedRuns runs, the moving mean of their run times
+// relative to the mean run times of their jobs is above 1.5.
 const (
 	minComparedRuns = 6
-	slowThreshold   = 0.6 // log2(1.5)
-	slownessWeight  = 0.15
+	slowThreshold   = 0.6  // log2(1.5)
+	slownessWeight  = 0.15 // weight of a run in the moving mean
 )
 
-// A job's mean run time is compared with once it rests on so many runs and is above so much.
+// A run is compared with its job's mean run time only if the mean is of at least
+// minObservedRuns runs and above minComparedRuntime.
 const (
 	minObservedRuns    = 3
 	minComparedRuntime = 2 * units.Second
 )
 
-// ratioWeight is the weight of a run in its class's moving mean of run times against estimates.
+// ratioWeight is the weight of a run in the moving mean of its class, see Outcomes.
 const ratioWeight = 0.05
 
-// AttemptCompleted learns from an attempt that has completed.
+// AttemptCompleted records an attempt that has completed: it resets the failures of its job and
+// machine and, if the attempt was observed running, adds its run time to the statistics.
 func (o *Outcomes) AttemptCompleted(a *Attempt, now units.Micros) {
 	j, m := a.Job, a.Machine
 	clear(m.failedJobs)
@@ -73,9 +76,9 @@
 	}
 }
 
-// compareRun compares a run with the mean of its siblings. The tasks of one job differ by much,
-// so it takes several to call a machine slow, on a scale on which twice as long and half as
-// long weigh the same.
+// compareRun updates the machine's slowness with a run and the mean run time of its job. Tasks
+// of one job differ widely in run time, so a machine counts as slow only after several runs. On
+// the logarithmic scale a run of twice the mean and one of half the mean cancel out.
 func (m *Machine) compareRun(run, mean units.Micros) {
 	ratio := math.Log2(max(0.25, min(run.Seconds()/mean.Seconds(), 4)))
 	m.slowness = (1-slownessWeight)*m.slowness + slownessWeight*ratio
@@ -83,8 +86,8 @@
 	m.Slow = m.comparedRuns >= minComparedRuns && m.slowness > slowThreshold
 }
 
-// runtimeRatio returns how the run times of a class compare with the owners' estimates, 1 if
-// none was seen.
+// runtimeRatio returns the runtime ratio of a class: the moving mean of run time / owner's
+// estimate, or 1 if no run was observed.
 func (o *Outcomes) runtimeRatio(class string) float64 {
 	if ratio, ok := o.runtimeRatios[class]; ok {
 		return ratio
@@ -92,7 +95,8 @@
 	return 1
 }
 
-// EstimateRuntime returns how long a task of the job is expected to run.
+// EstimateRuntime returns the expected run time of a task of the job: the mean of its observed
+// runs, or its owner's estimate corrected by the runtime ratio of its class.
 func (o *Outcomes) EstimateRuntime(j *Job) units.Micros {
 	if mean := j.MeanRuntime(); mean > 0 {
 		return mean
@@ -101,25 +105,27 @@
 }
 
 const (
-	// quarantineAfterJobs is how many jobs must fail on a machine, with no success
-	// between, before the machine is blamed and not the jobs.
+	// quarantineAfterJobs is the number of jobs that must fail on a machine, without a success
+	// in between, before the machine is quarantined.
 	quarantineAfterJobs = 2
-	// quarantineAfterErrors is how many attempts in a row of a job that has succeeded before
-	// must fail until the machine of the last one is blamed.
+	// quarantineAfterErrors is the number of consecutive attempts that must fail, of a job that
+	// has succeeded before, until the machine of the last one is quarantined.
 	quarantineAfterErrors = 3
-	// blameJobAfterMachines is on how many machines a job must fail, without a success
-	// anywhere, before it is blamed and not the machines.
-	blameJobAfterMachines = 3
+	// backOffAfterMachines is the number of machines on which a job must fail, without any
+	// success, before it is retried with backoff and its failures no longer count against the
+	// machines.
+	backOffAfterMachines = 3
 )
 
-// AttemptFailed learns from an attempt that ended in an error. A job that never
-// succeeded anywhere and fails on several machines was submitted with a
-// mistake: it is retried ever more slowly and no machine is blamed for it.
+// AttemptFailed records an attempt that ended in an error, and quarantines its machine if the
+// machine is the likely cause. A job that has never succeeded and fails on several machines is
+// itself the likely cause: it is retried with exponential backoff, and its failures do not
+// count against the machines.
 func (o *Outcomes) AttemptFailed(a *Attempt, now units.Micros) {
 	j, m := a.Job, a.Machine
 	j.ConsecutiveErrors++
 	j.FailedMachines[m.ID] = true
-	if !j.Succeeded && len(j.FailedMachines) >= blameJobAfterMachines {
+	if !j.Succeeded && len(j.FailedMachines) >= backOffAfterMachines {
 		shift := min(len(j.FailedMachines)+j.ConsecutiveErrors/4, maxBackoffShift)
 		j.RetryAt = now + min(errorBackoff<<shift, maxErrorBackoff)
 		for _, other := range o.machines {
@@ -133,19 +139,21 @@
 	}
 }
 
-// steadyRuntime is how long a service's replica runs until its machine and its job
-// are thought to be in order.
+// steadyRuntime is the run time after which a service's replica counts as a success of its job
+// and machine.
 const steadyRuntime = 20 * units.Second
 
-// maxServiceFailedMachines bounds the machines that a service avoids because a replica ended there.
+// maxServiceFailedMachines is the number of failed machines of a service at which a steady
+// replica clears their list.
 const maxServiceFailedMachines = 3
 
-// isSteady reports whether a replica has run for long.
+// isSteady reports whether a replica has run for at least steadyRuntime.
 func (a *Attempt) isSteady(now units.Micros) bool {
 	return a.RunningSince > 0 && now-a.RunningSince >= steadyRuntime
 }
 
-// ReplicaSteady learns from a replica that runs.
+// ReplicaSteady records a running replica as a success of its job and machine. It has no effect
+// before the replica has run for steadyRuntime.
 func (o *Outcomes) ReplicaSteady(a *Attempt, now units.Micros) {
 	if !a.isSteady(now) {
 		return
@@ -155,12 +163,13 @@
 	delete(j.shortRuns, a.Index)
 	j.ConsecutiveErrors, j.Succeeded = 0, true
 	if len(j.FailedMachines) >= maxServiceFailedMachines {
-		clear(j.FailedMachines) // machines to be avoided, while they are few
+		clear(j.FailedMachines) // a service avoids only a few machines
 	}
 }
 
-// ReplicaEnded learns from a replica that ended by itself, with an error or without.
-// One that keeps ending is started again ever more slowly, and elsewhere.
+// ReplicaEnded records a replica that ended without being stopped. Replicas that repeatedly end
+// soon are restarted with exponential backoff and on other machines. failed is set if the
+// replica ended in an error.
 func (o *Outcomes) ReplicaEnded(a *Attempt, failed bool, now units.Micros) {
 	o.ReplicaSteady(a, now)
 	j := a.Job
--- a/internal/cluster/outcomes_test.go
+++ b/internal/cluster/outcomes_test.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/units"
 )
 
-// A machine that runs its tasks slower than their siblings elsewhere is detected,
-// and does not distort what is known of the job.
+// A machine that runs tasks slower than other machines run tasks of the same job is marked as
+// slow, but only after enough runs to exclude the normal variation between tasks.
 func TestSlowMachineIsDetected(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40}, 0, 0)
@@ -28,7 +28,7 @@
 		run("i-2", 30*units.Second)
 	}
 	if state.Machines["i-2"].Slow {
-		t.Fatal("called slow after four tasks: tasks of one job differ by as much")
+		t.Fatal("slow after four tasks, within the variation of one job's tasks")
 	}
 	for range 8 {
 		run("i-2", 30*units.Second)
@@ -38,7 +38,7 @@
 	}
 }
 
-// failAttempt assigns a task of the job to a machine, where it fails.
+// failAttempt assigns a task of the job to a machine, fails the attempt and returns the machine.
 func failAttempt(state *State, j *Job, machine string, now units.Micros) *Machine {
 	m := state.EnsureMachine(machine, "m", "a", true, now)
 	a := state.Assign(j, m, 1, now)
@@ -47,7 +47,7 @@
 	return m
 }
 
-// A machine on which several jobs fail is faulty; one on which one job fails is not.
+// Failures of several jobs on a machine indicate a faulty machine; failures of one job do not.
 func TestMachineOnWhichSeveralJobsFailIsQuarantined(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	first := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 10}, 0, 0)
@@ -61,15 +61,15 @@
 	}
 }
 
-// A job that fails wherever it runs is tried again ever more slowly, within a bound, and no
-// machine is blamed for it.
+// A job that fails on every machine is retried with a bounded exponential backoff, and its
+// failures do not count against the machines.
 func TestJobThatFailsEverywhereIsDelayed(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 100}, 0, 0)
 	last := units.Micros(0)
 	for i := range 40 {
-		if m := failAttempt(state, j, fmt.Sprintf("i-%d", i), 0); m.Quarantined || i >= blameJobAfterMachines && len(m.failedJobs) > 0 {
-			t.Fatalf("machine %d is blamed", i)
+		if m := failAttempt(state, j, fmt.Sprintf("i-%d", i), 0); m.Quarantined || i >= backOffAfterMachines && len(m.failedJobs) > 0 {
+			t.Fatalf("failure of the job counts against machine %d", i)
 		}
 		if j.RetryAt < last || j.RetryAt > maxErrorBackoff {
 			t.Fatalf("retried at %d after %d", j.RetryAt, last)
@@ -81,7 +81,8 @@
 	}
 }
 
-// A replica that keeps ending soon is started ever more slowly, until it has run for long.
+// A replica that repeatedly ends soon after its start is restarted with exponential backoff,
+// until it has run for steadyRuntime.
 func TestReplicaThatKeepsEndingIsDelayed(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 1, Kind: protocol.Service}, 0, 0)
@@ -102,6 +103,6 @@
 	}
 	run(10*units.Second, steadyRuntime)
 	if len(j.shortRuns) != 0 || !j.Succeeded {
-		t.Errorf("after a long run %v short ones are counted", j.shortRuns)
+		t.Errorf("after a long run: short runs %v", j.shortRuns)
 	}
 }
--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -9,19 +9,19 @@
 	"dunestand/internal/units"
 )
 
-// PendingSubmission is a job in the queue of pending submissions: a controller accepted it
+// PendingSubmission is a job in the queue of pending submissions, which a controller accepted
 // while it could not reach a leader.
 type PendingSubmission struct {
 	Spec      protocol.JobSpec
 	Submitted units.Micros // time of day
 }
 
-// PendingSubmissionTxn returns the transaction that accepts a job without a leader. It is
-// carried out only if there is no record of the job: one that comes late, after
-// the job was accepted otherwise or has ended, fails.
+// PendingSubmissionTxn returns the transaction that accepts a job without a leader. It commits
+// only if there is no record of the job, so a delayed transaction fails if the job was accepted
+// in another way or has ended.
 //
-// The record is in the old format for good: it is small, and any version that may
-// lead reads it.
+// The record is always in the old format, which leaders of every version can read. It is small
+// enough for that format.
 func PendingSubmissionTxn(p PendingSubmission) protocol.Txn {
 	id := p.Spec.ID
 	return protocol.Txn{
@@ -33,8 +33,8 @@
 	}
 }
 
-// ParsePendingSubmission decodes a record of the queue of pending submissions. Its error is a
-// *storage.RecordError.
+// ParsePendingSubmission decodes a record of the queue of pending submissions. It returns a
+// *storage.RecordError if the record is invalid.
 func ParsePendingSubmission(item protocol.Item) (PendingSubmission, error) {
 	id, ok := strings.CutPrefix(item.Key, storage.PrefixPending)
 	if !ok {
@@ -47,8 +47,8 @@
 	return PendingSubmission{j.Spec, j.Submitted}, nil
 }
 
-// AddPendingSubmission adds a pending submission, unless it is known already. The next write
-// of the job removes it from the queue.
+// AddPendingSubmission adds the job of a pending submission, unless the job is known. The next
+// write of the job deletes the submission from the queue.
 func (s *State) AddPendingSubmission(p PendingSubmission, now units.Micros) {
 	j := s.Jobs[p.Spec.ID]
 	if j == nil {
@@ -58,8 +58,8 @@
 		return
 	}
 	j.inPendingQueue = true
-	// A job that is stored already is only to be removed from the queue: nobody waits for
-	// that, and there may be hundreds after a burst.
+	// The submission of a job that is already stored only has to be deleted from the queue.
+	// No request waits for that, and there can be hundreds after a burst.
 	j.records.main.dirty = j.records.main.dirty || !j.stored
 	j.MarkChanged(now, !j.stored)
 }
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -15,8 +15,8 @@
 	"dunestand/internal/storage"
 )
 
-// production gives records as the version before services wrote them.
-func production(t *testing.T) map[string]protocol.Item {
+// productionRecords returns records written by the last version without services, by key.
+func productionRecords(t *testing.T) map[string]protocol.Item {
 	raw, err := os.ReadFile("testdata/production.json")
 	if err != nil {
 		t.Fatal(err)
@@ -36,14 +36,14 @@
 	return items
 }
 
-// All that the version before wrote is read for good.
-func TestRecordsOfTheVersionBeforeAreRead(t *testing.T) {
-	s := &store{items: production(t)}
-	jobs, orphans, err := ParseJobs(s.rows())
+// Records of the last version without services must remain readable.
+func TestRecordsOfLegacyVersionAreRead(t *testing.T) {
+	s := &store{items: productionRecords(t)}
+	jobs, orphans, err := ParseJobs(s.jobItems())
 	if err != nil || len(orphans) > 0 {
 		t.Fatal(err, orphans)
 	}
-	old, err := fake.ParseLegacyJobs(s.rows())
+	legacy, err := fake.ParseLegacyJobs(s.jobItems())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	}
 	for _, j := range jobs {
 		w := want[j.Spec.ID]
-		if len(j.UnreconciledMachines) != w.names || j.DoneCount() != w.done || len(old[j.Spec.ID].Machines) != w.names {
+		if len(j.UnreconciledMachines) != w.names || j.DoneCount() != w.done || len(legacy[j.Spec.ID].Machines) != w.names {
 			t.Errorf("%s: %d names, %d done, want %v", j.Spec.ID, len(j.UnreconciledMachines), j.DoneCount(), w)
 		}
 		if j.Cancelled != (j.Spec.ID == "j-000004") || j.IsService() != (j.Spec.ID == "j-000005") {
@@ -66,70 +66,71 @@
 	if len(jobs) != len(want) {
 		t.Errorf("%d jobs", len(jobs))
 	}
-	a, err := ParsePendingSubmission(s.items["inbox/j-000007"])
-	if err != nil || a.Spec.Tasks != 12 || a.Spec.Team != "planning" {
-		t.Errorf("%+v, %v", a, err)
+	pending, err := ParsePendingSubmission(s.items["inbox/j-000007"])
+	if err != nil || pending.Spec.Tasks != 12 || pending.Spec.Team != "planning" {
+		t.Errorf("pending submission %+v, %v", pending, err)
 	}
 	var lease, head storage.LeaseRecord
-	var final storage.TerminalRecord
-	for key, into := range map[string]any{storage.KeyLeaderLease: &lease, storage.KeyBucketHead(3): &head, storage.KeyTerminal("j-000006"): &final} {
+	var terminal storage.TerminalRecord
+	for key, into := range map[string]any{storage.KeyLeaderLease: &lease, storage.KeyBucketHead(3): &head, storage.KeyTerminal("j-000006"): &terminal} {
 		if err := protocol.Decode(s.items[key].Value, into); err != nil {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	if lease.Holder != "dune-1" || lease.Incarnation != 7 || head.Incarnation != 4 || final.Stage != protocol.StageDone {
-		t.Errorf("%+v %+v %+v", lease, head, final)
+	if lease.Holder != "dune-1" || lease.Incarnation != 7 || head.Incarnation != 4 || terminal.Stage != protocol.StageDone {
+		t.Errorf("%+v %+v %+v", lease, head, terminal)
 	}
 	if c, _, err := storage.ParseCatalog([]protocol.Item{s.items[storage.KeyCatalog]}); err != nil || len(c.Types) != 1 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
 
-// A record of the version before that is larger than a value may be by then is
-// divided before it has to be changed. Wherever that stops, all 600 machines are
-// named and all completions kept.
-func TestLargeOldRecordsAreDivided(t *testing.T) {
+// Records in the old format can be larger than the lowered limit of a value. They are split
+// before they have to be changed. Wherever a crash interrupts that, all 600 machines remain
+// named and all completions are kept.
+func TestLargeOldRecordsAreSplit(t *testing.T) {
 	limits := config.KVLimits{ValueKB: 16, TxnOps: 12, Next: &config.KVLimits{ValueKB: 2, TxnOps: 4}}
 	for crash := range 40 {
-		s := &store{items: production(t), revision: 100}
+		s := &store{items: productionRecords(t), revision: 100}
 		for restart := 0; ; restart++ {
-			l := NewState(nil, limits)
-			l.UpgradeFormat(storage.FormatNew, 0)
-			jobs, orphans, err := ParseJobs(s.rows())
+			state := NewState(nil, limits)
+			state.UpgradeFormat(storage.FormatNew, 0)
+			jobs, orphans, err := ParseJobs(s.jobItems())
 			if err != nil || len(orphans) > 0 {
 				t.Fatal(err, orphans)
 			}
 			for _, j := range jobs {
-				l.AddJob(j)
+				state.AddJob(j)
 			}
-			if got := len(l.Jobs["j-000003"].UnreconciledMachines); got != 600 {
-				t.Fatalf("crash after %d saves: %d machines are named", crash, got)
+			if got := len(state.Jobs["j-000003"].UnreconciledMachines); got != 600 {
+				t.Fatalf("crash after %d batches: %d machines are named", crash, got)
 			}
-			if got := l.Jobs["j-000002"].DoneCount(); got != 12858 {
-				t.Fatalf("crash after %d saves: %d are done", crash, got)
+			if got := state.Jobs["j-000002"].DoneCount(); got != 12858 {
+				t.Fatalf("crash after %d batches: %d tasks are done", crash, got)
 			}
 			n := 0
 			for ; ; n++ {
-				save := l.BuildWriteBatch(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, storage.Buckets), BatchLimits{Background: true}, 10)
-				if save == nil || restart == 0 && n == crash {
+				batch := state.BuildWriteBatch(fmt.Sprintf("%d-%d", restart+8, n), make([]uint64, storage.Buckets), BatchLimits{Background: true}, 10)
+				if batch == nil || restart == 0 && n == crash {
 					break
 				}
-				l.BatchCommitted(save, s.apply(t, save.Txn, limits.Lowest()))
+				state.BatchCommitted(batch, s.apply(t, batch.Txn, limits.Lowest()))
 			}
 			if restart > 0 {
 				break
 			}
 		}
-		for _, item := range s.rows() {
+		for _, item := range s.jobItems() {
 			if strings.Contains(item.Key, "/p") || sizeAsJSON(t, item.Value) > 2048 {
-				t.Errorf("%s is left as it was", item.Key)
+				t.Errorf("%s is not migrated or too large", item.Key)
 			}
 		}
 	}
 }
 
-// The catalog is divided where it would not fit, and read in both forms.
-func TestCatalogInParts(t *testing.T) {
+// A catalog that exceeds the limit of a value is split into several records. Both the single
+// record of the old format and the split records can be read.
+func TestCatalogTooLargeForOneRecordIsSplit(t *testing.T) {
 	var types []protocol.InstanceType
 	for i := range 40 {
 		types = append(types, protocol.InstanceType{
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -47,24 +47,24 @@
 	}
 }
 
-// restoreModel is a state whose write batches are applied to a store, from which a restore
-// is tried after each of them.
+// restoreModel applies the write batches of a state to a fake store, and checks a restore from
+// the store after each of them.
 type restoreModel struct {
 	t              *rapid.T
-	settings       config.KVLimits
+	kvLimits       config.KVLimits
 	state          *State
 	store          *store
 	bucketVersions []uint64
-	limits         config.KVLimits // that hold now
+	limits         config.KVLimits // currently in force
 	format         storage.Format
 	batches        int
 	attempts       uint64
 }
 
-// Whatever a job is, however many of its tasks are done and whatever it is on,
-// what a restore reads is what was written, in the old format and in the new one and
-// at every step between: a machine that may hold a task is named, no completion
-// that was durable is lost, and no record or transaction is over its limit.
+// For any jobs, completions and placements, a restore after any write batch reads the state that
+// was written, in the old format, in the new one and during the migration: every machine that
+// may hold a task is named, no durable completion is lost, and no record or transaction exceeds
+// its limit.
 func TestWrittenJobsAreRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := config.KVLimits{ValueKB: 16, TxnOps: 12}
@@ -74,7 +74,7 @@
 		}, {ValueKB: 1, TxnOps: 3}}).Draw(t, "next limits")
 		m := &restoreModel{
 			t:              t,
-			settings:       now,
+			kvLimits:       now,
 			state:          NewState([]config.Team{{Name: "team"}}, now),
 			store:          &store{items: map[string]protocol.Item{}},
 			bucketVersions: make([]uint64, storage.Buckets),
@@ -96,23 +96,24 @@
 	})
 }
 
-// upgrade raises the format of the records, and the next limits come into force.
+// upgrade raises the format of the records and puts the next limits into force.
 func (m *restoreModel) upgrade() {
 	m.state.UpgradeFormat(storage.FormatNew, 1)
-	m.format, m.limits = storage.FormatNew, m.settings.Lowest()
-	m.limits.ValueKB, m.limits.TxnOps = m.settings.Lowest().ValueKB, m.settings.Lowest().TxnOps
+	m.format, m.limits = storage.FormatNew, m.kvLimits.Lowest()
+	m.limits.ValueKB, m.limits.TxnOps = m.kvLimits.Lowest().ValueKB, m.kvLimits.Lowest().TxnOps
 }
 
+// submit adds some random jobs that fit into the records of every format.
 func (m *restoreModel) submit() {
 	for range rapid.IntRange(1, 4).Draw(m.t, "jobs") {
 		spec := drawSpec(m.t)
-		if m.state.Jobs[spec.ID] == nil && m.store.items[storage.KeyTerminal(spec.ID)].Version == 0 && storage.FitsRecords(&spec, m.format, m.settings) && storage.FitsRecords(&spec, storage.NewestFormat, m.settings) {
+		if m.state.Jobs[spec.ID] == nil && m.store.items[storage.KeyTerminal(spec.ID)].Version == 0 && storage.FitsRecords(&spec, m.format, m.kvLimits) && storage.FitsRecords(&spec, storage.NewestFormat, m.kvLimits) {
 			m.state.NewJob(spec, units.Micros(rapid.Int64Range(0, 1e15).Draw(m.t, "submitted")), 0)
 		}
 	}
 }
 
-// runTasks completes, starts and ends some tasks of each job.
+// runTasks completes some tasks of each job, assigns others and removes some of the attempts.
 func (m *restoreModel) runTasks() {
 	for _, id := range slices.Sorted(maps.Keys(m.state.Jobs)) {
 		j := m.state.Jobs[id]
@@ -138,15 +139,15 @@
 	}
 }
 
-// write writes batches until nothing is due, so many at most.
-func (m *restoreModel) write(most int) {
-	for range most {
+// write builds batches until nothing is due, up to the given number. Some of them conflict.
+func (m *restoreModel) write(maxBatches int) {
+	for range maxBatches {
 		m.batches++
 		b := m.state.BuildWriteBatch(fmt.Sprintf("1-%d", m.batches), m.bucketVersions, BatchLimits{Background: true}, 1)
 		if b == nil {
 			return
 		}
-		if rapid.IntRange(0, 5).Draw(m.t, "refused") == 0 {
+		if rapid.IntRange(0, 5).Draw(m.t, "conflict") == 0 {
 			m.state.BatchConflicted(b, 1)
 			continue
 		}
@@ -157,7 +158,7 @@
 	}
 }
 
-// checkProbe checks that a batch without an answer is recognised by its ID.
+// checkProbe checks that the record of the batch's probe key contains the batch's ID.
 func (m *restoreModel) checkProbe(b *WriteBatch) {
 	key := b.ProbeKey()
 	if key == "" {
@@ -167,50 +168,50 @@
 		WriteID string `cbor:"save"`
 	}
 	if err := protocol.Decode(m.store.items[key].Value, &record); err != nil || record.WriteID != b.ID {
-		m.t.Fatalf("%s has write ID %q of %q, %v", key, record.WriteID, b.ID, err)
+		m.t.Fatalf("%s has write ID %q, want %q, %v", key, record.WriteID, b.ID, err)
 	}
 }
 
-// checkRestore checks what a leader would read now, in the old format also one of the version
-// before.
+// checkRestore checks the jobs that a new leader would restore. In the old format it also checks
+// what a leader of the legacy version would restore.
 func (m *restoreModel) checkRestore() {
-	jobs, orphans, err := ParseJobs(m.store.rows())
+	jobs, orphans, err := ParseJobs(m.store.jobItems())
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	var before map[string]*fake.LegacyJob
-	if m.format == storage.FormatOld { // a leader of the version before may come
-		if before, err = fake.ParseLegacyJobs(m.store.rows()); err != nil || len(orphans) > 0 {
+	var legacy map[string]*fake.LegacyJob
+	if m.format == storage.FormatOld { // the next leader can be of the legacy version
+		if legacy, err = fake.ParseLegacyJobs(m.store.jobItems()); err != nil || len(orphans) > 0 {
 			m.t.Fatal(err, orphans)
 		}
 	}
 	for id := range orphans {
 		if _, ended := m.store.items[storage.KeyTerminal(id)]; !ended {
-			m.t.Fatalf("%s has records but not its own", id)
+			m.t.Fatalf("%s has parts but neither a main record nor a terminal record", id)
 		}
 	}
 	for _, got := range jobs {
-		m.checkJob(got, before)
+		m.checkJob(got, legacy)
 	}
 }
 
-// checkJob checks a restored job. before are the jobs as the version before reads them, nil if
-// it does not.
-func (m *restoreModel) checkJob(got *Job, before map[string]*fake.LegacyJob) {
+// checkJob checks a restored job. legacy are the jobs as restored by the legacy version, nil if
+// it cannot read the format.
+func (m *restoreModel) checkJob(got *Job, legacy map[string]*fake.LegacyJob) {
 	id := got.Spec.ID
 	want, known := m.state.Jobs[id]
 	if !known {
-		m.t.Fatalf("%s is not known", id)
+		m.t.Fatalf("restored %s, which is not in the state", id)
 	}
 	if !reflect.DeepEqual(got.Spec, want.Spec) || got.Submitted != want.Submitted {
 		m.t.Fatalf("restored %+v, written %+v", got.Spec, want.Spec)
 	}
 	for machine := range m.state.Machines {
 		if want.MachineIsDurable(machine) && !got.UnreconciledMachines[machine] {
-			m.t.Fatalf("%s may start on %s, which no record names", id, machine)
+			m.t.Fatalf("%s may start on %s, which no stored record names", id, machine)
 		}
-		if before != nil && want.MachineIsDurable(machine) && !slices.Contains(before[id].Machines, machine) {
-			m.t.Fatalf("%s may start on %s, where the version before does not look", id, machine)
+		if legacy != nil && want.MachineIsDurable(machine) && !slices.Contains(legacy[id].Machines, machine) {
+			m.t.Fatalf("%s may start on %s, which the legacy version does not restore", id, machine)
 		}
 	}
 	for i := range want.Spec.Tasks {
@@ -220,9 +221,10 @@
 	}
 }
 
-// checkMigrated checks that all jobs are in the new format and nothing is left of the old one.
+// checkMigrated checks that all jobs are in the new format and no record in the old format is
+// left.
 func (m *restoreModel) checkMigrated() {
-	jobs, _, _ := ParseJobs(m.store.rows())
+	jobs, _, _ := ParseJobs(m.store.jobItems())
 	if len(jobs) != len(m.state.Jobs) {
 		m.t.Fatalf("%d jobs restored of %d", len(jobs), len(m.state.Jobs))
 	}
@@ -231,9 +233,9 @@
 			m.t.Fatalf("%s is still in the old format", j.Spec.ID)
 		}
 	}
-	for _, item := range m.store.rows() {
+	for _, item := range m.store.jobItems() {
 		if strings.Contains(item.Key, "/p") {
-			m.t.Fatalf("%s is left over", item.Key)
+			m.t.Fatalf("%s is left in the old format", item.Key)
 		}
 	}
 }
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -5,13 +5,13 @@
 	"dunestand/internal/storage"
 )
 
-// recordRules are the format and the limits that write batches keep to. State's lock guards
-// them.
+// recordRules are the record format and the limits to which write batches conform. The mutex
+// of the State guards them.
 type recordRules struct {
 	limits            config.KVLimits // of the key-value store
 	nameBudget        storage.NameBudgetFunc
-	format            storage.Format // of the fleet: the newest that every leader reads
-	nextLimitsApplied bool           // the announced limits are known to be in force
+	format            storage.Format // the newest that every leader can read
+	nextLimitsApplied bool           // the announced next limits are in force
 }
 
 func newRecordRules(limits config.KVLimits) recordRules {
@@ -22,10 +22,10 @@
 	}
 }
 
-// oldLeadersPossible reports whether a later leader may read the old format alone.
+// oldLeadersPossible reports whether a later leader may be able to read only the old format.
 func (r *recordRules) oldLeadersPossible() bool { return r.format < storage.FormatNew }
 
-// maxChanges returns the most changes in a transaction.
+// maxChanges returns the maximum number of changes in a transaction.
 func (r *recordRules) maxChanges() int {
 	if r.nextLimitsApplied || !r.oldLeadersPossible() {
 		return r.limits.Lowest().TxnOps
--- a/internal/cluster/released.go
+++ b/internal/cluster/released.go
@@ -2,22 +2,23 @@
 
 import "dunestand/internal/units"
 
-// maxReleasedMachines bounds the released machines that are remembered.
+// maxReleasedMachines bounds the number of machines in a ReleasedMachines.
 const maxReleasedMachines = 8192
 
-// ReleasedMachines remembers the machines that were released under this leader, the latest
-// ones if they are too many. Such a machine may still be listed for a while, and copies
-// of its heartbeats may come at any time: they must not bring it back with capacity for work.
-type ReleasedMachines map[string]units.Micros // when each was released
+// ReleasedMachines are the latest machines that this leader released, up to a bound. The cloud
+// may list such a machine for a while, and delayed copies of its heartbeats can arrive at any
+// time; neither may add the machine again as capacity. It maps machine IDs to the steady time
+// of their release.
+type ReleasedMachines map[string]units.Micros
 
-// Has reports whether a machine is known to have been released.
+// Has reports whether the set contains a machine.
 func (r ReleasedMachines) Has(id string) bool {
 	_, released := r[id]
 	return released
 }
 
-// Add notes that a machine was released. The machine released first is forgotten if there are
-// too many.
+// Add adds a machine that was released. If the set is full it removes the machine that was
+// released first.
 func (r ReleasedMachines) Add(id string, now units.Micros) {
 	if len(r) >= maxReleasedMachines && !r.Has(id) {
 		delete(r, r.oldest())
--- a/internal/cluster/released_test.go
+++ b/internal/cluster/released_test.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/units"
 )
 
-// The machines that were released last are remembered; their number is bounded.
+// The set of released machines must not grow without bound: it keeps the latest ones.
 func TestReleasedMachinesAreBounded(t *testing.T) {
 	released := ReleasedMachines{}
 	const more = 100
@@ -15,15 +15,15 @@
 		released.Add(fmt.Sprintf("i-%06d", i), units.Micros(i))
 	}
 	if len(released) != maxReleasedMachines {
-		t.Fatalf("%d are remembered", len(released))
+		t.Fatalf("%d machines are kept", len(released))
 	}
 	for i := range maxReleasedMachines + more {
-		if remembered := released.Has(fmt.Sprintf("i-%06d", i)); remembered != (i >= more) {
-			t.Fatalf("machine %d is remembered: %v", i, remembered)
+		if kept := released.Has(fmt.Sprintf("i-%06d", i)); kept != (i >= more) {
+			t.Fatalf("machine %d is kept: %v", i, kept)
 		}
 	}
 	released.Add(fmt.Sprintf("i-%06d", more), units.Micros(maxReleasedMachines+more))
 	if len(released) != maxReleasedMachines {
-		t.Error("one that is known already takes the place of another")
+		t.Error("adding a known machine evicted another")
 	}
 }
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -8,11 +8,11 @@
 	"dunestand/internal/storage"
 )
 
-// ParseJobs decodes the records under the jobs' prefix. Any record that cannot be
-// decoded fails the whole with a *storage.RecordError: skipping it would forget a job. While a
-// job is migrated to the new format, what its records in either format say counts. orphans are
-// the keys of further records without a job's own, by job: they are left over if the job has
-// ended.
+// ParseJobs decodes the records under the jobs' prefix. If any record cannot be decoded it
+// returns a *storage.RecordError, because skipping a record would lose a job. The records of a
+// job whose migration to the new format is incomplete are merged from both formats. orphans
+// are the keys of parts without a main record, by job ID: such parts are left over from jobs
+// that have ended.
 func ParseJobs(items []protocol.Item) (jobs []*Job, orphans map[string][]string, err error) {
 	byKey := map[string]*Job{}
 	var parts []protocol.Item
@@ -40,11 +40,11 @@
 	return jobs, orphans, nil
 }
 
-// isPart reports whether a key under the jobs' prefix is that of a further record: it has one
-// part more than job/BUCKET/ID.
+// isPart reports whether a key under the jobs' prefix belongs to a part: it has one element
+// more than the key job/BUCKET/ID of a main record.
 func isPart(key string) bool { return strings.Count(key, "/") == 3 }
 
-// restoreJob decodes a job's own record as stored.
+// restoreJob decodes a stored main record.
 func restoreJob(item protocol.Item) (*Job, error) {
 	j, record, err := parseRecord(item.Key, item.Value)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return j, nil
 }
 
-// restorePart adds a further record to its job, or to the orphans.
+// restorePart adds a part to its job, or to the orphans if it has no main record.
 func restorePart(item protocol.Item, jobs map[string]*Job, orphans map[string][]string) error {
 	part, err := storage.ParseJobPart(item.Key)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// parseRecord decodes a job's record. A record that cannot be decoded is an error,
-// never an empty job.
+// parseRecord decodes and validates a job's main record. It returns a *storage.RecordError if
+// the record is invalid.
 func parseRecord(key string, raw protocol.Raw) (*Job, storage.JobRecord, error) {
 	var r storage.JobRecord
 	if err := protocol.Decode(raw, &r); err != nil {
@@ -102,7 +102,7 @@
 	return j, r, nil
 }
 
-// parseNames decodes a further part of the job's machine names.
+// parseNames decodes a part with machine names.
 func (j *Job) parseNames(item protocol.Item, part storage.JobPart) error {
 	var r storage.MachineNamesRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// parsePage decodes a page of the job's done set, in either format.
+// parsePage decodes a part with a page of the job's done set, in either format.
 func (j *Job) parsePage(item protocol.Item, part storage.JobPart) error {
 	var r storage.DonePageRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
@@ -145,7 +145,7 @@
 	return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.PageTasks))
 }
 
-// finishRestore completes a job whose records have all been decoded.
+// finishRestore completes a job once all its records have been decoded.
 func (j *Job) finishRestore() {
 	r := &j.records
 	r.main.dirty = false
@@ -153,10 +153,10 @@
 		sh.dirty = false
 	}
 	if j.IsService() {
-		clear(j.done.set) // an older version may have treated it as an array
+		clear(j.done.set) // an older version may have treated the service as a job array
 	}
-	if r.format == storage.FormatNew { // migrated, but for this
-		r.forgetOldPages()
+	if r.format == storage.FormatNew { // the migration stopped before it deleted the old pages
+		r.markOldPagesObsolete()
 	}
 	j.done.recount()
 }
--- a/internal/cluster/restore_test.go
+++ b/internal/cluster/restore_test.go
@@ -29,19 +29,18 @@
 		t.Run(name, func(t *testing.T) {
 			jobs, _, err := ParseJobs([]protocol.Item{row})
 			if err == nil {
-				t.Errorf("read as %v", jobs)
+				t.Errorf("decoded as %v", jobs)
 			}
 			var record *storage.RecordError
 			if !errors.As(err, &record) || record.Key != row.Key {
-				t.Errorf("%v, want a RecordError with the key %s", err, row.Key)
+				t.Errorf("got %v, want a RecordError with the key %s", err, row.Key)
 			}
 		})
 	}
 }
 
-// A further record of a later format is not skipped, and one without a job's own
-// is not mistaken for a job: it is left over if the job has ended, else the restore
-// fails with an error.
+// Skipping a part in a later format would lose machine names or completions, so it fails the
+// restore. A part without a main record is returned as an orphan, not as a job.
 func TestPartOfALaterFormatFailsTheRestore(t *testing.T) {
 	good := protocol.Encode(newJob(protocol.JobSpec{
 		ID:    "j-000001",
@@ -56,7 +55,7 @@
 			{Key: storage.KeyJobPart("j-000001", kind, 1), Value: value},
 		}
 		if _, _, err := ParseJobs(rows); err == nil {
-			t.Errorf("part %c of a later format is read", kind)
+			t.Errorf("part %c in a later format was accepted", kind)
 		}
 		jobs, orphans, err := ParseJobs(rows[1:])
 		if err != nil || len(jobs) != 0 || len(orphans["j-000001"]) != 1 {
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -9,42 +9,43 @@
 	"dunestand/internal/storage"
 )
 
-// A job is kept in several records. Each is written by itself, in an order in
-// which a restore after any of the writes is safe: a machine is named before a
-// start there and for as long as it may hold a task, a completion is never taken
-// back. So a transaction need not hold all that has changed.
+// A job is stored in a main record and, where it is large, in further parts. Each record can
+// be written in a transaction of its own. The order of the writes makes a restore after any of
+// them safe: a machine is named before a task starts there and for as long as it may hold a
+// task, and a completion is never revoked. A transaction therefore need not contain all changes
+// of a job.
 
-// shard is one record of a job.
+// shard is the state of one record of a job: the main record or a part.
 type shard struct {
 	key       string
-	version   uint64          // 0: it is not stored
+	version   uint64          // 0 if it is not stored
 	dirty     bool            // it is to be written
-	machines  map[string]bool // those that it names; true: durably
-	nameBytes int             // bytes of JSON that these take
-	nameLimit int             // and may take
+	machines  map[string]bool // machines that it names; the value is true if durably
+	nameBytes int             // size of these names as JSON
+	nameLimit int             // upper limit of nameBytes
 }
 
-// jobRecords are a live job's records. spec and unreconciled are the job's own.
+// jobRecords tracks the records of a live job. It shares spec and unreconciled with the Job.
 type jobRecords struct {
 	spec         *protocol.JobSpec
-	unreconciled map[string]bool // machines that may hold tasks no heartbeat has shown
-	attempts     map[string]int  // number of attempts by machine
+	unreconciled map[string]bool // Job.UnreconciledMachines
+	attempts     map[string]int  // number of live attempts by machine
 
 	format       storage.Format
-	migrating    bool           // into the new format: its own record is still in the old one
-	main         *shard         // the job's own
-	nameParts    map[int]*shard // further names
-	donePages    map[int]*shard // of the done set
-	oldDonePages map[int]*shard
-	obsolete     []string // keys in the old format that are to be deleted
-
-	shardOf       map[string]*shard // where a machine is named
-	openShard     *shard            // where the last new name went
-	partNameLimit int               // for names, in a part
+	migrating    bool           // to the new format; the stored main record is in the old one
+	main         *shard         // the main record
+	nameParts    map[int]*shard // by number: parts with machine names that do not fit in main
+	donePages    map[int]*shard // by number: parts with pages of the done set, in the new format
+	oldDonePages map[int]*shard // the same in the old format
+	obsolete     []string       // keys of parts in the old format that are to be deleted
+
+	shardOf       map[string]*shard // by machine: the record that names it
+	openShard     *shard            // the record that got the last new name
+	partNameLimit int               // nameLimit of a part
 }
 
-// maxParts bounds the number of parts. The largest array has as many tasks, so
-// as many machines at most.
+// maxParts bounds the number of a part with machine names: even the largest job array cannot
+// be on more machines than it has tasks.
 const maxParts = protocol.MaxTasks
 
 func newJobRecords(spec *protocol.JobSpec, unreconciled map[string]bool, format storage.Format) jobRecords {
@@ -63,8 +64,8 @@
 	}
 }
 
-// forgetOldPages leaves the stored pages in the old format to be deleted.
-func (r *jobRecords) forgetOldPages() {
+// markOldPagesObsolete schedules the stored pages in the old format for deletion.
+func (r *jobRecords) markOldPagesObsolete() {
 	for n, sh := range r.oldDonePages {
 		if sh.version != 0 {
 			r.obsolete = append(r.obsolete, sh.key)
@@ -74,7 +75,8 @@
 	slices.Sort(r.obsolete)
 }
 
-// pageOf returns the record in which a task's completion is kept.
+// pageOf returns the record that contains a task's completion. It adds a page that does not
+// exist yet.
 func (r *jobRecords) pageOf(task int) *shard {
 	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/storage.PageTasks
 	switch {
@@ -92,7 +94,8 @@
 	return pages[n]
 }
 
-// inlineDone returns the part of the done set that is in the job's own record.
+// inlineDone returns the part of the done set that the main record contains. It shares memory
+// with done.
 func (r *jobRecords) inlineDone(done bitset.Set) []byte {
 	switch {
 	case r.format == storage.FormatOld:
@@ -103,8 +106,8 @@
 	return nil
 }
 
-// migrate begins to migrate a job into the new format. Its own record is written only
-// after all else: until then it is the old one that names all machines.
+// migrate starts the migration of a job to the new format. The main record is written after
+// all parts, because until then the stored one in the old format names all machines.
 func (r *jobRecords) migrate(done bitset.Set, stored bool, budget storage.NameBudgetFunc) {
 	r.format, r.migrating = storage.FormatNew, stored
 	r.main.dirty = true
@@ -113,13 +116,13 @@
 			r.pageOf(p * storage.PageTasks).dirty = true
 		}
 	}
-	r.forgetOldPages()
+	r.markOldPagesObsolete()
 	r.setNameLimits(budget)
 	r.moveExcessNames()
 }
 
-// markMainDirty marks the job's own record where it must go along with other changes: a page
-// in the old format does not tell which write it belongs to.
+// markMainDirty marks the main record as dirty if a page in the old format is. Such a page has
+// no write ID, so only the main record shows whether the write was applied.
 func (r *jobRecords) markMainDirty() {
 	if r.format != storage.FormatOld {
 		return
@@ -129,8 +132,8 @@
 	}
 }
 
-// deleted notes that the record of a key was deleted.
-func (r *jobRecords) deleted(key string) {
+// recordDeleted removes an old part whose record was deleted from the key-value store.
+func (r *jobRecords) recordDeleted(key string) {
 	r.obsolete = slices.DeleteFunc(r.obsolete, func(o string) bool { return o == key })
 	for n, sh := range r.oldDonePages {
 		if sh.key == key {
@@ -139,8 +142,8 @@
 	}
 }
 
-// furtherKeys returns the keys of the stored records beside the job's own.
-func (r *jobRecords) furtherKeys() []string {
+// storedPartKeys returns the keys of the job's stored parts and of its obsolete records.
+func (r *jobRecords) storedPartKeys() []string {
 	keys := r.obsolete
 	for _, shards := range []map[int]*shard{r.nameParts, r.donePages, r.oldDonePages} {
 		for _, n := range slices.Sorted(maps.Keys(shards)) {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,9 +1,9 @@
-// Package cluster is the state of the fleet in the leader's memory: jobs, their attempts,
-// machines and the usage of teams. It knows which records of that state have to be written,
-// builds the write batches for them, and reads the records back after a failover.
+// Package cluster holds the leader's in-memory state of the fleet: jobs, their attempts,
+// machines and the usage of teams. It tracks which records of that state must be written,
+// builds the write batches for them, and decodes the records after a failover.
 //
-// State owns all of it and has the one mutex that guards it. No method here locks, waits or
-// does I/O: callers hold the mutex and pass in the time.
+// State owns all of it and embeds the only mutex, which guards everything. No method of this
+// package locks, blocks or does I/O: callers hold the mutex and pass in the current time.
 package cluster
 
 import (
@@ -17,20 +17,20 @@
 	"dunestand/internal/units"
 )
 
-// State is the leader's view of jobs, machines and teams. Lock it before any use: its mutex
-// guards the state and also what the leader's components (scheduler, detector, reconciler,
-// autoscaler, persister) remember between two uses of it, so that a decision and what it
-// rests on cannot come apart.
+// State is the leader's view of jobs, machines and teams. Callers lock it before any use. Its
+// mutex also guards the fields of the leader's components (scheduler, failure detector,
+// reconciler, autoscaler, persister), so that a decision and the data it is based on change
+// together.
 type State struct {
 	sync.Mutex
 
-	// Restored is set once the records have been read; before it no request is answered.
+	// Restored is set once the records have been read. Until then no request is answered.
 	Restored bool
-	// Released remembers the machines that were released under this leader.
+	// Released holds the machines that this leader released.
 	Released ReleasedMachines
-	// Completions is the rate at which tasks that end by themselves free processors.
+	// Completions is the rate at which tasks that end without being stopped free processors.
 	Completions CompletionRate
-	// AttemptsStarted numbers the attempts of this leader.
+	// AttemptsStarted is the number of attempts that this leader has numbered, see NextAttempt.
 	AttemptsStarted uint64
 
 	Jobs          map[string]*Job     // by ID
@@ -39,20 +39,20 @@
 	InstanceTypes map[string]protocol.InstanceType
 	// Unreconciled is the index of machines not reconciled since the failover.
 	Unreconciled UnreconciledIndex
-	// Outcomes learns from the ends of attempts.
+	// Outcomes holds the statistics of finished attempts.
 	Outcomes Outcomes
-	// AcceptCondition is what the acceptance of a new job is conditional on, beside the job's
-	// own records: the version of the plan that admits jobs. nil: on nothing.
+	// AcceptCondition is an additional condition of write batches that accept new jobs: the
+	// version of the plan that admits jobs. If it is nil, there is none.
 	AcceptCondition *protocol.Condition
 
 	sortedMachines []*Machine // by ID
 	rules          recordRules
 	staleRecords   []staleRecord // to be deleted
-	memory         int64         // estimate for all jobs, in bytes
+	memory         int64         // estimate for all live jobs, in bytes
 }
 
-// NewState returns an empty state for records in the old format, within the limits of the
-// key-value store.
+// NewState returns an empty state that writes records in the old format and keeps write
+// batches within the limits of the key-value store.
 func NewState(teams []config.Team, limits config.KVLimits) *State {
 	s := &State{
 		Released:      ReleasedMachines{},
@@ -70,11 +70,11 @@
 	return s
 }
 
-// UpgradeFormat raises the format of records to one that every leader, now and later, reads.
-// Records in the old format are migrated as they are written, and all of them in time. A
-// lower format than the present one has no effect.
+// UpgradeFormat raises the format of records to one that every present and later leader can
+// read. It marks all jobs in an older format as changed, so that they are migrated when they
+// are next written. A format that is not above the current one has no effect.
 func (s *State) UpgradeFormat(format storage.Format, now units.Micros) {
-	format = min(format, storage.FormatNew) // jobs' records are the same in later ones
+	format = min(format, storage.FormatNew) // later formats do not change the records of jobs
 	if format <= s.rules.format {
 		return
 	}
@@ -87,20 +87,20 @@
 	}
 }
 
-// ApplyNextLimits keeps write batches within the announced next limits of the key-value
-// store from now on, and reports whether that changes anything.
+// ApplyNextLimits keeps all further write batches within the announced next limits of the
+// key-value store. It reports whether the limits of write batches changed.
 func (s *State) ApplyNextLimits() bool {
 	was := s.rules.nextLimitsApplied
 	s.rules.nextLimitsApplied = true
 	return !was && s.rules.oldLeadersPossible()
 }
 
-// AddJob adds a job that was read from its records.
+// AddJob adds a job that was restored from its records.
 func (s *State) AddJob(j *Job) {
 	if !s.rules.oldLeadersPossible() && j.records.format == storage.FormatOld {
 		j.records.main.dirty, j.write.due = true, true // to be migrated to the new format
 	}
-	j.write.due = j.write.due || len(j.records.obsolete) > 0 // a leader died before they were deleted
+	j.write.due = j.write.due || len(j.records.obsolete) > 0 // an earlier leader failed before it deleted them
 	j.records.setNameLimits(s.rules.nameBudget)
 	if s.Jobs[j.Spec.ID] == nil {
 		s.memory += JobMemory(&j.Spec)
@@ -109,7 +109,7 @@
 	s.Unreconciled.addJob(j)
 }
 
-// removeJob drops a job in its terminal state, or one that was never accepted.
+// removeJob removes a job that is in a terminal state or was never accepted.
 func (s *State) removeJob(j *Job) {
 	if s.Jobs[j.Spec.ID] != nil {
 		s.memory -= JobMemory(&j.Spec)
@@ -118,8 +118,8 @@
 	s.Unreconciled.removeJob(j)
 }
 
-// NewJob adds a submitted job. It is not accepted until its record is written, which is due
-// at once. wall is the time of day of the submission, now the steady time.
+// NewJob adds a submitted job and marks an urgent write. The job is accepted only once its
+// record is stored. wall is the time of day of the submission, now the steady time.
 func (s *State) NewJob(spec protocol.JobSpec, wall, now units.Micros) *Job {
 	j := newJob(spec, wall, s.rules.format)
 	j.LearnedAt = now
@@ -128,8 +128,8 @@
 	return j
 }
 
-// UnacceptedJobs returns the jobs whose acceptance is not in a write batch in flight: whether
-// they are admitted may be asked again.
+// UnacceptedJobs returns the new jobs that are not yet in a write batch, in no order. The
+// decision to admit them can still change.
 func (s *State) UnacceptedJobs() []*Job {
 	var out []*Job
 	for _, j := range s.Jobs {
@@ -140,17 +140,17 @@
 	return out
 }
 
-// DropUnaccepted removes a job that was never accepted: its ID turned out to be that of a
-// finished job, or it is not admitted after all. Whoever waits for its write is woken.
+// DropUnaccepted removes a job that was never accepted, because its ID belongs to a finished
+// job or because it is not admitted. It wakes the waiters of the job's due write. It has no
+// effect on an accepted or unknown job.
 func (s *State) DropUnaccepted(id string) {
 	if j := s.Jobs[id]; j != nil && !j.stored {
 		s.removeJob(j)
-		j.write.wakeAll()
+		j.write.wakeWaiters()
 	}
 }
 
-// JobsBySubmission returns the jobs in the order of their submission, those submitted at
-// the same time by ID.
+// JobsBySubmission returns the jobs ordered by time of submission, then by ID.
 func (s *State) JobsBySubmission() []*Job {
 	jobs := make([]*Job, 0, len(s.Jobs))
 	for _, j := range s.Jobs {
@@ -162,8 +162,8 @@
 	return jobs
 }
 
-// TaskDone notes that a task has completed. It has no effect on a service or a task that is
-// done already.
+// TaskDone marks task i of a job as done. It has no effect on a service or on a task that is
+// already done.
 func (s *State) TaskDone(j *Job, i int, now units.Micros) {
 	if j.markDone(i) {
 		j.MarkChanged(now, j.Complete())
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -10,8 +10,8 @@
 	"dunestand/internal/units"
 )
 
-// The usage that the state keeps is that of its attempts, and no task is on two
-// machines or both pending and placed, through any order of events.
+// After any sequence of events, the usage of machines and teams is the sum of the requests of
+// their attempts, no task is on two machines, and none is both pending and live.
 func TestUsageIsTheSumOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewState([]config.Team{{Name: "team", LimitCPUs: 100}}, config.KVLimits{ValueKB: 8, TxnOps: 12})
@@ -67,7 +67,7 @@
 		for _, a := range m.Attempts {
 			used = used.Plus(a.Job.Spec.Request, 1)
 			if a.Job.LiveAttempts[a.Index] != a || a.Job.IsDone(a.Index) {
-				t.Fatalf("%s is on %s but not live", a.TaskName(), m.ID)
+				t.Fatalf("%s is on %s but done or not live", a.TaskName(), m.ID)
 			}
 		}
 		if used != m.Used {
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -12,13 +12,15 @@
 	"dunestand/internal/storage"
 )
 
-// store applies write batches as the key-value store would.
+// store is a fake key-value store that applies write batches.
 type store struct {
 	items    map[string]protocol.Item
 	revision uint64
 }
 
-// apply checks a transaction against its conditions and the limits, with sizes as the key-value store counts them.
+// apply applies a transaction and returns the new revision. It fails the test if a condition
+// does not hold or the transaction exceeds the limits, with sizes as JSON like in the key-value
+// store.
 func (s *store) apply(t testingT, txn protocol.Txn, limits config.KVLimits) uint64 {
 	for _, c := range txn.If {
 		if !strings.HasPrefix(c.Key, storage.PrefixBucketHeads) && s.items[c.Key].Version != c.Version {
@@ -42,21 +44,21 @@
 	return s.revision
 }
 
-// testingT is a test, of generated input or not.
+// testingT is the common part of *testing.T and *rapid.T.
 type testingT interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-// rows returns what a restore reads.
-func (s *store) rows() []protocol.Item {
-	var rows []protocol.Item
+// jobItems returns the items under the jobs' prefix, ordered by key.
+func (s *store) jobItems() []protocol.Item {
+	var items []protocol.Item
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
 		if strings.HasPrefix(key, storage.PrefixJobs) {
-			rows = append(rows, s.items[key])
+			items = append(items, s.items[key])
 		}
 	}
-	return rows
+	return items
 }
 
 func sizeAsJSON(t testingT, value protocol.Raw) int {
@@ -64,29 +66,29 @@
 	if err := protocol.Decode(value, &v); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := json.Marshal(textKeys(v))
+	raw, err := json.Marshal(withStringKeys(v))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return len(raw)
 }
 
-// textKeys returns a decoded value with maps as JSON has them.
-func textKeys(v any) any {
+// withStringKeys converts the keys of all maps in a decoded value to strings, as JSON requires.
+func withStringKeys(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
 		for k := range v {
-			v[k] = textKeys(v[k])
+			v[k] = withStringKeys(v[k])
 		}
 	case map[any]any:
 		out := map[string]any{}
 		for k := range v {
-			out[fmt.Sprint(k)] = textKeys(v[k])
+			out[fmt.Sprint(k)] = withStringKeys(v[k])
 		}
 		return out
 	case []any:
 		for i := range v {
-			v[i] = textKeys(v[i])
+			v[i] = withStringKeys(v[i])
 		}
 	}
 	return v
--- a/internal/cluster/tracer.go
+++ b/internal/cluster/tracer.go
@@ -5,14 +5,15 @@
 	"log/slog"
 )
 
-// AttemptTracer logs the steps of attempts. There are hundreds a second in a large fleet,
-// so nothing is formatted for a line that would be dropped.
+// AttemptTracer logs the steps of attempts at debug level. A large fleet has hundreds of steps
+// per second, so it formats nothing while the debug level is disabled.
 type AttemptTracer struct {
 	log     *slog.Logger
 	enabled bool
 }
 
-// NewAttemptTracer returns a tracer that logs at debug level, if the log has it on.
+// NewAttemptTracer returns a tracer that logs if the logger has the debug level enabled at the
+// time of the call.
 func NewAttemptTracer(log *slog.Logger) AttemptTracer {
 	return AttemptTracer{log: log, enabled: log.Enabled(context.Background(), slog.LevelDebug)}
 }
--- a/internal/cluster/unreconciled.go
+++ b/internal/cluster/unreconciled.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// UnreconciledIndex holds the machines that are not reconciled since the failover: a job's
-// records name them, and no heartbeat has yet shown what they hold. Both maps shrink as
-// machines are reconciled, so that each use costs what it has to do with and not the whole
-// fleet. The lock of the State that owns it guards it.
+// UnreconciledIndex contains the machines that are not reconciled since the failover: a job's
+// records name them, and no heartbeat has shown which tasks they hold. It shrinks as machines
+// are reconciled, so the cost of an operation depends on the unreconciled machines and not on
+// the size of the fleet. The mutex of its State guards it.
 type UnreconciledIndex struct {
-	jobsOf map[string][]*Job // by machine
-	jobs   map[*Job]bool     // all of these
+	jobsOf map[string][]*Job // by machine ID
+	jobs   map[*Job]bool     // the set of all jobs in jobsOf
 }
 
 func newUnreconciledIndex() UnreconciledIndex {
@@ -31,7 +31,7 @@
 	}
 }
 
-// removeJob drops a job that leaves the state.
+// removeJob removes a job that leaves the state.
 func (u *UnreconciledIndex) removeJob(j *Job) {
 	delete(u.jobs, j)
 	for m := range j.UnreconciledMachines {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Mark notes that a machine may hold tasks of a job that no heartbeat has shown.
+// Mark records that a machine may hold tasks of a job which no heartbeat has listed.
 func (u *UnreconciledIndex) Mark(j *Job, machine string) {
 	if !j.UnreconciledMachines[machine] {
 		j.UnreconciledMachines[machine] = true
@@ -50,24 +50,24 @@
 	}
 }
 
-// Resolve notes that a machine is reconciled: all that it holds is known. It returns the jobs
-// that have no unreconciled machine any more by that.
-func (u *UnreconciledIndex) Resolve(machine string) (freed []*Job) {
+// Resolve records that a machine is reconciled. It returns the jobs for which this was the last
+// unreconciled machine.
+func (u *UnreconciledIndex) Resolve(machine string) (resolved []*Job) {
 	for _, j := range u.jobsOf[machine] {
 		delete(j.UnreconciledMachines, machine)
 		if len(j.UnreconciledMachines) == 0 {
 			delete(u.jobs, j)
-			freed = append(freed, j)
+			resolved = append(resolved, j)
 		}
 	}
 	delete(u.jobsOf, machine)
-	return freed
+	return resolved
 }
 
 // JobCount returns the number of jobs that may have tasks on unreconciled machines.
 func (u *UnreconciledIndex) JobCount() int { return len(u.jobs) }
 
-// Contains reports whether a job may have tasks on the machine that no heartbeat has shown.
+// Contains reports whether the machine is unreconciled.
 func (u *UnreconciledIndex) Contains(machine string) bool { return len(u.jobsOf[machine]) > 0 }
 
 func (u *UnreconciledIndex) holdsCancelled(machine string) bool {
@@ -77,7 +77,7 @@
 // Len returns the number of unreconciled machines.
 func (u *UnreconciledIndex) Len() int { return len(u.jobsOf) }
 
-// Machines returns the IDs of the unreconciled machines in order.
+// Machines returns the sorted IDs of the unreconciled machines.
 func (u *UnreconciledIndex) Machines() []string { return slices.Sorted(maps.Keys(u.jobsOf)) }
 
 // Jobs returns the jobs that may have tasks on unreconciled machines, in no order.
--- a/internal/cluster/unreconciled_test.go
+++ b/internal/cluster/unreconciled_test.go
@@ -8,8 +8,7 @@
 	"dunestand/internal/protocol"
 )
 
-// The index follows the jobs: a job leaves it with its last unreconciled machine, and a
-// machine with its last job.
+// A job leaves the index with its last unreconciled machine, and a machine with its last job.
 func TestUnreconciledIndexFollowsMachinesAndJobs(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	u := &state.Unreconciled
@@ -23,11 +22,11 @@
 		t.Errorf("unreconciled: %v, %d", got, u.Len())
 	}
 	if first.UnreconciledTasks() != 5 {
-		t.Errorf("%d tasks may be on them, want all that are pending", first.UnreconciledTasks())
+		t.Errorf("%d tasks may be on unreconciled machines, want all pending ones", first.UnreconciledTasks())
 	}
 	second.Cancelled = true
 	if state.HoldsCancelled("i-1") || !state.HoldsCancelled("i-2") {
-		t.Error("not the machine of the cancelled job may hold its tasks")
+		t.Error("HoldsCancelled does not match the machines of the cancelled job")
 	}
 
 	u.Resolve("i-2")
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -5,7 +5,7 @@
 	"dunestand/internal/units"
 )
 
-// Team is a team, its quota and its usage.
+// Team is a team with its quotas and its usage.
 type Team struct {
 	Name            string
 	GuaranteedQuota units.Resources
@@ -13,13 +13,13 @@
 	Usage
 }
 
-// Usage is what the attempts on a machine or of a team have requested.
+// Usage is the sum of the resource requests of the live attempts on a machine or of a team.
 type Usage struct {
 	Used    units.Resources
-	Freeing units.Resources // part of Used, held by attempts that are to be stopped
+	Freeing units.Resources // the part of Used whose attempts are to be stopped
 }
 
-// add adds a request so many times to Used and to Freeing.
+// add adds a request, multiplied by used and freeing, to Used and Freeing.
 func (u *Usage) add(request units.Resources, used, freeing int) {
 	u.Used = u.Used.Plus(request, used)
 	u.Freeing = u.Freeing.Plus(request, freeing)
@@ -37,12 +37,12 @@
 	}
 }
 
-// unlimited stands for a quota limit where a team has none. It is far from the bounds of
-// Amount, so that sums and shares of it do not overflow.
+// unlimited is the quota limit of a team without one. It is far below the maximum of Amount, so
+// that sums and fractions of it do not overflow.
 const unlimited = units.Amount(1) << 56
 
-// QuotaLimitOf returns what a team's tasks may use at any time. A limit of 0 in the settings
-// is none: guests, for instance, have neither guarantee nor limit.
+// QuotaLimitOf returns the quota limit of a team. A limit of 0 in the settings means unlimited:
+// guests, for example, have neither a guaranteed quota nor a quota limit.
 func QuotaLimitOf(t config.Team) units.Resources {
 	return units.Resources{
 		CPU:    quotaAmount(t.LimitCPUs),
@@ -58,8 +58,8 @@
 	return units.AmountOf(setting)
 }
 
-// addUsage adds an attempt's request to the usage of its machine and team, so many times to
-// Used and to Freeing.
+// addUsage adds an attempt's request, multiplied by used and freeing, to Used and Freeing of its
+// machine and team.
 func (s *State) addUsage(a *Attempt, used, freeing int) {
 	a.Machine.Usage.add(a.Job.Spec.Request, used, freeing)
 	if t := s.Teams[a.Job.Spec.Team]; t != nil {
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -9,41 +9,41 @@
 	"dunestand/internal/units"
 )
 
-// WriteBatch is a group of records on their way to the key-value store, as one
-// transaction. Nothing else writes its jobs until its outcome is known.
+// WriteBatch is a transaction that writes records of several jobs to the key-value store. No
+// other batch contains these jobs until its outcome is known.
 type WriteBatch struct {
-	ID    string // of this write, in all its records
-	Txn   protocol.Txn
-	parts []batchPart
-	stale []staleRecord
+	ID      string // write ID that its records contain
+	Txn     protocol.Txn
+	entries []batchEntry
+	stale   []staleRecord
 }
 
-// batchPart is what a batch holds of a job.
-type batchPart struct {
+// batchEntry is the content of a batch for one job.
+type batchEntry struct {
 	job       *Job
 	terminal  *storage.TerminalRecord
 	writes    []write
-	whole     bool // all of the job that was to be written
+	complete  bool // it contains all due writes of the job
 	waiters   []chan struct{}
 	cancelled bool
 }
 
-// write is one change in a job's records.
+// write is one change to a job's records.
 type write struct {
 	change       protocol.Change
-	shard        *shard   // nil: something is deleted
-	machines     []string // that the record names
-	withPrevious bool     // only together with the one before
+	shard        *shard   // nil for a deletion or a terminal record
+	machines     []string // machines that the record names
+	withPrevious bool     // must be in the same transaction as the preceding write
 }
 
-// staleRecord is a record of a job that has ended.
+// staleRecord is a stored record of a job that has ended.
 type staleRecord struct {
 	bucket int
 	key    string
 }
 
-// ProbeKey returns a key whose record shows, by the batch's ID, whether the batch was
-// carried out; "" if it only deletes, which may as well be done again.
+// ProbeKey returns the key of a record that contains the batch's ID if the batch was committed.
+// It returns "" if the batch contains only deletions, which can safely be repeated.
 func (b *WriteBatch) ProbeKey() string {
 	for _, c := range b.Txn.Then {
 		if c.Set != "" {
@@ -55,25 +55,26 @@
 
 // JobIDs returns the IDs of the jobs in the batch.
 func (b *WriteBatch) JobIDs() []string {
-	ids := make([]string, len(b.parts))
-	for i, p := range b.parts {
-		ids[i] = p.job.Spec.ID
+	ids := make([]string, len(b.entries))
+	for i, entry := range b.entries {
+		ids[i] = entry.job.Spec.ID
 	}
 	return ids
 }
 
 // BatchLimits bounds a WriteBatch.
 type BatchLimits struct {
-	CoalesceFor units.Micros // changes that nobody waits for are gathered for so long
-	Background  bool         // also write what nobody waits for
-	// MaxChanges bounds the changes below what a transaction may hold, 0: it does not.
+	CoalesceFor units.Micros // delay of changes that are not urgent, to coalesce them
+	Background  bool         // also write changes that are not urgent, and delete stale records
+	// MaxChanges bounds the changes in the batch, in addition to the limit of a transaction. 0
+	// means no additional bound.
 	MaxChanges int
 }
 
-// BuildWriteBatch gathers what is to be written now, what somebody waits for first.
-// bucketVersions are the versions of the buckets' heads, on which every batch is
-// conditional. It returns nil if there is nothing to write. Every batch must be passed to
-// BatchCommitted, BatchConflicted or BatchRejected once its outcome is known.
+// BuildWriteBatch builds a batch of the changes that are due, urgent ones first. It returns nil
+// if nothing is due. id is the write ID. bucketVersions are the versions of the bucket heads,
+// on which the batch is conditional. The caller must pass every batch to BatchCommitted,
+// BatchConflicted or BatchRejected once its outcome is known.
 func (s *State) BuildWriteBatch(id string, bucketVersions []uint64, limits BatchLimits, now units.Micros) *WriteBatch {
 	b := &batchBuilder{
 		state:          s,
@@ -100,7 +101,7 @@
 	return b.batch
 }
 
-// dueJobs returns the jobs with changes to be written now, in the order in which they go.
+// dueJobs returns the jobs with due changes in the order in which they are to be written.
 func dueJobs(jobs map[string]*Job, limits BatchLimits, now units.Micros) []*Job {
 	var due []*Job
 	for _, j := range jobs {
@@ -113,21 +114,20 @@
 	return due
 }
 
-// compareDue orders jobs by when they are written.
+// compareDue compares two due jobs by the order in which they are to be written.
 func compareDue(a, b *Job) int {
 	if a.write.urgent != b.write.urgent {
 		return firstIf(a.write.urgent)
 	}
-	// A user waits for a job's acceptance or cancellation. After a failover
-	// in a large fleet, the names of machines alone can fill the rate of
-	// writes for seconds.
+	// Acceptances and cancellations go first because users wait for them: after a failover in a
+	// large fleet, writes of machine names alone can use up the write rate for seconds.
 	if a.userAwaitsWrite() != b.userAwaitsWrite() {
 		return firstIf(a.userAwaitsWrite())
 	}
-	return cmp.Or(cmp.Compare(writeOrder(a), writeOrder(b)), cmp.Compare(a.Spec.ID, b.Spec.ID))
+	return cmp.Or(cmp.Compare(effectiveDueTime(a), effectiveDueTime(b)), cmp.Compare(a.Spec.ID, b.Spec.ID))
 }
 
-// firstIf returns the order of two elements of which one goes first.
+// firstIf returns the result of a comparison function whose first argument goes first or not.
 func firstIf(first bool) int {
 	if first {
 		return -1
@@ -135,19 +135,21 @@
 	return 1
 }
 
-// priorityHeadStart is by how much the changes of urgent jobs go before others: when
-// hundreds of small jobs come at once, the names of their machines alone fill the rate
-// of writes for half a minute, and the tasks of an urgent job would begin after them.
-// It is bounded so that nothing waits for ever behind a stream of urgent jobs.
+// priorityHeadStart is how much earlier the changes of high-priority jobs count as due. When
+// hundreds of small jobs are submitted at once, the names of their machines alone use up the
+// write rate for half a minute, and the tasks of a high-priority job would start after them.
+// The bound prevents a stream of high-priority jobs from starving the others.
 const priorityHeadStart = 60 * units.Second
 
-// writeOrder returns the time since which the job's changes count as due among others.
-func writeOrder(j *Job) units.Micros {
+// effectiveDueTime returns the time from which the job's changes count as due when jobs are
+// compared.
+func effectiveDueTime(j *Job) units.Micros {
 	if j.Spec.Priority >= protocol.High {
 		return j.write.since - priorityHeadStart
 	}
 	return j.write.since
 }
 
-// userAwaitsWrite reports whether a user is answered only after the job's next write.
+// userAwaitsWrite reports whether a request of a user is answered only after the job's next
+// write: an acceptance or a cancellation.
 func (j *Job) userAwaitsWrite() bool { return !j.stored || j.Cancelled && !j.CancelDurable }
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -8,23 +8,23 @@
 	"dunestand/internal/storage"
 )
 
-// collectWrites returns all that is to be written of a job, in an order in which it is safe
-// to stop anywhere.
-func collectWrites(j *Job, id string, rules *recordRules) (batchPart, []write) {
-	part := batchPart{job: j, cancelled: j.Cancelled, terminal: j.terminalRecord(id)}
+// collectWrites returns all due writes of a job, in an order in which it is safe to apply only
+// the first ones.
+func collectWrites(j *Job, id string, rules *recordRules) (batchEntry, []write) {
+	entry := batchEntry{job: j, cancelled: j.Cancelled, terminal: j.terminalRecord(id)}
 	w := &jobWrites{job: j, records: &j.records, writeID: id}
-	if part.terminal != nil {
-		w.terminal(part.terminal)
+	if entry.terminal != nil {
+		w.addTerminalRecord(entry.terminal)
 		if rules.oldLeadersPossible() && j.records.format == storage.FormatOld {
-			w.removeOldPages()
+			w.deleteOldPages()
 		}
-		return part, w.writes
+		return entry, w.writes
 	}
-	w.live(rules)
-	return part, w.writes
+	w.addLiveRecords(rules)
+	return entry, w.writes
 }
 
-// jobWrites gathers what a batch writes of a job.
+// jobWrites collects the writes of a job for a batch.
 type jobWrites struct {
 	job     *Job
 	records *jobRecords
@@ -32,8 +32,8 @@
 	writes  []write
 }
 
-// live writes the changed records of a job that has not ended.
-func (w *jobWrites) live(rules *recordRules) {
+// addLiveRecords adds the changed records of a job that is not in a terminal state.
+func (w *jobWrites) addLiveRecords(rules *recordRules) {
 	j, r := w.job, w.records
 	if !rules.oldLeadersPossible() && r.format == storage.FormatOld {
 		r.migrate(j.done.set, j.stored, rules.nameBudget)
@@ -41,23 +41,23 @@
 	r.main.dirty = r.main.dirty || j.Cancelled && !j.CancelDurable
 	r.markMainDirty()
 	if !r.migrating {
-		w.main()
+		w.addMainRecord()
 	}
-	w.names()
-	w.pages()
+	w.addNameParts()
+	w.addDonePages()
 	if r.migrating {
-		w.main()
+		w.addMainRecord()
 	}
 	for _, key := range r.obsolete {
-		w.remove(key, false)
+		w.deleteRecord(key, false)
 	}
 	if j.stored && j.inPendingQueue && !r.main.dirty {
-		w.remove(storage.KeyPending(j.Spec.ID), false) // it was accepted in both places
+		w.deleteRecord(storage.KeyPending(j.Spec.ID), false) // the leader had already accepted it
 	}
 }
 
-// set writes a shard's record.
-func (w *jobWrites) set(sh *shard, machines []string, record any) {
+// setRecord adds a write of a shard's record, which names the given machines.
+func (w *jobWrites) setRecord(sh *shard, machines []string, record any) {
 	w.writes = append(w.writes, write{
 		shard:    sh,
 		machines: machines,
@@ -65,60 +65,61 @@
 	})
 }
 
-// remove deletes a record; withPrevious: only together with the write before.
-func (w *jobWrites) remove(key string, withPrevious bool) {
+// deleteRecord adds a deletion. If withPrevious is set, it must be in the same transaction as
+// the preceding write.
+func (w *jobWrites) deleteRecord(key string, withPrevious bool) {
 	w.writes = append(w.writes, write{change: protocol.Change{Delete: key}, withPrevious: withPrevious})
 }
 
-// removePending deletes the job's pending submission, if there is one.
-func (w *jobWrites) removePending() {
+// deletePendingSubmission adds the deletion of the job's pending submission, if there is one.
+func (w *jobWrites) deletePendingSubmission() {
 	if w.job.inPendingQueue {
-		w.remove(storage.KeyPending(w.job.Spec.ID), true)
+		w.deleteRecord(storage.KeyPending(w.job.Spec.ID), true)
 	}
 }
 
-// terminal writes the terminal record in place of the job's own.
-func (w *jobWrites) terminal(record *storage.TerminalRecord) {
+// addTerminalRecord adds the replacement of the main record by the terminal record.
+func (w *jobWrites) addTerminalRecord(record *storage.TerminalRecord) {
 	w.writes = append(w.writes, write{
 		change: protocol.Change{Set: storage.KeyTerminal(w.job.Spec.ID), Value: protocol.Encode(record)},
 	})
-	w.remove(w.records.main.key, true)
-	w.removePending()
+	w.deleteRecord(w.records.main.key, true)
+	w.deletePendingSubmission()
 }
 
-// removeOldPages deletes pages together with the job's own record: a reader of the old
-// format refuses pages without their job.
-func (w *jobWrites) removeOldPages() {
+// deleteOldPages adds the deletion of pages in the old format together with the main record,
+// because a reader of the old format rejects pages without a main record.
+func (w *jobWrites) deleteOldPages() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.oldDonePages)) {
 		if sh := w.records.oldDonePages[n]; sh.version != 0 {
-			w.remove(sh.key, true)
+			w.deleteRecord(sh.key, true)
 		}
 	}
 }
 
-// main writes the job's own record, if it has changed.
-func (w *jobWrites) main() {
+// addMainRecord adds the main record, if it has changed.
+func (w *jobWrites) addMainRecord() {
 	sh := w.records.main
 	if !sh.dirty {
 		return
 	}
 	machines := w.records.namesToWrite(sh)
-	w.set(sh, machines, w.job.record(w.writeID, machines))
-	w.removePending()
+	w.setRecord(sh, machines, w.job.record(w.writeID, machines))
+	w.deletePendingSubmission()
 }
 
-// names writes the further names of machines that have changed.
-func (w *jobWrites) names() {
+// addNameParts adds the parts with machine names that have changed.
+func (w *jobWrites) addNameParts() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.nameParts)) {
 		if sh := w.records.nameParts[n]; sh.dirty {
 			machines := w.records.namesToWrite(sh)
-			w.set(sh, machines, storage.MachineNamesRecord{Format: storage.FormatNew, WriteID: w.writeID, Machines: machines})
+			w.setRecord(sh, machines, storage.MachineNamesRecord{Format: storage.FormatNew, WriteID: w.writeID, Machines: machines})
 		}
 	}
 }
 
-// pages writes the parts of the done set that have changed.
-func (w *jobWrites) pages() {
+// addDonePages adds the pages of the done set that have changed.
+func (w *jobWrites) addDonePages() {
 	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatNew, w.writeID
 	if w.records.format == storage.FormatOld {
 		pages, size, format, writeID = w.records.oldDonePages, storage.OldPageTasks, 0, ""
@@ -126,28 +127,29 @@
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
 		if sh := pages[n]; sh.dirty {
 			done := storage.EncodeDonePage(w.job.done.set.Page(n, size))
-			w.set(sh, nil, storage.DonePageRecord{Format: format, WriteID: writeID, Done: done})
+			w.setRecord(sh, nil, storage.DonePageRecord{Format: format, WriteID: writeID, Done: done})
 		}
 	}
 }
 
-// begin marks the part's job as having a write in flight. Names that a record leaves out may
-// not be used any more, whether or not the batch is carried out.
-func (p *batchPart) begin() {
-	j := p.job
+// markInFlight marks the entry's job as having a write in flight. It drops machine names that
+// the written records leave out: whether or not the batch is committed, they no longer count
+// as durable.
+func (entry *batchEntry) markInFlight() {
+	j := entry.job
 	j.write.inFlight = true
-	j.write.endInFlight = p.terminal != nil || p.cancelled && !j.CancelDurable
-	if p.whole {
+	j.write.endInFlight = entry.terminal != nil || entry.cancelled && !j.CancelDurable
+	if entry.complete {
 		j.write.due, j.write.urgent = false, false
 	}
-	for _, w := range p.writes {
+	for _, w := range entry.writes {
 		if w.shard != nil {
 			w.shard.dirty = false
 			j.records.dropUnused(w.shard)
 		}
 	}
-	j.done.sent(&j.records)
-	if p.whole {
-		p.waiters = j.write.takeWaiters()
+	j.done.markInFlight(&j.records)
+	if entry.complete {
+		entry.waiters = j.write.takeWaiters()
 	}
 }
--- a/internal/cluster/writebatchoutcome.go
+++ b/internal/cluster/writebatchoutcome.go
@@ -5,34 +5,34 @@
 	"dunestand/internal/units"
 )
 
-// BatchCommitted notes that a batch was carried out at a revision. It returns the terminal
-// records of the jobs that ended with it, by ID; these jobs leave the state.
+// BatchCommitted records that a batch was committed at a revision. It removes the jobs whose
+// terminal records the batch contains from the state, and returns these records by job ID.
 func (s *State) BatchCommitted(batch *WriteBatch, revision uint64) map[string]storage.TerminalRecord {
 	finished := map[string]storage.TerminalRecord{}
-	for _, p := range batch.parts {
-		j := p.job
-		p.committed(revision)
-		if p.terminal != nil {
-			finished[j.Spec.ID] = *p.terminal
-			s.AddStaleRecords(j.Spec.ID, j.records.furtherKeys())
+	for _, entry := range batch.entries {
+		j := entry.job
+		entry.committed(revision)
+		if entry.terminal != nil {
+			finished[j.Spec.ID] = *entry.terminal
+			s.AddStaleRecords(j.Spec.ID, j.records.storedPartKeys())
 			s.removeJob(j)
 		}
-		for _, w := range p.waiters {
+		for _, w := range entry.waiters {
 			close(w)
 		}
 	}
 	return finished
 }
 
-// committed notes that the part was carried out.
-func (p *batchPart) committed(revision uint64) {
-	j := p.job
+// committed updates the entry's job after the batch was committed at a revision.
+func (entry *batchEntry) committed(revision uint64) {
+	j := entry.job
 	j.write.committed()
 	j.done.committed()
-	for _, w := range p.writes {
+	for _, w := range entry.writes {
 		if w.shard == nil {
 			j.inPendingQueue = j.inPendingQueue && w.change.Delete != storage.KeyPending(j.Spec.ID)
-			j.records.deleted(w.change.Delete)
+			j.records.recordDeleted(w.change.Delete)
 			continue
 		}
 		if w.shard == j.records.main {
@@ -40,12 +40,12 @@
 		}
 		w.committed(revision)
 	}
-	if p.cancelled && !j.CancelDurable && j.records.main.version == revision {
+	if entry.cancelled && !j.CancelDurable && j.records.main.version == revision {
 		j.CancelDurable, j.cancelVersion = true, revision
 	}
 }
 
-// committed notes that a record was written.
+// committed updates the version of the written record and marks its machine names as durable.
 func (w *write) committed(revision uint64) {
 	w.shard.version = revision
 	for _, m := range w.machines {
@@ -55,35 +55,36 @@
 	}
 }
 
-// AddStaleRecords notes records that are left over of a job that has ended: they are deleted
-// when nobody waits for writes.
+// AddStaleRecords schedules the remaining records of a job that has ended for deletion by a
+// background write.
 func (s *State) AddStaleRecords(job string, keys []string) {
 	for _, key := range keys {
 		s.staleRecords = append(s.staleRecords, staleRecord{storage.BucketOf(job), key})
 	}
 }
 
-// BatchConflicted notes that a batch was certainly not carried out and never
-// will be: its changes are due again.
+// BatchConflicted records that a batch was not committed and never will be. Its changes become
+// due again.
 func (s *State) BatchConflicted(batch *WriteBatch, now units.Micros) {
 	s.staleRecords = append(s.staleRecords, batch.stale...)
-	for _, p := range batch.parts {
-		j := p.job
-		j.done.refused()
-		for _, w := range p.writes {
+	for _, entry := range batch.entries {
+		j := entry.job
+		j.done.aborted()
+		for _, w := range entry.writes {
 			if w.shard != nil {
 				w.shard.dirty = true
 			}
 		}
-		j.write.refused(p.waiters, now)
+		j.write.aborted(entry.waiters, now)
 	}
 }
 
-// BatchRejected is BatchConflicted for a batch that the key-value store will not accept as it is.
-// It is built anew, each job by itself: one must not hold up the rest.
+// BatchRejected is BatchConflicted for a batch that the key-value store will never accept in
+// this form. Each of its jobs is then written in a batch of its own, so that one invalid record
+// does not block the other jobs.
 func (s *State) BatchRejected(batch *WriteBatch, now units.Micros) {
 	s.BatchConflicted(batch, now)
-	for _, p := range batch.parts {
-		p.job.write.alone = true
+	for _, entry := range batch.entries {
+		entry.job.write.alone = true
 	}
 }
--- a/internal/cluster/writestate_test.go
+++ b/internal/cluster/writestate_test.go
@@ -11,8 +11,8 @@
 	}
 }
 
-// Whoever waits for a change is woken by the write that holds it, also if that is refused
-// first, and not by a write before it.
+// A waiter is woken by the write that contains its change, also after an aborted attempt of that
+// write, and not by an earlier write.
 func TestWaitersAreWokenByTheWriteOfTheirChange(t *testing.T) {
 	w := newWriteState()
 	w.mark(1, true)
@@ -22,20 +22,20 @@
 	w.mark(2, false)
 	second := w.durableSignal()
 
-	w.refused(waiters, 3)
+	w.aborted(waiters, 3)
 	if isClosed(first) || isClosed(second) || !w.due || w.inFlight || !w.urgent {
-		t.Fatalf("after the refusal: %+v", w)
+		t.Fatalf("after the abort: %+v", w)
 	}
 	waiters = w.takeWaiters()
 	w.due, w.inFlight = false, true
 	if w.durableSignal() != second {
-		t.Error("a write in flight that holds all changes is not what is waited for")
+		t.Error("the signal is not that of the write in flight, which contains all changes")
 	}
 	w.committed()
 	for _, waiter := range waiters {
 		close(waiter)
 	}
 	if !isClosed(first) || !isClosed(second) || isClosed(w.durableSignal()) {
-		t.Error("not exactly those whose change is written are woken")
+		t.Error("the woken waiters are not exactly those whose changes are written")
 	}
 }
