--- a/internal/cluster/donetasks.go
+++ b/internal/cluster/donetasks.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// markInFlight moves the unwritten tasks whose pages are no longer dirty to those in flight: a
+// moveToInFlight moves the unwritten tasks whose pages are no longer dirty to those in flight: a
 // write batch now contains these pages.
-func (d *doneTasks) markInFlight(records *jobRecords) {
+func (d *doneTasks) moveToInFlight(records *jobRecords) {
 	for i := range d.unwritten.All() {
 		if !records.pageOf(i).dirty {
 			d.inFlight.Add(i)
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -148,7 +148,7 @@
 			j.records.dropUnused(w.shard)
 		}
 	}
-	j.done.markInFlight(&j.records)
+	j.done.moveToInFlight(&j.records)
 	if entry.complete {
 		entry.waiters = j.write.takeWaiters()
 	}
