--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -71,7 +71,7 @@
 // any more. Its release only takes it off the list.
 func (as *Autoscaler) machineFailed(m *cluster.Machine, now units.Micros) {
 	as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
-	as.State.MachineEmptied(m, now)
+	as.State.RemoveAttempts(m, now)
 	as.State.Unreconciled.Resolve(m.ID)
 	m.Releasing = true
 	as.CycleSignal.Raise()
--- a/internal/cluster/machines.go
+++ b/internal/cluster/machines.go
@@ -54,7 +54,7 @@
 
 // RemoveMachine removes a machine that is known to be gone, and its attempts.
 func (s *State) RemoveMachine(m *Machine, now units.Micros) {
-	s.MachineEmptied(m, now)
+	s.RemoveAttempts(m, now)
 	s.Unreconciled.Resolve(m.ID)
 	delete(s.Machines, m.ID)
 	if i, ok := findMachine(s.sortedMachines, m.ID); ok {
@@ -62,8 +62,8 @@
 	}
 }
 
-// MachineEmptied removes all attempts of a machine that is known to run none of them.
-func (s *State) MachineEmptied(m *Machine, now units.Micros) {
+// RemoveAttempts removes all attempts of a machine that is known to run none of them.
+func (s *State) RemoveAttempts(m *Machine, now units.Micros) {
 	for _, a := range m.SortedAttempts() {
 		s.AttemptGone(a, now)
 	}
--- a/internal/failuredetector/leases.go
+++ b/internal/failuredetector/leases.go
@@ -17,7 +17,7 @@
 		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, d.ElectedAt) >= lease {
 			d.Log.Info("worker lease expired", "machine", m.ID, "lost", len(m.Attempts))
 			m.MayHoldCancelled = m.MayHoldCancelled || d.State.HoldsCancelled(m.ID)
-			d.State.MachineEmptied(m, now)
+			d.State.RemoveAttempts(m, now)
 		}
 	}
 }
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -84,7 +84,7 @@
 func (rc *Reconciler) reconcileMachine(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
 	if m.Registered && heartbeat.Incarnation > m.Incarnation {
 		rc.Log.Info("machine began a new incarnation", "machine", m.ID, "incarnation", heartbeat.Incarnation, "lost", len(m.Attempts))
-		rc.State.MachineEmptied(m, now)
+		rc.State.RemoveAttempts(m, now)
 	}
 	if !m.Registered {
 		rc.Log.Info("machine registered", "machine", m.ID, "type", m.InstanceType, "zone", m.Zone, "spot", m.Spot, "tasks", len(heartbeat.Tasks),
