--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -126,10 +126,10 @@
 	a.GracePeriod = grace
 }
 
-// AttemptGone removes an attempt that is known to have left its machine. Once no attempt of
-// the task is left, the task is pending again unless it is done. AttemptGone has no effect on
+// RemoveAttempt removes an attempt that is known to have left its machine. Once no attempt of
+// the task is left, the task is pending again unless it is done. RemoveAttempt has no effect on
 // an attempt that was already removed.
-func (s *State) AttemptGone(a *Attempt, now units.Micros) {
+func (s *State) RemoveAttempt(a *Attempt, now units.Micros) {
 	key := a.key()
 	if a.Machine.Attempts[key] != a {
 		return
--- a/internal/cluster/liveattempts_test.go
+++ b/internal/cluster/liveattempts_test.go
@@ -37,8 +37,8 @@
 				numbers = numbers[1:]
 			} else if len(live) > 0 {
 				i := rapid.IntRange(0, len(live)-1).Draw(t, "gone")
-				state.AttemptGone(live[i], 0)
-				state.AttemptGone(live[i], 0) // has no effect
+				state.RemoveAttempt(live[i], 0)
+				state.RemoveAttempt(live[i], 0) // has no effect
 				live = slices.Delete(live, i, i+1)
 			}
 			checkAttempts(t, state, job, live)
--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -38,7 +38,7 @@
 	if !j.MachineIsDurable(m.ID) {
 		t.Fatal("may not start after the batch was committed")
 	}
-	state.AttemptGone(a, 0)
+	state.RemoveAttempt(a, 0)
 	state.TaskDone(j, 0, 0)
 	batch = build() // omits the name
 	if j.MachineIsDurable(m.ID) {
--- a/internal/cluster/machines.go
+++ b/internal/cluster/machines.go
@@ -65,7 +65,7 @@
 // RemoveAttempts removes all attempts of a machine that is known to run none of them.
 func (s *State) RemoveAttempts(m *Machine, now units.Micros) {
 	for _, a := range m.SortedAttempts() {
-		s.AttemptGone(a, now)
+		s.RemoveAttempt(a, now)
 	}
 }
 
--- a/internal/cluster/outcomes_test.go
+++ b/internal/cluster/outcomes_test.go
@@ -19,7 +19,7 @@
 		a.Stage, a.RunningSince = Running, units.Second
 		state.Outcomes.AttemptCompleted(a, units.Second+length)
 		state.TaskDone(j, a.Index, 0)
-		state.AttemptGone(a, 0)
+		state.RemoveAttempt(a, 0)
 	}
 	for range 8 {
 		run("i-1", 10*units.Second)
@@ -43,7 +43,7 @@
 	m := state.EnsureMachine(machine, "m", "a", true, now)
 	a := state.Assign(j, m, 1, now)
 	state.Outcomes.AttemptFailed(a, now)
-	state.AttemptGone(a, now)
+	state.RemoveAttempt(a, now)
 	return m
 }
 
@@ -90,7 +90,7 @@
 		a := state.Assign(j, state.EnsureMachine("i-1", "m", "a", true, 0), 1, from)
 		a.Stage, a.RunningSince = Running, from
 		state.Outcomes.ReplicaEnded(a, false, from+length)
-		state.AttemptGone(a, from+length)
+		state.RemoveAttempt(a, from+length)
 	}
 	run(units.Second, units.Second)
 	if j.RetryAt != 0 {
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -133,7 +133,7 @@
 		}
 		for _, a := range j.LiveAttempts {
 			if a.Number%3 == 0 {
-				m.state.AttemptGone(a, 0)
+				m.state.RemoveAttempt(a, 0)
 			}
 		}
 	}
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -41,12 +41,12 @@
 					a := rapid.SampledFrom(attempts).Draw(t, "attempt")
 					if a.Job.LiveAttempts[a.Index] == a {
 						state.TaskDone(a.Job, a.Index, 0)
-						state.AttemptGone(a, 0)
+						state.RemoveAttempt(a, 0)
 					}
 				}
 			case 2:
 				if len(attempts) > 0 {
-					state.AttemptGone(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
+					state.RemoveAttempt(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
 				}
 			case 3:
 				if m := state.Machines["i-1"]; m != nil && rapid.IntRange(0, 3).Draw(t, "removed") == 0 {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -69,7 +69,7 @@
 	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
 			machine := leader.state.Machines[heartbeats[i%len(heartbeats)].Machine]
-			leader.state.AttemptGone(machine.SortedAttempts()[0], units.Second)
+			leader.state.RemoveAttempt(machine.SortedAttempts()[0], units.Second)
 			leader.scheduler.PlaceOnMachine(machine, units.Second)
 		}
 	})
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -84,7 +84,7 @@
 			}),
 			"end of a task": testing.AllocsPerRun(100, func() {
 				machine := leader.state.Machines[next().Machine]
-				leader.state.AttemptGone(machine.SortedAttempts()[0], units.Second)
+				leader.state.RemoveAttempt(machine.SortedAttempts()[0], units.Second)
 				leader.scheduler.PlaceOnMachine(machine, units.Second)
 			}),
 			"write batch": testing.AllocsPerRun(100, func() {
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -21,7 +21,7 @@
 		machine := state.EnsureMachine(machineID, "m", "a", true, clock.Now)
 		attempt := state.Assign(job, machine, leader.token<<32|uint64(len(jobID)), clock.Now)
 		state.Outcomes.AttemptFailed(attempt, clock.Now)
-		state.AttemptGone(attempt, clock.Now)
+		state.RemoveAttempt(attempt, clock.Now)
 		return job
 	}
 	fail("j-000001", "i-1")
--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -190,7 +190,7 @@
 	if !job.CancelDurable {
 		t.Error("the cancellation is not durable")
 	}
-	leader.state.AttemptGone(attempt, 0)
+	leader.state.RemoveAttempt(attempt, 0)
 	job.MarkChanged(0, true)
 	leader.state.Unlock()
 	leader.writeSignal.Raise()
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -49,7 +49,7 @@
 		job := attempt.Job
 		switch {
 		case attempt.Stopping || job.Cancelled || job.IsDone(attempt.Index):
-			rc.State.AttemptGone(attempt, now) // it was never sent
+			rc.State.RemoveAttempt(attempt, now) // it was never sent
 			if job.Cancelled {
 				job.MarkChanged(now, true)
 				rc.WriteSignal.Raise()
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -131,7 +131,7 @@
 		case attempt.Stage == cluster.Sent && heartbeat.Sequence <= attempt.SentSequence:
 		default:
 			rc.Tracer.Trace("attempt missing", attempt)
-			rc.State.AttemptGone(attempt, now)
+			rc.State.RemoveAttempt(attempt, now)
 		}
 	}
 }
--- a/internal/reconciler/tasks.go
+++ b/internal/reconciler/tasks.go
@@ -41,7 +41,7 @@
 	case protocol.CauseNoSuchTask, protocol.CauseInUse:
 		job.RetryAt = now + retryPause
 	}
-	rc.State.AttemptGone(attempt, now)
+	rc.State.RemoveAttempt(attempt, now)
 	if job.Cancelled && len(job.LiveAttempts) == 0 {
 		job.MarkChanged(now, true)
 		rc.WriteSignal.Raise()
