--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -72,7 +72,7 @@
 // nothing runs on it any more, and marks it for release, which removes it from the list.
 func (as *Autoscaler) machineFailed(m *cluster.Machine, now units.Micros) {
 	as.Log.Info("machine failed", "machine", m.ID, "lost", len(m.Attempts))
-	as.State.MachineEmptied(m, now)
+	as.State.RemoveAttempts(m, now)
 	as.State.Unreconciled.Resolve(m.ID)
 	m.Releasing = true
 	as.CycleSignal.Raise()
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -10,8 +10,8 @@
 	"dunestand/internal/units"
 )
 
-// The usage that the state keeps is that of its attempts, and no task is on two
-// machines or both pending and placed, through any order of events.
+// After any sequence of events, the usage of machines and teams is the sum of the requests of
+// their attempts, no task is on two machines, and none is both pending and live.
 func TestUsageIsTheSumOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewState([]config.Team{{Name: "team", LimitCPUs: 100}}, config.KVLimits{ValueKB: 8, TxnOps: 12})
@@ -41,12 +41,12 @@
 					a := rapid.SampledFrom(attempts).Draw(t, "attempt")
 					if a.Job.LiveAttempts[a.Index] == a {
 						state.TaskDone(a.Job, a.Index, 0)
-						state.AttemptGone(a, 0)
+						state.RemoveAttempt(a, 0)
 					}
 				}
 			case 2:
 				if len(attempts) > 0 {
-					state.AttemptGone(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
+					state.RemoveAttempt(rapid.SampledFrom(attempts).Draw(t, "attempt"), 0)
 				}
 			case 3:
 				if m := state.Machines["i-1"]; m != nil && rapid.IntRange(0, 3).Draw(t, "removed") == 0 {
@@ -67,7 +67,7 @@
 		for _, a := range m.Attempts {
 			used = used.Plus(a.Job.Spec.Request, 1)
 			if a.Job.LiveAttempts[a.Index] != a || a.Job.IsDone(a.Index) {
-				t.Fatalf("%s is on %s but not live", a.TaskName(), m.ID)
+				t.Fatalf("%s is on %s but done or not live", a.TaskName(), m.ID)
 			}
 		}
 		if used != m.Used {
