--- a/internal/failuredetector/delay.go
+++ b/internal/failuredetector/delay.go
@@ -8,54 +8,54 @@
 )
 
 const (
-	delayTick        = 250 * units.Millisecond // between two looks at the clock
-	maxDelay         = 400 * units.Millisecond // mean delay that is too much
-	delayPatience    = 3 * units.Second        // how long it may be too much
-	minLeadership    = 20 * units.Second       // a leadership begins with more work than usual
-	delayMeanSamples = 8                       // a tick counts one part in so many in the mean delay
+	delayCheckInterval    = 250 * units.Millisecond // between two measurements
+	maxMeanDelay          = 400 * units.Millisecond // mean delay from which the controller counts as overloaded
+	maxDelayDuration      = 3 * units.Second        // how long the mean delay may stay that high
+	minLeadershipDuration = 20 * units.Second       // no hand-over before: a new leader has more work than usual
+	delayMeanSamples      = 8                       // a sample has the weight 1/delayMeanSamples in the moving mean
 )
 
-// delayMonitor notices that this process falls behind: its timers fire late. A
-// leader that computes too slowly makes everybody wait, and there are others.
+// delayMonitor detects that this process is overloaded: its timers fire late. An overloaded leader
+// delays all users and workers, while another controller could lead.
 type delayMonitor struct {
-	mean        units.Micros // moving mean of how late the timer fires
-	behindSince units.Micros // since when it has been too late; 0: it is not
+	mean        units.Micros // exponential moving mean of the timer's delay
+	behindSince units.Micros // steady time since which the mean is too high, 0 if it is not
 }
 
-// observe adds how late the timer fired and reports whether it has been too late
-// for too long.
-func (w *delayMonitor) observe(late, now units.Micros) bool {
-	w.mean = ((delayMeanSamples-1)*w.mean + max(0, late)) / delayMeanSamples
+// observe adds the delay with which the timer fired, and reports whether the mean has been too high
+// for maxDelayDuration.
+func (m *delayMonitor) observe(delay, now units.Micros) bool {
+	m.mean = ((delayMeanSamples-1)*m.mean + max(0, delay)) / delayMeanSamples
 	switch {
-	case w.mean < maxDelay:
-		w.behindSince = 0
-	case w.behindSince == 0:
-		w.behindSince = now
+	case m.mean < maxMeanDelay:
+		m.behindSince = 0
+	case m.behindSince == 0:
+		m.behindSince = now
 	}
-	return w.behindSince != 0 && now-w.behindSince >= delayPatience
+	return m.behindSince != 0 && now-m.behindSince >= maxDelayDuration
 }
 
-// MonitorDelay hands the leader lease over when this controller has fallen behind and another
-// one is there to take it. It returns when ctx ends.
+// MonitorDelay hands the leader lease over when this controller is overloaded and another controller
+// can be reached. It returns when ctx ends.
 func (d *Detector) MonitorDelay(ctx context.Context) {
 	var monitor delayMonitor
-	for last := d.Clock.Steady(); loop.Sleep(ctx, delayTick); {
+	for last := d.Clock.Steady(); loop.Sleep(ctx, delayCheckInterval); {
 		now := d.Clock.Steady()
-		behind := monitor.observe(now-last-delayTick, now)
-		if monitor.mean >= maxDelay {
+		behind := monitor.observe(now-last-delayCheckInterval, now)
+		if monitor.mean >= maxMeanDelay {
 			d.NoteDelay(now)
 		}
 		last = now
-		if behind && now-d.ElectedAt > minLeadership && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
-			d.Log.Info("controller has fallen behind; leader lease handed over", "late_ms", monitor.mean/units.Millisecond)
+		if behind && now-d.ElectedAt > minLeadershipDuration && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
+			d.Log.Info("controller overloaded; leader lease handed over", "late_ms", monitor.mean/units.Millisecond)
 			monitor = delayMonitor{}
 		}
 	}
 }
 
-// NoteDelay notes that this controller has been late: heartbeats may have waited for it, or
-// have been given up by their workers. Each machine then has the time for another
-// one before its silence is judged. It takes the lock of State.
+// NoteDelay records that this controller has been delayed. Heartbeats may be waiting for it
+// unprocessed, or their workers have timed out, so no machine counts as lost until each has had the
+// time to send another heartbeat. NoteDelay acquires the lock of State.
 func (d *Detector) NoteDelay(now units.Micros) {
 	d.State.Lock()
 	defer d.State.Unlock()
--- a/internal/failuredetector/delay_test.go
+++ b/internal/failuredetector/delay_test.go
@@ -9,30 +9,29 @@
 	"dunestand/internal/units"
 )
 
-// A pause now and then, as long as it may be, is no reason to hand the lease
-// over; being late all the time is, within a few seconds.
+// Single pauses, however long, do not count as overload. A lasting delay does within 30 s.
 func TestLastingDelayIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var monitor delayMonitor
 		now := 100 * units.Second
 		for range rapid.IntRange(1, 20).Draw(t, "pauses") {
 			late := units.Micros(rapid.IntRange(0, 2000).Draw(t, "pause")) * units.Millisecond
-			now += delayTick + late
+			now += delayCheckInterval + late
 			if monitor.observe(late, now) {
-				t.Fatal("one pause is taken for falling behind")
+				t.Fatal("single pause detected as a lasting delay")
 			}
-			for range 24 { // and then on time
-				now += delayTick
+			for range 24 { // timers on time between the pauses
+				now += delayCheckInterval
 				if monitor.observe(0, now) {
-					t.Fatal("one pause is taken for falling behind")
+					t.Fatal("single pause detected as a lasting delay")
 				}
 			}
 		}
 		late := units.Micros(rapid.IntRange(800, 4000).Draw(t, "late")) * units.Millisecond
 		began := now
 		for !monitor.observe(late, now) {
-			if now += delayTick + late; now-began > 30*units.Second {
-				t.Fatalf("late by %v all the time, and not noticed", late)
+			if now += delayCheckInterval + late; now-began > 30*units.Second {
+				t.Fatalf("lasting delay of %v not detected", late)
 			}
 		}
 	})
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,9 +1,9 @@
-// Package failuredetector judges by missed heartbeats which machines are lost, and whether
-// this controller itself is cut off or falls behind.
+// Package failuredetector decides from missing heartbeats which machines are lost, and whether this
+// controller itself is isolated or overloaded.
 //
-// lostmachines.go judges machines by the heartbeats that are missing, leases.go drops what
-// they held once their leases have expired, isolation.go judges whether this controller is cut
-// off, and delay.go whether it falls behind.
+// lostmachines.go finds lost machines, leases.go drops the attempts of machines whose leases have
+// expired, isolation.go detects that this controller is isolated from the workers, and delay.go that
+// it runs too slowly to lead.
 package failuredetector
 
 import (
@@ -16,7 +16,7 @@
 	"dunestand/internal/units"
 )
 
-// Deps is what a Detector works with.
+// Deps holds the dependencies of a Detector.
 type Deps struct {
 	State      *cluster.State
 	Leadership election.Leadership
@@ -31,51 +31,50 @@
 	WriteSignal   loop.Signal // wakes the persister
 }
 
-// Detector judges by their heartbeats which machines are lost, and by the heartbeats of all
-// of them whether this controller itself is cut off or too slow to lead. Its fields are
-// guarded by the lock of State. Its methods need that lock held, but for MonitorDelay and
-// NoteDelay, which take it. Make it with New.
+// Detector decides which machines are lost, and whether this controller is isolated or too slow to
+// lead. The lock of State guards its fields. Callers of its methods must hold that lock, except
+// for MonitorDelay and NoteDelay, which acquire it. Create it with New.
 type Detector struct {
 	Deps
 
-	maxUnreachablePeers int          // the most controllers that were unreachable at a time
-	judgeSilenceFrom    units.Micros // this controller was late itself: until then no machine is judged
-	allReconciled       bool         // it is known what every machine holds
+	maxUnreachablePeers int          // highest number of peers that were unreachable at the same time
+	judgeSilenceFrom    units.Micros // steady time before which no machine counts as lost, see NoteDelay
+	allReconciled       bool         // no machine is unreconciled any more
 }
 
-// New returns a detector that has judged nothing yet.
+// New returns a detector for a leader that has just been elected.
 func New(deps Deps) *Detector {
 	return &Detector{
 		Deps: deps,
 	}
 }
 
-// What the silence of machines is measured by.
+// Delays of a worker's next heartbeat that SuspectAfter tolerates.
 const (
-	reconnectTime           = 1500 * units.Millisecond // what a lost connection costs a worker
-	unansweredHeartbeatTime = 5 * units.Second         // what a heartbeat without a response costs it
+	reconnectTime           = 1500 * units.Millisecond // after the connection to the leader was lost
+	unansweredHeartbeatTime = 5 * units.Second         // after a heartbeat that got no response
 )
 
-// latestHeartbeat returns the longest time between two heartbeats of a machine: they come up
-// to a quarter of their interval early or late.
-func (d *Detector) latestHeartbeat() units.Micros {
+// maxHeartbeatInterval returns the longest time between two heartbeats of a machine. Workers vary the
+// configured interval by up to a quarter of it.
+func (d *Detector) maxHeartbeatInterval() units.Micros {
 	return d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(5, 4)
 }
 
-// SuspectAfter returns how long a machine may be silent before it is suspected to be
-// lost: two heartbeats and what a lost connection costs, or, where heartbeats
-// come seldom, one heartbeat and what one costs that gets no response (the worker
-// waits 4 s and turns to the next controller a second later).
+// SuspectAfter returns the time without a heartbeat after which a machine is suspected to be lost.
+// It covers two intervals and a lost connection or, if that is shorter, one interval and a
+// heartbeat without a response: the worker then waits 4 s and tries the next controller 1 s later.
 func (d *Detector) SuspectAfter() units.Micros {
 	twoHeartbeats := d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(5, 2)
-	return min(twoHeartbeats+reconnectTime, d.latestHeartbeat()+unansweredHeartbeatTime)
+	return min(twoHeartbeats+reconnectTime, d.maxHeartbeatInterval()+unansweredHeartbeatTime)
 }
 
-// WorkerLease returns how long a machine may go on after its last answered heartbeat came
-// in, by this controller's clock.
+// WorkerLease returns the time after which the lease of a machine has certainly expired. It counts
+// from the arrival of the machine's last acknowledged heartbeat, by this controller's clock.
 func (d *Detector) WorkerLease() units.Micros {
 	return election.WorkerLeaseBound(d.Settings.Fleet.Workers)
 }
 
-// AllReconciled reports whether it is known what every machine holds.
+// AllReconciled reports whether all machines are reconciled since the election, so that the state
+// holds every attempt that may run.
 func (d *Detector) AllReconciled() bool { return d.allReconciled }
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -3,25 +3,25 @@
 import "dunestand/internal/units"
 
 const (
-	heartbeatLossMargin = 1200 * units.Millisecond // beyond one and a half heartbeat intervals
-	workerReturnTime    = 4 * units.Second         // for workers to find a new leader
-	// minIsolationMachines is how many machines there must be to blame this controller when
-	// none of them is heard.
+	heartbeatLossMargin = 1200 * units.Millisecond // added to one and a half heartbeat intervals
+	firstHeartbeatTime  = 4 * units.Second         // for workers to find a new leader after the election
+	// minIsolationMachines is the number of machines from which a loss of all heartbeats is
+	// attributed to this controller and not to the machines.
 	minIsolationMachines = 2
-	// isolationWindow bounds the silence that is judged, in times of the shortest one that is:
-	// machines that have been silent for longer say nothing about this controller.
-	isolationWindow = 3
+	// maxSilenceMultiple limits the silence that counts, as a multiple of the minimum: machines
+	// that have been silent for longer are no evidence that this controller is isolated.
+	maxSilenceMultiple = 3
 )
 
-// CheckHeartbeatLoss steps down when no heartbeat of several machines has
-// arrived for so long that it must be this controller that is cut off. Another one
-// may still reach them before their leases expire. This must not wait for
-// anything that the same cut may hold up, such as a call to the cloud.
+// CheckHeartbeatLoss steps down if several machines are expected and heartbeats of all of them are
+// missing for so long that this controller must be isolated. Another controller may then still reach
+// the machines before their leases expire. The caller must not delay the check by an operation that
+// the same network partition can block, such as a call to the cloud.
 func (d *Detector) CheckHeartbeatLoss(now units.Micros) {
-	quiet := d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(3, 2) + heartbeatLossMargin
-	// Before the first heartbeat the workers have to find this controller. Whom to
-	// expect, the records say.
-	lastHeartbeat, expected := d.ElectedAt+workerReturnTime, 0
+	minSilence := d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(3, 2) + heartbeatLossMargin
+	// After the election, workers first have to find this controller. Until one has registered,
+	// the records show how many machines to expect.
+	lastHeartbeat, expected := d.ElectedAt+firstHeartbeatTime, 0
 	for _, m := range d.State.Machines {
 		if m.Registered && !m.Releasing {
 			expected++
@@ -32,7 +32,7 @@
 		expected = d.State.Unreconciled.Len()
 	}
 	silence := now - lastHeartbeat
-	if d.State.Restored && expected >= minIsolationMachines && silence > quiet && silence < isolationWindow*quiet {
+	if d.State.Restored && expected >= minIsolationMachines && silence > minSilence && silence < maxSilenceMultiple*minSilence {
 		d.Log.Info("no heartbeat from any machine; stepping down", "machines", expected, "silent_ms", silence/units.Millisecond)
 		d.Leadership.StepDown()
 	}
--- a/internal/failuredetector/leases.go
+++ b/internal/failuredetector/leases.go
@@ -2,16 +2,16 @@
 
 import "dunestand/internal/units"
 
-// ExpireWorkerLeases drops what silent machines held once their leases have expired, and ends what
-// waited for that: the reconciliation after a failover, and cancellations.
+// ExpireWorkerLeases drops the attempts of silent machines whose leases have expired. It then
+// completes the reconciliation after a failover and the cancellations that depended on them.
 func (d *Detector) ExpireWorkerLeases(now units.Micros) {
-	d.emptyExpiredMachines(now)
+	d.dropExpiredAttempts(now)
 	d.reconcileExpired(now)
 	d.endCancelledJobs(now)
 }
 
-// emptyExpiredMachines drops the attempts of machines whose leases have expired.
-func (d *Detector) emptyExpiredMachines(now units.Micros) {
+// dropExpiredAttempts drops the attempts of machines whose leases have expired.
+func (d *Detector) dropExpiredAttempts(now units.Micros) {
 	lease := d.WorkerLease()
 	for _, m := range d.State.Machines {
 		if len(m.Attempts) > 0 && now-max(m.LastHeartbeat, d.ElectedAt) >= lease {
@@ -22,23 +22,24 @@
 	}
 }
 
-// reconcileExpired marks all machines as reconciled once a worker's lease has passed since the
-// election, and notes when all of them are.
+// reconcileExpired marks all machines as reconciled once a worker's lease, counted from the election,
+// has expired. It records when no machine is unreconciled any more.
 func (d *Detector) reconcileExpired(now units.Micros) {
 	if d.allReconciled || !d.State.Restored {
 		return
 	}
 	if now-d.ElectedAt >= d.WorkerLease() {
-		// What a former leader started is over everywhere, but on machines that
-		// accepted a response of this one since: and these have told what they hold,
-		// as a response is accepted only to the newest heartbeat. A machine that receives
-		// no response would otherwise stay unreconciled for as long as it sends heartbeats.
+		// By now the attempts that a former leader started have ended on every machine that
+		// has accepted no response of this leader. The other machines have reported their
+		// attempts, since a worker accepts a response only to its newest heartbeat. Without this
+		// step, a machine that sends heartbeats and receives no response would stay
+		// unreconciled.
 		machines, jobs := d.State.Unreconciled.Machines(), d.State.Unreconciled.JobCount()
 		for _, id := range machines {
 			d.State.Unreconciled.Resolve(id)
 		}
 		if len(machines) > 0 {
-			d.Log.Info("worker leases from before the election expired", "machines", len(machines), "jobs_freed", jobs)
+			d.Log.Info("worker leases from before the election expired; machines reconciled", "machines", len(machines), "jobs_freed", jobs)
 		}
 	}
 	if d.State.Unreconciled.Len() == 0 {
@@ -47,7 +48,8 @@
 	}
 }
 
-// endCancelledJobs has the end of cancelled jobs written of which nothing may run any more.
+// endCancelledJobs requests the write of the terminal state of each cancelled job that can have no
+// running attempt any more.
 func (d *Detector) endCancelledJobs(now units.Micros) {
 	for _, job := range d.State.Jobs {
 		nothingRuns := len(job.LiveAttempts) == 0 && len(job.UnreconciledMachines) == 0
--- a/internal/failuredetector/lostmachines.go
+++ b/internal/failuredetector/lostmachines.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	// lostMargin is how long a machine is silent beyond the time at which it is suspected,
-	// until it counts as lost.
+	// lostMargin is the time between SuspectAfter and the time at which a silent machine counts as
+	// lost.
 	lostMargin = units.Second
-	// lateMargin is how long a heartbeat may be overdue until it counts as missing.
+	// lateMargin is how long a heartbeat may be overdue before the machine counts as suspected.
 	lateMargin = units.Second
 
-	// How many healthy machines there must be for each that is silent, to blame the silent
-	// ones and not the network.
+	// Number of healthy machines required per silent machine, so that the silence is attributed
+	// to the machines and not to the network.
 	healthyPerMissingInFleet = 2
 	healthyPerMissingInZone  = 1
 
-	// minZoneCutMachines is how many machines of a zone must be silent together for a cut
-	// of the zone.
-	minZoneCutMachines = 3
+	// minZonePartitionMachines is the number of silent machines of a zone from which a partition
+	// of the zone is assumed.
+	minZonePartitionMachines = 3
 )
 
-// ZoneCutGrace is how long, beyond the workers' lease, the machines of a zone that may be cut
-// off are kept.
+// ZoneCutGrace is how long after the expiry of their leases the machines of a zone that may be
+// partitioned from this controller are kept.
 const ZoneCutGrace = 120 * units.Second
 
-// How long a worker may look for a new leader: it tries the next controller after 1 s, and
-// waits 4 s on each that does not answer.
+// Bounds of the time that a worker needs to find a new leader: it tries the next controller after
+// 1 s, and waits 4 s for each controller that does not answer.
 const (
-	leaderSearchStart   = 2500 * units.Millisecond
-	leaderSearchPerNode = 5 * units.Second
+	leaderSearchStart         = 2500 * units.Millisecond
+	leaderSearchPerController = 5 * units.Second
 )
 
-// heartbeatHealth counts the machines of a zone, or of the fleet, by their heartbeats.
+// heartbeatHealth counts the machines of a zone or of the fleet by the age of their last heartbeat.
 type heartbeatHealth struct{ healthy, suspected, lost int }
 
-// healthyPerMissing reports whether, for each machine whose heartbeats are missing, those of n
-// others arrive, so that the silent ones are to blame themselves: when many fall silent
-// together it is the network, and they may well be back. Those that are merely late
-// count as well, since machines cut off at one moment do not reach the limit at
-// one moment.
-func (h heartbeatHealth) healthyPerMissing(n int) bool { return h.healthy >= n*(h.lost+h.suspected) }
+// hasHealthyPerMissing reports whether there are at least n healthy machines per lost or suspected
+// one. If there are fewer, the network is the likelier cause, and the silent machines may return.
+// Suspected machines count as well, since machines that a partition cuts off at the same time do not
+// become lost at the same time.
+func (h heartbeatHealth) hasHealthyPerMissing(n int) bool { return h.healthy >= n*(h.lost+h.suspected) }
 
-// heartbeatSurvey is the health of the fleet and of its zones, and the machines that count as
-// lost, by ID.
+// heartbeatSurvey holds the health of the fleet, the health of each zone by name, and the IDs of the
+// machines that count as lost.
 type heartbeatSurvey struct {
 	fleet heartbeatHealth
 	zones map[string]*heartbeatHealth
 	lost  map[string]bool
 }
 
-// LostMachines returns the IDs of the machines that may be released as lost: silent for too
-// long, unresponsive to commands, or known only from a record. It returns none where too many
-// of the fleet or of a zone are silent at once: then the network is the likelier cause, and a
-// zone that is cut off from everything must not be released.
+// LostMachines returns the IDs of the machines that may be released as lost: those that have been
+// silent for too long, do not carry out commands, or are known only from a record. If too many
+// machines of the fleet or of a zone are silent at the same time, a network partition is the likelier
+// cause; LostMachines then returns none of the fleet or of that zone, except for machines that may
+// run tasks of cancelled jobs.
 func (d *Detector) LostMachines(now units.Micros) map[string]bool {
 	if now < d.judgeSilenceFrom {
 		return map[string]bool{}
@@ -73,11 +73,11 @@
 	return survey.lost
 }
 
-// surveyHeartbeats judges the machines that have sent a heartbeat to this leader.
+// surveyHeartbeats classifies the machines that have sent a heartbeat to this leader.
 func (d *Detector) surveyHeartbeats(now units.Micros) *heartbeatSurvey {
 	survey := &heartbeatSurvey{zones: map[string]*heartbeatHealth{}, lost: map[string]bool{}}
 	lostAfter := d.SuspectAfter() + lostMargin
-	lateAfter := d.latestHeartbeat() + lateMargin
+	lateAfter := d.maxHeartbeatInterval() + lateMargin
 	for _, m := range d.State.SortedMachines() {
 		zone := survey.zones[m.Zone]
 		if zone == nil {
@@ -103,14 +103,14 @@
 	return survey
 }
 
-// leaderSearchTime returns how long after the election a worker may still be looking for this
-// leader.
+// leaderSearchTime returns the time after the election within which a worker may still be searching
+// for this leader.
 func (d *Detector) leaderSearchTime() units.Micros {
-	return leaderSearchStart + d.latestHeartbeat() + leaderSearchPerNode*units.Micros(d.maxUnreachablePeers)
+	return leaderSearchStart + d.maxHeartbeatInterval() + leaderSearchPerController*units.Micros(d.maxUnreachablePeers)
 }
 
-// addUnreconciled counts as lost the machines that the records name and that have sent this
-// leader no heartbeat.
+// addUnreconciled adds to the lost machines those that are named in the records and have sent no
+// heartbeat to this leader.
 func (d *Detector) addUnreconciled(survey *heartbeatSurvey) {
 	for _, id := range d.State.Unreconciled.Machines() {
 		m := d.State.Machines[id]
@@ -128,22 +128,23 @@
 // mayRelease reports whether a machine that counts as lost may be released.
 func (d *Detector) mayRelease(id string, survey *heartbeatSurvey, now units.Micros) bool {
 	m := d.State.Machines[id]
-	var zone *heartbeatHealth // nil: not known
+	var zone *heartbeatHealth // nil if the zone is unknown
 	if m != nil {
 		zone = survey.zones[m.Zone]
 	}
 	if d.State.HoldsCancelled(id) && (zone == nil || zone.healthy > 0) {
-		// A machine that hangs does not end its tasks with its lease, so these
-		// would be there beyond cancel_s. A cut does not hit a part of a zone.
+		// A machine that hangs does not stop its tasks when its lease expires, so cancelled
+		// tasks would run for longer than cancel_s. A partition separates whole zones, so a
+		// healthy machine in the zone shows that this one is at fault.
 		return true
 	}
-	return survey.fleet.healthyPerMissing(healthyPerMissingInFleet) && (m == nil || d.mayReleaseInZone(m, zone, now))
+	return survey.fleet.hasHealthyPerMissing(healthyPerMissingInFleet) && (m == nil || d.mayReleaseInZone(m, zone, now))
 }
 
-// mayReleaseInZone reports whether a silent machine of a zone may be released. Where
-// most of a zone is silent, a machine is kept until its tasks are given up
-// anyway and some time more, as long as there are several.
+// mayReleaseInZone reports whether a silent machine of a zone may be released. If most of the zone is
+// silent and at least minZonePartitionMachines machines are, the machine is kept until its lease has
+// expired and ZoneCutGrace has passed.
 func (d *Detector) mayReleaseInZone(m *cluster.Machine, zone *heartbeatHealth, now units.Micros) bool {
-	return zone == nil || zone.healthyPerMissing(healthyPerMissingInZone) || zone.lost+zone.suspected < minZoneCutMachines ||
+	return zone == nil || zone.hasHealthyPerMissing(healthyPerMissingInZone) || zone.lost+zone.suspected < minZonePartitionMachines ||
 		now-max(m.LastHeartbeat, d.ElectedAt) > election.WithDrift(d.Settings.Fleet.Workers.LeaseDuration(), ZoneCutGrace)
 }
--- a/internal/failuredetector/lostmachines_test.go
+++ b/internal/failuredetector/lostmachines_test.go
@@ -17,8 +17,8 @@
 
 const testNow = 1000 * units.Second
 
-// newTestDetector returns a detector of a leader that was elected long ago and has heard
-// machines of two zones: 10 of a, 4 of b.
+// newTestDetector returns a detector of a leader that was elected 500 s ago and has just received
+// heartbeats from 10 machines of zone a and 4 of zone b.
 func newTestDetector(t *testing.T) *Detector {
 	t.Helper()
 	settings := &config.Settings{Fleet: config.Fleet{
@@ -46,8 +46,8 @@
 
 func machineID(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// A machine is lost whose heartbeats are missing while most others arrive, in the fleet and in
-// its zone.
+// A silent machine is lost if most other machines of the fleet and of its zone are healthy. If they
+// are silent, too, the network is the likelier cause.
 func TestLostMachines(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -78,7 +78,7 @@
 	}
 }
 
-// A machine that sends heartbeats and ignores commands is lost, too.
+// A machine that sends heartbeats and does not carry out commands is lost.
 func TestMachineThatIgnoresCommandsIsLost(t *testing.T) {
 	d := newTestDetector(t)
 	d.State.Machines[machineID(5)].UndeliveredCommands = cluster.MaxUndeliveredCommands
@@ -87,7 +87,7 @@
 	}
 }
 
-// While this controller was late itself, no machine is judged.
+// After a delay of this controller no machine is lost until each could send another heartbeat.
 func TestDelayedControllerJudgesNoMachine(t *testing.T) {
 	d := newTestDetector(t)
 	d.State.Machines[machineID(3)].LastHeartbeat = testNow - 20*units.Second
@@ -106,8 +106,8 @@
 	}
 }
 
-// A controller that hears none of several machines steps down, but not for a silence so long
-// that it says nothing about itself.
+// A leader that receives no heartbeat from any of several machines steps down, unless the silence is
+// so long that it is no evidence of an isolated leader.
 func TestLossOfAllHeartbeatsStepsDown(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -132,8 +132,8 @@
 	}
 }
 
-// What a machine held is dropped once its lease has expired by this controller's clock.
-func TestExpiredLeaseEmptiesTheMachine(t *testing.T) {
+// The attempts of a machine are dropped once its lease has expired by this controller's clock.
+func TestExpiredLeaseDropsAttempts(t *testing.T) {
 	lease := newTestDetector(t).WorkerLease()
 	for _, c := range []struct {
 		name     string
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/units"
 )
 
-// UnwrittenStart returns a channel to wait on when some start for the machine lacks
-// the write that must come first, else nil. The channel is closed once the write is durable.
+// UnwrittenStart returns a channel that is closed once the pending write of a job is durable, if a
+// start for the machine must wait for that write. Otherwise it returns nil.
 func (rc *Reconciler) UnwrittenStart(m *cluster.Machine) <-chan struct{} {
 	if m.FencingToken != rc.Token {
 		return nil
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// Commands returns what the machine is to do: what is wanted of it minus
-// what its heartbeat shows. It never returns nil.
+// Commands returns the commands that bring the machine from the state in its heartbeat to the
+// desired state. The result is never nil.
 func (rc *Reconciler) Commands(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) []protocol.Command {
 	commands := []protocol.Command{}
 	for i := range heartbeat.Tasks {
@@ -42,21 +42,22 @@
 	return rc.appendStarts(commands, m, heartbeat.Sequence, now)
 }
 
-// appendStarts appends the starts that a machine was assigned and that may be sent, and drops
-// those that are not wanted any more. sequence is that of the heartbeat that is answered.
+// appendStarts appends the starts of the attempts that are assigned to a machine and may be sent
+// now, and drops the assigned attempts that are no longer wanted. sequence is the sequence number
+// of the heartbeat whose response carries the commands.
 func (rc *Reconciler) appendStarts(commands []protocol.Command, m *cluster.Machine, sequence uint64, now units.Micros) []protocol.Command {
 	for _, attempt := range assignedAttempts(m) {
 		job := attempt.Job
 		switch {
 		case attempt.Stopping || job.Cancelled || job.IsDone(attempt.Index):
-			rc.State.AttemptGone(attempt, now) // it was never sent
+			rc.State.AttemptGone(attempt, now) // its start was never sent
 			if job.Cancelled {
 				job.MarkChanged(now, true)
 				rc.WriteSignal.Raise()
 			}
 		case attempt.HasRival():
-			// A machine showed an earlier attempt after this one was assigned. The start
-			// waits until that one is known to be gone.
+			// A machine reported another attempt of the task after this one was assigned. The
+			// task would run twice if it were started before the other attempt is gone.
 			rc.Metrics.StartsHeld.Inc()
 		case m.FencingToken == rc.Token && job.MachineIsDurable(m.ID) && len(commands) < protocol.MaxCommands:
 			attempt.Stage, attempt.SentSequence = cluster.Sent, sequence
@@ -68,8 +69,8 @@
 	return commands
 }
 
-// assignedAttempts returns the attempts on a machine whose start was not sent, in the order in
-// which they were assigned.
+// assignedAttempts returns the attempts on a machine whose start has not been sent, in the order
+// of their assignment.
 func assignedAttempts(m *cluster.Machine) []*cluster.Attempt {
 	var assigned []*cluster.Attempt
 	for _, attempt := range m.Attempts {
@@ -81,8 +82,8 @@
 	return assigned
 }
 
-// command returns what a machine is to do about a task that it reports, and whether there is
-// anything to do. attempt is nil where the state does not have the task on the machine.
+// command returns the command for a task that a machine reports, and whether a command is needed.
+// attempt is nil if the state has no such attempt on the machine.
 func (rc *Reconciler) command(attempt *cluster.Attempt, task *protocol.TaskStatus) (protocol.Command, bool) {
 	switch {
 	case task.Stage == protocol.TaskExited:
@@ -95,8 +96,8 @@
 	return protocol.Command{}, false
 }
 
-// mayForget reports whether a worker may forget a task that has ended. A completion that is
-// not durable stays with the worker: a later leader must be able to learn of it.
+// mayForget reports whether a worker may forget a task that has ended. The worker must keep a
+// completion until it is durable, so that a later leader can still learn of it.
 func (rc *Reconciler) mayForget(task *protocol.TaskStatus) bool {
 	job := rc.State.Jobs[task.Job]
 	return job == nil || job.Cancelled || job.IsService() || task.Cause != protocol.CauseDone || job.DoneIsDurable(task.Index)
--- a/internal/reconciler/delivery.go
+++ b/internal/reconciler/delivery.go
@@ -6,17 +6,18 @@
 	"dunestand/internal/units"
 )
 
-// recordSentCommand notes the first command of a response, for checkDelivery.
+// recordSentCommand records the first command of a response, for checkDelivery.
 func recordSentCommand(m *cluster.Machine, commands []protocol.Command, key cluster.AttemptKey) {
 	if len(commands) == 1 {
 		m.LastCommand = cluster.SentCommand{Pending: true, Verb: commands[0].Verb, Key: key}
 	}
 }
 
-// checkDelivery works out from a newer heartbeat whether the last response with commands
-// reached the machine: all of a response's commands are carried out, or none. A machine that
-// received no response shows it by its incarnation: without one within its lease it would
-// have begun another.
+// checkDelivery determines from a newer heartbeat whether the last response with commands reached
+// the machine. A worker carries out all commands of a response or none, so the first command is
+// enough evidence. The agent incarnation is evidence, too: a machine that receives no response
+// within its lease starts a new incarnation, so one that keeps its incarnation for longer has
+// received a response.
 func (rc *Reconciler) checkDelivery(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
 	if m.UndeliveredCommands > 0 && heartbeat.Incarnation == m.Incarnation && now-m.UndeliveredAt > rc.Detector.WorkerLease() {
 		rc.Log.Info("machine reachable again", "machine", m.ID)
@@ -41,8 +42,8 @@
 	}
 }
 
-// lastCommandCarriedOut reports whether a heartbeat shows the effect of the last command that
-// was sent to its machine.
+// lastCommandCarriedOut reports whether a heartbeat shows the effect of the command that
+// recordSentCommand recorded.
 func lastCommandCarriedOut(m *cluster.Machine, heartbeat *protocol.Heartbeat) bool {
 	present, live := false, false
 	for i := range heartbeat.Tasks {
--- a/internal/reconciler/rivals_test.go
+++ b/internal/reconciler/duplicates_test.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/protocol"
 )
 
-// heartbeatOf returns a heartbeat of another machine that shows attempts of task 0.
+// heartbeatOf returns a heartbeat of the named machine that lists attempts of task 0 as running.
 func heartbeatOf(machine string, sequence uint64, attempts ...uint64) *protocol.Heartbeat {
 	h := heartbeat(1, sequence)
 	h.Machine = machine
@@ -17,8 +17,8 @@
 	return h
 }
 
-// Two machines show attempts of a task, in either order: the later attempt goes on, and the
-// other is stopped with each answer until it is gone, also where an answer was lost.
+// Two machines report attempts of the same task, in either order: the later attempt continues. The
+// earlier one is sent a stop with every response until it is gone, since a response may be lost.
 func TestEarlierOfTwoAttemptsIsStoppedUntilItIsGone(t *testing.T) {
 	for _, order := range [][]uint64{{1, 2}, {2, 1}} {
 		rc, job := newTestReconciler(t)
@@ -44,8 +44,8 @@
 	}
 }
 
-// A machine stopped an attempt and started the task again while only a copy of its heartbeat
-// was known. Its own heartbeat shows the new attempt, which goes on.
+// The leader first applies a delayed heartbeat that lists an attempt which the machine has since
+// replaced. The machine's current heartbeat lists the new attempt, which continues.
 func TestLaterAttemptOnTheSameMachineReplacesTheEarlier(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	rc.Reconcile(heartbeatOf(testMachine, 1, 1), testNow)
@@ -58,8 +58,8 @@
 	}
 }
 
-// A machine shows an attempt of a task that was just assigned to another one. The start waits
-// until that attempt is gone.
+// A machine reports an attempt of a task that was just assigned to another machine. The start is held
+// back until the reported attempt is gone.
 func TestStartWaitsForAnotherAttemptToBeGone(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	m := rc.Reconcile(heartbeat(1, 1), testNow)
@@ -76,8 +76,8 @@
 	}
 }
 
-// A late word that a replica has ended, of an attempt that is not known any more, says nothing
-// of the replica that runs.
+// A late report that an unknown attempt of a service's replica has ended does not stop the attempt
+// that runs now.
 func TestLateEndOfReplicaDoesNotStopTheOneThatRuns(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	job.Spec.Kind = protocol.Service
@@ -86,6 +86,6 @@
 	late.Tasks[0].Stage, late.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
 	rc.Reconcile(late, testNow)
 	if live := job.LiveAttempts[0]; live == nil || live.Stopping {
-		t.Errorf("the replica that runs: %+v", live)
+		t.Errorf("running replica: %+v", live)
 	}
 }
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -1,8 +1,9 @@
-// Package reconciler compares machines' heartbeats with the leader's state, corrects the
-// state, and works out the commands that each machine needs.
+// Package reconciler reconciles the leader's state with the heartbeats of machines, and determines
+// the commands that each machine needs.
 //
-// Reconcile reads a heartbeat: first what it says of the commands sent before (delivery.go),
-// then of the machine, then of each task (tasks.go). Commands answers it (commands.go).
+// Reconciler.Reconcile applies a heartbeat to the state: first the delivery of earlier commands
+// (delivery.go), then the machine itself, then each of its tasks (tasks.go). Reconciler.Commands
+// returns the commands for the response to the heartbeat (commands.go).
 package reconciler
 
 import (
@@ -16,7 +17,7 @@
 	"dunestand/internal/units"
 )
 
-// Deps is what a Reconciler works with.
+// Deps holds the dependencies of a Reconciler.
 type Deps struct {
 	State    *cluster.State
 	Detector *failuredetector.Detector
@@ -24,36 +25,37 @@
 	Tracer   cluster.AttemptTracer
 	Metrics  *telemetry.Reconciliation
 	// Token is the leader's fencing token. Only a heartbeat that shows it reconciles a
-	// machine, and only a machine that has shown it is sent starts.
+	// machine, and starts are sent only to machines that have shown it.
 	Token       uint64
 	WriteSignal loop.Signal // wakes the persister
 	CycleSignal loop.Signal // wakes the scheduler
 }
 
-// Reconciler compares what machines say in their heartbeats with the state, corrects the
-// state, and works out the commands that a machine still needs. It has no state of its own;
-// its methods need the lock of State held. Make it with New.
+// Reconciler applies heartbeats to the state and determines the commands that machines need.
+// It has no state of its own. Callers of its methods must hold the lock of State. Create it with
+// New.
 type Reconciler struct {
 	Deps
 }
 
-// New returns a reconciler.
+// New returns a reconciler with the given dependencies.
 func New(deps Deps) *Reconciler {
 	return &Reconciler{
 		Deps: deps,
 	}
 }
 
-// Reconcile applies a heartbeat to the state and returns its machine. Old heartbeats, and
-// those of machines that were released, have no effect; it returns nil for them.
+// Reconcile applies a heartbeat to the state and returns the machine that sent it. A heartbeat that
+// is not newer than the last applied one, or that comes from a released machine, has no effect;
+// Reconcile then returns nil.
 func (rc *Reconciler) Reconcile(heartbeat *protocol.Heartbeat, now units.Micros) *cluster.Machine {
 	if rc.State.Released.Has(heartbeat.Machine) {
-		rc.heartbeatIgnored(heartbeat, nil)
+		rc.recordIgnoredHeartbeat(heartbeat, nil)
 		return nil
 	}
 	m := rc.State.EnsureMachine(heartbeat.Machine, heartbeat.InstanceType, heartbeat.Zone, heartbeat.Spot, now)
 	if m.Registered && !isNewer(heartbeat, m) {
-		rc.heartbeatIgnored(heartbeat, m)
+		rc.recordIgnoredHeartbeat(heartbeat, m)
 		return nil
 	}
 	if heartbeat.FencingToken != rc.Token {
@@ -62,28 +64,27 @@
 	rc.checkDelivery(m, heartbeat, now)
 	rc.reconcileMachine(m, heartbeat, now)
 	rc.reconcileTasks(m, heartbeat, now)
-	// Only a heartbeat that shows our token was sent after a response of ours was
-	// received. Any other may be a copy that comes late, of a machine that is
-	// gone by now, and a response of a former leader may still be on its way.
+	// Only a heartbeat that shows this leader's token was sent after the machine received a
+	// response of this leader. Any other heartbeat may be a delayed duplicate from a machine
+	// that no longer exists, or a response of a former leader may still reach the machine.
 	if m.FencingToken != heartbeat.FencingToken && heartbeat.FencingToken == rc.Token {
-		rc.machineReconciled(m, rc.State.Unreconciled.Resolve(m.ID), now)
+		rc.logMachineReconciled(m, rc.State.Unreconciled.Resolve(m.ID), now)
 		rc.CycleSignal.Raise()
 	}
 	m.FencingToken, m.MayHoldCancelled = heartbeat.FencingToken, false
 	return m
 }
 
-// isNewer reports whether a heartbeat was sent after the last one of its machine that was
-// applied.
+// isNewer reports whether a heartbeat was sent after the last applied heartbeat of its machine.
 func isNewer(heartbeat *protocol.Heartbeat, m *cluster.Machine) bool {
 	return heartbeat.Incarnation > m.Incarnation ||
 		heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence > m.Sequence
 }
 
-// reconcileMachine applies what a heartbeat says of the machine itself.
+// reconcileMachine applies the part of a heartbeat that is about the machine itself.
 func (rc *Reconciler) reconcileMachine(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
 	if m.Registered && heartbeat.Incarnation > m.Incarnation {
-		rc.Log.Info("machine began a new incarnation", "machine", m.ID, "incarnation", heartbeat.Incarnation, "lost", len(m.Attempts))
+		rc.Log.Info("machine started a new agent incarnation", "machine", m.ID, "incarnation", heartbeat.Incarnation, "lost", len(m.Attempts))
 		rc.State.MachineEmptied(m, now)
 	}
 	if !m.Registered {
@@ -99,31 +100,31 @@
 	}
 	if heartbeat.TerminationNoticed {
 		if m.TerminatesAt == 0 {
-			rc.Log.Info("termination notice", "machine", m.ID, "in_ms", heartbeat.TerminationIn/units.Millisecond)
+			rc.Log.Info("machine received a termination notice", "machine", m.ID, "in_ms", heartbeat.TerminationIn/units.Millisecond)
 		}
 		m.TerminatesAt = now + heartbeat.TerminationIn
 	}
 }
 
-// reconcileTasks applies what a heartbeat says of the machine's tasks, and drops the attempts
-// that it proves not to be there.
+// reconcileTasks applies the task statuses of a heartbeat, and drops the attempts that the
+// heartbeat proves not to be on the machine.
 func (rc *Reconciler) reconcileTasks(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
-	var found rivals
+	var duplicates duplicateAttempts
 	for i := range heartbeat.Tasks {
 		task := &heartbeat.Tasks[i]
 		if task.Stage == protocol.TaskExited {
-			rc.taskExited(m, task, now)
-		} else if adopted := rc.taskLive(m, task, now); adopted != nil && adopted.HasRival() {
-			found.add(adopted)
+			rc.applyExitedTask(m, task, now)
+		} else if adopted := rc.applyLiveTask(m, task, now); adopted != nil && adopted.HasRival() {
+			duplicates.add(adopted)
 		}
 	}
-	rc.logRivals(found, heartbeat)
+	rc.logDuplicateAttempts(duplicates, heartbeat)
 	rc.dropMissingAttempts(m, heartbeat, now)
 }
 
-// dropMissingAttempts drops the attempts that a heartbeat, whose tasks were applied, proves not
-// to be on the machine: they were sent with an earlier response that never arrived, or the
-// worker has forgotten them.
+// dropMissingAttempts drops the attempts that the heartbeat does not list and should: their start
+// was sent in a response to an earlier heartbeat and did not arrive, or the worker has forgotten
+// them. The task statuses of the heartbeat must have been applied before.
 func (rc *Reconciler) dropMissingAttempts(m *cluster.Machine, heartbeat *protocol.Heartbeat, now units.Micros) {
 	for _, attempt := range m.Attempts {
 		switch {
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -21,8 +21,7 @@
 	testNow     = 100 * units.Second
 )
 
-// newTestReconciler returns a reconciler of a leader with one job of two tasks that is stored
-// and waits.
+// newTestReconciler returns a reconciler and a job with two pending tasks, whose record is durable.
 func newTestReconciler(t *testing.T) (*Reconciler, *cluster.Job) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -43,7 +42,7 @@
 	return rc, job
 }
 
-// commit makes all that has changed durable.
+// commit makes all pending changes of the state durable.
 func commit(state *cluster.State) {
 	batch := state.BuildWriteBatch("7-1", make([]uint64, storage.Buckets), cluster.BatchLimits{Background: true}, testNow)
 	if batch != nil {
@@ -51,7 +50,7 @@
 	}
 }
 
-// heartbeat returns a heartbeat of the test machine that shows the leader's token.
+// heartbeat returns a heartbeat of the test machine that shows the leader's fencing token.
 func heartbeat(incarnation, sequence uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine:      testMachine,
@@ -86,8 +85,8 @@
 	}
 }
 
-// A machine is reconciled by a heartbeat that shows the leader's token: any other may be a
-// copy that comes late.
+// Only a heartbeat that shows the leader's fencing token reconciles a machine: any other may be a
+// delayed duplicate from the time of a former leader.
 func TestMachineIsReconciledByTheLeadersToken(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	rc.State.Unreconciled.Mark(job, testMachine)
@@ -101,7 +100,7 @@
 	}
 }
 
-// A start is sent once a record that names its machine is durable, and not twice.
+// A start is sent only after a record that names its machine is durable, and only once.
 func TestStartIsSentOnceItsMachineIsDurable(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	m := rc.Reconcile(heartbeat(1, 1), testNow)
@@ -110,7 +109,7 @@
 		t.Fatalf("sent before the write: %+v", commands)
 	}
 	if rc.UnwrittenStart(m) == nil {
-		t.Error("nothing to wait for before the write")
+		t.Error("no pending write reported before the commit")
 	}
 	commit(rc.State)
 	commands := rc.Commands(m, heartbeat(1, 1), testNow)
@@ -118,20 +117,20 @@
 		t.Fatalf("sent after the write: %+v", commands)
 	}
 	if rc.UnwrittenStart(m) != nil {
-		t.Error("something to wait for after the write")
+		t.Error("pending write reported after the commit")
 	}
 	if commands := rc.Commands(m, heartbeat(1, 1), testNow); len(commands) != 0 {
 		t.Errorf("sent again: %+v", commands)
 	}
 }
 
-// What a machine is to do about a task that it reports.
+// Each reported task gets the command that its state requires, if any.
 func TestCommandsForReportedTasks(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		task    protocol.TaskStatus
 		durable bool
-		want    protocol.Verb // "": nothing
+		want    protocol.Verb // "" for no command
 	}{
 		{"unknown job", protocol.TaskStatus{Job: "j-000009", Attempt: 1, Stage: protocol.TaskRunning}, false, protocol.VerbStop},
 		{"adopted", protocol.TaskStatus{Job: "j-000001", Attempt: 1, Stage: protocol.TaskRunning}, false, ""},
@@ -160,15 +159,15 @@
 	}
 }
 
-// A machine that reports the end of an attempt for want of capacity gets no work for a while,
-// and the task waits again.
+// A machine that refuses a start for lack of capacity is blocked for noCapacityBackoff, and the task
+// is pending again.
 func TestRefusedStartBlocksTheMachine(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	m := rc.Reconcile(heartbeat(1, 1), testNow)
 	attempt := rc.State.Assign(job, m, rc.State.NextAttempt(testToken), testNow)
 	refused := protocol.TaskStatus{Job: job.Spec.ID, Index: attempt.Index, Attempt: attempt.Number, Stage: protocol.TaskExited, Cause: protocol.CauseNoCapacity}
 	rc.Reconcile(heartbeat(1, 2, refused), testNow)
-	if m.BlockedUntil != testNow+noCapacityPause {
+	if m.BlockedUntil != testNow+noCapacityBackoff {
 		t.Errorf("blocked until %d", m.BlockedUntil)
 	}
 	if len(m.Attempts) != 0 || job.Pending() != 2 {
@@ -176,14 +175,14 @@
 	}
 }
 
-// Two responses in a row without effect show that commands do not reach a machine.
+// A machine counts as unresponsive after MaxUndeliveredCommands consecutive responses without effect.
 func TestMachineThatIgnoresStartsIsUnresponsive(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	m := rc.Reconcile(heartbeat(1, 1), testNow)
 	sequence := uint64(1)
 	for range cluster.MaxUndeliveredCommands {
 		if m.IgnoresCommands() {
-			t.Fatal("unresponsive too soon")
+			t.Fatal("unresponsive before the limit of undelivered commands")
 		}
 		rc.State.Assign(job, m, rc.State.NextAttempt(testToken), testNow)
 		commit(rc.State)
@@ -194,9 +193,9 @@
 	if !m.IgnoresCommands() {
 		t.Fatal("not unresponsive")
 	}
-	// It keeps its incarnation beyond its lease: it receives responses.
+	// The machine keeps its incarnation for longer than its lease, so it receives responses.
 	sequence++
 	if rc.Reconcile(heartbeat(1, sequence), testNow+20*units.Second); m.IgnoresCommands() {
-		t.Error("unresponsive for ever")
+		t.Error("still unresponsive though it keeps its incarnation")
 	}
 }
--- a/internal/reconciler/tasks.go
+++ b/internal/reconciler/tasks.go
@@ -6,26 +6,27 @@
 	"dunestand/internal/units"
 )
 
-// How long starts wait after a refusal, for the state to be corrected by other heartbeats.
+// Delays before the next start after a worker has refused one. Heartbeats that arrive in the
+// meantime correct the state that led to the refused start.
 const (
-	noCapacityPause = 2 * units.Second // for the machine that refused for want of capacity
-	retryPause      = units.Second     // for the job, whose task the machine does not know or runs already
+	noCapacityBackoff   = 2 * units.Second // for starts on a machine that had no capacity
+	refusedStartBackoff = units.Second     // for starts of a job whose task the machine does not know or already runs
 )
 
-// attemptKey returns the key of the attempt that a task's status is about.
+// attemptKey returns the key of the attempt that a task status describes.
 func attemptKey(task *protocol.TaskStatus) cluster.AttemptKey {
 	return cluster.AttemptKey{Job: task.Job, Index: task.Index, Number: task.Attempt}
 }
 
-// taskExited applies the status of a task that has ended.
-func (rc *Reconciler) taskExited(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) {
+// applyExitedTask applies the status of a task that has ended.
+func (rc *Reconciler) applyExitedTask(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) {
 	attempt := m.Attempts[attemptKey(task)]
 	if attempt == nil {
-		rc.unknownTaskExited(task, now)
+		rc.applyUnknownExit(task, now)
 		return
 	}
-	// The job may have ended and left the state while an attempt of a task
-	// that was done elsewhere was still on its way out.
+	// The job may no longer be in State.Jobs: it may have finished while this attempt, of a task
+	// that another attempt completed, was still stopping.
 	job := attempt.Job
 	if rc.Tracer.Enabled() {
 		rc.Log.Debug("task exited", "task", attempt.TaskName(), "attempt", attempt.Number, "machine", m.ID,
@@ -37,9 +38,9 @@
 	case protocol.CauseError:
 		rc.attemptFailed(attempt, now)
 	case protocol.CauseNoCapacity:
-		m.BlockedUntil = now + noCapacityPause
+		m.BlockedUntil = now + noCapacityBackoff
 	case protocol.CauseNoSuchTask, protocol.CauseInUse:
-		job.RetryAt = now + retryPause
+		job.RetryAt = now + refusedStartBackoff
 	}
 	rc.State.AttemptGone(attempt, now)
 	if job.Cancelled && len(job.LiveAttempts) == 0 {
@@ -48,9 +49,9 @@
 	}
 }
 
-// unknownTaskExited applies the end of an attempt that the state does not have on its machine.
-// If it completed its task, another attempt of the task is stopped.
-func (rc *Reconciler) unknownTaskExited(task *protocol.TaskStatus, now units.Micros) {
+// applyUnknownExit applies the status of an ended attempt that the state does not have on the
+// machine. If the attempt completed its task, the other attempts of the task are stopped.
+func (rc *Reconciler) applyUnknownExit(task *protocol.TaskStatus, now units.Micros) {
 	job := rc.State.Jobs[task.Job]
 	if job == nil || task.Cause != protocol.CauseDone || task.Index >= job.Spec.Tasks || job.IsDone(task.Index) {
 		return
@@ -58,12 +59,13 @@
 	rc.taskCompleted(job, task.Index, now)
 }
 
-// taskCompleted notes that a task has completed, and stops the attempts of it that are left.
+// taskCompleted records that a task is done, and stops its remaining attempts.
 func (rc *Reconciler) taskCompleted(job *cluster.Job, task int, now units.Micros) {
 	rc.State.TaskDone(job, task, now)
 	rc.State.StopUnwanted(job, task)
 }
 
+// attemptCompleted applies the successful end of an attempt.
 func (rc *Reconciler) attemptCompleted(attempt *cluster.Attempt, now units.Micros) {
 	job := attempt.Job
 	if job.IsService() {
@@ -78,6 +80,7 @@
 	}
 }
 
+// attemptFailed applies the end of an attempt with an error.
 func (rc *Reconciler) attemptFailed(attempt *cluster.Attempt, now units.Micros) {
 	if attempt.Job.IsService() {
 		rc.State.Outcomes.ReplicaEnded(attempt, true, now)
@@ -89,13 +92,13 @@
 	}
 }
 
-// taskLive applies the status of a task that has not ended. It returns the attempt if this
-// adopted it, else nil.
-func (rc *Reconciler) taskLive(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) (adopted *cluster.Attempt) {
+// applyLiveTask applies the status of a task that has not ended. If the state does not have the
+// attempt, applyLiveTask adopts and returns it; otherwise it returns nil.
+func (rc *Reconciler) applyLiveTask(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) (adopted *cluster.Attempt) {
 	attempt := m.Attempts[attemptKey(task)]
 	if attempt == nil {
 		if adopted = rc.adopt(m, task, now); adopted == nil {
-			return nil // Commands stops it
+			return nil // Commands sends a stop for it
 		}
 		attempt = adopted
 	}
@@ -111,9 +114,9 @@
 	return adopted
 }
 
-// adopt adds an attempt that a former leader started to the state, wanted or not: it takes
-// capacity and quota until it is known to be gone. It returns nil if there is no such job or
-// task, as it is not known then what it takes.
+// adopt adds an attempt that a former leader started to the state, even if it is to be stopped: it
+// uses capacity and quota until it is known to be gone. adopt returns nil if the job or task is
+// unknown, since its resource request is then unknown, too.
 func (rc *Reconciler) adopt(m *cluster.Machine, task *protocol.TaskStatus, now units.Micros) *cluster.Attempt {
 	job := rc.State.Jobs[task.Job]
 	if job == nil || task.Index >= job.Spec.Tasks {
@@ -125,6 +128,7 @@
 	return attempt
 }
 
+// attemptRunning applies the status of a running attempt.
 func (rc *Reconciler) attemptRunning(attempt *cluster.Attempt, now units.Micros) {
 	job := attempt.Job
 	if attempt.Stage != cluster.Running {
