--- a/internal/answer/evidence.go
+++ b/internal/answer/evidence.go
@@ -13,40 +13,41 @@
 	"dunestand/internal/units"
 )
 
-// evidenceKind is what an answer claims about a job.
+// evidenceKind is the kind of claim that an answer makes about the state of a job.
 type evidenceKind uint8
 
 const (
-	noEvidence  evidenceKind = iota // it says nothing of a job's state
-	provisional                     // the job's state may change
-	terminal                        // the job stays in this state
+	noEvidence  evidenceKind = iota // no claim about a job's state
+	provisional                     // the job is unfinished or unknown; its state may change
+	terminal                        // the job is in a terminal state
 )
 
-// Evidence is what an answer about a job rests on. The zero value is that of an answer that says
-// nothing of a job's state.
+// Evidence shows from when the job state in an answer dates, so that Gate can decide whether the
+// answer may still, or already, be given. The zero value belongs to an answer that makes no claim
+// about a job's state.
 type Evidence struct {
 	kind    evidenceKind
-	readAt  units.Micros // of a provisional answer: its state was read at this steady time or later
-	version uint64       // of a terminal answer: of the record that shows the state
+	readAt  units.Micros // provisional: the state was read at this steady time or later
+	version uint64       // terminal: version of the record that holds the state
 }
 
-// Answer is a response to a user together with its evidence.
+// Answer is a response to a user with the evidence for the job state in it.
 type Answer struct {
 	transport.Response
 	Evidence Evidence
 }
 
-// WithoutEvidence returns an answer that says nothing of a job's state.
+// WithoutEvidence returns an answer that makes no claim about a job's state. Gate never withholds it.
 func WithoutEvidence(r transport.Response) Answer { return Answer{Response: r} }
 
-// IsProvisional reports whether the answer claims a state that may change.
+// IsProvisional reports whether the answer claims a job state that may change.
 func (e Evidence) IsProvisional() bool { return e.kind == provisional }
 
-// IsTerminal reports whether the answer claims a terminal state.
+// IsTerminal reports whether the answer claims a terminal job state.
 func (e Evidence) IsTerminal() bool { return e.kind == terminal }
 
-// LogValue implements slog.LogValuer: what the answer claims, and the steady time of the read or
-// the version of the record that it rests on.
+// LogValue implements slog.LogValuer. It returns the kind of claim, with the steady time of the read
+// of a provisional answer or the record version of a terminal one.
 func (e Evidence) LogValue() slog.Value {
 	switch e.kind {
 	case provisional:
@@ -58,18 +59,18 @@
 	}
 }
 
-// Unavailable returns an answer that refuses a request for now.
-func Unavailable(why string) Answer {
-	return WithoutEvidence(ErrorResponse(http.StatusServiceUnavailable, why))
+// Unavailable returns an answer that rejects a request with status 503 and asks the user to retry.
+func Unavailable(reason string) Answer {
+	return WithoutEvidence(ErrorResponse(http.StatusServiceUnavailable, reason))
 }
 
-// Provisional returns an answer about a job, or the lack of one, whose state was read at the steady
-// time readAt or later.
+// Provisional returns an answer about an unfinished or unknown job, whose state was read at the
+// steady time readAt or later.
 func Provisional(r transport.Response, readAt units.Micros) Answer {
 	return Answer{Response: r, Evidence: Evidence{kind: provisional, readAt: readAt}}
 }
 
-// Terminal returns the answer about a finished job by its terminal record.
+// Terminal returns the answer about a finished job from its terminal record.
 func Terminal(id string, record storage.StoredTerminalRecord) Answer {
 	return Answer{
 		Response: StateResponse(http.StatusOK, protocol.JobState{ID: id, Stage: record.Stage, Done: record.Done}),
@@ -77,8 +78,9 @@
 	}
 }
 
-// Forwarded returns what the leader answered to a request that was forwarded to it at the steady
-// time sentAt. The leader itself holds a terminal answer back until it is stable.
+// Forwarded returns the answer for the leader's response to a request that was forwarded to it at the
+// steady time sentAt. A terminal response needs no further check: the leader withholds it until it
+// is stable.
 func Forwarded(r transport.Response, sentAt units.Micros) Answer {
 	switch r.Status {
 	case http.StatusOK, http.StatusCreated:
@@ -93,20 +95,20 @@
 	return WithoutEvidence(r)
 }
 
-// LiveJob returns the answer about a job that is not finished, whose state was read at the steady
-// time readAt or later. It needs the lock held that guards the job.
-func LiveJob(status int, j *cluster.Job, w config.Workers, readAt units.Micros) Answer {
+// LiveJob returns the answer about an unfinished job, whose state was read at the steady time readAt
+// or later. The caller must hold the lock that guards the job.
+func LiveJob(status int, job *cluster.Job, workers config.Workers, readAt units.Micros) Answer {
 	state := protocol.JobState{
-		ID:      j.Spec.ID,
+		ID:      job.Spec.ID,
 		Stage:   protocol.StagePending,
-		Done:    j.DoneCount(),
-		Running: j.Running(),
+		Done:    job.DoneCount(),
+		Running: job.Running(),
 	}
-	if CancellationConfirmed(j, w) {
+	if CancellationConfirmed(job, workers) {
 		state.Stage = protocol.StageCancelled
 		return Answer{
 			Response: StateResponse(status, state),
-			Evidence: Evidence{kind: terminal, version: j.CancelVersion()},
+			Evidence: Evidence{kind: terminal, version: job.CancelVersion()},
 		}
 	}
 	if state.Running > 0 || state.Done > 0 {
@@ -115,8 +117,8 @@
 	return Provisional(StateResponse(status, state), readAt)
 }
 
-// CancellationConfirmed reports whether the user of a job may be told that it is cancelled,
-// though it is not finished. It needs the lock held that guards the job.
-func CancellationConfirmed(j *cluster.Job, w config.Workers) bool {
-	return j.CancelDurable && election.ConfirmsCancellationWhenDurable(w)
+// CancellationConfirmed reports whether the cancellation of a job may be confirmed to the user before
+// the job is finished. The caller must hold the lock that guards the job.
+func CancellationConfirmed(job *cluster.Job, workers config.Workers) bool {
+	return job.CancelDurable && election.ConfirmsCancellationWhenDurable(workers)
 }
--- a/internal/answer/evidence_test.go
+++ b/internal/answer/evidence_test.go
@@ -11,8 +11,8 @@
 	"dunestand/internal/transport"
 )
 
-// A log line of an answer shows what it claims and what that rests on.
-func TestEvidenceIsLoggedWithWhatItRestsOn(t *testing.T) {
+// The logged evidence shows the kind of claim and, if there is one, the read time or record version.
+func TestEvidenceIsLoggedByKind(t *testing.T) {
 	record := storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: protocol.StageDone}, Version: 7}
 	for want, a := range map[string]Answer{
 		"grounds.kind=none":                              WithoutEvidence(transport.Response{}),
--- a/internal/answer/gate_test.go
+++ b/internal/answer/gate_test.go
@@ -12,7 +12,7 @@
 	"dunestand/internal/units"
 )
 
-// newTestGate returns a gate and its clock.
+// newTestGate returns a gate with the fake clock that it uses.
 func newTestGate() (Gate, *fake.Clock) {
 	clock := &fake.Clock{Now: 100 * units.Second}
 	return Gate{
@@ -25,8 +25,8 @@
 	return StateResponse(http.StatusOK, protocol.JobState{ID: "j-000001", Stage: stage})
 }
 
-// A provisional answer is given for a while after its state was read, whatever it claims; one
-// that claims nothing is given at any time.
+// A provisional answer is given until MaxAnswerAge after the read of its state, whatever its status.
+// An answer without evidence is given at any time.
 func TestProvisionalAnswerExpires(t *testing.T) {
 	gate, clock := newTestGate()
 	for name, r := range map[string]transport.Response{
@@ -37,23 +37,23 @@
 		a := Provisional(r, clock.Now)
 		clock.Now += MaxAnswerAge
 		if got := gate.Check(a); got.Status != r.Status {
-			t.Errorf("%s: %d while it is fresh", name, got.Status)
+			t.Errorf("%s: status %d within the maximum age", name, got.Status)
 		}
 		clock.Now++
 		if got := gate.Check(a); got.Status != http.StatusServiceUnavailable || got.RetryAfter == 0 {
-			t.Errorf("%s: %d once it is old", name, got.Status)
+			t.Errorf("%s: status %d beyond the maximum age", name, got.Status)
 		}
 	}
 	if got := gate.Check(WithoutEvidence(ErrorResponse(http.StatusTooManyRequests, "full"))); got.Status != http.StatusTooManyRequests {
-		t.Errorf("a refusal: %d", got.Status)
+		t.Errorf("answer without evidence: status %d", got.Status)
 	}
 }
 
-// A terminal answer is given once its record has been durable for longer than any answer from
-// before it may still be given.
+// A terminal answer is given only after its record has been durable for stableAge. By then no
+// provisional answer from before the record may be given.
 func TestTerminalAnswerWaitsUntilStable(t *testing.T) {
 	if stableAge <= MaxAnswerAge {
-		t.Fatal("a terminal answer is given while older ones are")
+		t.Fatal("a terminal answer is given while older provisional answers are still valid")
 	}
 	gate, clock := newTestGate()
 	a := Terminal("j-000001", storage.StoredTerminalRecord{
@@ -63,21 +63,21 @@
 	gate.Revisions.Observe(6)
 	clock.Now += 2 * stableAge
 	if got := gate.Check(a); got.Status != http.StatusServiceUnavailable || got.RetryAfter == 0 {
-		t.Errorf("%d before its record was seen", got.Status)
+		t.Errorf("status %d before its record was observed", got.Status)
 	}
-	gate.Revisions.Observe(9) // any later change proves that the record was there
+	gate.Revisions.Observe(9) // a later revision proves that the record was durable
 	clock.Now += stableAge - 1
 	if got := gate.Check(a); got.Status != http.StatusServiceUnavailable {
-		t.Errorf("%d too soon", got.Status)
+		t.Errorf("status %d before the record is stable", got.Status)
 	}
 	clock.Now++
 	if got := gate.Check(a); got.Status != http.StatusOK {
-		t.Errorf("%d once it is stable", got.Status)
+		t.Errorf("status %d after the record is stable", got.Status)
 	}
 }
 
-// What the leader answered to a forwarded request counts as read when the request was sent; the
-// leader itself holds terminal answers back.
+// The state in a forwarded answer counts as read when the request was sent to the leader. Terminal
+// answers pass, since the leader withholds them until they are stable.
 func TestForwardedAnswerIsAsOldAsItsRequest(t *testing.T) {
 	gate, clock := newTestGate()
 	sentAt := clock.Now
@@ -89,15 +89,15 @@
 		ErrorResponse(http.StatusUnprocessableEntity, "crew: unknown team"),
 	} {
 		if got := gate.Check(Forwarded(r, sentAt)); got.Status != http.StatusServiceUnavailable {
-			t.Errorf("%d %s is forwarded late", got.Status, got.Body)
+			t.Errorf("status %d, %s: passed beyond the maximum age", got.Status, got.Body)
 		}
 		if got := gate.Check(Forwarded(r, clock.Now)); got.Status != r.Status {
-			t.Errorf("%d in time, of %d", got.Status, r.Status)
+			t.Errorf("status %d within the maximum age, want %d", got.Status, r.Status)
 		}
 	}
 	for _, stage := range []protocol.JobStage{protocol.StageDone, protocol.StageCancelled} {
 		if got := gate.Check(Forwarded(stateResponse(stage), sentAt)); got.Status != http.StatusOK {
-			t.Errorf("%s is not forwarded: %d", stage, got.Status)
+			t.Errorf("%s: status %d, want 200", stage, got.Status)
 		}
 	}
 }
--- a/internal/answer/response.go
+++ b/internal/answer/response.go
@@ -7,20 +7,20 @@
 	"dunestand/internal/transport"
 )
 
-// retryAfterSeconds is when a user is told to come back.
+// retryAfterSeconds is the delay after which a user is asked to retry a request.
 const retryAfterSeconds = 1
 
-// ErrorResponse returns the response that refuses a request, with the reason in one line. Where
-// the request may succeed later it says when to come back.
-func ErrorResponse(status int, why string) transport.Response {
-	r := transport.Response{Status: status, Body: protocol.Encode(protocol.ErrorResponse{Message: why})}
+// ErrorResponse returns a response that rejects a request for the given reason, which is one line. It
+// sets RetryAfter if the status is 503 or 429, since the request may then succeed later.
+func ErrorResponse(status int, reason string) transport.Response {
+	r := transport.Response{Status: status, Body: protocol.Encode(protocol.ErrorResponse{Message: reason})}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		r.RetryAfter = retryAfterSeconds
 	}
 	return r
 }
 
-// StateResponse returns the response that shows a job's state.
+// StateResponse returns a response with the state of a job.
 func StateResponse(status int, state protocol.JobState) transport.Response {
 	return transport.Response{Status: status, Body: protocol.Encode(state)}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop has what the controller's loops wait with: a pause that ends early with a context,
-// and a signal that wakes a loop.
+// Package loop provides the wait primitives of the controller's background loops: Signal, which wakes
+// a loop, and Sleep, which pauses until a context ends.
 package loop
 
 import (
@@ -9,15 +9,15 @@
 	"dunestand/internal/units"
 )
 
-// Signal wakes a loop that receives from it. Raising it again before the loop has received it
-// changes nothing. It may be raised and received from concurrently. The zero value blocks its
-// receivers for ever; NewSignal returns a usable one.
+// Signal wakes a loop that receives from it. Signals raised before the loop receives are merged into
+// one. It is safe for concurrent use. Receiving from the zero value blocks forever; create a Signal
+// with NewSignal.
 type Signal chan struct{}
 
 // NewSignal returns a signal that is not raised.
 func NewSignal() Signal { return make(Signal, 1) }
 
-// Raise wakes the loop. It never blocks.
+// Raise wakes the loop that receives from the signal, now or when it next receives. It never blocks.
 func (s Signal) Raise() {
 	select {
 	case s <- struct{}{}:
@@ -25,8 +25,7 @@
 	}
 }
 
-// Sleep pauses for a duration. It reports whether the whole of it has passed: false means
-// that ctx ended first.
+// Sleep pauses for the duration d. It returns true after d has passed, and false if ctx ends first.
 func Sleep(ctx context.Context, d units.Micros) bool {
 	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -14,28 +14,28 @@
 	select {
 	case <-signal:
 	default:
-		t.Fatal("raised, and not received")
+		t.Fatal("raised signal not received")
 	}
 	select {
 	case <-signal:
-		t.Error("received twice")
+		t.Error("signal raised twice before the first receive is received twice")
 	default:
 	}
 	signal.Raise()
 	select {
 	case <-signal:
 	default:
-		t.Error("raised again, and not received")
+		t.Error("signal raised again after the receive is not received")
 	}
 }
 
 func TestSleepEndsWithItsContext(t *testing.T) {
 	if !Sleep(t.Context(), 0) || !Sleep(t.Context(), units.Millisecond) {
-		t.Error("a pause did not last")
+		t.Error("sleep with a live context returned false")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if Sleep(ctx, 3600*units.Second) {
-		t.Error("a pause outlasted its context")
+		t.Error("sleep with an ended context returned true")
 	}
 }
--- a/internal/peers/forward.go
+++ b/internal/peers/forward.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// forwardTimeout leaves some of the 2 s that users wait for a poll.
+	// forwardTimeout leaves the user some of the 2 s within which a poll must be answered.
 	forwardTimeout = 1700 * units.Millisecond
-	// forwardSubmitTimeout is short: after it the controller can still accept a job by itself.
+	// forwardSubmitTimeout is short, so that this controller has the time to accept the job itself if
+	// the leader does not respond.
 	forwardSubmitTimeout = 200 * units.Millisecond
-	// maxStatus is the greatest status that a response may have.
+	// maxStatus is the highest valid HTTP status.
 	maxStatus = 599
 )
 
-// ErrNoResponse says that the connection to the leader was lost before a response came, or that
-// what came was none. The leader may have carried the request out.
+// ErrNoResponse means that the connection to the leader was lost before a response arrived, or that
+// the frame that arrived was not a valid response. The leader may have executed the request.
 var ErrNoResponse = errors.New("no response from the leader")
 
-// Forward forwards a user's request about a job to a peer and returns its response. It fails with
-// transport.ErrLinkDown if the request was not sent, with ErrNoResponse, or with the error of a
-// context: of ctx, or of the time limit for the kind of request. After the latter two the peer may
-// have carried the request out.
-func (p *Peers) Forward(ctx context.Context, node string, kind protocol.FrameKind, job string, body []byte) (transport.Response, error) {
-	l := p.links[node]
+// Forward forwards a user's request about a job to the named peer and returns the peer's response. It
+// fails with transport.ErrLinkDown if the request was not sent, with ErrNoResponse, or with a context
+// error if ctx ends or the timeout for the kind of request expires. After ErrNoResponse or a
+// context error, the peer may have executed the request.
+func (p *Peers) Forward(ctx context.Context, name string, kind protocol.FrameKind, job string, body []byte) (transport.Response, error) {
+	l := p.links[name]
 	if l == nil {
 		return transport.Response{}, transport.ErrLinkDown
 	}
@@ -52,7 +53,7 @@
 	}
 }
 
-// timeoutOf returns how long a forwarded request is waited for.
+// timeoutOf returns the timeout for the response to a forwarded request.
 func timeoutOf(kind protocol.FrameKind) units.Micros {
 	if kind == protocol.FrameSubmit {
 		return forwardSubmitTimeout
@@ -60,14 +61,15 @@
 	return forwardTimeout
 }
 
-// isResponse reports whether a frame is a response with a possible status.
+// isResponse reports whether a frame is a response with a valid final HTTP status.
 func isResponse(frame protocol.Frame) bool {
 	return frame.Kind == protocol.FrameResponse && frame.Status >= http.StatusOK && frame.Status <= maxStatus
 }
 
-// AnswerFrame answers a peer's frame: a ping with leader, the name of this controller if it leads
-// and "" otherwise, and a request by serve. It returns no answer, and no error, for a frame that is
-// no request or is of a later version. It fails if the frame is malformed.
+// AnswerFrame returns the encoded response to a frame from a peer. A ping is answered with leader,
+// which is the name of this controller if it leads and "" otherwise; a request is answered by serve.
+// For a frame of another kind, which a later version may send, it returns nil and no error. It fails
+// if the frame is malformed.
 func AnswerFrame(ctx context.Context, data []byte, leader string, serve func(context.Context, protocol.Frame) transport.Response) ([]byte, error) {
 	request, err := protocol.DecodeFrame(data)
 	if err != nil {
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -14,19 +14,19 @@
 
 const (
 	pingInterval = units.Second
-	// firstPingInterval is the time between pings while a peer does not answer.
-	firstPingInterval = 150 * units.Millisecond
-	// neverAnswered is a time of the last answer that is long ago by any clock.
+	// unreachablePingInterval is the time between pings while the peer is not reachable.
+	unreachablePingInterval = 150 * units.Millisecond
+	// neverAnswered is the initial time of the last frame, far before any steady time.
 	neverAnswered = -1 << 50
 )
 
-// peerLink is the link to one other controller.
+// peerLink is the link to one other controller. It is safe for concurrent use.
 type peerLink struct {
 	link         *transport.Link
 	clock        units.Clock
-	lastAnswerAt atomic.Int64 // steady time of the last frame from the peer
-	leading      atomic.Bool  // the peer led, as it said in its last answer to a ping
-	lastID       atomic.Uint64
+	lastAnswerAt atomic.Int64  // steady time of the last frame from the peer
+	leading      atomic.Bool   // the peer was the leader according to its last response to a ping
+	lastID       atomic.Uint64 // of the last forwarded request
 	pending      *pendingRequests
 }
 
@@ -37,22 +37,23 @@
 	return l
 }
 
-// fresh reports whether the peer has answered within LinkFreshness on a link that is still up.
-func (l *peerLink) fresh() bool {
+// reachable reports whether the link is up and the peer has sent a frame within LinkFreshness.
+func (l *peerLink) reachable() bool {
 	return l.link.Up() && l.clock.Steady()-units.Micros(l.lastAnswerAt.Load()) < LinkFreshness
 }
 
-// ping sends pings until ctx ends.
-func (l *peerLink) ping(ctx context.Context) {
-	for wait := firstPingInterval; loop.Sleep(ctx, wait); {
+// sendPings sends a ping every pingInterval, or every unreachablePingInterval while the peer is not
+// reachable, until ctx ends.
+func (l *peerLink) sendPings(ctx context.Context) {
+	for wait := unreachablePingInterval; loop.Sleep(ctx, wait); {
 		_ = l.link.Send(protocol.EncodeFrame(protocol.Frame{Kind: protocol.FramePing}))
-		if wait = pingInterval; !l.fresh() {
-			wait = firstPingInterval
+		if wait = pingInterval; !l.reachable() {
+			wait = unreachablePingInterval
 		}
 	}
 }
 
-// receive handles a frame from the peer. One that is malformed is ignored.
+// receive handles a frame from the peer. It ignores malformed frames.
 func (l *peerLink) receive(data []byte) {
 	frame, err := protocol.DecodeFrame(data)
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers keeps links to the other controllers: it forwards requests to the leader
-// among them and knows which of them answer.
+// Package peers maintains links to the other controllers. It forwards requests to the leader and
+// tracks which controllers are reachable.
 package peers
 
 import (
@@ -14,16 +14,16 @@
 	"dunestand/internal/units"
 )
 
-// LinkFreshness is for how long after its last answer a peer counts as reachable.
+// LinkFreshness is the time after its last frame for which a peer counts as reachable.
 const LinkFreshness = 3 * units.Second
 
-// Peers are the links to the other controllers, by name. Run keeps them up; the other methods
-// may be called concurrently with it and with each other.
+// Peers holds the links to the other controllers, by name. Run maintains them. All methods are safe
+// for concurrent use.
 type Peers struct {
-	links map[string]*peerLink // not changed after New
+	links map[string]*peerLink // immutable after New
 }
 
-// New returns the links to the other controllers, none of them connected yet.
+// New returns the links to the other controllers. Run connects them.
 func New(dial transport.DialFunc, others []config.Peer, clock units.Clock, random *rand.Rand, log *slog.Logger) *Peers {
 	p := &Peers{links: map[string]*peerLink{}}
 	for _, peer := range others {
@@ -33,7 +33,8 @@
 	return p
 }
 
-// Run keeps the links up until ctx ends, and waits until all are closed.
+// Run connects the links, reconnects them when they are lost, and returns once ctx has ended and all
+// are closed.
 func (p *Peers) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, l := range p.links {
@@ -44,52 +45,53 @@
 		}()
 		go func() {
 			defer wg.Done()
-			l.ping(ctx)
+			l.sendPings(ctx)
 		}()
 	}
 	wg.Wait()
 }
 
-// Reachable reports whether a peer has answered within LinkFreshness on a link that is still up.
-// It is false for a name that is not a peer's.
-func (p *Peers) Reachable(node string) bool {
-	l := p.links[node]
-	return l != nil && l.fresh()
+// Reachable reports whether the link to the named peer is up and the peer has sent a frame within
+// LinkFreshness. It returns false for an unknown name.
+func (p *Peers) Reachable(name string) bool {
+	l := p.links[name]
+	return l != nil && l.reachable()
 }
 
-// AnyReachable reports whether any peer is reachable.
+// AnyReachable reports whether at least one peer is reachable.
 func (p *Peers) AnyReachable() bool {
 	for _, l := range p.links {
-		if l.fresh() {
+		if l.reachable() {
 			return true
 		}
 	}
 	return false
 }
 
-// Leader returns the name of the reachable peer that said last that it leads, "" if none did. It
-// does not prove that the peer leads now.
+// Leader returns the name of a reachable peer that was the leader according to its last response to
+// a ping, or "" if there is none. The peer may have lost the lease since.
 func (p *Peers) Leader() string {
-	for _, node := range sorted.Keys(p.links) {
-		if l := p.links[node]; l.fresh() && l.leading.Load() {
-			return node
+	for _, name := range sorted.Keys(p.links) {
+		if l := p.links[name]; l.reachable() && l.leading.Load() {
+			return name
 		}
 	}
 	return ""
 }
 
-// RefusesConnections reports whether a peer's machine answers and refuses connections: its
-// process does not run, or does not listen.
-func (p *Peers) RefusesConnections(node string) bool {
-	l := p.links[node]
+// RefusesConnections reports whether the machine of the named peer refuses connections: the machine
+// is reachable, but the controller on it does not run or does not listen.
+func (p *Peers) RefusesConnections(name string) bool {
+	l := p.links[name]
 	return l != nil && l.link.Refused()
 }
 
-// UnreachableCount returns the number of peers from which nothing comes, not even a refusal.
+// UnreachableCount returns the number of peers that are not reachable and do not refuse connections
+// either.
 func (p *Peers) UnreachableCount() int {
 	n := 0
 	for _, l := range p.links {
-		if !l.fresh() && !l.link.Refused() {
+		if !l.reachable() && !l.link.Refused() {
 			n++
 		}
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,8 +17,8 @@
 	"dunestand/internal/units"
 )
 
-// connectedPeers returns the links of a controller to one peer, "b", that leads and answers
-// requests by serve.
+// connectedPeers returns Peers with a reachable peer "b", which is the leader and answers requests by
+// serve.
 func connectedPeers(t *testing.T, serve func(context.Context, protocol.Frame) transport.Response) *Peers {
 	t.Helper()
 	mesh, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	})
 	for deadline := time.Now().Add(10 * time.Second); !p.Reachable("b"); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the peer is never reachable")
+			t.Fatal("peer not reachable within 10 s")
 		}
 	}
 	return p
@@ -57,10 +57,10 @@
 		return transport.Response{Status: http.StatusTooManyRequests, Body: []byte(request.Job), RetryAfter: 7}
 	})
 	if leader := p.Leader(); leader != "b" {
-		t.Errorf("the leader is %q", leader)
+		t.Errorf("leader is %q, want \"b\"", leader)
 	}
 	if !p.AnyReachable() || p.UnreachableCount() != 0 || p.RefusesConnections("b") {
-		t.Error("the peer answers, and does not count as reachable")
+		t.Error("peer answers pings but does not count as reachable")
 	}
 	r, err := p.Forward(t.Context(), "b", protocol.FramePoll, "j-000001", nil)
 	if err != nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// What comes in place of a response is not passed to the user, and a submission is not waited for
-// so long that the controller could not accept it by itself.
+// An invalid response is not passed to the user. A submission to a slow leader times out, so that this
+// controller can still accept the job itself.
 func TestForwardFailsWithoutResponse(t *testing.T) {
 	t.Run("impossible status", func(t *testing.T) {
 		p := connectedPeers(t, func(context.Context, protocol.Frame) transport.Response { return transport.Response{} })
@@ -101,8 +101,8 @@
 	})
 }
 
-// A lost connection ends the requests that were sent on it; a response that nobody waits for any
-// more is dropped.
+// A lost connection aborts the pending requests. A response to a request that is no longer pending is
+// dropped.
 func TestLostConnectionEndsPendingRequests(t *testing.T) {
 	requests := newPendingRequests()
 	lost, given, forgotten := requests.add(1), requests.add(2), requests.add(3)
@@ -112,22 +112,23 @@
 	requests.abort()
 	requests.resolve(protocol.Frame{ID: 1})
 	if frame, ok := <-given; !ok || frame.Status != http.StatusOK {
-		t.Errorf("the response: %+v, %v", frame, ok)
+		t.Errorf("response: %+v, %v", frame, ok)
 	}
 	if _, ok := <-lost; ok {
-		t.Error("a response came after the connection was lost")
+		t.Error("response delivered after the connection was lost")
 	}
 	select {
 	case frame := <-forgotten:
-		t.Errorf("a request that is not waited for got %+v", frame)
+		t.Errorf("removed request received %+v", frame)
 	default:
 	}
 }
 
-// Frames of later versions are ignored, malformed ones end the connection.
+// Frames of unknown kinds, which later versions may send, are ignored. A malformed frame is an error,
+// which closes the connection.
 func TestAnswerFrameIgnoresLaterVersions(t *testing.T) {
 	serve := func(context.Context, protocol.Frame) transport.Response {
-		t.Error("served")
+		t.Error("frame passed to serve")
 		return transport.Response{}
 	}
 	for name, kind := range map[string]protocol.FrameKind{"unknown kind": 99, "response": protocol.FrameResponse} {
@@ -137,6 +138,6 @@
 		}
 	}
 	if _, err := AnswerFrame(t.Context(), []byte("short"), "", serve); !errors.Is(err, protocol.ErrShortFrame) {
-		t.Errorf("a short frame: %v", err)
+		t.Errorf("short frame: error %v", err)
 	}
 }
--- a/internal/peers/pending.go
+++ b/internal/peers/pending.go
@@ -6,11 +6,11 @@
 	"dunestand/internal/protocol"
 )
 
-// pingID is the id of all pings; requests have others.
+// pingID is the frame ID of all pings. Requests have IDs from 1.
 const pingID = 0
 
-// pendingRequests are the requests on one link that wait for their responses. It may be used
-// concurrently.
+// pendingRequests holds the requests on one link that wait for a response. It is safe for concurrent
+// use.
 type pendingRequests struct {
 	mu        sync.Mutex
 	responses map[uint64]chan protocol.Frame
@@ -20,8 +20,8 @@
 	return &pendingRequests{responses: map[uint64]chan protocol.Frame{}}
 }
 
-// add notes a request. The channel receives its response, or is closed if the connection is
-// lost.
+// add registers a request. The returned channel receives the response, or is closed if the
+// connection is lost.
 func (r *pendingRequests) add(id uint64) <-chan protocol.Frame {
 	response := make(chan protocol.Frame, 1)
 	r.mu.Lock()
@@ -30,24 +30,24 @@
 	return response
 }
 
-// remove forgets a request that is not waited for any more.
+// remove drops a request whose response is no longer needed.
 func (r *pendingRequests) remove(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.responses, id)
 }
 
-// resolve passes a response on to its request, if that still waits.
+// resolve delivers a response to its request. It drops the response if the request is not pending.
 func (r *pendingRequests) resolve(frame protocol.Frame) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if response := r.responses[frame.ID]; response != nil {
 		delete(r.responses, frame.ID)
-		response <- frame // has room for one
+		response <- frame // does not block: the channel has a buffer of one frame
 	}
 }
 
-// abort ends all requests: the connection that they were sent on is lost.
+// abort closes the channels of all pending requests, after the connection was lost.
 func (r *pendingRequests) abort() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -17,7 +17,7 @@
 	"dunestand/internal/units"
 )
 
-// TokenBroadcasterDeps is what a TokenBroadcaster works with.
+// TokenBroadcasterDeps holds the dependencies of a TokenBroadcaster.
 type TokenBroadcasterDeps struct {
 	State      *cluster.State
 	Leadership election.Leadership
@@ -29,14 +29,14 @@
 	Token      uint64 // the leader's fencing token
 }
 
-// TokenBroadcaster makes a new leader's fencing token known to machines that the records
-// name and that have not sent a heartbeat yet. Make it with NewTokenBroadcaster. Its methods
-// take the lock of State.
+// TokenBroadcaster sends a new leader's fencing token to the machines that are named in the records
+// and have not sent a heartbeat to this leader yet. Create it with NewTokenBroadcaster. Its methods
+// acquire the lock of State.
 type TokenBroadcaster struct {
 	TokenBroadcasterDeps
 }
 
-// NewTokenBroadcaster returns a broadcaster.
+// NewTokenBroadcaster returns a broadcaster with the given dependencies.
 func NewTokenBroadcaster(deps TokenBroadcasterDeps) *TokenBroadcaster {
 	return &TokenBroadcaster{
 		TokenBroadcasterDeps: deps,
@@ -44,33 +44,32 @@
 }
 
 const (
-	broadcastInterval   = 500 * units.Millisecond // between looks for machines that are still to be called
-	broadcastDelay      = units.Second            // workers with a short heartbeat interval have come by then
-	broadcastRetryDelay = 4 * units.Second
+	broadcastInterval   = 500 * units.Millisecond // between two rounds
+	broadcastDelay      = units.Second            // before the first round; workers with a short interval send a heartbeat by then
+	broadcastRetryDelay = 4 * units.Second        // between two calls to the same machine
 )
 
-// broadcastTimeouts is how long each try waits. In a large fleet hundreds may be
-// cut off or hang, and those that would answer must not wait behind them: an
-// answer takes some milliseconds, so the first try is short.
+// broadcastTimeouts holds the timeout of each call to a machine. In a large fleet, hundreds of
+// machines may hang or be unreachable, and must not delay the calls to the others. A response takes
+// some milliseconds, so the first timeout is short.
 var broadcastTimeouts = []units.Micros{300 * units.Millisecond, 1500 * units.Millisecond}
 
-// broadcastTries is how often a machine was called, and when last.
+// broadcastTries counts the calls to a machine.
 type broadcastTries struct {
 	count int
-	last  units.Micros
+	last  units.Micros // steady time of the last call
 }
 
-// mayRepeat reports whether a machine may be called (again).
-func (t broadcastTries) mayRepeat(now units.Micros) bool {
+// allowsAnother reports whether the machine may be called now.
+func (t broadcastTries) allowsAnother(now units.Micros) bool {
 	return t.count < len(broadcastTimeouts) && (t.count == 0 || now-t.last >= broadcastRetryDelay)
 }
 
-// Run sends the fencing token to the machines that the records name, and that have sent no
-// heartbeat yet: by an empty list of direct commands, which has no
-// effect at any later time but to show the worker our token. The answer is a
-// heartbeat that tells what the machine holds, and the worker looks for the new
-// leader at once instead of when its next heartbeat is due. Run returns when ctx ends or all
-// machines are reconciled, after the calls that are on their way.
+// Run sends the fencing token to the unreconciled machines that have sent no heartbeat to this leader.
+// The token travels with an empty list of direct commands, which has no other effect, however late it
+// arrives. The machine responds with a heartbeat, and its worker searches for the new leader at once
+// instead of when its next heartbeat is due. Run returns when ctx ends or all machines are
+// reconciled, after the calls in flight have ended.
 func (b *TokenBroadcaster) Run(ctx context.Context) {
 	caller := transport.NewCaller(b.Dial, protocol.MaxBody)
 	tries := map[string]broadcastTries{}
@@ -87,7 +86,7 @@
 		now := b.Clock.Steady()
 		slots := make(chan struct{}, BroadcastSlots(len(endpoints), b.Settings.Fleet.Resources.MaxConnections))
 		for _, id := range sorted.Keys(endpoints) {
-			if !tries[id].mayRepeat(now) {
+			if !tries[id].allowsAnother(now) {
 				continue
 			}
 			timeout := broadcastTimeouts[tries[id].count]
@@ -103,8 +102,8 @@
 	}
 }
 
-// broadcastTargets returns the endpoints of the unreconciled machines that have sent this
-// leader no heartbeat, by ID, and how many unreconciled machines there are in all.
+// broadcastTargets returns the endpoints, by machine ID, of the unreconciled machines that have sent
+// no heartbeat to this leader, and the number of all unreconciled machines.
 func (b *TokenBroadcaster) broadcastTargets() (endpoints map[string]string, unreconciled int) {
 	b.State.Lock()
 	defer b.State.Unlock()
@@ -117,12 +116,12 @@
 	return endpoints, b.State.Unreconciled.Len()
 }
 
-// firstIncarnation is the agent incarnation of most machines.
+// firstIncarnation is the agent incarnation with which a machine begins; most machines still have it.
 const firstIncarnation = 1
 
-// broadcastTo sends the fencing token to a machine and reconciles the heartbeat that it
-// answers with. A machine of another incarnation refuses the first call, and its answer tells
-// which one to send the second for.
+// broadcastTo sends the fencing token to a machine and reconciles the heartbeat in its response. The
+// first call assumes the first agent incarnation. A machine with another incarnation rejects that
+// call, and its response names the incarnation for the second call.
 func (b *TokenBroadcaster) broadcastTo(ctx context.Context, caller *transport.Caller, id, endpoint string, timeout units.Micros) {
 	incarnation := uint64(firstIncarnation)
 	for range 2 {
@@ -131,12 +130,12 @@
 			Incarnation:  incarnation,
 			Commands:     []protocol.Command{},
 		})
-		status, answer, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, timeout)
+		status, response, err := caller.Post(ctx, endpoint, protocol.PathCommands, body, timeout)
 		if err != nil {
 			b.Log.Debug("fencing token not broadcast", "machine", id, "error", err)
 			return
 		}
-		heartbeat, err := protocol.ParseHeartbeat(answer)
+		heartbeat, err := protocol.ParseHeartbeat(response)
 		if err != nil || heartbeat.Machine != id {
 			return
 		}
@@ -148,9 +147,9 @@
 	}
 }
 
-// ReconcileAnswer reconciles the heartbeat that a machine sent as the answer to a broadcast. Only
-// the first word of a machine may come this way: once it has sent a heartbeat by
-// itself, a response may be on its way to it that this one does not show.
+// ReconcileAnswer reconciles the heartbeat in a machine's response to a broadcast. It ignores the
+// heartbeat of a machine that has registered: a response with starts may then be in flight to the
+// machine. This heartbeat does not show them, so they would be taken for lost and run twice.
 func (b *TokenBroadcaster) ReconcileAnswer(heartbeat *protocol.Heartbeat) {
 	b.State.Lock()
 	defer b.State.Unlock()
--- a/internal/push/broadcaster_test.go
+++ b/internal/push/broadcaster_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A machine is called twice at most, the second time after a pause.
+// A machine is called at most twice, the second time not before broadcastRetryDelay.
 func TestBroadcastIsRepeatedOnceAfterAPause(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -15,8 +15,8 @@
 		{"a third time", broadcastTries{count: 2, last: testNow - broadcastRetryDelay}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.tries.mayRepeat(testNow); got != c.want {
-				t.Errorf("may repeat: %v, want %v", got, c.want)
+			if got := c.tries.allowsAnother(testNow); got != c.want {
+				t.Errorf("allows another call: %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/push/pusher.go
+++ b/internal/push/pusher.go
@@ -1,15 +1,15 @@
-// Package push sends machines what cannot wait for their next heartbeat: commands
-// (CommandPusher), and a new leader's fencing token (TokenBroadcaster).
+// Package push sends to machines what must not wait for their next heartbeat: urgent commands
+// (CommandPusher) and a new leader's fencing token (TokenBroadcaster).
 //
-// Placements travel only in responses to heartbeats, since a command that is sent straight
-// to a worker may be carried out minutes later. But a heartbeat may be seconds away,
-// and what is urgent need not wait for it:
+// Starts are sent only in responses to heartbeats, since a command that is sent directly to a worker
+// may be carried out minutes later. As the next heartbeat may be seconds away, two kinds of commands
+// are pushed that are harmless when late or repeated:
 //
-//   - A stop may come late, or twice: its attempt was to be stopped for good. The
-//     end of the task makes the worker send a heartbeat.
-//   - To have a machine send a heartbeat that is to start something, it is woken by the start
-//     of a task that its job does not have. It refuses that, whenever it comes, and
-//     the refusal makes it send one; the response brings the real start.
+//   - A stop: the stop of an attempt is never revoked. The end of the task makes the worker send a
+//     heartbeat.
+//   - A wake command, for a machine that a start is waiting for: the start of a task that the job
+//     does not have. The worker always refuses it, and the refusal makes it send a heartbeat. The
+//     response to that heartbeat carries the real start.
 package push
 
 import (
@@ -28,7 +28,7 @@
 	"dunestand/internal/units"
 )
 
-// CommandPusherDeps is what a CommandPusher works with.
+// CommandPusherDeps holds the dependencies of a CommandPusher.
 type CommandPusherDeps struct {
 	State      *cluster.State
 	Leadership election.Leadership
@@ -38,15 +38,14 @@
 	Token      uint64 // the leader's fencing token
 }
 
-// CommandPusher sends commands straight to machines whose next heartbeat is too far away.
-// Make it with NewCommandPusher. RequestPush needs the lock of State held; the other methods
-// take it.
+// CommandPusher sends commands directly to machines whose next heartbeat is not due soon. Create it
+// with NewCommandPusher. Callers of RequestPush must hold the lock of State; the other methods
+// acquire it.
 type CommandPusher struct {
 	CommandPusherDeps
 
-	// requests names the machines that are to be sent something before their next
-	// heartbeat, each with a job of which a task waits to be started there, or nil. The
-	// lock of State guards it.
+	// requests holds, by ID, the machines to which commands are to be pushed, each with a job that
+	// has a task to start there, or nil. The lock of State guards it.
 	requests   map[string]*cluster.Job
 	pushSignal loop.Signal
 }
@@ -62,24 +61,25 @@
 
 const (
 	pushTimeout = units.Second
-	minPushLead = units.Second // a heartbeat that is due sooner is waited for
+	minPushLead = units.Second // a heartbeat that is due within this time makes a push unnecessary
 )
 
-// RequestPush requests that a machine be sent commands before its next heartbeat:
-// which tasks to stop, and, if a task of the job starts waits to be started there, to
-// send a heartbeat. starts is nil if none does.
-func (p *CommandPusher) RequestPush(m *cluster.Machine, starts *cluster.Job, now units.Micros) {
+// RequestPush requests that the pending stops of a machine be sent before its next heartbeat. If a
+// task of jobToStart is to be started there, the machine is also woken to send a heartbeat;
+// jobToStart is nil if there is no such task. RequestPush does nothing if the machine cannot be
+// called or its next heartbeat is due within minPushLead.
+func (p *CommandPusher) RequestPush(m *cluster.Machine, jobToStart *cluster.Job, now units.Micros) {
 	if m.Endpoint == "" || m.LastHeartbeat+p.Settings.Fleet.Workers.HeartbeatInterval()-now <= minPushLead {
 		return
 	}
-	if _, requested := p.requests[m.ID]; !requested || starts != nil {
-		p.requests[m.ID] = starts
+	if _, requested := p.requests[m.ID]; !requested || jobToStart != nil {
+		p.requests[m.ID] = jobToStart
 	}
 	p.pushSignal.Raise()
 }
 
-// TakeRequests returns the requests made since the last call, by machine: a job of which a
-// task waits to be started there, or nil.
+// TakeRequests removes and returns the pending requests, by machine ID: a job that has a task to start
+// there, or nil.
 func (p *CommandPusher) TakeRequests() map[string]*cluster.Job {
 	p.State.Lock()
 	defer p.State.Unlock()
@@ -88,11 +88,11 @@
 	return requests
 }
 
-// Run pushes commands as they are requested. It returns when ctx ends, after the calls that
-// are on their way.
+// Run pushes commands as they are requested. It returns when ctx ends, after the calls in flight have
+// ended.
 func (p *CommandPusher) Run(ctx context.Context) {
 	caller := transport.NewCaller(p.Dial, protocol.MaxBody)
-	slots := make(chan struct{}, pushSlots(p.Settings.Fleet.Resources.MaxConnections))
+	slots := make(chan struct{}, pushConcurrency(p.Settings.Fleet.Resources.MaxConnections))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for {
@@ -114,7 +114,7 @@
 	}
 }
 
-// acquireSlot waits for a slot and reports whether it has one: not if ctx ends first.
+// acquireSlot waits for a free slot. It returns false if ctx ends first.
 func acquireSlot(ctx context.Context, slots chan<- struct{}) bool {
 	select {
 	case slots <- struct{}{}:
@@ -124,9 +124,9 @@
 	}
 }
 
-// push sends a machine the commands that cannot wait, if there are any.
-func (p *CommandPusher) push(ctx context.Context, caller *transport.Caller, id string, starts *cluster.Job) {
-	endpoint, body := p.Commands(id, starts)
+// push sends the urgent commands of a machine, if there are any.
+func (p *CommandPusher) push(ctx context.Context, caller *transport.Caller, id string, jobToStart *cluster.Job) {
+	endpoint, body := p.Commands(id, jobToStart)
 	if body == nil {
 		return
 	}
@@ -136,10 +136,10 @@
 	}
 }
 
-// Commands returns the commands for a machine that cannot wait, encoded, and where to send
-// them; nil if there are none. starts is a job of which a task waits to be started there, or
-// nil.
-func (p *CommandPusher) Commands(id string, starts *cluster.Job) (endpoint string, body []byte) {
+// Commands returns the endpoint of a machine and its urgent commands, encoded. The body is nil if
+// there are none, if the machine has not shown this leader's fencing token, or if this leader's lease
+// is not valid. jobToStart is a job that has a task to start there, or nil.
+func (p *CommandPusher) Commands(id string, jobToStart *cluster.Job) (endpoint string, body []byte) {
 	p.State.Lock()
 	defer p.State.Unlock()
 	m := p.State.Machines[id]
@@ -147,8 +147,8 @@
 		return "", nil
 	}
 	commands := stopCommands(m)
-	if starts != nil && starts.Spec.Tasks < protocol.MaxTasks {
-		commands = append(commands, p.wakeCommand(starts))
+	if jobToStart != nil && jobToStart.Spec.Tasks < protocol.MaxTasks {
+		commands = append(commands, p.wakeCommand(jobToStart))
 	}
 	if len(commands) == 0 {
 		return "", nil
@@ -160,7 +160,8 @@
 	})
 }
 
-// stopCommands returns the stops for the tasks on a machine that are not wanted any more.
+// stopCommands returns the stops for the attempts on a machine that are to be stopped, at most
+// protocol.MaxCommands.
 func stopCommands(m *cluster.Machine) []protocol.Command {
 	var stops []protocol.Command
 	for _, attempt := range m.SortedAttempts() {
@@ -177,7 +178,7 @@
 	return stops
 }
 
-// wakeCommand returns the start of a task that a job does not have: one beyond its last.
+// wakeCommand returns the start of a task that the job does not have: its index is one past the last.
 func (p *CommandPusher) wakeCommand(job *cluster.Job) protocol.Command {
 	return protocol.Command{
 		Verb:    protocol.VerbStart,
--- a/internal/push/pusher_test.go
+++ b/internal/push/pusher_test.go
@@ -15,8 +15,8 @@
 	testNow   = 100 * units.Second
 )
 
-// newTestPusher returns a pusher of a leader with one machine, whose last heartbeat just came,
-// and one job of two tasks, of which one is assigned to the machine.
+// newTestPusher returns a pusher, a machine that sent a heartbeat at testNow, and an attempt that is
+// assigned to the machine and belongs to a job with two tasks.
 func newTestPusher(t *testing.T) (*CommandPusher, *cluster.Machine, *cluster.Attempt) {
 	t.Helper()
 	settings := &config.Settings{Fleet: config.Fleet{
@@ -36,13 +36,13 @@
 	}), m, attempt
 }
 
-// A push is requested only of a machine that can be called, and whose next heartbeat is not
-// due at once.
-func TestPushIsRequestedWhereTheHeartbeatIsFar(t *testing.T) {
+// A push is requested only for a machine with a known endpoint whose next heartbeat is not due within
+// minPushLead.
+func TestPushIsRequestedUnlessHeartbeatIsDueSoon(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		endpoint string
-		since    units.Micros // the last heartbeat
+		since    units.Micros // time since the last heartbeat
 		want     int
 	}{
 		{"far", "10.0.0.1:80", 0, 1},
@@ -57,14 +57,14 @@
 				t.Errorf("%d requests, want %d", len(got), c.want)
 			}
 			if got := p.TakeRequests(); len(got) != 0 {
-				t.Errorf("%d requests are there again", len(got))
+				t.Errorf("%d requests taken twice", len(got))
 			}
 		})
 	}
 }
 
-// Tasks that run and are not wanted any more are stopped; a machine that is to start one is
-// woken by a start that its job does not have. Placements themselves are never pushed.
+// Stops are pushed for running tasks that are no longer wanted, and a wake command for a machine that
+// has a start waiting. Starts themselves are never pushed.
 func TestPushedCommands(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -88,11 +88,11 @@
 			if c.otherLeader {
 				m.FencingToken--
 			}
-			var starts *cluster.Job
+			var jobToStart *cluster.Job
 			if c.wake {
-				starts = attempt.Job
+				jobToStart = attempt.Job
 			}
-			endpoint, body := p.Commands(m.ID, starts)
+			endpoint, body := p.Commands(m.ID, jobToStart)
 			if (body != nil) != c.want {
 				t.Fatalf("commands: %v, want %v", body != nil, c.want)
 			}
