--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -133,5 +133,5 @@
 // no heartbeat for so long that it is given up: its zone may have been cut off, for a while.
 func (as *Autoscaler) neverRegistered(m *cluster.Machine, now units.Micros) bool {
 	return !m.Registered &&
-		now-max(as.ElectedAt, m.LaunchedAt) > election.WithDrift(as.Settings.Fleet.Workers.LeaseDuration(), failuredetector.ZoneCutGrace)
+		now-max(as.ElectedAt, m.LaunchedAt) > election.WithDrift(as.Settings.Fleet.Workers.LeaseDuration(), failuredetector.ZonePartitionGrace)
 }
--- a/internal/failuredetector/lostmachines.go
+++ b/internal/failuredetector/lostmachines.go
@@ -23,9 +23,9 @@
 	minZonePartitionMachines = 3
 )
 
-// ZoneCutGrace is how long after the expiry of their leases the machines of a zone that may be
+// ZonePartitionGrace is how long after the expiry of their leases the machines of a zone that may be
 // partitioned from this controller are kept.
-const ZoneCutGrace = 120 * units.Second
+const ZonePartitionGrace = 120 * units.Second
 
 // Bounds of the time that a worker needs to find a new leader: it tries the next controller after
 // 1 s, and waits 4 s for each controller that does not answer.
@@ -143,8 +143,8 @@
 
 // mayReleaseInZone reports whether a silent machine of a zone may be released. If most of the zone is
 // silent and at least minZonePartitionMachines machines are, the machine is kept until its lease has
-// expired and ZoneCutGrace has passed.
+// expired and ZonePartitionGrace has passed.
 func (d *Detector) mayReleaseInZone(m *cluster.Machine, zone *heartbeatHealth, now units.Micros) bool {
 	return zone == nil || zone.hasHealthyPerMissing(healthyPerMissingInZone) || zone.lost+zone.suspected < minZonePartitionMachines ||
-		now-max(m.LastHeartbeat, d.ElectedAt) > election.WithDrift(d.Settings.Fleet.Workers.LeaseDuration(), ZoneCutGrace)
+		now-max(m.LastHeartbeat, d.ElectedAt) > election.WithDrift(d.Settings.Fleet.Workers.LeaseDuration(), ZonePartitionGrace)
 }
