--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -56,11 +56,11 @@
 		t.Errorf("%d machines take %d rounds, %d take %d", before, small, largestFleet, large)
 	}
 	for _, sockets := range []int{100, 1200, 2 * largestFleet, 100_000} {
-		if left := sockets - clientConnectionLimit(sockets); sockets >= 400 && left < push.ReservedSockets(sockets) || clientConnectionLimit(sockets) < sockets/2 {
+		if left := sockets - clientConnectionLimit(sockets); sockets >= 400 && left < push.ReservedConnections(sockets) || clientConnectionLimit(sockets) < sockets/2 {
 			t.Errorf("of %d sockets %d are left beside users and workers", sockets, left)
 		}
 	}
-	if kept := push.ReservedSockets(1200); kept != 64 {
+	if kept := push.ReservedConnections(1200); kept != 64 {
 		t.Errorf("%d sockets are kept on a deployment of 1,200", kept)
 	}
 }
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -22,7 +22,7 @@
 
 // clientConnectionLimit returns how many of a controller's connections are for users and workers.
 func clientConnectionLimit(maxConnections int) int {
-	return max(maxConnections-push.ReservedSockets(maxConnections), maxConnections/2)
+	return max(maxConnections-push.ReservedConnections(maxConnections), maxConnections/2)
 }
 
 // neverHeard is a steady time long before any that a controller can see.
--- a/internal/push/concurrency.go
+++ b/internal/push/concurrency.go
@@ -31,8 +31,8 @@
 	return min(max(maxConnections/connectionsPerPush, minPushConcurrency), maxPushConcurrency)
 }
 
-// ReservedSockets returns the number of connections reserved for calls that the controller makes. The
+// ReservedConnections returns the number of connections reserved for calls that the controller makes. The
 // rest of maxConnections is for users and workers.
-func ReservedSockets(maxConnections int) int {
+func ReservedConnections(maxConnections int) int {
 	return otherConnections + BroadcastSlots(math.MaxInt32, maxConnections) + pushConcurrency(maxConnections)
 }
