--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -49,7 +49,7 @@
 func TestLargestFleetIsBroadcastToAsSoon(t *testing.T) {
 	const before, socketsEach = 768, 2
 	rounds := func(machines int) int {
-		slots := push.BroadcastSlots(machines/2, socketsEach*machines)
+		slots := push.BroadcastConcurrency(machines/2, socketsEach*machines)
 		return (machines/2 + slots - 1) / slots
 	}
 	if small, large := rounds(before), rounds(largestFleet); large > small+2 {
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -84,7 +84,7 @@
 			return
 		}
 		now := b.Clock.Steady()
-		slots := make(chan struct{}, BroadcastSlots(len(endpoints), b.Settings.Fleet.Resources.MaxConnections))
+		slots := make(chan struct{}, BroadcastConcurrency(len(endpoints), b.Settings.Fleet.Resources.MaxConnections))
 		for _, id := range sorted.Keys(endpoints) {
 			if !tries[id].allowsAnother(now) {
 				continue
--- a/internal/push/concurrency.go
+++ b/internal/push/concurrency.go
@@ -19,9 +19,9 @@
 // store and the cloud.
 const otherConnections = 24
 
-// BroadcastSlots returns the number of machines to which the fencing token is sent concurrently, given
+// BroadcastConcurrency returns the number of machines to which the fencing token is sent concurrently, given
 // the number of unreconciled machines and the connection limit of the controller.
-func BroadcastSlots(unreconciled, maxConnections int) int {
+func BroadcastConcurrency(unreconciled, maxConnections int) int {
 	limit := min(max(maxConnections/connectionsPerBroadcast, minBroadcastLimit), maxBroadcastLimit)
 	return min(max(unreconciled/machinesPerBroadcast, minBroadcastConcurrency), limit)
 }
@@ -34,5 +34,5 @@
 // ReservedConnections returns the number of connections reserved for calls that the controller makes. The
 // rest of maxConnections is for users and workers.
 func ReservedConnections(maxConnections int) int {
-	return otherConnections + BroadcastSlots(math.MaxInt32, maxConnections) + pushConcurrency(maxConnections)
+	return otherConnections + BroadcastConcurrency(math.MaxInt32, maxConnections) + pushConcurrency(maxConnections)
 }
