--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -127,7 +127,7 @@
 // connected reports whether this controller hears workers or other controllers, or has no others.
 func (c *Controller) connected() bool {
 	sinceHeartbeat := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeatAt.Load())
-	return len(c.deps.Settings.Peers) == 0 || c.peers.AnyReachable() || sinceHeartbeat < peers.LinkFreshness
+	return len(c.deps.Settings.Peers) == 0 || c.peers.AnyReachable() || sinceHeartbeat < peers.ReachabilityTimeout
 }
 
 // addMetrics registers the metrics of the controller's own state and of its use of the key-value
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -37,9 +37,9 @@
 	return l
 }
 
-// reachable reports whether the link is up and the peer has sent a frame within LinkFreshness.
+// reachable reports whether the link is up and the peer has sent a frame within ReachabilityTimeout.
 func (l *peerLink) reachable() bool {
-	return l.link.Up() && l.clock.Steady()-units.Micros(l.lastAnswerAt.Load()) < LinkFreshness
+	return l.link.Up() && l.clock.Steady()-units.Micros(l.lastAnswerAt.Load()) < ReachabilityTimeout
 }
 
 // sendPings sends a ping every pingInterval, or every unreachablePingInterval while the peer is not
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -14,8 +14,8 @@
 	"dunestand/internal/units"
 )
 
-// LinkFreshness is the time after its last frame for which a peer counts as reachable.
-const LinkFreshness = 3 * units.Second
+// ReachabilityTimeout is the time after its last frame for which a peer counts as reachable.
+const ReachabilityTimeout = 3 * units.Second
 
 // Peers holds the links to the other controllers, by name. Run maintains them. All methods are safe
 // for concurrent use.
@@ -52,7 +52,7 @@
 }
 
 // Reachable reports whether the link to the named peer is up and the peer has sent a frame within
-// LinkFreshness. It returns false for an unknown name.
+// ReachabilityTimeout. It returns false for an unknown name.
 func (p *Peers) Reachable(name string) bool {
 	l := p.links[name]
 	return l != nil && l.reachable()
