--- a/internal/controller/delivery_test.go
+++ b/internal/controller/delivery_test.go
@@ -156,19 +156,19 @@
 	job := leader.state.Jobs[testJob]
 	leader.state.Unreconciled.Mark(job, "i-000001")
 	leader.state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
-	leader.broadcaster.ReconcileAnswer(testHeartbeat("i-000001", 1, 5, 7))
+	leader.broadcaster.ReconcileResponse(testHeartbeat("i-000001", 1, 5, 7))
 	if len(job.UnreconciledMachines) > 0 {
 		t.Error("an answer that shows this leader's token does not reconcile the machine")
 	}
 	if commands := leader.exchange(testHeartbeat("i-000001", 1, 6, 7)); len(commands) != 2 || commands[0].Verb != protocol.VerbStart {
 		t.Fatalf("no starts: %v", commands)
 	}
-	leader.broadcaster.ReconcileAnswer(testHeartbeat("i-000001", 1, 7, 7))
+	leader.broadcaster.ReconcileResponse(testHeartbeat("i-000001", 1, 7, 7))
 	if len(job.LiveAttempts) != 2 {
 		t.Error("starts in flight are taken for lost")
 	}
 	// A machine that is not in the state is not added in this way.
-	if leader.broadcaster.ReconcileAnswer(testHeartbeat("i-000009", 1, 1, 7)); leader.state.Machines["i-000009"] != nil {
+	if leader.broadcaster.ReconcileResponse(testHeartbeat("i-000009", 1, 1, 7)); leader.state.Machines["i-000009"] != nil {
 		t.Error("an unknown machine is added")
 	}
 }
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -286,7 +286,7 @@
 func (m *model) deliverBroadcastAnswers() {
 	for _, answer := range m.broadcastAnswers {
 		if answer.to == m.leader {
-			answer.to.broadcaster.ReconcileAnswer(answer.heartbeat)
+			answer.to.broadcaster.ReconcileResponse(answer.heartbeat)
 		}
 	}
 	m.broadcastAnswers = nil
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -140,17 +140,17 @@
 			return
 		}
 		if status == http.StatusOK {
-			b.ReconcileAnswer(heartbeat)
+			b.ReconcileResponse(heartbeat)
 			return
 		}
 		incarnation = heartbeat.Incarnation
 	}
 }
 
-// ReconcileAnswer reconciles the heartbeat in a machine's response to a broadcast. It ignores the
+// ReconcileResponse reconciles the heartbeat in a machine's response to a broadcast. It ignores the
 // heartbeat of a machine that has registered: a response with starts may then be in flight to the
 // machine. This heartbeat does not show them, so they would be taken for lost and run twice.
-func (b *TokenBroadcaster) ReconcileAnswer(heartbeat *protocol.Heartbeat) {
+func (b *TokenBroadcaster) ReconcileResponse(heartbeat *protocol.Heartbeat) {
 	b.State.Lock()
 	defer b.State.Unlock()
 	if m := b.State.Machines[heartbeat.Machine]; m != nil && !m.Registered && b.Leadership.Valid() {
