--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -94,7 +94,7 @@
 	} else {
 		l.scheduler.PlaceOnMachine(machine, now)
 	}
-	if durable := l.reconciler.UnwrittenStart(machine); durable != nil {
+	if durable := l.reconciler.PendingStartWrite(machine); durable != nil {
 		l.writeSignal.Raise()
 		l.state.Unlock()
 		slot.release()
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -9,9 +9,9 @@
 	"dunestand/internal/units"
 )
 
-// UnwrittenStart returns a channel that is closed once the pending write of a job is durable, if a
+// PendingStartWrite returns a channel that is closed once the pending write of a job is durable, if a
 // start for the machine must wait for that write. Otherwise it returns nil.
-func (rc *Reconciler) UnwrittenStart(m *cluster.Machine) <-chan struct{} {
+func (rc *Reconciler) PendingStartWrite(m *cluster.Machine) <-chan struct{} {
 	if m.FencingToken != rc.Token {
 		return nil
 	}
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -108,7 +108,7 @@
 	if commands := rc.Commands(m, heartbeat(1, 1), testNow); len(commands) != 0 {
 		t.Fatalf("sent before the write: %+v", commands)
 	}
-	if rc.UnwrittenStart(m) == nil {
+	if rc.PendingStartWrite(m) == nil {
 		t.Error("no pending write reported before the commit")
 	}
 	commit(rc.State)
@@ -116,7 +116,7 @@
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStart || commands[0].Attempt != attempt.Number {
 		t.Fatalf("sent after the write: %+v", commands)
 	}
-	if rc.UnwrittenStart(m) != nil {
+	if rc.PendingStartWrite(m) != nil {
 		t.Error("pending write reported after the commit")
 	}
 	if commands := rc.Commands(m, heartbeat(1, 1), testNow); len(commands) != 0 {
