--- a/internal/failuredetector/delay.go
+++ b/internal/failuredetector/delay.go
@@ -59,5 +59,5 @@
 func (d *Detector) NoteDelay(now units.Micros) {
 	d.State.Lock()
 	defer d.State.Unlock()
-	d.judgeSilenceFrom = now + d.SuspectAfter()
+	d.reportLostFrom = now + d.SuspectAfter()
 }
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -38,7 +38,7 @@
 	Deps
 
 	maxUnreachablePeers int          // highest number of peers that were unreachable at the same time
-	judgeSilenceFrom    units.Micros // steady time before which no machine counts as lost, see NoteDelay
+	reportLostFrom      units.Micros // steady time before which no machine is reported as lost, see NoteDelay
 	allReconciled       bool         // no machine is unreconciled any more
 }
 
--- a/internal/failuredetector/lostmachines.go
+++ b/internal/failuredetector/lostmachines.go
@@ -54,10 +54,11 @@
 // LostMachines returns the IDs of the machines that may be released as lost: those that have been
 // silent for too long, do not carry out commands, or are known only from a record. If too many
 // machines of the fleet or of a zone are silent at the same time, a network partition is the likelier
-// cause; LostMachines then returns none of the fleet or of that zone, except for machines that may
-// run tasks of cancelled jobs.
+// cause; LostMachines then returns none of the fleet, or none of the zone until ZonePartitionGrace has
+// passed. It still returns machines that may run tasks of cancelled jobs, unless no machine of their
+// zone is healthy.
 func (d *Detector) LostMachines(now units.Micros) map[string]bool {
-	if now < d.judgeSilenceFrom {
+	if now < d.reportLostFrom {
 		return map[string]bool{}
 	}
 	survey := d.surveyHeartbeats(now)
--- a/internal/failuredetector/lostmachines_test.go
+++ b/internal/failuredetector/lostmachines_test.go
@@ -88,7 +88,7 @@
 }
 
 // After a delay of this controller no machine is lost until each could send another heartbeat.
-func TestDelayedControllerJudgesNoMachine(t *testing.T) {
+func TestDelayedControllerReportsNoLostMachine(t *testing.T) {
 	d := newTestDetector(t)
 	d.State.Machines[machineID(3)].LastHeartbeat = testNow - 20*units.Second
 	d.NoteDelay(testNow)
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/units"
 )
 
-// PendingStartWrite returns a channel that is closed once the pending write of a job is durable, if a
-// start for the machine must wait for that write. Otherwise it returns nil.
+// PendingStartWrite returns a channel that is closed once the write is durable for which a start on the
+// machine waits. It returns nil if no start waits for a write.
 func (rc *Reconciler) PendingStartWrite(m *cluster.Machine) <-chan struct{} {
 	if m.FencingToken != rc.Token {
 		return nil
--- a/internal/reconciler/duplicates_test.go
+++ b/internal/reconciler/duplicates_test.go
@@ -78,7 +78,7 @@
 
 // A late report that an unknown attempt of a service's replica has ended does not stop the attempt
 // that runs now.
-func TestLateEndOfReplicaDoesNotStopTheOneThatRuns(t *testing.T) {
+func TestLateReplicaExitDoesNotStopTheRunningReplica(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	job.Spec.Kind = protocol.Service
 	rc.Reconcile(heartbeatOf("i-000012", 1, 2), testNow)
--- a/internal/reconciler/logging.go
+++ b/internal/reconciler/logging.go
@@ -6,9 +6,9 @@
 	"dunestand/internal/units"
 )
 
-// The log lines of this file show why the leader sent a command: the state that it held and the
-// heartbeat from which it had that state. The arguments of a debug line are computed only if tracing
-// is enabled.
+// The functions of this file log why the leader sent a command: the state that it held, and the
+// heartbeat from which the state came. They compute the arguments of a debug line only if tracing is
+// enabled.
 
 // duplicateAttempts collects the attempts that one heartbeat added to tasks that already had
 // another attempt.
