--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -135,5 +135,5 @@
 // its lease plus the grace period of a zone that is cut off from the network, and so is lost.
 func (as *Autoscaler) neverRegistered(m *cluster.Machine, now units.Micros) bool {
 	return !m.Registered &&
-		now-max(as.ElectedAt, m.LaunchedAt) > election.WithDrift(as.Settings.Fleet.Workers.LeaseDuration(), failuredetector.ZoneCutGrace)
+		now-max(as.ElectedAt, m.LaunchedAt) > election.WithDrift(as.Settings.Fleet.Workers.LeaseDuration(), failuredetector.ZonePartitionGrace)
 }
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -49,18 +49,18 @@
 func TestLargestFleetIsBroadcastToAsSoon(t *testing.T) {
 	const before, socketsEach = 768, 2
 	rounds := func(machines int) int {
-		slots := push.BroadcastSlots(machines/2, socketsEach*machines)
+		slots := push.BroadcastConcurrency(machines/2, socketsEach*machines)
 		return (machines/2 + slots - 1) / slots
 	}
 	if small, large := rounds(before), rounds(largestFleet); large > small+2 {
 		t.Errorf("%d machines take %d rounds, %d take %d", before, small, largestFleet, large)
 	}
 	for _, sockets := range []int{100, 1200, 2 * largestFleet, 100_000} {
-		if left := sockets - clientConnectionLimit(sockets); sockets >= 400 && left < push.ReservedSockets(sockets) || clientConnectionLimit(sockets) < sockets/2 {
+		if left := sockets - clientConnectionLimit(sockets); sockets >= 400 && left < push.ReservedConnections(sockets) || clientConnectionLimit(sockets) < sockets/2 {
 			t.Errorf("of %d sockets %d are left beside users and workers", sockets, left)
 		}
 	}
-	if kept := push.ReservedSockets(1200); kept != 64 {
+	if kept := push.ReservedConnections(1200); kept != 64 {
 		t.Errorf("%d sockets are kept on a deployment of 1,200", kept)
 	}
 }
