--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -7,7 +7,8 @@
 	"dunestand/internal/cluster"
 )
 
-// Cancel cancels a job, durably, before it answers.
+// Cancel cancels a job and confirms it once the cancellation is durable. It waits for the write
+// for writeTimeout at most.
 func (l *Leader) Cancel(ctx context.Context, id string) answer.Answer {
 	job, durable, answerNow := l.requestCancellation(id)
 	if answerNow != nil {
@@ -22,9 +23,9 @@
 	return l.Poll(ctx, id)
 }
 
-// requestCancellation marks a job as cancelled and returns it with what is closed once
-// that is durable. If the request can be answered without that, it returns a function that does
-// so; it must be called without the lock of state.
+// requestCancellation marks a job as cancelled and returns the job with a channel that is
+// closed once that is durable. If the request can be answered without waiting for that, it
+// returns only answerNow, which returns the answer and must be called without the state lock.
 func (l *Leader) requestCancellation(id string) (job *cluster.Job, durable <-chan struct{}, answerNow func(context.Context) answer.Answer) {
 	l.state.Lock()
 	defer l.state.Unlock()
@@ -44,8 +45,9 @@
 	return job, job.Durable(), nil
 }
 
-// cancelUnknown answers the cancellation of a job that was not in memory: it is in a terminal
-// state, was never accepted, or was in the pending-submission queue until now.
+// cancelUnknown answers the cancellation of a job that was not in memory: the job is in a
+// terminal state, was never accepted, or was in the pending-submission queue, from which Poll
+// ingests it.
 func (l *Leader) cancelUnknown(ctx context.Context, id string) answer.Answer {
 	a := l.Poll(ctx, id)
 	if l.isLive(id) {
@@ -54,8 +56,8 @@
 	return a
 }
 
-// cancellationConfirmed reports whether the user may be told of a job's cancellation, or of
-// the terminal state that it has reached meanwhile.
+// cancellationConfirmed reports whether the user may be told that a job is cancelled, or that
+// it has reached a terminal state in the meantime.
 func (l *Leader) cancellationConfirmed(job *cluster.Job) bool {
 	l.state.Lock()
 	defer l.state.Unlock()
@@ -63,9 +65,10 @@
 	return terminal || answer.CancellationConfirmed(job, l.Settings.Fleet.Workers)
 }
 
-// cancelJob marks a job as cancelled, and has that written and its starts stopped, unless all
-// of its tasks are done: then it is done, though its user may not have been told. It needs
-// the lock of state held.
+// cancelJob marks a job as cancelled, requests the write, and requests a command push to each
+// machine that may still start a task of it. It does nothing if all of the job's tasks are
+// done: the job then counts as done even if its user has not been told so. The caller must hold
+// the state lock.
 func (l *Leader) cancelJob(job *cluster.Job) {
 	if job.Complete() || job.Cancelled {
 		return
@@ -75,14 +78,14 @@
 	now := l.Clock.Steady()
 	for attempt := range job.LiveAttempts.All() {
 		if attempt.Stage == cluster.Sent || attempt.Stage == cluster.Fetching {
-			l.pusher.RequestPush(attempt.Machine, nil, now) // else it may still start
+			l.pusher.RequestPush(attempt.Machine, nil, now) // otherwise the attempt may still start
 		}
 	}
 	job.MarkChanged(now, true)
 	l.writeSignal.Raise()
 }
 
-// isLive reports whether a job is in the state.
+// isLive reports whether a job is in memory.
 func (l *Leader) isLive(id string) bool {
 	l.state.Lock()
 	defer l.state.Unlock()
--- a/internal/controller/components.go
+++ b/internal/controller/components.go
@@ -11,9 +11,10 @@
 	"dunestand/internal/scheduler"
 )
 
-// The functions of this file make the leader's components, each with the dependencies that
-// it names. NewLeader calls them in order; each component is given those made before it,
-// but for the persister: NewLeader gives it the admission control, which needs the persister itself.
+// The functions of this file create the leader's components, each with the dependencies that it
+// needs. NewLeader calls them in order, and each component may use those created before it. The
+// persister is the exception: it also needs the admission control, which itself needs the
+// persister, so NewLeader sets that field afterwards.
 
 func newDetector(l *Leader) *failuredetector.Detector {
 	return failuredetector.New(failuredetector.Deps{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,7 @@
-// Package controller runs one controller of the fleet. A controller serves users, workers and
-// the other controllers. While it holds the leader lease it composes the components of the
-// leader; at other times it forwards users' requests to the leader.
+// Package controller implements one controller process of the cluster scheduler. Controllers
+// serve users, workers and each other. The controller that holds the leader lease runs the
+// scheduler and the other components of the leader; the followers forward users' requests to
+// it.
 package controller
 
 import (
@@ -18,9 +19,9 @@
 	"dunestand/internal/units"
 )
 
-// Controller is one controller node: it serves users, workers and the other
-// controllers, and leads while it holds the leader lease. Use [New] to make
-// one. Run must be called once; the handlers that it serves run concurrently.
+// Controller serves users, workers and the other controllers, and leads while it holds the
+// leader lease. Create it with [New] and call Run exactly once; the request handlers run
+// concurrently.
 type Controller struct {
 	deps             Deps
 	elector          *election.Elector
@@ -28,21 +29,22 @@
 	peers            *peers.Peers
 	server           *transport.Server
 	leader           atomic.Pointer[Leader] // nil while this controller does not lead
-	lastHeartbeatAt  atomic.Int64           // steady time of the last worker's heartbeat
+	lastHeartbeatAt  atomic.Int64           // steady time of the last heartbeat from any worker
 	leaderReachedAt  atomic.Int64           // steady time when this controller last led or reached the leader
 	leaderlessJobs   leaderlessJobs
 	heartbeatReader  *protocol.HeartbeatReader
 	heartbeatLimiter *heartbeatLimiter
-	refusedSince     atomic.Int64 // steady time since which the leader has refused this controller's links; 0: it does not
+	refusedSince     atomic.Int64 // steady time since when the leader has refused this controller's connections; 0: it accepts them
 }
 
-// maxUserPollInterval is longer than users wait between two polls. Workers send
-// heartbeats more often than that, so a connection that is in use is not closed.
+// maxUserPollInterval is an upper limit on the time between two polls of a user, and is longer
+// than the time between two heartbeats of a worker. The idle timeout of connections includes
+// it, so that connections in use stay open.
 const maxUserPollInterval = 10 * units.Second
 
-// Run serves users and workers on clients, and the other controllers on mesh, until ctx ends
-// or a listener fails. It returns the error of the listener that ended first, once all of
-// the controller's goroutines have returned.
+// Run serves users and workers on clients and the other controllers on mesh, until ctx ends or
+// a listener fails. It returns the error of the listener that ended first, after all of the
+// controller's goroutines have returned.
 func (c *Controller) Run(ctx context.Context, clients, mesh net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,13 +61,14 @@
 	} {
 		wg.Go(run)
 	}
-	err := <-errs // a listener that fails ends the controller
+	err := <-errs // the failure of either listener stops the controller
 	cancel()
 	wg.Wait()
 	return err
 }
 
-// runLeader leads until ctx ends. token is the fencing token of the election that was won.
+// runLeader runs a Leader until ctx ends. token is the fencing token of the election that this
+// controller won.
 func (c *Controller) runLeader(ctx context.Context, token uint64) {
 	c.deps.KV.SetLeader(true)
 	defer c.deps.KV.SetLeader(false)
@@ -75,22 +78,24 @@
 	c.leader.CompareAndSwap(leader, nil)
 }
 
-// leaseRecordTTL is for how long a lease record that was read counts as naming the leader.
+// leaseRecordTTL is how long the last lease record read is trusted to name the leader while the
+// key-value store does not answer.
 const leaseRecordTTL = 2 * units.Second
 
-// leaderName returns the name of the leader as far as this controller knows, "" if it knows none.
-// It is the holder that the lease record names. A controller that has lost the key-value store
-// would not learn of a failover from there, and goes by the peer that says that it leads.
+// leaderName returns the name of the leader as known to this controller, or "" if unknown. The
+// name is the holder in the lease record. A controller that cannot reach the key-value store
+// does not see a failover there, so it prefers a peer that reports that it leads.
 func (c *Controller) leaderName() string {
 	if c.elector.UnansweredFor() > leaseRecordTTL {
-		if node := c.peers.Leader(); node != "" {
-			return node
+		if name := c.peers.Leader(); name != "" {
+			return name
 		}
 	}
 	return c.elector.Leader()
 }
 
-// activeLeader returns the leader that this controller is now, nil if it does not lead.
+// activeLeader returns the Leader that this controller runs, or nil if the controller is not
+// the leader or its lease is no longer valid.
 func (c *Controller) activeLeader() *Leader {
 	if leader := c.leader.Load(); leader != nil && leader.leadership.Valid() {
 		return leader
@@ -98,7 +103,8 @@
 	return nil
 }
 
-// gate returns the monotonic-read gate that every answer about a job passes on its way out.
+// gate returns the monotonic-read gate, which checks every answer about a job before it is
+// sent.
 func (c *Controller) gate() answer.Gate {
 	return answer.Gate{Clock: c.deps.Clock, Revisions: c.deps.KV.Revisions}
 }
--- a/internal/controller/cycleloop.go
+++ b/internal/controller/cycleloop.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	summaryInterval = 10 * units.Second       // between log lines with the fleet's summary
-	checkInterval   = 250 * units.Millisecond // the longest time between two checks of timeouts
+	summaryInterval = 10 * units.Second       // between two log lines with the fleet's summary
+	checkInterval   = 250 * units.Millisecond // between two checks of timeouts
 )
 
-// cycleLoop runs scheduling cycles when something has changed, and checks timeouts at least
-// every checkInterval, until ctx ends.
+// cycleLoop runs scheduling cycles when they are due and checks timeouts every checkInterval,
+// until ctx ends.
 func (l *Leader) cycleLoop(ctx context.Context) {
 	for loop.Sleep(ctx, scheduler.MinCycleInterval) {
 		select {
@@ -37,9 +37,10 @@
 	}
 }
 
-// checkTimeouts handles what has timed out, and logs the summary. Cycles may run forty times
-// a second; all these timeouts are seconds long, and each check goes over the whole fleet.
-// It needs the lock of state held.
+// checkTimeouts expires worker leases, checks for lost heartbeats and logs the summary, at most
+// once per checkInterval: each check iterates over the whole fleet, scheduling cycles may run
+// forty times per second, and the timeouts are seconds long. The caller must hold the state
+// lock.
 func (l *Leader) checkTimeouts(now units.Micros) {
 	if now-l.lastTimeoutCheck < checkInterval {
 		return
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -11,15 +11,15 @@
 	"dunestand/internal/storage"
 )
 
-// rejectionError says why a new job is not accepted.
+// rejectionError is the reason for which a new job is not accepted.
 type rejectionError struct {
-	status int    // HTTP status: 422 for good, 429 or 503 for now
-	reason string // for the user
+	status int    // HTTP status: 422 is permanent, 429 and 503 are temporary
+	reason string // shown to the user
 }
 
 func (e *rejectionError) Error() string { return e.reason }
 
-// Why a new job is not accepted.
+// Reasons for not accepting a new job.
 var (
 	errUnknownTeam          = &rejectionError{http.StatusUnprocessableEntity, "crew: unknown team"}
 	errTaskOverQuota        = &rejectionError{http.StatusUnprocessableEntity, "a task needs more than the team's limit"}
@@ -31,13 +31,13 @@
 	errNotUpgraded          = &rejectionError{http.StatusServiceUnavailable, "not before all controllers are upgraded"}
 )
 
-// jobMemoryLimit returns the bound, in bytes, of what the live jobs may take as estimated by
-// cluster.JobMemory: a controller rejects new jobs rather than be killed for the memory it
-// uses, with all that it holds.
+// jobMemoryLimit returns the limit, in bytes, on the memory of all live jobs as estimated by
+// cluster.JobMemory. New jobs beyond it are rejected, since a controller that exceeds its
+// memory is killed and loses its whole in-memory state.
 func jobMemoryLimit(s *config.Settings) int64 { return int64(s.Fleet.Resources.RAMMB * (1 << 20)) }
 
-// checkAdmissible returns why a new job cannot be accepted, nil if it can. It needs the lock
-// of state held.
+// checkAdmissible returns the reason for which a new job cannot be accepted, or nil if it can.
+// The caller must hold the state lock.
 func (l *Leader) checkAdmissible(spec *protocol.JobSpec) *rejectionError {
 	if rejection := checkFeasible(spec, l.Settings, l.state.InstanceTypes, l.Format.Current()); rejection != nil {
 		return rejection
@@ -48,8 +48,9 @@
 	return nil
 }
 
-// checkFeasible returns why a job could never run, or why that is not known yet; nil if it
-// could. types are those of the catalog by name, format is the fleet's record format.
+// checkFeasible returns the reason for which a job can never run, or cannot be checked or
+// stored yet; nil if the job is feasible. types are the instance types of the catalog by name,
+// and format is the record format in use.
 func checkFeasible(spec *protocol.JobSpec, s *config.Settings, types map[string]protocol.InstanceType, format storage.Format) *rejectionError {
 	i := slices.IndexFunc(s.Fleet.Teams, func(team config.Team) bool { return team.Name == spec.Team })
 	if i < 0 {
@@ -69,13 +70,13 @@
 	case !storage.FitsRecords(spec, storage.NewestFormat, s.Fleet.State):
 		return errSpecTooLong
 	case format < storage.FormatNew && (spec.Kind == protocol.Service || !storage.FitsRecords(spec, format, s.Fleet.State)):
-		// A leader of the version before would take a service for an array.
+		// A leader of the previous version would read a service as a job array.
 		return errNotUpgraded
 	}
 	return nil
 }
 
-// fitsAnyType reports whether a task of the job fits an instance type in a zone in which it
+// fitsAnyType reports whether a task of the job fits an instance type in a zone where the job
 // may be placed.
 func fitsAnyType(spec *protocol.JobSpec, types map[string]protocol.InstanceType) bool {
 	for name, instanceType := range types {
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -9,8 +9,9 @@
 	"dunestand/internal/transport"
 )
 
-// forward sends a request on to the leader, once: a request that came from another controller
-// is not forwarded again. A leader that has not answered for a while is not waited for.
+// forward sends a request to the leader. It answers that no leader is reachable if the request
+// was already forwarded by another controller, which prevents loops, or if the leader has
+// stopped answering.
 func (c *Controller) forward(ctx context.Context, origin requestOrigin, kind protocol.FrameKind, id string, body []byte) answer.Answer {
 	leader := c.leaderName()
 	if origin == fromPeer || leader == c.deps.Settings.Node || !c.peers.Reachable(leader) {
@@ -27,7 +28,7 @@
 	return answer.Forwarded(response, sentAt)
 }
 
-// servePeer answers a frame of another controller: a ping, or a request that it forwarded.
+// servePeer answers a frame from another controller: a ping or a forwarded request.
 func (c *Controller) servePeer(ctx context.Context, data []byte) ([]byte, error) {
 	leading := ""
 	if c.activeLeader() != nil {
@@ -47,9 +48,9 @@
 	})
 }
 
-// redirectTarget returns the controller that workers should send their heartbeats to, "" if it is
-// not known. A leader that refuses this controller's links may serve workers all the same: it
-// counts while its lease record is seen to be renewed.
+// redirectTarget returns the name of the controller to which workers should send their
+// heartbeats, or "" if it is unknown. Workers may reach a leader that refuses this controller's
+// connections, so that leader is returned while its lease record is seen to be renewed.
 func (c *Controller) redirectTarget() string {
 	leader := c.leaderName()
 	if leader == c.deps.Settings.Node || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.elector.SeesRenewals()) {
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -8,22 +8,23 @@
 	"dunestand/internal/units"
 )
 
-// restartTime is how long a controller takes to be back after it was stopped.
-const restartTime = 4 * units.Second
+// restartDuration is how long a restarted controller takes until it serves again.
+const restartDuration = 4 * units.Second
 
-// refusalTolerance is for how long a leader may refuse this controller's links while
-// it renews its lease. A leader that was just restarted is redialled sooner.
+// refusalTolerance is how long a leader that renews its lease may refuse this controller's
+// connections before the controller reports itself unhealthy. A leader that has just restarted
+// is reached again sooner.
 const refusalTolerance = 3 * units.Second
 
-// health answers the load balancer. A controller is healthy while it leads or reaches the
-// leader, and for a while after. A failover takes a few seconds; were every controller to
-// report itself unhealthy meanwhile, the load balancer would take all of them out for
-// longer than that, and longer each time. A controller is unhealthy, and says so soon, while
-// another controller leads that refuses its links, or while it is itself cut off from the
-// key-value store and all other controllers.
+// health answers the load balancer's health check. A controller is healthy while it leads or
+// reaches the leader, and for a limited time afterwards: a failover takes a few seconds, and if
+// every controller reported itself unhealthy meanwhile, the load balancer would take all of
+// them out of service for longer than the failover, and for longer each time. A controller
+// reports itself unhealthy without that delay if the leader refuses its connections, or if it
+// is cut off from the key-value store and from all other controllers.
 func (c *Controller) health() transport.Response {
 	now, leader := c.deps.Clock.Steady(), c.leaderName()
-	c.noteLeaderContact(now, leader)
+	c.updateLeaderContact(now, leader)
 	refusedSince := units.Micros(c.refusedSince.Load())
 	leaseDuration, unansweredFor := c.elector.LeaseDuration(), c.elector.UnansweredFor()
 	switch {
@@ -31,15 +32,15 @@
 		return answer.Unavailable("the leader refuses this node's links").Response
 	case len(c.deps.Settings.Peers) > 0 && !c.peers.AnyReachable() && unansweredFor > leaseDuration:
 		return answer.Unavailable("cut off from the state service and the other controllers").Response
-	case now-units.Micros(c.leaderReachedAt.Load()) <= 2*leaseDuration+restartTime:
+	case now-units.Micros(c.leaderReachedAt.Load()) <= 2*leaseDuration+restartDuration:
 		return transport.Response{Status: http.StatusOK}
 	}
 	return answer.Unavailable("no leader in reach").Response
 }
 
-// noteLeaderContact notes whether this controller leads or reaches the leader now, and since when
-// the leader has refused its links.
-func (c *Controller) noteLeaderContact(now units.Micros, leaderName string) {
+// updateLeaderContact updates when this controller last led or reached the leader, and since
+// when the leader has refused its connections.
+func (c *Controller) updateLeaderContact(now units.Micros, leaderName string) {
 	if leader := c.activeLeader(); leader != nil && leader.Ready() || c.peers.Reachable(leaderName) {
 		c.leaderReachedAt.Store(int64(now))
 	}
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -9,25 +9,25 @@
 	"dunestand/internal/units"
 )
 
-// Bounds of startDurableWait. A worker gives up on an answer after 4 s.
+// Bounds of durableStartsTimeout. A worker times out a heartbeat after 4 s.
 const (
-	minStartDurableWait = 150 * units.Millisecond
-	maxStartDurableWait = 500 * units.Millisecond
+	minDurableStartsTimeout = 150 * units.Millisecond
+	maxDurableStartsTimeout = 500 * units.Millisecond
 )
 
-// startDurableWait is how long the answer to a heartbeat waits for the write batch that must
-// be durable before the starts that it is to carry. Starts that miss it go with the
-// next heartbeat, so the wait is longer where heartbeats are seldom.
-func (l *Leader) startDurableWait() units.Micros {
-	return min(max(l.Settings.Fleet.Workers.HeartbeatInterval()/10, minStartDurableWait), maxStartDurableWait)
+// durableStartsTimeout returns how long the response to a heartbeat waits for the write batch
+// that makes its start commands durable. Starts that miss the response are sent with the next
+// one, so the timeout grows with the heartbeat interval.
+func (l *Leader) durableStartsTimeout() units.Micros {
+	return min(max(l.Settings.Fleet.Workers.HeartbeatInterval()/10, minDurableStartsTimeout), maxDurableStartsTimeout)
 }
 
-// restoreTimeout is how long a heartbeat waits for the restore of the records: mostly
-// it is done sooner, and the worker would only come back to this controller.
+// restoreTimeout is how long a heartbeat waits for the records to be restored. Usually the
+// restore finishes sooner; a worker that is rejected would only retry at this controller.
 const restoreTimeout = 2 * units.Second
 
-// awaitRestore waits until the records are restored, and reports whether they are. It releases
-// the slot before it waits.
+// awaitRestore waits until the records are restored, for restoreTimeout at most, and reports
+// whether they are. It releases slot before it blocks.
 func (l *Leader) awaitRestore(ctx context.Context, slot *heartbeatSlot) bool {
 	select {
 	case <-l.persister.Restored():
@@ -46,30 +46,30 @@
 	return false
 }
 
-// laterTokenSeen counts a heartbeat that shows a later leader's fencing token, and logs the
-// first. It needs the lock of state held.
-func (l *Leader) laterTokenSeen(heartbeat *protocol.Heartbeat) {
+// countLaterToken counts a heartbeat that carries the fencing token of a later leader, and logs
+// the first one. The caller must hold the state lock.
+func (l *Leader) countLaterToken(heartbeat *protocol.Heartbeat) {
 	l.Metrics.Reconciliation.LaterTokens.Inc()
 	if !l.laterTokenLogged {
 		l.laterTokenLogged = true
-		l.Log.Info("heartbeat shows a later leader's token", "machine", heartbeat.Machine, "shows_token", heartbeat.FencingToken)
+		l.Log.Info("heartbeat carries a later leader's fencing token", "machine", heartbeat.Machine, "shows_token", heartbeat.FencingToken)
 	}
 }
 
-// Why a heartbeat is not accepted. The worker is told to come back in each case.
+// Reasons for rejecting a heartbeat. The worker retries in each case.
 var (
-	errNotRestored    = errors.New("the records are not restored yet")
-	errNotLeader      = errors.New("the controller does not lead, or the worker has seen a later leader")
-	errStaleHeartbeat = errors.New("a newer heartbeat was handled, or the machine was released")
+	errNotRestored    = errors.New("records are not restored yet")
+	errNotLeader      = errors.New("controller is not the leader, or the worker has seen a later leader")
+	errStaleHeartbeat = errors.New("stale heartbeat: a newer one was handled, or the machine was released")
 )
 
 // Heartbeat reconciles the state with a worker's heartbeat and returns the commands for that
-// worker. It fails with errNotRestored, errNotLeader or errStaleHeartbeat. It releases the slot
-// before it waits for anything.
+// worker. It fails with errNotRestored, errNotLeader or errStaleHeartbeat. It releases slot
+// before it blocks.
 //
-// An answer renews the worker's lease, and with it whatever runs there. So none
-// is given before the records are restored: this controller might not know yet of a
-// cancellation that a former leader has confirmed to its user.
+// A response renews the worker's lease, which keeps the worker's tasks running. Heartbeat
+// therefore returns no response before the records are restored: they may contain a
+// cancellation that a former leader has already confirmed to a user.
 func (l *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, slot *heartbeatSlot) (protocol.HeartbeatResponse, error) {
 	response := protocol.HeartbeatResponse{FencingToken: l.token, Commands: []protocol.Command{}}
 	if !l.awaitRestore(ctx, slot) {
@@ -79,7 +79,7 @@
 	defer l.state.Unlock()
 	now := l.Clock.Steady()
 	if heartbeat.FencingToken > l.token {
-		l.laterTokenSeen(heartbeat)
+		l.countLaterToken(heartbeat)
 		return response, errNotLeader
 	}
 	if !l.leadership.Valid() {
@@ -101,7 +101,7 @@
 		select {
 		case <-durable:
 		case <-ctx.Done():
-		case <-time.After(l.startDurableWait().Duration()):
+		case <-time.After(l.durableStartsTimeout().Duration()):
 		}
 		l.state.Lock()
 		if machine.Incarnation != heartbeat.Incarnation || machine.Sequence != heartbeat.Sequence {
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -114,7 +114,7 @@
 	leader, _ := newLeaderWithJob(t, 1)
 	for seconds, want := range map[float64]units.Micros{0.8: 150, 3: 300, 5: 500, 60: 500} {
 		leader.Settings.Fleet.Workers.HeartbeatS = seconds
-		if got := leader.startDurableWait(); got != want*units.Millisecond {
+		if got := leader.durableStartsTimeout(); got != want*units.Millisecond {
 			t.Errorf("heartbeats every %v s: %d ms", seconds, got/units.Millisecond)
 		}
 	}
--- a/internal/controller/heartbeathandler.go
+++ b/internal/controller/heartbeathandler.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/transport"
 )
 
-// handleHeartbeat answers a worker's heartbeat. A controller that does not lead answers with the
-// leader's name, if it is known and is another controller.
+// handleHeartbeat answers a worker's heartbeat. A follower answers with a redirect that names
+// the leader if the leader is known and is another controller.
 func (c *Controller) handleHeartbeat(ctx context.Context, request transport.Request) transport.Response {
 	if request.TooLarge {
 		return answer.ErrorResponse(http.StatusBadRequest, bodyTooLarge)
--- a/internal/controller/heartbeatlimiter.go
+++ b/internal/controller/heartbeatlimiter.go
@@ -5,13 +5,13 @@
 	"runtime"
 )
 
-// heartbeatLimiter lets workers' heartbeats through one at a time. It may be used
-// concurrently.
+// heartbeatLimiter limits the handling of heartbeats to one at a time. It is safe for
+// concurrent use.
 //
-// Heartbeats make up nearly all of a leader's load. A user's request, a write batch or the
-// renewal of the lease takes several steps, and each step waits behind every goroutine
-// that can run already. Without a bound, a processor that has fallen behind has tens
-// of heartbeats to run between any two of these steps; with it there is one.
+// Heartbeats are nearly all of a leader's load. A user's request, a write batch and a lease
+// renewal each take several steps, and each step waits behind every runnable goroutine. Without
+// the limit, an overloaded processor runs tens of heartbeats between two such steps; with it,
+// one.
 type heartbeatLimiter struct{ slot chan struct{} }
 
 func newHeartbeatLimiter() *heartbeatLimiter { return &heartbeatLimiter{slot: make(chan struct{}, 1)} }
@@ -26,21 +26,22 @@
 	}
 }
 
-// heartbeatSlot is the right to handle a heartbeat. A nil slot is for callers that are not
-// limited: releasing it does nothing. It must not be used concurrently.
+// heartbeatSlot is the permission to handle one heartbeat. A nil slot is valid, for callers
+// that are not limited: releasing it does nothing. A slot is not safe for concurrent use.
 type heartbeatSlot struct {
 	limiter  *heartbeatLimiter
 	released bool
 }
 
-// release lets the next heartbeat through, and everything else that can run before it.
-// Whoever is about to wait for something releases first. A second call does nothing.
+// release lets the next heartbeat proceed, after all other goroutines that are already
+// runnable. Call it before blocking. A second call does nothing.
 func (s *heartbeatSlot) release() {
 	if s == nil || s.released {
 		return
 	}
 	s.released = true
 	<-s.limiter.slot
-	// The Go scheduler would run the next heartbeat at once, ahead of all that waits.
+	// Without yielding, the Go scheduler would run the next heartbeat at once, ahead of the
+	// other runnable goroutines.
 	runtime.Gosched()
 }
--- a/internal/controller/jobhandlers.go
+++ b/internal/controller/jobhandlers.go
@@ -8,16 +8,16 @@
 	"dunestand/internal/protocol"
 )
 
-// requestOrigin says who sent a request.
+// requestOrigin is the kind of client that sent a request.
 type requestOrigin uint8
 
 const (
-	fromUser requestOrigin = iota // it may be forwarded to the leader
-	fromPeer                      // another controller has forwarded it: it is not forwarded again
+	fromUser requestOrigin = iota // the request may be forwarded to the leader
+	fromPeer                      // another controller forwarded the request; it is not forwarded again
 )
 
-// submit answers a user's submission. A controller that does not lead forwards it, and may accept
-// the job by itself if no leader is in reach.
+// submit answers a submission. A follower forwards it to the leader; if no leader is reachable,
+// a user's job may be accepted without one.
 func (c *Controller) submit(ctx context.Context, body []byte, origin requestOrigin) answer.Answer {
 	spec, err := protocol.ParseSubmission(body)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return a
 }
 
-// rejectMalformed answers a submission that cannot be parsed, unless its job is known: a job
-// that is known stays known, whatever else a duplicate says.
+// rejectMalformed answers a submission that cannot be parsed. If its job ID is known, the
+// submission is a duplicate and the answer is the state of that job.
 func (c *Controller) rejectMalformed(ctx context.Context, body []byte, err error, origin requestOrigin) answer.Answer {
 	rejection := answer.ErrorResponse(http.StatusBadRequest, err.Error())
 	id, ok := protocol.SubmissionID(body)
@@ -51,8 +51,8 @@
 	return answer.Answer{Response: rejection, Evidence: known.Evidence}
 }
 
-// poll answers a user who asks for a job's state. A controller that reaches no leader, but has
-// lately reached the key-value store, answers from the records.
+// poll answers a request for a job's state. A controller that reaches no leader answers a user
+// from the records if the key-value store has answered within the lease duration.
 func (c *Controller) poll(ctx context.Context, id string, origin requestOrigin) answer.Answer {
 	if !protocol.ValidJobID(id) {
 		return answer.WithoutEvidence(noSuchJob())
@@ -68,8 +68,8 @@
 	return a
 }
 
-// cancel answers a user who cancels a job. The leader waits, within the bound of the write,
-// until the answer is stable enough to pass the gate.
+// cancel answers a request to cancel a job. The leader's answer waits until it is stable enough
+// to pass the gate, for writeTimeout at most, the write included.
 func (c *Controller) cancel(ctx context.Context, id string, origin requestOrigin) answer.Answer {
 	if !protocol.ValidJobID(id) {
 		return answer.WithoutEvidence(noSuchJob())
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -24,7 +24,8 @@
 	"dunestand/internal/units"
 )
 
-// Deps is what a Leader works with. It outlives each Leader.
+// Deps holds the dependencies of a Leader. They outlive it: each Leader of a controller gets
+// the same ones.
 type Deps struct {
 	Settings *config.Settings
 	Policy   *config.Policy
@@ -32,7 +33,7 @@
 	Cloud    *cloud.Client
 	Clock    units.Clock
 	Log      *slog.Logger
-	Dial     transport.DialFunc // nil: the machine's own network
+	Dial     transport.DialFunc // nil: the operating system's network
 	Metrics  *telemetry.Metrics
 	Format   recordformat.Source
 	Admitter *admissioncontrol.Admitter // nil: all jobs are admitted
@@ -42,12 +43,12 @@
 	PeerReachable func() bool
 }
 
-// Leader is one controller's time as leader, from an election to the loss of the lease. It
-// composes the components that do the work; their state is gone with it.
+// Leader runs one term of leadership, from a won election until the lease is lost. It composes
+// the components that do the work; their in-memory state lasts for one term.
 //
-// The lock of state guards everything that the components decide on. It must be held for the
-// methods that say so, and for all methods of the components that take a time. Exported
-// methods of Leader take it themselves and may be called concurrently.
+// The state lock guards all data on which the components base decisions. The caller must hold
+// it for methods that say so, and for all methods of the components that take a time. Exported
+// methods of Leader acquire it themselves and may be called concurrently.
 type Leader struct {
 	Deps
 	leadership election.Leadership
@@ -66,16 +67,16 @@
 	terminals   *persister.TerminalJobs
 	admission   *admissioncontrol.LeaderAdmission
 
-	lastSummary      units.Micros // steady time; guarded by the lock of state
+	lastSummary      units.Micros // steady time; guarded by the state lock
 	lastTimeoutCheck units.Micros // likewise
 	laterTokenLogged bool         // likewise
 
-	writeSignal loop.Signal // raised when something waits to be written
+	writeSignal loop.Signal // raised when there are changes to write
 	cycleSignal loop.Signal // raised when a scheduling cycle is due
 }
 
-// NewLeader returns the leader of an election that was just won. It answers nobody until Run
-// has restored the records.
+// NewLeader returns the Leader for an election that this controller has just won. It answers no
+// request until Run has restored the records.
 func NewLeader(leadership election.Leadership, deps Deps) *Leader {
 	deps.Log = deps.Log.With("token", leadership.Token())
 	l := &Leader{
@@ -88,7 +89,7 @@
 		cycleSignal: loop.NewSignal(),
 	}
 	tracer := cluster.NewAttemptTracer(deps.Log)
-	// In this order: each component is given those that were made before it.
+	// The order matters: each component uses those created before it.
 	l.terminals = persister.NewTerminalJobs(l.state, deps.KV)
 	l.detector = newDetector(l)
 	l.pusher = newPusher(l)
@@ -106,8 +107,8 @@
 	return l
 }
 
-// Run restores the records and then leads until ctx ends. It returns once all of the leader's
-// goroutines have returned.
+// Run restores the records, retrying until it succeeds, and then leads until ctx ends. It
+// returns after all of the leader's goroutines have returned.
 func (l *Leader) Run(ctx context.Context) {
 	l.Log.Info("leadership begins")
 	for !l.persister.Restore(ctx) {
@@ -132,7 +133,7 @@
 	l.Log.Info("leadership ends")
 }
 
-// Ready reports whether the records are restored.
+// Ready reports whether the records have been restored.
 func (l *Leader) Ready() bool {
 	l.state.Lock()
 	defer l.state.Unlock()
--- a/internal/controller/leaderless.go
+++ b/internal/controller/leaderless.go
@@ -18,24 +18,25 @@
 	"dunestand/internal/units"
 )
 
-// Submissions are forwarded to the leader. A controller that reaches none may still reach
-// the key-value store: it then puts a job into the pending-submission queue there, and
-// the leader, or the next one, ingests it. A failover takes several seconds, and users
-// would be refused for all of that time.
+// Followers forward submissions to the leader. A controller that reaches no leader but still
+// reaches the key-value store writes the job to the pending-submission queue there, and the
+// current or the next leader ingests it. Without this, submissions would be refused during a
+// failover, which takes several seconds.
 
-// instanceTypesTTL is for how long the instance types that were read are not read again.
+// instanceTypesTTL is how long the instance types read from the key-value store are cached.
 const instanceTypesTTL = 60 * units.Second
 
-// leaderlessJobs is what a controller needs to accept jobs without a leader.
+// leaderlessJobs is the state that a controller needs to accept jobs without a leader. It is
+// safe for concurrent use.
 type leaderlessJobs struct {
-	acceptedBytes atomic.Int64 // memory of the jobs accepted so since this controller last reached a leader
+	acceptedBytes atomic.Int64 // estimated memory of the jobs accepted without a leader since a leader last answered
 
 	mu              sync.Mutex // guards the fields below
 	instanceTypes   map[string]protocol.InstanceType
 	typesValidUntil units.Micros // steady time
 }
 
-// instanceTypes returns the instance types that the last leader stored, by name; nil if they
+// instanceTypes returns the instance types that the last leader stored, by name, or nil if they
 // cannot be read.
 func (c *Controller) instanceTypes(ctx context.Context) map[string]protocol.InstanceType {
 	cache := &c.leaderlessJobs
@@ -61,7 +62,7 @@
 	return types
 }
 
-// validInstanceTypes returns the instance types in the cache, nil if they are too old.
+// validInstanceTypes returns the cached instance types, or nil if they have expired.
 func (l *leaderlessJobs) validInstanceTypes(now units.Micros) map[string]protocol.InstanceType {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,15 +72,16 @@
 	return l.instanceTypes
 }
 
-// acceptWithoutLeader puts a job into the pending-submission queue if it is certain that the
-// job can run; otherwise it returns refused, and a leader decides when there is one.
-func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, refused answer.Answer) answer.Answer {
+// acceptWithoutLeader writes a job to the pending-submission queue if the job is known to be
+// feasible and admitted, and fits this controller's share of the job memory limit. Otherwise
+// the answer asks the user to retry; it is fallback unless there is a more specific one.
+func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, fallback answer.Answer) answer.Answer {
 	store := c.deps.KV
 	if c.elector.UnansweredFor() >= c.elector.LeaseDuration() || !store.HasRequestBudget() || !store.HasWriteBudget() {
-		return refused
+		return fallback
 	}
 	if checkFeasible(spec, c.deps.Settings, c.instanceTypes(ctx), c.deps.Format.Current()) != nil {
-		return refused
+		return fallback
 	}
 	txn := cluster.PendingSubmissionTxn(cluster.PendingSubmission{
 		Spec:      *spec,
@@ -88,7 +90,7 @@
 	if admitter := c.deps.Admitter; admitter != nil {
 		decision, condition := admitter.DecideIsolated(spec)
 		if decision.Verdict != admission.Admit {
-			return c.deferWithoutLeader(ctx, spec.ID, decision, refused)
+			return c.deferWithoutLeader(ctx, spec.ID, decision, fallback)
 		}
 		txn.If = append(txn.If, condition)
 	}
@@ -96,35 +98,37 @@
 	if c.leaderlessJobs.acceptedBytes.Add(cluster.JobMemory(spec)) > share {
 		return answer.WithoutEvidence(answer.ErrorResponse(http.StatusTooManyRequests, "too many jobs wait for a leader"))
 	}
-	return c.storePending(ctx, spec, txn, refused)
+	return c.storePending(ctx, spec, txn, fallback)
 }
 
-// storePending writes a pending submission and answers its user.
-func (c *Controller) storePending(ctx context.Context, spec *protocol.JobSpec, txn protocol.Txn, refused answer.Answer) answer.Answer {
+// storePending writes a pending submission and returns the answer for its user, or fallback if
+// the submission could not be stored.
+func (c *Controller) storePending(ctx context.Context, spec *protocol.JobSpec, txn protocol.Txn, fallback answer.Answer) answer.Answer {
 	readAt := c.deps.Clock.Steady()
 	_, err := c.deps.KV.CompareAndSwap(ctx, txn, kv.Paced, persister.PendingTimeout)
 	var conflict *kv.VersionConflictError
 	switch {
 	case errors.As(err, &conflict):
-		// It is known already: a duplicate, or the leader accepted it after all.
+		// The job is already known: a duplicate submission, or the leader has accepted it.
 		if a := c.records().poll(ctx, spec.ID); a.Status == http.StatusOK {
 			return a
 		}
-		return refused
+		return fallback
 	case err != nil:
-		return refused
+		return fallback
 	}
 	c.deps.Log.Info("job accepted without a leader", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 	accepted := answer.Provisional(answer.StateResponse(http.StatusCreated, protocol.JobState{ID: spec.ID, Stage: protocol.StagePending}), readAt)
 	if c.gate().IsStale(accepted) {
-		return c.records().poll(ctx, spec.ID) // it may be in a terminal state by now
+		return c.records().poll(ctx, spec.ID) // the job may have reached a terminal state since
 	}
 	return accepted
 }
 
-// deferWithoutLeader answers the submission of a job that is not admitted without the leader,
-// unless the records hold that job.
-func (c *Controller) deferWithoutLeader(ctx context.Context, id string, decision admission.Decision, refused answer.Answer) answer.Answer {
+// deferWithoutLeader answers the submission of a job that is not admitted without a leader:
+// with the state of the job if the records hold it, with a request to wait if the admission
+// plan says so, and otherwise with fallback.
+func (c *Controller) deferWithoutLeader(ctx context.Context, id string, decision admission.Decision, fallback answer.Answer) answer.Answer {
 	known := c.records().poll(ctx, id)
 	switch {
 	case known.Status == http.StatusOK:
@@ -132,5 +136,5 @@
 	case known.Status == http.StatusNotFound && decision.Verdict == admission.Wait:
 		return admissioncontrol.WaitingAnswer(decision)
 	}
-	return refused
+	return fallback
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -7,15 +7,15 @@
 	"dunestand/internal/protocol"
 )
 
-// WriteMetrics writes the metrics that only a leader has: what waits and runs, and the usage
-// of the teams.
+// WriteMetrics writes the metrics that only a leader has: pending and placed tasks, machines,
+// and the usage of the teams.
 func (l *Leader) WriteMetrics(w io.Writer) {
 	l.writeTaskMetrics(w)
 	l.admission.WriteMetrics(w)
 }
 
-// writeTaskMetrics writes how many tasks wait and are placed, by class and priority, and the
-// number of machines.
+// writeTaskMetrics writes the numbers of pending and placed tasks by class and priority, the
+// numbers of machines, and the fencing token.
 func (l *Leader) writeTaskMetrics(w io.Writer) {
 	l.state.Lock()
 	defer l.state.Unlock()
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -20,27 +20,29 @@
 	"dunestand/internal/units"
 )
 
-// clientConnectionLimit returns how many of a controller's connections are for users and workers.
+// clientConnectionLimit returns how many of a controller's connections users and workers may
+// use; the others are reserved for the controller's own calls.
 func clientConnectionLimit(maxConnections int) int {
 	return max(maxConnections-push.ReservedSockets(maxConnections), maxConnections/2)
 }
 
-// neverHeard is a steady time long before any that a controller can see.
-const neverHeard = -1 << 50
+// noHeartbeatTime is the time of the last heartbeat while there has been none: a steady time in
+// the distant past.
+const noHeartbeatTime = -1 << 50
 
-// Environment is what a controller gets from the program around it.
+// Environment holds the dependencies that the calling program supplies to a controller.
 type Environment struct {
 	Policy *config.Policy
 	Clock  units.Clock
 	Random *rand.Rand
 	Log    *slog.Logger
-	Dial   transport.DialFunc // nil: the machine's own network
-	// Admission overrides the policy's choices of how new jobs are admitted under overload;
-	// nil: the policy's hold.
+	Dial   transport.DialFunc // nil: the operating system's network
+	// Admission overrides the policy's options for admission control under overload; nil: the
+	// policy's options apply.
 	Admission *admission.Options
 }
 
-// admissionOptions returns the environment's own choices, or the policy's if it has none.
+// admissionOptions returns the options in Admission, or the policy's if it is nil.
 func (e Environment) admissionOptions() admission.Options {
 	if e.Admission != nil {
 		return *e.Admission
@@ -48,7 +50,7 @@
 	return admissioncontrol.OptionsOf(e.Policy.Admission)
 }
 
-// New returns a controller with the given settings. It makes no request before Run.
+// New returns a controller with the given settings. It sends no request before Run is called.
 func New(s *config.Settings, env Environment) *Controller {
 	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Peers), env.Clock)
 	format := newNegotiator(s, env, client)
@@ -63,9 +65,9 @@
 			3*s.Fleet.Workers.HeartbeatInterval()+maxUserPollInterval, env.Log),
 	}
 	c.deps.UnreachablePeers, c.deps.PeerReachable = c.peers.UnreachableCount, c.peers.AnyReachable
-	c.lastHeartbeatAt.Store(neverHeard)
-	// A controller begins as if it had just reached the leader: when all were restarted, the
-	// load balancer is to count them as healthy again by the time one of them leads.
+	c.lastHeartbeatAt.Store(noHeartbeatTime)
+	// Start as if the leader had just been reached: after a restart of all controllers, the
+	// load balancer must consider them healthy again by the time one of them leads.
 	c.leaderReachedAt.Store(int64(env.Clock.Steady()))
 	c.elector.Connected = c.connected
 	c.elector.Eligible = func() bool { return !c.deps.Format.TooNew() }
@@ -74,7 +76,8 @@
 	return c
 }
 
-// newElector returns the elector of a controller, over connections of its own.
+// newElector returns the controller's elector. It has its own connections to the key-value
+// store, so that lease renewals do not wait behind other requests.
 func newElector(s *config.Settings, env Environment, client *kv.Client) *election.Elector {
 	return election.NewElector(election.Deps{
 		Node:   s.Node,
@@ -86,7 +89,7 @@
 	})
 }
 
-// newNegotiator returns what finds out which format of records the controllers use.
+// newNegotiator returns the negotiator of the record format that all controllers support.
 func newNegotiator(s *config.Settings, env Environment, client *kv.Client) *recordformat.Negotiator {
 	others := make([]string, len(s.Peers))
 	for i, other := range s.Peers {
@@ -99,7 +102,7 @@
 	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
 }
 
-// newDeps returns the dependencies that the controller hands to each Leader.
+// newDeps returns the dependencies that the controller passes to each Leader.
 func newDeps(s *config.Settings, env Environment, client *kv.Client, format *recordformat.Negotiator) Deps {
 	metrics := telemetry.NewMetrics()
 	return Deps{
@@ -124,13 +127,14 @@
 	}
 }
 
-// connected reports whether this controller hears workers or other controllers, or has no others.
+// connected reports whether this controller has recently received a heartbeat, reaches another
+// controller, or has no peers.
 func (c *Controller) connected() bool {
 	sinceHeartbeat := c.deps.Clock.Steady() - units.Micros(c.lastHeartbeatAt.Load())
 	return len(c.deps.Settings.Peers) == 0 || c.peers.AnyReachable() || sinceHeartbeat < peers.LinkFreshness
 }
 
-// addMetrics registers the metrics of the controller's own state and of its use of the key-value
+// addMetrics registers the metrics of the controller itself and of its use of the key-value
 // store.
 func (c *Controller) addMetrics() {
 	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.State
--- a/internal/controller/poll.go
+++ b/internal/controller/poll.go
@@ -7,13 +7,13 @@
 	"dunestand/internal/answer"
 )
 
-// canAnswer reports whether this controller may answer for the fleet. It needs the lock of state
-// held.
+// canAnswer reports whether this leader may answer requests: its records are restored and its
+// lease is valid. The caller must hold the state lock.
 func (l *Leader) canAnswer() bool { return l.state.Restored && l.leadership.Valid() }
 
-// jobAnswer returns the state of a job that is stored, with the given HTTP status, or the
-// reason why none may be given; false if this leader's memory holds no such job. It needs
-// the lock of state held.
+// jobAnswer returns the state of a stored job with the given HTTP status, or an answer with the
+// reason for which it cannot be given. It returns false if memory holds no stored job with that
+// ID. The caller must hold the state lock.
 func (l *Leader) jobAnswer(id string, status int) (answer.Answer, bool) {
 	readAt := l.Clock.Steady()
 	if !l.canAnswer() {
@@ -27,13 +27,13 @@
 	case job == nil || !job.Accepted():
 		return answer.Answer{}, false
 	case job.EndInFlight():
-		return answer.Unavailable("the job's end is being stored"), true // others may answer with it already
+		return answer.Unavailable("the job's end is being stored"), true // other controllers may already answer with the terminal state
 	}
 	return answer.LiveJob(status, job, l.Settings.Fleet.Workers, readAt), true
 }
 
-// Poll answers with a job's state: from memory, from the record of its terminal state, or
-// once it is ingested from the pending-submission queue.
+// Poll answers with a job's state: from memory, from the record of its terminal state, or from
+// the pending-submission queue after ingesting the job.
 func (l *Leader) Poll(ctx context.Context, id string) answer.Answer {
 	receivedAt := l.Clock.Steady()
 	if a, known := l.pollLive(id); known {
@@ -54,15 +54,15 @@
 	if err := l.ingester.IngestOne(ctx, id); err != nil {
 		return storeUnreachable()
 	}
-	// It may have been submitted while the key-value store was asked, or just
-	// have been ingested.
+	// The job may have been submitted during the reads above, or just have been ingested.
 	if a, known := l.pollLive(id); known {
 		return a
 	}
 	return answer.Provisional(noSuchJob(), receivedAt)
 }
 
-// pollLive answers with a job's state from memory; false if it is not known there.
+// pollLive answers with a job's state from memory. It returns false if memory does not hold the
+// job.
 func (l *Leader) pollLive(id string) (answer.Answer, bool) {
 	l.state.Lock()
 	defer l.state.Unlock()
--- a/internal/controller/recordreader.go
+++ b/internal/controller/recordreader.go
@@ -16,25 +16,25 @@
 )
 
 // recordReader answers polls from the records alone, for a controller that does not lead and
-// cannot reach the leader. What they say was committed before any user was told of it.
+// cannot reach the leader. Each recorded state was committed before any user was told of it.
 type recordReader struct {
 	store   *kv.Client
 	clock   units.Clock
 	workers config.Workers
 }
 
-// recordReadTimeout bounds each of the reads that a poll is answered from without the leader.
+// recordReadTimeout limits each read of the key-value store by a recordReader.
 const recordReadTimeout = 800 * units.Millisecond
 
-// poll answers with a job's state as the records have it.
+// poll answers with a job's state as recorded.
 func (r recordReader) poll(ctx context.Context, id string) answer.Answer {
 	if !r.store.HasRequestBudget() {
 		return noLeader()
 	}
-	// From the pending-submission queue a job moves to the live records and from there to
-	// the terminal ones. It is looked for in the two latter first, since it is there nearly
-	// always; one that is in none of the three may have moved in between, and is
-	// then found by a second look.
+	// A job moves from the pending-submission queue to the live records and from there to the
+	// terminal records. The live and terminal records are read first, since they hold almost
+	// every job. A job found in none of the three may have moved between the reads; the second
+	// look at the live and terminal records finds it.
 	startedAt := r.clock.Steady()
 	if a, known := r.liveOrTerminal(ctx, id); known {
 		return a
@@ -48,8 +48,8 @@
 	return answer.Provisional(noSuchJob(), startedAt)
 }
 
-// pending looks for a job in the pending-submission queue. It returns false if the job is not
-// there.
+// pending looks for a job in the pending-submission queue. It returns false if the queue does
+// not hold the job.
 func (r recordReader) pending(ctx context.Context, id string) (answer.Answer, bool) {
 	readAt := r.clock.Steady()
 	item, found, err := r.store.Get(ctx, storage.KeyPending(id), recordReadTimeout)
@@ -65,8 +65,8 @@
 	return answer.Provisional(answer.StateResponse(http.StatusOK, protocol.JobState{ID: id, Stage: protocol.StagePending}), readAt), true
 }
 
-// liveOrTerminal looks for a job in the live and then in the terminal records. It returns
-// false if the job is in neither.
+// liveOrTerminal looks for a job in the live and then in the terminal records. It returns false
+// if neither holds the job.
 func (r recordReader) liveOrTerminal(ctx context.Context, id string) (answer.Answer, bool) {
 	readAt := r.clock.Steady()
 	item, found, err := r.store.Get(ctx, storage.KeyJob(id), recordReadTimeout)
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -10,16 +10,16 @@
 	"dunestand/internal/transport"
 )
 
-// Paths and content type of what is served besides the protocol.
+// Path and content type of the metrics, which are not part of the protocol.
 const (
 	pathMetrics        = "/metrics"
 	metricsContentType = "text/plain; version=0.0.4"
 )
 
-// bodyTooLarge is the reason given to a client whose request exceeds protocol.MaxBody.
+// bodyTooLarge is the error text for a request whose body exceeds protocol.MaxBody.
 const bodyTooLarge = "body over 64 KiB"
 
-// routes registers the handlers of users' and workers' requests.
+// routes registers the HTTP handlers of the controller.
 func (c *Controller) routes() {
 	c.server.Handle(http.MethodPost, protocol.PathSubmit, func(ctx context.Context, request transport.Request) transport.Response {
 		if request.TooLarge {
@@ -42,8 +42,8 @@
 	})
 }
 
-// checkedAnswer returns the response of an answer that the gate allows, and counts and logs on
-// what grounds it was given.
+// checkedAnswer returns the response that the gate allows for an answer about a job. It counts
+// and logs the answer with its evidence.
 func (c *Controller) checkedAnswer(about string, a answer.Answer) transport.Response {
 	response := c.gate().Check(a)
 	counters := c.deps.Metrics.Answers
@@ -64,7 +64,8 @@
 	return response
 }
 
-// metricsText returns this controller's metrics, those of the leader included while it leads.
+// metricsText returns the metrics of this controller, including those of the leader while it
+// leads.
 func (c *Controller) metricsText() []byte {
 	if leader := c.activeLeader(); leader != nil {
 		return c.deps.Metrics.Text(leader.WriteMetrics)
--- a/internal/controller/runtimelog.go
+++ b/internal/controller/runtimelog.go
@@ -8,11 +8,11 @@
 	"dunestand/internal/units"
 )
 
-// runtimeLogInterval is the time between log lines with the runtime's figures. Every node
-// writes them, leader or not.
+// runtimeLogInterval is the time between two log lines with statistics of the Go runtime.
+// Followers log them too.
 const runtimeLogInterval = 10 * units.Second
 
-// logRuntime logs the runtime's figures until ctx ends.
+// logRuntime logs statistics of the Go runtime until ctx ends.
 func (c *Controller) logRuntime(ctx context.Context) {
 	for loop.Sleep(ctx, runtimeLogInterval) {
 		c.deps.Log.Info("process", "leading", c.activeLeader() != nil, "runtime", runtimestats.Read())
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -13,21 +13,21 @@
 	"dunestand/internal/units"
 )
 
-// writeTimeout is how long a submission or cancellation waits for its write batch. A write
-// that takes longer has met a fault, and the user is told to come back.
+// writeTimeout is how long a submission or cancellation waits for its write batch. A slower
+// write indicates a fault, and the user is asked to retry.
 const writeTimeout = 1500 * units.Millisecond
 
-// Submit accepts a job, durably, before it answers. A duplicate of a submission is answered
-// with the state of its job.
+// Submit accepts a job and confirms it once the job is durable. A duplicate submission is
+// answered with the state of its job.
 func (l *Leader) Submit(ctx context.Context, spec *protocol.JobSpec) answer.Answer {
 	receivedAt := l.Clock.Steady()
-	entry, decline := l.enterJob(spec)
-	if decline != nil {
-		return decline(ctx)
+	write, answerNow := l.findOrAddJob(spec)
+	if answerNow != nil {
+		return answerNow(ctx)
 	}
-	stored := awaitDurable(ctx, entry.durable)
-	l.Log.Debug("submission awaited its write", "job", spec.ID, "stored", stored,
-		"lock_us", int64(entry.at-receivedAt), "write_us", int64(l.Clock.Steady()-entry.at))
+	stored := awaitDurable(ctx, write.durable)
+	l.Log.Debug("submission waited for its write batch", "job", spec.ID, "stored", stored,
+		"lock_us", int64(write.startedAt-receivedAt), "write_us", int64(l.Clock.Steady()-write.startedAt))
 	if !stored {
 		return storeSlow()
 	}
@@ -39,35 +39,36 @@
 	return beingAccepted()
 }
 
-// jobEntry is the entry of a submitted job in the state.
-type jobEntry struct {
-	durable <-chan struct{} // closed once the job is durable
-	at      units.Micros    // steady time
+// pendingWrite is the write of a job for which a submission waits.
+type pendingWrite struct {
+	durable   <-chan struct{} // closed once the job is durable
+	startedAt units.Micros    // steady time at which the wait for the write starts
 }
 
-// enterJob enters a new job in the state, unless it is there already. If the submission can be
-// answered without waiting until the job is durable, it returns a function that does so, to be
-// called without the lock of state.
-func (l *Leader) enterJob(spec *protocol.JobSpec) (entry jobEntry, decline func(context.Context) answer.Answer) {
+// findOrAddJob adds a new job to the state, unless it is there already, and returns the write
+// to wait for. If the submission can be answered without waiting until the job is durable, it
+// returns only answerNow, which returns the answer and must be called without the state lock.
+func (l *Leader) findOrAddJob(spec *protocol.JobSpec) (write pendingWrite, answerNow func(context.Context) answer.Answer) {
 	l.state.Lock()
 	defer l.state.Unlock()
 	if a, known := l.jobAnswer(spec.ID, http.StatusOK); known {
-		return jobEntry{}, func(context.Context) answer.Answer { return a }
+		return pendingWrite{}, func(context.Context) answer.Answer { return a }
 	}
 	job := l.state.Jobs[spec.ID]
 	if job == nil {
 		if rejection := l.checkAdmissible(spec); rejection != nil {
-			return jobEntry{}, func(ctx context.Context) answer.Answer { return l.rejectSubmission(ctx, spec, rejection) }
+			return pendingWrite{}, func(ctx context.Context) answer.Answer { return l.rejectSubmission(ctx, spec, rejection) }
 		}
 		if decision := l.admission.Admit(spec); decision.Verdict != admission.Admit {
-			return jobEntry{}, func(ctx context.Context) answer.Answer { return l.deferSubmission(ctx, spec.ID, decision) }
+			return pendingWrite{}, func(ctx context.Context) answer.Answer { return l.deferSubmission(ctx, spec.ID, decision) }
 		}
 		job = l.addJob(spec)
 	}
-	return jobEntry{durable: job.Durable(), at: l.Clock.Steady()}, nil
+	return pendingWrite{durable: job.Durable(), startedAt: l.Clock.Steady()}, nil
 }
 
-// addJob adds a new job to the state and has it written. It needs the lock of state held.
+// addJob adds a new job to the state and requests its write. The caller must hold the state
+// lock.
 func (l *Leader) addJob(spec *protocol.JobSpec) *cluster.Job {
 	job := l.state.NewJob(*spec, l.Clock.Wall(), l.Clock.Steady())
 	l.Log.Info("job submitted", "job", spec.ID, "class", spec.Class, "team", spec.Team,
@@ -77,8 +78,9 @@
 	return job
 }
 
-// rejectSubmission answers a submission that is rejected for good, or for now, unless its ID
-// is known: then the job is known, whatever else the request now says.
+// rejectSubmission answers a submission that is rejected permanently or temporarily. If the
+// rejection is not a 503 and the job ID is known, the submission is a duplicate and the answer
+// is the state of that job, whatever else the request says.
 func (l *Leader) rejectSubmission(ctx context.Context, spec *protocol.JobSpec, rejection *rejectionError) answer.Answer {
 	if rejection.status == http.StatusServiceUnavailable {
 		return answer.Unavailable(rejection.Error())
@@ -92,12 +94,12 @@
 	return answer.Answer{Response: answer.ErrorResponse(rejection.status, rejection.Error()), Evidence: known.Evidence}
 }
 
-// deferSubmission answers a submission that is not admitted now, unless its job is known
-// after all: as one in a terminal state, or from the pending-submission queue.
+// deferSubmission answers a submission that is not admitted now. If the job turns out to be
+// known, in a terminal state or from the pending-submission queue, the answer is its state.
 func (l *Leader) deferSubmission(ctx context.Context, id string, decision admission.Decision) answer.Answer {
 	if decision.Verdict == admission.Undecided {
-		// Not 503: another controller that forwarded the request would take that for a
-		// leader that cannot decide, and admit the job beyond the quota.
+		// Not 503: a controller that forwarded the request would take a 503 for the lack of a
+		// leader and admit the job beyond the quota.
 		return answer.WithoutEvidence(answer.ErrorResponse(http.StatusTooManyRequests, decision.Reason.String()))
 	}
 	if !l.admission.IsCertainlyUnrecorded(id) {
@@ -112,8 +114,8 @@
 	return admissioncontrol.WaitingAnswer(decision)
 }
 
-// awaitDurable waits until durable is closed, for writeTimeout at most, and reports whether
-// it is.
+// awaitDurable waits until durable is closed, for writeTimeout at most, and reports whether it
+// is.
 func awaitDurable(ctx context.Context, durable <-chan struct{}) bool {
 	timer := time.NewTimer(writeTimeout.Duration())
 	defer timer.Stop()
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -6,7 +6,8 @@
 	"dunestand/internal/units"
 )
 
-// logSummary logs how full the fleet is and what waits. It needs the lock of state held.
+// logSummary logs the fleet's capacity, its usage and the pending tasks. The caller must hold
+// the state lock.
 func (l *Leader) logSummary(now units.Micros) {
 	var capacity, used units.Resources
 	reporting := 0
@@ -28,12 +29,13 @@
 		"state_requests", l.KV.Stats.Requests.Load(), "state_writes", l.KV.Stats.Writes.Load())
 }
 
-// isReporting reports whether a machine's heartbeats arrive. It needs the lock of state held.
+// isReporting reports whether a machine is registered and its heartbeats arrive. The caller
+// must hold the state lock.
 func (l *Leader) isReporting(machine *cluster.Machine, now units.Micros) bool {
 	return machine.Registered && now-machine.LastHeartbeat < l.detector.SuspectAfter()
 }
 
-// runningRequests returns what the attempts that run request together.
+// runningRequests returns the sum of the resource requests of all running attempts.
 func runningRequests(state *cluster.State) units.Resources {
 	var running units.Resources
 	for _, machine := range state.Machines {
@@ -46,7 +48,8 @@
 	return running
 }
 
-// teamsNearLimit returns how many teams use more than nine tenths of their quota limit.
+// teamsNearLimit returns how many teams use more than nine tenths of the CPUs of their quota
+// limit.
 func teamsNearLimit(state *cluster.State) int {
 	near := 0
 	for _, team := range state.Teams {
