--- a/internal/controller/admission_plan_test.go
+++ b/internal/controller/admission_plan_test.go
@@ -21,12 +21,12 @@
 // to wait by the new one.
 func TestPendingQueueIsIngestedWithEachPlan(t *testing.T) {
 	store := fake.NewKVServer()
-	leader := newAdmittingLeader(t, 1, store)
+	leader := newLeaderWithAdmission(t, 1, store)
 	fillQuota(t, leader)
-	spec := admittedSpec("j-000901", "team", 1)
+	spec := teamJobSpec("j-000901", "team", 1)
 	leader.expectWait(t, spec)
 	store.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec})) // by the plan that is in force
-	if err := leader.renewPlan(t.Context()); err != nil {
+	if err := leader.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if a := leader.Submit(t.Context(), spec); a.Status == http.StatusTooManyRequests {
@@ -40,12 +40,12 @@
 	store := fake.NewKVServer()
 	var silent atomic.Bool
 	store.DropResponse = func(int) bool { return silent.Load() }
-	leader := newAdmittingLeader(t, 1, store)
+	leader := newLeaderWithAdmission(t, 1, store)
 	fillQuota(t, leader)
-	spec := admittedSpec("j-000901", "team", 1)
+	spec := teamJobSpec("j-000901", "team", 1)
 	leader.expectWait(t, spec)
 	silent.Store(true)
-	if err := leader.renewPlan(t.Context()); err == nil {
+	if err := leader.publishPlan(t.Context()); err == nil {
 		t.Fatal("the answer was not lost")
 	}
 	var refusal protocol.ErrorResponse
@@ -55,7 +55,7 @@
 	}
 	silent.Store(false)
 	written := leader.admission.PlanVersion() + 1
-	if err := leader.renewPlan(t.Context()); err != nil {
+	if err := leader.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if got := leader.admission.PlanVersion(); got <= written {
@@ -68,20 +68,20 @@
 // the successor has changed the bucket heads.
 func TestFormerLeaderWritesNoPlan(t *testing.T) {
 	store := fake.NewKVServer()
-	former := newAdmittingLeader(t, 1, store)
-	if err := former.renewPlan(t.Context()); err != nil {
+	former := newLeaderWithAdmission(t, 1, store)
+	if err := former.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	successor := newAdmittingLeader(t, 2, store)
+	successor := newLeaderWithAdmission(t, 2, store)
 	before, _ := store.Get(admission.KeyPlan)
 	var conflict *kv.VersionConflictError
-	if err := former.renewPlan(t.Context()); !errors.As(err, &conflict) {
+	if err := former.publishPlan(t.Context()); !errors.As(err, &conflict) {
 		t.Errorf("the former leader writes a plan: %v", err)
 	}
 	if after, _ := store.Get(admission.KeyPlan); after.Version != before.Version {
 		t.Error("the record has changed")
 	}
-	if err := successor.renewPlan(t.Context()); err != nil {
+	if err := successor.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	item, _ := store.Get(admission.KeyPlan)
@@ -100,10 +100,10 @@
 	} {
 		store := fake.NewKVServer()
 		store.Put(admission.KeyPlan, protocol.Encode(record))
-		leader := newAdmittingLeader(t, 1, store)
+		leader := newLeaderWithAdmission(t, 1, store)
 		before, _ := store.Get(admission.KeyPlan)
 		for range 3 {
-			if err := leader.renewPlan(t.Context()); !errors.Is(err, admissioncontrol.ErrPlanUnreadable) {
+			if err := leader.publishPlan(t.Context()); !errors.Is(err, admissioncontrol.ErrPlanUnreadable) {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
@@ -114,14 +114,14 @@
 			t.Errorf("%s: in force is %v", what, state.Source)
 		}
 		var submission sync.WaitGroup
-		submission.Go(func() { _ = leader.Submit(t.Context(), admittedSpec(testJob, "team", 1)) })
+		submission.Go(func() { _ = leader.Submit(t.Context(), teamJobSpec(testJob, "team", 1)) })
 		for _, stored := store.Get(storage.KeyJob(testJob)); !stored; _, stored = store.Get(storage.KeyJob(testJob)) {
 			leader.commitNext(t.Context())
 			time.Sleep(time.Millisecond)
 		}
 		submission.Wait()
 		store.Apply(protocol.Txn{Then: []protocol.Change{{Delete: admission.KeyPlan}}})
-		if err := leader.renewPlan(t.Context()); err != nil {
+		if err := leader.publishPlan(t.Context()); err != nil {
 			t.Errorf("%s: after it was deleted: %v", what, err)
 		}
 	}
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -23,12 +23,12 @@
 	store := fake.NewKVServer()
 	var unreadable atomic.Bool
 	store.RejectRequest = func(method, _ string) bool { return method == http.MethodGet && unreadable.Load() }
-	leader := newAdmittingLeader(t, 1, store)
-	if err := leader.renewPlan(t.Context()); err != nil {
+	leader := newLeaderWithAdmission(t, 1, store)
+	if err := leader.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	admitted := make(chan answer.Answer, 1)
-	go func() { admitted <- leader.Submit(t.Context(), admittedSpec(testJob, "team", 1)) }()
+	go func() { admitted <- leader.Submit(t.Context(), teamJobSpec(testJob, "team", 1)) }()
 	var batch *cluster.WriteBatch
 	for batch == nil { // the job is entered, and its write batch built
 		time.Sleep(time.Millisecond)
@@ -57,13 +57,13 @@
 	if a := <-admitted; a.Status == http.StatusCreated {
 		t.Errorf("its user was told %d", a.Status)
 	}
-	leader.expectWait(t, admittedSpec(testJob, "team", 1))
+	leader.expectWait(t, teamJobSpec(testJob, "team", 1))
 	var refusal protocol.ErrorResponse
-	a := leader.Submit(t.Context(), admittedSpec(testJob, "team", 1))
+	a := leader.Submit(t.Context(), teamJobSpec(testJob, "team", 1))
 	if err := protocol.Decode(a.Body, &refusal); err != nil || refusal.PlanVersion != leader.admission.PlanVersion() {
 		t.Errorf("the answer names plan %d, %v", refusal.PlanVersion, err)
 	}
-	if a := leader.Submit(t.Context(), admittedSpec("j-000002", "other", 1)); a.Status == http.StatusTooManyRequests {
+	if a := leader.Submit(t.Context(), teamJobSpec("j-000002", "other", 1)); a.Status == http.StatusTooManyRequests {
 		t.Error("the other team waits for the one that has used up its quota")
 	}
 }
@@ -72,13 +72,13 @@
 // admit it by its own part of the quota.
 func TestUsedUpQuotaIsNotPassedOn(t *testing.T) {
 	store := fake.NewKVServer()
-	leader := newAdmittingLeader(t, 1, store)
-	if err := leader.renewPlan(t.Context()); err != nil {
+	leader := newLeaderWithAdmission(t, 1, store)
+	if err := leader.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	const maxJobs = 100
 	for i := range maxJobs {
-		spec := admittedSpec(fmt.Sprintf("j-%06d", i), "team", 1)
+		spec := teamJobSpec(fmt.Sprintf("j-%06d", i), "team", 1)
 		leader.state.Lock()
 		decision := leader.admission.Admit(spec)
 		leader.state.Unlock()
@@ -99,8 +99,8 @@
 func TestAcceptsAloneOnConditionOfThePlan(t *testing.T) {
 	store := fake.NewKVServer()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
-	leader := newAdmittingLeader(t, 1, store)
-	if err := leader.renewPlan(t.Context()); err != nil {
+	leader := newLeaderWithAdmission(t, 1, store)
+	if err := leader.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	c, _ := newRefusedController(t, store)
@@ -112,7 +112,7 @@
 	admitter := newTestAdmitter(deps)
 	c.deps.Admitter = admitter
 	submit := func(id, team string) int {
-		spec := admittedSpec(id, team, 1)
+		spec := teamJobSpec(id, team, 1)
 		return c.submit(t.Context(), encodeSubmission(spec, team), fromUser).Status
 	}
 	follower := admissioncontrol.NewPlanFollower(admitter)
@@ -135,7 +135,7 @@
 		t.Errorf("before the plan is read: %d", status)
 	}
 	learn() // of unknown age
-	if err := leader.renewPlan(t.Context()); err != nil {
+	if err := leader.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	learn()
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		start(b, func(ctx context.Context) { _ = c.server.Serve(ctx, listener) })
+		startLoop(b, func(ctx context.Context) { _ = c.server.Serve(ctx, listener) })
 		client := transport.NewClient(nil, listener.Addr().String(), 1, protocol.MaxBody)
 		tasks := map[string]protocol.Raw{} // encoded, by machine
 		for i := 0; b.Loop(); i++ {
--- a/internal/controller/broadcast_test.go
+++ b/internal/controller/broadcast_test.go
@@ -16,7 +16,7 @@
 	job := leader.state.Jobs[testJob]
 	const last = "i-000099"
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(encodeReachable(testHeartbeat(last, 1, 1, leader.token)))
+		_, _ = w.Write(encodeWithEndpoint(testHeartbeat(last, 1, 1, leader.token)))
 	}))
 	t.Cleanup(worker.Close)
 	addUnreconciled := func(id, endpoint string) {
@@ -28,7 +28,7 @@
 		addUnreconciled(machineID(i), hanging)
 	}
 	addUnreconciled(last, worker.Listener.Addr().String())
-	start(t, leader.broadcaster.Run)
+	startLoop(t, leader.broadcaster.Run)
 	reconciled := func() bool {
 		leader.state.Lock()
 		defer leader.state.Unlock()
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -12,7 +12,7 @@
 // A fleet of 4,000 machines is kept in records of bounded size, all of it is unreconciled
 // after a failover, and one heartbeat of each machine reconciles it.
 func TestLargestFleetIsRestored(t *testing.T) {
-	leader, heartbeats := reconciledFleet(largestFleet)
+	leader, heartbeats := newReconciledLeader(largestFleet)
 	records := writeAllRecords(leader)
 	limit := leader.Settings.Fleet.State.Lowest().ValueBytes()
 	for _, record := range records {
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -37,11 +37,11 @@
 	} {
 		store := fake.NewKVServer()
 		put(store)
-		leader := newStoredLeader(t, 1, store)
+		leader := newLeaderWithStore(t, 1, store)
 		if leader.persister.Restore(t.Context()) || leader.Ready() {
 			t.Errorf("%s: the node leads", what)
 		}
-		if leader.leadership.Valid() || leader.lease().Abstained != persister.UnreadableAbstention {
+		if leader.leadership.Valid() || leader.fakeLeadership().Abstained != persister.UnreadableAbstention {
 			t.Errorf("%s: the node keeps the lease", what)
 		}
 		if newer := leader.Format.TooNew(); newer != (what == "the fleet's format") {
@@ -83,7 +83,7 @@
 func TestLimitsThatFall(t *testing.T) {
 	store := fake.NewKVServer()
 	store.SetLimits(16<<10, 12, 1000)
-	leader := newStoredLeader(t, 1, store, func(d *Deps) {
+	leader := newLeaderWithStore(t, 1, store, func(d *Deps) {
 		d.Format = fake.NewRecordFormat(storage.FormatOld)
 		d.Settings.Fleet.State = config.KVLimits{
 			RPS:      1e4,
@@ -97,7 +97,7 @@
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	start(t, leader.persister.Run)
+	startLoop(t, leader.persister.Run)
 	durable := func(machines int) func() bool {
 		return func() bool { return leader.state.Jobs[testJob].MachineIsDurable(machineID(machines - 1)) }
 	}
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -17,7 +17,7 @@
 	"dunestand/internal/units"
 )
 
-// unusedAddress is where nothing listens.
+// unusedAddress is an address without a listener: connections to it are refused.
 const unusedAddress = "127.0.0.1:1"
 
 // testEnvironment returns the environment of a controller with the default policy.
@@ -30,7 +30,8 @@
 	}
 }
 
-// newTestController returns a controller that leads, without a key-value store or a cloud.
+// newTestController returns a controller that runs the given leader, without a key-value store
+// or a cloud.
 func newTestController(leader *Leader) *Controller {
 	settings := modelSettings()
 	settings.Services.State, settings.Services.Cloud = unusedAddress, unusedAddress
@@ -39,7 +40,7 @@
 	return c
 }
 
-// listenHanging returns the address of a listener that accepts nothing: requests wait.
+// listenHanging returns the address of a listener that never accepts: requests to it hang.
 func listenHanging(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,8 +51,8 @@
 	return listener.Addr().String()
 }
 
-// newRefusedController returns a controller whose only peer, "leader", refuses its links.
-// Its key-value store does not answer if none is given.
+// newRefusedController returns a controller whose only peer, "leader", refuses its connections.
+// If store is nil, requests to the key-value store hang.
 func newRefusedController(t *testing.T, store *fake.KVServer) (*Controller, *fake.Clock) {
 	t.Helper()
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,26 +72,27 @@
 	}
 	clock := &fake.Clock{Now: 100 * units.Second}
 	c := New(settings, testEnvironment(clock))
-	start(t, c.peers.Run)
+	startLoop(t, c.peers.Run)
 	if !eventually(10*time.Second, func() bool { return c.peers.RefusesConnections("leader") }) {
-		t.Fatal("the link is not refused")
+		t.Fatal("connection to the peer not refused")
 	}
 	c.leaderReachedAt.Store(int64(clock.Now))
 	return c, clock
 }
 
-// sawRenewal has the controller read the leader's lease record at the given version.
-func (c *Controller) sawRenewal(version uint64) {
+// observeLeaseRecord has the controller read the lease record of "leader" at the given version.
+func (c *Controller) observeLeaseRecord(version uint64) {
 	c.elector.ObserveRecord(storage.LeaseRecord{Holder: "leader", Incarnation: 3}, version)
 }
 
-// encodeReachable returns a heartbeat as a worker sends it, with an endpoint for commands.
-func encodeReachable(heartbeat *protocol.Heartbeat) []byte {
+// encodeWithEndpoint returns an encoded heartbeat with an endpoint to which commands can be
+// pushed.
+func encodeWithEndpoint(heartbeat *protocol.Heartbeat) []byte {
 	heartbeat.Endpoint = "10.1.0.1:9000"
 	return protocol.EncodeHeartbeat(heartbeat)
 }
 
-// encodeSubmission returns a job's submission by a team as a user sends it.
+// encodeSubmission returns the encoded submission of a job by a team, as a user sends it.
 func encodeSubmission(spec *protocol.JobSpec, team string) []byte {
 	return protocol.Encode(map[string]any{
 		protocol.FieldID:                 spec.ID,
--- a/internal/controller/harness_failover_test.go
+++ b/internal/controller/harness_failover_test.go
@@ -16,18 +16,18 @@
 	"dunestand/internal/units"
 )
 
-// failoverFleet is a few workers, a key-value store, and leaders that follow each other. The
-// test orders the messages; what must hold is checked on the workers themselves.
+// failoverFleet consists of a few workers, a key-value store and successive leaders. The test
+// decides the order of the messages; the invariants are checked on the workers.
 type failoverFleet struct {
 	t       *testing.T
 	store   *fake.KVServer
 	leader  *Leader
 	workers []*modelWorker
-	cpus    map[string]int // that a task requests, by job
-	log     bytes.Buffer   // of all leaders, at level info
+	cpus    map[string]int // requested by each task, by job ID
+	log     bytes.Buffer   // log of all leaders, at level info
 }
 
-// newFailoverFleet returns workers under a first leader, which has no jobs.
+// newFailoverFleet returns a fleet of workers with a first leader that has no jobs.
 func newFailoverFleet(t *testing.T, workers int) *failoverFleet {
 	f := &failoverFleet{t: t, store: fake.NewKVServer(), cpus: map[string]int{}}
 	for i := range workers {
@@ -38,23 +38,23 @@
 			tasks:       map[taskKey]modelTask{},
 		})
 	}
-	f.lead(2)
+	f.startLeader(2)
 	return f
 }
 
-// lead makes a new leader that has restored the records; the former one has ended.
-func (f *failoverFleet) lead(token uint64) {
+// startLeader replaces the leader with a new one that has restored the records.
+func (f *failoverFleet) startLeader(token uint64) {
 	f.t.Helper()
-	f.leader = newStoredLeader(f.t, token, f.store, func(d *Deps) {
+	f.leader = newLeaderWithStore(f.t, token, f.store, func(d *Deps) {
 		d.Log = slog.New(slog.NewTextHandler(&f.log, nil))
 	})
 	if !f.leader.persister.Restore(f.t.Context()) {
-		f.t.Fatal("the records are not restored")
+		f.t.Fatal("records not restored")
 	}
 	f.leader.state.SetInstanceTypes(modelCatalog.Types)
 }
 
-// submit has the leader accept a job whose tasks run for long.
+// submit has the leader accept a job with long-running tasks.
 func (f *failoverFleet) submit(id string, tasks, cpus int) {
 	spec := *fake.JobSpec(id)
 	spec.Tasks, spec.Request, spec.Estimate = tasks, fake.CPUs(cpus), noticePeriod/2
@@ -64,33 +64,34 @@
 	f.leader.commitNext(f.t.Context())
 }
 
-// passTime moves the leader's clock.
-func (f *failoverFleet) passTime(d units.Micros) { f.leader.Clock.(*fake.Clock).Now += d }
+// advanceClock advances the leader's clock by d.
+func (f *failoverFleet) advanceClock(d units.Micros) { f.leader.Clock.(*fake.Clock).Now += d }
 
-// serve brings the leader a heartbeat and returns its answer.
-func (f *failoverFleet) serve(heartbeat *protocol.Heartbeat) protocol.HeartbeatResponse {
+// deliverHeartbeat delivers a heartbeat to the leader and returns the response.
+func (f *failoverFleet) deliverHeartbeat(heartbeat *protocol.Heartbeat) protocol.HeartbeatResponse {
 	f.t.Helper()
 	response, err := f.leader.Heartbeat(f.t.Context(), heartbeat, nil)
 	if err != nil && !errors.Is(err, errStaleHeartbeat) {
 		f.t.Fatal(err)
 	}
-	f.leader.commitNext(f.t.Context()) // starts that wait for it go with the next answer
+	f.leader.commitNext(f.t.Context()) // start commands that depend on this write are in the next response
 	return response
 }
 
-// exchange has a worker send a heartbeat a second later and carry out the answer.
+// exchange has a worker send a heartbeat one second later and carry out the commands in the
+// response.
 func (f *failoverFleet) exchange(worker *modelWorker) {
 	f.t.Helper()
-	f.passTime(units.Second)
-	response := f.serve(worker.nextHeartbeat())
+	f.advanceClock(units.Second)
+	response := f.deliverHeartbeat(worker.nextHeartbeat())
 	worker.token = response.FencingToken
 	for _, command := range response.Commands {
 		worker.carryOut(command)
 	}
-	f.checkRules()
+	f.checkInvariants()
 }
 
-// exchangeUntil repeats exchange until a condition holds.
+// exchangeUntil repeats exchange until condition holds, for ten heartbeats at most.
 func (f *failoverFleet) exchangeUntil(worker *modelWorker, condition func() bool) {
 	f.t.Helper()
 	for range 10 {
@@ -99,11 +100,12 @@
 		}
 		f.exchange(worker)
 	}
-	f.t.Fatalf("not after ten heartbeats of %s: %v", worker.id, worker.tasks)
+	f.t.Fatalf("condition does not hold after ten heartbeats of %s: tasks %v", worker.id, worker.tasks)
 }
 
-// checkRules checks that no task is on two workers and that the team is within its limit.
-func (f *failoverFleet) checkRules() {
+// checkInvariants checks that each task is on one worker at most and that the team is within
+// its quota limit.
+func (f *failoverFleet) checkInvariants() {
 	f.t.Helper()
 	on, used := map[taskKey]string{}, 0
 	for _, worker := range f.workers {
@@ -119,28 +121,28 @@
 		}
 	}
 	if used > modelQuotaCPUs {
-		f.t.Fatalf("the team uses %d of %d processors", used, modelQuotaCPUs)
+		f.t.Fatalf("team uses %d CPUs, quota limit is %d", used, modelQuotaCPUs)
 	}
 }
 
-// noticePeriod is when a worker that shows a termination notice ends.
+// noticePeriod is the time from a termination notice until the machine terminates.
 const noticePeriod = 600 * units.Second
 
-// heartbeatWithNotice returns a heartbeat that shows a termination notice: the machine gets no
-// more work, and its tasks end before.
+// heartbeatWithNotice returns a heartbeat with a termination notice: the machine gets no more
+// work, and its tasks end before it terminates.
 func (w *modelWorker) heartbeatWithNotice() *protocol.Heartbeat {
 	heartbeat := w.nextHeartbeat()
 	heartbeat.TerminationNoticed, heartbeat.TerminationIn = true, noticePeriod
 	return heartbeat
 }
 
-// broadcastTo has the leader broadcast its token until a worker has answered with the next
-// heartbeat.
+// broadcastTo has the leader broadcast its fencing token until a worker has answered with the
+// heartbeat that next returns.
 func (f *failoverFleet) broadcastTo(worker *modelWorker, next func() *protocol.Heartbeat) {
 	f.t.Helper()
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		worker.token = f.leader.token
-		_, _ = w.Write(encodeReachable(next()))
+		_, _ = w.Write(encodeWithEndpoint(next()))
 	}))
 	defer endpoint.Close()
 	state := f.leader.state
@@ -157,6 +159,6 @@
 	cancel()
 	broadcast.Wait()
 	if !answered {
-		f.t.Fatalf("%s has not answered the broadcast", worker.id)
+		f.t.Fatalf("broadcast to %s not answered within 10 s", worker.id)
 	}
 }
--- a/internal/controller/harness_fleet_test.go
+++ b/internal/controller/harness_fleet_test.go
@@ -10,8 +10,8 @@
 	"dunestand/internal/units"
 )
 
-// newBusyLeader returns a leader under a burst, and its machines' heartbeats: machines that
-// are full with 16 tasks each, and 300 jobs of up to 3,000 tasks that are pending.
+// newBusyLeader returns a leader under a burst of load and the heartbeats of its machines. Each
+// machine is full with 16 tasks; 300 jobs of up to 3,000 tasks are pending.
 func newBusyLeader(machines int) (*Leader, []*protocol.Heartbeat) {
 	clock := &fake.Clock{Now: units.Second}
 	leader := newTestLeader(1, clock)
@@ -54,12 +54,13 @@
 	return leader, heartbeats
 }
 
-// largestFleet is the largest fleet that is run, in machines. No fixed bound may be reached
-// below it.
+// largestFleet is the largest supported fleet, in machines. No fixed limit may be reached at
+// this size or below.
 const largestFleet = 4000
 
-// reconciledFleet returns a leader with jobs on every machine of a fleet, and their heartbeats.
-func reconciledFleet(machines int) (*Leader, []*protocol.Heartbeat) {
+// newReconciledLeader returns a leader with tasks on every machine of a fleet, and the
+// heartbeats of the machines.
+func newReconciledLeader(machines int) (*Leader, []*protocol.Heartbeat) {
 	const perMachine, jobs = 4, 40
 	leader, clock := newEmptyLeader(1, units.Second)
 	leader.state.UpgradeFormat(storage.FormatNew, clock.Now)
@@ -84,10 +85,10 @@
 	return leader, heartbeats
 }
 
-// machineID returns the ID of a fleet's machine.
+// machineID returns the ID of the i-th machine of a fleet.
 func machineID(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// runningStatus returns how a worker shows an attempt that runs.
+// runningStatus returns the task status that a worker reports for a running attempt.
 func runningStatus(attempt *cluster.Attempt) protocol.TaskStatus {
 	return protocol.TaskStatus{
 		Job:     attempt.Job.Spec.ID,
--- a/internal/controller/harness_service_test.go
+++ b/internal/controller/harness_service_test.go
@@ -11,8 +11,8 @@
 	"dunestand/internal/units"
 )
 
-// newServiceLeader returns a leader of testJob, a service of some replicas, and the workers of
-// four machines in two zones.
+// newServiceLeader returns a leader of testJob, a service with the given number of replicas,
+// its clock, and a fleet of four machines in two zones.
 func newServiceLeader(t *testing.T, replicas int, spread bool) (*Leader, *fake.Clock, *serviceFleet) {
 	t.Helper()
 	clock := &fake.Clock{Now: 100 * units.Second}
@@ -32,7 +32,7 @@
 	return leader, clock, fleet
 }
 
-// serviceFleet is the workers of a service's machines.
+// serviceFleet simulates the workers on the machines of a service.
 type serviceFleet struct {
 	t        *testing.T
 	leader   *Leader
@@ -41,7 +41,7 @@
 	started  int                            // replicas started so far
 }
 
-// exchangeAll has every machine send one heartbeat and carry out its answer.
+// exchangeAll has every machine send one heartbeat and carry out the commands in the response.
 func (f *serviceFleet) exchangeAll() {
 	f.t.Helper()
 	f.clock.Now += units.Second
@@ -54,7 +54,8 @@
 	}
 }
 
-// execute carries a command out on a machine. A replica may not start while it runs elsewhere.
+// execute carries out a command on a machine. It fails the test if a replica starts while it
+// runs elsewhere.
 func (f *serviceFleet) execute(heartbeat *protocol.Heartbeat, command protocol.Command) {
 	f.t.Helper()
 	var tasks []protocol.TaskStatus
@@ -76,7 +77,7 @@
 	if _, err := fmt.Sscanf(command.Task, "%8s/%d", &job, &index); err != nil {
 		f.t.Fatal(err)
 	}
-	if on, _ := f.where(job, index); on != "" {
+	if on, _ := f.findReplica(job, index); on != "" {
 		f.t.Fatalf("%s starts on %s while it is on %s", command.Task, heartbeat.Machine, on)
 	}
 	f.started++
@@ -88,8 +89,9 @@
 	})
 }
 
-// where returns the machine on which a replica runs, "" if none, and its status there.
-func (f *serviceFleet) where(job string, index int) (machine string, task *protocol.TaskStatus) {
+// findReplica returns the machine on which a replica runs and its status there; "" and nil if
+// it does not run.
+func (f *serviceFleet) findReplica(job string, index int) (machine string, task *protocol.TaskStatus) {
 	for id, heartbeat := range f.machines {
 		for i := range heartbeat.Tasks {
 			if heartbeat.Tasks[i].Job == job && heartbeat.Tasks[i].Index == index && heartbeat.Tasks[i].Stage != protocol.TaskExited {
@@ -100,19 +102,19 @@
 	return "", nil
 }
 
-// running returns how many replicas run.
-func (f *serviceFleet) running() int {
+// runningReplicas returns the number of running replicas.
+func (f *serviceFleet) runningReplicas() int {
 	n := 0
 	for i := range f.leader.state.Jobs[testJob].Spec.Tasks {
-		if on, _ := f.where(testJob, i); on != "" {
+		if on, _ := f.findReplica(testJob, i); on != "" {
 			n++
 		}
 	}
 	return n
 }
 
-// zones returns how many replicas run, by zone.
-func (f *serviceFleet) zones() map[string]int {
+// replicasByZone returns the number of running replicas by zone.
+func (f *serviceFleet) replicasByZone() map[string]int {
 	zones := map[string]int{}
 	for _, heartbeat := range f.machines {
 		for _, task := range heartbeat.Tasks {
@@ -124,8 +126,8 @@
 	return zones
 }
 
-// end has a replica exit by itself.
-func (f *serviceFleet) end(index int, cause protocol.ExitCause) {
-	_, task := f.where(testJob, index)
+// exitReplica has a replica exit with the given cause, without a stop command.
+func (f *serviceFleet) exitReplica(index int, cause protocol.ExitCause) {
+	_, task := f.findReplica(testJob, index)
 	task.Stage, task.Cause = protocol.TaskExited, cause
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -21,13 +21,13 @@
 	"dunestand/internal/units"
 )
 
-// This file makes leaders for tests and takes single steps with them; the files harness_*
-// hold what only some of the tests need.
+// This file creates leaders for tests and runs single steps of them. The other files
+// harness_*_test.go hold what only some of the tests need.
 
-// testJob is the job of the leaders that have just one.
+// testJob is the ID of the job in tests with a single job.
 const testJob = "j-000001"
 
-// modelSettings returns the settings of a fleet of one team and one zone.
+// modelSettings returns the settings of a fleet with one team and one zone.
 func modelSettings() *config.Settings {
 	return &config.Settings{Node: "n", Fleet: config.Fleet{Zones: []string{"a"},
 		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: modelQuotaCPUs}},
@@ -42,7 +42,7 @@
 		Resources: config.Resources{CoreShare: 1, RAMMB: 100, MaxConnections: 100}}}
 }
 
-// modelCatalog is that fleet's only instance type.
+// modelCatalog is the catalog of that fleet: a single instance type.
 var modelCatalog = protocol.Catalog{Types: []protocol.InstanceType{
 	{
 		Name:      "m",
@@ -55,7 +55,7 @@
 		Zones:     []string{"a"},
 	}}}
 
-// testHeartbeat returns a heartbeat without tasks of a spot instance of that fleet.
+// testHeartbeat returns a heartbeat, without task statuses, of a spot instance of that fleet.
 func testHeartbeat(machine string, incarnation, sequence, token uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine:      machine,
@@ -68,8 +68,8 @@
 	}
 }
 
-// newTestLeader returns a leader whose lease holds until it is taken from it. The changes are
-// made to its dependencies before it is made.
+// newTestLeader returns a leader whose lease is valid until the test revokes it. The changes
+// are applied to the leader's dependencies before it is created.
 func newTestLeader(token uint64, clock units.Clock, changes ...func(*Deps)) *Leader {
 	deps := Deps{
 		Settings:         modelSettings(),
@@ -87,7 +87,7 @@
 	return NewLeader(&fake.Leadership{FencingToken: token}, deps)
 }
 
-// newEmptyLeader returns a leader that has restored no jobs, and its clock, which shows now.
+// newEmptyLeader returns a leader that has restored no jobs, and its clock, set to now.
 func newEmptyLeader(token uint64, now units.Micros) (*Leader, *fake.Clock) {
 	clock := &fake.Clock{Now: now}
 	leader := newTestLeader(token, clock)
@@ -95,7 +95,8 @@
 	return leader, clock
 }
 
-// newLeaderWithJob returns a leader with token 7 of testJob, which is durable and pending.
+// newLeaderWithJob returns a leader with fencing token 7 and one job, testJob, which is durable
+// and pending.
 func newLeaderWithJob(t *testing.T, tasks int) (*Leader, *fake.Clock) {
 	t.Helper()
 	leader, clock := newEmptyLeader(7, 100*units.Second)
@@ -106,8 +107,9 @@
 	return leader, clock
 }
 
-// newStoredLeader returns a leader over a key-value store. It has not restored its records.
-func newStoredLeader(t *testing.T, token uint64, store *fake.KVServer, changes ...func(*Deps)) *Leader {
+// newLeaderWithStore returns a leader that uses a key-value store. It has not restored its
+// records.
+func newLeaderWithStore(t *testing.T, token uint64, store *fake.KVServer, changes ...func(*Deps)) *Leader {
 	t.Helper()
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
@@ -122,21 +124,21 @@
 	}}, changes...)...)
 }
 
-// setFormat sets the fleet's format as the leader knows it.
+// setFormat sets the record format that the leader uses.
 func (l *Leader) setFormat(level storage.Format) {
 	l.Format.(*fake.RecordFormat).Level.Store(int64(level))
 }
 
-// lease returns the leader's leadership, for tests that take it away or look at it.
-func (l *Leader) lease() *fake.Leadership { return l.leadership.(*fake.Leadership) }
+// fakeLeadership returns the leader's fake leadership, for tests that revoke or inspect it.
+func (l *Leader) fakeLeadership() *fake.Leadership { return l.leadership.(*fake.Leadership) }
 
 // records returns a reader of the leader's records.
 func (l *Leader) records() recordReader {
 	return recordReader{store: l.KV, clock: l.Clock, workers: l.Settings.Fleet.Workers}
 }
 
-// exchange has the leader handle a heartbeat and returns its commands; write batches that the
-// answer needs are committed first.
+// exchange has the leader handle a heartbeat and returns the commands in its response, after
+// committing the write batches that the response depends on.
 func (l *Leader) exchange(heartbeat *protocol.Heartbeat) []protocol.Command {
 	now := l.Clock.Steady()
 	machine := l.reconciler.Reconcile(heartbeat, now)
@@ -148,7 +150,7 @@
 	return l.reconciler.Commands(machine, heartbeat, now)
 }
 
-// nextBatch builds the next write batch, nil if none is due.
+// nextBatch builds the next write batch. It returns nil if none is due.
 func (l *Leader) nextBatch() *cluster.WriteBatch {
 	l.state.Lock()
 	defer l.state.Unlock()
@@ -169,7 +171,7 @@
 	}
 }
 
-// writeAllRecords writes every job and returns the records.
+// writeAllRecords writes all jobs of a leader and returns their records.
 func writeAllRecords(leader *Leader) []protocol.Item {
 	var records []protocol.Item
 	for _, job := range leader.state.Jobs {
@@ -187,7 +189,7 @@
 	}
 }
 
-// decodeState returns the job's state that an answer gives.
+// decodeState returns the job state in the body of an answer.
 func decodeState(t *testing.T, a answer.Answer) protocol.JobState {
 	t.Helper()
 	var state protocol.JobState
@@ -197,8 +199,8 @@
 	return state
 }
 
-// start runs a loop until the test ends, and then waits for it.
-func start(t testing.TB, loop func(context.Context)) {
+// startLoop runs loop in a goroutine until the test ends, and then waits for it to return.
+func startLoop(t testing.TB, loop func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -212,7 +214,7 @@
 	})
 }
 
-// eventually reports whether a condition holds within a limit.
+// eventually reports whether condition becomes true within limit.
 func eventually(limit time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(limit); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -23,7 +23,7 @@
 func TestNodeThatTheLeaderRefuses(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
 	for version := uint64(1); version <= 2; version++ {
-		c.sawRenewal(version)
+		c.observeLeaseRecord(version)
 		if got := c.redirectTarget(); got != "leader" {
 			t.Fatalf("workers are redirected to %q", got)
 		}
@@ -33,12 +33,12 @@
 		clock.Now += units.Second
 	}
 	clock.Now += units.Second
-	c.sawRenewal(3)
+	c.observeLeaseRecord(3)
 	if response := c.health(); response.Status != http.StatusServiceUnavailable {
 		t.Error("a node that can forward nothing counts as healthy")
 	}
 	clock.Now += c.elector.LeaseDuration()
-	c.sawRenewal(3) // the record is read, and unchanged
+	c.observeLeaseRecord(3) // the record is read, and unchanged
 	if got := c.redirectTarget(); got != "" {
 		t.Errorf("workers are redirected to %q, which does not renew", got)
 	}
@@ -74,7 +74,7 @@
 	}
 	clock := &fake.Clock{Now: 100 * units.Second}
 	env := testEnvironment(clock)
-	start(t, func(ctx context.Context) {
+	startLoop(t, func(ctx context.Context) {
 		_ = transport.ServeMesh(ctx, mesh, env.Log, func(ctx context.Context, frame []byte) ([]byte, error) {
 			return peers.AnswerFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
 				return answer.StateResponse(http.StatusOK, protocol.JobState{ID: testJob, Stage: protocol.StagePending})
@@ -88,7 +88,7 @@
 	record := storage.LeaseRecord{Holder: settings.Node, Incarnation: 3}
 	c.elector.ObserveRecord(record, 1)
 	clock.Now += leaseRecordTTL + units.Millisecond
-	start(t, c.peers.Run)
+	startLoop(t, c.peers.Run)
 	if !eventually(10*time.Second, func() bool { return c.redirectTarget() == "next" }) {
 		t.Fatalf("workers are redirected to %q", c.redirectTarget())
 	}
--- a/internal/controller/heartbeatlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -50,7 +50,7 @@
 	controller := newTestController(leader)
 	send := func(machine string, sequence uint64) <-chan int {
 		status := make(chan int, 1)
-		body := encodeReachable(testHeartbeat(machine, 1, sequence, 1))
+		body := encodeWithEndpoint(testHeartbeat(machine, 1, sequence, 1))
 		go func() {
 			status <- controller.handleHeartbeat(t.Context(), transport.Request{Body: body}).Status
 		}()
--- a/internal/controller/incident_ran_twice_test.go
+++ b/internal/controller/incident_ran_twice_test.go
@@ -29,13 +29,13 @@
 	first, second := f.workers[0], f.workers[1]
 	oldCopy := preemptOnFirstAndStartOnSecond(f)
 
-	f.leader.lease().Lost = true
-	f.lead(3)
+	f.leader.fakeLeadership().Lost = true
+	f.startLeader(3)
 	if !f.leader.state.Unreconciled.Contains(second.id) {
 		t.Fatal("the job's record does not name the machine that runs its task")
 	}
 
-	f.serve(oldCopy) // nobody waits for the answer
+	f.deliverHeartbeat(oldCopy) // nobody waits for the answer
 	// The second machine had no capacity for more work; here its notice keeps that away.
 	f.broadcastTo(second, second.heartbeatWithNotice)
 	for range 4 {
@@ -66,7 +66,7 @@
 	state.StopAttempt(state.Machines[first.id].SortedAttempts()[0], 0)
 	state.Jobs[testJob].RetryAt = f.leader.Clock.Steady() + preemptorRuns
 	f.exchangeUntil(first, func() bool { return len(first.tasks) == 0 })
-	f.passTime(preemptorRuns)
+	f.advanceClock(preemptorRuns)
 	f.exchangeUntil(second, func() bool { return second.holds(task) })
 	f.exchange(second)
 	return oldCopy
@@ -79,10 +79,10 @@
 	f := newFailoverFleet(t, 2)
 	first, second := f.workers[0], f.workers[1]
 	oldCopy := preemptOnFirstAndStartOnSecond(f)
-	f.lead(3)
-	f.serve(oldCopy)
+	f.startLeader(3)
+	f.deliverHeartbeat(oldCopy)
 	f.broadcastTo(second, second.nextHeartbeat)
-	f.serve(oldCopy) // once more: it is older than one handled now
+	f.deliverHeartbeat(oldCopy) // once more: it is older than one handled now
 
 	const claim = `msg="task claimed by two machines" token=3 task=j-000001/0 tasks=1 attempt=8589934594 machine=i-000001 ` +
 		`incarnation=1 sequence=5 shows_token=3 other_attempt=8589934593 other_machine=i-000000 other_incarnation=1 ` +
@@ -130,10 +130,10 @@
 		Stage:   protocol.TaskExited,
 		Cause:   protocol.CauseDone,
 	}}
-	f.serve(late)
-	f.serve(busy.nextHeartbeat())
+	f.deliverHeartbeat(late)
+	f.deliverHeartbeat(busy.nextHeartbeat())
 
-	f.lead(3)
+	f.startLeader(3)
 	if !f.leader.state.Jobs[testJob].IsDone(0) {
 		t.Fatal("the completion is not restored")
 	}
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("poll of an unknown job: %d", a.Status)
 	}
 
-	leader := newStoredLeader(t, 1, store)
+	leader := newLeaderWithStore(t, 1, store)
 	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
@@ -63,8 +63,8 @@
 	if a := leader.Submit(ctx, infeasible); a.Status == http.StatusUnprocessableEntity {
 		t.Error("the duplicate of an accepted job is rejected")
 	}
-	start(t, leader.persister.Run)
-	start(t, leader.ingester.Run)
+	startLoop(t, leader.persister.Run)
+	startLoop(t, leader.ingester.Run)
 	if !eventually(10*time.Second, func() bool { return len(store.Keys(storage.PrefixPending)) == 0 }) {
 		t.Fatal("it stays in the pending-submission queue")
 	}
@@ -119,12 +119,12 @@
 		Tasks: 2,
 		Done:  2,
 	}))
-	leader := newStoredLeader(t, 1, store)
+	leader := newLeaderWithStore(t, 1, store)
 	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	start(t, leader.persister.Run)
-	start(t, leader.ingester.Run)
+	startLoop(t, leader.persister.Run)
+	startLoop(t, leader.ingester.Run)
 	cleared := func() bool {
 		if len(store.Keys(storage.PrefixPending)) == 0 {
 			return true
--- a/internal/controller/model_end_test.go
+++ b/internal/controller/model_end_test.go
@@ -6,38 +6,39 @@
 	"dunestand/internal/units"
 )
 
-// endFaults ends all faults and plays on until every accepted job that was not
-// cancelled is done. No job may be forgotten, and none may wait for ever.
-func (m *model) endFaults() {
+// drainWithoutFaults ends all faults and continues until every accepted job has had time to
+// finish. It checks that every job that was not cancelled is done, every service runs all its
+// replicas, and the pending-submission queue is empty.
+func (m *model) drainWithoutFaults() {
 	m.faultsEnded = true
 	for _, worker := range m.workers {
-		worker.answersLost, worker.heartbeatsLost, worker.hungUntil = false, false, 0
+		worker.responsesLost, worker.heartbeatsLost, worker.hungUntil = false, false, 0
 	}
 	m.finishUpgrade()
-	m.landPending()
+	m.commitPendingSubmissions()
 	accepted := m.acceptedJobs()
 	for range 600 {
-		m.playWithoutFaults()
+		m.stepWithoutFaults()
 	}
 	if left := m.pendingItems(); len(left) > 0 {
-		m.t.Fatalf("%d jobs are in the pending-submission queue long after all faults", len(left))
+		m.t.Fatalf("%d jobs are still in the pending-submission queue long after the last fault", len(left))
 	}
 	for id, open := range accepted {
 		if open && m.services[id] {
 			if running := m.runningTasks(id); running != m.jobs[id] {
-				m.t.Fatalf("%d of %d replicas of %s run long after all faults", running, m.jobs[id], id)
+				m.t.Fatalf("%d of %d replicas of %s run long after the last fault", running, m.jobs[id], id)
 			}
 			continue
 		}
 		if open && m.terminalStages[id] != protocol.StageDone {
 			job := m.leader.state.Jobs[id]
-			m.t.Fatalf("%s is not done long after all faults: terminal stage %q, known %v", id, m.terminalStages[id], job != nil)
+			m.t.Fatalf("%s is not done long after the last fault: terminal stage %q, known to the leader %v", id, m.terminalStages[id], job != nil)
 		}
 	}
 }
 
-// acceptedJobs returns the jobs that a user may have been told of; true for those that are
-// neither cancelled nor in a terminal state.
+// acceptedJobs returns the jobs whose acceptance may have been confirmed to a user. The value
+// is true for those that are neither cancelled nor in a terminal state.
 func (m *model) acceptedJobs() map[string]bool {
 	accepted := map[string]bool{}
 	for _, item := range m.pendingItems() {
@@ -50,8 +51,9 @@
 	return accepted
 }
 
-// playWithoutFaults lets half a second pass in which everybody does what is due.
-func (m *model) playWithoutFaults() {
+// stepWithoutFaults advances the clock by half a second and performs all actions of the leader
+// and the workers that are due.
+func (m *model) stepWithoutFaults() {
 	m.clock.Now += 500 * units.Millisecond
 	m.ingestPending()
 	for range 4 {
@@ -64,14 +66,14 @@
 			m.releaseWorker(i)
 			continue
 		}
-		if worker.answerAwaited && m.clock.Now-worker.sentAt > workerTimeout {
-			worker.answerAwaited, worker.answer = false, nil
+		if worker.responseAwaited && m.clock.Now-worker.sentAt > workerTimeout {
+			worker.responseAwaited, worker.response = false, nil
 		}
-		if !worker.answerAwaited {
+		if !worker.responseAwaited {
 			m.sendHeartbeat(worker)
 		}
-		m.deliverTo(worker)
-		m.workOn(worker)
+		m.deliverResponse(worker)
+		m.endRunningTask(worker)
 		m.checkInvariants()
 	}
 }
--- a/internal/controller/model_fault_test.go
+++ b/internal/controller/model_fault_test.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/units"
 )
 
-// deliverDelayedHeartbeat brings the leader a heartbeat that was held back. Nobody waits for
-// the answer any more.
+// deliverDelayedHeartbeat delivers a delayed heartbeat to the leader. The worker no longer
+// waits for the response.
 func (m *model) deliverDelayedHeartbeat() {
 	if len(m.delayedHeartbeats) == 0 {
 		return
@@ -18,87 +18,89 @@
 	i := rapid.IntRange(0, len(m.delayedHeartbeats)-1).Draw(m.t, "delayed heartbeat")
 	heartbeat := m.delayedHeartbeats[i]
 	for _, worker := range m.workers {
-		if worker.id == heartbeat.Machine && worker.answerAwaited && worker.sequence == heartbeat.Sequence && worker.incarnation == heartbeat.Incarnation {
-			return // it still waits
+		if worker.id == heartbeat.Machine && worker.responseAwaited && worker.sequence == heartbeat.Sequence && worker.incarnation == heartbeat.Incarnation {
+			return // the worker still waits for the response
 		}
 	}
 	m.delayedHeartbeats = slices.Delete(m.delayedHeartbeats, i, i+1)
-	m.serve(heartbeat)
+	m.handleHeartbeat(heartbeat)
 }
 
-// copiesComeFor is for how long after a heartbeat a copy of it may come.
-const copiesComeFor = 60 * units.Second
+// duplicateWindow is how long after a heartbeat was sent a duplicate of it may be delivered.
+const duplicateWindow = 60 * units.Second
 
-// sentHeartbeat is a heartbeat that a worker has sent, whether or not it has arrived.
+// sentHeartbeat is a heartbeat that a worker has sent, whether or not it was delivered.
 type sentHeartbeat struct {
 	heartbeat *protocol.Heartbeat
 	at        units.Micros
 }
 
-// keepForCopies keeps a heartbeat that is sent now.
-func (m *model) keepForCopies(heartbeat *protocol.Heartbeat) {
+// retainForDuplicates records a heartbeat that is sent now, so that deliverDuplicate can
+// deliver it again.
+func (m *model) retainForDuplicates(heartbeat *protocol.Heartbeat) {
 	m.sentHeartbeats = slices.DeleteFunc(m.sentHeartbeats, func(s sentHeartbeat) bool {
-		return m.clock.Now-s.at > copiesComeFor
+		return m.clock.Now-s.at > duplicateWindow
 	})
 	m.sentHeartbeats = append(m.sentHeartbeats, sentHeartbeat{heartbeat, m.clock.Now})
 }
 
-// deliverCopy brings the leader a copy of any heartbeat of the last minute, also of a machine
-// that is gone. Nobody waits for the answer.
-func (m *model) deliverCopy() {
+// deliverDuplicate delivers a duplicate of any heartbeat of the last minute to the leader,
+// including those of released machines. No worker waits for the response.
+func (m *model) deliverDuplicate() {
 	if len(m.sentHeartbeats) > 0 {
-		m.serve(rapid.SampledFrom(m.sentHeartbeats).Draw(m.t, "copied heartbeat").heartbeat)
+		m.handleHeartbeat(rapid.SampledFrom(m.sentHeartbeats).Draw(m.t, "duplicated heartbeat").heartbeat)
 	}
 }
 
-// failOverAmongCopies has a new leader hear copies, answers to its broadcast and heartbeats in
-// any order, while answers to the workers are lost or come late.
-func (m *model) failOverAmongCopies() {
+// failOverWithDuplicates elects a new leader, which receives duplicates, answers to its
+// broadcast and heartbeats in any order, while responses to the workers are lost or delayed.
+func (m *model) failOverWithDuplicates() {
 	m.failOver()
-	m.playAmongCopies()
+	m.deliverMixedMessages()
 }
 
-// moveTasksPastFailover preempts what runs on a worker, so that it starts elsewhere. The next
-// leader hears first how it was before, and of some other workers only what they answer to its
+// preemptThenFailOver preempts the tasks on a worker, so that they start elsewhere, and then
+// fails over. The first message to the next leader is the worker's heartbeat from before the
+// preemption. From some other workers the next leader receives only their answers to its
 // broadcast.
-func (m *model) moveTasksPastFailover() {
+func (m *model) preemptThenFailOver() {
 	busy := slices.DeleteFunc(slices.Clone(m.workers), func(w *modelWorker) bool { return len(w.tasks) == 0 })
 	if len(busy) == 0 {
 		return
 	}
 	worker := rapid.SampledFrom(busy).Draw(m.t, "busy worker")
-	if worker.answerAwaited {
-		m.deliverTo(worker)
+	if worker.responseAwaited {
+		m.deliverResponse(worker)
 	}
 	machine := m.leader.state.Machines[worker.id]
-	if !m.isUndisturbed(worker) || machine == nil {
+	if !m.isIdleAndFaultFree(worker) || machine == nil {
 		return
 	}
-	before := worker.nextHeartbeat()
+	oldHeartbeat := worker.nextHeartbeat()
 	for _, attempt := range machine.SortedAttempts() {
 		m.leader.state.StopAttempt(attempt, 0)
 	}
-	machine.BlockedUntil = m.clock.Now + modelLease // else it all starts there again
-	m.runWithout(nil, units.Micros(rapid.IntRange(2, 6).Draw(m.t, "seconds"))*units.Second)
+	machine.BlockedUntil = m.clock.Now + modelLease // otherwise the tasks start there again
+	m.runAllExcept(nil, units.Micros(rapid.IntRange(2, 6).Draw(m.t, "seconds"))*units.Second)
 	m.failOver()
-	m.serve(before)
-	var mute []*modelWorker
+	m.handleHeartbeat(oldHeartbeat)
+	var broadcastOnly []*modelWorker
 	for _, other := range m.workers {
-		if other != worker && other.alive && !other.answersLost && !m.isHanging(other) && rapid.Bool().Draw(m.t, "mute") {
+		if other != worker && other.alive && !other.responsesLost && !m.isHanging(other) && rapid.Bool().Draw(m.t, "broadcast only") {
 			m.broadcastTo(other)
 			other.heartbeatsLost = true
-			mute = append(mute, other)
+			broadcastOnly = append(broadcastOnly, other)
 		}
 	}
-	m.runWithout(nil, units.Micros(rapid.IntRange(1, 5).Draw(m.t, "seconds"))*units.Second)
-	for _, other := range mute {
+	m.runAllExcept(nil, units.Micros(rapid.IntRange(1, 5).Draw(m.t, "seconds"))*units.Second)
+	for _, other := range broadcastOnly {
 		other.heartbeatsLost = false
 	}
 }
 
-// playAmongCopies brings the leader messages of all kinds in any order.
-func (m *model) playAmongCopies() {
-	messages := []func(){m.deliverCopy, m.deliverCopy, m.broadcastToken, m.broadcastToken, m.heartbeat, m.deliver}
+// deliverMixedMessages delivers messages of all kinds to the leader in any order.
+func (m *model) deliverMixedMessages() {
+	messages := []func(){m.deliverDuplicate, m.deliverDuplicate, m.broadcastToken, m.broadcastToken, m.sendAnyHeartbeat, m.deliverAnyResponse}
 	for range rapid.IntRange(2, 16).Draw(m.t, "messages") {
 		rapid.SampledFrom(messages).Draw(m.t, "message")()
 		m.advanceWrite()
@@ -106,7 +108,7 @@
 	}
 }
 
-// preempt stops a task on any worker, as work of a higher priority does.
+// preempt stops a task on any worker, as a preemption by a job of higher priority does.
 func (m *model) preempt() {
 	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
 	machine := m.leader.state.Machines[worker.id]
@@ -116,41 +118,41 @@
 	m.leader.state.StopAttempt(rapid.SampledFrom(machine.SortedAttempts()).Draw(m.t, "victim"), 0)
 }
 
-// loseAnswers cuts a worker off from answers, or ends that.
-func (m *model) loseAnswers() {
+// toggleResponseLoss starts or ends the loss of all responses to a worker.
+func (m *model) toggleResponseLoss() {
 	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	worker.answersLost = !worker.answersLost
+	worker.responsesLost = !worker.responsesLost
 }
 
-// loseHeartbeats keeps a worker's heartbeats from all controllers, or ends that.
-func (m *model) loseHeartbeats() {
+// toggleHeartbeatLoss starts or ends the loss of all heartbeats of a worker.
+func (m *model) toggleHeartbeatLoss() {
 	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
 	worker.heartbeatsLost = !worker.heartbeatsLost
 }
 
-// hangWorker has a worker hang for a while, and cancels a job that runs there.
+// hangWorker makes a worker hang for a while and cancels a job that it runs.
 func (m *model) hangWorker() {
 	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	worker.hungUntil = m.clock.Now + units.Micros(rapid.IntRange(500, 15000).Draw(m.t, "hangs ms"))*units.Millisecond
+	worker.hungUntil = m.clock.Now + units.Micros(rapid.IntRange(500, 15000).Draw(m.t, "hang in ms"))*units.Millisecond
 	m.cancelOn(worker)
 }
 
-// cancelAtEnd cancels a job at the moment at which a task of it may end.
-func (m *model) cancelAtEnd() {
+// cancelAsTaskEnds cancels a job immediately before or after a task on the same worker ends.
+func (m *model) cancelAsTaskEnds() {
 	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
 	if m.isHanging(worker) {
 		return
 	}
 	if rapid.Bool().Draw(m.t, "ends before") {
-		m.workOn(worker)
+		m.endRunningTask(worker)
 		m.cancelOn(worker)
 	} else {
 		m.cancelOn(worker)
-		m.workOn(worker)
+		m.endRunningTask(worker)
 	}
 }
 
-// cancelOn cancels the first job of an even number of tasks that a worker holds.
+// cancelOn cancels the first job on a worker that has an even number of tasks.
 func (m *model) cancelOn(worker *modelWorker) {
 	for _, key := range worker.sortedTasks() {
 		if job := m.leader.state.Jobs[key.job]; job != nil && job.Accepted() && m.jobs[key.job]%2 == 0 {
@@ -160,53 +162,56 @@
 	}
 }
 
-// isolateWorker cuts a worker that has just been answered off from every controller for a part
-// of its lease, while everything else goes on; on some days under a new leader. What a leader
-// gives up too soon starts elsewhere meanwhile.
+// isolateWorker cuts a worker off from every controller for a part of its lease, right after a
+// heartbeat was answered, while everything else continues; in some runs under a new leader. A
+// leader that considers the worker's lease expired too early starts its tasks elsewhere while
+// they still run.
 func (m *model) isolateWorker() {
 	isolated := rapid.SampledFrom(m.workers).Draw(m.t, "isolated worker")
-	if !m.isUndisturbed(isolated) {
+	if !m.isIdleAndFaultFree(isolated) {
 		return
 	}
-	m.requestAnswer(isolated)
-	m.deliverTo(isolated)
+	m.sendHeartbeatReliably(isolated)
+	m.deliverResponse(isolated)
 	if rapid.Bool().Draw(m.t, "a new leader") {
 		m.failOver()
 	}
-	m.runWithout(isolated, modelLease.Fraction(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
+	m.runAllExcept(isolated, modelLease.Fraction(rapid.Int64Range(50, 95).Draw(m.t, "share of the lease"), 100))
 }
 
-// delayAnswerPastFailover has a leader die while its answer is in flight to a worker. The
-// next leader gets a copy of an older heartbeat of that worker, and everything else goes on;
-// then the answer arrives.
-func (m *model) delayAnswerPastFailover() {
+// delayResponseUntilAfterFailover has a leader fail while its response is in flight to a worker.
+// The next leader receives a duplicate of an older heartbeat of that worker, and everything
+// else continues; then the response arrives.
+func (m *model) delayResponseUntilAfterFailover() {
 	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if !m.isUndisturbed(worker) {
+	if !m.isIdleAndFaultFree(worker) {
 		return
 	}
-	copied := worker.nextHeartbeat()
-	m.advanceWrite() // the machine names that starts wait for
+	duplicate := worker.nextHeartbeat()
+	m.advanceWrite() // store the machine names that start commands depend on
 	m.advanceWrite()
-	m.requestAnswer(worker)
+	m.sendHeartbeatReliably(worker)
 	m.failOver()
-	m.serve(copied)
-	m.runWithout(worker, workerTimeout-units.Second)
-	m.deliverTo(worker)
+	m.handleHeartbeat(duplicate)
+	m.runAllExcept(worker, workerTimeout-units.Second)
+	m.deliverResponse(worker)
 }
 
-// isUndisturbed reports whether a worker neither waits for an answer nor has any fault.
-func (m *model) isUndisturbed(worker *modelWorker) bool {
-	return worker.alive && !worker.answerAwaited && !worker.answersLost && !worker.heartbeatsLost && !m.isHanging(worker)
+// isIdleAndFaultFree reports whether a worker is alive, waits for no response and has no fault.
+func (m *model) isIdleAndFaultFree(worker *modelWorker) bool {
+	return worker.alive && !worker.responseAwaited && !worker.responsesLost && !worker.heartbeatsLost && !m.isHanging(worker)
 }
 
-// requestAnswer has a worker's heartbeat reach the leader at once; the answer is in flight.
-func (m *model) requestAnswer(worker *modelWorker) {
-	worker.answerAwaited, worker.sentAt, worker.heartbeatIncarnation = true, m.clock.Now, worker.incarnation
-	worker.answer = m.serve(worker.nextHeartbeat())
+// sendHeartbeatReliably delivers a heartbeat of a worker to the leader without random faults.
+// The response stays in flight.
+func (m *model) sendHeartbeatReliably(worker *modelWorker) {
+	worker.responseAwaited, worker.sentAt, worker.heartbeatIncarnation = true, m.clock.Now, worker.incarnation
+	worker.response = m.handleHeartbeat(worker.nextHeartbeat())
 }
 
-// runWithout lets a time pass in which all workers but one send heartbeats and are answered.
-func (m *model) runWithout(isolated *modelWorker, length units.Micros) {
+// runAllExcept advances the clock by length while all workers except isolated send heartbeats
+// and receive responses.
+func (m *model) runAllExcept(isolated *modelWorker, length units.Micros) {
 	const step = 500 * units.Millisecond
 	for end := m.clock.Now + length; m.clock.Now < end; {
 		m.clock.Now += step
@@ -218,8 +223,8 @@
 			if worker == isolated || !worker.alive || worker.heartbeatsLost || m.isHanging(worker) {
 				continue
 			}
-			if worker.answerAwaited {
-				m.deliverTo(worker)
+			if worker.responseAwaited {
+				m.deliverResponse(worker)
 			} else {
 				m.sendHeartbeat(worker)
 			}
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -15,12 +15,13 @@
 	"dunestand/internal/units"
 )
 
-// elect makes any of the controllers the leader, and has it restore the records.
+// elect makes any controller the leader and has it restore the records.
 func (m *model) elect() {
 	m.elections++
 	m.leader = newTestLeader(m.elections, m.clock)
 	m.leaderUpgraded = rapid.SampledFrom(m.controllers).Draw(m.t, "leader").upgraded
-	// The election changes every bucket's head, so older write batches fail from now on.
+	// The election changes the head of every bucket, so write batches of earlier leaders fail
+	// from now on.
 	for bucket := range storage.Buckets {
 		m.store.revision++
 		key := storage.KeyBucketHead(bucket)
@@ -35,33 +36,33 @@
 	}
 	if !m.leaderUpgraded {
 		if _, err := fake.ParseLegacyJobs(records); err != nil {
-			m.t.Fatalf("a leader of the version before cannot restore: %v", err)
+			m.t.Fatalf("a leader of the previous version cannot restore the records: %v", err)
 		}
 	}
 	jobs, stale, err := cluster.ParseJobs(records)
 	if err != nil {
-		m.t.Fatalf("restore: %v", err)
+		m.t.Fatalf("restore records: %v", err)
 	}
 	for id, keys := range stale {
 		if m.store.items[storage.KeyTerminal(id)].Version == 0 {
-			m.t.Fatalf("%s is not in a terminal state, and has no record of its own", id)
+			m.t.Fatalf("%s has stale records, but no terminal record", id)
 		}
 		m.leader.state.AddStaleRecords(id, keys)
 	}
 	if m.leaderUpgraded {
-		// It reads the fleet's format before the records.
+		// A leader reads the fleet's record format before the records.
 		m.leader.setFormat(max(m.formats()[storage.KeyFleetFormat].Format, storage.FormatOld))
 	}
 	m.leader.persister.InstallRecords(jobs, modelCatalog)
 }
 
-// failOver ends the leader. The batch that it had sent may take effect before the next
-// leader is elected; later it must fail.
+// failOver ends the leader and elects the next one. A write batch in flight either takes effect
+// before the election or must fail after it.
 func (m *model) failOver() {
 	if m.batch != nil {
 		if m.store.withinLimits(m.batch.Txn) && rapid.Bool().Draw(m.t, "batch takes effect") {
 			if _, failed := m.store.commit(m.t, m.batch.Txn); len(failed) == 0 {
-				m.noteTerminalRecords(m.batch.Txn)
+				m.checkTerminalRecords(m.batch.Txn)
 			}
 		} else {
 			m.staleBatches = append(m.staleBatches, m.batch)
@@ -74,24 +75,24 @@
 			continue
 		}
 		if _, failed := m.store.commit(m.t, batch.Txn); len(failed) == 0 {
-			m.t.Fatalf("a former leader's write batch took effect after the election")
+			m.t.Fatalf("write batch of a former leader took effect after the election")
 		}
 	}
 }
 
-// noteTerminalRecords notes the terminal states that a transaction has stored.
-func (m *model) noteTerminalRecords(txn protocol.Txn) {
+// checkTerminalRecords checks the terminal states that a transaction has stored.
+func (m *model) checkTerminalRecords(txn protocol.Txn) {
 	for _, change := range txn.Then {
 		if id, terminal := storage.JobOfTerminalKey(change.Set); terminal {
 			var record storage.TerminalRecord
 			if protocol.Decode(change.Value, &record) == nil {
-				m.reachedTerminal(id, record)
+				m.checkTerminalState(id, record)
 			}
 		}
 	}
 }
 
-// advanceWrite sends the leader's next write batch, or completes the one in flight.
+// advanceWrite builds the leader's next write batch, or completes the one in flight.
 func (m *model) advanceWrite() {
 	state := m.leader.state
 	if m.batch == nil {
@@ -106,63 +107,65 @@
 	batch := m.batch
 	m.batch = nil
 	if !m.store.withinLimits(batch.Txn) {
-		// Only what was built before the leader learnt that all are upgraded.
+		// Only a batch in the old format may exceed the limits: it was built before the leader
+		// learned that all controllers are upgraded.
 		state.ApplyNextLimits()
 		if m.batchInNewFormat {
-			m.t.Fatalf("a write batch in the new format is over the limits: %d changes", len(batch.Txn.Then))
+			m.t.Fatalf("write batch in the new format exceeds the limits: %d changes", len(batch.Txn.Then))
 		}
 		state.BatchRejected(batch, m.clock.Now)
 		return
 	}
 	revision, failed := m.store.commit(m.t, batch.Txn)
 	if len(failed) > 0 {
-		m.refuseBatch(batch, failed)
+		m.rejectConflictingBatch(batch, failed)
 		return
 	}
 	if batch.ProbeKey() != "" {
 		m.committedTxns = append(m.committedTxns, batch.Txn)
 	}
 	for id, record := range state.BatchCommitted(batch, revision) {
-		m.reachedTerminal(id, record)
+		m.checkTerminalState(id, record)
 	}
 }
 
-// refuseBatch has the leader learn that a write batch met conflicts. They may only be with
-// terminal records: the job was still in the pending-submission queue.
-func (m *model) refuseBatch(batch *cluster.WriteBatch, conflicts []string) {
+// rejectConflictingBatch reports to the leader that a write batch met version conflicts. Only
+// conflicts with terminal records are allowed: the job was then still in the pending-submission
+// queue.
+func (m *model) rejectConflictingBatch(batch *cluster.WriteBatch, conflicts []string) {
 	m.leader.state.BatchConflicted(batch, m.clock.Now)
 	for _, key := range conflicts {
 		id, terminal := storage.JobOfTerminalKey(key)
 		if !terminal || m.terminalStages[id] == "" {
-			m.t.Fatalf("a leader's own write batch met a conflict: %v", conflicts)
+			m.t.Fatalf("write batch of the current leader met version conflicts: %v", conflicts)
 		}
 		m.leader.terminals.Remember(id, storage.StoredTerminalRecord{TerminalRecord: storage.TerminalRecord{Stage: m.terminalStages[id]}})
 		m.leader.state.DropUnaccepted(id)
 	}
 }
 
-// reachedTerminal notes that a job's terminal state is durable, and checks it against what
-// the workers did and the user was told.
-func (m *model) reachedTerminal(id string, record storage.TerminalRecord) {
+// checkTerminalState records that a job's terminal state is durable, and checks it against the
+// tasks that workers have completed and what users were told.
+func (m *model) checkTerminalState(id string, record storage.TerminalRecord) {
 	m.terminalStages[id] = record.Stage
 	if m.cancelledAt[id] != 0 && record.Stage != protocol.StageCancelled {
-		m.t.Fatalf("%s was called cancelled, and is now %s", id, record.Stage)
+		m.t.Fatalf("%s was confirmed as cancelled, but its terminal state is %s", id, record.Stage)
 	}
 	if m.services[id] && record.Stage != protocol.StageCancelled {
-		m.t.Fatalf("the service %s is called %s", id, record.Stage)
+		m.t.Fatalf("service %s has the terminal state %s", id, record.Stage)
 	}
 	if record.Stage != protocol.StageDone {
 		return
 	}
 	for index := range m.jobs[id] {
 		if !m.completed[taskKey{id, index}] {
-			m.t.Fatalf("%s is called done without task %d", id, index)
+			m.t.Fatalf("%s is done, but its task %d is not completed", id, index)
 		}
 	}
 }
 
-// passTime lets some time pass in which only leases expire.
-func (m *model) passTime() {
+// advanceClock lets some time pass in which the only events are expiries of leases.
+func (m *model) advanceClock() {
 	m.clock.Now += units.Micros(rapid.IntRange(100, 6000).Draw(m.t, "ms")) * units.Millisecond
 	m.expireLeases()
 	m.leader.detector.ExpireWorkerLeases(m.clock.Now)
@@ -187,7 +190,7 @@
 	}
 }
 
-// drawSpec draws a new job.
+// drawSpec draws the specification of a new job.
 func (m *model) drawSpec() protocol.JobSpec {
 	id := fmt.Sprintf("j-%06d", len(m.jobs))
 	spec := protocol.JobSpec{
@@ -201,7 +204,7 @@
 		Image:     "i",
 		Estimate:  10 * units.Second,
 	}
-	// One service at most: with two, a larger task might find no machine left.
+	// One service at most: two could occupy so many machines that a larger task fits on none.
 	if len(m.services) == 0 && m.leader.Format.Current() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
 		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), fake.CPUs(1), protocol.Production, 0
 		m.services[id] = true
--- a/internal/controller/model_store_test.go
+++ b/internal/controller/model_store_test.go
@@ -13,25 +13,25 @@
 	"dunestand/internal/storage"
 )
 
-// modelStore is the key-value store.
+// modelStore is an in-memory key-value store with limits on transactions.
 type modelStore struct {
 	items    map[string]protocol.Item
 	revision uint64
 	limits   config.KVLimits
 }
 
-// withinLimits reports whether a transaction is within the limits.
+// withinLimits reports whether a transaction is within the store's limits.
 func (s *modelStore) withinLimits(txn protocol.Txn) bool {
 	for _, change := range txn.Then {
-		if len(change.Value)*5/4 > s.limits.ValueBytes() { // as JSON it is a little larger
+		if len(change.Value)*5/4 > s.limits.ValueBytes() { // the JSON encoding is somewhat larger than the value
 			return false
 		}
 	}
 	return len(txn.Then) <= s.limits.TxnOps && len(txn.If) <= 4*s.limits.TxnOps
 }
 
-// commit carries a transaction out and returns its revision, or else the keys whose versions
-// were not as expected.
+// commit executes a transaction and returns its revision, or the keys whose versions conflict
+// with its conditions.
 func (s *modelStore) commit(t *rapid.T, txn protocol.Txn) (revision uint64, conflicts []string) {
 	for _, condition := range txn.If {
 		if s.items[condition.Key].Version != condition.Version {
@@ -42,7 +42,7 @@
 		return 0, conflicts
 	}
 	if !s.withinLimits(txn) {
-		t.Fatalf("transaction of %d changes, %d conditions", len(txn.Then), len(txn.If))
+		t.Fatalf("transaction exceeds the limits: %d changes, %d conditions", len(txn.Then), len(txn.If))
 	}
 	s.revision++
 	for _, change := range txn.Then {
@@ -61,9 +61,9 @@
 	s.items[key] = protocol.Item{Key: key, Value: protocol.Encode(value), Version: s.revision}
 }
 
-// submitElsewhere has another controller accept a job, a new one or one that the leader
-// has too: at once, or with a transaction that is held back.
-func (m *model) submitElsewhere() {
+// submitToOtherController has a follower accept a job without a leader, a new one or a
+// duplicate. The transaction takes effect at once or is delayed.
+func (m *model) submitToOtherController() {
 	var spec protocol.JobSpec
 	switch {
 	case len(m.specs) > 0 && rapid.Bool().Draw(m.t, "a duplicate"):
@@ -78,12 +78,12 @@
 		Submitted: m.clock.Now,
 	}))
 	if rapid.Bool().Draw(m.t, "accepted at once") {
-		m.landPending()
+		m.commitPendingSubmissions()
 	}
 }
 
-// landPending carries out the pending submissions in flight.
-func (m *model) landPending() {
+// commitPendingSubmissions commits the pending submissions in flight.
+func (m *model) commitPendingSubmissions() {
 	for _, txn := range m.pendingInFlight {
 		m.store.commit(m.t, txn)
 	}
@@ -116,17 +116,17 @@
 	}
 }
 
-// resendTransaction carries a transaction out late, once more: its first sending had no
-// answer, and newer ones came between. It must have no effect.
+// resendTransaction executes a committed transaction a second time, as a delayed retry after
+// newer transactions does. The retry must have no effect.
 func (m *model) resendTransaction() {
 	if len(m.committedTxns) == 0 {
 		return
 	}
-	txn := rapid.SampledFrom(m.committedTxns).Draw(m.t, "carried out late")
+	txn := rapid.SampledFrom(m.committedTxns).Draw(m.t, "resent transaction")
 	if !m.store.withinLimits(txn) {
 		return
 	}
 	if _, failed := m.store.commit(m.t, txn); len(failed) == 0 {
-		m.t.Fatal("a transaction was carried out twice")
+		m.t.Fatal("transaction took effect twice")
 	}
 }
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -14,23 +14,23 @@
 	"dunestand/internal/units"
 )
 
-// The files model_*_test.go play random days against a whole leader: workers as the
-// protocol describes them, a key-value store, leaders that die at any point, answers that
-// are lost or late. Controllers of the version before are upgraded one by one meanwhile,
-// and the store lowers its limits once all are. After every step the invariants are checked
-// on the workers themselves, not on the leader's state.
+// The files model_*_test.go run random sequences of events against a whole leader: workers that
+// follow the protocol, a key-value store, leaders that fail at any point, responses that are
+// lost or delayed. Meanwhile controllers are upgraded one by one from the previous version, and
+// the key-value store lowers its limits after all are upgraded. After every step the invariants
+// are checked on the workers, not on the leader's state.
 
 const (
 	modelLease       = 10 * units.Second
-	modelCancelGrace = 11 * units.Second // from the confirmation of a cancellation until no task runs
-	workerTimeout    = 4 * units.Second  // a worker gives up on the answer to a heartbeat
+	modelCancelGrace = 11 * units.Second // limit from the confirmation of a cancellation until no task of the job runs
+	workerTimeout    = 4 * units.Second  // for the response to a heartbeat
 	modelQuotaCPUs   = 9                 // the team's quota limit
 	modelMachineCPUs = 4                 // capacity of a machine
 	modelMaxJobs     = 6
 	modelControllers = 3
 )
 
-// model is the state of a random day.
+// model is the state of one random run.
 type model struct {
 	t           *rapid.T
 	clock       *fake.Clock
@@ -43,25 +43,25 @@
 	controllers      []modelController
 	leader           *Leader
 	leaderUpgraded   bool                  // the leader is of the new version
-	elections        uint64                // how many were won so far
-	batch            *cluster.WriteBatch   // the leader's, in flight
-	batchInNewFormat bool                  // that one was built in the new format
-	staleBatches     []*cluster.WriteBatch // in flight when their leader died
+	elections        uint64                // number of elections won so far
+	batch            *cluster.WriteBatch   // write batch of the leader that is in flight
+	batchInNewFormat bool                  // batch was built in the new format
+	staleBatches     []*cluster.WriteBatch // write batches that were in flight when their leader failed
 
 	workers           []*modelWorker
-	delayedHeartbeats []*protocol.Heartbeat // held back by the network; their workers have given up
-	sentHeartbeats    []sentHeartbeat       // of the last minute, of which copies may come
+	delayedHeartbeats []*protocol.Heartbeat // delayed by the network until after the worker timed out
+	sentHeartbeats    []sentHeartbeat       // of the last minute; duplicates of them may be delivered
 	broadcastAnswers  []broadcastAnswer
 
 	specs          []protocol.JobSpec // of each job submitted
 	jobs           map[string]int     // number of tasks of each job submitted
-	services       map[string]bool    // those jobs that are services
-	completed      map[taskKey]bool   // tasks that a worker has completed
+	services       map[string]bool    // submitted jobs that are services
+	completed      map[taskKey]bool   // tasks that some worker has completed
 	terminalStages map[string]protocol.JobStage
-	cancelledAt    map[string]units.Micros // since when a user may have been told that a job is cancelled
+	cancelledAt    map[string]units.Micros // when the cancellation of a job could first be confirmed to its user
 }
 
-// newModel returns the state in which a random day begins.
+// newModel returns the initial state of a random run.
 func newModel(t *rapid.T) *model {
 	m := &model{
 		t:     t,
@@ -77,7 +77,7 @@
 		terminalStages: map[string]protocol.JobStage{},
 		cancelledAt:    map[string]units.Micros{},
 	}
-	// Some days begin with far more machines than the team can use.
+	// Some runs begin with far more machines than the team can use.
 	for range rapid.SampledFrom([]int{2, 2, 2, 2, 16}).Draw(t, "machines") {
 		m.workers = append(m.workers, m.newWorker())
 	}
@@ -88,28 +88,28 @@
 	return m
 }
 
-// actions lists what may happen, each action as often as its weight. The fixed seed draws
-// places of this list: another order means other days.
+// actions returns the possible events, each as often as its weight. The fixed seed draws
+// indexes into this list, so a different order gives different runs.
 func (m *model) actions() []func() {
 	return []func(){
-		m.submit, m.submit, m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver,
-		m.work, m.work, m.advanceWrite, m.advanceWrite, m.advanceWrite, m.passTime, m.passTime,
-		m.heartbeat, m.heartbeat, m.heartbeat, m.deliver, m.deliver, m.deliver, m.work, m.work,
-		m.advanceWrite, m.advanceWrite, m.advanceWrite, m.heartbeat, m.deliver, m.heartbeat, m.deliver,
-		m.heartbeat, m.deliver, m.failOver, m.failOver, m.cancel, m.releaseAnyWorker,
-		m.deliverDelayedHeartbeat, m.deliverDelayedHeartbeat, m.loseAnswers, m.broadcastToken,
-		m.broadcastToken, m.deliverBroadcastAnswers, m.submitElsewhere, m.landPending, m.ingestPending,
+		m.submit, m.submit, m.sendAnyHeartbeat, m.sendAnyHeartbeat, m.sendAnyHeartbeat, m.deliverAnyResponse, m.deliverAnyResponse, m.deliverAnyResponse,
+		m.endAnyTask, m.endAnyTask, m.advanceWrite, m.advanceWrite, m.advanceWrite, m.advanceClock, m.advanceClock,
+		m.sendAnyHeartbeat, m.sendAnyHeartbeat, m.sendAnyHeartbeat, m.deliverAnyResponse, m.deliverAnyResponse, m.deliverAnyResponse, m.endAnyTask, m.endAnyTask,
+		m.advanceWrite, m.advanceWrite, m.advanceWrite, m.sendAnyHeartbeat, m.deliverAnyResponse, m.sendAnyHeartbeat, m.deliverAnyResponse,
+		m.sendAnyHeartbeat, m.deliverAnyResponse, m.failOver, m.failOver, m.cancel, m.releaseAnyWorker,
+		m.deliverDelayedHeartbeat, m.deliverDelayedHeartbeat, m.toggleResponseLoss, m.broadcastToken,
+		m.broadcastToken, m.deliverBroadcastAnswers, m.submitToOtherController, m.commitPendingSubmissions, m.ingestPending,
 		m.ingestPending, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.raiseFormat,
-		m.raiseFormat, m.raiseFormat, m.lowerLimits, m.loseHeartbeats, m.loseHeartbeats, m.hangWorker,
-		m.hangWorker, m.cancelAtEnd, m.cancelAtEnd, m.resendTransaction, m.isolateWorker,
-		m.isolateWorker, m.isolateWorker, m.isolateWorker, m.delayAnswerPastFailover,
-		m.delayAnswerPastFailover, m.delayAnswerPastFailover, m.preempt, m.preempt,
-		m.failOverAmongCopies, m.deliverCopy,
-		m.moveTasksPastFailover, m.moveTasksPastFailover, m.moveTasksPastFailover,
+		m.raiseFormat, m.raiseFormat, m.lowerLimits, m.toggleHeartbeatLoss, m.toggleHeartbeatLoss, m.hangWorker,
+		m.hangWorker, m.cancelAsTaskEnds, m.cancelAsTaskEnds, m.resendTransaction, m.isolateWorker,
+		m.isolateWorker, m.isolateWorker, m.isolateWorker, m.delayResponseUntilAfterFailover,
+		m.delayResponseUntilAfterFailover, m.delayResponseUntilAfterFailover, m.preempt, m.preempt,
+		m.failOverWithDuplicates, m.deliverDuplicate,
+		m.preemptThenFailOver, m.preemptThenFailOver, m.preemptThenFailOver,
 	}
 }
 
-func TestRandomDaysKeepTheInvariants(t *testing.T) {
+func TestRandomFaultsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		actions := m.actions()
@@ -117,13 +117,13 @@
 			rapid.SampledFrom(actions).Draw(t, "action")()
 			m.checkInvariants()
 		}
-		m.endFaults()
+		m.drainWithoutFaults()
 	})
 }
 
-// checkInvariants checks what must hold at any time: no task runs long after its user was
-// told that it is cancelled, no machine is over its capacity and no team over its quota
-// limit.
+// checkInvariants checks what must hold at any time: no task runs longer than the grace period
+// after the cancellation of its job was confirmed, no machine exceeds its capacity, and no team
+// exceeds its quota limit.
 func (m *model) checkInvariants() {
 	for id, job := range m.leader.state.Jobs {
 		if m.cancelledAt[id] == 0 && answer.CancellationConfirmed(job, m.leader.Settings.Fleet.Workers) {
@@ -141,22 +141,22 @@
 				continue
 			}
 			if at := m.cancelledAt[key.job]; at != 0 && m.clock.Now-at > modelCancelGrace && !m.isHanging(worker) {
-				m.t.Fatalf("%s/%d is on %s %v after its user was told", key.job, key.index, worker.id, (m.clock.Now - at).Duration())
+				m.t.Fatalf("%s/%d is on %s %v after the cancellation was confirmed", key.job, key.index, worker.id, (m.clock.Now - at).Duration())
 			}
 			onMachine += m.requestedCPUs(key.job)
 		}
 		used += onMachine
 		if onMachine > modelMachineCPUs {
-			m.t.Fatalf("%s runs %d processors", worker.id, onMachine)
+			m.t.Fatalf("tasks on %s request %d CPUs", worker.id, onMachine)
 		}
 	}
 	if used > modelQuotaCPUs {
-		m.t.Fatalf("the team uses %d of %d processors", used, modelQuotaCPUs)
+		m.t.Fatalf("team uses %d CPUs, quota limit is %d", used, modelQuotaCPUs)
 	}
 }
 
-// requestedCPUs returns how many processors a task of a job requests; 0 if the leader does not
-// know the job.
+// requestedCPUs returns how many CPUs a task of a job requests; 0 if the leader does not know
+// the job.
 func (m *model) requestedCPUs(jobID string) int {
 	if job := m.leader.state.Jobs[jobID]; job != nil {
 		return int(job.Spec.Request.CPU / 1_000_000)
@@ -164,7 +164,7 @@
 	return 0
 }
 
-// runningTasks returns how many tasks of a job run on workers.
+// runningTasks returns the number of running tasks of a job.
 func (m *model) runningTasks(jobID string) int {
 	running := 0
 	for _, worker := range m.workers {
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -11,16 +11,16 @@
 	"dunestand/internal/storage"
 )
 
-// modelController is a controller, of the version before or of the new one.
+// modelController is a controller of the previous or the new version.
 type modelController struct {
 	upgraded        bool
-	formatAnnounced bool // it has stored that it reads the new format
+	formatAnnounced bool // the controller has stored that it reads the new format
 }
 
 func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// formats returns the formats that the controllers have announced, and the fleet's format, by
-// key.
+// formats returns the record formats that the controllers have announced and the fleet's record
+// format, by key.
 func (m *model) formats() map[string]recordformat.StoredFormat {
 	formats := map[string]recordformat.StoredFormat{}
 	for key, item := range m.store.items {
@@ -32,15 +32,15 @@
 	return formats
 }
 
-// upgrade starts a controller with the new version, which announces so a while later;
-// if it leads, there is a failover.
+// upgrade restarts a controller with the new version, or has an upgraded controller announce
+// its format. If the upgraded controller led, there is a failover.
 func (m *model) upgrade() {
-	// The first one is mostly drawn late, long after the others.
+	// Controller 0 has a low weight, so that it is usually upgraded long after the others.
 	i := rapid.SampledFrom([]int{0, 1, 1, 1, 1, 1, 2, 2, 2, 2, 2}).Draw(m.t, "controller")
 	switch controller := &m.controllers[i]; {
 	case !controller.upgraded:
 		controller.upgraded = true
-		if rapid.IntRange(0, 2).Draw(m.t, "it led") == 0 {
+		if rapid.IntRange(0, 2).Draw(m.t, "upgraded controller led") == 0 {
 			m.failOver()
 		}
 	case !controller.formatAnnounced:
@@ -54,7 +54,7 @@
 	m.store.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
 }
 
-// upgradeAll upgrades all controllers, and has them announce it.
+// upgradeAll upgrades all controllers and has each announce its format.
 func (m *model) upgradeAll() {
 	for i := range m.controllers {
 		m.controllers[i].upgraded = true
@@ -62,8 +62,9 @@
 	}
 }
 
-// raiseFormat has a leader of the new version raise the fleet's format as far as it can.
-// It may die before it learns of it, or learn of it only later.
+// raiseFormat has a leader of the new version raise the fleet's record format to the newest
+// that all controllers support. The leader may learn of the new format only later, or fail
+// before that.
 func (m *model) raiseFormat() {
 	formats := m.formats()
 	level := formats[storage.KeyFleetFormat].Format
@@ -79,27 +80,27 @@
 		m.store.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
 	if m.faultsEnded || rapid.Bool().Draw(m.t, "the leader learns of it") {
-		m.learnFormat(level)
+		m.setLeaderFormat(level)
 	}
 }
 
-// learnFormat has the leader learn of the fleet's format.
-func (m *model) learnFormat(level storage.Format) {
+// setLeaderFormat has the leader use the given record format, unless it already uses a newer
+// one.
+func (m *model) setLeaderFormat(level storage.Format) {
 	if level > m.leader.Format.Current() {
 		m.leader.setFormat(level)
 	}
 	m.leader.state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
 }
 
-// lowerLimits lowers the limits of the key-value store, some time after the upgrade.
+// lowerLimits lowers the limits of the key-value store once all controllers are upgraded.
 func (m *model) lowerLimits() {
 	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatNew {
 		m.store.limits = m.store.limits.Lowest()
 	}
 }
 
-// finishUpgrade upgrades the controllers that are left, on most days, and has the limits
-// lowered.
+// finishUpgrade upgrades the remaining controllers and lowers the limits, in most runs.
 func (m *model) finishUpgrade() {
 	if rapid.IntRange(0, 3).Draw(m.t, "the upgrade ends") == 0 {
 		return
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -21,7 +21,7 @@
 	cause   protocol.ExitCause
 }
 
-// taskKey names a task.
+// taskKey identifies a task.
 type taskKey struct {
 	job   string
 	index int
@@ -31,24 +31,24 @@
 	return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.index, b.index))
 }
 
-// modelWorker is a worker on a machine of its own.
+// modelWorker simulates the worker of one machine.
 type modelWorker struct {
 	id                    string
 	alive                 bool
 	incarnation, sequence uint64
-	token                 uint64 // the highest fencing token that it has seen
+	token                 uint64 // highest fencing token seen
 	leaseStart            units.Micros
 	tasks                 map[taskKey]modelTask
-	answerAwaited         bool // a heartbeat is in flight
+	responseAwaited       bool // the response to a heartbeat is awaited
 	sentAt                units.Micros
-	answer                *protocol.HeartbeatResponse // in flight
+	response              *protocol.HeartbeatResponse // response in flight; nil if there is none
 	heartbeatIncarnation  uint64
-	answersLost           bool // its heartbeats arrive, answers do not reach it
-	heartbeatsLost        bool // it reaches no controller; direct commands reach it
+	responsesLost         bool // heartbeats arrive, but all responses are lost
+	heartbeatsLost        bool // heartbeats reach no controller; calls from the leader reach the worker
 	hungUntil             units.Micros
 }
 
-// newWorker returns a worker that has just come up.
+// newWorker returns the worker of a new machine.
 func (m *model) newWorker() *modelWorker {
 	id := fmt.Sprintf("i-%06d", m.store.revision*10+uint64(len(m.workers)))
 	m.store.revision++
@@ -68,7 +68,7 @@
 	return slices.SortedFunc(maps.Keys(w.tasks), compareTaskKeys)
 }
 
-// nextHeartbeat returns the worker's heartbeat of now.
+// nextHeartbeat returns a heartbeat with the next sequence number and the current tasks.
 func (w *modelWorker) nextHeartbeat() *protocol.Heartbeat {
 	w.sequence++
 	heartbeat := testHeartbeat(w.id, w.incarnation, w.sequence, w.token)
@@ -85,30 +85,31 @@
 	return heartbeat
 }
 
-// heartbeat has any worker send a heartbeat.
-func (m *model) heartbeat() {
-	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); worker.alive && !worker.answerAwaited && !worker.heartbeatsLost && !m.isHanging(worker) {
+// sendAnyHeartbeat has any worker send a heartbeat, if it is able to.
+func (m *model) sendAnyHeartbeat() {
+	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); worker.alive && !worker.responseAwaited && !worker.heartbeatsLost && !m.isHanging(worker) {
 		m.sendHeartbeat(worker)
 	}
 }
 
-// sendHeartbeat has a worker send a heartbeat, which the network may copy or hold back.
+// sendHeartbeat has a worker send a heartbeat, which the network may duplicate or delay.
 func (m *model) sendHeartbeat(worker *modelWorker) {
 	heartbeat := worker.nextHeartbeat()
-	m.keepForCopies(heartbeat)
-	worker.answerAwaited, worker.sentAt, worker.heartbeatIncarnation, worker.answer = true, m.clock.Now, worker.incarnation, nil
-	if !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "heartbeat copied") == 0 {
-		m.delayedHeartbeats = append(m.delayedHeartbeats, heartbeat) // the copy comes at any later time
+	m.retainForDuplicates(heartbeat)
+	worker.responseAwaited, worker.sentAt, worker.heartbeatIncarnation, worker.response = true, m.clock.Now, worker.incarnation, nil
+	if !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "heartbeat duplicated") == 0 {
+		m.delayedHeartbeats = append(m.delayedHeartbeats, heartbeat) // the duplicate is delivered at any later time
 	}
-	if !m.faultsEnded && rapid.IntRange(0, 4).Draw(m.t, "heartbeat held back") == 0 {
+	if !m.faultsEnded && rapid.IntRange(0, 4).Draw(m.t, "heartbeat delayed") == 0 {
 		m.delayedHeartbeats = append(m.delayedHeartbeats, heartbeat)
 		return
 	}
-	worker.answer = m.serve(heartbeat)
+	worker.response = m.handleHeartbeat(heartbeat)
 }
 
-// serve has the leader handle a heartbeat and returns its answer, nil if it gives none.
-func (m *model) serve(heartbeat *protocol.Heartbeat) *protocol.HeartbeatResponse {
+// handleHeartbeat has the leader handle a heartbeat. It returns the response, or nil if there
+// is none.
+func (m *model) handleHeartbeat(heartbeat *protocol.Heartbeat) *protocol.HeartbeatResponse {
 	leader, now := m.leader, m.clock.Now
 	machine := leader.reconciler.Reconcile(heartbeat, now)
 	if machine == nil {
@@ -119,29 +120,30 @@
 	return &protocol.HeartbeatResponse{FencingToken: leader.token, Commands: leader.reconciler.Commands(machine, heartbeat, now)}
 }
 
-// deliver brings any worker the answer it waits for, or lets it give up.
-func (m *model) deliver() {
-	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); worker.alive && worker.answerAwaited && !m.isHanging(worker) {
-		m.deliverTo(worker)
+// deliverAnyResponse delivers the awaited response to any worker, or lets the worker time out.
+func (m *model) deliverAnyResponse() {
+	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); worker.alive && worker.responseAwaited && !m.isHanging(worker) {
+		m.deliverResponse(worker)
 	}
 }
 
-// deliverTo brings a worker the answer it waits for, unless it is lost or too late.
-func (m *model) deliverTo(worker *modelWorker) {
-	lost := worker.answersLost || !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0
-	answer := worker.answer
-	worker.answerAwaited, worker.answer = false, nil
-	if lost || answer == nil || m.clock.Now-worker.sentAt > workerTimeout || answer.FencingToken < worker.token || worker.heartbeatIncarnation != worker.incarnation {
+// deliverResponse delivers the awaited response to a worker, unless the response is lost, late or
+// outdated.
+func (m *model) deliverResponse(worker *modelWorker) {
+	lost := worker.responsesLost || !m.faultsEnded && rapid.IntRange(0, 5).Draw(m.t, "response lost") == 0
+	response := worker.response
+	worker.responseAwaited, worker.response = false, nil
+	if lost || response == nil || m.clock.Now-worker.sentAt > workerTimeout || response.FencingToken < worker.token || worker.heartbeatIncarnation != worker.incarnation {
 		return
 	}
-	worker.token, worker.leaseStart = answer.FencingToken, worker.sentAt
-	for _, command := range answer.Commands {
+	worker.token, worker.leaseStart = response.FencingToken, worker.sentAt
+	for _, command := range response.Commands {
 		m.execute(worker, command)
 	}
 }
 
-// execute has a worker carry out a command. A task may neither start while it is on another
-// worker nor once its job is in a terminal state.
+// execute has a worker carry out a command. It fails the test if a task starts while it is on
+// another worker, or after its job has reached a terminal state.
 func (m *model) execute(worker *modelWorker, command protocol.Command) {
 	started, ok := worker.carryOut(command)
 	if !ok {
@@ -153,18 +155,18 @@
 		}
 	}
 	if m.terminalStages[started.job] != "" {
-		m.t.Fatalf("%s starts though its job is in a terminal state", command.Task)
+		m.t.Fatalf("%s starts although its job is in a terminal state", command.Task)
 	}
 }
 
-// holds reports whether a task is on the worker and has not ended.
+// holds reports whether a task is on the worker and has not exited.
 func (w *modelWorker) holds(key taskKey) bool {
 	task, held := w.tasks[key]
 	return held && task.stage != protocol.TaskExited
 }
 
-// carryOut has the worker carry out a command. It returns the task that this started, and
-// whether it started any.
+// carryOut has the worker carry out a command. If this starts a task, it returns the key of the
+// task and true.
 func (w *modelWorker) carryOut(command protocol.Command) (started taskKey, ok bool) {
 	key := parseTaskKey(command.Task)
 	task, held := w.tasks[key]
@@ -187,25 +189,25 @@
 	return taskKey{}, false
 }
 
-// parseTaskKey returns the key of the task that a command names.
+// parseTaskKey returns the key of a task from its name in a command.
 func parseTaskKey(name string) taskKey {
 	job, index, found := strings.Cut(name, "/")
 	number, err := strconv.Atoi(index)
 	if !found || err != nil {
-		panic("a command names " + name)
+		panic("malformed task name in a command: " + name)
 	}
 	return taskKey{job, number}
 }
 
-// work ends a task on any worker.
-func (m *model) work() {
+// endAnyTask ends a task on any worker.
+func (m *model) endAnyTask() {
 	if worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker"); !m.isHanging(worker) {
-		m.workOn(worker)
+		m.endRunningTask(worker)
 	}
 }
 
-// workOn ends the first task that runs on a worker, done or failed.
-func (m *model) workOn(worker *modelWorker) {
+// endRunningTask ends the first running task on a worker, successfully or with an error.
+func (m *model) endRunningTask(worker *modelWorker) {
 	for _, key := range worker.sortedTasks() {
 		task := worker.tasks[key]
 		if task.stage != protocol.TaskRunning || m.faultsEnded && m.services[key.job] {
@@ -221,7 +223,8 @@
 	}
 }
 
-// expireLeaseOf has a worker begin its next incarnation if its lease has expired.
+// expireLeaseOf has a worker drop its tasks and begin its next incarnation if its lease has
+// expired.
 func (m *model) expireLeaseOf(worker *modelWorker) {
 	if worker.alive && !m.isHanging(worker) && m.clock.Now-worker.leaseStart > modelLease {
 		worker.incarnation++
@@ -230,8 +233,8 @@
 	}
 }
 
-// expireLeases expires the leases of all workers that are over now, so that what is checked at
-// this time is what workers hold at it.
+// expireLeases expires the leases that are over now, so that the invariants are checked against
+// the tasks that workers hold at this time.
 func (m *model) expireLeases() {
 	for _, worker := range m.workers {
 		m.expireLeaseOf(worker)
@@ -243,8 +246,8 @@
 	m.releaseWorker(rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "released"))
 }
 
-// releaseWorker returns a machine to the cloud: when the cloud answers, the machine is gone.
-// Another one takes its place.
+// releaseWorker returns a machine to the cloud and adds a new one in its place. The cloud
+// answers only after the machine has ended, so its tasks are gone before the leader removes it.
 func (m *model) releaseWorker(i int) {
 	worker := m.workers[i]
 	worker.alive = false
@@ -258,21 +261,22 @@
 	m.workers[i] = m.newWorker()
 }
 
-// broadcastAnswer is a worker's answer to the broadcast of a leader's token, in flight.
+// broadcastAnswer is a worker's answer, in flight, to the broadcast of a leader's fencing
+// token.
 type broadcastAnswer struct {
 	to        *Leader
 	heartbeat *protocol.Heartbeat
 }
 
-// broadcastToken has any worker learn the leader's token.
+// broadcastToken sends the leader's fencing token to any worker.
 func (m *model) broadcastToken() {
 	worker := rapid.SampledFrom(m.workers).Draw(m.t, "worker")
-	if worker.alive && !worker.answersLost && !m.isHanging(worker) {
+	if worker.alive && !worker.responsesLost && !m.isHanging(worker) {
 		m.broadcastTo(worker)
 	}
 }
 
-// broadcastTo has a worker learn the leader's token; its answer may come late.
+// broadcastTo sends the leader's fencing token to a worker. The answer may be delayed.
 func (m *model) broadcastTo(worker *modelWorker) {
 	worker.token = m.leader.token
 	m.leader.state.EnsureMachine(worker.id, "m", "a", true, m.clock.Now)
@@ -282,7 +286,8 @@
 	}
 }
 
-// deliverBroadcastAnswers brings the leader the answers to its broadcast.
+// deliverBroadcastAnswers delivers the answers to the broadcast of the current leader and drops
+// the others.
 func (m *model) deliverBroadcastAnswers() {
 	for _, answer := range m.broadcastAnswers {
 		if answer.to == m.leader {
--- a/internal/controller/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -21,14 +21,14 @@
 // neither a guaranteed quota nor a quota limit, and with a job of that team.
 func newGuestLeader(t *testing.T) *Leader {
 	t.Helper()
-	leader := newStoredLeader(t, 1, fake.NewKVServer(), func(d *Deps) {
+	leader := newLeaderWithStore(t, 1, fake.NewKVServer(), func(d *Deps) {
 		d.Settings.Fleet.Teams = append(d.Settings.Fleet.Teams, config.Team{Name: "guest"})
 	})
 	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	start(t, leader.persister.Run)
+	startLoop(t, leader.persister.Run)
 	spec := fake.JobSpec(testJob)
 	spec.Team = "guest"
 	spec.Tasks = guestTaskCount
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -18,24 +18,24 @@
 func TestReplicasRunAgain(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 4, true)
 	fleet.exchangeAll()
-	if fleet.running() != 4 || fleet.zones()["a"] != 2 {
-		t.Fatalf("%d run, in %v", fleet.running(), fleet.zones())
+	if fleet.runningReplicas() != 4 || fleet.replicasByZone()["a"] != 2 {
+		t.Fatalf("%d run, in %v", fleet.runningReplicas(), fleet.replicasByZone())
 	}
 	for range 30 {
 		fleet.exchangeAll()
 	}
-	on, _ := fleet.where(testJob, 2)
+	on, _ := fleet.findReplica(testJob, 2)
 	late := *fleet.machines[on]
 	late.Tasks = slices.Clone(late.Tasks)
 	for i, cause := range []protocol.ExitCause{protocol.CauseDone, protocol.CauseError, protocol.CauseDone, protocol.CauseDone} {
-		fleet.end(i, cause)
+		fleet.exitReplica(i, cause)
 	}
 	fleet.exchangeAll()
 	leader.reconciler.Reconcile(&late, fleet.clock.Now)
 	fleet.exchangeAll()
 	fleet.exchangeAll()
-	if fleet.running() != 4 || fleet.zones()["a"] != 2 || fleet.started != 8 {
-		t.Errorf("%d run in %v, %d were started", fleet.running(), fleet.zones(), fleet.started)
+	if fleet.runningReplicas() != 4 || fleet.replicasByZone()["a"] != 2 || fleet.started != 8 {
+		t.Errorf("%d run in %v, %d were started", fleet.runningReplicas(), fleet.replicasByZone(), fleet.started)
 	}
 	job := leader.state.Jobs[testJob]
 	if job.Complete() || job.DoneCount() != 0 || job.IsDone(0) {
@@ -52,8 +52,8 @@
 	leader, _, fleet := newServiceLeader(t, 1, false)
 	for range 120 {
 		fleet.exchangeAll()
-		if on, _ := fleet.where(testJob, 0); on != "" {
-			fleet.end(0, protocol.CauseDone)
+		if on, _ := fleet.findReplica(testJob, 0); on != "" {
+			fleet.exitReplica(0, protocol.CauseDone)
 		}
 	}
 	if fleet.started < 4 || fleet.started > 15 {
@@ -63,9 +63,9 @@
 		fleet.exchangeAll()
 	}
 	before := fleet.started
-	fleet.end(0, protocol.CauseError)
+	fleet.exitReplica(0, protocol.CauseError)
 	fleet.exchangeAll()
-	if on, _ := fleet.where(testJob, 0); on == "" || fleet.started != before+1 {
+	if on, _ := fleet.findReplica(testJob, 0); on == "" || fleet.started != before+1 {
 		t.Errorf("it is not started at once after a long run: retry in %d ms", (leader.state.Jobs[testJob].RetryAt-fleet.clock.Now)/units.Millisecond)
 	}
 }
@@ -77,14 +77,14 @@
 func TestReplicasLeaveMachines(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, true)
 	fleet.exchangeAll()
-	on, _ := fleet.where(testJob, 0)
+	on, _ := fleet.findReplica(testJob, 0)
 	fleet.machines[on].TerminationNoticed, fleet.machines[on].TerminationIn = true, 12*units.Second
 	fleet.exchangeAll()
 	fleet.exchangeAll()
-	if now, _ := fleet.where(testJob, 0); now == on || now == "" || fleet.running() != 2 {
+	if now, _ := fleet.findReplica(testJob, 0); now == on || now == "" || fleet.runningReplicas() != 2 {
 		t.Errorf("replica 0 is on %q, was on %s", now, on)
 	}
-	gone, _ := fleet.where(testJob, 0)
+	gone, _ := fleet.findReplica(testJob, 0)
 	zone := fleet.machines[gone].Zone
 	lost := map[string]*protocol.Heartbeat{}
 	for id, heartbeat := range fleet.machines {
@@ -96,8 +96,8 @@
 	for range 25 {
 		fleet.exchangeAll()
 		leader.detector.ExpireWorkerLeases(clock.Now)
-		if fleet.running() > 1 {
-			t.Fatalf("%d replicas run in one zone: %v", fleet.running(), fleet.zones())
+		if fleet.runningReplicas() > 1 {
+			t.Fatalf("%d replicas run in one zone: %v", fleet.runningReplicas(), fleet.replicasByZone())
 		}
 	}
 	for id, heartbeat := range lost {
@@ -106,8 +106,8 @@
 	}
 	fleet.exchangeAll()
 	fleet.exchangeAll()
-	if fleet.running() != 2 {
-		t.Errorf("%d replicas run after the zone is back", fleet.running())
+	if fleet.runningReplicas() != 2 {
+		t.Errorf("%d replicas run after the zone is back", fleet.runningReplicas())
 	}
 }
 
@@ -116,7 +116,7 @@
 func TestCancelledServicesEnd(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 3, false)
 	fleet.exchangeAll()
-	fleet.end(1, protocol.CauseError)
+	fleet.exitReplica(1, protocol.CauseError)
 	fleet.exchangeAll() // the start of replica 1 may be in flight
 	job := leader.state.Jobs[testJob]
 	leader.cancelJob(job)
@@ -125,8 +125,8 @@
 		fleet.exchangeAll()
 	}
 	leader.commitWrites()
-	if fleet.started > started || fleet.zones()["a"]+fleet.zones()["b"] != 0 {
-		t.Errorf("%d starts after the cancellation, replicas in %v", fleet.started-started, fleet.zones())
+	if fleet.started > started || fleet.replicasByZone()["a"]+fleet.replicasByZone()["b"] != 0 {
+		t.Errorf("%d starts after the cancellation, replicas in %v", fleet.started-started, fleet.replicasByZone())
 	}
 	if !job.CancelDurable || leader.state.Jobs[testJob] != nil {
 		t.Error("it has not ended")
--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -20,7 +20,7 @@
 func TestSubmitAndCancelWithLostAnswers(t *testing.T) {
 	store := fake.NewKVServer()
 	store.DropResponse = func(n int) bool { return n%2 == 0 }
-	leader := newStoredLeader(t, 1, store)
+	leader := newLeaderWithStore(t, 1, store)
 	ctx := t.Context()
 	for try := 0; !leader.persister.Restore(ctx); try++ {
 		if try == 3 {
@@ -28,7 +28,7 @@
 		}
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	start(t, leader.persister.Run)
+	startLoop(t, leader.persister.Run)
 	if a := leader.Poll(ctx, "j-000001"); a.Status != http.StatusNotFound {
 		t.Fatalf("unknown job: %d", a.Status)
 	}
@@ -63,13 +63,13 @@
 		Tasks: 2,
 		Done:  2,
 	}))
-	leader := newStoredLeader(t, 3, store)
+	leader := newLeaderWithStore(t, 3, store)
 	ctx := t.Context()
 	if !leader.persister.Restore(ctx) {
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	start(t, leader.persister.Run)
+	startLoop(t, leader.persister.Run)
 	infeasible := fake.JobSpec(id)
 	infeasible.Team = "nobody"
 	for _, spec := range []*protocol.JobSpec{fake.JobSpec(id), infeasible} {
@@ -94,7 +94,7 @@
 	store := fake.NewKVServer()
 	record := protocol.Encode(map[string]any{"v": 99, "id": testJob})
 	store.Put(storage.KeyJob(testJob), record)
-	leader := newStoredLeader(t, 2, store)
+	leader := newLeaderWithStore(t, 2, store)
 	if leader.persister.Restore(t.Context()) || leader.Ready() {
 		t.Fatal("led in spite of it")
 	}
@@ -108,11 +108,11 @@
 
 // Without a valid lease nothing is answered 200.
 func TestNothingIsAnsweredWithoutTheLease(t *testing.T) {
-	leader := newStoredLeader(t, 2, fake.NewKVServer())
+	leader := newLeaderWithStore(t, 2, fake.NewKVServer())
 	if !leader.persister.Restore(t.Context()) {
 		t.Fatal("not restored")
 	}
-	leader.lease().Lost = true
+	leader.fakeLeadership().Lost = true
 	for name, a := range map[string]answer.Answer{
 		"submit": leader.Submit(t.Context(), fake.JobSpec(testJob)),
 		"poll":   leader.Poll(t.Context(), testJob),
@@ -166,7 +166,7 @@
 // Where a worker may run a cancelled job for longer than its user may be told, a cancellation is
 // not confirmed while one of the job's tasks runs, though it is durable.
 func TestCancellationIsNotConfirmedWhileTasksRun(t *testing.T) {
-	leader := newStoredLeader(t, 1, fake.NewKVServer(), func(d *Deps) {
+	leader := newLeaderWithStore(t, 1, fake.NewKVServer(), func(d *Deps) {
 		d.Settings.Fleet.Workers.CancelS = d.Settings.Fleet.Workers.LeaseS / 2
 	})
 	ctx := t.Context()
@@ -174,7 +174,7 @@
 		t.Fatal("not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
-	start(t, leader.persister.Run)
+	startLoop(t, leader.persister.Run)
 	if a := leader.Submit(ctx, fake.JobSpec(testJob)); a.Status != http.StatusCreated {
 		t.Fatalf("submit: %d %s", a.Status, a.Body)
 	}
