--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkDecide decides about jobs by a plan that restricts 96 cells of 12 teams.
+// BenchmarkDecide decides about jobs by a plan that restricts 96 flows of 12 teams.
 func BenchmarkDecide(b *testing.B) {
 	plan := crowdedPlan(b, 12, 4)
 	job := testJob(77, "kitchen-03", "class-2", 10, 100)
@@ -20,9 +20,9 @@
 	sim := newSimulation(b, Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink", "a", "b", "c", "d", "e", "f", "g", "h", "i"))
 	for i := range maxWaiting {
 		team := sim.teams[i%len(sim.teams)].Name
-		cell := Cell{Team: team, Class: fmt.Sprintf("class-%d", i%4)}
-		sim.backlog[cell] += 1_000_000
-		sim.waiting.Add(fmt.Sprintf("j-%06d", i), Decision{Cell: cell, Cost: 100_000}, sim.now)
+		flow := Cell{Team: team, Class: fmt.Sprintf("class-%d", i%4)}
+		sim.backlog[flow] += 1_000_000
+		sim.waiting.Add(fmt.Sprintf("j-%06d", i), Decision{Flow: flow, Cost: 100_000}, sim.now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -11,25 +11,25 @@
 	planner      *Planner
 	plan         *Plan
 	measurement  Measurement
-	restrictions map[Cell]CellRestriction
-	credits      map[Cell]Work // of restricted cells of large jobs; nil: none
+	restrictions map[Cell]FlowRestriction
+	credits      map[Cell]Work // of restricted flows of large jobs; nil: none
 	next         plannerState
 
 	usages []Usage
 }
 
-// cellDemand is the demand of a cell.
-type cellDemand struct {
+// flowDemand is the demand of a flow.
+type flowDemand struct {
 	backlog Work // of unfinished jobs
 	waiting Work // of jobs on the waiting list
 }
 
-// total returns the demand of the cell, at most MaxWork.
-func (d cellDemand) total() Work { return d.backlog.Plus(d.waiting) }
+// total returns the demand of the flow, at most MaxWork.
+func (d flowDemand) total() Work { return d.backlog.Plus(d.waiting) }
 
-// plus returns the demand of two cells together.
-func (d cellDemand) plus(other cellDemand) cellDemand {
-	return cellDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
+// plus returns the demand of two flows together.
+func (d flowDemand) plus(other flowDemand) flowDemand {
+	return flowDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
 }
 
 // sharePool divides the capacity of one pool among the teams.
@@ -38,12 +38,12 @@
 	if total == 0 {
 		return
 	}
-	cells := b.demands(pool)
+	flows := b.demands(pool)
 	requests := make([]ShareRequest, len(b.planner.teams))
-	demands := make([]cellDemand, len(b.planner.teams))
+	demands := make([]flowDemand, len(b.planner.teams))
 	weights := 0.0
 	for i, team := range b.planner.teams {
-		for _, demand := range cells[team.Name] {
+		for _, demand := range flows[team.Name] {
 			demands[i] = demands[i].plus(demand)
 		}
 		requests[i] = ShareRequest{
@@ -66,7 +66,7 @@
 			unrequested: Work(float64(unrequested) * requests[i].Weight / weights),
 			limit:       b.workWithinHorizon(team.QuotaLimit[pool]),
 			demand:      demands[i],
-			cells:       cells[team.Name],
+			flows:       flows[team.Name],
 		})
 	}
 }
@@ -76,23 +76,23 @@
 	return WorkOf(1, amount, b.plan.Horizon)
 }
 
-// demands returns the demand of the cells of a pool, by team.
-func (b *planBuilder) demands(pool Pool) map[string]map[Cell]cellDemand {
-	teams := map[string]map[Cell]cellDemand{}
-	add := func(cell Cell, demand cellDemand) {
-		if cell.Pool != pool {
+// demands returns the demand of the flows of a pool, by team.
+func (b *planBuilder) demands(pool Pool) map[string]map[Cell]flowDemand {
+	teams := map[string]map[Cell]flowDemand{}
+	add := func(flow Cell, demand flowDemand) {
+		if flow.Pool != pool {
 			return
 		}
-		if teams[cell.Team] == nil {
-			teams[cell.Team] = map[Cell]cellDemand{}
+		if teams[flow.Team] == nil {
+			teams[flow.Team] = map[Cell]flowDemand{}
 		}
-		teams[cell.Team][cell] = teams[cell.Team][cell].plus(demand)
+		teams[flow.Team][flow] = teams[flow.Team][flow].plus(demand)
 	}
 	for _, backlog := range b.measurement.Backlog {
-		add(backlog.Cell, cellDemand{backlog: backlog.Work})
+		add(backlog.Cell, flowDemand{backlog: backlog.Work})
 	}
-	for cell, work := range b.measurement.Waiting.Work {
-		add(cell, cellDemand{waiting: work})
+	for flow, work := range b.measurement.Waiting.Work {
+		add(flow, flowDemand{waiting: work})
 	}
 	return teams
 }
@@ -104,8 +104,8 @@
 	weighted    Work // the part of the capacity by its weight alone
 	unrequested Work // the part of the unrequested capacity by its weight
 	limit       Work // by its quota limit, within the horizon
-	demand      cellDemand
-	cells       map[Cell]cellDemand
+	demand      flowDemand
+	flows       map[Cell]flowDemand
 }
 
 // contested reports whether the demand of the team exceeds its share.
--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -40,7 +40,7 @@
 const (
 	// NoReason is the reason of jobs that are admitted.
 	NoReason Reason = iota
-	// OverShare means that the cell has its share, and the job is outside the window.
+	// OverShare means that the flow has its share, and the job is outside the window.
 	OverShare
 	// Queued means that the job is large and not yet at the head of the queue.
 	Queued
@@ -70,7 +70,7 @@
 	Verdict     Verdict
 	Reason      Reason
 	PlanVersion uint64 // version of the plan; 0: the fallback plan, or none
-	Cell        Cell
+	Flow        Cell
 	Cost        Work
 	RetryAfter  units.Micros // 0 if the job is admitted
 
@@ -80,8 +80,8 @@
 
 // quotaKey identifies a version quota of a plan.
 type quotaKey struct {
-	cell   Cell
-	ofTeam bool // the quota for the team's cells without a restriction
+	flow   Cell
+	ofTeam bool // the quota for the team's flows without a restriction
 }
 
 // Bounds on RetryAfter. maxRetry is below waitingTimeout, so that a job whose user still asks
@@ -98,19 +98,19 @@
 // alone, and so is the same on every controller, at any time and in any order. It does not
 // look at what is left of the version quotas; PlanStore.Decide does.
 func (p *Plan) Decide(job *protocol.JobSpec) Decision {
-	cell, cost := p.Classify(job)
-	d := Decision{Verdict: Admit, PlanVersion: p.Version, Cell: cell, Cost: cost}
-	restriction, restrictedCell, found := p.Restriction(cell)
+	flow, cost := p.Classify(job)
+	d := Decision{Verdict: Admit, PlanVersion: p.Version, Flow: flow, Cost: cost}
+	restriction, restrictedFlow, found := p.Restriction(flow)
 	switch {
 	case !found:
-		d.quota, d.charged = quotaKey{cell: Cell{Team: cell.Team, Pool: cell.Pool}, ofTeam: true}, true
+		d.quota, d.charged = quotaKey{flow: Cell{Team: flow.Team, Pool: flow.Pool}, ofTeam: true}, true
 	case p.AtQueueHead(job.ID):
-		// Its work was charged to the cell when the plan was made.
-	case cell.Band == Large:
+		// Its work was charged to the flow when the plan was made.
+	case flow.Band == Large:
 		d.Verdict, d.Reason = Wait, Queued
 		d.RetryAfter = pausedRetry + p.jitter(job.ID)
 	case restriction.admits(position(job.ID)):
-		d.quota, d.charged = quotaKey{cell: restrictedCell}, true
+		d.quota, d.charged = quotaKey{flow: restrictedFlow}, true
 	default:
 		d.Verdict, d.Reason = Wait, OverShare
 		d.RetryAfter = p.windowWait(restriction, job.ID)
@@ -120,7 +120,7 @@
 
 // windowWait returns the time after which a job is expected to find its position in the
 // window.
-func (p *Plan) windowWait(restriction CellRestriction, id string) units.Micros {
+func (p *Plan) windowWait(restriction FlowRestriction, id string) units.Micros {
 	if restriction.Width == 0 {
 		return pausedRetry + p.jitter(id)
 	}
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -14,7 +14,7 @@
 	percent       = 100
 )
 
-// Describe writes the teams of a plan, the cells that it restricts and the jobs at the head of
+// Describe writes the teams of a plan, the flows that it restricts and the jobs at the head of
 // the queue as a table for people.
 func (p *Plan) Describe(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
@@ -26,7 +26,7 @@
 		}
 	}
 	p.describeTeams(table)
-	p.describeCells(table)
+	p.describeFlows(table)
 	p.describeQueueHeads(table)
 	return table.Flush()
 }
@@ -40,23 +40,23 @@
 	}
 }
 
-// describeCells writes the restrictions.
-func (p *Plan) describeCells(w io.Writer) {
-	if p.NumRestrictedCells() == 0 {
+// describeFlows writes the restrictions.
+func (p *Plan) describeFlows(w io.Writer) {
+	if p.NumRestrictedFlows() == 0 {
 		fmt.Fprintf(w, "\nnothing is restricted\n")
 		return
 	}
 	fmt.Fprintf(w, "\nrestricted\tclass\tpool\tjobs\twindow\tquota\n")
-	for cell, restriction := range p.allRestrictions() {
-		class := cell.Class
+	for flow, restriction := range p.allRestrictions() {
+		class := flow.Class
 		if class == "" {
 			class = "(all others)"
 		}
 		window := "by name"
-		if cell.Band == Small {
+		if flow.Band == Small {
 			window = fmt.Sprintf("%.0f%% from %.0f%%", ringPercent(restriction.Width), ringPercent(restriction.Start))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", cell.Team, class, cell.Pool, cell.Band, window, restriction.VersionQuota.UnitSeconds())
+		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", flow.Team, class, flow.Pool, flow.Band, window, restriction.VersionQuota.UnitSeconds())
 	}
 }
 
@@ -83,9 +83,9 @@
 		fmt.Fprintf(table, "why\t%v\n", d.Reason)
 		fmt.Fprintf(table, "again after\t%.1f s\n", d.RetryAfter.Seconds())
 	}
-	fmt.Fprintf(table, "reckoned as\t%v job of %s, class %s, by %v\n", d.Cell.Band, d.Cell.Team, d.Cell.Class, d.Cell.Pool)
-	fmt.Fprintf(table, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Cell.Pool)
-	if restriction, _, restricted := p.Restriction(d.Cell); restricted && d.Cell.Band == Small {
+	fmt.Fprintf(table, "reckoned as\t%v job of %s, class %s, by %v\n", d.Flow.Band, d.Flow.Team, d.Flow.Class, d.Flow.Pool)
+	fmt.Fprintf(table, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Flow.Pool)
+	if restriction, _, restricted := p.Restriction(d.Flow); restricted && d.Flow.Band == Small {
 		fmt.Fprintf(table, "position\t%.0f%%; the window has %.0f%% from %.0f%%\n", ringPercent(position(job.ID)),
 			ringPercent(restriction.Width), ringPercent(restriction.Start))
 	}
--- a/internal/admission/cell.go
+++ b/internal/admission/flow.go
@@ -22,7 +22,7 @@
 }
 
 // Cell is a group of jobs with a share of its own: those of one team, class, pool and band. It
-// has nothing to do with the cells of a federation.
+// has nothing to do with the flows of a federation.
 type Cell struct {
 	Team  string
 	Class string // "": all classes of the team without a restriction of their own
@@ -52,7 +52,7 @@
 	return append(appendName(buffer, k.Team), byte(k.Pool))
 }
 
-// appendKey appends the key of a cell's restriction to buffer.
+// appendKey appends the key of a flow's restriction to buffer.
 func (c Cell) appendKey(buffer []byte) []byte {
 	buffer = appendName(buffer, c.Team)
 	buffer = append(buffer, byte(c.Pool), byte(c.Band))
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -9,14 +9,14 @@
 
 // TeamEntry is what a plan holds for the work of one team in a pool.
 type TeamEntry struct {
-	VersionQuota       Work     // that cells without a restriction may admit under this version
+	VersionQuota       Work     // that flows without a restriction may admit under this version
 	LargeThreshold     Work     // a job with more work is in the band Large
 	EstimateCorrection PerMille // ratio of run times to the team's estimates
 }
 
-// CellRestriction restricts the jobs of a cell: small ones are admitted while their position
+// FlowRestriction restricts the jobs of a flow: small ones are admitted while their position
 // on the ring is in the window, large ones when they are at the head of the queue.
-type CellRestriction struct {
+type FlowRestriction struct {
 	Start        uint32 // first position of the window
 	Width        uint32 // number of positions in it
 	VersionQuota Work   // that the window may admit under this version
@@ -32,7 +32,7 @@
 	Capacity     Amounts      // that is divided among the teams
 
 	teams        *iradix.Tree[TeamEntry]
-	restrictions *iradix.Tree[CellRestriction]
+	restrictions *iradix.Tree[FlowRestriction]
 	queueHeads   *iradix.Tree[struct{}] // IDs of the large jobs that are admitted
 }
 
@@ -44,7 +44,7 @@
 		Horizon:      horizon,
 		Capacity:     capacity,
 		teams:        iradix.New[TeamEntry](),
-		restrictions: iradix.New[CellRestriction](),
+		restrictions: iradix.New[FlowRestriction](),
 		queueHeads:   iradix.New[struct{}](),
 	}
 }
@@ -64,17 +64,17 @@
 	return TeamEntry{LargeThreshold: MaxWork, EstimateCorrection: exactEstimates}
 }
 
-// Restriction returns what restricts a cell, and the cell that the restriction was made for:
+// Restriction returns what restricts a flow, and the flow that the restriction was made for:
 // the same one, or the one for all other classes of the team. The last result is false if
 // nothing restricts it.
-func (p *Plan) Restriction(cell Cell) (CellRestriction, Cell, bool) {
+func (p *Plan) Restriction(flow Cell) (FlowRestriction, Cell, bool) {
 	var buffer [keyBuffer]byte
-	if restriction, ok := p.restrictions.Get(cell.appendKey(buffer[:0])); ok {
-		return restriction, cell, true
+	if restriction, ok := p.restrictions.Get(flow.appendKey(buffer[:0])); ok {
+		return restriction, flow, true
 	}
-	cell.Class = ""
-	restriction, ok := p.restrictions.Get(cell.appendKey(buffer[:0]))
-	return restriction, cell, ok
+	flow.Class = ""
+	restriction, ok := p.restrictions.Get(flow.appendKey(buffer[:0]))
+	return restriction, flow, ok
 }
 
 // AtQueueHead reports whether a large job is at the head of the queue, so that the plan admits
@@ -84,31 +84,31 @@
 	return found
 }
 
-// NumRestrictedCells returns the number of cells that the plan restricts.
-func (p *Plan) NumRestrictedCells() int { return p.restrictions.Len() }
+// NumRestrictedFlows returns the number of flows that the plan restricts.
+func (p *Plan) NumRestrictedFlows() int { return p.restrictions.Len() }
 
 // NumQueueHeads returns the number of large jobs at the head of the queue.
 func (p *Plan) NumQueueHeads() int { return p.queueHeads.Len() }
 
-// Classify returns the cell of a job and its expected work.
+// Classify returns the flow of a job and its expected work.
 func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
-	cell := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Request, p.Capacity)}
-	entry := p.teamOrDefault(cell.Team, cell.Pool)
-	cost := WorkOf(job.Tasks, amountIn(cell.Pool, job.Request), runTime(job, entry.EstimateCorrection, p.Horizon))
+	flow := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Request, p.Capacity)}
+	entry := p.teamOrDefault(flow.Team, flow.Pool)
+	cost := WorkOf(job.Tasks, amountIn(flow.Pool, job.Request), runTime(job, entry.EstimateCorrection, p.Horizon))
 	if cost > entry.LargeThreshold {
-		cell.Band = Large
+		flow.Band = Large
 	}
-	return cell, cost
+	return flow, cost
 }
 
-// ClassifyRemaining returns the cell of a job and the expected work of its unfinished tasks. meanRun
+// ClassifyRemaining returns the flow of a job and the expected work of its unfinished tasks. meanRun
 // is the mean run time of the finished ones, 0 if there are none.
 func (p *Plan) ClassifyRemaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Cell, Work) {
-	cell, _ := p.Classify(job)
+	flow, _ := p.Classify(job)
 	run := meanRun
 	if run <= 0 {
-		entry := p.teamOrDefault(cell.Team, cell.Pool)
+		entry := p.teamOrDefault(flow.Team, flow.Pool)
 		run = runTime(job, entry.EstimateCorrection, p.Horizon)
 	}
-	return cell, WorkOf(unfinished, amountIn(cell.Pool, job.Request), run)
+	return flow, WorkOf(unfinished, amountIn(flow.Pool, job.Request), run)
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -2,7 +2,7 @@
 
 import "dunestand/internal/units"
 
-// CellBacklog is the unfinished work of a cell that was admitted already.
+// CellBacklog is the unfinished work of a flow that was admitted already.
 type CellBacklog struct {
 	Cell Cell
 	Work Work
@@ -48,8 +48,8 @@
 	p := &Planner{options: options, teams: teams}
 	p.current = plannerState{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
 	if former != nil {
-		for cell, restriction := range former.allRestrictions() {
-			p.current.windows[cell] = window{start: restriction.Start, width: restriction.Width, since: now}
+		for flow, restriction := range former.allRestrictions() {
+			p.current.windows[flow] = window{start: restriction.Start, width: restriction.Width, since: now}
 		}
 		for id := range former.allQueueHeads() {
 			p.current.queueHeads[id] = true
@@ -70,7 +70,7 @@
 		planner:      p,
 		plan:         plan,
 		measurement:  measurement,
-		restrictions: map[Cell]CellRestriction{},
+		restrictions: map[Cell]FlowRestriction{},
 		next:         plannerState{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
 	}
 	for pool := range Pool(numPools) {
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -118,13 +118,13 @@
 		id := rapid.IntRange(0, 999_999).Draw(t, "id")
 		share := rapid.IntRange(5, 60).Draw(t, "share in percent")
 		job := testJob(id, "mill", "bulk", 1, 10)
-		cell, _ := sim.plans.LatestPlan().Classify(job)
+		flow, _ := sim.plans.LatestPlan().Classify(job)
 		full := WorkOf(1, sim.capacity[CPU], testHorizon)
 		began, next := sim.now, sim.now
 		for ; ; sim.now += planInterval {
 			// Somebody else always offers as much as takes the rest of the ring.
-			sim.backlog[cell] = full / 2
-			sim.waiting.Add("j-1", Decision{Cell: cell, Cost: full / 2 * 100 / Work(share)}, sim.now)
+			sim.backlog[flow] = full / 2
+			sim.waiting.Add("j-1", Decision{Flow: flow, Cost: full / 2 * 100 / Work(share)}, sim.now)
 			sim.publishPlan()
 			if sim.now < next {
 				continue
@@ -190,7 +190,7 @@
 				t.Fatalf("%v here, %v there", here, there)
 			}
 			known, again := first[job.ID]
-			if sameCell := known.Cell == here.Cell && known.Cost == here.Cost; again && sameCell && known != here {
+			if sameFlow := known.Flow == here.Flow && known.Cost == here.Cost; again && sameFlow && known != here {
 				t.Fatalf("%v, and later %v", known, here)
 			}
 			first[job.ID] = here
@@ -213,9 +213,9 @@
 // Users that are told to retry do not all retry in the same second.
 func TestRetriesAreSpread(t *testing.T) {
 	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill"))
-	cell, _ := sim.plans.LatestPlan().Classify(testJob(0, "mill", "bulk", 10, 10))
-	sim.backlog[cell] = MaxWork / 4
-	sim.waiting.Add("j-1", Decision{Cell: cell, Cost: 1000}, sim.now)
+	flow, _ := sim.plans.LatestPlan().Classify(testJob(0, "mill", "bulk", 10, 10))
+	sim.backlog[flow] = MaxWork / 4
+	sim.waiting.Add("j-1", Decision{Flow: flow, Cost: 1000}, sim.now)
 	sim.publishPlan()
 	const jobs = 4000
 	perTenth := map[units.Micros]int{}
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -206,10 +206,10 @@
 // versionQuota returns the version quota that a key identifies.
 func (p *Plan) versionQuota(key quotaKey) Work {
 	if key.ofTeam {
-		entry, _ := p.Team(key.cell.Team, key.cell.Pool)
+		entry, _ := p.Team(key.flow.Team, key.flow.Pool)
 		return entry.VersionQuota
 	}
-	restriction, _, _ := p.Restriction(key.cell)
+	restriction, _, _ := p.Restriction(key.flow)
 	return restriction.VersionQuota
 }
 
--- a/internal/admission/plantrees.go
+++ b/internal/admission/plantrees.go
@@ -10,15 +10,15 @@
 // trees are persistent (immutable with shared structure): a plan that starts from the trees
 // of the one before shares what does not change, and readers need no lock.
 
-// SameRestrictions reports whether two plans restrict the same cells to the same windows and have the same
+// SameRestrictions reports whether two plans restrict the same flows to the same windows and have the same
 // jobs at the head of the queue. Their version quotas may differ: these change with every task
 // that ends.
 func (p *Plan) SameRestrictions(other *Plan) bool {
 	if other == nil || p.restrictions.Len() != other.restrictions.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
 		return false
 	}
-	for cell, restriction := range p.allRestrictions() {
-		known, _, found := other.Restriction(cell)
+	for flow, restriction := range p.allRestrictions() {
+		known, _, found := other.Restriction(flow)
 		if !found || known.Start != restriction.Start || known.Width != restriction.Width {
 			return false
 		}
@@ -40,15 +40,15 @@
 }
 
 // setRestrictions replaces all restrictions.
-func (p *Plan) setRestrictions(restrictions map[Cell]CellRestriction) {
+func (p *Plan) setRestrictions(restrictions map[Cell]FlowRestriction) {
 	txn := p.restrictions.Txn()
-	for cell := range p.allRestrictions() {
-		if _, kept := restrictions[cell]; !kept {
-			txn.Delete(cell.appendKey(nil))
+	for flow := range p.allRestrictions() {
+		if _, kept := restrictions[flow]; !kept {
+			txn.Delete(flow.appendKey(nil))
 		}
 	}
-	for cell, restriction := range restrictions {
-		raw := cell.appendKey(nil)
+	for flow, restriction := range restrictions {
+		raw := flow.appendKey(nil)
 		if known, ok := p.restrictions.Get(raw); !ok || known != restriction {
 			txn.Insert(raw, restriction)
 		}
@@ -78,15 +78,15 @@
 	}
 }
 
-// allRestrictions iterates over the restrictions in the order of their cells' keys.
-func (p *Plan) allRestrictions() iter.Seq2[Cell, CellRestriction] {
-	return func(yield func(Cell, CellRestriction) bool) {
+// allRestrictions iterates over the restrictions in the order of their flows' keys.
+func (p *Plan) allRestrictions() iter.Seq2[Cell, FlowRestriction] {
+	return func(yield func(Cell, FlowRestriction) bool) {
 		i := p.restrictions.Root().Iterator()
 		for raw, restriction, ok := i.Next(); ok; raw, restriction, ok = i.Next() {
 			team, rest := cutName(raw)
 			class, _ := cutName(rest[2:])
-			cell := Cell{Team: team, Class: class, Pool: Pool(rest[0]), Band: Band(rest[1])}
-			if !yield(cell, restriction) {
+			flow := Cell{Team: team, Class: class, Pool: Pool(rest[0]), Band: Band(rest[1])}
+			if !yield(flow, restriction) {
 				return
 			}
 		}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -9,7 +9,7 @@
 const maxQueueHeads = 16
 
 // selectQueueHeads selects the large jobs at the head of the queue: those that were there
-// already and still wait, then the longest waiting ones while their cell has credit. The last
+// already and still wait, then the longest waiting ones while their flow has credit. The last
 // one may exceed the credit, and the next one waits until that is worked off. The following
 // plan keeps the selection even if this one is never written.
 func (b *planBuilder) selectQueueHeads() {
@@ -21,7 +21,7 @@
 		}
 	}
 	for _, job := range b.measurement.Waiting.Large {
-		if !former[job.ID] && b.credits[job.Cell] > 0 {
+		if !former[job.ID] && b.credits[job.Flow] > 0 {
 			b.selectQueueHead(job, heads)
 		}
 	}
@@ -29,13 +29,13 @@
 	b.plan.setQueueHeads(slices.Sorted(maps.Keys(heads)))
 }
 
-// selectQueueHead adds a job to the head of the queue and charges it to its cell, if the cell
+// selectQueueHead adds a job to the head of the queue and charges it to its flow, if the flow
 // is restricted and the head is not full.
 func (b *planBuilder) selectQueueHead(job WaitingJob, heads map[string]bool) {
-	credit, restricted := b.credits[job.Cell]
+	credit, restricted := b.credits[job.Flow]
 	if !restricted || heads[job.ID] || len(heads) == maxQueueHeads {
 		return
 	}
 	heads[job.ID] = true
-	b.credits[job.Cell] = credit - job.Cost
+	b.credits[job.Flow] = credit - job.Cost
 }
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -27,11 +27,11 @@
 	Horizon      units.Micros `cbor:"ahead" json:"ahead"`
 	Capacity     Amounts      `cbor:"cap" json:"cap"`
 	Teams        []teamRecord `cbor:"teams" json:"teams"`
-	Cells        []cellRecord `cbor:"cells" json:"cells"`
+	Flows        []flowRecord `cbor:"cells" json:"cells"`
 	QueueHeads   []string     `cbor:"turns" json:"turns"`
 }
 
-// teamRecord is the stored form of a TeamEntry. It and cellRecord are stored as lists of their
+// teamRecord is the stored form of a TeamEntry. It and flowRecord are stored as lists of their
 // fields, to save space.
 type teamRecord struct {
 	_                  struct{} `cbor:",toarray"`
@@ -47,8 +47,8 @@
 	return json.Marshal([]any{t.Name, t.Pool, t.VersionQuota, t.LargeThreshold, t.EstimateCorrection})
 }
 
-// cellRecord is the stored form of a CellRestriction.
-type cellRecord struct {
+// flowRecord is the stored form of a CellRestriction.
+type flowRecord struct {
 	_            struct{} `cbor:",toarray"`
 	TeamIndex    int      // in the record's Teams
 	Class        string
@@ -59,7 +59,7 @@
 }
 
 // MarshalJSON returns the list that is stored, for the size of the record.
-func (c cellRecord) MarshalJSON() ([]byte, error) {
+func (c flowRecord) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{c.TeamIndex, c.Class, c.Band, c.Start, c.Width, c.VersionQuota})
 }
 
@@ -106,7 +106,7 @@
 		Horizon:      p.Horizon,
 		Capacity:     p.Capacity,
 		Teams:        []teamRecord{},
-		Cells:        []cellRecord{},
+		Flows:        []flowRecord{},
 		QueueHeads:   slices.AppendSeq([]string{}, p.allQueueHeads()),
 	}
 	indexes := map[teamKey]int{}
@@ -120,11 +120,11 @@
 			EstimateCorrection: entry.EstimateCorrection,
 		})
 	}
-	for cell, restriction := range p.allRestrictions() {
-		r.Cells = append(r.Cells, cellRecord{
-			TeamIndex:    indexes[teamKey{Team: cell.Team, Pool: cell.Pool}],
-			Class:        cell.Class,
-			Band:         cell.Band,
+	for flow, restriction := range p.allRestrictions() {
+		r.Flows = append(r.Flows, flowRecord{
+			TeamIndex:    indexes[teamKey{Team: flow.Team, Pool: flow.Pool}],
+			Class:        flow.Class,
+			Band:         flow.Band,
 			Start:        restriction.Start,
 			Width:        restriction.Width,
 			VersionQuota: storedWork(restriction.VersionQuota),
@@ -133,8 +133,8 @@
 	return r
 }
 
-// cell returns the cell of a cellRecord.
-func (r *record) cell(c cellRecord) Cell {
+// flow returns the flow of a flowRecord.
+func (r *record) flow(c flowRecord) Cell {
 	team := r.Teams[c.TeamIndex]
 	return Cell{Team: team.Name, Class: c.Class, Pool: team.Pool, Band: c.Band}
 }
@@ -149,9 +149,9 @@
 			EstimateCorrection: t.EstimateCorrection,
 		})
 	}
-	restrictions := map[Cell]CellRestriction{}
-	for _, c := range r.Cells {
-		restrictions[r.cell(c)] = CellRestriction{Start: c.Start, Width: c.Width, VersionQuota: Work(c.VersionQuota) * storedUnit}
+	restrictions := map[Cell]FlowRestriction{}
+	for _, c := range r.Flows {
+		restrictions[r.flow(c)] = FlowRestriction{Start: c.Start, Width: c.Width, VersionQuota: Work(c.VersionQuota) * storedUnit}
 	}
 	p.setRestrictions(restrictions)
 	p.setQueueHeads(r.QueueHeads)
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -45,8 +45,8 @@
 // one that cannot fit is an error.
 func TestPlanIsCoarsenedUntilItFits(t *testing.T) {
 	plan := crowdedPlan(t, 12, 4)
-	if plan.NumRestrictedCells() < 48 {
-		t.Fatalf("only %d cells are restricted", plan.NumRestrictedCells())
+	if plan.NumRestrictedFlows() < 48 {
+		t.Fatalf("only %d flows are restricted", plan.NumRestrictedFlows())
 	}
 	for _, maxBytes := range []int{8 << 10, 2 << 10, 1 << 10} {
 		raw, kept, err := Encode(plan, maxBytes)
@@ -58,7 +58,7 @@
 			t.Errorf("%d bytes: %v, %+v", maxBytes, err, read)
 		}
 		restricted := testJob(77, "kitchen-03", "class-2", 10, 100)
-		if _, _, found := read.Restriction(cellOf(read, restricted)); !found {
+		if _, _, found := read.Restriction(flowOf(read, restricted)); !found {
 			t.Errorf("%d bytes: a restricted class is open", maxBytes)
 		}
 	}
@@ -67,10 +67,10 @@
 	}
 }
 
-// cellOf returns the cell of a job.
-func cellOf(p *Plan, job *protocol.JobSpec) Cell {
-	cell, _ := p.Classify(job)
-	return cell
+// flowOf returns the flow of a job.
+func flowOf(p *Plan, job *protocol.JobSpec) Cell {
+	flow, _ := p.Classify(job)
+	return flow
 }
 
 // A record that no leader writes is an error that names the field, never a plan.
@@ -79,7 +79,7 @@
 	if _, err := Decode(protocol.Encode(good())); err != nil {
 		t.Fatal(err)
 	}
-	teams, cells := len(good().Teams), len(good().Cells)
+	teams, flows := len(good().Teams), len(good().Flows)
 	for _, test := range []struct {
 		field string
 		cause error
@@ -96,12 +96,12 @@
 		{"teams[0].version_quota", errOutOfRange, func(r *record) { r.Teams[0].VersionQuota = -1 }},
 		{"teams[0].large_threshold", errOutOfRange, func(r *record) { r.Teams[0].LargeThreshold = maxStored + 1 }},
 		{"teams[0].estimate_correction", errOutOfRange, func(r *record) { r.Teams[0].EstimateCorrection = 0 }},
-		{"cells[0].team", errUnknownTeam, func(r *record) { r.Cells[0].TeamIndex = 99 }},
-		{fmt.Sprintf("cells[%d].class", cells), errDuplicate, func(r *record) { r.Cells = append(r.Cells, r.Cells[0]) }},
-		{"cells[0].band", errOutOfRange, func(r *record) { r.Cells[0].Band = numBands }},
-		{"cells[0].width", errOutOfRange, func(r *record) { r.Cells[0].Width = ringSize + 1 }},
-		{"cells[0].start", errOutOfRange, func(r *record) { r.Cells[0].Start = ringSize }},
-		{"cells[0].version_quota", errOutOfRange, func(r *record) { r.Cells[0].VersionQuota = 1 << 62 }},
+		{"cells[0].team", errUnknownTeam, func(r *record) { r.Flows[0].TeamIndex = 99 }},
+		{fmt.Sprintf("cells[%d].class", flows), errDuplicate, func(r *record) { r.Flows = append(r.Flows, r.Flows[0]) }},
+		{"cells[0].band", errOutOfRange, func(r *record) { r.Flows[0].Band = numBands }},
+		{"cells[0].width", errOutOfRange, func(r *record) { r.Flows[0].Width = ringSize + 1 }},
+		{"cells[0].start", errOutOfRange, func(r *record) { r.Flows[0].Start = ringSize }},
+		{"cells[0].version_quota", errOutOfRange, func(r *record) { r.Flows[0].VersionQuota = 1 << 62 }},
 		{"queue_heads[0]", errInvalidJobID, func(r *record) { r.QueueHeads = []string{"who"} }},
 	} {
 		t.Run(test.field, func(t *testing.T) {
--- a/internal/admission/recordcheck.go
+++ b/internal/admission/recordcheck.go
@@ -82,7 +82,7 @@
 	if err := r.checkTeams(); err != nil {
 		return err
 	}
-	return r.checkCells()
+	return r.checkFlows()
 }
 
 // checkTeams checks the entries of teams.
@@ -105,16 +105,16 @@
 	return nil
 }
 
-// checkCells checks the restrictions of cells.
-func (r *record) checkCells() error {
+// checkFlows checks the restrictions of flows.
+func (r *record) checkFlows() error {
 	seen := map[Cell]bool{}
-	for i, c := range r.Cells {
+	for i, c := range r.Flows {
 		if c.TeamIndex < 0 || c.TeamIndex >= len(r.Teams) {
 			return elementError("cells", i, requirement{field: "team", cause: errUnknownTeam})
 		}
-		cell := r.cell(c)
+		flow := r.flow(c)
 		if unmet, found := firstUnmet(
-			requirement{!seen[cell], "class", errDuplicate},
+			requirement{!seen[flow], "class", errDuplicate},
 			requirement{c.Band < numBands, "band", errOutOfRange},
 			requirement{c.Start < ringSize, "start", errOutOfRange},
 			requirement{c.Width <= ringSize, "width", errOutOfRange},
@@ -122,7 +122,7 @@
 		); found {
 			return elementError("cells", i, unmet)
 		}
-		seen[cell] = true
+		seen[flow] = true
 	}
 	return nil
 }
--- a/internal/admission/recordsize.go
+++ b/internal/admission/recordsize.go
@@ -17,13 +17,13 @@
 	return len(raw)
 }
 
-// coarsen drops detail: the classes of the team with the most restricted cells get one
+// coarsen drops detail: the classes of the team with the most restricted flows get one
 // restriction together, or else the queue of large jobs is cut in half. It reports whether
 // there was anything left to drop.
 func (r *record) coarsen() bool {
 	count := map[int]int{}
 	crowded := -1
-	for _, c := range r.Cells {
+	for _, c := range r.Flows {
 		if c.Class == "" {
 			continue
 		}
@@ -45,9 +45,9 @@
 
 // mergeClasses gives a team one restriction in each band instead of one in each class.
 func (r *record) mergeClasses(team int) {
-	merged := map[Band]*cellRecord{}
-	var kept []cellRecord
-	for _, c := range r.Cells {
+	merged := map[Band]*flowRecord{}
+	var kept []flowRecord
+	for _, c := range r.Flows {
 		if c.TeamIndex != team {
 			kept = append(kept, c)
 			continue
@@ -66,5 +66,5 @@
 			kept = append(kept, *m)
 		}
 	}
-	r.Cells = kept
+	r.Flows = kept
 }
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -7,12 +7,12 @@
 )
 
 // restrictTeam divides a team's share among its classes, these among small and large jobs, and
-// restricts the cells whose demand exceeds their part. It returns the version quota of the
-// unrestricted cells: all restricted ones and these together get equal parts.
+// restricts the flows whose demand exceeds their part. It returns the version quota of the
+// unrestricted flows: all restricted ones and these together get equal parts.
 func (b *planBuilder) restrictTeam(team teamShare) Work {
-	classes := map[string]cellDemand{}
-	for cell, demand := range team.cells {
-		classes[cell.Class] = classes[cell.Class].plus(demand)
+	classes := map[string]flowDemand{}
+	for flow, demand := range team.flows {
+		classes[flow.Class] = classes[flow.Class].plus(demand)
 	}
 	names := slices.Sorted(maps.Keys(classes))
 	requests := make([]ShareRequest, len(names))
@@ -22,19 +22,19 @@
 	restricted := 0
 	var unrestricted Work
 	for i, share := range FairShares(team.granted, requests) {
-		for _, cell := range b.restrictClass(names[i], share, team.cells) {
-			if cell.restricted {
+		for _, flow := range b.restrictClass(names[i], share, team.flows) {
+			if flow.restricted {
 				restricted++
 			} else {
-				unrestricted = unrestricted.Plus(cell.backlog)
+				unrestricted = unrestricted.Plus(flow.backlog)
 			}
 		}
 	}
 	return max(team.granted/Work(restricted+1)-unrestricted, 0)
 }
 
-// cellOutcome is what restrictClass did with a cell.
-type cellOutcome struct {
+// flowOutcome is what restrictClass did with a flow.
+type flowOutcome struct {
 	restricted bool
 	backlog    Work
 }
@@ -44,50 +44,50 @@
 
 // restrictClass divides a class's share among small and large jobs and restricts those whose
 // demand exceeds their part.
-func (b *planBuilder) restrictClass(class string, share Work, cells map[Cell]cellDemand) []cellOutcome {
+func (b *planBuilder) restrictClass(class string, share Work, flows map[Cell]flowDemand) []flowOutcome {
 	var bands []Cell
-	for cell := range cells {
-		if cell.Class == class {
-			bands = append(bands, cell)
+	for flow := range flows {
+		if flow.Class == class {
+			bands = append(bands, flow)
 		}
 	}
 	slices.SortFunc(bands, func(x, y Cell) int { return cmp.Compare(x.Band, y.Band) })
 	requests := make([]ShareRequest, len(bands))
-	for i, cell := range bands {
-		requests[i] = ShareRequest{Demand: cells[cell].total(), Weight: bandWeight}
+	for i, flow := range bands {
+		requests[i] = ShareRequest{Demand: flows[flow].total(), Weight: bandWeight}
 	}
-	outcomes := make([]cellOutcome, len(bands))
+	outcomes := make([]flowOutcome, len(bands))
 	for i, part := range FairShares(share, requests) {
-		demand := cells[bands[i]]
-		outcomes[i] = cellOutcome{restricted: part < demand.total(), backlog: demand.backlog}
+		demand := flows[bands[i]]
+		outcomes[i] = flowOutcome{restricted: part < demand.total(), backlog: demand.backlog}
 		if outcomes[i].restricted {
-			b.restrictCell(bands[i], part, demand)
+			b.restrictFlow(bands[i], part, demand)
 		}
 	}
 	return outcomes
 }
 
-// restrictCell restricts a cell to its part of the share.
-func (b *planBuilder) restrictCell(cell Cell, part Work, demand cellDemand) {
+// restrictFlow restricts a flow to its part of the share.
+func (b *planBuilder) restrictFlow(flow Cell, part Work, demand flowDemand) {
 	credit := part - demand.backlog
-	if cell.Band == Large {
+	if flow.Band == Large {
 		if b.credits == nil {
 			b.credits = map[Cell]Work{}
 		}
-		b.credits[cell] = credit
-		b.restrictions[cell] = CellRestriction{}
+		b.credits[flow] = credit
+		b.restrictions[flow] = FlowRestriction{}
 		return
 	}
 	now := b.measurement.Now
-	former, known := b.planner.current.windows[cell]
+	former, known := b.planner.current.windows[flow]
 	if !known {
-		former = window{start: position(cell.Team + "/" + cell.Class), since: now - windowDwell}
+		former = window{start: position(flow.Team + "/" + flow.Class), since: now - windowDwell}
 	}
 	next := former.next(credit, demand.waiting, now)
-	b.next.windows[cell] = next
-	restriction := CellRestriction{Start: next.start}
+	b.next.windows[flow] = next
+	restriction := FlowRestriction{Start: next.start}
 	if credit > 0 {
 		restriction.Width, restriction.VersionQuota = next.width, credit
 	}
-	b.restrictions[cell] = restriction
+	b.restrictions[flow] = restriction
 }
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -86,8 +86,8 @@
 func (s *simulation) measure() Measurement {
 	s.waiting.Expire(s.now)
 	m := Measurement{Now: s.now, FleetCapacity: s.capacity, Waiting: s.waiting.Demand(), EstimateCorrections: s.corrections.Snapshot()}
-	for cell, work := range s.backlog {
-		m.Backlog = append(m.Backlog, CellBacklog{Cell: cell, Work: work})
+	for flow, work := range s.backlog {
+		m.Backlog = append(m.Backlog, CellBacklog{Cell: flow, Work: work})
 	}
 	return m
 }
@@ -114,8 +114,8 @@
 		return d
 	}
 	s.waiting.Remove(job.ID)
-	s.backlog[d.Cell] += d.Cost
-	s.admitted[d.Cell] += d.Cost
+	s.backlog[d.Flow] += d.Cost
+	s.admitted[d.Flow] += d.Cost
 	s.jobs[job.Team+"/"+job.Class]++
 	return d
 }
@@ -128,9 +128,9 @@
 		requests[i] = ShareRequest{Demand: workOfTeam(s.backlog, team.Name), Weight: 1}
 	}
 	for i, done := range FairShares(WorkOf(1, s.capacity[CPU], d), requests) {
-		for cell, work := range s.backlog {
-			if cell.Team == s.teams[i].Name && requests[i].Demand > 0 {
-				s.backlog[cell] -= Work(float64(done) * float64(work) / float64(requests[i].Demand))
+		for flow, work := range s.backlog {
+			if flow.Team == s.teams[i].Name && requests[i].Demand > 0 {
+				s.backlog[flow] -= Work(float64(done) * float64(work) / float64(requests[i].Demand))
 			}
 		}
 	}
@@ -139,11 +139,11 @@
 // admittedBy returns the admitted work of a team.
 func (s *simulation) admittedBy(team string) Work { return workOfTeam(s.admitted, team) }
 
-// workOfTeam returns the sum of the work of a team's cells.
-func workOfTeam(cells map[Cell]Work, team string) Work {
+// workOfTeam returns the sum of the work of a team's flows.
+func workOfTeam(flows map[Cell]Work, team string) Work {
 	var sum Work
-	for cell, work := range cells {
-		if cell.Team == team {
+	for flow, work := range flows {
+		if flow.Team == team {
 			sum += work
 		}
 	}
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -19,7 +19,7 @@
 // WaitingJob is a job whose user was told to retry later.
 type WaitingJob struct {
 	ID          string
-	Cell        Cell
+	Flow        Cell
 	Cost        Work
 	Since       units.Micros // time of the first request
 	lastRequest units.Micros // time of the last request
@@ -36,7 +36,7 @@
 // for concurrent use.
 type WaitingList struct {
 	jobs map[string]*WaitingJob
-	work map[Cell]Work // of all jobs, by cell
+	work map[Cell]Work // of all jobs, by flow
 	// unrecorded holds the IDs of jobs that no record mentioned when the leader looked.
 	unrecorded map[string]bool
 }
@@ -59,15 +59,15 @@
 		job = &WaitingJob{ID: id, Since: now}
 		l.jobs[id] = job
 	}
-	job.Cell, job.Cost, job.lastRequest = d.Cell, d.Cost, now
+	job.Flow, job.Cost, job.lastRequest = d.Flow, d.Cost, now
 	l.addWork(job, 1)
 }
 
-// addWork adds a job's work to that of its cell; sign is -1 to subtract it.
+// addWork adds a job's work to that of its flow; sign is -1 to subtract it.
 func (l *WaitingList) addWork(job *WaitingJob, sign Work) {
-	l.work[job.Cell] += sign * job.Cost
-	if l.work[job.Cell] == 0 {
-		delete(l.work, job.Cell)
+	l.work[job.Flow] += sign * job.Cost
+	if l.work[job.Flow] == 0 {
+		delete(l.work, job.Flow)
 	}
 }
 
@@ -111,7 +111,7 @@
 func (l *WaitingList) Demand() WaitingDemand {
 	demand := WaitingDemand{Work: maps.Clone(l.work)}
 	for _, job := range l.jobs {
-		if job.Cell.Band == Large {
+		if job.Flow.Band == Large {
 			demand.Large = append(demand.Large, *job)
 		}
 	}
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -20,7 +20,7 @@
 	since units.Micros // by the clock of Measurement.Now
 }
 
-// minWindowWidth is the least width of the window of a cell with credit. It bounds the time in
+// minWindowWidth is the least width of the window of a flow with credit. It bounds the time in
 // which a window goes once round the ring.
 const minWindowWidth = ringSize / 64
 
@@ -58,6 +58,6 @@
 }
 
 // admits reports whether a position is in the window.
-func (r CellRestriction) admits(position uint32) bool {
+func (r FlowRestriction) admits(position uint32) bool {
 	return (position-r.Start)%ringSize < r.Width
 }
--- a/internal/admissioncontrol/admittermetrics.go
+++ b/internal/admissioncontrol/admittermetrics.go
@@ -18,7 +18,7 @@
 		{"dunestand_admission_plan_unreadable", func() float64 { return gaugeOf(a.unreadableRevision.Load() != 0) }},
 		{"dunestand_admission_at_floor", func() float64 { return gaugeOf(a.State().Source == admission.SourceFallback) }},
 		{"dunestand_admission_plan_version", a.planVersion},
-		{"dunestand_admission_restricted_cells", a.restrictedCells},
+		{"dunestand_admission_restricted_cells", a.restrictedFlows},
 	}
 	for _, g := range gauges {
 		a.metrics.Gauge(g.name, g.value)
@@ -42,10 +42,10 @@
 	return 0
 }
 
-// restrictedCells returns how many cells of the plan or its fallback are restricted.
-func (a *Admitter) restrictedCells() float64 {
+// restrictedFlows returns how many flows of the plan or its fallback are restricted.
+func (a *Admitter) restrictedFlows() float64 {
 	if s := a.State(); s.Plan != nil {
-		return float64(s.Plan.NumRestrictedCells())
+		return float64(s.Plan.NumRestrictedFlows())
 	}
 	return 0
 }
--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -169,8 +169,8 @@
 	plan := la.Admitter.planStore.LatestPlan()
 	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
-			cell, work := plan.ClassifyRemaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
-			m.Backlog = append(m.Backlog, admission.CellBacklog{Cell: cell, Work: work})
+			flow, work := plan.ClassifyRemaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
+			m.Backlog = append(m.Backlog, admission.CellBacklog{Cell: flow, Work: work})
 		}
 	}
 	for _, machine := range la.State.Machines {
--- a/internal/admissioncontrol/planrecord.go
+++ b/internal/admissioncontrol/planrecord.go
@@ -134,7 +134,7 @@
 func (p *planPublisher) planWritten(ctx context.Context, written admission.ObservedPlan) error {
 	plan := written.Plan
 	if !plan.SameRestrictions(p.lastPlan) {
-		p.Admitter.log.Info("admission plan written", "version", plan.Version, "restricted_cells", plan.NumRestrictedCells(),
+		p.Admitter.log.Info("admission plan written", "version", plan.Version, "restricted_cells", plan.NumRestrictedFlows(),
 			"queue_heads", plan.NumQueueHeads(), "waiting", p.admission.WaitingCount())
 	}
 	p.lastPlan, p.lastVersion = plan, plan.Version
