--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkDecide decides about jobs by a plan that restricts 96 flows of 12 teams.
+// BenchmarkDecide decides on a job by a plan that restricts 96 flows of 12 teams.
 func BenchmarkDecide(b *testing.B) {
-	plan := crowdedPlan(b, 12, 4)
+	plan := restrictedPlan(b, 12, 4)
 	job := testJob(77, "kitchen-03", "class-2", 10, 100)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -15,7 +15,7 @@
 	}
 }
 
-// BenchmarkNextPlan makes a plan for 12 teams with as many waiting jobs as are remembered.
+// BenchmarkNextPlan makes a plan for 12 teams with a full waiting list.
 func BenchmarkNextPlan(b *testing.B) {
 	sim := newSimulation(b, Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink", "a", "b", "c", "d", "e", "f", "g", "h", "i"))
 	for i := range maxWaiting {
--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -6,33 +6,33 @@
 	"dunestand/internal/units"
 )
 
-// planBuilder makes one plan.
+// planBuilder builds one plan from one measurement.
 type planBuilder struct {
 	planner      *Planner
 	plan         *Plan
 	measurement  Measurement
 	restrictions map[Cell]FlowRestriction
-	credits      map[Cell]Work // of restricted flows of large jobs; nil: none
+	credits      map[Cell]Work // credits of the restricted flows of large jobs; nil: none
 	next         plannerState
 
 	usages []Usage
 }
 
-// flowDemand is the demand of a flow.
+// flowDemand is the demand of one flow, or the sum over several.
 type flowDemand struct {
-	backlog Work // of unfinished jobs
-	waiting Work // of jobs on the waiting list
+	backlog Work // work of unfinished jobs
+	waiting Work // work of jobs on the waiting list
 }
 
-// total returns the demand of the flow, at most MaxWork.
+// total returns backlog and waiting work together, at most MaxWork.
 func (d flowDemand) total() Work { return d.backlog.Plus(d.waiting) }
 
-// plus returns the demand of two flows together.
+// plus returns the sum of two demands.
 func (d flowDemand) plus(other flowDemand) flowDemand {
 	return flowDemand{backlog: d.backlog.Plus(other.backlog), waiting: d.waiting.Plus(other.waiting)}
 }
 
-// sharePool divides the capacity of one pool among the teams.
+// sharePool divides the capacity of one pool among the teams and sets their entries in the plan.
 func (b *planBuilder) sharePool(pool Pool) {
 	total := b.workWithinHorizon(b.plan.Capacity[pool])
 	if total == 0 {
@@ -71,12 +71,12 @@
 	}
 }
 
-// workWithinHorizon returns the work that an amount of a resource does within the horizon.
+// workWithinHorizon returns the work that an amount of a resource can do within the horizon.
 func (b *planBuilder) workWithinHorizon(amount units.Amount) Work {
 	return WorkOf(1, amount, b.plan.Horizon)
 }
 
-// demands returns the demand of the flows of a pool, by team.
+// demands returns the demand of each flow of a pool, grouped by team.
 func (b *planBuilder) demands(pool Pool) map[string]map[Cell]flowDemand {
 	teams := map[string]map[Cell]flowDemand{}
 	add := func(flow Cell, demand flowDemand) {
@@ -97,33 +97,34 @@
 	return teams
 }
 
-// teamShare is what a team gets in a pool.
+// teamShare is the share of a team in a pool and what it is derived from. All amounts of work
+// are within the horizon.
 type teamShare struct {
-	granted     Work // its max-min share
-	guaranteed  Work // by its guaranteed quota, within the horizon
-	weighted    Work // the part of the capacity by its weight alone
-	unrequested Work // the part of the unrequested capacity by its weight
-	limit       Work // by its quota limit, within the horizon
+	granted     Work // the max-min fair share
+	guaranteed  Work // capacity of the guaranteed quota
+	weighted    Work // part of the whole capacity in proportion to the team's weight
+	unrequested Work // part of the unrequested capacity in proportion to the team's weight
+	limit       Work // capacity of the quota limit
 	demand      flowDemand
 	flows       map[Cell]flowDemand
 }
 
-// contested reports whether the demand of the team exceeds its share.
-func (s teamShare) contested() bool { return s.granted < s.demand.total() }
+// demandExceedsShare reports whether the demand of the team exceeds its share.
+func (s teamShare) demandExceedsShare() bool { return s.granted < s.demand.total() }
 
-// largeDivisor divides a team's share of the horizon; a job with more work than the quotient
-// is large.
+// largeDivisor sets the size of large jobs: a job is large if its work exceeds the team's share
+// of the horizon divided by largeDivisor.
 const largeDivisor = 8
 
-// setTeam sets a team's entry in the plan. A team whose demand is met is not restricted, and
-// its version quota is what it may admit until the next version: at least the unused part of
-// its guaranteed quota, whatever other teams do.
+// setTeam sets a team's entry in the plan. A team whose demand is met is not restricted: its
+// version quota is its part of the unrequested capacity, within its quota limit, and at least
+// the unused part of its guaranteed quota, whatever other teams request.
 func (b *planBuilder) setTeam(team Team, pool Pool, share teamShare) {
 	entry := TeamEntry{
 		LargeThreshold:     max(share.weighted, share.guaranteed)/largeDivisor + 1,
 		EstimateCorrection: cmp.Or(b.measurement.EstimateCorrections[team.Name], exactEstimates),
 	}
-	if share.contested() {
+	if share.demandExceedsShare() {
 		entry.VersionQuota = b.restrictTeam(share)
 	} else {
 		entry.VersionQuota = max(min(share.unrequested, share.limit-share.demand.backlog), share.guaranteed-share.demand.backlog, 0)
--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -10,13 +10,13 @@
 // Verdict is the outcome of a decision about a new job.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts on a job.
 const (
 	// Admit means that the job may be accepted.
 	Admit Verdict = iota
-	// Wait means that the job is not accepted under this version of the plan.
+	// Wait means that the job is not admitted under this version of the plan.
 	Wait
-	// Undecided means that a later version of the plan decides.
+	// Undecided means that the job is decided on by a later version of the plan.
 	Undecided
 )
 
@@ -36,21 +36,22 @@
 // Reason is why a job is not admitted.
 type Reason uint8
 
-// The reasons.
+// The reasons why a job is not admitted.
 const (
-	// NoReason is the reason of jobs that are admitted.
+	// NoReason is the reason of an admitted job.
 	NoReason Reason = iota
-	// OverShare means that the flow has its share, and the job is outside the window.
+	// OverShare means that the demand of the flow exceeds its share and the job is outside
+	// the window.
 	OverShare
-	// Queued means that the job is large and not yet at the head of the queue.
+	// Queued means that the job is large and not at the head of the queue yet.
 	Queued
-	// QuotaExhausted means that the plan admits the job, but its version quota is used up.
+	// QuotaExhausted means that the plan admits the job but the version quota is used up.
 	QuotaExhausted
 	// PlanUncertain means that no plan is known to be in force.
 	PlanUncertain
 )
 
-// String returns the text that users get; "" for NoReason.
+// String returns the text of the reason for users, "" for NoReason.
 func (r Reason) String() string {
 	switch r {
 	case OverShare:
@@ -69,34 +70,35 @@
 type Decision struct {
 	Verdict     Verdict
 	Reason      Reason
-	PlanVersion uint64 // version of the plan; 0: the fallback plan, or none
+	PlanVersion uint64 // 0: the fallback plan, or no plan
 	Flow        Cell
 	Cost        Work
 	RetryAfter  units.Micros // 0 if the job is admitted
 
-	quota   quotaKey // that the admission is charged to, if charged
-	charged bool
+	quota   quotaKey // the version quota that the admission is charged to
+	charged bool     // whether the admission is charged to a quota
 }
 
-// quotaKey identifies a version quota of a plan.
+// quotaKey identifies a version quota of a plan: that of one restricted flow, or the common one
+// of a team's unrestricted flows.
 type quotaKey struct {
 	flow   Cell
-	ofTeam bool // the quota for the team's flows without a restriction
+	ofTeam bool // the quota of the team's unrestricted flows
 }
 
-// Bounds on RetryAfter. maxRetry is below waitingTimeout, so that a job whose user still asks
-// does not drop out of the waiting list.
+// Bounds on Decision.RetryAfter. maxRetry is below waitingTimeout, so that a job whose user
+// keeps retrying does not expire from the waiting list.
 const (
 	minRetry       = units.Second
-	pausedRetry    = 2 * units.Second // of large jobs, and while the window is closed
+	pausedRetry    = 2 * units.Second // for large jobs, and while the window is empty
 	maxRetry       = 8 * units.Second
-	retryJitter    = 2 * units.Second // spreads jobs that would otherwise ask at the same time
-	undecidedRetry = units.Second     // the next plan comes within half a second
+	retryJitter    = 2 * units.Second // spreads retries that would otherwise coincide
+	undecidedRetry = units.Second     // the next plan is published within half a second
 )
 
-// Decide returns whether a job is admitted: Admit or Wait. It depends on the plan and the job
-// alone, and so is the same on every controller, at any time and in any order. It does not
-// look at what is left of the version quotas; PlanStore.Decide does.
+// Decide returns a decision with the verdict Admit or Wait. It depends on the plan and the job
+// alone, so it is the same on every controller, at any time and in any order of jobs. It does
+// not check whether the version quota is used up; PlanStore.Decide does.
 func (p *Plan) Decide(job *protocol.JobSpec) Decision {
 	flow, cost := p.Classify(job)
 	d := Decision{Verdict: Admit, PlanVersion: p.Version, Flow: flow, Cost: cost}
@@ -105,7 +107,7 @@
 	case !found:
 		d.quota, d.charged = quotaKey{flow: Cell{Team: flow.Team, Pool: flow.Pool}, ofTeam: true}, true
 	case p.AtQueueHead(job.ID):
-		// Its work was charged to the flow when the plan was made.
+		// The planner charged its work to the flow when it selected the job.
 	case flow.Band == Large:
 		d.Verdict, d.Reason = Wait, Queued
 		d.RetryAfter = pausedRetry + p.jitter(job.ID)
@@ -118,8 +120,8 @@
 	return d
 }
 
-// windowWait returns the time after which a job is expected to find its position in the
-// window.
+// windowWait returns the expected time until the window reaches the position of a job, within
+// the bounds on Decision.RetryAfter.
 func (p *Plan) windowWait(restriction FlowRestriction, id string) units.Micros {
 	if restriction.Width == 0 {
 		return pausedRetry + p.jitter(id)
@@ -129,10 +131,10 @@
 	return min(max(moves*windowDwell-windowDwell/2, minRetry), maxRetry-retryJitter) + p.jitter(id)
 }
 
-// jitter returns a part of retryJitter that differs by job and version of the plan, so that
-// the users of a flood do not all ask again in the same second.
+// jitter returns a fraction of retryJitter that differs by job and by version of the plan, so
+// that the users of many waiting jobs do not all retry in the same second.
 func (p *Plan) jitter(id string) units.Micros {
-	const versionStep = 40503 // odd, so that every version moves each job to another place
+	const versionStep = 40503 // odd, so that the values of a job do not repeat within ringSize versions
 	place := (position(id) + uint32(p.Version%ringSize)*versionStep) % ringSize
 	return retryJitter * units.Micros(place) / ringSize
 }
--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -8,14 +8,14 @@
 	"dunestand/internal/protocol"
 )
 
-// Layout of the tables.
+// Constants of the printed tables.
 const (
 	columnPadding = 2
 	percent       = 100
 )
 
-// Describe writes the teams of a plan, the flows that it restricts and the jobs at the head of
-// the queue as a table for people.
+// Describe writes the teams of the plan, the flows that it restricts and the jobs at the head
+// of the queue as human-readable tables.
 func (p *Plan) Describe(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintf(table, "plan %d of term %d\n", p.Version, p.FencingToken)
@@ -31,7 +31,7 @@
 	return table.Flush()
 }
 
-// describeTeams writes the entries of teams.
+// describeTeams writes the table of the teams' entries.
 func (p *Plan) describeTeams(w io.Writer) {
 	fmt.Fprintf(w, "\nteam\tpool\tquota\tlarge above\testimates\n")
 	for key, entry := range p.allTeams() {
@@ -40,7 +40,7 @@
 	}
 }
 
-// describeFlows writes the restrictions.
+// describeFlows writes the table of the restricted flows.
 func (p *Plan) describeFlows(w io.Writer) {
 	if p.NumRestrictedFlows() == 0 {
 		fmt.Fprintf(w, "\nnothing is restricted\n")
@@ -74,7 +74,7 @@
 	}
 }
 
-// Explain writes the decision of a plan about a job, and the reason, for people.
+// Explain writes the plan's decision on a job and the reason for it in human-readable form.
 func (p *Plan) Explain(w io.Writer, job *protocol.JobSpec) error {
 	d := p.Decide(job)
 	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,18 +1,24 @@
 // Package admission decides which new jobs are accepted while more work is submitted than
-// the fleet can do.
+// the fleet has capacity for.
 //
-// The leader measures demand and backlog. It divides the work of the next minutes among
-// teams, classes and size bands by weighted max-min fairness, and publishes the outcome as a
+// Jobs are classified into flows by team, class, resource and size band. The leader measures
+// the demand and the backlog of each flow, divides the capacity of the fleet within a horizon
+// among teams, classes and bands by weighted max-min fairness, and publishes the outcome as a
 // Plan: one versioned record in the key-value store that every controller follows. Whether a
-// job is admitted is a pure function of a plan and the job (Plan.Decide), so all controllers
-// with the same version of the plan give the same answer. A job is accepted by a
-// compare-and-swap on the version of the plan's record, so the version that is current at the
-// commit decides.
+// job is admitted is a pure function of the plan and the job (Plan.Decide), so all controllers
+// with the same version of the plan reach the same decision. A job is accepted by a
+// compare-and-swap on the version of the plan's record, so the acceptance fails if the plan
+// was replaced in the meantime.
+//
+// Each version of a plan carries version quotas, which bound the work that is admitted until
+// the next version. A flow whose demand exceeds its share is restricted: its small jobs are
+// admitted while the hash of their ID is in a window that moves around a ring, its large jobs
+// in the order of a queue.
 //
 // A Planner makes plans. A PlanStore holds the plan in force on one controller and accounts
-// for what may be admitted under one version of it. A WaitingList holds, on the leader, the
-// jobs whose users were told to retry later, and EstimateCorrections learns how far the run
-// time estimates of teams are off.
+// for its version quotas. On the leader, a WaitingList holds the jobs whose users were told to
+// retry later, and EstimateCorrections derives the error of each team's run time estimates
+// from finished tasks.
 //
 // The package has no I/O, no clock and no goroutines: records, times and measurements are
 // passed in.
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -8,8 +8,7 @@
 	"dunestand/internal/units"
 )
 
-// A program that carries the admission of jobs itself: a planner makes a plan from what
-// was measured, and the plan decides about each job.
+// A planner makes a plan from a measurement, and the plan decides on each job.
 func Example() {
 	options := admission.Options{Horizon: 100 * units.Second}
 	teams := []admission.Team{
@@ -19,7 +18,7 @@
 	planner := admission.NewPlanner(options, teams, nil, 0)
 	bulk := admission.Cell{Team: "planning", Class: "bulk"}
 	plan := planner.Next(1, 1, admission.Measurement{
-		// The team has taken what the whole fleet can do, and the other one comes back.
+		// The backlog of one team takes the whole fleet when the other team requests work.
 		Backlog: []admission.CellBacklog{
 			{Cell: bulk, Work: admission.WorkOf(400, units.AmountOf(1), 10*units.Second)},
 			{Cell: admission.Cell{Team: "dyehouse", Class: "lot"}, Work: admission.WorkOf(10, units.AmountOf(1), 10*units.Second)},
--- a/internal/admission/fairshare_test.go
+++ b/internal/admission/fairshare_test.go
@@ -25,14 +25,14 @@
 	return requests
 }
 
-// oracle divides a total by linear programs: it raises the level of the least served until a
-// demand is met, fixes that share, and goes on with the others.
+// oracle computes max-min fair shares by linear programs. Each round maximizes the common level
+// of the shares that are not fixed yet, and fixes those whose demand is met at that level.
 func oracle(t *rapid.T, total float64, requests []ShareRequest) []float64 {
 	t.Helper()
 	shares := make([]float64, len(requests))
 	fixed := make([]bool, len(requests))
 	for range requests {
-		level := raise(t, total, requests, shares, fixed)
+		level := maxLevel(t, total, requests, shares, fixed)
 		met := false
 		for i, r := range requests {
 			if fixed[i] {
@@ -50,9 +50,10 @@
 	return shares
 }
 
-// raise returns the greatest level at which every share that is not fixed is weight times
-// level. The variables are the level and one slack for each constraint.
-func raise(t *rapid.T, total float64, requests []ShareRequest, shares []float64, fixed []bool) float64 {
+// maxLevel returns the greatest level at which the shares that are not fixed can all be their
+// weight times the level. The variables of the linear program are the level and one slack
+// variable for each constraint.
+func maxLevel(t *rapid.T, total float64, requests []ShareRequest, shares []float64, fixed []bool) float64 {
 	t.Helper()
 	var rows [][]float64
 	var bounds []float64
@@ -83,7 +84,7 @@
 	return solution[0]
 }
 
-// FairShares agrees with an oracle that solves the same problem by linear programs.
+// FairShares agrees with an oracle that solves the same problem by linear programming.
 func TestFairSharesAgreeWithLinearPrograms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests := drawRequests(t)
@@ -97,8 +98,8 @@
 	})
 }
 
-// No share exceeds its demand, all is given out as long as there is demand, minimum shares
-// hold, and more weight never means a smaller share.
+// No share exceeds its demand, the total is allocated as long as there is unmet demand, minimum
+// shares are served, and a greater weight never gives a smaller share.
 func TestFairSharesKeepMaxMinRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		requests := drawRequests(t)
@@ -121,7 +122,7 @@
 			}
 		}
 		if slack := min(total, demand) - sum; slack < 0 || slack > 4*Work(len(requests)) {
-			t.Fatalf("%d of %d are given out, %d are wanted", sum, total, demand)
+			t.Fatalf("%d of %d are allocated, the demand is %d", sum, total, demand)
 		}
 		k := rapid.IntRange(0, len(requests)-1).Draw(t, "heavier")
 		requests[k].Weight *= 2
@@ -131,7 +132,7 @@
 	})
 }
 
-// The work of the largest jobs on the largest fleets does not overflow.
+// Amounts of work of the largest jobs and fleets do not overflow.
 func TestWorkDoesNotOverflow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(0, 100_000).Draw(t, "tasks")
@@ -140,7 +141,7 @@
 		w := WorkOf(tasks, units.Amount(need), units.Micros(run))
 		exact := float64(tasks) * math.Floor(float64(need)*float64(run)/workUnit)
 		if w < 0 || w > MaxWork || exact < float64(MaxWork)/2 && math.Abs(float64(w)-exact) > 1e-6*exact+float64(tasks) {
-			t.Fatalf("%d, about %g", w, exact)
+			t.Fatalf("the work is %d, want about %g", w, exact)
 		}
 	})
 	const machines, cpus, week = 4000, 128, 7 * 24 * 3600
--- a/internal/admission/fallback.go
+++ b/internal/admission/fallback.go
@@ -1,11 +1,11 @@
 package admission
 
-// fallbackVersion is the version of the fallback plan. No plan of a leader has it.
+// fallbackVersion is the version of the fallback plan. The plans of leaders start at 1.
 const fallbackVersion = 0
 
-// FallbackPlan returns the plan that is in force without a valid one. It depends on the
-// settings alone, and so is the same on every controller: it admits any job, up to the work
-// that each team's guaranteed quota does in a PlanLifetime.
+// FallbackPlan returns the plan that is in force while no other plan is valid. It depends on
+// the settings alone, so it is the same on every controller. It admits any job, up to the work
+// that each team's guaranteed quota can do within PlanLifetime.
 func FallbackPlan(options Options, teams []Team) *Plan {
 	plan := newPlan(fallbackVersion, 0, options.Horizon, totalGuarantee(teams))
 	for _, team := range teams {
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// Band is the size class of a job. Small and large jobs of a class have shares of their own,
-// so that neither starve the others.
+// Band is the size band of a job: small or large. Within a class each band has its own share,
+// so that neither starves the other.
 type Band uint8
 
-// The bands.
+// The bands of a class.
 const (
 	Small Band = iota
 	Large
@@ -21,11 +21,11 @@
 	return "small"
 }
 
-// Cell is a group of jobs with a share of its own: those of one team, class, pool and band. It
-// has nothing to do with the flows of a federation.
+// Cell identifies a flow, the unit of admission: the jobs of one team, class, pool and band.
+// Each flow has its own share of the capacity.
 type Cell struct {
 	Team  string
-	Class string // "": all classes of the team without a restriction of their own
+	Class string // "" in a restriction: all classes of the team without their own restriction
 	Pool  Pool
 	Band  Band
 }
@@ -36,30 +36,30 @@
 	Pool Pool
 }
 
-// keyBuffer is the size in bytes of a buffer on the stack for the keys of names of usual
-// length, so that a lookup does not allocate.
-const keyBuffer = 96
+// keyBufferSize is the size in bytes of a stack buffer for keys. Keys of names of usual length
+// fit, so that a lookup does not allocate.
+const keyBufferSize = 96
 
-// appendName appends a name to a key with its length first, so that different names never give
-// the same key.
+// appendName appends a length-prefixed name to a key. The prefix keeps keys of different names
+// distinct.
 func appendName(key []byte, name string) []byte {
 	key = binary.AppendUvarint(key, uint64(len(name)))
 	return append(key, name...)
 }
 
-// appendKey appends the key of a team's entry to buffer.
+// appendKey appends the key of the team's entry to buffer.
 func (k teamKey) appendKey(buffer []byte) []byte {
 	return append(appendName(buffer, k.Team), byte(k.Pool))
 }
 
-// appendKey appends the key of a flow's restriction to buffer.
-func (c Cell) appendKey(buffer []byte) []byte {
-	buffer = appendName(buffer, c.Team)
-	buffer = append(buffer, byte(c.Pool), byte(c.Band))
-	return appendName(buffer, c.Class)
+// appendKey appends the key of the flow's restriction to buffer.
+func (f Cell) appendKey(buffer []byte) []byte {
+	buffer = appendName(buffer, f.Team)
+	buffer = append(buffer, byte(f.Pool), byte(f.Band))
+	return appendName(buffer, f.Class)
 }
 
-// cutName splits off a name that appendName appended.
+// cutName splits a key into its first name, which appendName appended, and the rest.
 func cutName(key []byte) (name string, rest []byte) {
 	length, n := binary.Uvarint(key)
 	end := n + int(length)
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -7,33 +7,33 @@
 	"dunestand/internal/units"
 )
 
-// TeamEntry is what a plan holds for the work of one team in a pool.
+// TeamEntry is the entry of a plan for one team in a pool.
 type TeamEntry struct {
-	VersionQuota       Work     // that flows without a restriction may admit under this version
-	LargeThreshold     Work     // a job with more work is in the band Large
-	EstimateCorrection PerMille // ratio of run times to the team's estimates
+	VersionQuota       Work     // work that unrestricted flows may admit under this version
+	LargeThreshold     Work     // jobs with more work are in the band Large
+	EstimateCorrection PerMille // mean ratio of run times to the team's estimates
 }
 
-// FlowRestriction restricts the jobs of a flow: small ones are admitted while their position
-// on the ring is in the window, large ones when they are at the head of the queue.
+// FlowRestriction restricts the jobs of a flow: small jobs are admitted while their position
+// on the ring is in the window, large jobs once they are at the head of the queue.
 type FlowRestriction struct {
 	Start        uint32 // first position of the window
-	Width        uint32 // number of positions in it
-	VersionQuota Work   // that the window may admit under this version
+	Width        uint32 // number of positions in the window
+	VersionQuota Work   // work that the window may admit under this version
 }
 
-// Plan decides which jobs are admitted. It is immutable and safe for concurrent use; a later
-// plan has a higher version and shares with it what has not changed. The zero value is not
-// usable: plans come from a Planner, from Decode or from FallbackPlan.
+// Plan decides which jobs are admitted. It is immutable and safe for concurrent use. A later
+// plan has a higher version and shares the memory of unchanged entries. The zero value is not
+// usable: plans are returned by Planner.Next, Decode and FallbackPlan.
 type Plan struct {
 	Version      uint64       // increases with every plan of the fleet
-	FencingToken uint64       // fencing token of the leader that made it
-	Horizon      units.Micros // see Options
-	Capacity     Amounts      // that is divided among the teams
+	FencingToken uint64       // fencing token of the leader that made the plan
+	Horizon      units.Micros // see Options.Horizon
+	Capacity     Amounts      // capacity that is divided among the teams
 
 	teams        *iradix.Tree[TeamEntry]
 	restrictions *iradix.Tree[FlowRestriction]
-	queueHeads   *iradix.Tree[struct{}] // IDs of the large jobs that are admitted
+	queueHeads   *iradix.Tree[struct{}] // IDs of the large jobs at the head of the queue
 }
 
 // newPlan returns a plan without teams and restrictions.
@@ -49,14 +49,14 @@
 	}
 }
 
-// Team returns what the plan holds for a team in a pool, and whether it holds anything.
+// Team returns the entry of a team in a pool, and whether the plan has one.
 func (p *Plan) Team(team string, pool Pool) (TeamEntry, bool) {
-	var buffer [keyBuffer]byte
+	var buffer [keyBufferSize]byte
 	return p.teams.Get(teamKey{Team: team, Pool: pool}.appendKey(buffer[:0]))
 }
 
-// teamOrDefault returns what the plan holds for a team in a pool. Of a team that it does not
-// hold no job is large, and the estimates are taken as they are.
+// teamOrDefault returns the entry of a team in a pool. For a team without an entry no job is
+// large, and estimates are not corrected.
 func (p *Plan) teamOrDefault(team string, pool Pool) TeamEntry {
 	if entry, known := p.Team(team, pool); known {
 		return entry
@@ -64,11 +64,11 @@
 	return TeamEntry{LargeThreshold: MaxWork, EstimateCorrection: exactEstimates}
 }
 
-// Restriction returns what restricts a flow, and the flow that the restriction was made for:
-// the same one, or the one for all other classes of the team. The last result is false if
-// nothing restricts it.
+// Restriction returns the restriction that applies to a flow, and the flow that the
+// restriction is stored for: the same one, or the one for all other classes of the team. The
+// last result is false if the flow is not restricted.
 func (p *Plan) Restriction(flow Cell) (FlowRestriction, Cell, bool) {
-	var buffer [keyBuffer]byte
+	var buffer [keyBufferSize]byte
 	if restriction, ok := p.restrictions.Get(flow.appendKey(buffer[:0])); ok {
 		return restriction, flow, true
 	}
@@ -77,8 +77,8 @@
 	return restriction, flow, ok
 }
 
-// AtQueueHead reports whether a large job is at the head of the queue, so that the plan admits
-// it by its ID.
+// AtQueueHead reports whether a large job is at the head of the queue. The plan admits such a
+// job by its ID.
 func (p *Plan) AtQueueHead(id string) bool {
 	_, found := p.queueHeads.Get([]byte(id))
 	return found
@@ -101,8 +101,8 @@
 	return flow, cost
 }
 
-// ClassifyRemaining returns the flow of a job and the expected work of its unfinished tasks. meanRun
-// is the mean run time of the finished ones, 0 if there are none.
+// ClassifyRemaining returns the flow of a job and the expected work of its unfinished tasks.
+// meanRun is the mean run time of the finished tasks, 0 if there are none.
 func (p *Plan) ClassifyRemaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Cell, Work) {
 	flow, _ := p.Classify(job)
 	run := meanRun
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -2,48 +2,48 @@
 
 import "dunestand/internal/units"
 
-// CellBacklog is the unfinished work of a flow that was admitted already.
+// CellBacklog is the admitted and unfinished work of a flow.
 type CellBacklog struct {
 	Cell Cell
 	Work Work
 }
 
-// Measurement is the input of a plan.
+// Measurement is the input of Planner.Next.
 type Measurement struct {
 	Now           units.Micros
 	FleetCapacity Amounts // capacity of the machines
 	Backlog       []CellBacklog
 	Waiting       WaitingDemand
-	// EstimateCorrections are the factors by team, from EstimateCorrections.Snapshot. The estimates of
-	// a team that is not in the map are taken as they are.
+	// EstimateCorrections are the corrections by team, from EstimateCorrections.Snapshot. The
+	// estimates of a team that is not in the map are not corrected.
 	EstimateCorrections map[string]PerMille
 }
 
-// Planner makes the plans of one leader: it divides capacity among teams, classes and bands,
-// and moves windows and the queue on from plan to plan. It has no clock and no I/O. It is not
-// safe for concurrent use.
+// Planner makes the plans of one leader: it divides the capacity among teams, classes and
+// bands, and advances the windows and the queue of large jobs from plan to plan. It is not safe
+// for concurrent use.
 type Planner struct {
 	options Options
 	teams   []Team
 	current plannerState
 }
 
-// plannerState is what the next plan continues from.
+// plannerState is the state that the next plan continues from.
 type plannerState struct {
 	plan       *Plan // nil: none
 	windows    map[Cell]window
 	queueHeads map[string]bool // IDs of the large jobs at the head of the queue
 }
 
-// Proposal is a plan that is not written yet.
+// Proposal is a plan that is not written to the key-value store yet.
 type Proposal struct {
 	Plan   *Plan
-	Usages []Usage // of all teams and pools of the plan
+	Usages []Usage // one for each team and pool of the plan
 	next   plannerState
 }
 
-// NewPlanner returns a planner. If there is a former plan, in force at time now, its windows
-// and the head of the queue stay where they are.
+// NewPlanner returns a planner. The next plan continues from the windows and the queue heads of
+// the former plan, which is in force at time now; former is nil if there is none.
 func NewPlanner(options Options, teams []Team, former *Plan, now units.Micros) *Planner {
 	p := &Planner{options: options, teams: teams}
 	p.current = plannerState{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
@@ -58,9 +58,9 @@
 	return p
 }
 
-// Next returns the next plan, with a version and the leader's fencing token. Until Accept the
-// following one continues from the same plan as this one, except that the head of the queue is
-// kept.
+// Next returns a proposal for the next plan, with a version and the leader's fencing token.
+// Until Accept is called, further proposals continue from the same plan as this one, except
+// that they keep the queue heads of this one.
 func (p *Planner) Next(version, fencingToken uint64, measurement Measurement) Proposal {
 	plan := newPlan(version, fencingToken, p.options.Horizon, p.capacity(measurement.FleetCapacity))
 	if former := p.current.plan; former != nil {
@@ -81,11 +81,11 @@
 	return Proposal{Plan: plan, Usages: builder.usages, next: builder.next}
 }
 
-// Accept records that a proposal was written: the next plan continues from it.
+// Accept records that a proposal was written. The next plan continues from it.
 func (p *Planner) Accept(proposal Proposal) { p.current = proposal.next }
 
-// capacity returns what is divided among the teams: the fleet, but not less than what is
-// guaranteed.
+// capacity returns the capacity that is divided among the teams: that of the fleet, but at
+// least the sum of the guaranteed quotas.
 func (p *Planner) capacity(fleet Amounts) Amounts {
 	for pool, guaranteed := range totalGuarantee(p.teams) {
 		fleet[pool] = max(fleet[pool], guaranteed)
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -10,35 +10,36 @@
 	"dunestand/internal/units"
 )
 
-// One team submits ten times what it may do, the other its usual volume. The other one
-// loses nothing, and the flood gets the rest: its own share and what is left over.
+// One team submits ten times its share while another submits its usual volume. All jobs of the
+// usual volume are admitted; the flood gets its own share and the capacity that is left over.
 func TestFloodLeavesTheOtherTeamItsShare(t *testing.T) {
 	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye"))
-	const lasts = 300
-	// Each job is 100 units of work; a team can do one a second.
-	flood := testJobs(0, lasts*10, "mill", "bulk", 10, 10)
-	usual := testJobs(100_000, lasts*8/10, "dye", "lot", 10, 10)
-	users := append(arrivals(flood, units.Second, lasts*units.Second), arrivals(usual, units.Second, lasts*units.Second)...)
-	gaveUp := sim.run(users, (lasts+60)*units.Second)
+	const seconds = 300
+	// The work of each job is 100 CPU seconds; the guaranteed quota of a team does one job per
+	// second.
+	flood := testJobs(0, seconds*10, "mill", "bulk", 10, 10)
+	usual := testJobs(100_000, seconds*8/10, "dye", "lot", 10, 10)
+	users := append(arrivals(flood, units.Second, seconds*units.Second), arrivals(usual, units.Second, seconds*units.Second)...)
+	gaveUp := sim.run(users, (seconds+60)*units.Second)
 	if gaveUp["dye"] > 0 {
-		t.Errorf("%d jobs of the usual volume were given up", gaveUp["dye"])
+		t.Errorf("users gave up on %d jobs of the usual volume", gaveUp["dye"])
 	}
-	const perSecond = 100_000 // Work of a team
+	const perSecond = 100_000 // Work that the guaranteed quota of a team does per second
 	usualWork := Work(len(usual)) * perSecond
 	if got := sim.admittedBy("dye"); got != usualWork {
 		t.Errorf("%d of %d are admitted of the usual volume", got, usualWork)
 	}
-	// What was admitted is what the fleet can do, and one horizon ahead.
-	rest := Work((lasts+60)*2*perSecond) - usualWork
+	// The admitted work is what the fleet can do in the elapsed time, and one horizon ahead.
+	rest := Work((seconds+60)*2*perSecond) - usualWork
 	ahead := Work(testHorizon/units.Second) * 2 * perSecond
 	if got := sim.admittedBy("mill"); got < rest*9/10 || got > rest+ahead*11/10 {
 		t.Errorf("%d are admitted of the flood; %d can be done, %d ahead", got, rest, ahead)
 	}
 }
 
-// Two teams flood: each gets its half within a twentieth. Configured weights change nothing,
-// since guaranteed quotas go first.
-func TestFloodsAreSharedByWeight(t *testing.T) {
+// Two teams submit more than their shares: each gets one half, within 5% of the total.
+// Configured weights make no difference, because guaranteed quotas are served first.
+func TestEqualFloodsGetEqualShares(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		weights map[string]float64
@@ -49,34 +50,34 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			sim := newSimulation(t, Options{Horizon: testHorizon, TeamShares: test.weights}, testTeams("mill", "dye"))
-			const lasts = 300
-			users := arrivals(testJobs(0, lasts*10, "mill", "bulk", 10, 10), units.Second, lasts*units.Second)
-			users = append(users, arrivals(testJobs(100_000, lasts*3, "dye", "lot", 10, 10), units.Second, lasts*units.Second)...)
-			sim.run(users, lasts*units.Second)
+			const seconds = 300
+			users := arrivals(testJobs(0, seconds*10, "mill", "bulk", 10, 10), units.Second, seconds*units.Second)
+			users = append(users, arrivals(testJobs(100_000, seconds*3, "dye", "lot", 10, 10), units.Second, seconds*units.Second)...)
+			sim.run(users, seconds*units.Second)
 			mill, dye := float64(sim.admittedBy("mill")), float64(sim.admittedBy("dye"))
 			if got := dye / (mill + dye); got < test.dye-0.05 || got > test.dye+0.05 {
-				t.Errorf("weights %v: dye has %.3f of what is admitted", test.weights, got)
+				t.Errorf("weights %v: dye has %.3f of the admitted work", test.weights, got)
 			}
 		})
 	}
 }
 
-// Within a team that floods, neither classes nor the largest jobs of a class starve, and
-// the wait of a class for its next admission is bounded.
+// Within a team that submits more than its share, neither other classes nor large jobs are
+// starved by the class with the most jobs, and every job of a small class is admitted.
 func TestClassesAndLargeJobsAreNotStarved(t *testing.T) {
 	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye"))
-	const lasts = 400
-	users := arrivals(testJobs(0, lasts*10, "mill", "bulk", 10, 10), units.Second, lasts*units.Second)
-	// Two thirds of the team's share of a horizon each: large ones.
-	huge := arrivals(testJobs(200_000, 8, "mill", "huge", 130, 100), 20*units.Second, lasts*units.Second)
-	mixed := arrivals(testJobs(300_000, 8, "mill", "bulk", 130, 100), 25*units.Second, lasts*units.Second)
-	few := arrivals(testJobs(400_000, 40, "mill", "few", 5, 10), 30*units.Second, lasts*units.Second)
-	// These users are patient: what counts is whether they are admitted at all.
+	const seconds = 400
+	users := arrivals(testJobs(0, seconds*10, "mill", "bulk", 10, 10), units.Second, seconds*units.Second)
+	// Each of these jobs takes more than the team's share of a horizon, so they are large.
+	huge := arrivals(testJobs(200_000, 8, "mill", "huge", 130, 100), 20*units.Second, seconds*units.Second)
+	mixed := arrivals(testJobs(300_000, 8, "mill", "bulk", 130, 100), 25*units.Second, seconds*units.Second)
+	few := arrivals(testJobs(400_000, 40, "mill", "few", 5, 10), 30*units.Second, seconds*units.Second)
+	// These users retry for longer, because the test checks whether they are admitted at all.
 	for _, u := range slices.Concat(huge, mixed, few) {
 		u.until += 600 * units.Second
 	}
-	dye := arrivals(testJobs(500_000, lasts*2, "dye", "lot", 10, 10), units.Second, lasts*units.Second)
-	sim.run(slices.Concat(users, huge, mixed, few, dye), (lasts+100)*units.Second)
+	dye := arrivals(testJobs(500_000, seconds*2, "dye", "lot", 10, 10), units.Second, seconds*units.Second)
+	sim.run(slices.Concat(users, huge, mixed, few, dye), (seconds+100)*units.Second)
 	for name, want := range map[string]int{"mill/few": 40, "mill/huge": 2, "mill/bulk": 50} {
 		if sim.jobs[name] < want {
 			t.Errorf("%s: %d are admitted, want %d", name, sim.jobs[name], want)
@@ -93,7 +94,8 @@
 	}
 }
 
-// An idle team gets its whole guaranteed quota at once, however much others have taken.
+// A team that was idle gets its whole guaranteed quota at once, however large the backlog of
+// other teams is.
 func TestIdleTeamGetsItsGuaranteedQuotaAtOnce(t *testing.T) {
 	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye"))
 	sim.run(arrivals(testJobs(0, 3000, "mill", "bulk", 10, 10), units.Second, 100*units.Second), 100*units.Second)
@@ -101,7 +103,7 @@
 	if all := WorkOf(1, sim.capacity[CPU], testHorizon); taken < all*8/10 {
 		t.Fatalf("the flood has taken only %d of %d", taken, all)
 	}
-	for i := range 95 { // of the 100 that are guaranteed
+	for i := range 95 { // the guaranteed quota does 100 of these jobs within the horizon
 		if d := sim.submit(testJob(10_000+i, "dye", "lot", 10, 10)); d.Verdict != Admit {
 			t.Fatalf("job %d within the guarantee: %v, %v", i, d.Verdict, d.Reason)
 		}
@@ -111,7 +113,7 @@
 // planInterval is the time between two plans.
 const planInterval = 500 * units.Millisecond
 
-// A window goes round the whole ring: every job is admitted, whatever its ID.
+// A window moves around the whole ring, so every job is admitted, whatever its ID.
 func TestMovingWindowAdmitsEveryJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill"))
@@ -120,9 +122,10 @@
 		job := testJob(id, "mill", "bulk", 1, 10)
 		flow, _ := sim.plans.LatestPlan().Classify(job)
 		full := WorkOf(1, sim.capacity[CPU], testHorizon)
-		began, next := sim.now, sim.now
+		start, next := sim.now, sim.now
 		for ; ; sim.now += planInterval {
-			// Somebody else always offers as much as takes the rest of the ring.
+			// Another waiting job keeps the demand so high that the window covers only
+			// the drawn share of the ring.
 			sim.backlog[flow] = full / 2
 			sim.waiting.Add("j-1", Decision{Flow: flow, Cost: full / 2 * 100 / Work(share)}, sim.now)
 			sim.publishPlan()
@@ -134,19 +137,19 @@
 				break
 			}
 			next = sim.now + d.RetryAfter
-			if limit := windowDwell*units.Micros(100/share+2) + maxRetry; sim.now-began > limit {
-				t.Fatalf("not admitted after %.0f s with %d%% of the ring at a time", (sim.now - began).Seconds(), share)
+			if limit := windowDwell*units.Micros(100/share+2) + maxRetry; sim.now-start > limit {
+				t.Fatalf("not admitted after %.0f s with %d%% of the ring at a time", (sim.now - start).Seconds(), share)
 			}
 		}
 	})
 }
 
-// Jobs of a team that overstates or understates run times are admitted by the time that its
-// tasks really take.
+// The work of a team that overstates or understates run times is computed from the run times
+// of its tasks.
 func TestEstimatesAreCorrected(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		estimate float64 // seconds; the tasks run for 10
+		estimate float64 // in seconds; the tasks run for 10 s
 	}{
 		{"too low", 2.5},
 		{"too high", 40},
@@ -165,8 +168,8 @@
 	}
 }
 
-// A decision depends on the plan and the job alone: controllers that read the plan from its
-// record agree with the one that made it, in any order and each time.
+// A decision depends on the plan and the job alone: a controller that decodes the plan from its
+// record agrees with the leader that encoded it, and repeated decisions are equal.
 func TestDecisionsAgreeOnAllControllers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink"))
@@ -174,34 +177,34 @@
 			sim.submit(drawJob(t, i))
 		}
 		plan := sim.publishPlan()
-		raw, own, err := Encode(plan, rapid.IntRange(900, 8000).Draw(t, "bytes"))
+		raw, leaderPlan, err := Encode(plan, rapid.IntRange(900, 8000).Draw(t, "bytes"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		other, err := Decode(raw)
+		readPlan, err := Decode(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		first := map[string]Decision{}
 		for i := range 50 {
 			job := drawJob(t, 1000+i%25)
-			here, there := own.Decide(job), other.Decide(job)
-			if here != there || here != own.Decide(job) {
-				t.Fatalf("%v here, %v there", here, there)
+			leaderDecision, readerDecision := leaderPlan.Decide(job), readPlan.Decide(job)
+			if leaderDecision != readerDecision || leaderDecision != leaderPlan.Decide(job) {
+				t.Fatalf("the leader decides %v, a reader of the record %v", leaderDecision, readerDecision)
 			}
 			known, again := first[job.ID]
-			if sameFlow := known.Flow == here.Flow && known.Cost == here.Cost; again && sameFlow && known != here {
-				t.Fatalf("%v, and later %v", known, here)
+			if sameFlow := known.Flow == leaderDecision.Flow && known.Cost == leaderDecision.Cost; again && sameFlow && known != leaderDecision {
+				t.Fatalf("the first decision is %v, a later one %v", known, leaderDecision)
 			}
-			first[job.ID] = here
-			if here.Verdict == Wait && (here.RetryAfter < minRetry || here.RetryAfter > maxRetry) {
-				t.Fatalf("a job is to be asked for again after %v", here.RetryAfter.Duration())
+			first[job.ID] = leaderDecision
+			if leaderDecision.Verdict == Wait && (leaderDecision.RetryAfter < minRetry || leaderDecision.RetryAfter > maxRetry) {
+				t.Fatalf("a job is to be retried after %v, out of range", leaderDecision.RetryAfter.Duration())
 			}
 		}
 	})
 }
 
-// drawJob draws the job with a number.
+// drawJob draws a job whose ID has the number n.
 func drawJob(t *rapid.T, n int) *protocol.JobSpec {
 	job := testJob(n, rapid.SampledFrom([]string{"mill", "dye", "ink"}).Draw(t, "team"),
 		rapid.SampledFrom([]string{"bulk", "lot", "rush"}).Draw(t, "class"),
@@ -210,7 +213,7 @@
 	return job
 }
 
-// Users that are told to retry do not all retry in the same second.
+// The retries of waiting users are spread: no tenth of a second gets more than a tenth of them.
 func TestRetriesAreSpread(t *testing.T) {
 	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill"))
 	flow, _ := sim.plans.LatestPlan().Classify(testJob(0, "mill", "bulk", 10, 10))
@@ -218,15 +221,15 @@
 	sim.waiting.Add("j-1", Decision{Flow: flow, Cost: 1000}, sim.now)
 	sim.publishPlan()
 	const jobs = 4000
-	perTenth := map[units.Micros]int{}
+	retriesPerTenth := map[units.Micros]int{}
 	for i := range jobs {
 		d := sim.submit(testJob(i, "mill", "bulk", 10, 10))
 		if d.Verdict != Wait {
 			t.Fatalf("%v", d)
 		}
-		perTenth[d.RetryAfter/(100*units.Millisecond)]++
+		retriesPerTenth[d.RetryAfter/(100*units.Millisecond)]++
 	}
-	for at, n := range perTenth {
+	for at, n := range retriesPerTenth {
 		if n > jobs/10 {
 			t.Errorf("%d of %d retry after %d tenths of a second", n, jobs, at)
 		}
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -11,56 +11,57 @@
 	"dunestand/internal/units"
 )
 
-// PlanLifetime is how long a plan may be followed after it was written. The leader renews it three
-// times in that time.
+// PlanLifetime is how long a plan may be in force after it was written. The leader renews it
+// three times within its lifetime.
 const PlanLifetime = 10 * units.Second
 
-// ErrStalePlan reports a plan with an older fencing token or version than the plan of an older
-// revision of its record. The leaders' compare-and-swap excludes that, so the record was
-// damaged.
-var ErrStalePlan = errors.New("admission plan is older than the plan of a former revision of its record")
+// ErrStalePlan reports a plan whose fencing token or version is older than that of the plan at
+// an earlier revision of the record. The leaders' compare-and-swap excludes such a write, so
+// the record is corrupt.
+var ErrStalePlan = errors.New("admission plan is older than the plan at an earlier revision of its record")
 
 // PlanStore holds the plan in force on one controller and accounts for its version quotas. It is
 // safe for concurrent use.
 type PlanStore struct {
-	fallback *Plan
-	nodes    int // number of controllers, each of which may be isolated
+	fallback    *Plan
+	controllers int // number of controllers, each of which may be isolated
 
-	mu              sync.Mutex // guards the fields below
-	known           bool       // whether the record was read, or found to be missing
-	revision        uint64     // the newest one that was read
-	observed        ObservedPlan
-	used            map[quotaKey]Work // admitted under the plan in force, by version quota
-	fallbackRenewed units.Micros      // when its quotas were last renewed
-	counts          map[string]Counts // by team
+	mu                sync.Mutex // guards the fields below
+	recordKnown       bool       // the record was read, or found to be missing
+	revision          uint64     // newest revision of the record that was read
+	observed          ObservedPlan
+	used              map[quotaKey]Work // work admitted under the plan in force, by version quota
+	fallbackRenewedAt units.Micros      // when the quotas of the fallback plan were last renewed
+	counts            map[string]Counts // by team
 }
 
-// ObservedPlan is the plan's record as a controller has read it, and when it was written.
+// ObservedPlan is the plan's record as read by a controller, with bounds on the time at which
+// it was written.
 type ObservedPlan struct {
-	Plan     *Plan  // nil: there is none, or it cannot be decoded
-	Revision uint64 // of the record; 0: there is none
-	// The record was written between these times of the controller's steady clock. The plan
-	// is in force until it may be older than its lifetime, the fallback plan once it must be.
+	Plan     *Plan  // nil: there is no plan, or it cannot be decoded
+	Revision uint64 // revision of the record; 0: there is no record
+	// The record was written between these times of the controller's steady clock. The plan is
+	// in force while it cannot be older than PlanLifetime, the fallback plan once the plan is
+	// certainly older.
 	WrittenAfter, WrittenBefore units.Micros
 }
 
-// Counts is the number of decisions by verdict.
+// Counts holds the number of decisions by verdict.
 type Counts struct{ Admitted, Waits, Undecided uint64 }
 
-// NewPlanStore returns a plan store for one of a number of controllers (nodes). Until the plan's
-// record was read no plan is in force.
-func NewPlanStore(options Options, teams []Team, nodes int) *PlanStore {
+// NewPlanStore returns the plan store of one of a number of controllers. No plan is in force
+// until Update or Clear is called.
+func NewPlanStore(options Options, teams []Team, controllers int) *PlanStore {
 	return &PlanStore{
-		fallback: FallbackPlan(options, teams),
-		nodes:    max(nodes, 1),
-		used:     map[quotaKey]Work{},
-		counts:   map[string]Counts{},
+		fallback:    FallbackPlan(options, teams),
+		controllers: max(controllers, 1),
+		used:        map[quotaKey]Work{},
+		counts:      map[string]Counts{},
 	}
 }
 
-// Update records what the plan's record holds at a revision. A revision that is not newer than
-// the last one is ignored. The error is an ErrStalePlan, which leaves the plan in force as it
-// is.
+// Update records the plan's record at a revision. A revision that is not newer than the last
+// one is ignored. The error wraps ErrStalePlan, and the plan in force remains unchanged.
 func (s *PlanStore) Update(observed ObservedPlan) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,45 +73,47 @@
 		return fmt.Errorf("%w: version %d with fencing token %d follows version %d with token %d", ErrStalePlan,
 			observed.Plan.Version, observed.Plan.FencingToken, former.Version, former.FencingToken)
 	}
-	s.revision, s.observed, s.known = observed.Revision, observed, true
+	s.revision, s.observed, s.recordKnown = observed.Revision, observed, true
 	s.used = map[quotaKey]Work{}
 	return nil
 }
 
-// follows reports whether a plan may replace a former one.
+// follows reports whether the plan may replace a former one.
 func (p *Plan) follows(former *Plan) bool {
 	return p.FencingToken >= former.FencingToken && p.Version > former.Version
 }
 
-// Clear records that there is no plan at a revision of the key-value store.
+// Clear records that the key-value store holds no plan at a revision. A revision older than the
+// last one is ignored.
 func (s *PlanStore) Clear(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision >= s.revision {
-		s.revision, s.observed, s.known = revision, ObservedPlan{}, true
+		s.revision, s.observed, s.recordKnown = revision, ObservedPlan{}, true
 		s.used = map[quotaKey]Work{}
 	}
 }
 
-// PlanSource is where the plan in force comes from.
+// PlanSource is the source of the plan in force.
 type PlanSource uint8
 
 // The sources of the plan in force.
 const (
-	// SourceUncertain means that no plan is in force: the record was not read yet, or the plan may
-	// have expired.
+	// SourceUncertain means that no plan is in force: the record was not read yet, or the plan
+	// may have expired.
 	SourceUncertain PlanSource = iota
 	// SourceRecord means that the plan of the record is in force.
 	SourceRecord
-	// SourceFallback means that the fallback plan is in force: there is no other, or it has expired.
+	// SourceFallback means that the fallback plan is in force: there is no other plan, or it has
+	// expired.
 	SourceFallback
 )
 
-// State is what a plan store goes by at a time.
+// State is the state of a plan store at a time.
 type State struct {
 	Source   PlanSource
-	Plan     *Plan        // the one in force; nil: none
-	Revision uint64       // of the plan's record; 0: there is none
+	Plan     *Plan        // plan in force; nil: none
+	Revision uint64       // revision of the plan's record; 0: there is no record
 	Age      units.Micros // upper bound of the age of the record
 }
 
@@ -121,12 +124,12 @@
 	return s.stateAt(now)
 }
 
-// stateAt is State under the lock.
+// stateAt is State for a caller that holds mu.
 func (s *PlanStore) stateAt(now units.Micros) State {
 	observed := s.observed
 	state := State{Revision: observed.Revision, Age: now - observed.WrittenAfter}
 	switch {
-	case !s.known:
+	case !s.recordKnown:
 	case observed.Plan != nil && state.Age < PlanLifetime:
 		state.Source, state.Plan = SourceRecord, observed.Plan
 	case observed.Plan == nil, now-observed.WrittenBefore >= PlanLifetime:
@@ -135,8 +138,8 @@
 	return state
 }
 
-// LatestPlan returns the plan by which work is estimated: the last one that was read, in force
-// or not, or else the fallback plan.
+// LatestPlan returns the plan for estimates of work: the last one that was read, whether it is
+// in force or not, or else the fallback plan.
 func (s *PlanStore) LatestPlan() *Plan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,15 +152,16 @@
 // Role is the role in which a controller decides.
 type Role uint8
 
-// The roles. A controller that does not reach the leader may use only its part of a version
-// quota, for all others may do the same.
+// The roles of a controller. One that does not reach the leader may use only its part of a
+// version quota, since all other controllers may be admitting jobs, too.
 const (
 	Isolated Role = iota
 	Leader
 )
 
-// Decide decides about a job that is not known yet, and charges it to a version quota if it
-// admits it. An acceptance must be conditional on the returned revision of the plan's record.
+// Decide decides on a new job by the plan in force. An admitted job is charged to its version
+// quota. The caller must make the acceptance conditional on the returned revision of the plan's
+// record.
 func (s *PlanStore) Decide(job *protocol.JobSpec, role Role, now units.Micros) (d Decision, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +177,7 @@
 	if d.Verdict == Admit && d.charged {
 		sharedBy := uint64(1)
 		if role == Isolated || state.Source == SourceFallback {
-			sharedBy = uint64(s.nodes)
+			sharedBy = uint64(s.controllers)
 		}
 		if !s.charge(d.quota, state.Plan.versionQuota(d.quota).scaled(1, sharedBy), d.Cost) {
 			d.Verdict, d.Reason, d.RetryAfter = Undecided, QuotaExhausted, undecidedRetry
@@ -183,9 +187,9 @@
 	return d, state.Revision
 }
 
-// charge charges an admission to a quota and reports whether any of it was left. The last
-// admission may exceed it, so a job that is larger than the quota is admitted too; a quota of
-// 0 admits one job.
+// charge charges an admission to a quota and reports whether the quota was not used up before.
+// The last admission may exceed the quota, so that a job larger than the quota can be admitted;
+// a quota of 0 admits one job.
 func (s *PlanStore) charge(key quotaKey, quota, cost Work) bool {
 	if s.used[key] >= max(quota, 1) {
 		return false
@@ -195,15 +199,15 @@
 }
 
 // renewFallbackQuotas renews the version quotas of the fallback plan once per PlanLifetime, so
-// that without a plan the jobs of each team are admitted at the rate of its guaranteed quota.
+// that it admits the jobs of each team at the rate of the team's guaranteed quota.
 func (s *PlanStore) renewFallbackQuotas(now units.Micros) {
-	if s.fallbackRenewed == 0 || now-s.fallbackRenewed >= PlanLifetime {
-		s.fallbackRenewed = now
+	if s.fallbackRenewedAt == 0 || now-s.fallbackRenewedAt >= PlanLifetime {
+		s.fallbackRenewedAt = now
 		s.used = map[quotaKey]Work{}
 	}
 }
 
-// versionQuota returns the version quota that a key identifies.
+// versionQuota returns the version quota for a key.
 func (p *Plan) versionQuota(key quotaKey) Work {
 	if key.ofTeam {
 		entry, _ := p.Team(key.flow.Team, key.flow.Pool)
@@ -213,7 +217,7 @@
 	return restriction.VersionQuota
 }
 
-// countDecision counts a decision about a team's job.
+// countDecision counts a decision on a job of a team.
 func (s *PlanStore) countDecision(team string, verdict Verdict) {
 	counts := s.counts[team]
 	switch verdict {
@@ -227,13 +231,13 @@
 	s.counts[team] = counts
 }
 
-// TeamCounts is the number of decisions about a team's jobs, by verdict.
+// TeamCounts holds the number of decisions on a team's jobs, by verdict.
 type TeamCounts struct {
 	Team string
 	Counts
 }
 
-// CountsByTeam returns the decisions so far, in the order of the teams' names.
+// CountsByTeam returns the number of decisions since the start, in the order of team names.
 func (s *PlanStore) CountsByTeam() []TeamCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/admission/plantrees.go
+++ b/internal/admission/plantrees.go
@@ -6,20 +6,20 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// The functions below alone set the fields of a plan, before anything else sees it. Its
-// trees are persistent (immutable with shared structure): a plan that starts from the trees
-// of the one before shares what does not change, and readers need no lock.
+// The setters below are called only while a plan is built, before it is shared. The trees of a
+// plan are persistent (immutable with shared structure): a plan that starts from the trees of
+// its predecessor shares the unchanged parts, and readers need no lock.
 
-// SameRestrictions reports whether two plans restrict the same flows to the same windows and have the same
-// jobs at the head of the queue. Their version quotas may differ: these change with every task
-// that ends.
+// SameRestrictions reports whether two plans restrict the same flows to the same windows and
+// have the same jobs at the head of the queue. It ignores version quotas, which change whenever
+// a task ends.
 func (p *Plan) SameRestrictions(other *Plan) bool {
 	if other == nil || p.restrictions.Len() != other.restrictions.Len() || p.queueHeads.Len() != other.queueHeads.Len() {
 		return false
 	}
 	for flow, restriction := range p.allRestrictions() {
-		known, _, found := other.Restriction(flow)
-		if !found || known.Start != restriction.Start || known.Width != restriction.Width {
+		otherRestriction, _, found := other.Restriction(flow)
+		if !found || otherRestriction.Start != restriction.Start || otherRestriction.Width != restriction.Width {
 			return false
 		}
 	}
@@ -31,7 +31,7 @@
 	return true
 }
 
-// setTeam sets a team's entry.
+// setTeam sets the entry of a team.
 func (p *Plan) setTeam(key teamKey, entry TeamEntry) {
 	raw := key.appendKey(nil)
 	if known, ok := p.teams.Get(raw); !ok || known != entry {
@@ -65,7 +65,7 @@
 	p.queueHeads = txn.Commit()
 }
 
-// allTeams iterates over the entries of teams in the order of their keys.
+// allTeams iterates over the teams' entries in the order of their keys.
 func (p *Plan) allTeams() iter.Seq2[teamKey, TeamEntry] {
 	return func(yield func(teamKey, TeamEntry) bool) {
 		i := p.teams.Root().Iterator()
@@ -78,7 +78,7 @@
 	}
 }
 
-// allRestrictions iterates over the restrictions in the order of their flows' keys.
+// allRestrictions iterates over the restrictions in the order of their keys.
 func (p *Plan) allRestrictions() iter.Seq2[Cell, FlowRestriction] {
 	return func(yield func(Cell, FlowRestriction) bool) {
 		i := p.restrictions.Root().Iterator()
@@ -93,7 +93,7 @@
 	}
 }
 
-// allQueueHeads iterates over the IDs of the jobs at the head of the queue, in order.
+// allQueueHeads iterates over the IDs of the jobs at the head of the queue in ascending order.
 func (p *Plan) allQueueHeads() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		i := p.queueHeads.Root().Iterator()
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -6,10 +6,11 @@
 	"dunestand/internal/units"
 )
 
-// Pool is a resource that work is measured in.
+// Pool identifies a resource in which work is measured. The capacity of each pool is divided
+// among the teams independently.
 type Pool uint8
 
-// The pools. A job counts in the pool of its dominant resource.
+// The pools. A job belongs to the pool of its dominant resource.
 const (
 	CPU Pool = iota
 	GPU
@@ -24,14 +25,14 @@
 	return "cpu"
 }
 
-// Amounts is an amount of the resource of each pool.
+// Amounts holds an amount of the resource of each pool.
 type Amounts [numPools]units.Amount
 
-// AmountsOf returns the parts of resources that are pools.
+// AmountsOf returns the amounts of those resources that have a pool.
 func AmountsOf(r units.Resources) Amounts { return Amounts{CPU: r.CPU, GPU: r.GPU} }
 
-// poolOf returns the pool of the dominant resource: the one of which a task requests the
-// larger part of the capacity. GPUs win a tie.
+// poolOf returns the pool of the dominant resource of a request: the resource of which the
+// request is the larger fraction of the capacity. GPUs win a tie.
 func poolOf(need units.Resources, capacity Amounts) Pool {
 	if need.GPU <= 0 {
 		return CPU
@@ -39,7 +40,8 @@
 	if capacity[GPU] <= 0 || capacity[CPU] <= 0 {
 		return GPU
 	}
-	// Compares need.GPU/capacity[GPU] with need.CPU/capacity[CPU] without rounding.
+	// Compares need.GPU/capacity[GPU] with need.CPU/capacity[CPU] by cross-multiplication, which
+	// does not round.
 	gpuHigh, gpuLow := bits.Mul64(uint64(need.GPU), uint64(capacity[CPU]))
 	cpuHigh, cpuLow := bits.Mul64(uint64(max(need.CPU, 0)), uint64(capacity[GPU]))
 	if gpuHigh > cpuHigh || gpuHigh == cpuHigh && gpuLow >= cpuLow {
@@ -48,5 +50,5 @@
 	return CPU
 }
 
-// amountIn returns what a task requests of the resource of a pool.
+// amountIn returns the amount of a pool's resource in a request.
 func amountIn(pool Pool, need units.Resources) units.Amount { return AmountsOf(need)[pool] }
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -15,11 +15,11 @@
 // KeyPlan is the key of the plan's record.
 const KeyPlan = KeyPrefix + "plan"
 
-// recordFormat is the format of the plan's record that this version reads and writes.
+// recordFormat is the format version of the plan's record.
 const recordFormat = 1
 
-// record is the stored form of a plan. Its names are part of the format. Work is in whole
-// units of the resource times seconds.
+// record is the stored form of a plan. The names in its tags are part of the format. Work is
+// stored in whole units of the resource times seconds.
 type record struct {
 	Format       int          `cbor:"v" json:"v"`
 	Version      uint64       `cbor:"n" json:"n"`
@@ -31,8 +31,8 @@
 	QueueHeads   []string     `cbor:"turns" json:"turns"`
 }
 
-// teamRecord is the stored form of a TeamEntry. It and flowRecord are stored as lists of their
-// fields, to save space.
+// teamRecord is the stored form of a TeamEntry. To save space, it and flowRecord are stored as
+// lists of their fields, so that the number and order of the fields are part of the format.
 type teamRecord struct {
 	_                  struct{} `cbor:",toarray"`
 	Name               string
@@ -42,15 +42,15 @@
 	EstimateCorrection PerMille
 }
 
-// MarshalJSON returns the list that is stored, for the size of the record.
+// MarshalJSON encodes the fields as a list, as they are stored, for the size of the record.
 func (t teamRecord) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{t.Name, t.Pool, t.VersionQuota, t.LargeThreshold, t.EstimateCorrection})
 }
 
-// flowRecord is the stored form of a CellRestriction.
+// flowRecord is the stored form of a FlowRestriction.
 type flowRecord struct {
 	_            struct{} `cbor:",toarray"`
-	TeamIndex    int      // in the record's Teams
+	TeamIndex    int      // index in the record's Teams
 	Class        string
 	Band         Band
 	Start        uint32
@@ -58,25 +58,26 @@
 	VersionQuota int64
 }
 
-// MarshalJSON returns the list that is stored, for the size of the record.
-func (c flowRecord) MarshalJSON() ([]byte, error) {
-	return json.Marshal([]any{c.TeamIndex, c.Class, c.Band, c.Start, c.Width, c.VersionQuota})
+// MarshalJSON encodes the fields as a list, as they are stored, for the size of the record.
+func (f flowRecord) MarshalJSON() ([]byte, error) {
+	return json.Marshal([]any{f.TeamIndex, f.Class, f.Band, f.Start, f.Width, f.VersionQuota})
 }
 
-// storedUnit is one stored unit of work in Work.
+// storedUnit is the Work of one stored unit: a unit of the resource for a second.
 const storedUnit = 1000
 
 // storedWork returns work in stored units, rounded up.
 func storedWork(w Work) int64 { return int64((min(w, MaxWork) + storedUnit - 1) / storedUnit) }
 
-// Encode returns the record of a plan, and the plan as it is decoded from that record, which
-// is coarser where the plan would not fit into maxBytes. A leader follows the latter, as all
-// readers of the record do. The error is an ErrTooLarge if the coarsest record does not fit.
+// Encode returns the record of a plan, and the plan as decoded from that record. The record
+// is made coarser until it fits into maxBytes, so the leader must decide by the returned plan,
+// as all readers of the record do. The error wraps ErrTooLarge if the coarsest record
+// does not fit.
 func Encode(plan *Plan, maxBytes int) ([]byte, *Plan, error) {
 	r := plan.record()
 	for r.size() > maxBytes {
 		if !r.coarsen() {
-			return nil, nil, fmt.Errorf("%w: %d bytes, %d are allowed", ErrTooLarge, r.size(), maxBytes)
+			return nil, nil, fmt.Errorf("%w: %d bytes, limit %d bytes", ErrTooLarge, r.size(), maxBytes)
 		}
 	}
 	raw := protocol.Encode(r)
@@ -84,8 +85,8 @@
 	return raw, kept, err
 }
 
-// Decode returns the plan of a record. The error wraps a *FieldError if no leader could have
-// written the record.
+// Decode returns the plan of a record. The error wraps a *FieldError if a field has a value
+// that no leader writes.
 func Decode(raw []byte) (*Plan, error) {
 	var r record
 	if err := protocol.Decode(raw, &r); err != nil {
@@ -97,7 +98,7 @@
 	return r.plan(), nil
 }
 
-// record returns the stored form of a plan.
+// record returns the stored form of the plan.
 func (p *Plan) record() *record {
 	r := &record{
 		Format:       recordFormat,
@@ -133,13 +134,13 @@
 	return r
 }
 
-// flow returns the flow of a flowRecord.
-func (r *record) flow(c flowRecord) Cell {
-	team := r.Teams[c.TeamIndex]
-	return Cell{Team: team.Name, Class: c.Class, Pool: team.Pool, Band: c.Band}
+// flow returns the flow that a flowRecord restricts.
+func (r *record) flow(f flowRecord) Cell {
+	team := r.Teams[f.TeamIndex]
+	return Cell{Team: team.Name, Class: f.Class, Pool: team.Pool, Band: f.Band}
 }
 
-// plan returns the plan of a record that check has passed.
+// plan returns the plan of the record, which must have passed check.
 func (r *record) plan() *Plan {
 	p := newPlan(r.Version, r.FencingToken, r.Horizon, r.Capacity)
 	for _, t := range r.Teams {
@@ -150,8 +151,8 @@
 		})
 	}
 	restrictions := map[Cell]FlowRestriction{}
-	for _, c := range r.Flows {
-		restrictions[r.flow(c)] = FlowRestriction{Start: c.Start, Width: c.Width, VersionQuota: Work(c.VersionQuota) * storedUnit}
+	for _, f := range r.Flows {
+		restrictions[r.flow(f)] = FlowRestriction{Start: f.Start, Width: f.Width, VersionQuota: Work(f.VersionQuota) * storedUnit}
 	}
 	p.setRestrictions(restrictions)
 	p.setQueueHeads(r.QueueHeads)
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -11,8 +11,8 @@
 	"dunestand/internal/units"
 )
 
-// crowdedPlan returns a plan that restricts many classes of many teams.
-func crowdedPlan(t fataler, teams, classes int) *Plan {
+// restrictedPlan returns a plan that restricts all classes of all teams, with queued large jobs.
+func restrictedPlan(t fataler, teams, classes int) *Plan {
 	names := make([]string, teams)
 	for i := range names {
 		names[i] = fmt.Sprintf("kitchen-%02d", i)
@@ -41,10 +41,10 @@
 	return sim.publishPlan()
 }
 
-// A plan goes into one value of the key-value store: it is made coarser until it fits, and
-// one that cannot fit is an error.
+// A plan must fit into one value of the key-value store: it is made coarser until it fits, and
+// a plan that cannot fit is an error.
 func TestPlanIsCoarsenedUntilItFits(t *testing.T) {
-	plan := crowdedPlan(t, 12, 4)
+	plan := restrictedPlan(t, 12, 4)
 	if plan.NumRestrictedFlows() < 48 {
 		t.Fatalf("only %d flows are restricted", plan.NumRestrictedFlows())
 	}
@@ -73,17 +73,17 @@
 	return flow
 }
 
-// A record that no leader writes is an error that names the field, never a plan.
+// Decode rejects a record that no leader writes with an error that names the field.
 func TestDecodeRejectsImpossibleRecords(t *testing.T) {
-	good := func() *record { return crowdedPlan(t, 2, 2).record() }
-	if _, err := Decode(protocol.Encode(good())); err != nil {
+	validRecord := func() *record { return restrictedPlan(t, 2, 2).record() }
+	if _, err := Decode(protocol.Encode(validRecord())); err != nil {
 		t.Fatal(err)
 	}
-	teams, flows := len(good().Teams), len(good().Flows)
+	teams, flows := len(validRecord().Teams), len(validRecord().Flows)
 	for _, test := range []struct {
-		field string
-		cause error
-		spoil func(*record)
+		field   string
+		cause   error
+		corrupt func(*record)
 	}{
 		{"format", errUnknownFormat, func(r *record) { r.Format = 2 }},
 		{"version", errMissing, func(r *record) { r.Version = 0 }},
@@ -94,7 +94,7 @@
 		{"teams[0].name", errMissing, func(r *record) { r.Teams[0].Name = "" }},
 		{"teams[0].pool", errOutOfRange, func(r *record) { r.Teams[0].Pool = numPools }},
 		{"teams[0].version_quota", errOutOfRange, func(r *record) { r.Teams[0].VersionQuota = -1 }},
-		{"teams[0].large_threshold", errOutOfRange, func(r *record) { r.Teams[0].LargeThreshold = maxStored + 1 }},
+		{"teams[0].large_threshold", errOutOfRange, func(r *record) { r.Teams[0].LargeThreshold = maxStoredWork + 1 }},
 		{"teams[0].estimate_correction", errOutOfRange, func(r *record) { r.Teams[0].EstimateCorrection = 0 }},
 		{"cells[0].team", errUnknownTeam, func(r *record) { r.Flows[0].TeamIndex = 99 }},
 		{fmt.Sprintf("cells[%d].class", flows), errDuplicate, func(r *record) { r.Flows = append(r.Flows, r.Flows[0]) }},
@@ -105,8 +105,8 @@
 		{"queue_heads[0]", errInvalidJobID, func(r *record) { r.QueueHeads = []string{"who"} }},
 	} {
 		t.Run(test.field, func(t *testing.T) {
-			r := good()
-			test.spoil(r)
+			r := validRecord()
+			test.corrupt(r)
 			_, err := Decode(protocol.Encode(r))
 			if err == nil {
 				t.Fatal("the record is accepted")
@@ -119,9 +119,9 @@
 	}
 }
 
-// Bytes that Decode accepts give a plan whose own record gives it back.
+// A plan that Decode accepts survives encoding and decoding.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(protocol.Encode(crowdedPlan(f, 2, 2).record())))
+	f.Add([]byte(protocol.Encode(restrictedPlan(f, 2, 2).record())))
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		plan, err := Decode(raw)
@@ -129,12 +129,12 @@
 			return
 		}
 		if again, err := Decode(protocol.Encode(plan.record())); err != nil || !again.SameRestrictions(plan) {
-			t.Errorf("a plan that was read is not readable: %v", err)
+			t.Errorf("a decoded plan does not survive encoding and decoding: %v", err)
 		}
 	})
 }
 
-// A plan leaves the one before it as it is, and shares what is the same.
+// Making a plan does not change the former plans, with which it shares memory.
 func TestPlansAreImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink"))
--- a/internal/admission/recordcheck.go
+++ b/internal/admission/recordcheck.go
@@ -7,10 +7,9 @@
 	"dunestand/internal/protocol"
 )
 
-// FieldError reports a field of the plan's record with a value that no leader writes. It
-// wraps the cause.
+// FieldError reports a field of the plan's record with a value that no leader writes.
 type FieldError struct {
-	Field string // path of the field, such as teams[2].quota
+	Field string // path of the field, such as teams[2].version_quota
 	Err   error
 }
 
@@ -30,21 +29,20 @@
 	errInvalidJobID  = errors.New("invalid job ID")
 )
 
-// maxStored is the most stored work of a field.
-const maxStored = int64(MaxWork/storedUnit) + 1
+// maxStoredWork is the greatest amount of work in a field of a record.
+const maxStoredWork = int64(MaxWork/storedUnit) + 1
 
-// validWork reports whether stored work is in range.
-func validWork(work int64) bool { return work >= 0 && work <= maxStored }
+// validWork reports whether an amount of stored work is in range.
+func validWork(work int64) bool { return work >= 0 && work <= maxStoredWork }
 
-// requirement is a condition on a field of the record, and the cause to report if it is
-// not met.
+// requirement is a condition on a field of the record, and the error if it is not met.
 type requirement struct {
 	met   bool
 	field string
 	cause error
 }
 
-// firstUnmet returns the first requirement that is not met, if there is one.
+// firstUnmet returns the first requirement that is not met, and whether there is one.
 func firstUnmet(requirements ...requirement) (unmet requirement, found bool) {
 	for _, r := range requirements {
 		if !r.met {
@@ -54,7 +52,7 @@
 	return requirement{}, false
 }
 
-// elementError reports a field of an element of one of the record's lists.
+// elementError returns a *FieldError for an unmet requirement on an element of a list.
 func elementError(list string, index int, unmet requirement) error {
 	return &FieldError{Field: fmt.Sprintf("%s[%d].%s", list, index, unmet.field), Err: unmet.cause}
 }
@@ -85,7 +83,7 @@
 	return r.checkFlows()
 }
 
-// checkTeams checks the entries of teams.
+// checkTeams checks the teams' entries.
 func (r *record) checkTeams() error {
 	seen := map[teamKey]bool{}
 	for i, t := range r.Teams {
@@ -105,20 +103,20 @@
 	return nil
 }
 
-// checkFlows checks the restrictions of flows.
+// checkFlows checks the restrictions. Its error paths name the list "cells", as it is stored.
 func (r *record) checkFlows() error {
 	seen := map[Cell]bool{}
-	for i, c := range r.Flows {
-		if c.TeamIndex < 0 || c.TeamIndex >= len(r.Teams) {
+	for i, f := range r.Flows {
+		if f.TeamIndex < 0 || f.TeamIndex >= len(r.Teams) {
 			return elementError("cells", i, requirement{field: "team", cause: errUnknownTeam})
 		}
-		flow := r.flow(c)
+		flow := r.flow(f)
 		if unmet, found := firstUnmet(
 			requirement{!seen[flow], "class", errDuplicate},
-			requirement{c.Band < numBands, "band", errOutOfRange},
-			requirement{c.Start < ringSize, "start", errOutOfRange},
-			requirement{c.Width <= ringSize, "width", errOutOfRange},
-			requirement{validWork(c.VersionQuota), "version_quota", errOutOfRange},
+			requirement{f.Band < numBands, "band", errOutOfRange},
+			requirement{f.Start < ringSize, "start", errOutOfRange},
+			requirement{f.Width <= ringSize, "width", errOutOfRange},
+			requirement{validWork(f.VersionQuota), "version_quota", errOutOfRange},
 		); found {
 			return elementError("cells", i, unmet)
 		}
--- a/internal/admission/recordsize.go
+++ b/internal/admission/recordsize.go
@@ -5,7 +5,8 @@
 	"errors"
 )
 
-// ErrTooLarge reports a plan that does not fit into one value of the key-value store.
+// ErrTooLarge reports a plan whose coarsest record exceeds the size limit of a value in the
+// key-value store.
 var ErrTooLarge = errors.New("admission plan does not fit into one value of the key-value store")
 
 // size returns the size of the record in bytes as the key-value store counts it.
@@ -17,23 +18,23 @@
 	return len(raw)
 }
 
-// coarsen drops detail: the classes of the team with the most restricted flows get one
-// restriction together, or else the queue of large jobs is cut in half. It reports whether
-// there was anything left to drop.
+// coarsen makes the record smaller. It merges the restrictions of the classes of the team with
+// the most of them. If no team has restricted classes, it drops half of the queue heads. It
+// reports whether the record could be made smaller.
 func (r *record) coarsen() bool {
 	count := map[int]int{}
-	crowded := -1
-	for _, c := range r.Flows {
-		if c.Class == "" {
+	mostRestricted := -1
+	for _, f := range r.Flows {
+		if f.Class == "" {
 			continue
 		}
-		count[c.TeamIndex]++
-		if crowded < 0 || count[c.TeamIndex] > count[crowded] {
-			crowded = c.TeamIndex
+		count[f.TeamIndex]++
+		if mostRestricted < 0 || count[f.TeamIndex] > count[mostRestricted] {
+			mostRestricted = f.TeamIndex
 		}
 	}
-	if crowded >= 0 {
-		r.mergeClasses(crowded)
+	if mostRestricted >= 0 {
+		r.mergeClasses(mostRestricted)
 		return true
 	}
 	if len(r.QueueHeads) > 1 {
@@ -43,23 +44,24 @@
 	return false
 }
 
-// mergeClasses gives a team one restriction in each band instead of one in each class.
+// mergeClasses replaces the restrictions of a team's classes by one restriction for each band,
+// with the least of their window widths and the sum of their version quotas.
 func (r *record) mergeClasses(team int) {
 	merged := map[Band]*flowRecord{}
 	var kept []flowRecord
-	for _, c := range r.Flows {
-		if c.TeamIndex != team {
-			kept = append(kept, c)
+	for _, f := range r.Flows {
+		if f.TeamIndex != team {
+			kept = append(kept, f)
 			continue
 		}
-		m := merged[c.Band]
+		m := merged[f.Band]
 		if m == nil {
-			c.Class = ""
-			merged[c.Band] = &c
+			f.Class = ""
+			merged[f.Band] = &f
 			continue
 		}
-		m.Width = min(m.Width, c.Width)
-		m.VersionQuota += c.VersionQuota
+		m.Width = min(m.Width, f.Width)
+		m.VersionQuota += f.VersionQuota
 	}
 	for band := range Band(numBands) {
 		if m := merged[band]; m != nil {
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -6,9 +6,10 @@
 	"slices"
 )
 
-// restrictTeam divides a team's share among its classes, these among small and large jobs, and
-// restricts the flows whose demand exceeds their part. It returns the version quota of the
-// unrestricted flows: all restricted ones and these together get equal parts.
+// restrictTeam divides a team's share among its classes and the share of each class among its
+// bands, and restricts the flows whose demand exceeds their part. It returns the version quota
+// of the unrestricted flows: in an equal division of the team's share they count together as
+// one more flow in addition to the restricted ones. Their backlog is subtracted.
 func (b *planBuilder) restrictTeam(team teamShare) Work {
 	classes := map[string]flowDemand{}
 	for flow, demand := range team.flows {
@@ -33,16 +34,16 @@
 	return max(team.granted/Work(restricted+1)-unrestricted, 0)
 }
 
-// flowOutcome is what restrictClass did with a flow.
+// flowOutcome is the result of restrictClass for one flow.
 type flowOutcome struct {
 	restricted bool
 	backlog    Work
 }
 
-// bandWeight is the weight of small and of large jobs within a class.
+// bandWeight is the weight of each band within a class.
 const bandWeight = 1.0
 
-// restrictClass divides a class's share among small and large jobs and restricts those whose
+// restrictClass divides the share of a class among its bands and restricts the flows whose
 // demand exceeds their part.
 func (b *planBuilder) restrictClass(class string, share Work, flows map[Cell]flowDemand) []flowOutcome {
 	var bands []Cell
@@ -67,7 +68,8 @@
 	return outcomes
 }
 
-// restrictFlow restricts a flow to its part of the share.
+// restrictFlow restricts a flow to its part of the share. Its credit is the work that it may
+// still admit: the part that its backlog does not use up.
 func (b *planBuilder) restrictFlow(flow Cell, part Work, demand flowDemand) {
 	credit := part - demand.backlog
 	if flow.Band == Large {
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -9,13 +9,13 @@
 
 const (
 	testHorizon = 100 * units.Second
-	testCPUs    = 100 // guaranteed to each of the test teams
+	testCPUs    = 100 // guaranteed quota of each test team
 )
 
 // cpus returns an amount of CPUs and no GPUs.
 func cpus(n float64) Amounts { return Amounts{CPU: units.AmountOf(n)} }
 
-// testTeams returns teams with the same guaranteed quota, whose quota limit is the fleet.
+// testTeams returns teams with equal guaranteed quotas and the whole fleet as quota limit.
 func testTeams(names ...string) []Team {
 	teams := make([]Team, len(names))
 	for i, name := range names {
@@ -24,7 +24,7 @@
 	return teams
 }
 
-// testJob returns a job of tasks that use one CPU each.
+// testJob returns a job whose tasks request one CPU each and run for the given seconds.
 func testJob(n int, team, class string, tasks int, seconds float64) *protocol.JobSpec {
 	return &protocol.JobSpec{
 		ID:       fmt.Sprintf("j-%06d", n),
@@ -36,14 +36,14 @@
 	}
 }
 
-// fataler is a test, a benchmark, a fuzz test or a check of rapid.
+// fataler is implemented by *testing.T, *testing.B, *testing.F and *rapid.T.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// simulation is the admission of a leader, and a fleet that does the admitted work, at the
-// same rate for each team that has some.
+// simulation simulates the admission of a leader and a fleet that does the admitted work, at the
+// same rate for each team with a backlog.
 type simulation struct {
 	t           fataler
 	teams       []Team
@@ -60,7 +60,7 @@
 	capacity    Amounts
 }
 
-// newSimulation returns a simulation with a first plan in force.
+// newSimulation returns a simulation in which a first plan is in force.
 func newSimulation(t fataler, options Options, teams []Team) *simulation {
 	t.Helper()
 	s := &simulation{
@@ -92,7 +92,7 @@
 	return m
 }
 
-// publishPlan makes the next plan and puts it in force.
+// publishPlan makes the next plan and puts it into force.
 func (s *simulation) publishPlan() *Plan {
 	s.t.Helper()
 	s.version++
@@ -106,7 +106,7 @@
 	return proposal.Plan
 }
 
-// submit asks once for the admission of a job.
+// submit requests the admission of a job once.
 func (s *simulation) submit(job *protocol.JobSpec) Decision {
 	d, _ := s.plans.Decide(job, Leader, s.now)
 	if d.Verdict != Admit {
@@ -120,7 +120,7 @@
 	return d
 }
 
-// advance lets time go by; teams with work share the fleet evenly.
+// advance moves the clock on by d, in which teams with a backlog share the fleet evenly.
 func (s *simulation) advance(d units.Micros) {
 	s.now += d
 	requests := make([]ShareRequest, len(s.teams))
@@ -139,7 +139,7 @@
 // admittedBy returns the admitted work of a team.
 func (s *simulation) admittedBy(team string) Work { return workOfTeam(s.admitted, team) }
 
-// workOfTeam returns the sum of the work of a team's flows.
+// workOfTeam returns the total work of a team's flows.
 func workOfTeam(flows map[Cell]Work, team string) Work {
 	var sum Work
 	for flow, work := range flows {
@@ -150,7 +150,7 @@
 	return sum
 }
 
-// user submits a job until it is admitted or patience runs out.
+// user submits a job until it is admitted or the user gives up.
 type user struct {
 	job   *protocol.JobSpec
 	next  units.Micros // time of the next request
@@ -158,10 +158,10 @@
 	done  bool
 }
 
-// userPatience is how long users ask for a job.
-const userPatience = 60 * units.Second
+// userTimeout is how long users retry before they give up.
+const userTimeout = 60 * units.Second
 
-// run plays users that come at times of their own, with a plan every half second, and
+// run simulates the requests of users until a time, with a new plan every half second. It
 // returns the number of users that gave up, by team.
 func (s *simulation) run(users []*user, until units.Micros) map[string]int {
 	gaveUp := map[string]int{}
@@ -188,17 +188,17 @@
 	return gaveUp
 }
 
-// arrivals returns users whose first requests come evenly over a time.
+// arrivals returns one user for each job, with first requests evenly spaced between two times.
 func arrivals(jobs []*protocol.JobSpec, from, until units.Micros) []*user {
 	users := make([]*user, len(jobs))
 	for i, job := range jobs {
 		at := from + (until-from)*units.Micros(i)/units.Micros(len(jobs))
-		users[i] = &user{job: job, next: at, until: at + userPatience}
+		users[i] = &user{job: job, next: at, until: at + userTimeout}
 	}
 	return users
 }
 
-// testJobs returns jobs that differ by their number, the first of which is given.
+// testJobs returns count equal jobs with consecutive numbers in their IDs.
 func testJobs(first, count int, team, class string, tasks int, seconds float64) []*protocol.JobSpec {
 	jobs := make([]*protocol.JobSpec, count)
 	for i := range jobs {
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -9,14 +9,14 @@
 )
 
 // waitingTimeout is how long after its last request a job counts as waiting. It is longer than
-// any RetryAfter.
+// any Decision.RetryAfter, so that a job does not expire between two retries.
 const waitingTimeout = maxRetry + 7*units.Second
 
-// maxWaiting bounds the jobs on a waiting list. Those beyond it get the same answers but do
-// not count as demand.
+// maxWaiting bounds the number of jobs on a waiting list. Further jobs get the same decisions
+// but do not count as demand.
 const maxWaiting = 20_000
 
-// WaitingJob is a job whose user was told to retry later.
+// WaitingJob is a job on the waiting list.
 type WaitingJob struct {
 	ID          string
 	Flow        Cell
@@ -25,19 +25,19 @@
 	lastRequest units.Micros // time of the last request
 }
 
-// WaitingDemand is the demand of the jobs on a waiting list.
+// WaitingDemand is the demand of the jobs on a waiting list, for a Measurement.
 type WaitingDemand struct {
 	Work  map[Cell]Work
-	Large []WaitingJob // queue of large jobs, longest waiting first
+	Large []WaitingJob // queue of large jobs, longest-waiting first
 }
 
-// WaitingList holds, on the leader, the jobs whose users were told to retry later: they are
-// unmet demand. It is not stored; the next leader learns it from the retries. It is not safe
-// for concurrent use.
+// WaitingList holds, on the leader, the jobs whose users were told to retry later. They are the
+// unmet demand. The list is not stored: a new leader rebuilds it from the retries. It is not
+// safe for concurrent use.
 type WaitingList struct {
 	jobs map[string]*WaitingJob
-	work map[Cell]Work // of all jobs, by flow
-	// unrecorded holds the IDs of jobs that no record mentioned when the leader looked.
+	work map[Cell]Work // work of all jobs, by flow
+	// unrecorded holds the IDs of the jobs that were marked by MarkUnrecorded.
 	unrecorded map[string]bool
 }
 
@@ -46,8 +46,8 @@
 	return &WaitingList{jobs: map[string]*WaitingJob{}, work: map[Cell]Work{}, unrecorded: map[string]bool{}}
 }
 
-// Add records that the user of a job was told by a decision to retry later. It ignores new
-// jobs beyond maxWaiting.
+// Add records that the decision on a job told its user to retry later. New jobs beyond
+// maxWaiting are ignored.
 func (l *WaitingList) Add(id string, d Decision, now units.Micros) {
 	job := l.jobs[id]
 	switch {
@@ -71,19 +71,20 @@
 	}
 }
 
-// MarkUnrecorded marks a waiting job as one that no record mentions. Afterwards only transactions
-// of this leader can create such a record, or a submission in the pending queue.
+// MarkUnrecorded marks a waiting job as one that no record in the key-value store names. After
+// the mark only transactions of this leader can create a record of the job or a pending
+// submission of it.
 func (l *WaitingList) MarkUnrecorded(id string) {
 	if l.jobs[id] != nil {
 		l.unrecorded[id] = true
 	}
 }
 
-// Unrecorded reports whether a waiting job was marked by MarkUnrecorded.
+// Unrecorded reports whether a waiting job is marked by MarkUnrecorded.
 func (l *WaitingList) Unrecorded(id string) bool { return l.unrecorded[id] }
 
-// Remove removes a job, which was admitted or not asked for again. It returns since when it
-// waited, and whether it was on the list.
+// Remove removes a job that was admitted or that has expired. It returns the time of the first
+// request of the job, and whether the job was on the list.
 func (l *WaitingList) Remove(id string) (since units.Micros, waited bool) {
 	job := l.jobs[id]
 	if job == nil {
@@ -95,7 +96,7 @@
 	return job.Since, true
 }
 
-// Expire removes the jobs that were not asked for during waitingTimeout.
+// Expire removes the jobs without a request during the last waitingTimeout.
 func (l *WaitingList) Expire(now units.Micros) {
 	for id, job := range l.jobs {
 		if now-job.lastRequest > waitingTimeout {
@@ -107,7 +108,7 @@
 // Len returns the number of waiting jobs.
 func (l *WaitingList) Len() int { return len(l.jobs) }
 
-// Demand returns the demand of the waiting jobs.
+// Demand returns the demand of the waiting jobs. The result is a copy.
 func (l *WaitingList) Demand() WaitingDemand {
 	demand := WaitingDemand{Work: maps.Clone(l.work)}
 	for _, job := range l.jobs {
--- a/internal/admission/work.go
+++ b/internal/admission/work.go
@@ -6,19 +6,20 @@
 	"dunestand/internal/units"
 )
 
-// Work is an amount of a resource held for a time, in thousandths of a unit times seconds.
+// Work is an amount of a resource times the time for which it is held, in thousandths of a unit
+// times seconds.
 type Work int64
 
-// MaxWork bounds an amount of work. Sums of many such amounts do not overflow in the
-// arithmetic of this package, and it is exact as a float64.
+// MaxWork is the greatest amount of work. It is exact as a float64, and the sum of many such
+// amounts does not overflow an int64.
 const MaxWork Work = 1 << 53
 
-// workUnit is one Work in millionths of a unit times microseconds, the units of units.Amount
-// and units.Micros.
+// workUnit is one Work, expressed in the units of units.Amount times units.Micros: millionths of
+// a unit times microseconds.
 const workUnit = 1_000_000_000
 
-// WorkOf returns the work of a number of tasks that each hold an amount of a resource for a
-// run time, at most MaxWork. It is 0 if any of the three is not positive.
+// WorkOf returns the work of a number of tasks that each hold an amount of a resource for a run
+// time, at most MaxWork. It returns 0 if an argument is not positive.
 func WorkOf(tasks int, need units.Amount, run units.Micros) Work {
 	if tasks <= 0 || need <= 0 || run <= 0 {
 		return 0
@@ -38,7 +39,7 @@
 // Plus returns the sum of two amounts of work, at most MaxWork.
 func (w Work) Plus(other Work) Work { return min(w+other, MaxWork) }
 
-// scaled returns w*numerator/denominator, rounded down and at most MaxWork; 0 for work that is
+// scaled returns w*numerator/denominator, rounded down and at most MaxWork. It returns 0 if w is
 // not positive.
 func (w Work) scaled(numerator, denominator uint64) Work {
 	if w <= 0 || numerator == 0 {
--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -1,6 +1,6 @@
-// Package admissioncontrol applies the admission plan of package admission on a controller:
-// every controller follows the plan's record and decides by it, and the leader makes and
-// publishes the plans.
+// Package admissioncontrol applies the admission plans of package admission on a controller.
+// Every controller follows the plan's record in the key-value store and decides on jobs by the
+// plan; the leader makes and publishes the plans.
 package admissioncontrol
 
 import (
@@ -18,7 +18,7 @@
 	"dunestand/internal/units"
 )
 
-// AdmitterDeps is what an Admitter works with.
+// AdmitterDeps holds the dependencies of an Admitter.
 type AdmitterDeps struct {
 	Settings *config.Settings
 	Options  admission.Options
@@ -29,26 +29,25 @@
 	Metrics  *telemetry.Metrics
 }
 
-// Admitter decides on one controller, by the fleet's admission plan, which jobs are accepted. A
-// nil Admitter admits all; State must not be called on it. Its methods may be called
-// concurrently.
+// Admitter decides, on one controller, which jobs are accepted by the fleet's admission plan. A
+// nil Admitter admits all jobs; State must not be called on it. It is safe for concurrent use.
 type Admitter struct {
 	options   admission.Options
 	teams     []admission.Team
 	planStore *admission.PlanStore
-	client    *kv.Client // on connections of its own: a watch occupies one
+	client    *kv.Client // has its own connections, because a watch occupies one
 	format    recordformat.Source
 	clock     units.Clock
 	log       *slog.Logger
 	metrics   *telemetry.Metrics
-	// replanSignal asks the leader's loop for a new plan at once.
+	// replanSignal requests a new plan from the leader's loop without delay.
 	replanSignal loop.Signal
-	// unreadableRevision is the revision of a plan's record that is not readable, 0: none.
+	// unreadableRevision is the revision at which the plan's record is unreadable; 0: none.
 	unreadableRevision atomic.Uint64
 }
 
-// NewAdmitter returns a controller's admitter and registers its metrics; nil where admission by a
-// plan is off.
+// NewAdmitter returns the admitter of a controller and registers its metrics. It returns nil if
+// admission by a plan is off.
 func NewAdmitter(deps AdmitterDeps) *Admitter {
 	if !deps.Options.Enabled() {
 		return nil
@@ -69,24 +68,24 @@
 	return a
 }
 
-// active reports whether jobs are admitted by a plan: it is enabled, and every controller that
-// may lead knows of it.
+// active reports whether jobs are admitted by a plan: admission by a plan is enabled, and the
+// fleet's record format says that every controller that may lead supports it.
 func (a *Admitter) active() bool {
 	return a != nil && a.format.Current() >= storage.FormatAdmission
 }
 
-// State returns what admits jobs now: the plan in force, or the built-in fallback.
+// State returns the current state of the plan store: the plan in force, if any, and its source.
 func (a *Admitter) State() admission.State { return a.planStore.State(a.clock.Steady()) }
 
-// decide decides about a job that is not known. It returns the revision of the plan's record that
-// the acceptance must be conditional on.
+// decide decides on a new job. It returns the revision of the plan's record on which the
+// acceptance must be conditional.
 func (a *Admitter) decide(spec *protocol.JobSpec, role admission.Role) (admission.Decision, uint64) {
 	return a.planStore.Decide(spec, role, a.clock.Steady())
 }
 
-// DecideIsolated decides without the leader, and returns what an acceptance must be conditional on.
-// A controller that does not know yet that the fleet admits by a plan, as after its start, accepts
-// a job only on condition that there is none.
+// DecideIsolated decides on a new job without the leader. It returns the condition on which the
+// acceptance must be made. A controller that has not learned yet that the fleet admits by a plan,
+// as after its start, accepts a job only on condition that there is no plan.
 func (a *Admitter) DecideIsolated(spec *protocol.JobSpec) (admission.Decision, protocol.Condition) {
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
@@ -95,10 +94,10 @@
 	return d, protocol.Condition{Key: admission.KeyPlan, Version: revision}
 }
 
-// adopt makes what the plan's record held at an item's version the known plan. after and before
-// are the steady times between which it was written. A record that is not readable is neither
-// applied nor taken for none.
-func (a *Admitter) adopt(item protocol.Item, after, before units.Micros) {
+// applyItem passes an item of the plan's record to the plan store. The record was written between
+// the steady times after and before. While a record is unreadable, the fallback plan is in force,
+// and acceptances are conditional on the revision of that record.
+func (a *Admitter) applyItem(item protocol.Item, after, before units.Micros) {
 	plan, err := admission.Decode(item.Value)
 	observed := admission.ObservedPlan{Plan: plan, Revision: item.Version, WrittenAfter: after, WrittenBefore: before}
 	if err == nil {
@@ -109,7 +108,7 @@
 			a.log.Error("admission plan not readable; neither applied nor overwritten", "revision", item.Version, "error", err)
 		}
 		observed.Plan = nil
-		_ = a.planStore.Update(observed) // without a plan nothing can be wrong with it
+		_ = a.planStore.Update(observed) // without a plan there is no error
 		return
 	}
 	a.unreadableRevision.Store(0)
--- a/internal/admissioncontrol/admittermetrics.go
+++ b/internal/admissioncontrol/admittermetrics.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/admission"
 )
 
-// addMetrics registers the gauges of admission and the counts by team.
+// addMetrics registers the gauges of admission and the counters of decisions by team.
 func (a *Admitter) addMetrics() {
 	gauges := []struct {
 		name  string
@@ -26,7 +26,7 @@
 	a.metrics.AddWriter(a.writeCounts)
 }
 
-// gaugeOf returns a condition as the value of a gauge.
+// gaugeOf returns the gauge value of a condition: 1 if it holds, 0 if not.
 func gaugeOf(b bool) float64 {
 	if b {
 		return 1
@@ -34,7 +34,7 @@
 	return 0
 }
 
-// planVersion returns the version of the plan in force, 0 if none is.
+// planVersion returns the version of the stored plan that is in force, 0 if there is none.
 func (a *Admitter) planVersion() float64 {
 	if s := a.State(); s.Source == admission.SourceRecord {
 		return float64(s.Plan.Version)
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// restrictedFlows returns how many flows of the plan or its fallback are restricted.
+// restrictedFlows returns the number of flows that the plan in force restricts.
 func (a *Admitter) restrictedFlows() float64 {
 	if s := a.State(); s.Plan != nil {
 		return float64(s.Plan.NumRestrictedFlows())
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// writeCounts writes how this controller has decided, by team.
+// writeCounts writes the number of this controller's decisions, by team and verdict.
 func (a *Admitter) writeCounts(w io.Writer) {
 	for _, c := range a.planStore.CountsByTeam() {
 		fmt.Fprintf(w, "dunestand_admission_admitted_total{team=%q} %d\n", c.Team, c.Admitted)
--- a/internal/admissioncontrol/contextmutex.go
+++ b/internal/admissioncontrol/contextmutex.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// contextMutex is a mutex that is waited for until a context ends. The channel holds a token
-// while it is locked.
+// contextMutex is a mutex whose lock operation ends with a context. Its channel holds an element
+// while the mutex is locked.
 type contextMutex chan struct{}
 
 func newContextMutex() contextMutex { return make(contextMutex, 1) }
 
-// lock waits for the mutex. It fails with the context's error if ctx ends first.
+// lock locks the mutex. It returns the error of ctx if ctx ends first.
 func (m contextMutex) lock(ctx context.Context) error {
 	select {
 	case m <- struct{}{}:
--- a/internal/admissioncontrol/contextmutex_test.go
+++ b/internal/admissioncontrol/contextmutex_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestContextMutexIsWaitedForUntilContextEnds(t *testing.T) {
+func TestContextMutexLockEndsWithContext(t *testing.T) {
 	m := newContextMutex()
 	if err := m.lock(t.Context()); err != nil {
 		t.Fatal(err)
--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -17,11 +17,11 @@
 	"dunestand/internal/units"
 )
 
-// LeaderAdmissionDeps is what a LeaderAdmission works with. Its logger names the leader; the
-// Admitter's does not.
+// LeaderAdmissionDeps holds the dependencies of a LeaderAdmission. Its logger adds attributes of
+// the leader, which the Admitter's does not.
 type LeaderAdmissionDeps struct {
 	State       *cluster.State
-	Admitter    *Admitter // nil: all jobs are admitted
+	Admitter    *Admitter // nil: admit all jobs
 	Leadership  election.Leadership
 	Persister   *persister.Persister
 	Ingester    *persister.Ingester
@@ -30,26 +30,27 @@
 	Clock       units.Clock
 	Log         *slog.Logger
 	Metrics     *telemetry.Metrics
-	WriteSignal loop.Signal // raised when jobs can be accepted by a new plan
+	WriteSignal loop.Signal // raised when jobs can be accepted under a new plan
 }
 
-// LeaderAdmission decides, by the fleet's admission plan, which new jobs the leader accepts, and
-// publishes the plans. It belongs to one leader. All its own fields but publisher are guarded by
-// the lock of the state; methods that need it held say so, and the others must be called without
-// it.
+// LeaderAdmission decides by the fleet's admission plan which new jobs the leader accepts, and
+// publishes the plans. It belongs to one leader. The lock of the state guards its own
+// fields except publisher. A method must be called without that lock unless its comment says
+// that the caller must hold it.
 type LeaderAdmission struct {
 	LeaderAdmissionDeps
 
 	publisher *planPublisher
-	// Waiting holds the jobs whose users were told to come back.
+	// Waiting holds the jobs whose users were told to retry later.
 	Waiting             *admission.WaitingList
 	estimateCorrections *admission.EstimateCorrections
-	// planKnown: the plan's record is known for certain. While it is not, nobody is told to
-	// wait; and nothing is accepted before it was known once.
+	// planKnown says that the revision of the plan's record is certain. While it is not, no job
+	// gets the verdict Wait. planEverKnown says that it was certain at least once. Before that,
+	// no job is admitted.
 	planKnown, planEverKnown bool
 }
 
-// NewLeaderAdmission returns the admission of a leader that does not know the plan's record yet.
+// NewLeaderAdmission returns the admission of a leader that has not read the plan's record yet.
 func NewLeaderAdmission(deps LeaderAdmissionDeps) *LeaderAdmission {
 	la := &LeaderAdmission{
 		LeaderAdmissionDeps: deps,
@@ -63,26 +64,26 @@
 // Run publishes plans until ctx ends.
 func (la *LeaderAdmission) Run(ctx context.Context) { la.publisher.run(ctx) }
 
-// Publish makes a plan now, and writes it if it is due. It fails with ErrPlanUnreadable, an
-// error of the client or one of the plan's encoding.
+// Publish makes a plan now and writes it if it is due. It returns ErrPlanUnreadable, an error of
+// the key-value store client or an error of encoding the plan.
 func (la *LeaderAdmission) Publish(ctx context.Context) error { return la.publisher.step(ctx, true) }
 
-// PlanVersion returns the version of the plan that was written last. It must not be called while
-// plans are published.
+// PlanVersion returns the version of the plan that was written last. It must not be called
+// concurrently with Run or Publish.
 func (la *LeaderAdmission) PlanVersion() uint64 { return la.publisher.lastVersion }
 
-// WriteMetrics writes the usage of the teams by the last proposal of a plan, in the text format of
-// Prometheus.
+// WriteMetrics writes the usage of the teams at the last proposal of a plan in the Prometheus text
+// format.
 func (la *LeaderAdmission) WriteMetrics(w io.Writer) { la.publisher.writeUsages(w) }
 
-// ObserveRun learns from a task that was seen to run from its start to its end how far its team's
-// estimates are off. It needs the lock of the state held.
+// ObserveRun records the run time of a task of a job, to correct the estimates of its team. The
+// task must have been observed from start to end. The caller must hold the lock of the state.
 func (la *LeaderAdmission) ObserveRun(j *cluster.Job, run units.Micros) {
 	la.estimateCorrections.RecordRun(j.Spec.Team, j.Spec.Estimate, run)
 }
 
-// Admit decides whether a new job may be added to the state. It needs the lock of the state
-// held.
+// Admit decides whether a new job may be added to the state. The caller must hold the lock of the
+// state.
 func (la *LeaderAdmission) Admit(spec *protocol.JobSpec) admission.Decision {
 	if !la.Admitter.active() {
 		return admission.Decision{Verdict: admission.Admit}
@@ -111,14 +112,15 @@
 	return d
 }
 
-// undecidedDecision returns the decision while no plan is known to be in force.
+// undecidedDecision returns the decision on any job while the plan in force is uncertain.
 func undecidedDecision() admission.Decision {
 	return admission.Decision{Verdict: admission.Undecided, Reason: admission.PlanUncertain, RetryAfter: units.Second}
 }
 
-// IsCertainlyUnrecorded reports whether it is certain that no record names a job that waits: none did
-// when this leader looked, and since then nobody could accept it. Another controller may, once the
-// plan has expired; long before that the records are read each time.
+// IsCertainlyUnrecorded reports whether it is certain that no record in the key-value store names
+// a waiting job: none did when this leader read the records, and no other controller can have
+// accepted the job since then. Other controllers may accept jobs once the plan has expired, so
+// the result is false from half of PlanLifetime on, and the caller must read the records.
 func (la *LeaderAdmission) IsCertainlyUnrecorded(id string) bool {
 	la.State.Lock()
 	defer la.State.Unlock()
@@ -126,15 +128,16 @@
 	return la.Waiting.Unrecorded(id) && state.Source == admission.SourceRecord && state.Age < admission.PlanLifetime/2
 }
 
-// markPlanUncertain notes that the plan's record may change at any moment from now on.
+// markPlanUncertain records that the plan's record may change at any time from now on.
 func (la *LeaderAdmission) markPlanUncertain() {
 	la.State.Lock()
 	defer la.State.Unlock()
 	la.planKnown = false
 }
 
-// setPlanRevision notes that the plan's record is known at a revision. New jobs are accepted on
-// that condition, and those whose acceptance is not on its way are decided anew.
+// setPlanRevision records that the plan's record is certainly at a revision. Acceptances are
+// conditional on that revision from now on, and added jobs whose acceptance was not sent yet are
+// decided on again.
 func (la *LeaderAdmission) setPlanRevision(revision uint64) {
 	la.State.Lock()
 	defer la.State.Unlock()
@@ -144,10 +147,10 @@
 	la.WriteSignal.Raise()
 }
 
-// Reconsider decides again about the jobs that were added to the state and whose acceptance is
-// not on its way: it has to be by the plan that it is conditional on. Those that were on their way
-// when the plan changed are reconsidered when their write batch fails. It needs the lock of the
-// state held.
+// Reconsider decides again on the jobs that were added to the state and whose acceptance was not
+// sent yet, because a job must be admitted by the plan on which its acceptance is conditional.
+// Acceptances that were in flight when the plan changed fail with their write batch, and the
+// jobs are reconsidered then. The caller must hold the lock of the state.
 func (la *LeaderAdmission) Reconsider() {
 	now := la.Clock.Steady()
 	for _, j := range la.State.UnacceptedJobs() {
@@ -160,7 +163,7 @@
 	}
 }
 
-// measure returns what the next plan is made from.
+// measure returns the measurement for the next plan.
 func (la *LeaderAdmission) measure(now units.Micros) admission.Measurement {
 	la.State.Lock()
 	defer la.State.Unlock()
@@ -183,13 +186,13 @@
 	return m
 }
 
-// WaitingCount returns the number of jobs whose users were told to come back.
+// WaitingCount returns the number of jobs whose users were told to retry later.
 func (la *LeaderAdmission) WaitingCount() int {
 	la.State.Lock()
 	defer la.State.Unlock()
 	return la.Waiting.Len()
 }
 
-// RereadPlan finds out which plan is in force, after a write met another version of it. It tries
-// until it succeeds or ctx ends.
+// RereadPlan reads the plan's record again after a write failed on a version conflict with it. It
+// retries until it succeeds or ctx ends.
 func (la *LeaderAdmission) RereadPlan(ctx context.Context) { la.publisher.rereadRecord(ctx) }
--- a/internal/admissioncontrol/options.go
+++ b/internal/admissioncontrol/options.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/units"
 )
 
-// OptionsOf returns a policy's choices as package admission has them.
+// OptionsOf converts the admission settings of a policy.
 func OptionsOf(p config.AdmissionPolicy) admission.Options {
 	return admission.Options{
 		Horizon:     p.Horizon,
@@ -16,7 +16,7 @@
 	}
 }
 
-// weightsOf returns the weights of shares by name.
+// weightsOf returns the weights of shares, by name.
 func weightsOf(shares []config.Share) map[string]float64 {
 	weights := map[string]float64{}
 	for _, share := range shares {
@@ -25,7 +25,7 @@
 	return weights
 }
 
-// teamsOf returns the teams as package admission has them.
+// teamsOf converts the teams of the settings.
 func teamsOf(teams []config.Team) []admission.Team {
 	out := make([]admission.Team, len(teams))
 	for i, t := range teams {
--- a/internal/admissioncontrol/planfollower.go
+++ b/internal/admissioncontrol/planfollower.go
@@ -16,8 +16,8 @@
 	activationPollInterval = units.Second
 )
 
-// Follow keeps the controller's plan up to date until ctx ends. It waits until every controller
-// has admission by a plan enabled. It returns at once on a nil Admitter.
+// Follow keeps the controller's plan up to date until ctx ends. It starts once every controller
+// has admission by a plan enabled. On a nil Admitter it returns at once.
 func (a *Admitter) Follow(ctx context.Context) {
 	if a == nil || !a.waitActive(ctx) {
 		return
@@ -25,7 +25,7 @@
 	follower := NewPlanFollower(a)
 	for ctx.Err() == nil {
 		if err := follower.Step(ctx); err != nil {
-			a.log.Debug("admission plan not followed", "error", err)
+			a.log.Debug("failed to follow the admission plan; retrying", "error", err)
 			if !loop.Sleep(ctx, followRetryDelay) {
 				return
 			}
@@ -33,11 +33,11 @@
 	}
 }
 
-// waitActive waits until the fleet's format allows admission by a plan. It reports whether it
-// does; false means that ctx ended first.
+// waitActive waits until the fleet's record format allows admission by a plan. It returns false if
+// ctx ends first.
 func (a *Admitter) waitActive(ctx context.Context) bool {
 	if !a.active() {
-		a.log.Info("admission by plan waits until every controller has it enabled")
+		a.log.Info("waiting until every controller has admission by plan enabled")
 	}
 	for !a.active() {
 		if !loop.Sleep(ctx, activationPollInterval) {
@@ -48,20 +48,20 @@
 	return true
 }
 
-// PlanFollower follows the plan's record by a watch and keeps an Admitter's plan up to date.
-// Only one goroutine may use it.
+// PlanFollower watches the plan's record and keeps the plan of an Admitter up to date. It is not
+// safe for concurrent use.
 type PlanFollower struct {
-	admitter *Admitter
-	revision uint64       // up to which changes are known; 0: the record has to be read
-	asOf     units.Micros // no change that is unknown was made before this steady time
-	hasRead  bool         // asOf is valid
+	admitter  *Admitter
+	revision  uint64       // changes up to this revision are known; 0: the record must be read
+	asOf      units.Micros // changes up to this steady time are known
+	asOfKnown bool         // asOf is valid
 }
 
-// NewPlanFollower returns a follower that has read nothing yet.
+// NewPlanFollower returns a follower that has not read the record yet.
 func NewPlanFollower(a *Admitter) *PlanFollower { return &PlanFollower{admitter: a} }
 
-// Step reads the record, or waits for its next change for up to planWatchTimeout. After an
-// error the next step reads the record again.
+// Step reads the record in the first call and after an error. Otherwise it waits for changes of
+// the record, up to planWatchTimeout.
 func (f *PlanFollower) Step(ctx context.Context) error {
 	sentAt := f.admitter.clock.Steady()
 	if f.revision == 0 {
@@ -84,19 +84,19 @@
 	return nil
 }
 
-// read reads the record; the request is sent at sentAt.
+// read reads the record by a request that is sent at sentAt.
 func (f *PlanFollower) read(ctx context.Context, sentAt units.Micros) error {
 	item, revision, err := f.admitter.client.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
 	if err != nil {
 		return err
 	}
 	f.update(item, revision)
-	f.revision, f.asOf, f.hasRead = revision, sentAt, true
+	f.revision, f.asOf, f.asOfKnown = revision, sentAt, true
 	return nil
 }
 
-// update passes a record on to the admitter. How old the record is at most follows from when an
-// earlier look did not show it yet.
+// update passes an item of the record to the admitter. The item was written after asOf, the time
+// of the last request whose response did not include it.
 func (f *PlanFollower) update(item protocol.Item, revision uint64) {
 	a := f.admitter
 	if item.Version == 0 {
@@ -104,8 +104,8 @@
 		return
 	}
 	after := f.asOf
-	if !f.hasRead {
-		after = a.clock.Steady() - admission.PlanLifetime // it may be of any age
+	if !f.asOfKnown {
+		after = a.clock.Steady() - admission.PlanLifetime // the plan may be of any age
 	}
-	a.adopt(item, after, a.clock.Steady())
+	a.applyItem(item, after, a.clock.Steady())
 }
--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -19,7 +19,7 @@
 
 const testHorizon = 20 * units.Second
 
-// newTestAdmitter returns the admitter of a controller on a fake key-value store, and its clock.
+// newTestAdmitter returns an admitter on a fake key-value store, and its clock.
 func newTestAdmitter(t *testing.T, server *fake.KVServer, horizon units.Micros) (*Admitter, *fake.Clock) {
 	t.Helper()
 	listener := httptest.NewServer(server)
@@ -40,7 +40,7 @@
 	}), clock
 }
 
-// putPlan writes a plan as a leader does.
+// putPlan writes a plan to the store as a leader does.
 func putPlan(t *testing.T, server *fake.KVServer, version uint64) {
 	t.Helper()
 	planner := admission.NewPlanner(admission.Options{Horizon: testHorizon}, []admission.Team{{Name: "team"}}, nil, 0)
@@ -51,20 +51,20 @@
 	server.Put(admission.KeyPlan, raw)
 }
 
-// A follower brings a plan into force once it knows how old the plan is at most, and the fallback
-// while the record is not readable or there is none.
+// A follower puts a plan into force once the age of the plan has an upper bound. The fallback
+// plan is in force while the record is unreadable or missing.
 func TestFollowerKeepsPlanUpToDate(t *testing.T) {
 	server := fake.NewKVServer()
 	admitter, clock := newTestAdmitter(t, server, testHorizon)
 	follower := NewPlanFollower(admitter)
-	expect := func(what string, source admission.PlanSource, version uint64) {
+	expect := func(step string, source admission.PlanSource, version uint64) {
 		t.Helper()
 		if err := follower.Step(t.Context()); err != nil {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", step, err)
 		}
 		state := admitter.State()
 		if state.Source != source || source == admission.SourceRecord && state.Plan.Version != version {
-			t.Errorf("%s: %+v", what, state)
+			t.Errorf("%s: %+v", step, state)
 		}
 	}
 	if state := admitter.State(); state.Source != admission.SourceUncertain {
@@ -74,11 +74,11 @@
 	expect("a plan of unknown age", admission.SourceUncertain, 0)
 	clock.Now += units.Second
 	putPlan(t, server, 2)
-	expect("a plan that was written since the last look", admission.SourceRecord, 2)
+	expect("a plan that was written since the last read", admission.SourceRecord, 2)
 	server.Put(admission.KeyPlan, protocol.Encode("x"))
-	expect("a record that is not readable", admission.SourceFallback, 0)
+	expect("an unreadable record", admission.SourceFallback, 0)
 	if admitter.unreadableRevision.Load() != server.Revision() {
-		t.Error("the unreadable record is not noted")
+		t.Error("the unreadable record is not reported")
 	}
 	putPlan(t, server, 3)
 	expect("a repaired record", admission.SourceRecord, 3)
@@ -89,8 +89,8 @@
 	expect("a deleted record", admission.SourceFallback, 0)
 }
 
-// After a failed watch the record is read again, and a plan that it then shows may be as old as
-// the last look that did not show it.
+// After a failed watch the record is read again. The age of a plan that is read then is bounded by
+// the last read that did not return it.
 func TestFollowerReadsAgainAfterFailure(t *testing.T) {
 	server := fake.NewKVServer()
 	admitter, clock := newTestAdmitter(t, server, testHorizon)
@@ -100,17 +100,17 @@
 	}
 	server.RejectRequest = func(string, string) bool { return true }
 	if err := follower.Step(t.Context()); err == nil {
-		t.Fatal("a refused watch is no failure")
+		t.Fatal("a refused watch returned no error")
 	}
 	server.RejectRequest = nil
-	lastLook := clock.Now
+	lastRead := clock.Now
 	clock.Now += 3 * units.Second
 	putPlan(t, server, 1)
 	if err := follower.Step(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if state := admitter.State(); state.Source != admission.SourceRecord || state.Age != clock.Now-lastLook {
-		t.Errorf("%+v, want an age of %d us", state, clock.Now-lastLook)
+	if state := admitter.State(); state.Source != admission.SourceRecord || state.Age != clock.Now-lastRead {
+		t.Errorf("%+v, want an age of %d us", state, clock.Now-lastRead)
 	}
 }
 
--- a/internal/admissioncontrol/planpublisher.go
+++ b/internal/admissioncontrol/planpublisher.go
@@ -12,18 +12,18 @@
 	"dunestand/internal/units"
 )
 
-// ErrPlanUnreadable says that the plan's record is not readable by this version. No plan is
-// written over it; an operator may repair or delete the record.
-var ErrPlanUnreadable = errors.New("the plan's record is not readable")
+// ErrPlanUnreadable reports that this version cannot decode the plan's record. The record is not
+// overwritten; an operator may repair or delete it.
+var ErrPlanUnreadable = errors.New("admission plan record is unreadable")
 
-// The pace of plans. Used-up quotas are renewed sooner; a plan that says nothing new is not
-// written again before it is about to expire.
+// Intervals and rates of plans. Version quotas that are used up are renewed sooner than others. A
+// plan with unchanged restrictions is written only to renew its lifetime.
 const (
 	planCheckInterval     = 250 * units.Millisecond
 	minPlanInterval       = 500 * units.Millisecond // between two plans
-	minUrgentPlanInterval = 120 * units.Millisecond // likewise, when a quota is used up
-	renewalsPerLifetime   = 3                       // of an unchanged plan, in its lifetime
-	// Further plans are few, so that they take little of the write budget.
+	minUrgentPlanInterval = 120 * units.Millisecond // between two plans, if a quota is used up
+	renewalsPerLifetime   = 3                       // renewals of an unchanged plan in its lifetime
+	// Plans other than renewals are limited, so that they take little of the write budget.
 	plansPerSecond = 2
 	planBurst      = 4
 )
@@ -34,20 +34,20 @@
 	admission *LeaderAdmission
 
 	// recordLock is held while the record is read or written, across requests to the
-	// key-value store. What follows is for its holder alone.
+	// key-value store. It guards the fields up to limiter.
 	recordLock      contextMutex
 	planner         *admission.Planner // nil until the record was read
-	revision        uint64             // of the record, as this leader knows it
-	recordKnown     bool               // revision is certain
-	lastVersion     uint64             // of the last plan
-	lastPlan        *admission.Plan    // the last that this leader wrote
-	lastSentAt      units.Micros       // of the last that this leader sent; 0: none yet
-	lastWriteFailed bool               // the last was not written, or its outcome is not known
-	loggedTooLarge  bool               // the last did not fit, and that was logged
-	// limiter bounds the plans that say something new; renewals are not held up by it.
+	revision        uint64             // last known revision of the record
+	recordKnown     bool               // the record is certainly at revision
+	lastVersion     uint64             // version of the last plan that was read or written
+	lastPlan        *admission.Plan    // last plan that this leader wrote
+	lastSentAt      units.Micros       // time at which this leader last sent a plan; 0: never
+	lastWriteFailed bool               // the last plan was not written, or the outcome is unknown
+	loggedTooLarge  bool               // the last plan was too large, and that was logged
+	// limiter limits the rate of plans other than renewals.
 	limiter *rate.Limiter
 
-	usages atomic.Pointer[[]admission.Usage] // of the teams, by the last proposal
+	usages atomic.Pointer[[]admission.Usage] // usage of the teams at the last proposal
 }
 
 func newPlanPublisher(deps LeaderAdmissionDeps, la *LeaderAdmission) *planPublisher {
@@ -83,7 +83,7 @@
 	}
 }
 
-// step makes a plan, and writes it if it is due. urgent says that a quota is used up.
+// step makes a plan and writes it if it is due. urgent means that a version quota is used up.
 func (p *planPublisher) step(ctx context.Context, urgent bool) error {
 	if err := p.recordLock.lock(ctx); err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// publish encodes and writes a plan.
+// publish encodes and writes a plan. A plan that is too large is logged once.
 func (p *planPublisher) publish(ctx context.Context, plan *admission.Plan) error {
 	raw, encoded, err := admission.Encode(plan, p.Settings.Fleet.State.Lowest().ValueBytes())
 	if err != nil {
@@ -130,7 +130,7 @@
 	return err
 }
 
-// minIntervalFor returns the least time between two plans.
+// minIntervalFor returns the minimum interval between two plans.
 func minIntervalFor(urgent bool) units.Micros {
 	if urgent {
 		return minUrgentPlanInterval
@@ -138,7 +138,9 @@
 	return minPlanInterval
 }
 
-// due reports whether a plan is to be written now.
+// due reports whether a plan is to be written now. A renewal of the plan in force always is when
+// its time has come. A plan with changed restrictions, after a failed write or with a used-up
+// quota is written within the write budget and the rate limit.
 func (p *planPublisher) due(plan *admission.Plan, now units.Micros, urgent bool) bool {
 	if p.lastSentAt == 0 || now-p.lastSentAt >= admission.PlanLifetime/renewalsPerLifetime {
 		return true
--- a/internal/admissioncontrol/planrecord.go
+++ b/internal/admissioncontrol/planrecord.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// planFenceBucket is the bucket whose head fences the plans of former leaders.
+	// planFenceBucket is the bucket whose head fences off plans of former leaders.
 	planFenceBucket = 0
-	// recordRereadDelay is until the plan's record is read again after a failure.
+	// recordRereadDelay is the delay between two attempts to read the plan's record.
 	recordRereadDelay = 200 * units.Millisecond
 )
 
-// rereadRecord finds out what the record holds after a write met another version of it.
+// rereadRecord reads the record after a version conflict. It retries until it succeeds or ctx
+// ends.
 func (p *planPublisher) rereadRecord(ctx context.Context) {
 	if p.recordLock.lock(ctx) != nil {
 		return
@@ -31,15 +32,15 @@
 	}
 }
 
-// readRecord finds out what the record holds now. It needs recordLock held, as what follows
-// does.
+// readRecord reads the record and continues from it. The caller must hold recordLock, as for all
+// methods below.
 func (p *planPublisher) readRecord(ctx context.Context) error {
 	sentAt := p.Clock.Steady()
 	item, revision, err := p.KV.ReadAtRevision(ctx, admission.KeyPlan, kv.CallTimeout)
 	if err != nil {
 		return err
 	}
-	p.adoptRecord(item, revision, sentAt)
+	p.applyRecord(item, revision, sentAt)
 	if p.Admitter.unreadableRevision.Load() == 0 {
 		if err := p.resumeFrom(item); err != nil {
 			return err
@@ -54,21 +55,21 @@
 	return nil
 }
 
-// adoptRecord passes what was read, by a request sent at sentAt, on to the admitter.
-func (p *planPublisher) adoptRecord(item protocol.Item, revision uint64, sentAt units.Micros) {
+// applyRecord passes the record, read by a request sent at sentAt, to the admitter.
+func (p *planPublisher) applyRecord(item protocol.Item, revision uint64, sentAt units.Micros) {
 	if item.Version == 0 {
 		p.Admitter.planStore.Clear(revision)
 		p.Admitter.unreadableRevision.Store(0)
 		return
 	}
-	after := sentAt - admission.PlanLifetime // it may be of any age
+	after := sentAt - admission.PlanLifetime // the plan may be of any age
 	if p.lastSentAt != 0 && item.Version > p.revision {
-		after = p.lastSentAt // it is the one whose response was lost
+		after = p.lastSentAt // the plan whose response was lost
 	}
-	p.Admitter.adopt(item, after, p.Clock.Steady())
+	p.Admitter.applyItem(item, after, p.Clock.Steady())
 }
 
-// resumeFrom continues from the plan in a record, or from none.
+// resumeFrom continues from the plan in an item, or without a former plan if there is no item.
 func (p *planPublisher) resumeFrom(item protocol.Item) error {
 	var former *admission.Plan
 	if item.Version != 0 {
@@ -85,9 +86,9 @@
 	return nil
 }
 
-// ingestPending ingests what was accepted under the plan before: once a new one is durable,
-// nothing more can be accepted under that. So a job that is not known after it, and has to wait by
-// the new plan, stays unknown while the new plan is in force.
+// ingestPending ingests the pending submissions. Once a new plan is durable, no job can be accepted
+// under the former one any more. So a job that is still unknown after ingestPending, and has to
+// wait under the new plan, stays unknown while the new plan is in force.
 func (p *planPublisher) ingestPending(ctx context.Context) error {
 	items, _, err := p.KV.ListAll(ctx, storage.PrefixPending)
 	if err != nil {
@@ -96,9 +97,9 @@
 	return p.Ingester.Ingest(ctx, items)
 }
 
-// writePlan makes a plan durable, on condition that the record is as this leader knows it and
-// that no later leader has claimed the buckets. From before the plan is sent until its outcome is
-// known, nobody is told to wait by the plan before.
+// writePlan writes a plan, on condition that the record is at the known revision and that no later
+// leader has claimed the buckets. The plan is marked uncertain before the request and until its
+// outcome is known, so that no user is told to wait by a plan that may have been replaced.
 func (p *planPublisher) writePlan(ctx context.Context, raw []byte, plan *admission.Plan) error {
 	p.admission.markPlanUncertain()
 	sentAt := p.Clock.Steady()
@@ -119,7 +120,7 @@
 	return p.planWritten(ctx, admission.ObservedPlan{Plan: plan, Revision: revision, WrittenAfter: sentAt})
 }
 
-// planTxn returns the transaction that writes an encoded plan.
+// planTxn returns the compare-and-swap transaction that writes an encoded plan.
 func (p *planPublisher) planTxn(raw []byte) protocol.Txn {
 	return protocol.Txn{
 		If: []protocol.Condition{
@@ -130,7 +131,7 @@
 	}
 }
 
-// planWritten brings a plan into force that is durable.
+// planWritten puts a durable plan into force, after it has ingested the pending submissions.
 func (p *planPublisher) planWritten(ctx context.Context, written admission.ObservedPlan) error {
 	plan := written.Plan
 	if !plan.SameRestrictions(p.lastPlan) {
@@ -139,7 +140,7 @@
 	}
 	p.lastPlan, p.lastVersion = plan, plan.Version
 	if err := p.ingestPending(ctx); err != nil {
-		p.recordKnown = false // it is read again, with the pending submissions
+		p.recordKnown = false // the next step reads the record and the pending submissions again
 		p.revision = written.Revision
 		return err
 	}
--- a/internal/admissioncontrol/response.go
+++ b/internal/admissioncontrol/response.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/units"
 )
 
-// WaitingAnswer returns the answer that tells a user that a job is not accepted now, and when to
-// come back.
+// WaitingAnswer returns the answer to a submission that is not admitted now. It contains the reason
+// and the time after which to retry.
 func WaitingAnswer(d admission.Decision) answer.Answer {
 	r := answer.ErrorResponse(http.StatusTooManyRequests, d.Reason.String())
 	r.Body = protocol.Encode(protocol.ErrorResponse{Message: d.Reason.String(), PlanVersion: d.PlanVersion})
--- a/internal/admissioncontrol/usagemetrics.go
+++ b/internal/admissioncontrol/usagemetrics.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// writeUsages writes the usage of the teams by the last proposal, for the metrics of the leader.
+// writeUsages writes the usage of the teams at the last proposal as metrics of the leader.
 func (p *planPublisher) writeUsages(w io.Writer) {
 	usages := p.usages.Load()
 	if usages == nil {
