--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -20,7 +20,7 @@
 	sim := newSimulation(b, Options{Horizon: testHorizon}, testTeams("mill", "dye", "ink", "a", "b", "c", "d", "e", "f", "g", "h", "i"))
 	for i := range maxWaiting {
 		team := sim.teams[i%len(sim.teams)].Name
-		flow := Cell{Team: team, Class: fmt.Sprintf("class-%d", i%4)}
+		flow := Flow{Team: team, Class: fmt.Sprintf("class-%d", i%4)}
 		sim.backlog[flow] += 1_000_000
 		sim.waiting.Add(fmt.Sprintf("j-%06d", i), Decision{Flow: flow, Cost: 100_000}, sim.now)
 	}
--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -11,8 +11,8 @@
 	planner      *Planner
 	plan         *Plan
 	measurement  Measurement
-	restrictions map[Cell]FlowRestriction
-	credits      map[Cell]Work // credits of the restricted flows of large jobs; nil: none
+	restrictions map[Flow]FlowRestriction
+	credits      map[Flow]Work // credits of the restricted flows of large jobs; nil: none
 	next         plannerState
 
 	usages []Usage
@@ -77,14 +77,14 @@
 }
 
 // demands returns the demand of each flow of a pool, grouped by team.
-func (b *planBuilder) demands(pool Pool) map[string]map[Cell]flowDemand {
-	teams := map[string]map[Cell]flowDemand{}
-	add := func(flow Cell, demand flowDemand) {
+func (b *planBuilder) demands(pool Pool) map[string]map[Flow]flowDemand {
+	teams := map[string]map[Flow]flowDemand{}
+	add := func(flow Flow, demand flowDemand) {
 		if flow.Pool != pool {
 			return
 		}
 		if teams[flow.Team] == nil {
-			teams[flow.Team] = map[Cell]flowDemand{}
+			teams[flow.Team] = map[Flow]flowDemand{}
 		}
 		teams[flow.Team][flow] = teams[flow.Team][flow].plus(demand)
 	}
@@ -106,7 +106,7 @@
 	unrequested Work // part of the unrequested capacity in proportion to the team's weight
 	limit       Work // capacity of the quota limit
 	demand      flowDemand
-	flows       map[Cell]flowDemand
+	flows       map[Flow]flowDemand
 }
 
 // demandExceedsShare reports whether the demand of the team exceeds its share.
--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -71,7 +71,7 @@
 	Verdict     Verdict
 	Reason      Reason
 	PlanVersion uint64 // 0: the fallback plan, or no plan
-	Flow        Cell
+	Flow        Flow
 	Cost        Work
 	RetryAfter  units.Micros // 0 if the job is admitted
 
@@ -82,7 +82,7 @@
 // quotaKey identifies a version quota of a plan: that of one restricted flow, or the common one
 // of a team's unrestricted flows.
 type quotaKey struct {
-	flow   Cell
+	flow   Flow
 	ofTeam bool // the quota of the team's unrestricted flows
 }
 
@@ -105,7 +105,7 @@
 	restriction, restrictedFlow, found := p.Restriction(flow)
 	switch {
 	case !found:
-		d.quota, d.charged = quotaKey{flow: Cell{Team: flow.Team, Pool: flow.Pool}, ofTeam: true}, true
+		d.quota, d.charged = quotaKey{flow: Flow{Team: flow.Team, Pool: flow.Pool}, ofTeam: true}, true
 	case p.AtQueueHead(job.ID):
 		// The planner charged its work to the flow when it selected the job.
 	case flow.Band == Large:
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -16,12 +16,12 @@
 		{Name: "dyehouse", GuaranteedQuota: admission.Amounts{admission.CPU: units.AmountOf(30)}, QuotaLimit: admission.Amounts{admission.CPU: units.AmountOf(40)}},
 	}
 	planner := admission.NewPlanner(options, teams, nil, 0)
-	bulk := admission.Cell{Team: "planning", Class: "bulk"}
+	bulk := admission.Flow{Team: "planning", Class: "bulk"}
 	plan := planner.Next(1, 1, admission.Measurement{
 		// The backlog of one team takes the whole fleet when the other team requests work.
 		Backlog: []admission.CellBacklog{
 			{Cell: bulk, Work: admission.WorkOf(400, units.AmountOf(1), 10*units.Second)},
-			{Cell: admission.Cell{Team: "dyehouse", Class: "lot"}, Work: admission.WorkOf(10, units.AmountOf(1), 10*units.Second)},
+			{Cell: admission.Flow{Team: "dyehouse", Class: "lot"}, Work: admission.WorkOf(10, units.AmountOf(1), 10*units.Second)},
 		},
 	}).Plan
 	for _, job := range []protocol.JobSpec{
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -21,9 +21,9 @@
 	return "small"
 }
 
-// Cell identifies a flow, the unit of admission: the jobs of one team, class, pool and band.
+// Flow identifies a flow, the unit of admission: the jobs of one team, class, pool and band.
 // Each flow has its own share of the capacity.
-type Cell struct {
+type Flow struct {
 	Team  string
 	Class string // "" in a restriction: all classes of the team without their own restriction
 	Pool  Pool
@@ -53,7 +53,7 @@
 }
 
 // appendKey appends the key of the flow's restriction to buffer.
-func (f Cell) appendKey(buffer []byte) []byte {
+func (f Flow) appendKey(buffer []byte) []byte {
 	buffer = appendName(buffer, f.Team)
 	buffer = append(buffer, byte(f.Pool), byte(f.Band))
 	return appendName(buffer, f.Class)
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -67,7 +67,7 @@
 // Restriction returns the restriction that applies to a flow, and the flow that the
 // restriction is stored for: the same one, or the one for all other classes of the team. The
 // last result is false if the flow is not restricted.
-func (p *Plan) Restriction(flow Cell) (FlowRestriction, Cell, bool) {
+func (p *Plan) Restriction(flow Flow) (FlowRestriction, Flow, bool) {
 	var buffer [keyBufferSize]byte
 	if restriction, ok := p.restrictions.Get(flow.appendKey(buffer[:0])); ok {
 		return restriction, flow, true
@@ -91,8 +91,8 @@
 func (p *Plan) NumQueueHeads() int { return p.queueHeads.Len() }
 
 // Classify returns the flow of a job and its expected work.
-func (p *Plan) Classify(job *protocol.JobSpec) (Cell, Work) {
-	flow := Cell{Team: job.Team, Class: job.Class, Pool: poolOf(job.Request, p.Capacity)}
+func (p *Plan) Classify(job *protocol.JobSpec) (Flow, Work) {
+	flow := Flow{Team: job.Team, Class: job.Class, Pool: poolOf(job.Request, p.Capacity)}
 	entry := p.teamOrDefault(flow.Team, flow.Pool)
 	cost := WorkOf(job.Tasks, amountIn(flow.Pool, job.Request), runTime(job, entry.EstimateCorrection, p.Horizon))
 	if cost > entry.LargeThreshold {
@@ -103,7 +103,7 @@
 
 // ClassifyRemaining returns the flow of a job and the expected work of its unfinished tasks.
 // meanRun is the mean run time of the finished tasks, 0 if there are none.
-func (p *Plan) ClassifyRemaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Cell, Work) {
+func (p *Plan) ClassifyRemaining(job *protocol.JobSpec, unfinished int, meanRun units.Micros) (Flow, Work) {
 	flow, _ := p.Classify(job)
 	run := meanRun
 	if run <= 0 {
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -4,7 +4,7 @@
 
 // CellBacklog is the admitted and unfinished work of a flow.
 type CellBacklog struct {
-	Cell Cell
+	Cell Flow
 	Work Work
 }
 
@@ -31,7 +31,7 @@
 // plannerState is the state that the next plan continues from.
 type plannerState struct {
 	plan       *Plan // nil: none
-	windows    map[Cell]window
+	windows    map[Flow]window
 	queueHeads map[string]bool // IDs of the large jobs at the head of the queue
 }
 
@@ -46,7 +46,7 @@
 // the former plan, which is in force at time now; former is nil if there is none.
 func NewPlanner(options Options, teams []Team, former *Plan, now units.Micros) *Planner {
 	p := &Planner{options: options, teams: teams}
-	p.current = plannerState{plan: former, windows: map[Cell]window{}, queueHeads: map[string]bool{}}
+	p.current = plannerState{plan: former, windows: map[Flow]window{}, queueHeads: map[string]bool{}}
 	if former != nil {
 		for flow, restriction := range former.allRestrictions() {
 			p.current.windows[flow] = window{start: restriction.Start, width: restriction.Width, since: now}
@@ -70,8 +70,8 @@
 		planner:      p,
 		plan:         plan,
 		measurement:  measurement,
-		restrictions: map[Cell]FlowRestriction{},
-		next:         plannerState{plan: plan, windows: map[Cell]window{}, queueHeads: map[string]bool{}},
+		restrictions: map[Flow]FlowRestriction{},
+		next:         plannerState{plan: plan, windows: map[Flow]window{}, queueHeads: map[string]bool{}},
 	}
 	for pool := range Pool(numPools) {
 		builder.sharePool(pool)
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -83,7 +83,7 @@
 			t.Errorf("%s: %d are admitted, want %d", name, sim.jobs[name], want)
 		}
 	}
-	largeBulk := sim.admitted[Cell{Team: "mill", Class: "bulk", Band: Large}]
+	largeBulk := sim.admitted[Flow{Team: "mill", Class: "bulk", Band: Large}]
 	if largeBulk == 0 {
 		t.Error("no large job of the flooding class is admitted")
 	}
@@ -99,7 +99,7 @@
 func TestIdleTeamGetsItsGuaranteedQuotaAtOnce(t *testing.T) {
 	sim := newSimulation(t, Options{Horizon: testHorizon}, testTeams("mill", "dye"))
 	sim.run(arrivals(testJobs(0, 3000, "mill", "bulk", 10, 10), units.Second, 100*units.Second), 100*units.Second)
-	taken := sim.backlog[Cell{Team: "mill", Class: "bulk"}]
+	taken := sim.backlog[Flow{Team: "mill", Class: "bulk"}]
 	if all := WorkOf(1, sim.capacity[CPU], testHorizon); taken < all*8/10 {
 		t.Fatalf("the flood has taken only %d of %d", taken, all)
 	}
--- a/internal/admission/plantrees.go
+++ b/internal/admission/plantrees.go
@@ -40,7 +40,7 @@
 }
 
 // setRestrictions replaces all restrictions.
-func (p *Plan) setRestrictions(restrictions map[Cell]FlowRestriction) {
+func (p *Plan) setRestrictions(restrictions map[Flow]FlowRestriction) {
 	txn := p.restrictions.Txn()
 	for flow := range p.allRestrictions() {
 		if _, kept := restrictions[flow]; !kept {
@@ -79,13 +79,13 @@
 }
 
 // allRestrictions iterates over the restrictions in the order of their keys.
-func (p *Plan) allRestrictions() iter.Seq2[Cell, FlowRestriction] {
-	return func(yield func(Cell, FlowRestriction) bool) {
+func (p *Plan) allRestrictions() iter.Seq2[Flow, FlowRestriction] {
+	return func(yield func(Flow, FlowRestriction) bool) {
 		i := p.restrictions.Root().Iterator()
 		for raw, restriction, ok := i.Next(); ok; raw, restriction, ok = i.Next() {
 			team, rest := cutName(raw)
 			class, _ := cutName(rest[2:])
-			flow := Cell{Team: team, Class: class, Pool: Pool(rest[0]), Band: Band(rest[1])}
+			flow := Flow{Team: team, Class: class, Pool: Pool(rest[0]), Band: Band(rest[1])}
 			if !yield(flow, restriction) {
 				return
 			}
--- a/internal/admission/record.go
+++ b/internal/admission/record.go
@@ -135,9 +135,9 @@
 }
 
 // flow returns the flow that a flowRecord restricts.
-func (r *record) flow(f flowRecord) Cell {
+func (r *record) flow(f flowRecord) Flow {
 	team := r.Teams[f.TeamIndex]
-	return Cell{Team: team.Name, Class: f.Class, Pool: team.Pool, Band: f.Band}
+	return Flow{Team: team.Name, Class: f.Class, Pool: team.Pool, Band: f.Band}
 }
 
 // plan returns the plan of the record, which must have passed check.
@@ -150,7 +150,7 @@
 			EstimateCorrection: t.EstimateCorrection,
 		})
 	}
-	restrictions := map[Cell]FlowRestriction{}
+	restrictions := map[Flow]FlowRestriction{}
 	for _, f := range r.Flows {
 		restrictions[r.flow(f)] = FlowRestriction{Start: f.Start, Width: f.Width, VersionQuota: Work(f.VersionQuota) * storedUnit}
 	}
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -25,7 +25,7 @@
 			for _, tasks := range []int{10, 9000} {
 				for range 3 {
 					n++
-					sim.backlog[Cell{Team: team, Class: class}] += WorkOf(1, sim.capacity[CPU], testHorizon)
+					sim.backlog[Flow{Team: team, Class: class}] += WorkOf(1, sim.capacity[CPU], testHorizon)
 					sim.submit(testJob(n, team, class, tasks, 100))
 				}
 			}
@@ -68,7 +68,7 @@
 }
 
 // flowOf returns the flow of a job.
-func flowOf(p *Plan, job *protocol.JobSpec) Cell {
+func flowOf(p *Plan, job *protocol.JobSpec) Flow {
 	flow, _ := p.Classify(job)
 	return flow
 }
--- a/internal/admission/recordcheck.go
+++ b/internal/admission/recordcheck.go
@@ -105,7 +105,7 @@
 
 // checkFlows checks the restrictions. Its error paths name the list "cells", as it is stored.
 func (r *record) checkFlows() error {
-	seen := map[Cell]bool{}
+	seen := map[Flow]bool{}
 	for i, f := range r.Flows {
 		if f.TeamIndex < 0 || f.TeamIndex >= len(r.Teams) {
 			return elementError("cells", i, requirement{field: "team", cause: errUnknownTeam})
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -45,14 +45,14 @@
 
 // restrictClass divides the share of a class among its bands and restricts the flows whose
 // demand exceeds their part.
-func (b *planBuilder) restrictClass(class string, share Work, flows map[Cell]flowDemand) []flowOutcome {
-	var bands []Cell
+func (b *planBuilder) restrictClass(class string, share Work, flows map[Flow]flowDemand) []flowOutcome {
+	var bands []Flow
 	for flow := range flows {
 		if flow.Class == class {
 			bands = append(bands, flow)
 		}
 	}
-	slices.SortFunc(bands, func(x, y Cell) int { return cmp.Compare(x.Band, y.Band) })
+	slices.SortFunc(bands, func(x, y Flow) int { return cmp.Compare(x.Band, y.Band) })
 	requests := make([]ShareRequest, len(bands))
 	for i, flow := range bands {
 		requests[i] = ShareRequest{Demand: flows[flow].total(), Weight: bandWeight}
@@ -70,11 +70,11 @@
 
 // restrictFlow restricts a flow to its part of the share. Its credit is the work that it may
 // still admit: the part that its backlog does not use up.
-func (b *planBuilder) restrictFlow(flow Cell, part Work, demand flowDemand) {
+func (b *planBuilder) restrictFlow(flow Flow, part Work, demand flowDemand) {
 	credit := part - demand.backlog
 	if flow.Band == Large {
 		if b.credits == nil {
-			b.credits = map[Cell]Work{}
+			b.credits = map[Flow]Work{}
 		}
 		b.credits[flow] = credit
 		b.restrictions[flow] = FlowRestriction{}
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -54,8 +54,8 @@
 	now         units.Micros
 	version     uint64
 	revision    uint64
-	backlog     map[Cell]Work
-	admitted    map[Cell]Work
+	backlog     map[Flow]Work
+	admitted    map[Flow]Work
 	jobs        map[string]int // admitted jobs by team and class
 	capacity    Amounts
 }
@@ -71,8 +71,8 @@
 		waiting:     NewWaitingList(),
 		corrections: NewEstimateCorrections(),
 		now:         units.Second,
-		backlog:     map[Cell]Work{},
-		admitted:    map[Cell]Work{},
+		backlog:     map[Flow]Work{},
+		admitted:    map[Flow]Work{},
 		jobs:        map[string]int{},
 	}
 	for _, team := range teams {
@@ -140,7 +140,7 @@
 func (s *simulation) admittedBy(team string) Work { return workOfTeam(s.admitted, team) }
 
 // workOfTeam returns the total work of a team's flows.
-func workOfTeam(flows map[Cell]Work, team string) Work {
+func workOfTeam(flows map[Flow]Work, team string) Work {
 	var sum Work
 	for flow, work := range flows {
 		if flow.Team == team {
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -19,7 +19,7 @@
 // WaitingJob is a job on the waiting list.
 type WaitingJob struct {
 	ID          string
-	Flow        Cell
+	Flow        Flow
 	Cost        Work
 	Since       units.Micros // time of the first request
 	lastRequest units.Micros // time of the last request
@@ -27,7 +27,7 @@
 
 // WaitingDemand is the demand of the jobs on a waiting list, for a Measurement.
 type WaitingDemand struct {
-	Work  map[Cell]Work
+	Work  map[Flow]Work
 	Large []WaitingJob // queue of large jobs, longest-waiting first
 }
 
@@ -36,14 +36,14 @@
 // safe for concurrent use.
 type WaitingList struct {
 	jobs map[string]*WaitingJob
-	work map[Cell]Work // work of all jobs, by flow
+	work map[Flow]Work // work of all jobs, by flow
 	// unrecorded holds the IDs of the jobs that were marked by MarkUnrecorded.
 	unrecorded map[string]bool
 }
 
 // NewWaitingList returns an empty list.
 func NewWaitingList() *WaitingList {
-	return &WaitingList{jobs: map[string]*WaitingJob{}, work: map[Cell]Work{}, unrecorded: map[string]bool{}}
+	return &WaitingList{jobs: map[string]*WaitingJob{}, work: map[Flow]Work{}, unrecorded: map[string]bool{}}
 }
 
 // Add records that the decision on a job told its user to retry later. New jobs beyond
