--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -19,7 +19,7 @@
 	bulk := admission.Flow{Team: "planning", Class: "bulk"}
 	plan := planner.Next(1, 1, admission.Measurement{
 		// The backlog of one team takes the whole fleet when the other team requests work.
-		Backlog: []admission.CellBacklog{
+		Backlog: []admission.FlowBacklog{
 			{Cell: bulk, Work: admission.WorkOf(400, units.AmountOf(1), 10*units.Second)},
 			{Cell: admission.Flow{Team: "dyehouse", Class: "lot"}, Work: admission.WorkOf(10, units.AmountOf(1), 10*units.Second)},
 		},
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -2,8 +2,8 @@
 
 import "dunestand/internal/units"
 
-// CellBacklog is the admitted and unfinished work of a flow.
-type CellBacklog struct {
+// FlowBacklog is the admitted and unfinished work of a flow.
+type FlowBacklog struct {
 	Cell Flow
 	Work Work
 }
@@ -12,7 +12,7 @@
 type Measurement struct {
 	Now           units.Micros
 	FleetCapacity Amounts // capacity of the machines
-	Backlog       []CellBacklog
+	Backlog       []FlowBacklog
 	Waiting       WaitingDemand
 	// EstimateCorrections are the corrections by team, from EstimateCorrections.Snapshot. The
 	// estimates of a team that is not in the map are not corrected.
