--- a/cmd/dunestand/admission_test.go
+++ b/cmd/dunestand/admission_test.go
@@ -32,7 +32,7 @@
 	}}
 	planner := admission.NewPlanner(admission.Options{Horizon: 100 * units.Second}, teams, nil, 0)
 	plan := planner.Next(3, 2, admission.Measurement{Backlog: []admission.FlowBacklog{{
-		Cell: admission.Flow{Team: "mill", Class: "q"},
+		Flow: admission.Flow{Team: "mill", Class: "q"},
 		Work: admission.WorkOf(800, units.AmountOf(1), 10*units.Second),
 	}}}).Plan
 	raw, _, err := admission.Encode(plan, 8<<10)
--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -89,7 +89,7 @@
 		teams[flow.Team][flow] = teams[flow.Team][flow].plus(demand)
 	}
 	for _, backlog := range b.measurement.Backlog {
-		add(backlog.Cell, flowDemand{backlog: backlog.Work})
+		add(backlog.Flow, flowDemand{backlog: backlog.Work})
 	}
 	for flow, work := range b.measurement.Waiting.Work {
 		add(flow, flowDemand{waiting: work})
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -20,8 +20,8 @@
 	plan := planner.Next(1, 1, admission.Measurement{
 		// The backlog of one team takes the whole fleet when the other team requests work.
 		Backlog: []admission.FlowBacklog{
-			{Cell: bulk, Work: admission.WorkOf(400, units.AmountOf(1), 10*units.Second)},
-			{Cell: admission.Flow{Team: "dyehouse", Class: "lot"}, Work: admission.WorkOf(10, units.AmountOf(1), 10*units.Second)},
+			{Flow: bulk, Work: admission.WorkOf(400, units.AmountOf(1), 10*units.Second)},
+			{Flow: admission.Flow{Team: "dyehouse", Class: "lot"}, Work: admission.WorkOf(10, units.AmountOf(1), 10*units.Second)},
 		},
 	}).Plan
 	for _, job := range []protocol.JobSpec{
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -4,7 +4,7 @@
 
 // FlowBacklog is the admitted and unfinished work of a flow.
 type FlowBacklog struct {
-	Cell Flow
+	Flow Flow
 	Work Work
 }
 
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -87,7 +87,7 @@
 	s.waiting.Expire(s.now)
 	m := Measurement{Now: s.now, FleetCapacity: s.capacity, Waiting: s.waiting.Demand(), EstimateCorrections: s.corrections.Snapshot()}
 	for flow, work := range s.backlog {
-		m.Backlog = append(m.Backlog, FlowBacklog{Cell: flow, Work: work})
+		m.Backlog = append(m.Backlog, FlowBacklog{Flow: flow, Work: work})
 	}
 	return m
 }
--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -173,7 +173,7 @@
 	for _, j := range la.State.Jobs {
 		if !j.Cancelled {
 			flow, work := plan.ClassifyRemaining(&j.Spec, j.Unfinished(), j.MeanRuntime())
-			m.Backlog = append(m.Backlog, admission.FlowBacklog{Cell: flow, Work: work})
+			m.Backlog = append(m.Backlog, admission.FlowBacklog{Flow: flow, Work: work})
 		}
 	}
 	for _, machine := range la.State.Machines {
