--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/units"
 )
 
-// Verdict is the outcome of a decision about a new job.
+// Verdict is the outcome of a decision on a new job.
 type Verdict uint8
 
 // The verdicts on a job.
@@ -134,7 +134,8 @@
 // jitter returns a fraction of retryJitter that differs by job and by version of the plan, so
 // that the users of many waiting jobs do not all retry in the same second.
 func (p *Plan) jitter(id string) units.Micros {
-	const versionStep = 40503 // odd, so that the values of a job do not repeat within ringSize versions
+	// versionStep is odd, so that the values of a job do not repeat within ringSize versions.
+	const versionStep = 40503
 	place := (position(id) + uint32(p.Version%ringSize)*versionStep) % ringSize
 	return retryJitter * units.Micros(place) / ringSize
 }
--- a/internal/admissioncontrol/planpublisher.go
+++ b/internal/admissioncontrol/planpublisher.go
@@ -14,7 +14,7 @@
 
 // ErrPlanUnreadable reports that this version cannot decode the plan's record. The record is not
 // overwritten; an operator may repair or delete it.
-var ErrPlanUnreadable = errors.New("admission plan record is unreadable")
+var ErrPlanUnreadable = errors.New("admission plan record is not readable")
 
 // Intervals and rates of plans. Version quotas that are used up are renewed sooner than others. A
 // plan with unchanged restrictions is written only to renew its lifetime.
