--- a/internal/admissioncontrol/admittermetrics.go
+++ b/internal/admissioncontrol/admittermetrics.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/admission"
 )
 
-// addMetrics registers the gauges of admission and the counts by team.
+// addMetrics registers the gauges of admission and the counters of decisions by team.
 func (a *Admitter) addMetrics() {
 	gauges := []struct {
 		name  string
@@ -18,7 +18,7 @@
 		{"dunestand_admission_plan_unreadable", func() float64 { return gaugeOf(a.unreadableRevision.Load() != 0) }},
 		{"dunestand_admission_at_floor", func() float64 { return gaugeOf(a.State().Source == admission.SourceFallback) }},
 		{"dunestand_admission_plan_version", a.planVersion},
-		{"dunestand_admission_restricted_cells", a.restrictedCells},
+		{"dunestand_admission_restricted_cells", a.restrictedFlows},
 	}
 	for _, g := range gauges {
 		a.metrics.Gauge(g.name, g.value)
@@ -26,7 +26,7 @@
 	a.metrics.AddWriter(a.writeCounts)
 }
 
-// gaugeOf returns a condition as the value of a gauge.
+// gaugeOf returns the gauge value of a condition: 1 if it holds, 0 if not.
 func gaugeOf(b bool) float64 {
 	if b {
 		return 1
@@ -34,7 +34,7 @@
 	return 0
 }
 
-// planVersion returns the version of the plan in force, 0 if none is.
+// planVersion returns the version of the stored plan that is in force, 0 if there is none.
 func (a *Admitter) planVersion() float64 {
 	if s := a.State(); s.Source == admission.SourceRecord {
 		return float64(s.Plan.Version)
@@ -42,15 +42,15 @@
 	return 0
 }
 
-// restrictedCells returns how many cells of the plan or its fallback are restricted.
-func (a *Admitter) restrictedCells() float64 {
+// restrictedFlows returns the number of flows that the plan in force restricts.
+func (a *Admitter) restrictedFlows() float64 {
 	if s := a.State(); s.Plan != nil {
-		return float64(s.Plan.NumRestrictedCells())
+		return float64(s.Plan.NumRestrictedFlows())
 	}
 	return 0
 }
 
-// writeCounts writes how this controller has decided, by team.
+// writeCounts writes the number of this controller's decisions, by team and verdict.
 func (a *Admitter) writeCounts(w io.Writer) {
 	for _, c := range a.planStore.CountsByTeam() {
 		fmt.Fprintf(w, "dunestand_admission_admitted_total{team=%q} %d\n", c.Team, c.Admitted)
