--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,6 +1,6 @@
-// Package protocol holds every message that leaves or enters the process:
-// CBOR towards users, workers, the cloud and the key-value store, FlatBuffers
-// between controllers. The names on the wire stay in this package.
+// Package protocol defines the messages that a controller exchanges: CBOR with users, workers,
+// the cloud and the key-value store, FlatBuffers with other controllers. Names of fields on the
+// wire are defined only here.
 package protocol
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The decoder's bounds keep hostile nesting and declared lengths cheap.
+// Limits of the decoder, so that a hostile message cannot cause deep recursion or large
+// allocations.
 const (
 	maxNesting  = 12
 	maxElements = 128 << 10
@@ -27,26 +28,29 @@
 	}.DecMode())
 )
 
+// must returns v and panics on an error, which can only be a programming error.
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // constant options: a mistake here fails every test
+		panic(err)
 	}
 	return v
 }
 
-// Bodies that are no message at all.
+// Errors of Decode for bodies that hold no message.
 var (
 	ErrEmptyBody = errors.New("empty body")
 	ErrNotMap    = errors.New("not a CBOR map")
 )
 
-// Raw is an encoded value that is passed on as it is.
+// Raw is a value that stays CBOR-encoded.
 type Raw = cbor.RawMessage
 
-// Encode returns a message as CBOR. The messages of this package always can be encoded.
+// Encode returns v as CBOR. It panics if the type of v cannot be encoded; all messages of this
+// package can.
 func Encode(v any) []byte { return must(encoder.Marshal(v)) }
 
-// Decode reads a CBOR map into the struct that v points to.
+// Decode decodes a CBOR map into the struct that v points to. It returns ErrEmptyBody, ErrNotMap
+// or the wrapped error of the decoder.
 func Decode(data []byte, v any) error {
 	if len(data) == 0 {
 		return ErrEmptyBody
--- a/internal/protocol/commands.go
+++ b/internal/protocol/commands.go
@@ -2,54 +2,56 @@
 
 import "dunestand/internal/units"
 
-// Verb is what a command tells a worker to do.
+// Verb is the action of a Command.
 type Verb string
 
-// The verbs. Start begins an attempt of a task, Stop ends one after a grace period, and Forget
-// drops one that has exited from the heartbeats.
+// The verbs. VerbStart starts an attempt of a task, VerbStop ends an attempt after a grace period,
+// and VerbForget removes an exited attempt from the heartbeats.
 const (
 	VerbStart  Verb = "launch"
 	VerbStop   Verb = "stop"
 	VerbForget Verb = "clear"
 )
 
-// Command is one command to a worker.
+// Command tells a worker to act on an attempt of a task.
 type Command struct {
 	Verb    Verb     `cbor:"verb"`
-	Task    string   `cbor:"bolt"`
+	Task    string   `cbor:"bolt"` // in the format of TaskName
 	Attempt uint64   `cbor:"try"`
-	Grace   *float64 `cbor:"wind_down_s,omitempty"`
+	Grace   *float64 `cbor:"wind_down_s,omitempty"` // in seconds; only for VerbStop
 }
 
-// MaxCommands bounds the commands in a response; it keeps the response well under MaxBody.
+// MaxCommands bounds the commands in a HeartbeatResponse. It keeps the response well below
+// MaxBody.
 const MaxCommands = 400
 
-// HeartbeatResponse answers a heartbeat that was accepted. It prolongs the worker's lease.
+// HeartbeatResponse is the response to an accepted heartbeat. It renews the worker's lease.
 type HeartbeatResponse struct {
 	FencingToken uint64    `cbor:"baton"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// MaxBody is the largest body of a message to or from a worker, in bytes.
+// MaxBody is the maximum size of a message to or from a worker, in bytes.
 const MaxBody = 64 << 10
 
-// DirectCommands are sent straight to a worker, which answers with a heartbeat. The worker
-// carries them out only if the token is not lower than one it has seen and the incarnation
-// is its own.
+// DirectCommands is a request to a worker, which responds with a heartbeat. The worker executes
+// the commands only if the incarnation is its own and the fencing token is not lower than the
+// highest that it has received.
 type DirectCommands struct {
 	FencingToken uint64    `cbor:"baton"`
 	Incarnation  uint64    `cbor:"shift"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// LeaderRedirect names the controller that a worker should send heartbeats to; "" if it is not
-// known.
+// LeaderRedirect is the response to a heartbeat that was sent to a controller other than the leader.
+// Leader is the name of the controller to which the worker should send its heartbeats, "" if it is
+// unknown.
 type LeaderRedirect struct {
 	Leader string `cbor:"foreman,omitempty"`
 }
 
-// StopCommand returns the command that stops an attempt of a task, and grants it some time for
-// a checkpoint. The task and the attempt may be filled in later.
+// StopCommand returns the command to stop an attempt of a task, with a grace period in which the
+// task may write a checkpoint. Callers may set the task and the attempt later.
 func StopCommand(task string, attempt uint64, grace units.Micros) Command {
 	g := grace.Seconds()
 	return Command{Verb: VerbStop, Task: task, Attempt: attempt, Grace: &g}
--- a/internal/protocol/encode.go
+++ b/internal/protocol/encode.go
@@ -1,7 +1,7 @@
 package protocol
 
-// The other direction of messages that a controller only reads, for programs that act as a
-// worker or a user.
+// This file encodes messages that a controller only receives, for programs that act as a worker
+// or a user.
 
 // Fields of a submission on the wire.
 const (
@@ -24,13 +24,13 @@
 	FieldEstimate           = "expect_s" // seconds
 	FieldCheckpointInterval = "mark_s"   // seconds
 	FieldCheckpointDuration = "stow_s"   // seconds
-	FieldDeadline           = "due_s"    // seconds, from the submission
+	FieldDeadline           = "due_s"    // seconds from the submission
 )
 
 // JobKindArray is the value of FieldJobKind for a job array.
 const JobKindArray = "sweep"
 
-// stageNames has, of the names of a task's stage on the wire, the one that workers send.
+// stageNames maps stages to the names that workers send. taskStages also has alternative names.
 var stageNames = map[TaskStage]string{
 	TaskFetching:      "fetching",
 	TaskRunning:       "running",
@@ -38,33 +38,32 @@
 	TaskExited:        "ended",
 }
 
-// EncodeHeartbeat returns a heartbeat as a worker sends it. ParseHeartbeat reads the same
-// values.
+// EncodeHeartbeat returns a heartbeat in the format of a worker. ParseHeartbeat is its inverse.
 func EncodeHeartbeat(h *Heartbeat) []byte {
 	tasks := make([]wireTaskStatus, 0, len(h.Tasks))
 	for _, t := range h.Tasks {
 		tasks = append(tasks, wireTaskStatus{
-			Bolt:  TaskName(t.Job, t.Index),
-			Try:   t.Attempt,
-			Stage: stageNames[t.Stage],
-			Cause: string(t.Cause),
-			Kept:  t.Checkpointed,
+			Task:         TaskName(t.Job, t.Index),
+			Attempt:      t.Attempt,
+			Stage:        stageNames[t.Stage],
+			Cause:        string(t.Cause),
+			Checkpointed: t.Checkpointed,
 		})
 	}
 	wire := wireHeartbeat{
-		Dune:     &h.Machine,
-		Endpoint: h.Endpoint,
-		Loom:     &h.InstanceType,
-		Yard:     &h.Zone,
-		Borrowed: h.Spot,
-		Shift:    &h.Incarnation,
-		Tally:    &h.Sequence,
-		Baton:    h.FencingToken,
-		Bolts:    Encode(tasks),
+		Machine:      &h.Machine,
+		Endpoint:     h.Endpoint,
+		InstanceType: &h.InstanceType,
+		Zone:         &h.Zone,
+		Spot:         h.Spot,
+		Incarnation:  &h.Incarnation,
+		Sequence:     &h.Sequence,
+		FencingToken: h.FencingToken,
+		Tasks:        Encode(tasks),
 	}
 	if h.TerminationNoticed {
 		seconds := h.TerminationIn.Seconds()
-		wire.Recall = &seconds
+		wire.TerminationIn = &seconds
 	}
 	return Encode(wire)
 }
--- a/internal/protocol/encode_test.go
+++ b/internal/protocol/encode_test.go
@@ -10,8 +10,8 @@
 	"dunestand/internal/units"
 )
 
-// A heartbeat that is encoded is read with the same values.
-func TestEncodedHeartbeatIsReadUnchanged(t *testing.T) {
+// Parsing an encoded heartbeat yields the same values.
+func TestEncodedHeartbeatIsParsedUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawHeartbeat(t)
 		got, err := ParseHeartbeat(EncodeHeartbeat(&want))
@@ -19,14 +19,14 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(*got, want) {
-			t.Fatalf("%+v is read as %+v", want, *got)
+			t.Fatalf("%+v is parsed as %+v", want, *got)
 		}
 	})
 }
 
 func drawHeartbeat(t *rapid.T) Heartbeat {
 	text := rapid.StringN(0, 20, maxText)
-	r := Heartbeat{
+	heartbeat := Heartbeat{
 		Machine:            rapid.StringN(1, 20, maxText).Draw(t, "machine"),
 		Endpoint:           text.Draw(t, "endpoint"),
 		InstanceType:       text.Draw(t, "instance type"),
@@ -38,11 +38,11 @@
 		TerminationNoticed: rapid.Bool().Draw(t, "noticed"),
 		Tasks:              []TaskStatus{},
 	}
-	if r.TerminationNoticed {
-		r.TerminationIn = units.Micros(rapid.Int64Range(0, int64(3600*units.Second)).Draw(t, "notice"))
+	if heartbeat.TerminationNoticed {
+		heartbeat.TerminationIn = units.Micros(rapid.Int64Range(0, int64(3600*units.Second)).Draw(t, "notice"))
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
-		r.Tasks = append(r.Tasks, TaskStatus{
+		heartbeat.Tasks = append(heartbeat.Tasks, TaskStatus{
 			Job:          rapid.SampledFrom([]string{"j-0", "j-000412"}).Draw(t, "job"),
 			Index:        rapid.IntRange(0, MaxTasks-1).Draw(t, "index"),
 			Attempt:      rapid.Uint64().Draw(t, "attempt"),
@@ -51,11 +51,11 @@
 			Checkpointed: rapid.Bool().Draw(t, "checkpointed"),
 		})
 	}
-	return r
+	return heartbeat
 }
 
-// A heartbeat is encoded as the protocol's page writes it.
-func TestEncodedHeartbeatEqualsTheProtocolsExample(t *testing.T) {
+// A heartbeat is encoded as in the example of the protocol's specification.
+func TestEncodedHeartbeatEqualsTheExample(t *testing.T) {
 	want, err := ParseHeartbeat(Encode(map[string]any{
 		"dune": "i-000231", "endpoint": "10.1.0.232:9000", "loom": "g8", "yard": "a", "borrowed": true,
 		"shift": 1, "tally": 88, "baton": 41, "recall_s": nil,
@@ -82,26 +82,26 @@
 		},
 	}))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v; want %+v", got, err, want)
+		t.Errorf("encoded as %+v, error %v; want %+v", got, err, want)
 	}
 }
 
-// The named fields of a submission are those that are read, and a job array is one of its
-// kinds.
-func TestSubmissionFieldsAreThoseThatAreRead(t *testing.T) {
-	var read []string
+// The exported names of fields are those that the parser of submissions knows, and JobKindArray is
+// a kind of job that it accepts.
+func TestSubmissionFieldNamesMatchTheParser(t *testing.T) {
+	var parsed []string
 	for field := range reflect.TypeFor[submission]().Fields() {
-		read = append(read, field.Tag.Get("cbor"))
+		parsed = append(parsed, field.Tag.Get("cbor"))
 	}
-	named := []string{
+	exported := []string{
 		FieldID, FieldClass, FieldTeam, FieldJobKind, FieldPriority, FieldTasks, FieldCPUs, FieldGPUs,
 		FieldMemoryGB, FieldImage, FieldImageGB, FieldInstanceTypes, FieldZone, FieldZoneAffinity,
 		FieldZoneSpread, FieldAllowSpot, FieldEstimate, FieldCheckpointInterval, FieldCheckpointDuration, FieldDeadline,
 	}
-	if !slices.Equal(named, read) {
-		t.Errorf("%q are named, %q are read", named, read)
+	if !slices.Equal(exported, parsed) {
+		t.Errorf("exported names %q, parsed fields %q", exported, parsed)
 	}
 	if kind, known := jobKinds[JobKindArray]; !known || kind != Array {
-		t.Errorf("%q is %v, %v", JobKindArray, kind, known)
+		t.Errorf("kind %q is %v, known: %v", JobKindArray, kind, known)
 	}
 }
--- a/internal/protocol/fielderror.go
+++ b/internal/protocol/fielderror.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// FieldError says what is wrong with a field of a message. Its text is one line, fit for the
-// sender of the message.
+// FieldError reports an invalid field of a message. Its text is a single line that may be
+// returned to the sender of the message.
 type FieldError struct {
-	Field   string // its name on the wire
+	Field   string // name on the wire
 	Problem string
 	Err     error // the cause, or nil
 }
 
-// Error returns the field, the problem and the cause.
+// Error implements error.
 func (e *FieldError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("%s: %s: %v", e.Field, e.Problem, e.Err)
@@ -18,7 +18,7 @@
 	return e.Field + ": " + e.Problem
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 // fieldError returns a FieldError without a cause.
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -7,19 +7,19 @@
 	"dunestand/internal/units"
 )
 
-// TaskStage is how far a task on a machine has got.
+// TaskStage is the stage of a task's attempt on a machine.
 type TaskStage uint8
 
 // The stages of a task on a machine.
 const (
-	TaskFetching      TaskStage = iota + 1 // its image is being fetched
-	TaskRunning                            // it runs
-	TaskCheckpointing                      // it was told to stop and writes a checkpoint
-	TaskExited                             // it has ended; ExitCause says why
+	TaskFetching      TaskStage = iota + 1 // fetching its image
+	TaskRunning                            // running
+	TaskCheckpointing                      // stopping, and writing a checkpoint
+	TaskExited                             // exited, for the reason in ExitCause
 )
 
-// taskStages maps the names on the wire. A task that waits for others of its gang counts
-// as one that fetches its image.
+// taskStages maps the names on the wire to stages. A task that waits for the other tasks of its
+// gang ("gathering") counts as fetching its image.
 var taskStages = map[string]TaskStage{
 	"fetching":  TaskFetching,
 	"gathering": TaskFetching,
@@ -28,17 +28,17 @@
 	"ended":     TaskExited,
 }
 
-// ExitCause is why a task has ended.
+// ExitCause is the reason why a task has exited.
 type ExitCause string
 
 // The causes of an exit.
 const (
-	CauseDone       ExitCause = "done"    // it completed
-	CauseStopped    ExitCause = "stopped" // it was told to stop
-	CauseError      ExitCause = "error"   // it failed
-	CauseNoCapacity ExitCause = "full"    // the machine had no room for it
-	CauseInUse      ExitCause = "in_use"  // another attempt of it is on the machine
-	CauseNoSuchTask ExitCause = "no_such" // its job has no such task
+	CauseDone       ExitCause = "done"    // completed
+	CauseStopped    ExitCause = "stopped" // stopped by a command
+	CauseError      ExitCause = "error"   // failed
+	CauseNoCapacity ExitCause = "full"    // the machine lacks the capacity
+	CauseInUse      ExitCause = "in_use"  // another attempt of the task is on the machine
+	CauseNoSuchTask ExitCause = "no_such" // the job has no such task
 )
 
 // TaskStatus is the status of one task in a heartbeat.
@@ -47,34 +47,35 @@
 	Index        int
 	Attempt      uint64
 	Stage        TaskStage
-	Cause        ExitCause // of a task that has exited
-	Checkpointed bool      // its last checkpoint was written when it was stopped
+	Cause        ExitCause // of an exited task
+	Checkpointed bool      // a checkpoint was written when the task was stopped
 }
 
-// Heartbeat is a worker's heartbeat with the status of its machine and of all tasks there,
-// checked. Of two heartbeats of a machine the one with the larger (Incarnation, Sequence)
-// is the newer one.
+// Heartbeat is a validated heartbeat of a worker, with the status of its machine and of all tasks
+// on it. Of two heartbeats of a machine, the newer one has the larger (Incarnation, Sequence).
 type Heartbeat struct {
 	Machine      string
-	Endpoint     string // where the worker takes direct commands; "": not told
+	Endpoint     string // address at which the worker accepts DirectCommands; "": unknown
 	InstanceType string
 	Zone         string
 	Spot         bool
-	// Incarnation rises whenever the worker begins anew, with nothing on the machine: after
-	// a restart, or once its lease has expired.
+	// Incarnation increases whenever the worker starts over without any tasks: after a restart,
+	// or after its lease expired.
 	Incarnation  uint64
-	Sequence     uint64 // rises with each heartbeat of an incarnation
-	FencingToken uint64 // the highest that the worker has seen
-	// TerminationIn is the time until the cloud reclaims the machine, if TerminationNoticed.
+	Sequence     uint64 // sequence number; increases with each heartbeat of an incarnation
+	FencingToken uint64 // the highest token that the worker has received
+	// TerminationIn is the time until the cloud reclaims the machine. It is valid only if
+	// TerminationNoticed.
 	TerminationIn      units.Micros
 	TerminationNoticed bool
 	Tasks              []TaskStatus
 }
 
-// TaskName returns the name of a task: TaskName("j-000412", 3) is "j-000412/3".
+// TaskName returns the name of a task on the wire: TaskName("j-000412", 3) is "j-000412/3".
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// parseTaskName reads a name as TaskName writes it.
+// parseTaskName parses a name in the format of TaskName. It rejects indices with leading zeros,
+// so that a task has only one name.
 func parseTaskName(name string) (job string, index int, err error) {
 	job, digits, found := strings.Cut(name, "/")
 	index, err = strconv.Atoi(digits)
@@ -85,12 +86,12 @@
 	return job, index, nil
 }
 
-// maxQuoted bounds the part of a message that an error quotes, in bytes.
-const maxQuoted = 40
+// maxQuotedBytes bounds the part of a message that an error quotes.
+const maxQuotedBytes = 40
 
 func truncate(text string) string {
-	if len(text) > maxQuoted {
-		return text[:maxQuoted] + "..."
+	if len(text) > maxQuotedBytes {
+		return text[:maxQuotedBytes] + "..."
 	}
 	return text
 }
--- a/internal/protocol/heartbeat_test.go
+++ b/internal/protocol/heartbeat_test.go
@@ -7,7 +7,7 @@
 	_ "dunestand/internal/fake/fixedseed"
 )
 
-func TestHeartbeats(t *testing.T) {
+func TestHeartbeatIsParsedAndInvalidFieldsAreRejected(t *testing.T) {
 	good := map[string]any{
 		"dune":     "i-000231",
 		"endpoint": "10.1.0.232:9000",
@@ -45,7 +45,7 @@
 		}
 		bad[field] = value
 		if _, err := ParseHeartbeat(Encode(bad)); err == nil {
-			t.Errorf("%s = %v is taken", field, value)
+			t.Errorf("%s = %v is accepted", field, value)
 		}
 	}
 	for _, task := range []string{"j-000412", "j-000412/", "j-000412/-1", "j-000412/03", "j-000412/100000", "x/1"} {
@@ -55,7 +55,7 @@
 		}
 		bad["bolts"] = []any{map[string]any{"bolt": task, "try": 1, "stage": "running"}}
 		if _, err := ParseHeartbeat(Encode(bad)); err == nil {
-			t.Errorf("task %q is taken", task)
+			t.Errorf("task %q is accepted", task)
 		}
 	}
 }
@@ -109,8 +109,8 @@
 	}
 }
 
-// A heartbeat that lists the same tasks as the one before costs little, and says the same
-// as one that is read alone. A list that changed is read anew, whatever came between.
+// A cached list of tasks must give the same result as parsing the heartbeat alone, also after a
+// changed or an invalid list. Parsing an unchanged list costs the same for any number of tasks.
 func TestUnchangedTaskListIsNotParsedAgain(t *testing.T) {
 	body := func(seq uint64, stage string, tasks int) []byte {
 		bolts := []map[string]any{}
@@ -131,7 +131,7 @@
 		got, err := reader.Parse(b)
 		want, alone := ParseHeartbeat(b)
 		if (err == nil) != (alone == nil) || err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("report %d: %+v %v, read alone %+v %v", seq+1, got, err, want, alone)
+			t.Fatalf("heartbeat %d: %+v %v, parsed alone %+v %v", seq+1, got, err, want, alone)
 		}
 	}
 	few, many := body(8, "running", 1), body(9, "running", 64)
--- a/internal/protocol/heartbeatreader.go
+++ b/internal/protocol/heartbeatreader.go
@@ -8,56 +8,58 @@
 	"dunestand/internal/units"
 )
 
-// wireHeartbeat is a heartbeat on the wire. What must not be missing is a pointer.
+// wireHeartbeat is a heartbeat on the wire. Required fields are pointers, so that a missing one
+// can be detected.
 type wireHeartbeat struct {
-	Dune     *string  `cbor:"dune"`
-	Endpoint string   `cbor:"endpoint"`
-	Loom     *string  `cbor:"loom"`
-	Yard     *string  `cbor:"yard"`
-	Borrowed bool     `cbor:"borrowed"`
-	Shift    *uint64  `cbor:"shift"`
-	Tally    *uint64  `cbor:"tally"`
-	Baton    uint64   `cbor:"baton"`
-	Recall   *float64 `cbor:"recall_s"`
-	Bolts    Raw      `cbor:"bolts"`
+	Machine       *string  `cbor:"dune"`
+	Endpoint      string   `cbor:"endpoint"`
+	InstanceType  *string  `cbor:"loom"`
+	Zone          *string  `cbor:"yard"`
+	Spot          bool     `cbor:"borrowed"`
+	Incarnation   *uint64  `cbor:"shift"`
+	Sequence      *uint64  `cbor:"tally"`
+	FencingToken  uint64   `cbor:"baton"`
+	TerminationIn *float64 `cbor:"recall_s"`
+	Tasks         Raw      `cbor:"bolts"`
 }
 
-// wireTaskStatus is a task's status on the wire.
+// wireTaskStatus is a TaskStatus on the wire.
 type wireTaskStatus struct {
-	Bolt  string `cbor:"bolt"`
-	Try   uint64 `cbor:"try"`
-	Stage string `cbor:"stage"`
-	Cause string `cbor:"cause"`
-	Kept  bool   `cbor:"kept"`
+	Task         string `cbor:"bolt"`
+	Attempt      uint64 `cbor:"try"`
+	Stage        string `cbor:"stage"`
+	Cause        string `cbor:"cause"`
+	Checkpointed bool   `cbor:"kept"`
 }
 
-// HeartbeatReader reads and checks heartbeats. Most heartbeats of a machine list the same
-// tasks as the one before, and these are not parsed again. It may be used concurrently.
+// HeartbeatReader parses and validates heartbeats. It caches the last list of tasks of each
+// machine, because most heartbeats list the same tasks as the one before. It is safe for
+// concurrent use.
 type HeartbeatReader struct {
 	mu        sync.Mutex
-	lastTasks map[string]taskList // by machine
+	lastTasks map[string]taskList // by machine ID
 }
 
-// taskList is a heartbeat's list of tasks, as it came and as it was read.
+// taskList is a heartbeat's list of tasks, encoded and parsed.
 type taskList struct {
 	raw   Raw
 	tasks []TaskStatus
 }
 
-// maxCachedTaskLists bounds the lists that are kept; beyond it they are collected anew.
+// maxCachedTaskLists bounds the cache. A list beyond this limit first empties the cache.
 const maxCachedTaskLists = 8192
 
-// NewHeartbeatReader returns a reader that has read nothing yet.
+// NewHeartbeatReader returns a reader with an empty cache.
 func NewHeartbeatReader() *HeartbeatReader {
 	return &HeartbeatReader{lastTasks: map[string]taskList{}}
 }
 
-// ParseHeartbeat reads and checks a single heartbeat. Its error is a *FieldError, or says that
-// the body is no message at all.
+// ParseHeartbeat parses and validates a heartbeat without a cache. It returns a *FieldError for an
+// invalid field, or an error of Decode.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) { return NewHeartbeatReader().Parse(body) }
 
-// Parse reads and checks a heartbeat, as ParseHeartbeat does. The list of tasks is shared with
-// later heartbeats of the machine and must not be changed.
+// Parse parses and validates a heartbeat. It returns the same errors as ParseHeartbeat. Tasks of
+// the result is shared with later heartbeats of the machine and must not be modified.
 func (r *HeartbeatReader) Parse(body []byte) (*Heartbeat, error) {
 	var wire wireHeartbeat
 	if err := Decode(body, &wire); err != nil {
@@ -68,54 +70,55 @@
 	}
 	heartbeat := wire.heartbeat()
 	var err error
-	if heartbeat.Tasks, err = r.tasks(heartbeat.Machine, wire.Bolts); err != nil {
+	if heartbeat.Tasks, err = r.tasks(heartbeat.Machine, wire.Tasks); err != nil {
 		return nil, err
 	}
 	return heartbeat, nil
 }
 
-// check reports what is missing or out of range, the list of tasks aside.
+// check validates all fields except the list of tasks.
 func (w *wireHeartbeat) check() error {
 	const missingOrTooLong = "missing or too long"
 	switch {
-	case w.Dune == nil || *w.Dune == "" || len(*w.Dune) > maxText:
+	case w.Machine == nil || *w.Machine == "" || len(*w.Machine) > maxText:
 		return fieldError("dune", missingOrTooLong)
-	case w.Loom == nil || len(*w.Loom) > maxText:
+	case w.InstanceType == nil || len(*w.InstanceType) > maxText:
 		return fieldError("loom", missingOrTooLong)
-	case w.Yard == nil || len(*w.Yard) > maxText:
+	case w.Zone == nil || len(*w.Zone) > maxText:
 		return fieldError("yard", missingOrTooLong)
-	case w.Shift == nil:
+	case w.Incarnation == nil:
 		return fieldError("shift", "missing")
-	case w.Tally == nil:
+	case w.Sequence == nil:
 		return fieldError("tally", "missing")
 	case len(w.Endpoint) > maxText:
 		return fieldError("endpoint", "too long")
-	case w.Recall != nil && math.IsNaN(*w.Recall):
+	case w.TerminationIn != nil && math.IsNaN(*w.TerminationIn):
 		return fieldError("recall_s", "not a number")
 	}
 	return nil
 }
 
-// heartbeat returns the checked message without its tasks.
+// heartbeat converts a validated message, without its tasks.
 func (w *wireHeartbeat) heartbeat() *Heartbeat {
 	heartbeat := &Heartbeat{
-		Machine:      *w.Dune,
+		Machine:      *w.Machine,
 		Endpoint:     w.Endpoint,
-		InstanceType: *w.Loom,
-		Zone:         *w.Yard,
-		Spot:         w.Borrowed,
-		Incarnation:  *w.Shift,
-		Sequence:     *w.Tally,
-		FencingToken: w.Baton,
+		InstanceType: *w.InstanceType,
+		Zone:         *w.Zone,
+		Spot:         w.Spot,
+		Incarnation:  *w.Incarnation,
+		Sequence:     *w.Sequence,
+		FencingToken: w.FencingToken,
 	}
-	if w.Recall != nil {
-		heartbeat.TerminationIn = units.Seconds(max(*w.Recall, 0))
+	if w.TerminationIn != nil {
+		heartbeat.TerminationIn = units.Seconds(max(*w.TerminationIn, 0))
 		heartbeat.TerminationNoticed = true
 	}
 	return heartbeat
 }
 
-// tasks returns the tasks of a machine's heartbeat, which must not be changed.
+// tasks returns the tasks of a machine's heartbeat, from the cache if the encoded list is
+// unchanged. The result must not be modified.
 func (r *HeartbeatReader) tasks(machine string, raw Raw) ([]TaskStatus, error) {
 	r.mu.Lock()
 	last, known := r.lastTasks[machine]
@@ -145,7 +148,7 @@
 	}
 	tasks := make([]TaskStatus, 0, len(list))
 	for _, wire := range list {
-		job, index, err := parseTaskName(wire.Bolt)
+		job, index, err := parseTaskName(wire.Task)
 		if err != nil {
 			return nil, err
 		}
@@ -156,10 +159,10 @@
 		tasks = append(tasks, TaskStatus{
 			Job:          job,
 			Index:        index,
-			Attempt:      wire.Try,
+			Attempt:      wire.Attempt,
 			Stage:        stage,
 			Cause:        ExitCause(wire.Cause),
-			Checkpointed: wire.Kept,
+			Checkpointed: wire.Checkpointed,
 		})
 	}
 	return tasks, nil
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/units"
 )
 
-// JobStage is the state of a job as its user sees it.
+// JobStage is the stage of a job that is reported to its user.
 type JobStage string
 
 // The stages of a job.
@@ -18,13 +18,13 @@
 	StageCancelled JobStage = "aborted"
 )
 
-// IsTerminal reports whether a job in this stage stays there.
+// IsTerminal reports whether the stage is a terminal state, which a job never leaves.
 func (s JobStage) IsTerminal() bool { return s == StageDone || s == StageCancelled }
 
-// Priority orders jobs; a larger one goes first.
+// Priority is the priority of a job. Jobs with a larger value are scheduled first.
 type Priority uint8
 
-// The priorities.
+// The priorities, lowest first.
 const (
 	Low Priority = iota
 	Normal
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("priority(%d)", uint8(p))
 }
 
-// ParsePriority reads the name of a priority.
+// ParsePriority parses the name of a priority, and reports whether the name is known.
 func ParsePriority(s string) (Priority, bool) {
 	for i, n := range priorityNames {
 		if n == s {
@@ -54,34 +54,34 @@
 	return 0, false
 }
 
-// JobKind says how the tasks of a job belong together.
+// JobKind determines how the tasks of a job depend on each other.
 type JobKind uint8
 
-// The kinds. The tasks of a job array are independent. Those of a gang start only when all fit
-// at once. Those of a service are replicas that run until the job is cancelled, on different
-// machines and zones where possible.
+// The kinds of jobs. Tasks of a job array are independent. Tasks of a gang start only when all of
+// them fit at the same time. Tasks of a service are replicas that run until the job is cancelled,
+// on different machines and in different zones where possible.
 const (
 	Array JobKind = iota
 	Gang
 	Service
 )
 
+// jobKinds maps the names on the wire to kinds.
 var jobKinds = map[string]JobKind{"sweep": Array, "gang": Gang, "service": Service}
 
 // JobKinds is the number of kinds.
 const JobKinds = 3
 
-// MaxTasks is the most tasks that a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Bounds on the texts of a submission, so that every job fits a record: bytes of a text, and
-// names in a list.
+// Limits on the texts of a submission, so that every job fits into a stored record.
 const (
-	maxText  = 128
-	maxTypes = 32
+	maxText  = 128 // bytes of a text
+	maxTypes = 32  // names in the list of instance types
 )
 
-// JobSpec is what a user submitted, checked.
+// JobSpec is a validated submission.
 type JobSpec struct {
 	ID       string
 	Class    string
@@ -101,19 +101,21 @@
 	Image              string
 	ImageSize          units.Amount // GB
 	Estimate           units.Micros // expected run time of a task
-	CheckpointInterval units.Micros // 0: the tasks write no checkpoints
-	CheckpointDuration units.Micros // what a task that is stopped needs to write one
-	Deadline           units.Micros // from the submission; 0: none
+	CheckpointInterval units.Micros // 0: tasks write no checkpoints
+	CheckpointDuration units.Micros // time that a task needs to write a checkpoint when it is stopped
+	Deadline           units.Micros // relative to the submission; 0: none
 }
 
+// maxJobDigits bounds the digits of a job ID.
 const maxJobDigits = 18
 
-// ValidJobID reports whether a text has the form of a job's id.
+// ValidJobID reports whether s has the format of a job ID, such as j-000412.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "j-")
 	return ok && len(digits) <= maxJobDigits && onlyDigits(digits)
 }
 
+// onlyDigits reports whether s consists of one or more ASCII digits.
 func onlyDigits(s string) bool {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
@@ -123,8 +125,8 @@
 	return s != ""
 }
 
-// SubmissionID reads the job's id from a submission of which nothing else need be right. It
-// reports whether there is one.
+// SubmissionID returns the job ID of a submission that may otherwise be invalid, and reports whether
+// it has a valid one.
 func SubmissionID(body []byte) (string, bool) {
 	var w struct {
 		UID string `cbor:"uid"`
@@ -135,7 +137,7 @@
 	return w.UID, true
 }
 
-// JobState is what a user is told about a job.
+// JobState is the state of a job that is reported to its user. Done and Running count tasks.
 type JobState struct {
 	ID      string   `cbor:"uid"`
 	Stage   JobStage `cbor:"stage"`
@@ -143,9 +145,9 @@
 	Running int      `cbor:"running"`
 }
 
-// ErrorResponse is the body of a response that refuses a request.
+// ErrorResponse is the body of a response to a request that was refused.
 type ErrorResponse struct {
 	Message string `cbor:"error"`
-	// PlanVersion is the version of the admission plan by which the job has to wait.
+	// PlanVersion is the version of the admission plan because of which the job must wait, or 0.
 	PlanVersion uint64 `cbor:"plan,omitempty"`
 }
--- a/internal/protocol/mesh.go
+++ b/internal/protocol/mesh.go
@@ -9,7 +9,7 @@
 	"dunestand/internal/protocol/wire"
 )
 
-// FrameKind says what a frame between controllers is for.
+// FrameKind is the kind of message that a frame between controllers carries.
 type FrameKind = wire.Kind
 
 // The kinds of frames.
@@ -21,24 +21,25 @@
 	FrameResponse = wire.KindAnswer
 )
 
-// Frame is a message between controllers: a user's request passed on to the
-// leader, or the response to it.
+// Frame is a message between controllers: a user's request that a follower forwards to the
+// leader, the response to it, or a ping.
 type Frame struct {
-	ID         uint64
+	ID         uint64 // matches a response to its request
 	Kind       FrameKind
-	Job        string
+	Job        string // ID of the requested job; in the response to a ping, the leader's name
 	Body       []byte
-	Status     int
-	RetryAfter int
+	Status     int // HTTP status of a response
+	RetryAfter int // of a response, in seconds
 }
 
-// ErrShortFrame says that a frame has no room for its header.
+// ErrShortFrame reports a frame that is shorter than its header.
 var ErrShortFrame = errors.New("frame too short")
 
-// minFrameBytes is the smallest frame: the offsets at its head.
+// minFrameBytes is the length of a frame's header, which holds the offsets of
+// the root table and of its vtable.
 const minFrameBytes = 8
 
-// EncodeFrame returns a frame as FlatBuffers bytes.
+// EncodeFrame returns a frame in the FlatBuffers format.
 func EncodeFrame(f Frame) []byte {
 	b := flatbuffers.NewBuilder(128 + len(f.Body))
 	job := b.CreateString(f.Job)
@@ -54,10 +55,9 @@
 	return b.FinishedBytes()
 }
 
-// DecodeFrame reads a frame. The generated code trusts its input, so a frame
-// that points outside itself makes it panic; here that is an error like any
-// other. A kind that is not known is none: controllers of a later version may
-// send it, and whoever gets it ignores it.
+// DecodeFrame decodes a frame and copies its contents. It returns an error for a malformed frame,
+// on which the generated code panics because it does not check offsets. An unknown kind is not an
+// error: controllers of a later version may send it, and the receiver ignores it.
 func DecodeFrame(data []byte) (f Frame, err error) {
 	if len(data) < minFrameBytes {
 		return Frame{}, ErrShortFrame
@@ -67,8 +67,8 @@
 			f, err = Frame{}, fmt.Errorf("malformed frame: %v", r)
 		}
 	}()
-	// A slice may be cut anew up to its capacity: without this, a frame that
-	// declares too long a body would be given whatever lies behind it in memory.
+	// The generated code reslices data up to its capacity. Without this limit, a frame that declares
+	// too long a body would expose the memory behind it.
 	data = data[:len(data):len(data)]
 	w := wire.GetRootAsFrame(data, 0)
 	f = Frame{ID: w.Id(), Kind: w.Kind(), Job: string(w.Uid()), Body: append([]byte(nil), w.BodyBytes()...),
--- a/internal/protocol/mesh_test.go
+++ b/internal/protocol/mesh_test.go
@@ -12,7 +12,7 @@
 	_ "dunestand/internal/fake/fixedseed"
 )
 
-func TestFramesAreReadAsWritten(t *testing.T) {
+func TestEncodedFrameIsDecodedUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Frame{
 			ID:         rapid.Uint64().Draw(t, "id"),
@@ -27,28 +27,28 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got.Body, f.Body) {
-			t.Fatalf("body %x, wrote %x", got.Body, f.Body)
+			t.Fatalf("decoded body %x, encoded %x", got.Body, f.Body)
 		}
 		got.Body, f.Body = nil, nil
 		if !reflect.DeepEqual(got, f) {
-			t.Fatalf("read %+v, wrote %+v", got, f)
+			t.Fatalf("decoded %+v, encoded %+v", got, f)
 		}
 	})
 }
 
-// A body that is declared longer than its frame must not be read from what
-// lies behind the frame in memory (found by FuzzFrames).
-func TestFramesAreNotReadBeyondTheirEnd(t *testing.T) {
+// A frame whose body is declared longer than the frame must not expose the memory behind it
+// (found by FuzzFrames).
+func TestFrameWithTooLongBodyIsRejected(t *testing.T) {
 	frame := EncodeFrame(Frame{ID: 1, Kind: FramePoll, Job: "j-000412", Body: []byte("12345678")})
-	at := bytes.Index(frame, append([]byte{8, 0, 0, 0}, "12345678"...))
-	if at < 0 {
-		t.Fatal("no body in the frame")
+	bodyOffset := bytes.Index(frame, append([]byte{8, 0, 0, 0}, "12345678"...))
+	if bodyOffset < 0 {
+		t.Fatal("body not found in the frame")
 	}
-	longer := make([]byte, len(frame), 1<<16)
-	copy(longer, frame)
-	longer[at+1] = 0x20 // 8 KiB more
-	if f, err := DecodeFrame(longer); err == nil {
-		t.Fatalf("read a body of %d bytes from a frame of %d", len(f.Body), len(frame))
+	malformed := make([]byte, len(frame), 1<<16)
+	copy(malformed, frame)
+	malformed[bodyOffset+1] = 0x20 // 8 KiB more
+	if f, err := DecodeFrame(malformed); err == nil {
+		t.Fatalf("decoded a body of %d bytes from a frame of %d", len(f.Body), len(frame))
 	}
 }
 
@@ -57,14 +57,14 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0x7f, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if got, err := DecodeFrame(data); err == nil && len(got.Body) > len(data) {
-			t.Fatalf("%d bytes read out of %d", len(got.Body), len(data))
+			t.Fatalf("decoded a body of %d bytes from a frame of %d", len(got.Body), len(data))
 		}
 	})
 }
 
-// Frames of the version before are read as they were meant, and a kind of a
-// later version is no error: whoever gets it ignores it.
-func TestFramesOfOtherVersions(t *testing.T) {
+// Frames of the previous version are decoded correctly, and an unknown kind, which a later version
+// may send, is not an error.
+func TestFramesOfOtherVersionsAreDecoded(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production_frames.json")
 	if err != nil {
 		t.Fatal(err)
@@ -93,6 +93,6 @@
 		Kind: 77,
 		Job:  "j-000001",
 	})); err != nil || f.Kind != 77 {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("frame of an unknown kind: %+v, %v", f, err)
 	}
 }
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Paths of the users' and the workers' interface of a controller.
+// Paths that a controller serves to users and workers.
 const (
 	PathSubmit    = "/submissions"
 	PathPoll      = "/submissions/:id"
@@ -9,7 +9,7 @@
 	PathHeartbeat = "/agent/beat"
 )
 
-// PathCommands is the path for direct commands on a machine's worker.
+// PathCommands is the path at which a worker accepts DirectCommands.
 const PathCommands = "/orders"
 
 // Paths of the key-value store.
@@ -19,7 +19,7 @@
 	PathChanges = "/changes"
 )
 
-// Paths of the cloud's interface.
+// Paths of the cloud's API.
 const (
 	PathCatalog  = "/catalog"
 	PathMachines = "/hosts"
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -7,39 +7,40 @@
 	"dunestand/internal/units"
 )
 
-// submission is a user's submission on the wire. What must not be missing is a pointer.
+// submission is a user's submission on the wire. Required fields are pointers, so that a missing
+// one can be detected.
 type submission struct {
-	UID      *string  `cbor:"uid"`
-	Queue    *string  `cbor:"queue"`
-	Crew     *string  `cbor:"crew"`
-	Shape    *string  `cbor:"shape"`
-	Urgency  *string  `cbor:"urgency"`
-	Bolts    *int64   `cbor:"bolts"`
-	VCPUs    *float64 `cbor:"vcpus"`
-	Cards    *float64 `cbor:"cards"`
-	Memory   *float64 `cbor:"memory_gb"`
-	Pattern  *string  `cbor:"pattern"`
-	ImageGB  *float64 `cbor:"image_gb"`
-	Looms    []string `cbor:"looms"`
-	Yard     *string  `cbor:"yard"`
-	Together *bool    `cbor:"together"`
-	Apart    *bool    `cbor:"apart"`
-	Borrowed *bool    `cbor:"borrowed"`
-	Expect   *float64 `cbor:"expect_s"`
-	Mark     *float64 `cbor:"mark_s"`
-	Stow     *float64 `cbor:"stow_s"`
-	Due      *float64 `cbor:"due_s"`
+	ID                        *string  `cbor:"uid"`
+	Class                     *string  `cbor:"queue"`
+	Team                      *string  `cbor:"crew"`
+	Kind                      *string  `cbor:"shape"`
+	Priority                  *string  `cbor:"urgency"`
+	Tasks                     *int64   `cbor:"bolts"`
+	CPUs                      *float64 `cbor:"vcpus"`
+	GPUs                      *float64 `cbor:"cards"`
+	MemoryGB                  *float64 `cbor:"memory_gb"`
+	Image                     *string  `cbor:"pattern"`
+	ImageGB                   *float64 `cbor:"image_gb"`
+	InstanceTypes             []string `cbor:"looms"`
+	Zone                      *string  `cbor:"yard"`
+	ZoneAffinity              *bool    `cbor:"together"`
+	ZoneSpread                *bool    `cbor:"apart"`
+	AllowSpot                 *bool    `cbor:"borrowed"`
+	EstimateSeconds           *float64 `cbor:"expect_s"`
+	CheckpointIntervalSeconds *float64 `cbor:"mark_s"`
+	CheckpointDurationSeconds *float64 `cbor:"stow_s"`
+	DeadlineSeconds           *float64 `cbor:"due_s"`
 }
 
-// Bounds on a submission's numbers.
+// Upper limits of the numbers in a submission.
 const (
 	maxAmount   = 1e6
-	maxMemoryGB = 1e8 // GB
+	maxMemoryGB = 1e8
 	maxSeconds  = 1e9
 )
 
-// ParseSubmission reads and checks a user's submission. Its error, mostly a *FieldError, is the
-// one line that the user gets with status 400.
+// ParseSubmission parses and validates a user's submission. It returns a *FieldError for an invalid
+// field, or an error of Decode. The text of either is a single line, which is returned to the user.
 func ParseSubmission(body []byte) (*JobSpec, error) {
 	var w submission
 	if err := Decode(body, &w); err != nil {
@@ -59,12 +60,12 @@
 		field string
 		value *string
 	}{
-		{"uid", w.UID},
-		{"queue", w.Queue},
-		{"crew", w.Crew},
-		{"shape", w.Shape},
-		{"urgency", w.Urgency},
-		{"pattern", w.Pattern},
+		{"uid", w.ID},
+		{"queue", w.Class},
+		{"crew", w.Team},
+		{"shape", w.Kind},
+		{"urgency", w.Priority},
+		{"pattern", w.Image},
 	}
 	for _, t := range texts {
 		if t.value == nil {
@@ -77,22 +78,22 @@
 	return nil
 }
 
-// checkNames checks the texts that have a form or stand for something.
+// checkNames validates the fields that have a format or a fixed set of values.
 func (w *submission) checkNames() error {
-	if !ValidJobID(*w.UID) {
+	if !ValidJobID(*w.ID) {
 		return fieldError("uid", "not of the form j-000412")
 	}
-	if _, known := jobKinds[*w.Shape]; !known {
+	if _, known := jobKinds[*w.Kind]; !known {
 		return fieldError("shape", "unknown")
 	}
-	if _, known := ParsePriority(*w.Urgency); !known {
+	if _, known := ParsePriority(*w.Priority); !known {
 		return fieldError("urgency", "unknown")
 	}
 	return nil
 }
 
 func (w *submission) checkNumbers() error {
-	if w.Bolts == nil || *w.Bolts < 1 || *w.Bolts > MaxTasks {
+	if w.Tasks == nil || *w.Tasks < 1 || *w.Tasks > MaxTasks {
 		return fieldError("bolts", fmt.Sprintf("missing or not within 1 to %d", MaxTasks))
 	}
 	numbers := []struct {
@@ -100,26 +101,26 @@
 		value *float64
 		max   float64
 	}{
-		{"vcpus", w.VCPUs, maxAmount},
-		{"cards", w.Cards, maxAmount},
-		{"memory_gb", w.Memory, maxMemoryGB},
+		{"vcpus", w.CPUs, maxAmount},
+		{"cards", w.GPUs, maxAmount},
+		{"memory_gb", w.MemoryGB, maxMemoryGB},
 		{"image_gb", w.ImageGB, maxAmount},
-		{"expect_s", w.Expect, maxSeconds},
-		{"mark_s", w.Mark, maxSeconds},
-		{"stow_s", w.Stow, maxSeconds},
+		{"expect_s", w.EstimateSeconds, maxSeconds},
+		{"mark_s", w.CheckpointIntervalSeconds, maxSeconds},
+		{"stow_s", w.CheckpointDurationSeconds, maxSeconds},
 	}
 	for _, n := range numbers {
 		if n.value == nil || !within(*n.value, n.max) {
 			return fieldError(n.field, "missing or out of range")
 		}
 	}
-	if w.Due != nil && !within(*w.Due, maxSeconds) {
+	if w.DeadlineSeconds != nil && !within(*w.DeadlineSeconds, maxSeconds) {
 		return fieldError("due_s", "out of range")
 	}
 	return nil
 }
 
-// within reports whether a value is a number, not negative and not over a maximum.
+// within reports whether a value is between 0 and maximum. It is false for NaN.
 func within(value, maximum float64) bool {
 	return !math.IsNaN(value) && value >= 0 && value <= maximum
 }
@@ -129,9 +130,9 @@
 		field string
 		value *bool
 	}{
-		{"together", w.Together},
-		{"apart", w.Apart},
-		{"borrowed", w.Borrowed},
+		{"together", w.ZoneAffinity},
+		{"apart", w.ZoneSpread},
+		{"borrowed", w.AllowSpot},
 	}
 	for _, f := range flags {
 		if f.value == nil {
@@ -141,58 +142,58 @@
 	return nil
 }
 
-// checkPlacement checks the machine types and the zone that a job allows.
+// checkPlacement validates the instance types and the zone that a job allows.
 func (w *submission) checkPlacement() error {
-	if len(w.Looms) > maxTypes {
+	if len(w.InstanceTypes) > maxTypes {
 		return fieldError("looms", fmt.Sprintf("over %d types", maxTypes))
 	}
-	for _, name := range w.Looms {
+	for _, name := range w.InstanceTypes {
 		if name == "" || len(name) > maxText {
 			return fieldError("looms", "a name is empty or too long")
 		}
 	}
-	if w.Looms != nil && len(w.Looms) == 0 {
+	if w.InstanceTypes != nil && len(w.InstanceTypes) == 0 {
 		return fieldError("looms", "empty; null means any")
 	}
-	if w.Yard != nil && (*w.Yard == "" || len(*w.Yard) > maxText) {
+	if w.Zone != nil && (*w.Zone == "" || len(*w.Zone) > maxText) {
 		return fieldError("yard", "empty or too long")
 	}
 	return nil
 }
 
-// spec returns the job that a checked submission describes.
+// spec converts a validated submission.
 func (w *submission) spec() *JobSpec {
-	priority, _ := ParsePriority(*w.Urgency)
+	priority, _ := ParsePriority(*w.Priority)
 	job := &JobSpec{
-		ID:       *w.UID,
-		Class:    *w.Queue,
-		Team:     *w.Crew,
-		Kind:     jobKinds[*w.Shape],
+		ID:       *w.ID,
+		Class:    *w.Class,
+		Team:     *w.Team,
+		Kind:     jobKinds[*w.Kind],
 		Priority: priority,
-		Tasks:    int(*w.Bolts),
+		Tasks:    int(*w.Tasks),
 		Request: units.Resources{
-			CPU:    units.AmountOf(*w.VCPUs),
-			GPU:    units.AmountOf(*w.Cards),
-			Memory: units.AmountOf(*w.Memory),
+			CPU:    units.AmountOf(*w.CPUs),
+			GPU:    units.AmountOf(*w.GPUs),
+			Memory: units.AmountOf(*w.MemoryGB),
 		},
-		InstanceTypes:      w.Looms,
-		ZoneAffinity:       *w.Together,
-		ZoneSpread:         *w.Apart,
-		AllowSpot:          *w.Borrowed,
-		Image:              *w.Pattern,
+		InstanceTypes:      w.InstanceTypes,
+		ZoneAffinity:       *w.ZoneAffinity,
+		ZoneSpread:         *w.ZoneSpread,
+		AllowSpot:          *w.AllowSpot,
+		Image:              *w.Image,
 		ImageSize:          units.AmountOf(*w.ImageGB),
-		Estimate:           units.Seconds(*w.Expect),
-		CheckpointInterval: units.Seconds(*w.Mark),
-		CheckpointDuration: units.Seconds(*w.Stow),
+		Estimate:           units.Seconds(*w.EstimateSeconds),
+		CheckpointInterval: units.Seconds(*w.CheckpointIntervalSeconds),
+		CheckpointDuration: units.Seconds(*w.CheckpointDurationSeconds),
 	}
-	if w.Yard != nil {
-		job.Zone = *w.Yard
+	if w.Zone != nil {
+		job.Zone = *w.Zone
 	}
-	if w.Due != nil {
-		job.Deadline = max(units.Seconds(*w.Due), 1) // 0 stands for none
+	if w.DeadlineSeconds != nil {
+		job.Deadline = max(units.Seconds(*w.DeadlineSeconds), 1) // 0 means no deadline
 	}
 	if job.Kind == Service {
-		job.Estimate, job.Deadline = 0, 0 // it has no end
+		job.Estimate, job.Deadline = 0, 0 // replicas of a service run until the job is cancelled
 	}
 	return job
 }
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -9,7 +9,8 @@
 	_ "dunestand/internal/fake/fixedseed"
 )
 
-func goodSubmission() map[string]any {
+// validSubmission returns a submission with all fields.
+func validSubmission() map[string]any {
 	return map[string]any{
 		"uid":       "j-000412",
 		"queue":     "train",
@@ -34,17 +35,17 @@
 	}
 }
 
-func TestSubmissionFields(t *testing.T) {
-	job, err := ParseSubmission(Encode(goodSubmission()))
+func TestValidSubmissionIsParsed(t *testing.T) {
+	job, err := ParseSubmission(Encode(validSubmission()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if job.ID != "j-000412" || job.Tasks != 16 || job.Priority != High || job.Request.CPU != 8_000_000 || job.Deadline != 900_000_000 || !job.ZoneAffinity || job.Zone != "" {
 		t.Fatalf("%+v", job)
 	}
-	// Fields that may be null may be left out; unknown ones are ignored; whole
-	// numbers serve as amounts.
-	s := goodSubmission()
+	// Optional fields may be missing, unknown fields are ignored, and integers are accepted for
+	// fractional fields.
+	s := validSubmission()
 	for _, f := range []string{"looms", "yard", "due_s"} {
 		delete(s, f)
 	}
@@ -55,19 +56,19 @@
 	}
 }
 
-func TestBadSubmissions(t *testing.T) {
-	for field := range goodSubmission() {
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
+	for field := range validSubmission() {
 		if field == "looms" || field == "yard" || field == "due_s" {
 			continue
 		}
-		s := goodSubmission()
+		s := validSubmission()
 		s[field] = nil
 		if _, err := ParseSubmission(Encode(s)); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("null %s: %v", field, err)
 		}
 		delete(s, field)
 		if _, err := ParseSubmission(Encode(s)); err == nil {
-			t.Errorf("missing %s is taken", field)
+			t.Errorf("missing %s is accepted", field)
 		}
 	}
 	for _, c := range []struct {
@@ -94,35 +95,35 @@
 		{"due_s", "soon"},
 		{"pattern", strings.Repeat("x", 200)},
 	} {
-		s := goodSubmission()
+		s := validSubmission()
 		s[c.field] = c.value
 		if job, err := ParseSubmission(Encode(s)); err == nil {
-			t.Errorf("%s = %v is taken: %+v", c.field, c.value, job)
+			t.Errorf("%s = %v is accepted: %+v", c.field, c.value, job)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s = %v: %q is not one line", c.field, c.value, err)
+			t.Errorf("%s = %v: error %q is not a single line", c.field, c.value, err)
 		}
 	}
 	for name, body := range map[string][]byte{
 		"empty":     nil,
 		"JSON":      []byte(`{"uid":"j-1"}`),
 		"list":      Encode([]int{1}),
-		"cut off":   Encode(goodSubmission())[:40],
+		"cut off":   Encode(validSubmission())[:40],
 		"deep":      append([]byte{0xa1, 0x61, 'x'}, bytes.Repeat([]byte{0x81}, 60000)...),
 		"huge map":  {0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
 		"huge text": {0xa1, 0x7b, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff},
 	} {
 		if _, err := ParseSubmission(body); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("body %q is accepted", name)
 		}
 	}
 }
 
 func FuzzSubmissions(f *testing.F) {
-	f.Add(Encode(goodSubmission()))
+	f.Add(Encode(validSubmission()))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		job, err := ParseSubmission(data)
 		if err == nil && (!ValidJobID(job.ID) || job.Tasks < 1 || job.Tasks > MaxTasks || job.Request.CPU < 0 || job.Deadline < 0) {
-			t.Fatalf("%+v", job)
+			t.Fatalf("invalid job %+v", job)
 		}
 	})
 }
--- a/internal/protocol/wire/doc.go
+++ b/internal/protocol/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds the code that the FlatBuffers compiler generates for the frames
-// between controllers, from mesh.fbs.
+// Package wire is the code that the FlatBuffers compiler generates from mesh.fbs, for frames
+// between controllers.
 package wire
--- a/internal/protocol/wire/schema_test.go
+++ b/internal/protocol/wire/schema_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// schemaLine matches an enum's entries and a table's fields in mesh.fbs.
+// Patterns for the parts of mesh.fbs.
 var (
 	schemaEnum  = regexp.MustCompile(`enum (\w+) : ubyte \{([^}]*)\}`)
 	schemaTable = regexp.MustCompile(`(?s)table (\w+) \{(.*?)\n\}`)
@@ -25,7 +25,8 @@
 	return string(content)
 }
 
-// goName is the name that the compiler gives a field: retry_after becomes RetryAfter.
+// goName returns the Go name that the FlatBuffers compiler gives a field: retry_after becomes
+// RetryAfter.
 func goName(field string) string {
 	var name strings.Builder
 	for _, part := range strings.Split(field, "_") {
@@ -34,10 +35,10 @@
 	return name.String()
 }
 
-func TestEnumIsAsTheSchemaSays(t *testing.T) {
+func TestGeneratedEnumMatchesTheSchema(t *testing.T) {
 	enum := schemaEnum.FindStringSubmatch(readFile(t, "../mesh.fbs"))
 	if enum == nil || enum[1] != "Kind" {
-		t.Fatalf("the schema's enum: %v", enum)
+		t.Fatalf("enum Kind not found in the schema: %v", enum)
 	}
 	entries := strings.Split(enum[2], ",")
 	if len(entries) != len(EnumNamesKind) {
@@ -56,27 +57,27 @@
 	}
 }
 
-// Each field has its place in the table by its place in the schema, for writers and readers.
-func TestTableIsAsTheSchemaSays(t *testing.T) {
+// The generated code must write and read each field at the slot of its position in the schema.
+func TestGeneratedTableMatchesTheSchema(t *testing.T) {
 	table := schemaTable.FindStringSubmatch(readFile(t, "../mesh.fbs"))
 	if table == nil || table[1] != "Frame" {
-		t.Fatalf("the schema's table: %v", table)
+		t.Fatalf("table Frame not found in the schema: %v", table)
 	}
 	fields := schemaField.FindAllStringSubmatch(table[2], -1)
 	code := readFile(t, "Frame.go")
 	if start := fmt.Sprintf("builder.StartObject(%d)", len(fields)); !strings.Contains(code, start) {
-		t.Errorf("%s is not generated", start)
+		t.Errorf("generated code has no %s", start)
 	}
 	for slot, match := range fields {
 		name := goName(match[1])
 		writer := regexp.MustCompile(fmt.Sprintf(`func FrameAdd%s\([^)]*\) \{\n\tbuilder\.Prepend\w+Slot\(%d,`, name, slot))
 		if !writer.MatchString(code) {
-			t.Errorf("field %d, %s: no writer of that place is generated", slot, match[1])
+			t.Errorf("field %d, %s: no generated writer of this slot", slot, match[1])
 		}
-		offset := 4 + 2*slot // places of a table's fields begin behind two offsets of its head
+		offset := 4 + 2*slot // a vtable begins with its own size and the table's size, two bytes each
 		accessor := regexp.MustCompile(fmt.Sprintf(`func \(rcv \*Frame\) %s\([^)]*\) [\w\[\]]+ \{\n\to := flatbuffers\.UOffsetT\(rcv\._tab\.Offset\(%d\)\)`, name, offset))
 		if !accessor.MatchString(code) {
-			t.Errorf("field %d, %s: no reader of that place is generated", slot, match[1])
+			t.Errorf("field %d, %s: no generated reader of this slot", slot, match[1])
 		}
 	}
 }
