--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,6 +1,5 @@
-// Package cloud is the client of the cloud that rents the machines: its catalog of instance
-// types, the list of rented machines, and requests to scale out and in. It keeps within the
-// cloud's rate of requests.
+// Package cloud is the client of the cloud's API: the catalog of instance types, the list of rented
+// machines, and requests to scale out and in. It respects the cloud's rate limit.
 package cloud
 
 import (
@@ -19,46 +18,48 @@
 	"dunestand/internal/units"
 )
 
-// Outcomes of a request to the cloud that are not success.
+// Errors of requests to the cloud.
 var (
-	// ErrNoCapacity: no instance of the offering asked for is available.
+	// ErrNoCapacity reports that no machine of the requested instance type, zone and pricing is
+	// available.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrCallFailed: the request was refused, or may or may not be carried out.
+	// ErrCallFailed reports that the request was refused, or that its outcome is unknown.
 	ErrCallFailed = errors.New("cloud did not serve the request")
 )
 
-// noCapacityMessage is the cloud's message with a status 503 that says ErrNoCapacity.
+// noCapacityMessage is the message that the cloud sends with status 503 for ErrNoCapacity.
 const noCapacityMessage = "no capacity"
 
 const (
-	// callTimeout is how long the client waits for one response.
+	// callTimeout limits the time of one request.
 	callTimeout = 4 * units.Second
-	// maxConns is the number of connections to the cloud.
+	// maxConns limits the connections to the cloud.
 	maxConns = 3
-	// maxResponse is the most that is read of a response, in bytes.
-	maxResponse = 1 << 20
-	// requestShare is the part of the cloud's rate that a controller uses, and requestBurst
-	// the seconds of that rate that it may use at once.
+	// maxResponseBytes limits the size of a response.
+	maxResponseBytes = 1 << 20
+	// requestShare is the part of the cloud's rate limit that a controller uses.
 	requestShare = 0.8
-	requestBurst = 1.6
+	// requestBurstSeconds is the size of a burst, as seconds of the cloud's rate limit.
+	requestBurstSeconds = 1.6
 )
 
-// Client is the cloud's interface, within its rate of requests. It may be used concurrently.
+// Client sends requests to the cloud within its rate limit. It is safe for concurrent use.
 type Client struct {
 	client  *transport.Client
 	limiter *rate.Limiter
 }
 
-// NewClient returns a client of the cloud at an address.
+// NewClient returns a client of the cloud at addr (IP:port). A nil dial means net.Dialer.
 func NewClient(dial transport.DialFunc, addr string, limits config.CloudLimits) *Client {
 	return &Client{
-		client:  transport.NewClient(dial, addr, maxConns, maxResponse),
-		limiter: rate.NewLimiter(rate.Limit(limits.RPS*requestShare), max(int(limits.RPS*requestBurst), 1)),
+		client:  transport.NewClient(dial, addr, maxConns, maxResponseBytes),
+		limiter: rate.NewLimiter(rate.Limit(limits.RPS*requestShare), max(int(limits.RPS*requestBurstSeconds), 1)),
 	}
 }
 
-// call sends a request, once the rate allows it, and decodes its response. Any status but 200
-// is an error. A nil body or response is none.
+// call waits for the rate limit, sends a request and decodes the response. Any status other than 200
+// is an error. If body is nil, the request has no body; if response is nil, the body of the response
+// is ignored.
 func (c *Client) call(ctx context.Context, method, path string, body, response any) error {
 	if err := c.limiter.WaitN(ctx, 1); err != nil {
 		return ErrCallFailed
@@ -84,34 +85,33 @@
 	return nil
 }
 
-// saysNoCapacity reports whether an error response says that there is no capacity.
+// saysNoCapacity reports whether an error response has the message noCapacityMessage.
 func saysNoCapacity(raw []byte) bool {
 	var e protocol.ErrorResponse
 	return protocol.Decode(raw, &e) == nil && e.Message == noCapacityMessage
 }
 
-// Catalog reads the instance types.
+// Catalog returns the instance types that the cloud offers.
 func (c *Client) Catalog(ctx context.Context) (protocol.Catalog, error) {
 	var catalog protocol.Catalog
 	err := c.call(ctx, http.MethodGet, protocol.PathCatalog, nil, &catalog)
 	return catalog, err
 }
 
-// ScaleOut rents machines and returns their IDs. It fails with ErrNoCapacity, or with
-// ErrCallFailed, after which machines may have been rented or may be still.
+// ScaleOut rents machines and returns their IDs. It returns ErrNoCapacity, or ErrCallFailed, after
+// which the cloud may have rented the machines or may still rent them.
 func (c *Client) ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
 	var rented protocol.MachineIDs
 	err := c.call(ctx, http.MethodPost, protocol.PathMachines, r, &rented)
 	return rented.Machines, err
 }
 
-// ScaleIn releases machines. Without an error they are gone, with all that was
-// on them.
+// ScaleIn releases machines. If it returns nil, the machines and all tasks on them have ended.
 func (c *Client) ScaleIn(ctx context.Context, ids []string) error {
 	return c.call(ctx, http.MethodPost, protocol.PathScaleIn, protocol.MachineIDs{Machines: ids}, nil)
 }
 
-// ListMachines reads the whole list of rented machines, page by page.
+// ListMachines returns all rented machines. It reads the list page by page.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	q := url.Values{"limit": {strconv.Itoa(protocol.MaxListPage)}}
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -12,7 +12,7 @@
 	"dunestand/internal/protocol"
 )
 
-// newTestClient returns a client of a cloud that is served by a function.
+// newTestClient returns a client of a fake cloud that responds with serve.
 func newTestClient(t *testing.T, serve http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(serve)
@@ -20,8 +20,8 @@
 	return NewClient(nil, strings.TrimPrefix(server.URL, "http://"), config.CloudLimits{RPS: 1e4})
 }
 
-// What the cloud's response means is told apart by the error.
-func TestScaleOutTellsOutcomesApart(t *testing.T) {
+// Callers distinguish a lack of capacity from an unknown outcome by the error.
+func TestScaleOutErrorDependsOnResponse(t *testing.T) {
 	rented := protocol.Encode(protocol.MachineIDs{Machines: []string{"i-000001"}})
 	for _, c := range []struct {
 		name   string
@@ -52,15 +52,15 @@
 	}
 }
 
-func TestScaleInNeedsNoResponse(t *testing.T) {
+func TestScaleInAcceptsEmptyResponse(t *testing.T) {
 	client := newTestClient(t, func(http.ResponseWriter, *http.Request) {})
 	if err := client.ScaleIn(t.Context(), []string{"i-000001"}); err != nil {
 		t.Error(err)
 	}
 }
 
-// The list goes on after the last machine of each page.
-func TestMachinesAreListedPageByPage(t *testing.T) {
+// Each further page begins after the last machine of the previous page.
+func TestListMachinesReadsAllPages(t *testing.T) {
 	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		page := protocol.MachineList{Machines: []protocol.ListedMachine{{ID: "i-000001"}, {ID: "i-000002"}}, More: true}
 		if r.URL.Query().Get("from") == "i-000002" {
@@ -74,6 +74,6 @@
 		ids = append(ids, m.ID)
 	}
 	if err != nil || !slices.Equal(ids, []string{"i-000001", "i-000002", "i-000003"}) {
-		t.Errorf("listed %v, %v", ids, err)
+		t.Errorf("listed %v, error %v", ids, err)
 	}
 }
--- a/internal/runtimestats/runtimestats.go
+++ b/internal/runtimestats/runtimestats.go
@@ -1,5 +1,4 @@
-// Package runtimestats reads what the Go runtime measures of its own process:
-// where processor time goes, and what memory is used for.
+// Package runtimestats reads the CPU time and memory usage of the process from the Go runtime.
 package runtimestats
 
 import (
@@ -7,21 +6,21 @@
 	"runtime/metrics"
 )
 
-// Snapshot holds the runtime's figures since the process started. The runtime
-// updates its processor seconds at the end of each collection. A figure that this version
-// of Go does not have is 0.
+// Snapshot holds statistics of the Go runtime since the start of the process. The runtime updates
+// CPU times only at the end of each garbage collection. A statistic that this version of Go does not
+// provide is 0.
 type Snapshot struct {
-	UserSeconds      float64 // processor time in this program's own code
-	CollectorSeconds float64 // processor time of the garbage collector
-	IdleSeconds      float64 // time in which no goroutine could run
-	Collections      uint64
-	HeapBytes        uint64 // live objects, and dead ones that are not swept yet
+	UserSeconds      float64 // CPU time in the program's own code
+	CollectorSeconds float64 // CPU time of the garbage collector
+	IdleSeconds      float64 // available CPU time that was not used
+	Collections      uint64  // completed garbage collections
+	HeapBytes        uint64  // live objects, and dead ones that are not swept yet
 	StackBytes       uint64
 	TotalBytes       uint64 // all memory mapped by the runtime
 	Goroutines       uint64
 }
 
-// The names of the figures in runtime/metrics.
+// Names of the statistics in package runtime/metrics.
 const (
 	userSeconds      = "/cpu/classes/user:cpu-seconds"
 	collectorSeconds = "/cpu/classes/gc/total:cpu-seconds"
@@ -33,13 +32,13 @@
 	goroutines       = "/sched/goroutines:goroutines"
 )
 
-// Read takes a snapshot. It may be called from several goroutines.
+// Read returns the current statistics. It is safe for concurrent use.
 func Read() Snapshot {
 	var s Snapshot
-	figures := []struct {
+	statistics := []struct {
 		name    string
-		seconds *float64 // where the value goes, if it is of this kind
-		count   *uint64
+		seconds *float64 // destination of a floating-point value, or nil
+		count   *uint64  // destination of an integer value, or nil
 	}{
 		{name: userSeconds, seconds: &s.UserSeconds},
 		{name: collectorSeconds, seconds: &s.CollectorSeconds},
@@ -50,17 +49,17 @@
 		{name: totalBytes, count: &s.TotalBytes},
 		{name: goroutines, count: &s.Goroutines},
 	}
-	samples := make([]metrics.Sample, len(figures))
-	for i, figure := range figures {
-		samples[i].Name = figure.name
+	samples := make([]metrics.Sample, len(statistics))
+	for i, statistic := range statistics {
+		samples[i].Name = statistic.name
 	}
 	metrics.Read(samples)
-	for i, figure := range figures {
+	for i, statistic := range statistics {
 		switch value := samples[i].Value; {
-		case figure.seconds != nil && value.Kind() == metrics.KindFloat64:
-			*figure.seconds = value.Float64()
-		case figure.count != nil && value.Kind() == metrics.KindUint64:
-			*figure.count = value.Uint64()
+		case statistic.seconds != nil && value.Kind() == metrics.KindFloat64:
+			*statistic.seconds = value.Float64()
+		case statistic.count != nil && value.Kind() == metrics.KindUint64:
+			*statistic.count = value.Uint64()
 		}
 	}
 	return s
--- a/internal/runtimestats/runtimestats_test.go
+++ b/internal/runtimestats/runtimestats_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A renamed metric of the runtime would read as 0 for good.
-func TestReadFindsEveryFigure(t *testing.T) {
+// If a new version of Go renames a metric, its statistic would always be 0.
+func TestReadFindsEveryStatistic(t *testing.T) {
 	runtime.GC()
 	s := Read()
 	if s.UserSeconds <= 0 || s.CollectorSeconds <= 0 {
-		t.Errorf("processor seconds are missing: %+v", s)
+		t.Errorf("CPU times are missing: %+v", s)
 	}
 	if s.Collections == 0 {
 		t.Errorf("collections are missing: %+v", s)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the metrics of one controller.
+// Package telemetry collects the metrics of one controller.
 package telemetry
 
 import (
@@ -11,20 +11,20 @@
 	"dunestand/internal/units"
 )
 
-// Metrics is what one controller counts and shows under /metrics. Gauge, AddWriter and AddRuntime
-// are called before the metrics are served; the other methods may be called concurrently.
+// Metrics are the metrics that one controller serves at /metrics. All calls of Gauge, AddWriter and
+// AddRuntime must precede those of Text. The other methods are safe for concurrent use.
 type Metrics struct {
 	set            *metrics.Set
 	placementDelay *metrics.Histogram
 	admissionWait  *metrics.Histogram
 	writers        []func(io.Writer)
-	// Reconciliation counts what is made of heartbeats.
+	// Reconciliation counts the results of heartbeats.
 	Reconciliation *Reconciliation
-	// Answers counts the answers to users.
+	// Answers counts the responses to users.
 	Answers *Answers
 }
 
-// NewMetrics returns the metrics of one controller, with the histograms of all controllers.
+// NewMetrics returns the metrics that every controller has: histograms and counters.
 func NewMetrics() *Metrics {
 	set := metrics.NewSet()
 	return &Metrics{
@@ -36,21 +36,21 @@
 	}
 }
 
-// Gauge adds a value that is computed when the metrics are shown. value must be safe for
-// concurrent use, and no other gauge may have the name.
+// Gauge adds a gauge whose value is computed for each call of Text. value must be safe for
+// concurrent use, and name must be unique.
 func (m *Metrics) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
-// AddWriter adds lines in the text format of Prometheus whose labels are known only when the
-// metrics are shown. write must be safe for concurrent use.
+// AddWriter adds a function that writes further metrics in the Prometheus text format, for metrics
+// whose labels are not known in advance. write must be safe for concurrent use.
 func (m *Metrics) AddWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
 
-// AdmissionWaited counts a job that was admitted, and how long it had waited.
+// AdmissionWaited records the time that an admitted job has waited for admission.
 func (m *Metrics) AdmissionWaited(wait units.Micros) { m.admissionWait.Update(wait.Seconds()) }
 
-// Placed counts a placement, and the time from when the leader learned of the job until then.
+// Placed records the delay of a placement since the leader learned of the job.
 func (m *Metrics) Placed(delay units.Micros) { m.placementDelay.Update(delay.Seconds()) }
 
-// AddRuntime adds gauges of the Go runtime, each read when the metrics are shown.
+// AddRuntime adds gauges of the Go runtime.
 func (m *Metrics) AddRuntime() {
 	gauges := []struct {
 		name  string
@@ -70,15 +70,14 @@
 	}
 }
 
-// Text returns the metrics in the text format of Prometheus, followed by what further writers
-// add.
-func (m *Metrics) Text(further ...func(io.Writer)) []byte {
+// Text returns the metrics in the Prometheus text format, followed by the output of extra.
+func (m *Metrics) Text(extra ...func(io.Writer)) []byte {
 	var b bytes.Buffer
 	m.set.WritePrometheus(&b)
 	for _, write := range m.writers {
 		write(&b)
 	}
-	for _, write := range further {
+	for _, write := range extra {
 		write(&b)
 	}
 	return b.Bytes()
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -9,7 +9,7 @@
 	"dunestand/internal/units"
 )
 
-func TestTextShowsWhatWasAdded(t *testing.T) {
+func TestTextContainsAllAddedMetrics(t *testing.T) {
 	m := NewMetrics()
 	value := 1.0
 	m.Gauge("dunestand_test", func() float64 { return value })
@@ -28,10 +28,10 @@
 		"dunestand_runtime_goroutines ",
 	} {
 		if !strings.Contains("\n"+text, "\n"+line) {
-			t.Errorf("no line %q", line)
+			t.Errorf("no line begins with %q", line)
 		}
 	}
-	if again := string(m.Text()); strings.Contains(again, "dunestand_of_the_leader") {
-		t.Error("a further writer stays")
+	if later := string(m.Text()); strings.Contains(later, "dunestand_of_the_leader") {
+		t.Error("the output of an extra writer appears in a later text")
 	}
 }
--- a/internal/telemetry/reconciliation.go
+++ b/internal/telemetry/reconciliation.go
@@ -2,16 +2,16 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Reconciliation counts what the leaders of one controller made of workers' heartbeats, and
-// what they sent to workers. Its counters may be used concurrently.
+// Reconciliation counts heartbeats by their result, and commands to workers, while a controller is
+// the leader. Its counters are safe for concurrent use.
 type Reconciliation struct {
-	StaleHeartbeats *metrics.Counter // older than one that was handled, or of a released machine
-	OtherTokens     *metrics.Counter // handled, but shows another fencing token than the leader's
-	LaterTokens     *metrics.Counter // refused: shows a later leader's fencing token
-	Adopted         *metrics.Counter // attempts that a former leader started
-	Rivals          *metrics.Counter // of these, attempts of a task that has another attempt
+	StaleHeartbeats *metrics.Counter // ignored: older than a handled one, or from a released machine
+	OtherTokens     *metrics.Counter // handled, although the fencing token is not the leader's
+	LaterTokens     *metrics.Counter // refused: the fencing token is that of a later leader
+	Adopted         *metrics.Counter // attempts of an earlier leader that a heartbeat reported
+	Rivals          *metrics.Counter // adopted attempts whose task also has another attempt
 	StartsSent      *metrics.Counter
-	StartsHeld      *metrics.Counter // not sent while another attempt of the task may be somewhere
+	StartsHeld      *metrics.Counter // delayed because another attempt of the task may still run
 	StopsSent       *metrics.Counter
 }
 
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,7 +12,7 @@
 	"dunestand/internal/units"
 )
 
-// DialFunc opens a connection, as net.Dialer.DialContext does.
+// DialFunc opens a connection. Its contract is that of net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // idleConnTimeout is how long an unused connection is kept.
@@ -21,7 +21,7 @@
 // dialTimeout is how long opening a connection may take.
 const dialTimeout = time.Second
 
-// orDefault returns d, or a dialer on the machine's own network if d is nil.
+// orDefault returns d, or net.Dialer with dialTimeout if d is nil.
 func (d DialFunc) orDefault() DialFunc {
 	if d != nil {
 		return d
@@ -29,16 +29,14 @@
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext
 }
 
-// Client sends requests to one server over a few kept connections. It may be used from
-// several goroutines.
+// Client sends requests to one server over a pool of connections. It is safe for concurrent use.
 type Client struct {
 	baseURL   string
 	exchanger exchanger
 }
 
-// NewClient makes a client for the server at addr (IP:port). It opens at most
-// maxConns connections, by dial, and reads responses of at most maxResponseBytes. A nil
-// dial stands for the machine's own network.
+// NewClient returns a client of the server at addr (IP:port). It opens at most maxConns connections
+// with dial, and accepts responses of at most maxResponseBytes. A nil dial means net.Dialer.
 func NewClient(dial DialFunc, addr string, maxConns int, maxResponseBytes int64) *Client {
 	t := &http.Transport{
 		DialContext:         dial.orDefault(),
@@ -53,49 +51,49 @@
 	}
 }
 
-// Do sends one request and returns the status and the whole body of the response; a nil
-// body stands for none. It gives up after timeout, or when ctx ends. An error, such as a
-// *ResponseTooLargeError, means that the request may or may not have been carried out.
+// Do sends a request and returns the status and the body of the response. A nil body means a request
+// without a body. Do fails after timeout, when ctx ends, or with a *ResponseTooLargeError. After an
+// error, the server may or may not have processed the request.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout units.Micros) (int, []byte, error) {
 	return c.exchanger.do(ctx, method, c.baseURL+path, body, timeout)
 }
 
-// Caller sends single requests to many servers, each on a connection of its own.
-// It may be used from several goroutines.
+// Caller sends requests to many servers, each on a new connection. It is safe for concurrent use.
 type Caller struct {
 	exchanger exchanger
 }
 
-// NewCaller makes a caller that reads responses of at most maxResponseBytes. A nil dial
-// stands for the machine's own network.
+// NewCaller returns a caller that accepts responses of at most maxResponseBytes. A nil dial means
+// net.Dialer.
 func NewCaller(dial DialFunc, maxResponseBytes int64) *Caller {
 	t := &http.Transport{DialContext: dial.orDefault(), DisableKeepAlives: true, DisableCompression: true}
 	return &Caller{exchanger{client: &http.Client{Transport: t}, maxResponseBytes: maxResponseBytes}}
 }
 
-// Post sends one request to the server at addr (IP:port). Its results and errors are those
-// of Client.Do.
+// Post sends a request to the server at addr (IP:port). Its results and errors are those of
+// Client.Do.
 func (c *Caller) Post(ctx context.Context, addr, path string, body []byte, timeout units.Micros) (int, []byte, error) {
 	return c.exchanger.do(ctx, http.MethodPost, "http://"+addr+path, body, timeout)
 }
 
-// ResponseTooLargeError reports a response that is longer than its client reads.
+// ResponseTooLargeError reports a response that exceeds the limit of its client.
 type ResponseTooLargeError struct {
 	URL        string
 	LimitBytes int64
 }
 
+// Error implements error.
 func (e *ResponseTooLargeError) Error() string {
-	return fmt.Sprintf("response of %s is over %d bytes", e.URL, e.LimitBytes)
+	return fmt.Sprintf("response of %s exceeds %d bytes", e.URL, e.LimitBytes)
 }
 
-// exchanger sends requests and reads their responses whole.
+// exchanger sends requests and reads their complete responses.
 type exchanger struct {
 	client           *http.Client
 	maxResponseBytes int64
 }
 
-// do sends one request; a nil body stands for none.
+// do implements Client.Do and Caller.Post.
 func (e exchanger) do(ctx context.Context, method, url string, body []byte, timeout units.Micros) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -127,8 +125,8 @@
 		return nil, err
 	}
 	request.Header.Set("Content-Type", "application/cbor")
-	// The standard client repeats a request on a fresh connection when it
-	// thinks that safe. Here a repeat is the caller's decision alone.
+	// Without GetBody, http.Client cannot resend a request on a new connection after a failure.
+	// Only the caller decides on retries.
 	request.GetBody = nil
 	return request, nil
 }
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/units"
 )
 
-// blockOrAnswer waits for the end of a request to "slow", and answers all others with
-// responseBytes bytes.
+// blockOrAnswer returns a handler that blocks a request with the ID "slow" until its context ends,
+// and responds to others with responseBytes bytes.
 func blockOrAnswer(responseBytes int) Handler {
 	return func(ctx context.Context, r Request) Response {
 		if r.ID == "slow" {
@@ -20,19 +20,19 @@
 	}
 }
 
-func TestClientGivesUpAndBoundsResponses(t *testing.T) {
+func TestClientTimesOutAndRejectsLargeResponses(t *testing.T) {
 	addr := startServer(t, 10, blockOrAnswer(5000))
 	client := NewClient(nil, addr, 2, 1000)
 	if _, _, err := client.Do(t.Context(), http.MethodPost, "/echo/slow", []byte("x"), 50*units.Millisecond); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a request without an answer ends with %v", err)
+		t.Errorf("a request without a response ends with %v", err)
 	}
 	_, _, err := client.Do(t.Context(), http.MethodPost, "/echo/x", []byte("x"), 5*units.Second)
 	if err == nil {
-		t.Error("a response over the bound is read")
+		t.Error("a response over the limit is accepted")
 	}
 	tooLarge, ok := errors.AsType[*ResponseTooLargeError](err)
 	if !ok {
-		t.Fatalf("a response over the bound is reported as %v", err)
+		t.Fatalf("a response over the limit is reported as %v", err)
 	}
 	if want := (ResponseTooLargeError{URL: "http://" + addr + "/echo/x", LimitBytes: 1000}); *tooLarge != want {
 		t.Errorf("reported %+v, expected %+v", *tooLarge, want)
@@ -54,6 +54,6 @@
 		}
 	}
 	if _, _, err := caller.Post(t.Context(), startServer(t, 10, blockOrAnswer(0)), "/echo/slow", nil, 50*units.Millisecond); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a request without an answer ends with %v", err)
+		t.Errorf("a request without a response ends with %v", err)
 	}
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -13,30 +13,30 @@
 	"time"
 )
 
-// Bounds of a connection with a client.
+// Limits of a connection with a client.
 const (
 	readBufferBytes  = 4 << 10
 	maxHeaderBytes   = 8 << 10
-	maxBodyWireBytes = 2 * MaxBodyBytes // a body in chunks carries their lengths, too
-	maxDiscardBytes  = 256 << 10        // of a refused request, read so that the client sees the response
+	maxBodyWireBytes = 2 * MaxBodyBytes // a chunked body also contains the sizes of its chunks
+	maxDiscardBytes  = 256 << 10        // of a refused request, see discardInput
 	discardTimeout   = 500 * time.Millisecond
 )
 
-// connection serves one client's requests, one after the other, in one goroutine.
+// connection serves the requests of one client sequentially in one goroutine.
 //
-// It stands in place of http.Server, which starts a second goroutine for every
-// request to watch for the client to go away, and sets four deadlines. On a controller with
-// a few percent of a core, hundreds of workers send heartbeats at the same time, and
-// each such step of each heartbeat delays all else that the controller does. No handler here
-// runs for more than a few seconds, so none needs to know that its client is gone.
+// It replaces http.Server, which for every request sets four deadlines and starts a second
+// goroutine that detects a disconnected client. A controller may have only a few percent of a
+// core while hundreds of workers send heartbeats at the same time, so this overhead would delay
+// all its other work. Handlers run for a few seconds at most and need not know that their client
+// has disconnected.
 //
-// It belongs to the goroutine that calls serve.
+// A connection is used only by the goroutine that calls serve.
 type connection struct {
 	conn        net.Conn
 	handler     http.Handler
 	idleTimeout time.Duration
 	log         *slog.Logger
-	limited     *io.LimitedReader // bounds what the current request may read
+	limited     *io.LimitedReader // bounds the bytes that the current request may read
 	reader      *bufio.Reader
 	response    bufferedResponse
 }
@@ -54,8 +54,8 @@
 	}
 }
 
-// serve answers requests until ctx ends, or the client closes the connection, is idle
-// for too long or sends something that is not a request.
+// serve responds to requests until ctx ends, a handler panics, or the client closes the connection,
+// exceeds idleTimeout or sends an invalid request. It closes the connection before it returns.
 func (c *connection) serve(ctx context.Context) {
 	defer c.conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = c.conn.Close() })()
@@ -64,7 +64,7 @@
 	}
 }
 
-// recoverPanic confines a handler's failure to the connection of its request.
+// recoverPanic logs the panic of a handler, so that it ends only the connection of its request.
 func (c *connection) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -73,7 +73,7 @@
 	c.log.Error("request handler panicked", "client", c.conn.RemoteAddr().String(), "cause", cause, "stack", string(debug.Stack()))
 }
 
-// serveRequest answers one request and reports whether the connection goes on.
+// serveRequest responds to one request and reports whether the connection remains usable.
 func (c *connection) serveRequest(ctx context.Context) bool {
 	request, ok := c.readRequest()
 	if !ok {
@@ -101,13 +101,13 @@
 		c.discardInput()
 		return false
 	}
-	// The next request begins behind what the handler has left of this one.
+	// The next request follows the part of this body that the handler has not read.
 	_, _ = io.Copy(io.Discard, body)
 	return !closing && body.atEOF
 }
 
-// readRequest reads a request up to its body, which it leaves to be read within
-// maxBodyWireBytes. It refuses what is not a request.
+// readRequest reads the header of a request and limits its body to maxBodyWireBytes. It responds to
+// an invalid request with an error status and returns false.
 func (c *connection) readRequest() (request *http.Request, ok bool) {
 	if err := c.extendDeadline(); err != nil {
 		return nil, false
@@ -126,14 +126,13 @@
 	return request, true
 }
 
-// extendDeadline allows the client's next step, and the response to it, as much time as a
-// client may be idle.
+// extendDeadline gives the next read from the client and the response to it idleTimeout from now.
 func (c *connection) extendDeadline() error {
 	return c.conn.SetDeadline(time.Now().Add(c.idleTimeout))
 }
 
-// confirmExpectation asks a client that waits for it to send the body. It reports whether
-// the connection goes on.
+// confirmExpectation sends the status 100 (Continue) if the client waits for it before it sends the
+// body. It reports whether the connection remains usable.
 func (c *connection) confirmExpectation(request *http.Request) bool {
 	if !strings.EqualFold(request.Header.Get("Expect"), "100-continue") {
 		return true
@@ -142,7 +141,7 @@
 	return err == nil
 }
 
-// refuseUnreadable responds to what is not a request, unless the client has gone.
+// refuseUnreadable responds to an invalid request, unless the client has disconnected or timed out.
 func (c *connection) refuseUnreadable(err error) {
 	var netErr net.Error
 	switch {
@@ -154,6 +153,7 @@
 	}
 }
 
+// refuse responds with an error status before the connection is closed.
 func (c *connection) refuse(status int) {
 	c.response.reset()
 	c.response.header.Set("Connection", "close")
@@ -164,8 +164,8 @@
 	c.discardInput()
 }
 
-// discardInput reads what a refused client still sends. A connection that is closed
-// with unread input is reset, and the client might never see the response.
+// discardInput reads the rest of a refused request. Closing a connection with unread input resets
+// it, and the client might not receive the response.
 func (c *connection) discardInput() {
 	if conn, ok := c.conn.(closeWriter); ok {
 		_ = conn.CloseWrite()
@@ -174,12 +174,13 @@
 	_, _ = io.CopyN(io.Discard, c.conn, maxDiscardBytes)
 }
 
-// trackedBody notes whether a request's body was read to its end.
+// trackedBody is a request body that records whether it was read to its end.
 type trackedBody struct {
 	io.ReadCloser
 	atEOF bool
 }
 
+// Read implements io.Reader.
 func (b *trackedBody) Read(buffer []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buffer)
 	if errors.Is(err, io.EOF) {
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -15,7 +15,7 @@
 	"dunestand/internal/units"
 )
 
-func TestConnectionAnswersInOrder(t *testing.T) {
+func TestConnectionRespondsInOrder(t *testing.T) {
 	addr := startServer(t, 10, echoBody)
 	cases := []struct {
 		name, input string
@@ -23,20 +23,20 @@
 		lastBody    string
 	}{
 		{"kept open", echoHead + "Content-Length: 1\r\n\r\na" + echoHead + "Content-Length: 2\r\n\r\nbc", []int{200, 200}, "bc"},
-		{"chunks", echoHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n" + echoHead + "Content-Length: 1\r\n\r\nd", []int{200, 200}, "d"},
-		{"the client closes", echoHead + "Connection: close\r\nContent-Length: 1\r\n\r\na" + echoHead + "Content-Length: 1\r\n\r\nb", []int{200}, "a"},
-		{"old protocol", "POST /echo/x HTTP/1.0\r\nContent-Length: 1\r\n\r\na" + echoHead + "Content-Length: 1\r\n\r\nb", []int{200}, "a"},
-		{"the body is asked for", echoHead + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\na", []int{100, 200}, "a"},
+		{"chunked body", echoHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n" + echoHead + "Content-Length: 1\r\n\r\nd", []int{200, 200}, "d"},
+		{"client asks to close", echoHead + "Connection: close\r\nContent-Length: 1\r\n\r\na" + echoHead + "Content-Length: 1\r\n\r\nb", []int{200}, "a"},
+		{"HTTP 1.0", "POST /echo/x HTTP/1.0\r\nContent-Length: 1\r\n\r\na" + echoHead + "Content-Length: 1\r\n\r\nb", []int{200}, "a"},
+		{"client expects 100-continue", echoHead + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\na", []int{100, 200}, "a"},
 		{"unknown method", "PUT /echo/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", []int{405}, ""},
-		{"a body that nobody reads", "PUT /echo/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\na" + echoHead + "Content-Length: 1\r\n\r\nb", []int{405, 200}, "b"},
-		{"no host", "POST /echo/x HTTP/1.1\r\nContent-Length: 1\r\n\r\na", []int{400}, ""},
-		{"no request", "hello\r\n\r\n", []int{400}, ""},
-		{"too long a header", echoHead + "X: " + strings.Repeat("a", 2*maxHeaderBytes) + "\r\n\r\n", []int{431}, ""},
-		{"too long a body", echoHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", MaxBodyBytes+1, strings.Repeat("a", MaxBodyBytes+1)) + echoHead + "Content-Length: 1\r\n\r\nb", []int{400, 200}, "b"},
-		{"too long a body in chunks", echoHead + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", MaxBodyBytes+1, strings.Repeat("a", MaxBodyBytes+1)), []int{400}, ""},
-		{"cut off in the header", "POST /echo/x HTTP/1.1\r\nHo", []int{400}, ""},
-		{"nothing at all", "", nil, ""},
-		{"cut off in the body", echoHead + "Content-Length: 10\r\n\r\nabc", []int{400}, ""},
+		{"unread body", "PUT /echo/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\na" + echoHead + "Content-Length: 1\r\n\r\nb", []int{405, 200}, "b"},
+		{"no Host header", "POST /echo/x HTTP/1.1\r\nContent-Length: 1\r\n\r\na", []int{400}, ""},
+		{"not a request", "hello\r\n\r\n", []int{400}, ""},
+		{"header too long", echoHead + "X: " + strings.Repeat("a", 2*maxHeaderBytes) + "\r\n\r\n", []int{431}, ""},
+		{"body too long", echoHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", MaxBodyBytes+1, strings.Repeat("a", MaxBodyBytes+1)) + echoHead + "Content-Length: 1\r\n\r\nb", []int{400, 200}, "b"},
+		{"chunked body too long", echoHead + "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", MaxBodyBytes+1, strings.Repeat("a", MaxBodyBytes+1)), []int{400}, ""},
+		{"truncated header", "POST /echo/x HTTP/1.1\r\nHo", []int{400}, ""},
+		{"empty input", "", nil, ""},
+		{"truncated body", echoHead + "Content-Length: 10\r\n\r\nabc", []int{400}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -58,9 +58,9 @@
 	}
 }
 
-// A request that comes when its client has been idle for nearly too long is answered,
-// though its handler takes a while.
-func TestLateRequestIsAnswered(t *testing.T) {
+// The idle timeout starts again with each request. Otherwise a request that arrives shortly before
+// the timeout would get no response if its handler is slow.
+func TestRequestBeforeIdleTimeoutGetsResponse(t *testing.T) {
 	const idle = 400 * time.Millisecond
 	server := NewServer(10, units.Micros(idle/time.Microsecond), discardLog())
 	server.Handle(http.MethodGet, "/slow", func(context.Context, Request) Response {
@@ -71,11 +71,11 @@
 	time.Sleep(idle * 3 / 4)
 	_, _ = io.WriteString(conn, "GET /slow HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	if responses := readResponses(t, conn); len(responses) != 1 || responses[0].StatusCode != http.StatusOK {
-		t.Errorf("not answered: %v", responses)
+		t.Errorf("no successful response: %v", responses)
 	}
 }
 
-func TestHandlerFailureEndsOneConnection(t *testing.T) {
+func TestHandlerPanicClosesOneConnection(t *testing.T) {
 	addr := startServer(t, 10, func(_ context.Context, r Request) Response {
 		if string(r.Body) == "fail" {
 			panic("a handler fails")
@@ -83,17 +83,16 @@
 		return Response{Status: http.StatusOK, Body: r.Body}
 	})
 	if responses := exchange(t, addr, echoHead+"Content-Length: 4\r\n\r\nfail"); len(responses) != 0 {
-		t.Errorf("a failed request was answered: %v", responses[0].Status)
+		t.Errorf("a request whose handler panicked got the response %v", responses[0].Status)
 	}
 	if responses := exchange(t, addr, echoHead+"Content-Length: 2\r\n\r\nok"); len(responses) != 1 || responses[0].StatusCode != http.StatusOK {
-		t.Error("the next connection was not served")
+		t.Error("a request on the next connection got no successful response")
 	}
 }
 
-// The load of a controller is hundreds of workers that send heartbeats at the same time. A second
-// goroutine for each of their requests costs memory, and scheduling it
-// delays everything else.
-func TestRequestTakesOneGoroutine(t *testing.T) {
+// Hundreds of workers send heartbeats to a controller at the same time. A second goroutine for each
+// request would cost memory, and scheduling it would delay all other work.
+func TestRequestUsesOneGoroutine(t *testing.T) {
 	const clients = 50
 	entered, release := make(chan struct{}), make(chan struct{})
 	addr := startServer(t, clients, func(ctx context.Context, _ Request) Response {
@@ -112,14 +111,14 @@
 	for range clients {
 		<-entered
 	}
-	const others = clients / 10 // of the runtime and of tests that have ended
+	const others = clients / 10 // goroutines of the runtime and of earlier tests
 	if n := runtime.NumGoroutine() - before; n > clients+others {
-		t.Errorf("%d requests take %d goroutines", clients, n)
+		t.Errorf("%d requests use %d goroutines", clients, n)
 	}
 	close(release)
 }
 
-// Whatever a client sends, the answers are well-formed and the connection ends.
+// For any input, the responses must be well-formed and the connection must be closed.
 func FuzzConnection(f *testing.F) {
 	f.Add([]byte("POST /echo/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\na"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
@@ -134,7 +133,7 @@
 			t.Error("the connection is left open")
 		}
 		if bytes.Contains(input, []byte("HEAD")) {
-			return // an answer without the body that it declares
+			return // a response without the body that its header declares
 		}
 		readResponses(t, &conn.output)
 	})
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestFramesReadBackUpToACut(t *testing.T) {
+func TestFramesBeforeTruncationAreReadUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		frames := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 1, 300), 1, 5).Draw(t, "frames")
 		var wire bytes.Buffer
@@ -18,12 +18,12 @@
 				t.Fatal(err)
 			}
 		}
-		cut := rapid.IntRange(0, wire.Len()).Draw(t, "cut")
-		reader := bytes.NewReader(wire.Bytes()[:cut])
+		length := rapid.IntRange(0, wire.Len()).Draw(t, "length")
+		reader := bytes.NewReader(wire.Bytes()[:length])
 		for _, frame := range frames {
 			got, err := ReadFrame(reader)
 			if err != nil {
-				return // the cut; what came before was whole
+				return // the truncated frame; those before it were complete
 			}
 			if !bytes.Equal(got, frame) {
 				t.Fatalf("read %x, wrote %x", got, frame)
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestFrameSizeIsBounded(t *testing.T) {
+func TestFrameOfInvalidSizeIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		header []byte
@@ -45,7 +45,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ReadFrame(bytes.NewReader(c.header))
 			if err == nil {
-				t.Fatal("the frame is read")
+				t.Fatal("the frame is accepted")
 			}
 			sizeError, ok := errors.AsType[*FrameSizeError](err)
 			if !ok || sizeError.Bytes != c.bytes {
@@ -55,7 +55,7 @@
 	}
 	err := WriteFrame(io.Discard, make([]byte, MaxFrameBytes+1))
 	if err == nil {
-		t.Fatal("an oversized frame is written")
+		t.Fatal("an oversized frame is accepted")
 	}
 	if sizeError, ok := errors.AsType[*FrameSizeError](err); !ok || sizeError.Bytes != MaxFrameBytes+1 {
 		t.Errorf("an oversized frame is reported as %v", err)
--- a/internal/transport/harness_test.go
+++ b/internal/transport/harness_test.go
@@ -16,15 +16,15 @@
 	"dunestand/internal/units"
 )
 
-// patience is how long a test waits for what happens at once on an idle machine.
+// patience is how long a test waits for an event. On an idle machine the event is immediate.
 const patience = 10 * time.Second
 
-// echoHead begins a request to the server of startServer.
+// echoHead is the beginning of a request to the server of startServer.
 const echoHead = "POST /echo/x HTTP/1.1\r\nHost: h\r\n"
 
 func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// echoBody answers with the request's body.
+// echoBody responds with the body of the request.
 func echoBody(_ context.Context, r Request) Response {
 	if r.TooLarge {
 		return Response{Status: http.StatusBadRequest}
@@ -32,7 +32,7 @@
 	return Response{Status: http.StatusOK, Body: r.Body}
 }
 
-// listen opens a listener on a free loopback port.
+// listen returns a listener on a free loopback port.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,8 +53,8 @@
 	return conn
 }
 
-// startServing runs serve on a free port until the test ends, and waits for it then. It
-// returns the address.
+// startServing runs serve on a free port until the test ends, waits for it to return, and checks
+// its error. It returns the address.
 func startServing(t *testing.T, serve func(context.Context, net.Listener) error) string {
 	t.Helper()
 	listener := listen(t)
@@ -62,13 +62,13 @@
 	go func() { done <- serve(t.Context(), listener) }()
 	t.Cleanup(func() {
 		if err := <-done; err != nil {
-			t.Errorf("the server has failed: %v", err)
+			t.Errorf("server failed: %v", err)
 		}
 	})
 	return listener.Addr().String()
 }
 
-// startServer serves POST /echo/:id by handler until the test ends, and returns the address.
+// startServer serves POST /echo/:id with handler until the test ends, and returns the address.
 func startServer(t *testing.T, maxConns int, handler Handler) string {
 	t.Helper()
 	server := NewServer(maxConns, 10*units.Second, discardLog())
@@ -76,8 +76,7 @@
 	return startServing(t, server.Serve)
 }
 
-// exchange sends raw bytes on a connection of their own and returns all responses until
-// the server closes it.
+// exchange sends input on a new connection and returns all responses until the server closes it.
 func exchange(t *testing.T, addr, input string) []*http.Response {
 	t.Helper()
 	conn := dial(t, addr)
@@ -115,7 +114,7 @@
 	}
 }
 
-// memoryConn is a connection whose client has sent all that it will.
+// memoryConn is an in-memory connection whose client sends a fixed input.
 type memoryConn struct {
 	net.Conn
 	input  *bytes.Reader
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Bounds of the links between controllers.
+// Limits of the links between controllers.
 const (
-	linkQueueFrames   = 64 // frames waiting to be written
+	linkQueueFrames   = 64 // frames that wait to be written
 	frameWriteTimeout = 3 * time.Second
-	frameReadTimeout  = 20 * time.Second // pings come far more often
+	frameReadTimeout  = 20 * time.Second // peers send pings far more often
 	minRedialDelay    = 100 * time.Millisecond
 	maxRedialDelay    = time.Second
 )
 
-// ErrLinkDown means that the peer cannot be reached now.
+// ErrLinkDown reports that a frame cannot be sent: the link is not connected or its queue is full.
 var ErrLinkDown = errors.New("link is down")
 
-// Link is a connection to one other controller, redialled when it fails. It
-// carries frames; the caller pairs responses with requests.
+// Link is a connection to one other controller that is re-established when it fails. It sends and
+// receives frames; the caller matches responses to requests.
 //
-// Run is called once. The other methods may be called from any goroutine.
+// Run must be called only once. The other methods are safe for concurrent use.
 type Link struct {
 	dial      DialFunc
 	addr      string
@@ -40,9 +40,10 @@
 	random    *rand.Rand
 }
 
-// NewLink makes a link to addr (IP:port); a nil dial stands for the machine's own
-// network. onFrame gets every frame that arrives, one after the other; onLost is called
-// when a connection is lost, after the last call of onFrame for it. The link owns random.
+// NewLink returns a link to addr (IP:port), which connects once Run is called. A nil dial means
+// net.Dialer. onFrame is called sequentially for every received frame. onLost is called when a
+// connection is lost, after the last call of onFrame for that connection. The link takes ownership
+// of random, which spreads the attempts to reconnect.
 func NewLink(dial DialFunc, addr string, onFrame func([]byte), onLost func(), random *rand.Rand, log *slog.Logger) *Link {
 	return &Link{
 		dial:     dial.orDefault(),
@@ -55,8 +56,8 @@
 	}
 }
 
-// Send queues a frame; it never waits. It returns ErrLinkDown if the link is not
-// connected or its queue is full. A queued frame is lost if the connection fails.
+// Send queues a frame without blocking. It returns ErrLinkDown if the link is not connected or its
+// queue is full. A queued frame is lost if the connection fails.
 func (l *Link) Send(frame []byte) error {
 	if !l.connected.Load() {
 		return ErrLinkDown
@@ -69,11 +70,11 @@
 	}
 }
 
-// Up reports whether the link is connected, as far as this side knows.
+// Up reports whether the link is connected. A failure of the peer may not be detected yet.
 func (l *Link) Up() bool { return l.connected.Load() }
 
-// Refused reports whether the peer's machine answers but its process does not:
-// the last try to connect was refused at once.
+// Refused reports whether the peer refused the last attempt to connect: its machine is reachable,
+// but its process does not listen.
 func (l *Link) Refused() bool { return l.refused.Load() }
 
 // Run keeps the link connected until ctx ends.
@@ -101,7 +102,7 @@
 // serve exchanges frames over conn until either side fails or ctx ends.
 func (l *Link) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
-	for len(l.outgoing) > 0 { // frames of the former connection
+	for len(l.outgoing) > 0 { // frames of the previous connection
 		<-l.outgoing
 	}
 	l.connected.Store(true)
@@ -119,7 +120,7 @@
 	l.writeFrames(ctx, conn, readerDone)
 }
 
-// readFrames passes on frames until the connection fails.
+// readFrames passes received frames to onFrame until the connection fails.
 func (l *Link) readFrames(conn net.Conn) {
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
@@ -149,7 +150,7 @@
 	}
 }
 
-// writeFrameInTime writes a frame to a connection whose other side may hang.
+// writeFrameInTime writes a frame within frameWriteTimeout, because the peer may not read.
 func writeFrameInTime(conn net.Conn, frame []byte) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(frameWriteTimeout))
 	return WriteFrame(conn, frame)
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// linkProbe is a link whose received frames and lost connections a test waits for.
+// linkProbe is a link that passes received frames and lost connections to a test.
 type linkProbe struct {
 	*Link
 	received chan string
 	lost     chan struct{}
 }
 
-// startLink runs a link to addr until the test ends, and waits for it then.
+// startLink runs a link to addr until the test ends and waits for it to return.
 func startLink(t *testing.T, addr string) *linkProbe {
 	t.Helper()
 	p := &linkProbe{received: make(chan string, 16), lost: make(chan struct{}, 16)}
@@ -26,7 +26,7 @@
 		func() { p.lost <- struct{}{} },
 		rand.New(rand.NewPCG(1, 2)), discardLog())
 	if err := p.Send([]byte("x")); !errors.Is(err, ErrLinkDown) {
-		t.Fatalf("sent before it was up: %v", err)
+		t.Fatalf("sending before the link is connected returns %v", err)
 	}
 	var running sync.WaitGroup
 	running.Go(func() { p.Run(t.Context()) })
@@ -34,7 +34,7 @@
 	return p
 }
 
-// exchange sends a frame, on each connection that comes up, until it is answered.
+// exchange sends a frame, repeatedly if connections fail, until a response arrives.
 func (p *linkProbe) exchange(t *testing.T, frame string) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -50,10 +50,10 @@
 		case <-time.After(300 * time.Millisecond):
 		}
 	}
-	t.Fatal("no answer")
+	t.Fatal("no response")
 }
 
-// prefixOrFail answers a frame with "re:" before it, and fails for "bad".
+// prefixOrFail returns the frame with the prefix "re:", or an error for "bad".
 func prefixOrFail(_ context.Context, frame []byte) ([]byte, error) {
 	if string(frame) == "bad" {
 		return nil, errors.New("malformed")
@@ -61,9 +61,9 @@
 	return append([]byte("re:"), frame...), nil
 }
 
-// A link comes back after its peer has gone and returned, and a malformed
-// frame ends the connection and nothing else.
-func TestLinkReconnects(t *testing.T) {
+// A link must reconnect after a malformed frame has closed its connection, and after its peer has
+// stopped and restarted.
+func TestLinkReconnectsAfterFailedFrameAndPeerRestart(t *testing.T) {
 	listener := listen(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -72,7 +72,7 @@
 	link := startLink(t, listener.Addr().String())
 	link.exchange(t, "one")
 	if !link.Up() || link.Refused() {
-		t.Errorf("a link in use: up %v, refused %v", link.Up(), link.Refused())
+		t.Errorf("connected link: up %v, refused %v", link.Up(), link.Refused())
 	}
 	if err := link.Send([]byte("bad")); err != nil {
 		t.Fatal(err)
@@ -82,15 +82,15 @@
 	stop()
 	<-link.lost
 	if err := <-served; err != nil {
-		t.Errorf("an ended server reports %v", err)
+		t.Errorf("a stopped server returns %v", err)
 	}
 	for deadline := time.Now().Add(patience); !link.Refused(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("a port without a listener does not count as a refusal")
+			t.Fatal("a port without a listener is not reported as refused")
 		}
 	}
 	if link.Up() {
-		t.Error("a link without a peer is up")
+		t.Error("a link without a peer is reported as up")
 	}
 	listener, err := net.Listen("tcp", listener.Addr().String())
 	if err != nil {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// acceptRetry spaces attempts to accept while the process is out of sockets.
+// acceptRetryDelay is the time between attempts to accept while the process has no free file
+// descriptors.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// acceptLoop serves each connection of listener in a goroutine of its own until ctx ends or
-// the listener fails for good. It closes connections beyond maxConns at once. Before it
-// returns it ends the context of those that are still served and waits for them.
+// acceptLoop serves each connection of listener in its own goroutine until ctx ends, which is not
+// an error, or the listener is closed. It closes connections beyond maxConns immediately. Before it
+// returns, it cancels the context of all open connections and waits for their goroutines.
 func acceptLoop(ctx context.Context, listener net.Listener, maxConns int, log *slog.Logger, serve func(context.Context, net.Conn)) error {
 	connCtx, cancel := context.WithCancel(ctx)
 	var serving sync.WaitGroup
@@ -43,14 +44,15 @@
 	}
 }
 
-// limitListener closes connections beyond maxOpen at once: a client that
-// waits in a backlog learns nothing, one that is refused tries another controller.
+// limitListener closes connections beyond maxOpen immediately instead of leaving them in the
+// backlog, so that their clients can try another controller.
 type limitListener struct {
 	net.Listener
 	maxOpen int64
 	open    atomic.Int64
 }
 
+// Accept implements net.Listener.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -66,13 +68,14 @@
 	}
 }
 
-// limitedConn frees its place in the listener's limit when it is first closed.
+// limitedConn is a connection that counts towards the limit of its listener until it is closed.
 type limitedConn struct {
 	net.Conn
 	listener *limitListener
 	closed   atomic.Bool
 }
 
+// Close implements net.Conn.
 func (c *limitedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
 		c.listener.open.Add(-1)
@@ -80,10 +83,10 @@
 	return c.Conn.Close()
 }
 
-// closeWriter is a connection that can end its outgoing half alone, as *net.TCPConn can.
+// closeWriter is a connection whose write side can be closed separately, such as *net.TCPConn.
 type closeWriter interface{ CloseWrite() error }
 
-// CloseWrite ends the outgoing half of the connection, if it can be ended alone.
+// CloseWrite closes the write side of the connection if that can be done separately.
 func (c *limitedConn) CloseWrite() error {
 	if conn, ok := c.Conn.(closeWriter); ok {
 		return conn.CloseWrite()
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -9,19 +9,18 @@
 	"time"
 )
 
-// Bounds of the connections that other controllers open to this one.
+// Limits of the connections that other controllers open to this one.
 const (
 	maxMeshConnections = 16
-	maxRequestsPerConn = 64 // requests of one peer served at a time
+	maxRequestsPerConn = 64 // requests of one connection that are served concurrently
 )
 
-// FrameHandler returns the response to a frame, nil for none. An error ends the
-// connection that the frame came on. It is called from several goroutines at once.
+// FrameHandler returns the response to a frame, or nil for no response. An error closes the
+// connection of the frame. A FrameHandler must be safe for concurrent use.
 type FrameHandler func(ctx context.Context, frame []byte) ([]byte, error)
 
-// ServeMesh answers the frames of other controllers until ctx ends, whose end it does not
-// report as an error, or the listener fails for good. It closes its connections and waits
-// for the handlers that still run, so that none is left behind.
+// ServeMesh responds to frames of other controllers until ctx ends, which is not an error, or the
+// listener is closed. Before it returns, it closes its connections and waits for running handlers.
 func ServeMesh(ctx context.Context, listener net.Listener, log *slog.Logger, handle FrameHandler) error {
 	return acceptLoop(ctx, listener, maxMeshConnections, log, func(ctx context.Context, conn net.Conn) {
 		peer := &meshConnection{conn: conn, handle: handle, log: log}
@@ -29,7 +28,7 @@
 	})
 }
 
-// meshConnection serves the frames of one other controller, several at a time.
+// meshConnection serves the frames of one other controller concurrently.
 type meshConnection struct {
 	conn    net.Conn
 	handle  FrameHandler
@@ -37,7 +36,7 @@
 	writing sync.Mutex // held while a response is written to conn
 }
 
-// serve answers frames until the connection fails, a handler returns an error or ctx ends.
+// serve responds to frames until the connection fails, a handler returns an error or ctx ends.
 func (m *meshConnection) serve(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer m.conn.Close()
@@ -72,7 +71,7 @@
 func (m *meshConnection) answer(ctx context.Context, frame []byte) error {
 	response, err := m.handle(ctx, frame)
 	if err != nil {
-		m.log.Info("mesh connection dropped", "peer", m.conn.RemoteAddr().String(), "error", err)
+		m.log.Info("mesh connection closed: frame handler failed", "peer", m.conn.RemoteAddr().String(), "error", err)
 		return err
 	}
 	if response == nil {
--- a/internal/transport/response.go
+++ b/internal/transport/response.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// bufferedResponse is an http.ResponseWriter that collects a whole response, so that it
-// goes out in a single write. It is used again for each response of a connection.
+// bufferedResponse is an http.ResponseWriter that buffers a response and sends it in a single write.
+// It is reused for all responses of a connection.
 type bufferedResponse struct {
 	header http.Header
-	status int // 0: not chosen yet
+	status int // 0: not set yet
 	body   []byte
 	wire   bytes.Buffer
 }
 
+// reset discards the response and keeps the buffers.
 func (r *bufferedResponse) reset() {
 	clear(r.header)
 	r.status = 0
@@ -40,7 +41,7 @@
 	return len(content), nil
 }
 
-// send writes the response to w. The response to a HEAD request has no body.
+// send writes the response to w, without its body for a HEAD request.
 func (r *bufferedResponse) send(w io.Writer, withBody bool) error {
 	r.WriteHeader(http.StatusOK)
 	r.wire.Reset()
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,6 +1,5 @@
-// Package transport moves bytes: HTTP servers and clients with limits and
-// timeouts, and length-prefixed frames between controllers. It knows nothing
-// of what the bytes mean.
+// Package transport provides HTTP servers and clients with limits and timeouts, and connections
+// between controllers that carry length-prefixed frames. It does not interpret the contents.
 package transport
 
 import (
@@ -19,29 +18,28 @@
 	"dunestand/internal/units"
 )
 
-// MaxBodyBytes is the largest body that is read or written, in bytes.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 64 << 10
 
-// Request is an HTTP request whose body was read whole.
+// Request is an HTTP request with its complete body.
 type Request struct {
-	ID       string // the path's {id}, if the route has one
+	ID       string // value of the path parameter ":id", if the route has one
 	Body     []byte // of a POST request; nil if TooLarge
-	TooLarge bool   // the body is over MaxBodyBytes
+	TooLarge bool   // the body exceeds MaxBodyBytes
 }
 
-// Response is the answer to a Request.
+// Response is the response to a Request.
 type Response struct {
 	Status      int
 	Body        []byte
-	ContentType string // "": application/cbor
-	RetryAfter  int    // in seconds, sent if positive
+	ContentType string // "" means application/cbor
+	RetryAfter  int    // seconds for the Retry-After header; 0: no header
 }
 
-// Handler answers requests. It is called from several goroutines at once.
+// Handler returns the response to a request. It must be safe for concurrent use.
 type Handler func(ctx context.Context, r Request) Response
 
-// Server is an HTTP server with a bound on its connections. Routes are added before Serve
-// is called.
+// Server is an HTTP server with a limit on its connections. All calls of Handle must precede Serve.
 type Server struct {
 	router      *echo.Echo
 	maxConns    int
@@ -49,9 +47,9 @@
 	log         *slog.Logger
 }
 
-// NewServer makes a server that holds at most maxConns connections, and closes
-// those on which nothing was asked for idleTimeout: half of a connection is
-// left when its client was cut off or gave up, and thousands may be at once.
+// NewServer returns a server with at most maxConns connections. It closes connections that have been
+// idle for idleTimeout, because clients that fail or are partitioned can leave thousands of
+// half-open connections.
 func NewServer(maxConns int, idleTimeout units.Micros, log *slog.Logger) *Server {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
@@ -59,7 +57,7 @@
 	return &Server{router: router, maxConns: maxConns, idleTimeout: idleTimeout.Duration(), log: log}
 }
 
-// sendErrorStatus answers a request that no handler has answered with its status alone.
+// sendErrorStatus responds to a request that no handler has served, with a status and no body.
 func sendErrorStatus(err error, c echo.Context) {
 	status := http.StatusInternalServerError
 	if httpError, ok := errors.AsType[*echo.HTTPError](err); ok {
@@ -70,7 +68,7 @@
 	}
 }
 
-// Handle adds a route. A path may hold one parameter, ":id".
+// Handle adds a route. The path may contain one parameter, ":id".
 func (s *Server) Handle(method, path string, handler Handler) {
 	s.router.Add(method, path, func(c echo.Context) error {
 		request := Request{ID: c.Param("id")}
@@ -95,18 +93,18 @@
 	})
 }
 
-// typicalBodyBytes is as much as is set aside at once for a body that declares its length.
+// typicalBodyBytes bounds the memory that is allocated in advance for a body of a declared length.
 const typicalBodyBytes = 8 << 10
 
 var errBodyTooLarge = errors.New("body too large")
 
-// readBody reads a whole body. It returns errBodyTooLarge if that is over MaxBodyBytes.
+// readBody reads a complete body. It returns errBodyTooLarge if the body exceeds MaxBodyBytes.
 func readBody(reader io.Reader, declaredBytes int64) ([]byte, error) {
 	if declaredBytes > MaxBodyBytes {
 		return nil, errBodyTooLarge
 	}
-	// Most bodies are a few KiB long and get room for all of it at once; no more is
-	// set aside for what has only been declared.
+	// One allocation suffices for most bodies, which are a few KiB long. A declared length alone
+	// must not cause a larger one.
 	var body bytes.Buffer
 	body.Grow(int(min(max(declaredBytes, 0), typicalBodyBytes)) + bytes.MinRead)
 	if _, err := body.ReadFrom(io.LimitReader(reader, MaxBodyBytes+1)); err != nil {
@@ -118,10 +116,9 @@
 	return body.Bytes(), nil
 }
 
-// Serve answers requests on listener until ctx ends, whose end it does not report as an
-// error, or the listener fails for good. The context of each request ends with ctx. Serve
-// closes its connections and waits for the handlers that still run, so that none is left
-// behind.
+// Serve responds to requests on listener until ctx ends, which is not an error, or the listener is
+// closed. The context of each request ends with ctx. Before Serve returns, it closes its connections
+// and waits for running handlers.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	return acceptLoop(ctx, listener, s.maxConns, s.log, func(ctx context.Context, conn net.Conn) {
 		newConnection(conn, s.router, s.idleTimeout, s.log).serve(ctx)
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -14,7 +14,7 @@
 	"dunestand/internal/units"
 )
 
-func TestServerBoundsBodiesAndConnections(t *testing.T) {
+func TestServerLimitsBodiesAndConnections(t *testing.T) {
 	addr := startServer(t, 2, func(_ context.Context, r Request) Response {
 		if r.TooLarge {
 			return Response{Status: http.StatusBadRequest}
@@ -37,13 +37,12 @@
 	last := dial(t, addr)
 	_ = last.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := last.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
-		t.Fatalf("a connection beyond the bound is kept: %v", err)
+		t.Fatalf("a connection beyond the limit stays open: %v", err)
 	}
 }
 
-// A connection whose client is gone without a word does not stay for long: when
-// a thousand workers turn to a new leader, as many halves of old connections
-// are left, and the sockets are counted.
+// A client that fails or is partitioned leaves a half-open connection. After a thousand workers
+// have switched to a new leader, such connections would exhaust the limit on connections.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	server := NewServer(10, 50*units.Millisecond, discardLog())
 	server.Handle(http.MethodPost, "/echo/:id", echoBody)
@@ -52,12 +51,12 @@
 		t.Fatal(err)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(patience))
-	if answer, err := io.ReadAll(conn); err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 200") {
-		t.Fatalf("not answered and then closed: %q %v", answer, err)
+	if response, err := io.ReadAll(conn); err != nil || !strings.HasPrefix(string(response), "HTTP/1.1 200") {
+		t.Fatalf("no response before the connection was closed: %q %v", response, err)
 	}
 }
 
-func TestConnectionsEndWithTheServer(t *testing.T) {
+func TestStoppedServerClosesItsConnections(t *testing.T) {
 	listener := listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -67,20 +66,21 @@
 	_, _ = io.WriteString(conn, "GET /none HTTP/1.1\r\nHost: h\r\n\r\n")
 	reader := bufio.NewReader(conn)
 	if response, err := http.ReadResponse(reader, nil); err != nil || response.StatusCode != http.StatusNotFound {
-		t.Fatalf("not served: %v", err)
+		t.Fatalf("no response from the server: %v", err)
 	}
 	cancel()
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := reader.ReadByte(); err == nil || errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("the connection outlives the server: %v", err)
+		t.Errorf("the connection is still open: %v", err)
 	}
 	if err := <-done; err != nil {
-		t.Errorf("an ended server reports %v", err)
+		t.Errorf("a stopped server returns %v", err)
 	}
 }
 
-// A handler that outlives the server would go on with what its owner has given up.
-func TestServingEndsAfterItsHandlers(t *testing.T) {
+// A handler that still runs after the server has returned would use resources that the server's
+// owner has released.
+func TestServerWaitsForItsHandlers(t *testing.T) {
 	frame := []byte{0, 0, 0, 1, 'a'}
 	for _, c := range []struct {
 		name    string
@@ -103,12 +103,12 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			testServingEndsAfterItsHandlers(t, c.request, c.serve)
+			testServerWaitsForItsHandlers(t, c.request, c.serve)
 		})
 	}
 }
 
-func testServingEndsAfterItsHandlers(t *testing.T, request []byte, serve func(context.Context, net.Listener, func(context.Context)) error) {
+func testServerWaitsForItsHandlers(t *testing.T, request []byte, serve func(context.Context, net.Listener, func(context.Context)) error) {
 	listener := listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -130,11 +130,11 @@
 	select {
 	case err := <-done:
 		close(release)
-		t.Fatalf("serving has ended before its handler: %v", err)
+		t.Fatalf("the server returned before its handler: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(release)
 	if err := <-done; err != nil {
-		t.Errorf("an ended server reports %v", err)
+		t.Errorf("a stopped server returns %v", err)
 	}
 }
