--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -16,7 +16,7 @@
 			capacity, used = capacity.Plus(machine.Capacity, 1), used.Plus(machine.Used, 1)
 		}
 	}
-	var pending [protocol.Priorities]int
+	var pending [protocol.NumPriorities]int
 	for _, job := range l.state.Jobs {
 		pending[job.Spec.Priority] += job.Pending()
 	}
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -34,8 +34,8 @@
 
 var priorityNames = [...]string{"low", "normal", "high", "prod"}
 
-// Priorities is the number of priorities.
-const Priorities = len(priorityNames)
+// NumPriorities is the number of priorities.
+const NumPriorities = len(priorityNames)
 
 func (p Priority) String() string {
 	if int(p) < len(priorityNames) {
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -75,7 +75,7 @@
 				injectFault(d.allMachines(), fake.Fault{CommandDelay: 900 * time.Millisecond, DelayedShare: 0.2})
 				for i := range 8 {
 					job := d.newJob(8, 6*time.Second)
-					job.Priority = protocol.Priority(i % protocol.Priorities)
+					job.Priority = protocol.Priority(i % protocol.NumPriorities)
 					d.submit(job)
 					d.sleep(time.Second)
 				}
--- a/node/soak_test.go
+++ b/node/soak_test.go
@@ -123,7 +123,7 @@
 func (s *soakDay) submitWork() {
 	const overload = 1.5
 	for s.openTasks() < int(overload*float64(s.capacity)) {
-		priority := protocol.Priority(s.random.IntN(protocol.Priorities))
+		priority := protocol.Priority(s.random.IntN(protocol.NumPriorities))
 		s.submitJob(1+s.random.IntN(s.tasksInProportion(leastJobTasks)), s.between(4*time.Second, 40*time.Second), priority)
 	}
 }
