--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -69,8 +69,8 @@
 // jobKinds maps the names on the wire to kinds.
 var jobKinds = map[string]JobKind{"sweep": Array, "gang": Gang, "service": Service}
 
-// JobKinds is the number of kinds.
-const JobKinds = 3
+// NumJobKinds is the number of kinds.
+const NumJobKinds = 3
 
 // MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -136,7 +136,7 @@
 		return UnknownFormatError(r.Format)
 	case !protocol.ValidJobID(r.ID) || KeyJob(r.ID) != key:
 		return fmt.Errorf("names job %q", r.ID)
-	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.NumPriorities || int(r.Kind) >= protocol.JobKinds:
+	case r.Tasks < 1 || r.Tasks > protocol.MaxTasks || int(r.Priority) >= protocol.NumPriorities || int(r.Kind) >= protocol.NumJobKinds:
 		return ErrOutOfRange
 	}
 	return nil
