--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -47,7 +47,7 @@
 			b.Fatal(err)
 		}
 		start(b, func(ctx context.Context) { _ = c.server.Serve(ctx, listener) })
-		client := transport.NewClient(nil, listener.Addr().String(), 1, protocol.MaxBody)
+		client := transport.NewClient(nil, listener.Addr().String(), 1, protocol.MaxBodyBytes)
 		tasks := map[string]protocol.Raw{} // encoded, by machine
 		for i := 0; b.Loop(); i++ {
 			heartbeat := heartbeats[i%len(heartbeats)]
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -16,7 +16,7 @@
 	metricsContentType = "text/plain; version=0.0.4"
 )
 
-// bodyTooLarge is the reason given to a client whose request exceeds protocol.MaxBody.
+// bodyTooLarge is the reason given to a client whose request exceeds protocol.MaxBodyBytes.
 const bodyTooLarge = "body over 64 KiB"
 
 // routes registers the handlers of users' and workers' requests.
--- a/internal/protocol/commands.go
+++ b/internal/protocol/commands.go
@@ -22,7 +22,7 @@
 }
 
 // MaxCommands bounds the commands in a HeartbeatResponse. It keeps the response well below
-// MaxBody.
+// MaxBodyBytes.
 const MaxCommands = 400
 
 // HeartbeatResponse is the response to an accepted heartbeat. It renews the worker's lease.
@@ -31,8 +31,8 @@
 	Commands     []Command `cbor:"orders"`
 }
 
-// MaxBody is the maximum size of a message to or from a worker, in bytes.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the maximum size of a message to or from a worker, in bytes.
+const MaxBodyBytes = 64 << 10
 
 // DirectCommands is a request to a worker, which responds with a heartbeat. The worker executes
 // the commands only if the incarnation is its own and the fencing token is not lower than the
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -72,7 +72,7 @@
 // leader at once instead of when its next heartbeat is due. Run returns when ctx ends or all
 // machines are reconciled, after the calls that are on their way.
 func (b *TokenBroadcaster) Run(ctx context.Context) {
-	caller := transport.NewCaller(b.Dial, protocol.MaxBody)
+	caller := transport.NewCaller(b.Dial, protocol.MaxBodyBytes)
 	tries := map[string]broadcastTries{}
 	var calls sync.WaitGroup
 	defer calls.Wait()
--- a/internal/push/pusher.go
+++ b/internal/push/pusher.go
@@ -91,7 +91,7 @@
 // Run pushes commands as they are requested. It returns when ctx ends, after the calls that
 // are on their way.
 func (p *CommandPusher) Run(ctx context.Context) {
-	caller := transport.NewCaller(p.Dial, protocol.MaxBody)
+	caller := transport.NewCaller(p.Dial, protocol.MaxBodyBytes)
 	slots := make(chan struct{}, pushSlots(p.Settings.Fleet.Resources.MaxConnections))
 	var calls sync.WaitGroup
 	defer calls.Wait()
