--- a/cmd/dunestand/processes_test.go
+++ b/cmd/dunestand/processes_test.go
@@ -51,7 +51,7 @@
 	program := buildProgram(t)
 	state, stateAddress := startState(t)
 	cloud := httptest.NewServer(fake.NewCloud(protocol.Catalog{
-		Types: []protocol.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootS: 1, Zones: []string{"a"}}},
+		Types: []protocol.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootSeconds: 1, Zones: []string{"a"}}},
 	}, 0))
 	t.Cleanup(cloud.Close)
 	p := &processes{t: t, checker: admissioncheck.New(state)}
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -19,7 +19,7 @@
 
 // bootTime returns the boot time of a machine's instance type; 0 if the catalog lacks the type.
 func (as *Autoscaler) bootTime(m *cluster.Machine) units.Micros {
-	return units.Seconds(as.State.InstanceTypes[m.InstanceType].BootS)
+	return units.Seconds(as.State.InstanceTypes[m.InstanceType].BootSeconds)
 }
 
 // price returns a machine's price in the catalog.
--- a/internal/controller/harness_fleet_test.go
+++ b/internal/controller/harness_fleet_test.go
@@ -16,14 +16,14 @@
 	clock := &fake.Clock{Now: units.Second}
 	leader := newTestLeader(1, clock)
 	types := []protocol.InstanceType{{
-		Name:      "m",
-		CPUs:      32,
-		MemoryGB:  64,
-		CacheGB:   50,
-		Price:     1,
-		SpotPrice: 1,
-		BootS:     5,
-		Zones:     []string{"a"},
+		Name:        "m",
+		CPUs:        32,
+		MemoryGB:    64,
+		CacheGB:     50,
+		Price:       1,
+		SpotPrice:   1,
+		BootSeconds: 5,
+		Zones:       []string{"a"},
 	}}
 	leader.persister.InstallRecords(nil, protocol.Catalog{Types: types})
 	leader.state.Teams["team"].QuotaLimit = fake.CPUs(32 * machines * 2)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -45,14 +45,14 @@
 // modelCatalog is that fleet's only instance type.
 var modelCatalog = protocol.Catalog{Types: []protocol.InstanceType{
 	{
-		Name:      "m",
-		CPUs:      modelMachineCPUs,
-		MemoryGB:  64,
-		CacheGB:   10,
-		Price:     1,
-		SpotPrice: 1,
-		BootS:     5,
-		Zones:     []string{"a"},
+		Name:        "m",
+		CPUs:        modelMachineCPUs,
+		MemoryGB:    64,
+		CacheGB:     10,
+		Price:       1,
+		SpotPrice:   1,
+		BootSeconds: 5,
+		Zones:       []string{"a"},
 	}}}
 
 // testHeartbeat returns a heartbeat without tasks of a spot instance of that fleet.
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -19,14 +19,14 @@
 // Catalog returns the only instance type of that fleet, with four processors.
 func Catalog() protocol.Catalog {
 	return protocol.Catalog{Types: []protocol.InstanceType{{
-		Name:      "m",
-		CPUs:      4,
-		MemoryGB:  64,
-		CacheGB:   10,
-		Price:     1,
-		SpotPrice: 1,
-		BootS:     5,
-		Zones:     []string{"a"},
+		Name:        "m",
+		CPUs:        4,
+		MemoryGB:    64,
+		CacheGB:     10,
+		Price:       1,
+		SpotPrice:   1,
+		BootSeconds: 5,
+		Zones:       []string{"a"},
 	}}}
 }
 
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -10,16 +10,16 @@
 // InstanceType is an entry of the cloud's catalog: the resources of a machine of this type, and
 // its prices per hour.
 type InstanceType struct {
-	Name      string   `cbor:"name"`
-	CPUs      float64  `cbor:"vcpus"`
-	GPUs      float64  `cbor:"cards"`
-	MemoryGB  float64  `cbor:"memory_gb"`
-	CacheGB   float64  `cbor:"cache_gb"`
-	FetchRate float64  `cbor:"pull_gb_per_s"` // image download rate in GB per second; 0 if unknown
-	Price     float64  `cbor:"price"`
-	SpotPrice float64  `cbor:"spot_price"`
-	BootS     float64  `cbor:"ready_s"`
-	Zones     []string `cbor:"yards"`
+	Name        string   `cbor:"name"`
+	CPUs        float64  `cbor:"vcpus"`
+	GPUs        float64  `cbor:"cards"`
+	MemoryGB    float64  `cbor:"memory_gb"`
+	CacheGB     float64  `cbor:"cache_gb"`
+	FetchRate   float64  `cbor:"pull_gb_per_s"` // image download rate in GB per second; 0 if unknown
+	Price       float64  `cbor:"price"`
+	SpotPrice   float64  `cbor:"spot_price"`
+	BootSeconds float64  `cbor:"ready_s"`
+	Zones       []string `cbor:"yards"`
 }
 
 // Catalog lists the instance types that the cloud rents out.
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -124,14 +124,14 @@
 // startCloud starts the cloud; each provisioned machine gets a worker.
 func (c *cluster) startCloud() {
 	cloud := fake.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
-		Name:      "m",
-		CPUs:      c.options.cpus,
-		MemoryGB:  64,
-		CacheGB:   10,
-		Price:     1,
-		SpotPrice: 0.5,
-		BootS:     1,
-		Zones:     []string{"a"},
+		Name:        "m",
+		CPUs:        c.options.cpus,
+		MemoryGB:    64,
+		CacheGB:     10,
+		Price:       1,
+		SpotPrice:   0.5,
+		BootSeconds: 1,
+		Zones:       []string{"a"},
 	}}}, c.options.machines)
 	cloud.OnProvision = func(m protocol.ListedMachine) {
 		w := &fake.Worker{
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -148,15 +148,15 @@
 		fleet:      options.fleet(),
 	}
 	cloud := fake.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
-		Name:      "m",
-		CPUs:      machineCPUs,
-		MemoryGB:  64,
-		CacheGB:   10,
-		FetchRate: 1,
-		Price:     1,
-		SpotPrice: 0.5,
-		BootS:     1,
-		Zones:     zones,
+		Name:        "m",
+		CPUs:        machineCPUs,
+		MemoryGB:    64,
+		CacheGB:     10,
+		FetchRate:   1,
+		Price:       1,
+		SpotPrice:   0.5,
+		BootSeconds: 1,
+		Zones:       zones,
 	}}}, options.machines/len(zones))
 	cloud.OnProvision, cloud.OnRelease = d.startMachine, d.stopMachine
 	d.serve(cloudAddress, cloud)
