--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -32,7 +32,7 @@
 				break
 			}
 			sc.Tracer.Trace("task placed", attempt)
-			sc.Metrics.Placed(now - job.LearnedAt)
+			sc.Metrics.ObservePlacementDelay(now - job.LearnedAt)
 		}
 		if !job.MachineIsDurable(machine.ID) {
 			sc.WriteSignal.Raise()
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -47,8 +47,8 @@
 // AdmissionWaited records the time that an admitted job has waited for admission.
 func (m *Metrics) AdmissionWaited(wait units.Micros) { m.admissionWait.Update(wait.Seconds()) }
 
-// Placed records the delay of a placement since the leader learned of the job.
-func (m *Metrics) Placed(delay units.Micros) { m.placementDelay.Update(delay.Seconds()) }
+// ObservePlacementDelay records the delay of a placement since the leader learned of the job.
+func (m *Metrics) ObservePlacementDelay(delay units.Micros) { m.placementDelay.Update(delay.Seconds()) }
 
 // AddRuntime adds gauges of the Go runtime.
 func (m *Metrics) AddRuntime() {
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -15,7 +15,7 @@
 	m.Gauge("dunestand_test", func() float64 { return value })
 	m.AddWriter(func(w io.Writer) { fmt.Fprintln(w, `dunestand_by_team{team="a"} 2`) })
 	m.AddRuntime()
-	m.Placed(3 * units.Second)
+	m.ObservePlacementDelay(3 * units.Second)
 	m.AdmissionWaited(500 * units.Millisecond)
 	value = 4
 	text := string(m.Text(func(w io.Writer) { fmt.Fprintln(w, "dunestand_of_the_leader 5") }))
