--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -94,9 +94,9 @@
 	d, _ := la.Admitter.decide(spec, admission.Leader)
 	if d.Verdict == admission.Admit {
 		if since, waited := la.Waiting.Remove(spec.ID); waited {
-			la.Metrics.AdmissionWaited(now - since)
+			la.Metrics.ObserveAdmissionWait(now - since)
 		} else {
-			la.Metrics.AdmissionWaited(0)
+			la.Metrics.ObserveAdmissionWait(0)
 		}
 		return d
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -44,8 +44,8 @@
 // whose labels are not known in advance. write must be safe for concurrent use.
 func (m *Metrics) AddWriter(write func(io.Writer)) { m.writers = append(m.writers, write) }
 
-// AdmissionWaited records the time that an admitted job has waited for admission.
-func (m *Metrics) AdmissionWaited(wait units.Micros) { m.admissionWait.Update(wait.Seconds()) }
+// ObserveAdmissionWait records the time that an admitted job has waited for admission.
+func (m *Metrics) ObserveAdmissionWait(wait units.Micros) { m.admissionWait.Update(wait.Seconds()) }
 
 // ObservePlacementDelay records the delay of a placement since the leader learned of the job.
 func (m *Metrics) ObservePlacementDelay(delay units.Micros) { m.placementDelay.Update(delay.Seconds()) }
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -16,7 +16,7 @@
 	m.AddWriter(func(w io.Writer) { fmt.Fprintln(w, `dunestand_by_team{team="a"} 2`) })
 	m.AddRuntime()
 	m.ObservePlacementDelay(3 * units.Second)
-	m.AdmissionWaited(500 * units.Millisecond)
+	m.ObserveAdmissionWait(500 * units.Millisecond)
 	value = 4
 	text := string(m.Text(func(w io.Writer) { fmt.Fprintln(w, "dunestand_of_the_leader 5") }))
 	for _, line := range []string{
