--- a/internal/admissioncontrol/admittermetrics.go
+++ b/internal/admissioncontrol/admittermetrics.go
@@ -21,7 +21,7 @@
 		{"dunestand_admission_restricted_cells", a.restrictedCells},
 	}
 	for _, g := range gauges {
-		a.metrics.Gauge(g.name, g.value)
+		a.metrics.AddGauge(g.name, g.value)
 	}
 	a.metrics.AddWriter(a.writeCounts)
 }
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -148,7 +148,7 @@
 		{"dunestand_state_request_limit", func() float64 { return limits.RPS }},
 	}
 	for _, g := range gauges {
-		c.deps.Metrics.Gauge(g.name, g.value)
+		c.deps.Metrics.AddGauge(g.name, g.value)
 	}
 	c.deps.Metrics.AddRuntime()
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/units"
 )
 
-// Metrics are the metrics that one controller serves at /metrics. All calls of Gauge, AddWriter and
+// Metrics are the metrics that one controller serves at /metrics. All calls of AddGauge, AddWriter and
 // AddRuntime must precede those of Text. The other methods are safe for concurrent use.
 type Metrics struct {
 	set            *metrics.Set
@@ -36,9 +36,9 @@
 	}
 }
 
-// Gauge adds a gauge whose value is computed for each call of Text. value must be safe for
+// AddGauge adds a gauge whose value is computed for each call of Text. value must be safe for
 // concurrent use, and name must be unique.
-func (m *Metrics) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
+func (m *Metrics) AddGauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
 // AddWriter adds a function that writes further metrics in the Prometheus text format, for metrics
 // whose labels are not known in advance. write must be safe for concurrent use.
@@ -66,7 +66,7 @@
 		{"dunestand_runtime_goroutines", func(s runtimestats.Snapshot) float64 { return float64(s.Goroutines) }},
 	}
 	for _, g := range gauges {
-		m.Gauge(g.name, func() float64 { return g.value(runtimestats.Read()) })
+		m.AddGauge(g.name, func() float64 { return g.value(runtimestats.Read()) })
 	}
 }
 
--- a/internal/telemetry/metrics_test.go
+++ b/internal/telemetry/metrics_test.go
@@ -12,7 +12,7 @@
 func TestTextContainsAllAddedMetrics(t *testing.T) {
 	m := NewMetrics()
 	value := 1.0
-	m.Gauge("dunestand_test", func() float64 { return value })
+	m.AddGauge("dunestand_test", func() float64 { return value })
 	m.AddWriter(func(w io.Writer) { fmt.Fprintln(w, `dunestand_by_team{team="a"} 2`) })
 	m.AddRuntime()
 	m.ObservePlacementDelay(3 * units.Second)
