--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -43,8 +43,8 @@
 	if job.ID != "j-000412" || job.Tasks != 16 || job.Priority != High || job.Request.CPU != 8_000_000 || job.Deadline != 900_000_000 || !job.ZoneAffinity || job.Zone != "" {
 		t.Fatalf("%+v", job)
 	}
-	// Optional fields may be missing, unknown fields are ignored, and integers are accepted for
-	// fractional fields.
+	// Fields that may be null may also be missing, unknown fields are ignored, and integers are
+	// accepted for fractional fields.
 	s := validSubmission()
 	for _, f := range []string{"looms", "yard", "due_s"} {
 		delete(s, f)
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -52,7 +52,7 @@
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(patience))
 	if response, err := io.ReadAll(conn); err != nil || !strings.HasPrefix(string(response), "HTTP/1.1 200") {
-		t.Fatalf("no response before the connection was closed: %q %v", response, err)
+		t.Fatalf("want a response and then a closed connection, got %q, error %v", response, err)
 	}
 }
 
