--- a/internal/federation/apply.go
+++ b/internal/federation/apply.go
@@ -6,9 +6,9 @@
 	"fmt"
 )
 
-// applyOrigin carries out a decision about a transfer of this cell's job: the record is
-// written, then the messages are sent. It is called with the lock held, which is released
-// while the record is being written.
+// applyOrigin executes a decision for an outgoing transfer: it writes the record, then sends the
+// messages. If the write fails, nothing is sent. It must be called with m.mu held, which is
+// released while the record is being written.
 func (m *Manager) applyOrigin(ctx context.Context, transfer *outgoingTransfer, decision Decision[OriginRecord]) {
 	if decision.Write {
 		before := transfer.record.Phase
@@ -16,15 +16,15 @@
 			return
 		}
 		if now := transfer.record; now.Phase != before {
-			m.Log.Info("transfer of a job", "transfer", now.Transfer.String(), "target", now.Target,
+			m.Log.Info("outgoing transfer changed phase", "transfer", now.Transfer.String(), "target", now.Target,
 				"phase", now.Phase.String(), "run", now.Run)
 		}
 	}
 	m.send(decision.Record.Target, decision.Send)
 }
 
-// applyTarget does the same for a transfer of another cell's job, and has the reservations
-// follow the record.
+// applyTarget executes a decision for an incoming transfer like applyOrigin, and updates the
+// reservation of the transfer.
 func (m *Manager) applyTarget(ctx context.Context, transfer *incomingTransfer, decision Decision[TargetRecord]) {
 	id := decision.Record.Transfer
 	if decision.Remove {
@@ -40,14 +40,15 @@
 			return
 		}
 		if now := transfer.record; now.Phase != before {
-			m.Log.Info("transfer of another cell's job", "transfer", id.String(), "phase", now.Phase.String(), "run", now.Run)
+			m.Log.Info("incoming transfer changed phase", "transfer", id.String(), "phase", now.Phase.String(), "run", now.Run)
 		}
 		m.updateReservation(transfer.record)
 	}
 	m.send(id.Origin, decision.Send)
 }
 
-// updateReservation has the reservations follow a record.
+// updateReservation commits or releases the reservation of a transfer according to the phase of
+// its record.
 func (m *Manager) updateReservation(record TargetRecord) {
 	switch record.Phase {
 	case TargetAccepted:
@@ -57,7 +58,7 @@
 	}
 }
 
-// writeRecord writes a record in place of the current one and reports whether it is stored.
+// writeRecord replaces the current record and reports whether the new one is stored.
 func writeRecord[R transferRecord](ctx context.Context, m *Manager, current *versionedRecord[R], next R) bool {
 	version, ok := m.compareAndSwap(ctx, &current.writing, next.Key(), next.Encode(m.nextWriteID()), current.version)
 	if ok {
@@ -66,21 +67,21 @@
 	return ok
 }
 
-// removeRecord deletes a record and reports whether it is gone.
+// removeRecord deletes a record and reports whether the deletion succeeded.
 func removeRecord[R transferRecord](ctx context.Context, m *Manager, current *versionedRecord[R]) bool {
 	_, ok := m.compareAndSwap(ctx, &current.writing, current.record.Key(), nil, current.version)
 	return ok
 }
 
-// nextWriteID identifies the write that comes next, under all leaders of the cell.
+// nextWriteID returns an ID for the next write that is unique across all leaders of the cell.
 func (m *Manager) nextWriteID() string {
 	return fmt.Sprintf("%d-%d", m.FencingToken, m.Stats.Writes.Load()+1)
 }
 
-// compareAndSwap writes a value, or deletes the key if it is nil, and returns the new
-// version and whether that is done. The lock is released meanwhile; writing is set, so
-// that nothing else is decided on that record. After a version conflict the Manager
-// decides nothing more: another leader is at work.
+// compareAndSwap writes a value, or deletes the key if the value is nil. It returns the new
+// version and whether the write succeeded. m.mu is released during the write; *writing is set
+// meanwhile, so that no other decision is made on the same record. After a version conflict
+// the Manager makes no more decisions, since another leader is active.
 func (m *Manager) compareAndSwap(ctx context.Context, writing *bool, key string, value []byte, version uint64) (uint64, bool) {
 	if m.superseded {
 		return 0, false
@@ -93,7 +94,7 @@
 	*writing = false
 	if errors.Is(err, ErrVersionConflict) && !m.superseded {
 		m.superseded = true
-		m.Log.Error("the record of a transfer was written by another leader", "key", key)
+		m.Log.Error("version conflict on transfer record: another leader is active", "key", key)
 		if m.OnSuperseded != nil {
 			m.OnSuperseded()
 		}
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -11,47 +11,48 @@
 	"dunestand/internal/units"
 )
 
-// Config is a checked cells file: which cells there are, and how jobs move between them. It
-// does not change once it is read, and is safe for concurrent use.
+// Config is a checked cells file: the cells of the federation and the rules by which jobs are
+// transferred between them. It is immutable and safe for concurrent use.
 type Config struct {
 	// Self is the name of the cell that this controller belongs to.
 	Self string
-	// CompleteByHour is the hour of the day, UTC, by which work is to be complete.
+	// CompleteByHour is the hour of the day (UTC, 0 to 23) by which all work should be complete.
 	CompleteByHour int
 	// Timing is the same in all cells.
 	Timing Timing
-	// Margin is by how much sooner another cell must be expected to complete a job.
+	// Margin is the minimum improvement in forecast completion time for which a job is
+	// transferred.
 	Margin units.Micros
-	// MaxMoves is how often a job may be handed over.
+	// MaxMoves is the maximum number of transfers per job.
 	MaxMoves int
-	// Cells are all cells, this one included.
+	// Cells lists all cells, including this one.
 	Cells []Cell
-	// Classes are the classes whose jobs may be handed over.
+	// Classes lists the classes whose jobs may be transferred.
 	Classes []ClassPolicy
 
-	networks *bart.Table[string] // names of cells by network
+	networks *bart.Table[string] // cell name by network
 }
 
-// Cell is one of the cells.
+// Cell describes one cluster of the federation.
 type Cell struct {
 	Name string
-	// Controllers are the addresses at which other cells reach this one's controllers.
+	// Controllers are the addresses at which other cells reach the controllers of this cell.
 	Controllers []netip.AddrPort
-	// Networks are those that messages in the cell's name come from.
+	// Networks are the source networks from which messages of this cell are accepted.
 	Networks []netip.Prefix
 }
 
-// ClassPolicy is what is allowed of the jobs of a class.
+// ClassPolicy holds the transfer rules for the jobs of one class.
 type ClassPolicy struct {
 	Name string
-	// MaxRestarts is how often a job may be restarted, beyond its first run.
+	// MaxRestarts is the maximum number of restarts per job; the first run does not count.
 	MaxRestarts int
 }
 
-// UnlimitedRestarts is MaxRestarts of a class whose jobs may be restarted as often as needed.
+// UnlimitedRestarts is the MaxRestarts value of a class without a restart limit.
 const UnlimitedRestarts = math.MaxInt32
 
-// Cell returns the cell of a name, nil if there is none.
+// Cell returns the cell with the given name, or nil if there is none.
 func (c *Config) Cell(name string) *Cell {
 	if i := slices.IndexFunc(c.Cells, func(cell Cell) bool { return cell.Name == name }); i >= 0 {
 		return &c.Cells[i]
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Class returns the policy of a class, nil if its jobs are not handed over.
+// Class returns the policy of a class, or nil if its jobs may not be transferred.
 func (c *Config) Class(name string) *ClassPolicy {
 	if i := slices.IndexFunc(c.Classes, func(class ClassPolicy) bool { return class.Name == name }); i >= 0 {
 		return &c.Classes[i]
@@ -67,27 +68,28 @@
 	return nil
 }
 
-// CellByAddress returns the name of the cell that an address belongs to, "" for none.
+// CellByAddress returns the name of the cell whose networks contain the address, or "" if
+// there is none.
 func (c *Config) CellByAddress(address netip.Addr) string {
 	name, _ := c.networks.Lookup(address.Unmap())
 	return name
 }
 
-// Permits reports whether messages in a cell's name may come from an address.
+// Permits reports whether an address may send messages on behalf of a cell.
 func (c *Config) Permits(address netip.Addr, cell string) bool {
 	return cell != "" && c.CellByAddress(address) == cell
 }
 
-// CheckSettings returns why the cells file does not agree with the settings of this cell,
-// nil if it does. Its error is a *FieldError.
+// CheckSettings returns an error if the cells file is inconsistent with the settings of this
+// cell. The error is a *FieldError.
 func (c *Config) CheckSettings(settings *config.Settings) error {
 	workers := settings.Fleet.Workers
 	if c.Timing.StopGrace < withDrift(workers.LeaseDuration()) {
-		return fieldErrorf("stop_s", "%v s is shorter than the workers' lease of %v s, drift included",
+		return fieldErrorf("stop_s", "%v s is shorter than the workers' lease of %v s plus clock drift",
 			c.Timing.StopGrace.Seconds(), workers.LeaseS)
 	}
 	if delay := c.Timing.ReclaimDelay(); delay > workers.CancelBound() {
-		return fieldErrorf("lease_s", "lease and stop take %v s, drift included, and do not fit cancel_s of %v s",
+		return fieldErrorf("lease_s", "lease_s plus stop_s plus clock drift is %v s, which exceeds the bound given by cancel_s of %v s",
 			delay.Seconds(), workers.CancelS)
 	}
 	for i, class := range c.Classes {
--- a/internal/federation/config_test.go
+++ b/internal/federation/config_test.go
@@ -12,7 +12,7 @@
 	"dunestand/internal/units"
 )
 
-// exampleConfigPath is the cells file that is delivered as an example.
+// exampleConfigPath is the example cells file shipped with the project.
 const exampleConfigPath = "../../deploy/cells.toml"
 
 func loadExampleConfig(t *testing.T) *Config {
@@ -27,7 +27,7 @@
 func TestExampleConfigIsRead(t *testing.T) {
 	c := loadExampleConfig(t)
 	if c.Self != "mill" || len(c.Cells) != 3 || c.CompleteByHour != 6 || c.MaxMoves != 2 || c.Margin != 60*units.Second {
-		t.Errorf("read as %+v", c)
+		t.Errorf("decoded config is %+v", c)
 	}
 	for class, want := range map[string]int{"loomplan": UnlimitedRestarts, "rushorder": 0, "yarnrecount": 2} {
 		if got := c.Class(class); got == nil || got.MaxRestarts != want {
@@ -35,7 +35,7 @@
 		}
 	}
 	if c.Class("other") != nil {
-		t.Error("a class that is not named may be handed over")
+		t.Error("jobs of an unlisted class may be transferred")
 	}
 	for address, want := range map[string]string{"10.0.1.77": "dye", "::ffff:10.0.2.1": "recipes", "10.0.3.1": "", "::1": ""} {
 		addr := netip.MustParseAddr(address)
@@ -43,7 +43,7 @@
 			t.Errorf("%s is in %q, want %q", address, got, want)
 		}
 		if c.Permits(addr, "mill") || c.Permits(addr, "") {
-			t.Errorf("%s may speak for mill, or for nobody", address)
+			t.Errorf("%s may send messages on behalf of cell mill or of an empty cell name", address)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{`complete_by_hour = 6`, `complete_by_hour = 24`, "complete_by_hour: 24 is no hour"},
+		{`complete_by_hour = 6`, `complete_by_hour = 24`, "complete_by_hour: 24 is not an hour"},
 		{`complete_by_hour = 6`, ``, "complete_by_hour: missing"},
 		{`lease_s = 12`, `lease_s = nan`, "lease_s"},
 		{`stop_s = 30`, `stop_s = 0`, "stop_s"},
@@ -83,7 +83,7 @@
 			}
 			_, err := LoadConfig(path)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line with %q", err, c.want)
+				t.Errorf("error is %v, want one line that contains %q", err, c.want)
 			}
 		})
 	}
@@ -97,14 +97,14 @@
 	if err := loadExampleConfig(t).CheckSettings(settings); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*Config){
-		"stop_s":        func(c *Config) { c.Timing.StopGrace = 26 * units.Second }, // not with drift
+	for want, mutate := range map[string]func(*Config){
+		"stop_s":        func(c *Config) { c.Timing.StopGrace = 26 * units.Second }, // too short once drift is included
 		"lease_s":       func(c *Config) { c.Timing.Lease = 16 * units.Second },
 		"class[3].name": func(c *Config) { c.Classes = append(c.Classes, ClassPolicy{Name: "reindex"}) },
 	} {
 		t.Run(want, func(t *testing.T) {
 			c := loadExampleConfig(t)
-			spoil(c)
+			mutate(c)
 			err := c.CheckSettings(settings)
 			var field *FieldError
 			if !errors.As(err, &field) || field.Field != want || !strings.HasPrefix(err.Error(), want+":") {
--- a/internal/federation/configfile.go
+++ b/internal/federation/configfile.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/units"
 )
 
-// configFile is the cells file as it is written. A nil pointer is a field that is left out.
+// configFile is the TOML form of the cells file. A nil pointer is an omitted field.
 type configFile struct {
 	Self       string      `toml:"self"`
 	CompleteBy *int        `toml:"complete_by_hour"`
@@ -32,7 +32,7 @@
 	Networks    []string `toml:"networks"`
 }
 
-// restarts is "none", "any" or a number.
+// restarts is the TOML value "none", "any" or a number.
 type restarts struct {
 	given bool
 	count int64
@@ -58,13 +58,13 @@
 	return nil
 }
 
-// The values of fields that are left out.
+// Defaults of omitted fields.
 const (
 	defaultMargin   = 60 * units.Second
 	defaultMaxMoves = 2
 )
 
-// Bounds of fields, in seconds. They keep out values that are meant in another unit.
+// Bounds of fields, in seconds. They reject values that were given in another unit.
 const (
 	minLeaseS  = 1
 	maxLeaseS  = 3600
@@ -72,8 +72,8 @@
 	maxMarginS = 86400
 )
 
-// LoadConfig reads and checks a cells file. Its error is one line that begins with the path.
-// It wraps a *FieldError for a field that is unknown, out of range or contradicts another.
+// LoadConfig reads and checks a cells file. The error is one line that begins with the path;
+// it wraps a *FieldError if a field is unknown, out of range or inconsistent with another.
 func LoadConfig(path string) (*Config, error) {
 	var file configFile
 	meta, err := toml.DecodeFile(path, &file)
@@ -94,7 +94,7 @@
 	return c, nil
 }
 
-// config returns what the file says, checked.
+// config checks the file and converts it to a Config.
 func (f *configFile) config() (*Config, error) {
 	c := &Config{
 		Self:     f.Self,
@@ -102,7 +102,7 @@
 		MaxMoves: defaultMaxMoves,
 		networks: new(bart.Table[string]),
 	}
-	for _, apply := range []func(*Config) error{f.applyTimes, f.applyCells, f.applyClasses} {
+	for _, apply := range []func(*Config) error{f.applyTopLevel, f.applyCells, f.applyClasses} {
 		if err := apply(c); err != nil {
 			return nil, err
 		}
@@ -110,13 +110,13 @@
 	return c, nil
 }
 
-func (f *configFile) applyTimes(c *Config) error {
+func (f *configFile) applyTopLevel(c *Config) error {
 	switch {
 	case f.CompleteBy == nil:
 		return fieldErrorf("complete_by_hour", "missing")
 	case *f.CompleteBy < 0 || *f.CompleteBy > 23:
-		return fieldErrorf("complete_by_hour", "%d is no hour of the day", *f.CompleteBy)
-	case !(f.LeaseS >= minLeaseS && f.LeaseS <= maxLeaseS): // so that NaN is refused too
+		return fieldErrorf("complete_by_hour", "%d is not an hour of the day (0 to 23)", *f.CompleteBy)
+	case !(f.LeaseS >= minLeaseS && f.LeaseS <= maxLeaseS): // negated so that NaN is rejected
 		return fieldErrorf("lease_s", "%v is not between %d and %d", f.LeaseS, minLeaseS, maxLeaseS)
 	case !(f.StopS > 0 && f.StopS <= maxStopS):
 		return fieldErrorf("stop_s", "%v is not above 0 and at most %d", f.StopS, maxStopS)
@@ -150,16 +150,16 @@
 	case len(c.Cells) < 2:
 		return fieldErrorf("cell", "fewer than two cells")
 	case c.Cell(c.Self) == nil:
-		return fieldErrorf("self", "%q is none of the cells", c.Self)
+		return fieldErrorf("self", "%q is not one of the cells", c.Self)
 	}
 	return nil
 }
 
-// parse reads the entry at an index. It checks the entry by itself.
+// parse converts the entry at the given index and checks it independently of other entries.
 func (e *cellEntry) parse(index int) (Cell, error) {
 	cell := Cell{Name: e.Name}
 	if !validCellName(e.Name) {
-		return cell, fieldErrorf(cellField(index, "name"), "%q is not made of up to 32 of a-z, 0-9 and -", e.Name)
+		return cell, fieldErrorf(cellField(index, "name"), "%q is not a letter a-z followed by up to 31 of a-z, 0-9 and -", e.Name)
 	}
 	field := cellField(index, "controllers")
 	if len(e.Controllers) == 0 {
@@ -168,7 +168,7 @@
 	for i, text := range e.Controllers {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return cell, fieldErrorf(element(field, i), "%q is not an IP address and port", text)
+			return cell, fieldErrorf(elementField(field, i), "%q is not an IP address and port", text)
 		}
 		cell.Controllers = append(cell.Controllers, address)
 	}
@@ -179,28 +179,28 @@
 	for i, text := range e.Networks {
 		network, err := netip.ParsePrefix(text)
 		if err != nil || network != network.Masked() {
-			return cell, fieldErrorf(element(field, i), "%q is not a network such as 10.0.0.0/24", text)
+			return cell, fieldErrorf(elementField(field, i), "%q is not a network such as 10.0.0.0/24", text)
 		}
 		cell.Networks = append(cell.Networks, network)
 	}
 	return cell, nil
 }
 
-// addCell adds the cell at an index, which must not share its name or a network with those
-// before it.
+// addCell adds the cell at the given index. It fails if the name or a network of the cell
+// conflicts with a cell that was added before.
 func (c *Config) addCell(cell Cell, index int) error {
 	if c.Cell(cell.Name) != nil {
 		return fieldErrorf(cellField(index, "name"), "%q is listed twice", cell.Name)
 	}
 	for i, network := range cell.Networks {
 		if c.networks.OverlapsPrefix(network) {
-			return fieldErrorf(element(cellField(index, "networks"), i), "%v overlaps another network", network)
+			return fieldErrorf(elementField(cellField(index, "networks"), i), "%v overlaps another network", network)
 		}
 		c.networks.Insert(network, cell.Name)
 	}
 	for i, controller := range cell.Controllers {
 		if !c.Permits(controller.Addr(), cell.Name) {
-			return fieldErrorf(element(cellField(index, "controllers"), i), "%v is in none of the cell's networks", controller)
+			return fieldErrorf(elementField(cellField(index, "controllers"), i), "%v is in none of the cell's networks", controller)
 		}
 	}
 	c.Cells = append(c.Cells, cell)
--- a/internal/federation/decision.go
+++ b/internal/federation/decision.go
@@ -1,31 +1,34 @@
 package federation
 
-// Decision is what follows from an event in one transfer: the record as it is to be, and
-// the messages to send once that is stored. At most one of Write and Remove is set.
+// Decision is the outcome of an event in one transfer: the new record, and the messages to send
+// once the record is stored. At most one of Write and Remove is set.
 type Decision[R transferRecord] struct {
 	Record R
-	// Write is set if the record has changed: it is stored before anything is sent.
+	// Write is set if the record has changed and must be stored before Send is sent.
 	Write bool
-	// Remove is set if the record is no longer needed: it is deleted, and nothing is sent.
+	// Remove is set if the record is no longer needed and must be deleted. Send is then empty.
 	Remove bool
-	Send   []Message
+	// Send holds the messages to the other cell.
+	Send []Message
 }
 
-// transferRecord is either side's record of a transfer.
+// transferRecord is the record of a transfer at its origin or at its target.
 type transferRecord interface {
 	OriginRecord | TargetRecord
 
+	// Key returns the key of the record in the key-value store.
 	Key() string
+	// Encode returns the stored form of the record. writeID identifies the write.
 	Encode(writeID string) []byte
-	// id returns the transfer that the record is of.
+	// id returns the ID of the transfer.
 	id() TransferID
-	// check returns which field has a value that this version does not store, nil if none.
+	// check returns an error if a field has a value that this software version never stores.
 	check() error
-	// message returns a message of a kind with what the record has for it.
+	// message returns a message of the given kind with the fields that the record provides.
 	message(kind MessageKind) Message
 }
 
-// unchanged decides to send messages only.
+// unchanged returns a decision that sends messages without writing the record.
 func unchanged[R transferRecord](record R, kinds ...MessageKind) Decision[R] {
 	d := Decision[R]{Record: record}
 	for _, kind := range kinds {
@@ -34,7 +37,7 @@
 	return d
 }
 
-// changed decides to write a record, and then to send messages.
+// changed returns a decision that writes the record and then sends messages.
 func changed[R transferRecord](record R, kinds ...MessageKind) Decision[R] {
 	d := unchanged(record, kinds...)
 	d.Write = true
--- a/internal/federation/dependencies.go
+++ b/internal/federation/dependencies.go
@@ -9,59 +9,63 @@
 	"dunestand/internal/units"
 )
 
-// ErrVersionConflict reports that a record was not written, as another leader has written it since,
-// or may have.
-var ErrVersionConflict = errors.New("another leader has written the record")
+// ErrVersionConflict reports a failed compare-and-swap: another leader has written the record,
+// or the outcome of the write is unknown.
+var ErrVersionConflict = errors.New("version conflict on a transfer record")
 
-// Store keeps the records of a cell's transfers in its key-value store.
+// Store stores the transfer records of a cell in its key-value store.
 type Store interface {
 	// List returns all records whose keys begin with a prefix.
 	List(ctx context.Context, prefix string) ([]protocol.Item, error)
-	// CompareAndSwap writes a value, or deletes the key if it is nil, by a compare-and-swap on the
-	// record's version, 0: the key does not exist. It returns the new version. It returns
-	// an error other than ErrVersionConflict only if the write is certain not to be carried out.
+	// CompareAndSwap writes a value, or deletes the key if the value is nil, provided that the
+	// record has the given version; version 0 means that the key does not exist. It returns
+	// the new version. Any error other than ErrVersionConflict means that the write has not
+	// happened and never will.
 	CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, error)
 }
 
-// Transport sends messages to other cells. They may be lost, duplicated or delayed.
+// Transport sends messages to other cells. Messages may be lost, duplicated or delayed.
 type Transport interface {
-	// Send is called with the Manager's lock held: it returns at once and does not call the
-	// Manager.
+	// Send sends a message to a cell. It is called with the Manager's lock held: it must not
+	// block and must not call the Manager.
 	Send(cell string, message Message)
 }
 
-// Scheduler runs jobs in this cell. Its methods are called again and again for the same
-// transfer, with the Manager's lock held: they return at once and do not call the Manager.
+// Scheduler runs jobs in this cell. Its methods must be idempotent: they are called repeatedly
+// for the same transfer. They are called with the Manager's lock held: they must not block
+// and must not call the Manager.
 type Scheduler interface {
-	// Run has those tasks of another cell's job run that are not done. The scheduler asks
-	// Manager.MayRun before each start, and before it extends the lease of a worker that
-	// has one of them.
+	// Run requests that the tasks of another cell's job that are not in done are run. After
+	// Run has returned, the scheduler must check Manager.MayRun before it starts a task of
+	// the job and before it extends the lease of a worker that runs such a task.
 	Run(id TransferID, job []byte, done TaskSet)
-	// Stop has the tasks of another cell's job stopped.
+	// Stop stops all tasks of another cell's job.
 	Stop(id TransferID)
-	// Progress returns how far the tasks of another cell's job are.
+	// Progress returns the progress of another cell's job.
 	Progress(id TransferID) Progress
-	// Returned gives a job of this cell back to it, which has been restarted so many times.
-	// It reports whether that is durable here, as Finished and Withdrawn do; until then the
-	// transfer's record stays.
+	// Returned gives a job of this cell back to its scheduler. restarts is the number of
+	// restarts so far, including the one that follows. It reports whether the scheduler has
+	// stored the return durably; until then the transfer record is kept.
 	Returned(job string, done TaskSet, restarts int) bool
-	// Finished ends a job of this cell all of whose tasks are done.
+	// Finished ends a job of this cell whose tasks are all done. It reports whether that is
+	// durable, like Returned.
 	Finished(job string, done TaskSet) bool
-	// Withdrawn ends a job of this cell that is cancelled.
+	// Withdrawn ends a cancelled job of this cell. It reports whether that is durable, like
+	// Returned.
 	Withdrawn(job string) bool
 }
 
-// Progress is how far the tasks of another cell's job are.
+// Progress is the progress of another cell's job in this cell.
 type Progress struct {
-	// Done are the tasks that are done, durably.
+	// Done holds the tasks whose completion is stored durably.
 	Done TaskSet
-	// Complete is set if no task is left to be done.
+	// Complete is set if all tasks are done.
 	Complete bool
-	// Running is set if a task may be on a machine.
+	// Running is set if a task may still be running on a machine.
 	Running bool
 }
 
-// Options are what a Manager is made of. All fields but Log and OnSuperseded are required.
+// Options configures a Manager. All fields except Log and OnSuperseded are required.
 type Options struct {
 	Config    *Config
 	Store     Store
@@ -69,11 +73,13 @@
 	Scheduler Scheduler
 	Clock     units.Clock
 	Log       *slog.Logger // nil: nothing is logged
-	// FencingToken is the leader's, greater than those of all leaders before.
-	// LeaseAcquiredAt is the steady time at which it acquired the leader lease.
-	FencingToken    uint64
+	// FencingToken is the fencing token of this leader, greater than those of all previous
+	// leaders of the cell.
+	FencingToken uint64
+	// LeaseAcquiredAt is the steady time at which this leader acquired the leader lease.
 	LeaseAcquiredAt units.Micros
-	// OnSuperseded is called once when another leader has written a record, with the
-	// Manager's lock held: it returns at once and does not call the Manager.
+	// OnSuperseded is called at most once, after a version conflict has shown that another
+	// leader is active. It is called with the Manager's lock held: it must not block and must
+	// not call the Manager.
 	OnSuperseded func()
 }
--- a/internal/federation/enum.go
+++ b/internal/federation/enum.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// enumName returns the name of a value, which is an index into names; of one that has none,
-// the name of its type and the number.
+// enumName returns names[value]. For a value without a name it returns the type name followed
+// by the number.
 func enumName(names []string, typeName string, value uint8) string {
 	if int(value) < len(names) && names[value] != "" {
 		return names[value]
--- a/internal/federation/estimates.go
+++ b/internal/federation/estimates.go
@@ -6,34 +6,34 @@
 	"dunestand/internal/units"
 )
 
-// EstimateCorrection corrects owners' estimates of run times by how long tasks of the same
-// class took. It is not safe for concurrent use.
+// EstimateCorrection corrects user estimates of task run times by the observed run times of
+// tasks of the same class. It is not safe for concurrent use.
 type EstimateCorrection struct {
-	ratios map[string]*hdrhistogram.Histogram // of run time to estimate, by class
+	ratios map[string]*hdrhistogram.Histogram // ratios of run time to estimate, by class
 }
 
 const (
-	// ratioScale is what a ratio of 1 is kept as: ratios are integers, in thousandths.
+	// ratioScale is the stored value of a ratio of 1: histograms take only integers.
 	ratioScale = 1000
-	// minRatio and maxRatio bound the ratios: a tenth to tenfold.
+	// minRatio and maxRatio clamp stored ratios to the range 0.1 to 10.
 	minRatio = 100
 	maxRatio = 10_000
-	// ratioDigits is how many significant digits a ratio is kept with.
+	// ratioDigits is the number of significant digits of stored ratios.
 	ratioDigits = 3
-	// ratioQuantile is how many tasks in a hundred take no longer than the corrected
-	// estimate.
+	// ratioQuantile is the percentage of tasks that complete within the corrected estimate.
 	ratioQuantile = 80
-	// minRatioSamples is how many tasks of a class are seen before it is corrected.
+	// minRatioSamples is the number of observed tasks of a class from which its estimates are
+	// corrected.
 	minRatioSamples = 10
 )
 
-// NewEstimateCorrection returns a correction that has seen no task.
+// NewEstimateCorrection returns a correction without observations.
 func NewEstimateCorrection() *EstimateCorrection {
 	return &EstimateCorrection{ratios: map[string]*hdrhistogram.Histogram{}}
 }
 
-// Observe records how long a task of a class took, and what was estimated. Values that are
-// not above 0 are ignored.
+// Observe records the estimated and the actual run time of a task of a class. It ignores
+// tasks for which either is 0 or negative.
 func (e *EstimateCorrection) Observe(class string, estimate, took units.Micros) {
 	if estimate <= 0 || took <= 0 {
 		return
@@ -44,11 +44,11 @@
 		e.ratios[class] = histogram
 	}
 	ratio := float64(took) / float64(estimate) * ratioScale
-	_ = histogram.RecordValue(int64(min(max(ratio, minRatio), maxRatio))) // fails only out of its range
+	_ = histogram.RecordValue(int64(min(max(ratio, minRatio), maxRatio))) // fails only outside the range of the histogram
 }
 
-// Corrected returns the run time that four in five tasks of a class with an estimate do not
-// exceed, or the estimate itself while too few tasks were seen.
+// Corrected returns the run time within which 80 % of the tasks of a class with this estimate
+// complete, or the estimate itself if too few tasks of the class were observed.
 func (e *EstimateCorrection) Corrected(class string, estimate units.Micros) units.Micros {
 	histogram := e.ratios[class]
 	if histogram == nil || histogram.TotalCount() < minRatioSamples {
--- a/internal/federation/fakecell_test.go
+++ b/internal/federation/fakecell_test.go
@@ -12,7 +12,7 @@
 // machineTask is a task on a machine of a fake cell.
 type machineTask struct {
 	job          string
-	guest        TransferID // zero for a job of the cell's own
+	transfer     TransferID // zero for a job of the cell's own
 	task         int
 	completesAt  units.Micros
 	leaseExpires units.Micros // the worker's lease, extended by the leader
@@ -32,17 +32,17 @@
 // store. It is the Scheduler of its leader's Manager.
 type fakeCell struct {
 	name         string
-	region       *fakeRegion
+	federation   *fakeFederation
 	store        *fakeStore
 	manager      *Manager // nil: no leader
 	fencingToken uint64
 	slots        int
 
-	mu          sync.Mutex
-	jobs        []*fakeJob
-	guestDone   map[TransferID]TaskSet // of other cells' jobs
-	guestWanted map[TransferID]bool    // which of them are to run
-	tasks       []machineTask
+	mu             sync.Mutex
+	jobs           []*fakeJob
+	incomingDone   map[TransferID]TaskSet // of other cells' jobs
+	incomingWanted map[TransferID]bool    // which of them are to run
+	tasks          []machineTask
 }
 
 const (
@@ -58,59 +58,59 @@
 func (c *fakeCell) startLeader() {
 	c.fencingToken++
 	m := NewManager(Options{
-		Config:          c.region.configFor(c.name),
+		Config:          c.federation.configFor(c.name),
 		Store:           c.store,
-		Transport:       fakeTransport{c.region, c.name},
+		Transport:       fakeTransport{c.federation, c.name},
 		Scheduler:       c,
-		Clock:           c.region.clock,
+		Clock:           c.federation.clock,
 		FencingToken:    c.fencingToken,
-		LeaseAcquiredAt: c.region.clock.Steady(),
+		LeaseAcquiredAt: c.federation.clock.Steady(),
 	})
 	if err := m.Restore(context.Background()); err != nil {
-		c.region.t.Error(err)
+		c.federation.t.Error(err)
 	}
 	m.SetCapacity(Work(c.slots) * fakeSlotCapacity)
-	c.region.mu.Lock()
+	c.federation.mu.Lock()
 	c.manager = m
-	c.region.mu.Unlock()
+	c.federation.mu.Unlock()
 }
 
 // stopLeader stops the leader. The machines go on until their leases expire.
 func (c *fakeCell) stopLeader() {
-	c.region.mu.Lock()
-	defer c.region.mu.Unlock()
+	c.federation.mu.Lock()
+	defer c.federation.mu.Unlock()
 	c.manager = nil
 }
 
 // stepMachines completes tasks, extends the leases of workers and starts tasks.
 func (c *fakeCell) stepMachines() {
-	now := c.region.clock.Steady()
+	now := c.federation.clock.Steady()
 	manager := c.manager
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.tasks[:0]
 	for _, t := range c.tasks {
-		own := t.guest == TransferID{}
-		if manager != nil && (own || c.guestWanted[t.guest] && manager.MayRun(t.guest)) {
-			t.leaseExpires = now + c.region.config.Timing.StopGrace
+		own := t.transfer == TransferID{}
+		if manager != nil && (own || c.incomingWanted[t.transfer] && manager.MayRun(t.transfer)) {
+			t.leaseExpires = now + c.federation.config.Timing.StopGrace
 		}
 		switch {
 		case now >= t.leaseExpires, own && c.job(t.job).ended:
 		case now >= t.completesAt && own:
 			c.job(t.job).done.Add(t.task)
 		case now >= t.completesAt:
-			done := c.guestDone[t.guest].Union(nil)
+			done := c.incomingDone[t.transfer].Union(nil)
 			done.Add(t.task)
-			c.guestDone[t.guest] = done
+			c.incomingDone[t.transfer] = done
 		default:
 			kept = append(kept, t)
 		}
 	}
 	c.tasks = kept
 	for job := range c.jobsOnMachines() {
-		c.region.recordRun(c.name, job, true)
+		c.federation.recordRun(c.name, job, true)
 	}
-	c.recordJobsGone()
+	c.recordStoppedJobs()
 	if manager != nil {
 		c.schedule(manager, now)
 	}
@@ -125,19 +125,19 @@
 	return jobs
 }
 
-// recordJobsGone records which jobs are no longer on the cell's machines.
-func (c *fakeCell) recordJobsGone() {
-	present := c.jobsOnMachines()
-	c.region.mu.Lock()
-	var gone []string
-	for job, cells := range c.region.runningIn {
-		if cells[c.name] && !present[job] {
-			gone = append(gone, job)
+// recordStoppedJobs records which jobs are no longer on the cell's machines.
+func (c *fakeCell) recordStoppedJobs() {
+	running := c.jobsOnMachines()
+	c.federation.mu.Lock()
+	var stopped []string
+	for job, cells := range c.federation.runningIn {
+		if cells[c.name] && !running[job] {
+			stopped = append(stopped, job)
 		}
 	}
-	c.region.mu.Unlock()
-	for _, job := range gone {
-		c.region.recordRun(c.name, job, false)
+	c.federation.mu.Unlock()
+	for _, job := range stopped {
+		c.federation.recordRun(c.name, job, false)
 	}
 }
 
@@ -149,15 +149,15 @@
 			c.startTasks(j.id, TransferID{}, j.done, now)
 		}
 	}
-	for _, id := range slices.SortedFunc(maps.Keys(c.guestWanted), compareTransferIDs) {
-		if c.guestWanted[id] && manager.MayRun(id) {
-			c.startTasks(id.Job, id, c.guestDone[id], now)
+	for _, id := range slices.SortedFunc(maps.Keys(c.incomingWanted), compareTransferIDs) {
+		if c.incomingWanted[id] && manager.MayRun(id) {
+			c.startTasks(id.Job, id, c.incomingDone[id], now)
 		}
 	}
 }
 
 // startTasks starts the tasks of a job that are neither done nor running.
-func (c *fakeCell) startTasks(job string, guest TransferID, done TaskSet, now units.Micros) {
+func (c *fakeCell) startTasks(job string, id TransferID, done TaskSet, now units.Micros) {
 	for task := range fakeJobTasks {
 		running := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.job == job && t.task == task })
 		if done.Has(task) || running || len(c.tasks) >= c.slots {
@@ -165,12 +165,12 @@
 		}
 		c.tasks = append(c.tasks, machineTask{
 			job:          job,
-			guest:        guest,
+			transfer:     id,
 			task:         task,
 			completesAt:  now + fakeTaskRunTime,
-			leaseExpires: now + c.region.config.Timing.StopGrace,
+			leaseExpires: now + c.federation.config.Timing.StopGrace,
 		})
-		c.region.recordRun(c.name, job, true)
+		c.federation.recordRun(c.name, job, true)
 	}
 }
 
@@ -201,29 +201,29 @@
 			if !complete {
 				answer = "cancelled"
 			}
-			c.region.recordAnswer(j.id, answer)
+			c.federation.recordAnswer(j.id, answer)
 		}
 	}
-	c.handOverWaiting(ctx, manager)
+	c.handOverPending(ctx, manager)
 }
 
-// handOverWaiting hands up to three jobs that wait to the first cell that has capacity.
-func (c *fakeCell) handOverWaiting(ctx context.Context, manager *Manager) {
+// handOverPending hands up to three jobs that wait to the first cell that has capacity.
+func (c *fakeCell) handOverPending(ctx context.Context, manager *Manager) {
 	c.mu.Lock()
-	var waiting []*fakeJob
-	present := c.jobsOnMachines()
+	var pending []*fakeJob
+	running := c.jobsOnMachines()
 	for _, j := range c.jobs {
-		if !j.handedOver && !j.ended && !j.cancelRequested && len(j.done) == 0 && !present[j.id] && manager.Owner(j.id) == OwnerOrigin {
-			waiting = append(waiting, j)
+		if !j.handedOver && !j.ended && !j.cancelRequested && len(j.done) == 0 && !running[j.id] && manager.Owner(j.id) == OwnerOrigin {
+			pending = append(pending, j)
 		}
 	}
 	c.mu.Unlock()
-	if len(waiting) <= 2 {
+	if len(pending) <= 2 {
 		return
 	}
-	for _, j := range waiting[2:min(len(waiting), 5)] {
+	for _, j := range pending[2:min(len(pending), 5)] {
 		for _, name := range []string{"dye", "recipes", "mill"} {
-			if other := c.region.cells[name]; name == c.name || other.manager == nil || other.manager.FreeCapacity() < fakeJobWork {
+			if other := c.federation.cells[name]; name == c.name || other.manager == nil || other.manager.FreeCapacity() < fakeJobWork {
 				continue
 			}
 			c.mu.Lock()
--- a/internal/federation/fakeregion_test.go
+++ b/internal/federation/fakeregion_test.go
@@ -13,9 +13,9 @@
 	"dunestand/internal/units"
 )
 
-// fakeRegion is three cells on one network, and an observer of all their machines and
+// fakeFederation is three cells on one network, and an observer of all their machines and
 // answers, in the time of a synctest bubble.
-type fakeRegion struct {
+type fakeFederation struct {
 	t      *testing.T
 	clock  units.Clock
 	random *rand.Rand
@@ -39,36 +39,36 @@
 
 // fakeTransport loses, duplicates and delays messages.
 type fakeTransport struct {
-	region *fakeRegion
-	from   string
+	federation *fakeFederation
+	from       string
 }
 
 func (transport fakeTransport) Send(cell string, message Message) {
-	r := transport.region
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	f := transport.federation
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	copies := 1
-	switch r.random.IntN(10) {
+	switch f.random.IntN(10) {
 	case 0:
 		copies = 0
 	case 1:
 		copies = 2
 	}
 	for range copies {
-		delay := time.Duration(1+r.random.IntN(40)) * time.Millisecond
-		if r.random.IntN(20) == 0 {
-			delay = time.Duration(r.random.IntN(60_000)) * time.Millisecond
+		delay := time.Duration(1+f.random.IntN(40)) * time.Millisecond
+		if f.random.IntN(20) == 0 {
+			delay = time.Duration(f.random.IntN(60_000)) * time.Millisecond
 		}
-		time.AfterFunc(delay, func() { r.deliver(transport.from, cell, message) })
+		time.AfterFunc(delay, func() { f.deliver(transport.from, cell, message) })
 	}
 }
 
 // deliver delivers a message, unless one of the cells is partitioned or has no leader.
-func (r *fakeRegion) deliver(from, to string, message Message) {
-	r.mu.Lock()
-	lost := r.partitioned[from] || r.partitioned[to]
-	manager := r.cells[to].manager
-	r.mu.Unlock()
+func (f *fakeFederation) deliver(from, to string, message Message) {
+	f.mu.Lock()
+	lost := f.partitioned[from] || f.partitioned[to]
+	manager := f.cells[to].manager
+	f.mu.Unlock()
 	if !lost && manager != nil {
 		manager.Receive(context.Background(), from, message)
 	}
@@ -76,45 +76,45 @@
 
 // recordAnswer records that a job's user is told that it is done or cancelled, which must not
 // change any more.
-func (r *fakeRegion) recordAnswer(job, answer string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if before := r.answers[job]; before != "" && before != answer {
-		r.t.Errorf("the user of %s was told that it is %s, and now that it is %s", job, before, answer)
+func (f *fakeFederation) recordAnswer(job, answer string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if before := f.answers[job]; before != "" && before != answer {
+		f.t.Errorf("the user of %s was told that it is %s, and now that it is %s", job, before, answer)
 	}
-	r.answers[job] = answer
+	f.answers[job] = answer
 }
 
 // recordRun records that a job begins to run, or ends, on the machines of a cell.
-func (r *fakeRegion) recordRun(cell, job string, begins bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.runningIn[job] == nil {
-		r.runningIn[job] = map[string]bool{}
+func (f *fakeFederation) recordRun(cell, job string, begins bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.runningIn[job] == nil {
+		f.runningIn[job] = map[string]bool{}
 	}
 	if begins {
-		r.runningIn[job][cell] = true
+		f.runningIn[job][cell] = true
 	} else {
-		delete(r.runningIn[job], cell)
+		delete(f.runningIn[job], cell)
 	}
-	if len(r.runningIn[job]) > 1 {
-		r.t.Errorf("%s runs in two cells: %v", job, r.runningIn[job])
+	if len(f.runningIn[job]) > 1 {
+		f.t.Errorf("%s runs in two cells: %v", job, f.runningIn[job])
 	}
 }
 
 // configFor returns the cells file of a cell.
-func (r *fakeRegion) configFor(self string) *Config {
-	config := *r.config
+func (f *fakeFederation) configFor(self string) *Config {
+	config := *f.config
 	config.Self = self
 	return &config
 }
 
-// newFakeRegion returns a region in which every cell has a leader and no job.
-func newFakeRegion(t *testing.T, seed uint64) *fakeRegion {
+// newFakeFederation returns a region in which every cell has a leader and no job.
+func newFakeFederation(t *testing.T, seed uint64) *fakeFederation {
 	t.Helper()
 	config := loadExampleConfig(t)
 	config.Timing = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
-	r := &fakeRegion{
+	f := &fakeFederation{
 		t:           t,
 		clock:       bubbleClock{time.Now()},
 		random:      rand.New(rand.NewPCG(seed, 1)),
@@ -125,19 +125,19 @@
 		runningIn:   map[string]map[string]bool{},
 	}
 	for name, slots := range map[string]int{"mill": 4, "dye": 16, "recipes": 16} {
-		r.cells[name] = &fakeCell{
-			name:        name,
-			region:      r,
-			store:       &fakeStore{records: map[string]protocol.Item{}},
-			slots:       slots,
-			guestDone:   map[TransferID]TaskSet{},
-			guestWanted: map[TransferID]bool{},
+		f.cells[name] = &fakeCell{
+			name:           name,
+			federation:     f,
+			store:          &fakeStore{records: map[string]protocol.Item{}},
+			slots:          slots,
+			incomingDone:   map[TransferID]TaskSet{},
+			incomingWanted: map[TransferID]bool{},
 		}
 	}
-	for _, c := range r.cells {
+	for _, c := range f.cells {
 		c.startLeader()
 	}
-	return r
+	return f
 }
 
 // fakeStep is how often the machines of all cells do something; the leaders do so at every
@@ -145,22 +145,22 @@
 const fakeStep = 250 * time.Millisecond
 
 // advance lets the cells work for a time.
-func (r *fakeRegion) advance(length time.Duration) {
+func (f *fakeFederation) advance(length time.Duration) {
 	for step := range int(length / fakeStep) {
 		time.Sleep(fakeStep)
 		synctest.Wait()
 		for _, name := range []string{"mill", "dye", "recipes"} {
-			r.cells[name].stepMachines()
+			f.cells[name].stepMachines()
 			if step%4 == 0 {
-				r.cells[name].stepLeader(context.Background())
+				f.cells[name].stepLeader(context.Background())
 			}
 		}
 	}
 }
 
 // submit submits n jobs of a class to a cell.
-func (r *fakeRegion) submit(cell string, n int, class string) {
-	c := r.cells[cell]
+func (f *fakeFederation) submit(cell string, n int, class string) {
+	c := f.cells[cell]
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range n {
@@ -169,15 +169,15 @@
 }
 
 // setPartitioned cuts a cell off from all others, or ends that.
-func (r *fakeRegion) setPartitioned(cell string, partitioned bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.partitioned[cell] = partitioned
+func (f *fakeFederation) setPartitioned(cell string, partitioned bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.partitioned[cell] = partitioned
 }
 
 // cancelSome cancels every sixth job of the mill.
-func (r *fakeRegion) cancelSome() {
-	c := r.cells["mill"]
+func (f *fakeFederation) cancelSome() {
+	c := f.cells["mill"]
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, j := range c.jobs {
@@ -186,21 +186,21 @@
 }
 
 // restartLeader stops a cell's leader, and starts another after a downtime.
-func (r *fakeRegion) restartLeader(cell string, downtime time.Duration) {
-	r.cells[cell].stopLeader()
-	r.advance(downtime)
-	r.cells[cell].startLeader()
+func (f *fakeFederation) restartLeader(cell string, downtime time.Duration) {
+	f.cells[cell].stopLeader()
+	f.advance(downtime)
+	f.cells[cell].startLeader()
 }
 
 // failStore has a cell's store refuse all writes for a time.
-func (r *fakeRegion) failStore(cell string, length time.Duration) {
-	s := r.cells[cell].store
+func (f *fakeFederation) failStore(cell string, length time.Duration) {
+	s := f.cells[cell].store
 	set := func(down bool) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.down = down
 	}
 	set(true)
-	r.advance(length)
+	f.advance(length)
 	set(false)
 }
--- a/internal/federation/fakescheduler_test.go
+++ b/internal/federation/fakescheduler_test.go
@@ -7,21 +7,21 @@
 func (c *fakeCell) Run(id TransferID, _ []byte, done TaskSet) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.guestDone[id] = c.guestDone[id].Union(done)
-	c.guestWanted[id] = true
+	c.incomingDone[id] = c.incomingDone[id].Union(done)
+	c.incomingWanted[id] = true
 }
 
 func (c *fakeCell) Stop(id TransferID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.guestWanted[id] = false
+	c.incomingWanted[id] = false
 }
 
 func (c *fakeCell) Progress(id TransferID) Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	running := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.guest == id })
-	return Progress{Done: c.guestDone[id], Complete: fakeJobDone(c.guestDone[id]), Running: running}
+	running := slices.ContainsFunc(c.tasks, func(t machineTask) bool { return t.transfer == id })
+	return Progress{Done: c.incomingDone[id], Complete: fakeJobDone(c.incomingDone[id]), Running: running}
 }
 
 func fakeJobDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<fakeJobTasks - 1}) }
@@ -46,10 +46,10 @@
 	j := c.job(id)
 	j.done = j.done.Union(done)
 	if !fakeJobDone(j.done) {
-		c.region.t.Errorf("%s is finished with tasks %v done", id, j.done)
+		c.federation.t.Errorf("%s is finished with tasks %v done", id, j.done)
 	}
 	j.ended = true
-	c.region.recordAnswer(id, "done")
+	c.federation.recordAnswer(id, "done")
 	return true
 }
 
@@ -57,6 +57,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.job(id).ended = true
-	c.region.recordAnswer(id, "cancelled")
+	c.federation.recordAnswer(id, "cancelled")
 	return true
 }
--- a/internal/federation/fielderror.go
+++ b/internal/federation/fielderror.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// FieldError is a field of the cells file with a value that cannot be used.
+// FieldError reports a field of the cells file with an invalid value.
 type FieldError struct {
-	Field   string // its path in the file, such as "cell[1].name"
+	Field   string // path of the field in the file, such as "cell[1].name"
 	Problem string
 }
 
-// Error returns field and problem on one line.
+// Error returns the field and the problem on one line.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func fieldErrorf(field, format string, args ...any) error {
@@ -19,4 +19,4 @@
 
 func classField(i int, name string) string { return fmt.Sprintf("class[%d].%s", i, name) }
 
-func element(field string, i int) string { return fmt.Sprintf("%s[%d]", field, i) }
+func elementField(field string, i int) string { return fmt.Sprintf("%s[%d]", field, i) }
--- a/internal/federation/forecast_test.go
+++ b/internal/federation/forecast_test.go
@@ -12,39 +12,39 @@
 
 func work(cpuSeconds float64) Work { return Work(cpuSeconds * 1000) }
 
-func TestTimeToComplete(t *testing.T) {
+func TestTimeToCompleteCoversQueueQuotaAndProvisioning(t *testing.T) {
 	job := Demand{Tasks: 20, CPUs: cpus(1), RunTime: 10 * units.Second} // 200 CPU seconds
 	idle := Load{CPUs: cpus(10), QuotaFree: cpus(100)}
 	for name, c := range map[string]struct {
 		change func(*Load)
 		want   units.Micros
 	}{
-		"idle":                 {func(*Load) {}, 20 * units.Second},
-		"after a queue":        {func(l *Load) { l.Queued = work(300) }, 50 * units.Second},
-		"image first":          {func(l *Load) { l.ImageFetch = 7 * units.Second }, 27 * units.Second},
-		"team's quota":         {func(l *Load) { l.QuotaFree = cpus(4) }, 50 * units.Second},
-		"no quota left":        {func(l *Load) { l.QuotaFree = 0 }, Never},
-		"no less than a task":  {func(l *Load) { l.CPUs = cpus(1000) }, 10 * units.Second},
-		"no machine":           {func(l *Load) { l.CPUs = 0 }, Never},
-		"machines to come":     {func(l *Load) { l.CPUs, l.Provisioning = 0, coming(30, 20) }, 40 * units.Second},
-		"more machines join":   {func(l *Load) { l.Provisioning = coming(10, 10) }, 15 * units.Second},
-		"queue, then machines": {func(l *Load) { l.Queued, l.Provisioning = work(200), coming(10, 10) }, 25 * units.Second},
+		"idle":                  {func(*Load) {}, 20 * units.Second},
+		"after a queue":         {func(l *Load) { l.Queued = work(300) }, 50 * units.Second},
+		"image fetch":           {func(l *Load) { l.ImageFetch = 7 * units.Second }, 27 * units.Second},
+		"team's quota":          {func(l *Load) { l.QuotaFree = cpus(4) }, 50 * units.Second},
+		"no quota left":         {func(l *Load) { l.QuotaFree = 0 }, Never},
+		"at least one task":     {func(l *Load) { l.CPUs = cpus(1000) }, 10 * units.Second},
+		"no machine":            {func(l *Load) { l.CPUs = 0 }, Never},
+		"machines provisioning": {func(l *Load) { l.CPUs, l.Provisioning = 0, provisioning(30, 20) }, 40 * units.Second},
+		"more machines join":    {func(l *Load) { l.Provisioning = provisioning(10, 10) }, 15 * units.Second},
+		"queue, then machines":  {func(l *Load) { l.Queued, l.Provisioning = work(200), provisioning(10, 10) }, 25 * units.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			load := idle
 			c.change(&load)
 			if got := load.TimeToComplete(job); got != c.want {
-				t.Errorf("%v s, want %v s", got.Seconds(), c.want.Seconds())
+				t.Errorf("forecast is %v s, want %v s", got.Seconds(), c.want.Seconds())
 			}
 		})
 	}
 }
 
-func coming(in, n float64) []ProvisioningCapacity {
+func provisioning(in, n float64) []ProvisioningCapacity {
 	return []ProvisioningCapacity{{ReadyIn: units.Seconds(in), CPUs: cpus(n)}}
 }
 
-// More machines never make a forecast later, more work never sooner.
+// More machines never delay the forecast completion, and more tasks never advance it.
 func TestForecastIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := rapid.IntRange(0, 100)
@@ -52,7 +52,7 @@
 			CPUs:         cpus(float64(amount.Draw(t, "cpus"))),
 			Queued:       work(float64(amount.Draw(t, "queued"))),
 			QuotaFree:    cpus(float64(amount.Draw(t, "free"))),
-			Provisioning: coming(float64(amount.Draw(t, "in")), float64(amount.Draw(t, "coming"))),
+			Provisioning: provisioning(float64(amount.Draw(t, "in")), float64(amount.Draw(t, "coming"))),
 		}
 		job := Demand{Tasks: rapid.IntRange(1, 50).Draw(t, "tasks"), CPUs: cpus(1), RunTime: units.Second}
 		before := load.TimeToComplete(job)
@@ -60,10 +60,10 @@
 		more.CPUs += cpus(5)
 		longer.Tasks += 5
 		if sooner := more.TimeToComplete(job); sooner > before {
-			t.Fatalf("with more machines %d, before %d", sooner, before)
+			t.Fatalf("forecast with more machines is %d, later than %d", sooner, before)
 		}
 		if later := load.TimeToComplete(longer); later < before {
-			t.Fatalf("with more tasks %d, before %d", later, before)
+			t.Fatalf("forecast with more tasks is %d, sooner than %d", later, before)
 		}
 	})
 }
--- a/internal/federation/handover.go
+++ b/internal/federation/handover.go
@@ -6,39 +6,40 @@
 	"fmt"
 )
 
-// ErrNotHandedOver reports that a job stays at its origin.
-var ErrNotHandedOver = errors.New("the job is not handed over")
+// ErrNotHandedOver reports that no transfer was begun.
+var ErrNotHandedOver = errors.New("job not handed over")
 
-// HandOverRequest is a job that is to be handed over to another cell.
+// HandOverRequest requests the transfer of a job to another cell.
 type HandOverRequest struct {
-	Job    string // id of the job
+	Job    string // job ID
 	Class  string
 	Target string // name of the target cell
-	// Description is the job as its user sent it, Work the capacity it takes.
+	// Description is the job description as submitted by the user. Work is the capacity that
+	// the job needs.
 	Description []byte
 	Work        Work
-	// Restarts is how often the job has been restarted so far.
+	// Restarts is the number of restarts of the job so far.
 	Restarts int
 }
 
-// HandOver begins to hand over a job that has no task on a machine. From then on the
-// scheduler starts no task of it, until Scheduler.Returned is called. An error wraps
-// ErrNotHandedOver: the job stays where it is, which is elsewhere if it has a transfer
-// already.
+// HandOver begins the transfer of a job of this cell. No task of the job may be on a machine,
+// and the scheduler must not start any until Scheduler.Returned is called. An error wraps
+// ErrNotHandedOver and leaves the job unchanged: it stays in this cell, or in the transfer
+// that it already has.
 func (m *Manager) HandOver(ctx context.Context, request HandOverRequest) error {
 	policy := m.Config.Class(request.Class)
 	switch {
 	case policy == nil:
-		return fmt.Errorf("%w: class %q stays where it is", ErrNotHandedOver, request.Class)
+		return fmt.Errorf("%w: class %q is not eligible for transfer", ErrNotHandedOver, request.Class)
 	case request.Restarts > policy.MaxRestarts:
-		return fmt.Errorf("%w: its class allows no further run", ErrNotHandedOver)
+		return fmt.Errorf("%w: restart limit of its class is exceeded", ErrNotHandedOver)
 	case !m.otherCell(request.Target):
-		return fmt.Errorf("%w: %q is no other cell", ErrNotHandedOver, request.Target)
+		return fmt.Errorf("%w: %q is not another cell of the federation", ErrNotHandedOver, request.Target)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.outgoing[request.Job] != nil || m.unreadable[outgoingKey(request.Job)] != nil {
-		return fmt.Errorf("%w: it has a transfer", ErrNotHandedOver)
+		return fmt.Errorf("%w: it already has a transfer", ErrNotHandedOver)
 	}
 	m.transferCount++
 	id := TransferID{
@@ -54,18 +55,20 @@
 	m.applyOrigin(ctx, transfer, BeginTransfer(id, request, policy.MaxRestarts))
 	if !transfer.stored() {
 		delete(m.outgoing, request.Job)
-		return fmt.Errorf("%w: its transfer was not stored", ErrNotHandedOver)
+		return fmt.Errorf("%w: its transfer record was not stored", ErrNotHandedOver)
 	}
 	return nil
 }
 
-// otherCell reports whether a name is that of another cell of the cells file.
+// otherCell reports whether name is a cell of the cells file other than this one.
 func (m *Manager) otherCell(name string) bool {
 	return name != m.Config.Self && m.Config.Cell(name) != nil
 }
 
-// Cancel begins to cancel a job that was handed over. It is called again until the
-// scheduler is called, by Withdrawn, or by Returned with the job; then the user may be told.
+// Cancel begins the cancellation of a transferred job. The caller must repeat the call until the
+// Manager calls Scheduler.Withdrawn or Scheduler.Returned for the job. After Withdrawn the
+// cancellation may be reported to the user; after Returned the scheduler must cancel the job
+// first.
 func (m *Manager) Cancel(ctx context.Context, job string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,8 +77,8 @@
 	}
 }
 
-// JobEnded is called before the end of a job of this cell is stored, and reports whether it
-// may be stored now.
+// JobEnded must be called before the terminal state of a job of this cell is stored. It reports
+// whether the state may be stored now; if not, the caller must try again later.
 func (m *Manager) JobEnded(ctx context.Context, job string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,7 +93,8 @@
 	return transfer.record.Phase == OriginWithdrawn && !m.superseded
 }
 
-// Owner returns which cell may start tasks of a job of this cell.
+// Owner returns the cell that may start tasks of a job of this cell. It is OwnerNone if the
+// transfer record of the job cannot be decoded.
 func (m *Manager) Owner(job string) Owner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,7 +107,8 @@
 	return OwnerOrigin
 }
 
-// MayRun reports whether tasks of another cell's job may be started, and may go on.
+// MayRun reports whether this cell may start tasks of another cell's job and continue running
+// them.
 func (m *Manager) MayRun(id TransferID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/federation/lease.go
+++ b/internal/federation/lease.go
@@ -2,56 +2,57 @@
 
 import "dunestand/internal/units"
 
-// LeaseGrantor is what an origin's leader knows of the leases that were granted on one
-// transfer. Its predecessor may have granted leases until the leader lease was acquired, so
-// a new leader counts that time as a grant. All times are of the leader's steady clock.
-// It is not safe for concurrent use.
+// LeaseGrantor tracks the leases that the origin's leader has granted for one transfer. The
+// previous leader may have granted leases until the new one acquired the leader lease, so a
+// new leader counts that acquisition as a grant. All times are on the leader's steady clock.
+// LeaseGrantor is not safe for concurrent use.
 type LeaseGrantor struct{ lastGrant units.Micros }
 
-// NewLeaseGrantor returns the grantor of a leader that acquired the leader lease at a time.
+// NewLeaseGrantor returns a grantor for a leader that acquired the leader lease at acquiredAt.
 func NewLeaseGrantor(acquiredAt units.Micros) LeaseGrantor {
 	return LeaseGrantor{lastGrant: acquiredAt}
 }
 
-// recordGrant records a grant that is decided on now. The target counts its lease from
-// before the renewal request arrived here, so it ends there sooner.
+// recordGrant records a grant at the given time. The target counts the lease from when it sent
+// the renewal request, which is earlier, so the lease expires at the target first.
 func (g *LeaseGrantor) recordGrant(now units.Micros) { g.lastGrant = max(g.lastGrant, now) }
 
-// Expired reports whether nothing of the job can run at the target any more, provided that
-// no grant was unbounded.
+// Expired reports whether all leases and the grace period have certainly expired at the
+// target, so that no task of the job runs there. The result is valid only if no grant was
+// unbounded.
 func (g *LeaseGrantor) Expired(now units.Micros, timing Timing) bool {
 	return now-g.lastGrant > timing.ReclaimDelay()
 }
 
-// SinceLastGrant returns how long ago the last grant was.
+// SinceLastGrant returns the time since the last grant.
 func (g *LeaseGrantor) SinceLastGrant(now units.Micros) units.Micros { return now - g.lastGrant }
 
-// maxPendingRenewals is how many of the latest renewal requests may still be answered by a
-// grant; it bounds memory.
+// maxPendingRenewals is the number of unanswered renewal requests that a holder remembers,
+// which bounds its memory. Grants for older requests are ignored.
 const maxPendingRenewals = 8
 
-// LeaseHolder is what a target's leader knows of its lease on one job. All times are of the
-// leader's steady clock. It is not safe for concurrent use.
+// LeaseHolder tracks the lease that the target's leader holds on one job. All times are on the
+// leader's steady clock. LeaseHolder is not safe for concurrent use.
 type LeaseHolder struct {
 	fencingToken uint64
 	sequence     uint64
 	pending      map[uint64]pendingRenewal // by sequence number
 	expires      units.Micros
-	run          int // the run that the lease is on, 0: none
+	run          int // run that the lease covers, 0: none
 }
 
-// pendingRenewal is a renewal request that no grant has answered yet.
+// pendingRenewal is a renewal request for which a grant may still arrive.
 type pendingRenewal struct {
 	sentAt units.Micros
 	run    int
 }
 
-// NewLeaseHolder returns a holder without a lease, for the leader with a fencing token.
+// NewLeaseHolder returns a holder without a lease for the leader with the given fencing token.
 func NewLeaseHolder(fencingToken uint64) LeaseHolder {
 	return LeaseHolder{fencingToken: fencingToken, pending: map[uint64]pendingRenewal{}}
 }
 
-// newRenewal records a renewal request that is sent now, and returns its id.
+// newRenewal records a renewal request sent at the given time and returns its ID.
 func (h *LeaseHolder) newRenewal(now units.Micros, run int) RenewalID {
 	h.sequence++
 	h.pending[h.sequence] = pendingRenewal{sentAt: now, run: run}
@@ -59,10 +60,10 @@
 	return RenewalID{FencingToken: h.fencingToken, Sequence: h.sequence}
 }
 
-// acceptGrant extends the lease by a grant and reports whether the grant answers a request
-// of this leader in time. The lease counts from when the request was sent. A run whose
-// lease has expired is not resumed: its tasks are being stopped, and to start them again
-// is another run.
+// acceptGrant extends the lease and returns true if the grant answers a pending request of
+// this leader and has not expired. The lease counts from when the request was sent. A run
+// whose lease has expired is not resumed: its tasks are being stopped, and starting them
+// again requires a new run.
 func (h *LeaseHolder) acceptGrant(grant *Message, lease, now units.Micros) bool {
 	request, known := h.pending[grant.Renewal.Sequence]
 	switch {
@@ -82,5 +83,5 @@
 	return true
 }
 
-// Valid reports whether the lease is on a run of the job and has not expired.
+// Valid reports whether the lease covers the given run and has not expired.
 func (h *LeaseHolder) Valid(now units.Micros, run int) bool { return h.run == run && now < h.expires }
--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -10,36 +10,36 @@
 	"dunestand/internal/units"
 )
 
-// Manager carries out the transfers of a cell under one leader: it writes
-// records, sends messages, sends again what is not answered, and calls the scheduler. It is
-// safe for concurrent use. It starts no goroutine; what it does waits for the store.
+// Manager executes the transfers of a cell on behalf of one leader: it writes records, sends
+// messages, resends unanswered ones, and calls the scheduler. It is safe for concurrent use.
+// It starts no goroutines; its methods block until the store has answered.
 type Manager struct {
 	Options
 	Stats Stats
 
-	// mu guards what follows. It is released while a record is being written.
+	// mu guards the fields below. It is released while a record is being written.
 	mu            sync.Mutex
-	outgoing      map[string]*outgoingTransfer // by job
+	outgoing      map[string]*outgoingTransfer // by job ID
 	incoming      map[TransferID]*incomingTransfer
-	unreadable    map[string]error // by key, of records that cannot be read
+	unreadable    map[string]error // decoding errors by record key
 	reservations  *Reservations
-	transferCount uint64 // of transfers that began under this leader
-	superseded    bool   // another leader has written a record: nothing more is decided
+	transferCount uint64 // number of transfers begun by this leader
+	superseded    bool   // another leader has written a record; this Manager makes no more decisions
 }
 
-// Stats counts what a Manager did.
+// Stats holds the counters of a Manager.
 type Stats struct {
-	Sent     atomic.Int64 // messages
-	Received atomic.Int64 // messages, rejected ones included
-	Rejected atomic.Int64 // messages that are malformed, or that their sender may not send
-	Writes   atomic.Int64 // of records, failed ones and deletions included
+	Sent     atomic.Int64 // messages sent
+	Received atomic.Int64 // messages received, including rejected ones
+	Rejected atomic.Int64 // received messages that were malformed or forbidden to their sender
+	Writes   atomic.Int64 // record writes and deletions, including failed ones
 }
 
-// versionedRecord is a record with the version that the store has of it. While it is being
-// written, messages about its transfer are dropped, as they are sent again.
+// versionedRecord is a record with its version in the store. Messages about a transfer are
+// dropped while its record is being written; the other cell sends them again.
 type versionedRecord[R transferRecord] struct {
 	record  R
-	version uint64 // 0: it is not stored
+	version uint64 // 0: not stored
 	writing bool
 }
 
@@ -55,24 +55,24 @@
 type incomingTransfer struct {
 	versionedRecord[TargetRecord]
 	holder      LeaseHolder
-	lastRenewal units.Micros // when the last MessageRenew was sent, 0: never
+	lastRenewal units.Micros // steady time of the last MessageRenew, 0: none sent
 }
 
 const (
-	// reservationHold is for how long a reservation lasts that no commitment follows.
+	// reservationHold is the time after which a reservation without a commit expires.
 	reservationHold = 10 * units.Second
-	// renewalsPerLease is how often within a lease the target asks for the next grant, so
-	// that one lost message does not let the lease expire.
+	// renewalsPerLease is the number of renewal requests per lease duration. It is above 1 so
+	// that the lease survives a lost message.
 	renewalsPerLease = 3
-	// reclaimAfterLeases is for how many lengths of the lease a target may be silent until
-	// the job is reclaimed.
+	// reclaimAfterLeases is the time without renewal requests after which the origin reclaims
+	// a job, in lease durations.
 	reclaimAfterLeases = 3
-	// incarnationBits is how many bits of an incarnation count the transfers of one leader;
-	// the fencing token is above them.
+	// incarnationBits is the number of low bits of an incarnation that hold the leader's
+	// transfer count. The fencing token occupies the bits above.
 	incarnationBits = 24
 )
 
-// NewManager returns the Manager of a leader. Restore is to be called before anything else.
+// NewManager returns the Manager of a leader. Restore must be called before any other method.
 func NewManager(options Options) *Manager {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -86,16 +86,17 @@
 	}
 }
 
-// Restore reads the records that former leaders wrote. One that cannot be read is logged and
-// blocks its transfer: it is not replaced, and messages about it are not answered.
+// Restore loads the records written by previous leaders. A record that cannot be decoded is
+// logged and blocks its transfer: it is not overwritten, and messages about the transfer are
+// not answered. Restore returns an error only if the store cannot be listed.
 func (m *Manager) Restore(ctx context.Context) error {
 	outgoing, err := m.Store.List(ctx, OutgoingPrefix)
 	if err != nil {
-		return fmt.Errorf("transfers of this cell's jobs: %w", err)
+		return fmt.Errorf("list outgoing transfers: %w", err)
 	}
 	incoming, err := m.Store.List(ctx, IncomingPrefix)
 	if err != nil {
-		return fmt.Errorf("transfers of other cells' jobs: %w", err)
+		return fmt.Errorf("list incoming transfers: %w", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,26 +128,26 @@
 
 func (m *Manager) markUnreadable(key string, err error) {
 	m.unreadable[key] = err
-	m.Log.Error("the record of a transfer cannot be read; it is left alone", "key", key, "error", err)
+	m.Log.Error("cannot decode transfer record; the record is kept and its job is blocked", "key", key, "error", err)
 }
 
-// ReadError returns why the record of a job's transfer could not be read, nil if there is
-// none or it could. Such a job has no owner.
+// ReadError returns the error from decoding the transfer record of a job of this cell. It is
+// nil if the record was decoded or does not exist. A job with such an error has no owner.
 func (m *Manager) ReadError(job string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.unreadable[outgoingKey(job)]
 }
 
-// SetCapacity sets how much work of other cells' jobs this cell accepts beside its own. What
-// is reserved already stays reserved.
+// SetCapacity sets the amount of work that this cell accepts from other cells in addition to its
+// own jobs. Existing reservations are kept, even if they exceed the new capacity.
 func (m *Manager) SetCapacity(work Work) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reservations.SetCapacity(work)
 }
 
-// FreeCapacity returns how much of that is not reserved.
+// FreeCapacity returns the unreserved part of the capacity that SetCapacity has set.
 func (m *Manager) FreeCapacity() Work {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -11,9 +11,9 @@
 // A leader that was replaced writes nothing, stops, and reports that once.
 func TestSupersededLeaderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFakeRegion(t, 1)
-		r.submit("mill", 2, "loomplan")
-		c := r.cells["mill"]
+		f := newFakeFederation(t, 1)
+		f.submit("mill", 2, "loomplan")
+		c := f.cells["mill"]
 		old, calls := c.manager, 0
 		old.OnSuperseded = func() { calls++ }
 		ctx := t.Context()
@@ -38,17 +38,17 @@
 // A job that may not be handed over stays where it is, and the error gives the reason.
 func TestIneligibleJobIsNotHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFakeRegion(t, 1)
-		m := r.cells["mill"].manager
-		for name, spoil := range map[string]func(*HandOverRequest){
-			"unknown class": func(r *HandOverRequest) { r.Class = "other" },
-			"to itself":     func(r *HandOverRequest) { r.Target = "mill" },
-			"to nowhere":    func(r *HandOverRequest) { r.Target = "loom" },
-			"used up":       func(r *HandOverRequest) { r.Class, r.Restarts = "yarnrecount", 3 },
-			"bad id":        func(r *HandOverRequest) { r.Job = "job" },
+		f := newFakeFederation(t, 1)
+		m := f.cells["mill"].manager
+		for name, mutate := range map[string]func(*HandOverRequest){
+			"unknown class": func(f *HandOverRequest) { f.Class = "other" },
+			"to itself":     func(f *HandOverRequest) { f.Target = "mill" },
+			"to nowhere":    func(f *HandOverRequest) { f.Target = "loom" },
+			"used up":       func(f *HandOverRequest) { f.Class, f.Restarts = "yarnrecount", 3 },
+			"bad id":        func(f *HandOverRequest) { f.Job = "job" },
 		} {
 			request := HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}
-			spoil(&request)
+			mutate(&request)
 			if err := m.HandOver(t.Context(), request); !errors.Is(err, ErrNotHandedOver) || m.Owner("j-000001") != OwnerOrigin {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -60,8 +60,8 @@
 // about it get no answer.
 func TestUnreadableRecordBlocksItsJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFakeRegion(t, 1)
-		c := r.cells["mill"]
+		f := newFakeFederation(t, 1)
+		c := f.cells["mill"]
 		raw := protocol.Encode("damaged")
 		in := TransferID{Origin: "dye", Job: "j-000009", Incarnation: 7}
 		for _, key := range []string{outgoingKey("j-000001"), incomingKey(in)} {
@@ -87,7 +87,7 @@
 // Messages are accepted only from cells of the cells file, and only about their transfers.
 func TestForbiddenMessageIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newFakeRegion(t, 1).cells["mill"].manager
+		m := newFakeFederation(t, 1).cells["mill"].manager
 		idOf := func(cell string) TransferID { return TransferID{Origin: cell, Job: "j-000001", Incarnation: 1} }
 		for n, c := range []struct {
 			from string
--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -15,21 +15,21 @@
 	return m.outgoing[job].record
 }
 
-// newDelegatedRegion returns a region in which the dyehouse runs a job of the mill, and the
+// newFederationWithTransfer returns a region in which the dyehouse runs a job of the mill, and the
 // transfer of that job.
-func newDelegatedRegion(t *testing.T, class string) (*fakeRegion, TransferID) {
+func newFederationWithTransfer(t *testing.T, class string) (*fakeFederation, TransferID) {
 	t.Helper()
-	r := newFakeRegion(t, 3)
-	r.submit("mill", 1, class)
-	c := r.cells["mill"]
+	f := newFakeFederation(t, 3)
+	f.submit("mill", 1, class)
+	c := f.cells["mill"]
 	c.jobs[0].handedOver = true
 	if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: class, Target: "dye", Work: 10}); err != nil {
 		t.Fatal(err)
 	}
 	id := c.manager.originRecord("j-000001").Transfer
 	for range 20 {
-		if r.advance(time.Second); r.cells["dye"].manager.MayRun(id) {
-			return r, id
+		if f.advance(time.Second); f.cells["dye"].manager.MayRun(id) {
+			return f, id
 		}
 	}
 	t.Fatal("the target does not get to run the job")
@@ -41,11 +41,11 @@
 func TestJobIsReclaimedFromPartitionedCell(t *testing.T) {
 	for class, want := range map[string]Owner{"loomplan": OwnerOrigin, "rushorder": OwnerTarget} {
 		synctest.Test(t, func(t *testing.T) {
-			r, _ := newDelegatedRegion(t, class)
-			r.cells["dye"].slots = 0 // so that the job gets no further
-			r.setPartitioned("dye", true)
-			m := r.cells["mill"].manager
-			r.advance((reclaimAfterLeases*r.config.Timing.Lease + r.config.Timing.ReclaimDelay() + 3*units.Second).Duration())
+			f, _ := newFederationWithTransfer(t, class)
+			f.cells["dye"].slots = 0 // so that the job gets no further
+			f.setPartitioned("dye", true)
+			m := f.cells["mill"].manager
+			f.advance((reclaimAfterLeases*f.config.Timing.Lease + f.config.Timing.ReclaimDelay() + 3*units.Second).Duration())
 			if got := m.Owner("j-000001"); got != want && !(want == OwnerOrigin && got == OwnerEnded) {
 				t.Errorf("%s: owner %v, want %v", class, got, want)
 			}
@@ -58,21 +58,21 @@
 // once.
 func TestNewLeaderWaitsForPredecessorsGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, id := newDelegatedRegion(t, "loomplan")
-		c := r.cells["mill"]
+		f, id := newFederationWithTransfer(t, "loomplan")
+		c := f.cells["mill"]
 		c.stopLeader()
-		r.setPartitioned("dye", true)
+		f.setPartitioned("dye", true)
 		c.startLeader()
 		c.manager.Cancel(t.Context(), "j-000001")
-		r.advance((r.config.Timing.ReclaimDelay() - 2*units.Second).Duration())
+		f.advance((f.config.Timing.ReclaimDelay() - 2*units.Second).Duration())
 		if got := c.manager.Owner("j-000001"); got != OwnerNone {
 			t.Errorf("before the reclaim delay: owner %v", got)
 		}
-		r.advance(4 * time.Second)
-		if got := c.manager.Owner("j-000001"); got != OwnerEnded || r.answers["j-000001"] != "cancelled" {
-			t.Errorf("after the reclaim delay: owner %v, answer %q", got, r.answers["j-000001"])
+		f.advance(4 * time.Second)
+		if got := c.manager.Owner("j-000001"); got != OwnerEnded || f.answers["j-000001"] != "cancelled" {
+			t.Errorf("after the reclaim delay: owner %v, answer %q", got, f.answers["j-000001"])
 		}
-		if d := r.cells["dye"]; d.manager.MayRun(id) || d.guestWanted[id] {
+		if d := f.cells["dye"]; d.manager.MayRun(id) || d.incomingWanted[id] {
 			t.Error("the target goes on")
 		}
 	})
@@ -81,20 +81,20 @@
 // While the store is down no record changes, and nothing is sent that rests on a change.
 func TestNothingIsSentBeforeItIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFakeRegion(t, 1)
-		m := r.cells["mill"].manager
+		f := newFakeFederation(t, 1)
+		m := f.cells["mill"].manager
 		if err := m.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
 		}
 		id := m.originRecord("j-000001").Transfer
-		r.cells["mill"].store.down = true
+		f.cells["mill"].store.down = true
 		before := m.Stats.Sent.Load()
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserved, Transfer: id})
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserve, Transfer: TransferID{"dye", "j-000002", 1}, Work: 1})
 		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.originRecord("j-000001").Phase != OriginIntended {
 			t.Errorf("%d messages, phase %v", sent, m.originRecord("j-000001").Phase)
 		}
-		if free := m.FreeCapacity(); free != Work(r.cells["mill"].slots)*fakeSlotCapacity {
+		if free := m.FreeCapacity(); free != Work(f.cells["mill"].slots)*fakeSlotCapacity {
 			t.Errorf("%d free: a reservation that is not stored is kept", free)
 		}
 	})
@@ -103,8 +103,8 @@
 // Only the target's result counts, and none once the job's user was told of its end.
 func TestLateOrForbiddenResultChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, id := newDelegatedRegion(t, "loomplan")
-		m := r.cells["mill"].manager
+		f, id := newFederationWithTransfer(t, "loomplan")
+		m := f.cells["mill"].manager
 		result := Message{Kind: MessageResult, Transfer: id, Done: TaskSet{15}, Run: 1}
 		m.Receive(t.Context(), "recipes", result)
 		if got := m.Owner("j-000001"); got != OwnerTarget {
@@ -126,19 +126,19 @@
 	})
 }
 
-// undurableScheduler is a cell that cannot store the end of its jobs.
-type undurableScheduler struct{ *fakeCell }
+// nonDurableScheduler is a cell that cannot store the end of its jobs.
+type nonDurableScheduler struct{ *fakeCell }
 
-func (undurableScheduler) Finished(string, TaskSet) bool { return false }
+func (nonDurableScheduler) Finished(string, TaskSet) bool { return false }
 
 // The record of a transfer is what is known of the job's end until that is durable in the
 // cell itself.
 func TestRecordStaysUntilTheJobsEndIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, id := newDelegatedRegion(t, "loomplan")
-		c := r.cells["mill"]
-		c.manager.Scheduler = undurableScheduler{c}
-		r.advance(time.Minute)
+		f, id := newFederationWithTransfer(t, "loomplan")
+		c := f.cells["mill"]
+		c.manager.Scheduler = nonDurableScheduler{c}
+		f.advance(time.Minute)
 		key := outgoingKey(id.Job)
 		if _, stored := c.store.records[key]; !stored {
 			t.Fatal("the record is gone before the job's end is durable")
@@ -147,7 +147,7 @@
 			t.Errorf("owner %v, want %v", got, OwnerEnded)
 		}
 		c.manager.Scheduler = c
-		r.advance(10 * time.Second)
+		f.advance(10 * time.Second)
 		if _, stored := c.store.records[key]; stored {
 			t.Error("the record stays though the job's end is durable")
 		}
--- a/internal/federation/message.go
+++ b/internal/federation/message.go
@@ -5,35 +5,37 @@
 	"fmt"
 )
 
-// MessageKind is what a message asks for or answers.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
-// The messages of a transfer. Each may be sent again at any time.
+// The messages of a transfer. Every message may be sent repeatedly.
 const (
-	// MessageReserve asks the target for a reservation. Origin to target.
+	// MessageReserve requests a reservation. Origin to target.
 	MessageReserve MessageKind = iota + 1
-	// MessageReserved answers that capacity is reserved, for a while.
+	// MessageReserved confirms a reservation, which expires unless a MessageCommit follows.
+	// Target to origin.
 	MessageReserved
-	// MessageNoCapacity answers that there is no capacity now. Unlike MessageRefused
-	// it is not durable and settles nothing.
+	// MessageNoCapacity rejects a MessageReserve for lack of capacity. Unlike MessageRefused
+	// it is not durable: a later MessageReserve may succeed. Target to origin.
 	MessageNoCapacity
-	// MessageCommit hands the job over. The origin starts no task of it from then on.
-	// Origin to target.
+	// MessageCommit hands the job over: the origin has stopped starting its tasks. Origin to
+	// target.
 	MessageCommit
-	// MessageAccepted answers that the target has the job.
+	// MessageAccepted confirms that the target has stored the job. Target to origin.
 	MessageAccepted
-	// MessageRefused answers that nothing of the job is at the target, and that the target
-	// will never accept this transfer. That is stored there before it is sent.
+	// MessageRefused reports that no task of the job runs at the target and that the target
+	// will never accept this transfer. The target stores the refusal before sending the
+	// message. Target to origin.
 	MessageRefused
-	// MessageRenew asks the origin for the next grant of the lease.
+	// MessageRenew requests the next grant of the lease. Target to origin.
 	MessageRenew
-	// MessageGrant grants the lease, counted from when the target sent the MessageRenew
-	// that it answers. Origin to target.
+	// MessageGrant grants the lease, counted from when the target sent the MessageRenew that
+	// this message answers. Origin to target.
 	MessageGrant
-	// MessageRevoke ends the transfer: the target stops the tasks and then answers
+	// MessageRevoke ends the transfer: the target stops the tasks and then answers with
 	// MessageRefused. Origin to target.
 	MessageRevoke
-	// MessageResult reports that all tasks of the job are done.
+	// MessageResult reports that all tasks of the job are done. Target to origin.
 	MessageResult
 	// MessageSettle reports that the origin needs no further answer, so that the target may
 	// delete its record. Origin to target.
@@ -55,9 +57,10 @@
 	MessageSettle:     "settle",
 }
 
+// String returns the name of the kind, as it appears in logs and errors.
 func (k MessageKind) String() string { return enumName(messageNames[:], "kind", uint8(k)) }
 
-// toTarget reports whether a message goes from a job's origin to the target.
+// toTarget reports whether messages of this kind are sent from the origin to the target.
 func (k MessageKind) toTarget() bool {
 	switch k {
 	case MessageReserve, MessageCommit, MessageGrant, MessageRevoke, MessageSettle:
@@ -66,43 +69,44 @@
 	return false
 }
 
-// Message is one message of a transfer, as it is encoded between cells. Fields that a kind
-// does not use are zero.
+// Message is the encoded form of all messages between cells. Fields that a kind does not use
+// are zero.
 type Message struct {
 	Kind     MessageKind `cbor:"kind"`
 	Transfer TransferID  `cbor:"transfer"`
-	// Job is the job's description as its user sent it: in MessageCommit.
+	// Job is the job description as submitted by the user. Set in MessageCommit.
 	Job []byte `cbor:"job,omitempty"`
-	// Work is how much of the target's capacity the job takes: in MessageReserve and
+	// Work is the capacity that the job needs at the target. Set in MessageReserve and
 	// MessageCommit.
 	Work Work `cbor:"work,omitempty"`
-	// Renewal identifies a MessageRenew, and in MessageGrant the one that it answers.
+	// Renewal identifies a MessageRenew. A MessageGrant repeats the Renewal that it answers.
 	Renewal RenewalID `cbor:"renewal,omitzero"`
-	// Run is the run of the job at the target that is asked for or granted, from 1; in
-	// MessageRefused and MessageResult the last one that began, 0: none.
+	// Run is the number of a run of the job at the target, from 1: the requested run in
+	// MessageRenew, the granted run in MessageGrant. In MessageRefused and MessageResult it is
+	// the last run that began, 0 if none did.
 	Run int `cbor:"run,omitempty"`
-	// Unbounded is set in a MessageGrant that holds without renewals.
+	// Unbounded is set in a MessageGrant that never expires and needs no renewals.
 	Unbounded bool `cbor:"unbounded,omitempty"`
-	// Done are the tasks that are done: in MessageRenew, MessageRefused and MessageResult.
+	// Done holds the completed tasks. Set in MessageRenew, MessageRefused and MessageResult.
 	Done TaskSet `cbor:"done,omitempty"`
 }
 
-// RenewalID identifies a MessageRenew: by the fencing token of the target's leader that sent
-// it, and the sequence number that this leader gave it.
+// RenewalID identifies a MessageRenew by the fencing token of the target's leader that sent
+// it and a sequence number assigned by this leader.
 type RenewalID struct {
 	FencingToken uint64 `cbor:"term"`
 	Sequence     uint64 `cbor:"n"`
 }
 
-// maxRun is the greatest number of a run that is accepted from another cell. A class with
-// unlimited restarts gets nowhere near it.
+// maxRun is the greatest run number accepted from another cell. It is far above the number of
+// runs of any job, even in a class with unlimited restarts.
 const maxRun = 1 << 20
 
-// ErrMalformedMessage reports that a message cannot be what a cell of this version sends.
-var ErrMalformedMessage = errors.New("malformed message of a transfer")
+// ErrMalformedMessage reports a message with a field value that no cell of this software
+// version sends.
+var ErrMalformedMessage = errors.New("malformed transfer message")
 
-// Check returns why a message cannot be acted on, nil if it can. Its error wraps
-// ErrMalformedMessage.
+// Check validates the fields of a message. The error wraps ErrMalformedMessage.
 func (m *Message) Check() error {
 	if m.Kind == 0 || m.Kind >= messageKindCount {
 		return fmt.Errorf("%w: %v", ErrMalformedMessage, m.Kind)
@@ -111,10 +115,10 @@
 		return fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	if m.Work < 0 || m.Run < 0 || m.Run > maxRun {
-		return fmt.Errorf("%w: amounts out of range", ErrMalformedMessage)
+		return fmt.Errorf("%w: work or run out of range", ErrMalformedMessage)
 	}
 	if (m.Kind == MessageRenew || m.Kind == MessageGrant) && m.Run == 0 {
-		return fmt.Errorf("%w: %v without a run", ErrMalformedMessage, m.Kind)
+		return fmt.Errorf("%w: %v without a run number", ErrMalformedMessage, m.Kind)
 	}
 	return nil
 }
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -19,8 +19,8 @@
 	modelTasks        = 4
 	modelCapacity     = Work(5)
 	modelReclaimAfter = 20 * units.Second
-	// modelForever is the lease of a task at home, whose scheduling is not modelled.
-	modelForever units.Micros = 1 << 50
+	// modelUnlimitedLease is the lease of a task at home, whose scheduling is not modelled.
+	modelUnlimitedLease units.Micros = 1 << 50
 )
 
 var modelTiming = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
@@ -34,7 +34,7 @@
 // userJob is a job as its user and an observer of all machines see it.
 type userJob struct {
 	id                              string
-	home                            *modelCell
+	origin                          *modelCell
 	maxRestarts                     int
 	runs                            map[string]bool // of its tasks, in whichever cell
 	cancelRequested                 bool
@@ -45,15 +45,15 @@
 
 // modelCell is a cell: what is stored, what its machines do, and its leader.
 type modelCell struct {
-	name         string
-	clockRate    float64 // of its steady clock, against real time
-	fencingToken uint64
-	leaderFrom   units.Micros // real time from which a leader is there
-	outgoing     map[string]OriginRecord
-	incoming     map[TransferID]TargetRecord
-	executions   map[string]*execution // by job
-	done         map[string]TaskSet    // of jobs that are the cell's own
-	leader       modelLeader
+	name           string
+	clockRate      float64 // of its steady clock, against real time
+	fencingToken   uint64
+	leaderStartsAt units.Micros // real time from which a leader is there
+	outgoing       map[string]OriginRecord
+	incoming       map[TransferID]TargetRecord
+	executions     map[string]*execution // by job
+	done           map[string]TaskSet    // of jobs that are the cell's own
+	leader         modelLeader
 }
 
 // modelLeader is what a leader keeps in memory only.
@@ -96,7 +96,7 @@
 		for k := range 2 {
 			m.jobs = append(m.jobs, &userJob{
 				id:          fmt.Sprintf("j-%06d", 10*i+k),
-				home:        c,
+				origin:      c,
 				runs:        map[string]bool{},
 				maxRestarts: rapid.IntRange(0, 2).Draw(t, "allowance"),
 			})
@@ -128,8 +128,8 @@
 	}
 }
 
-// mayCrash may crash a cell's leader, and reports whether it did.
-func (m *model) mayCrash(c *modelCell) bool {
+// maybeCrash may crash a cell's leader, and reports whether it did.
+func (m *model) maybeCrash(c *modelCell) bool {
 	if m.healed || rapid.IntRange(0, 99).Draw(m.t, "leader ends") != 50 {
 		return false
 	}
@@ -140,7 +140,7 @@
 // crash replaces a cell's leader, after a time without one.
 func (m *model) crash(c *modelCell) {
 	m.startLeader(c)
-	c.leaderFrom = m.now + rapid.SampledFrom([]units.Micros{0, 1, 5, 40}).Draw(m.t, "away")*units.Second
+	c.leaderStartsAt = m.now + rapid.SampledFrom([]units.Micros{0, 1, 5, 40}).Draw(m.t, "away")*units.Second
 }
 
 func (m *model) job(id string) *userJob {
@@ -149,8 +149,8 @@
 
 // maybeHandOver begins a transfer of a job that does not run.
 func (m *model) maybeHandOver(job *userJob) {
-	c := job.home
-	if _, moved := c.outgoing[job.id]; moved || m.now < c.leaderFrom || c.executions[job.id] != nil || job.answeredDone || job.cancelRequested {
+	c := job.origin
+	if _, transferred := c.outgoing[job.id]; transferred || m.now < c.leaderStartsAt || c.executions[job.id] != nil || job.answeredDone || job.cancelRequested {
 		return
 	}
 	restarts := job.restarts
--- a/internal/federation/modelcheck_test.go
+++ b/internal/federation/modelcheck_test.go
@@ -48,7 +48,7 @@
 	}
 	for _, job := range m.jobs {
 		if !job.answeredDone && !job.answeredCancelled {
-			m.t.Fatalf("%s has not ended: %+v", job.id, job.home.outgoing[job.id])
+			m.t.Fatalf("%s has not ended: %+v", job.id, job.origin.outgoing[job.id])
 		}
 	}
 	for _, c := range m.cells {
@@ -76,7 +76,7 @@
 		return // the job was done before it could be cancelled
 	}
 	for _, c := range m.cells {
-		if exec := c.executions[job.id]; exec != nil && m.now < exec.leaseExpires && c != job.home {
+		if exec := c.executions[job.id]; exec != nil && m.now < exec.leaseExpires && c != job.origin {
 			m.t.Fatalf("the user of %s is told that it is cancelled while it runs in %s", job.id, c.name)
 		}
 	}
--- a/internal/federation/modeldelivery_test.go
+++ b/internal/federation/modeldelivery_test.go
@@ -21,7 +21,7 @@
 
 // applyOrigin carries out a decision: first the record is written, then messages are sent.
 func (m *model) applyOrigin(c *modelCell, decision Decision[OriginRecord]) {
-	if m.mayCrash(c) {
+	if m.maybeCrash(c) {
 		return
 	}
 	job := decision.Record.Transfer.Job
@@ -31,7 +31,7 @@
 			grantor := NewLeaseGrantor(m.clock(c))
 			c.leader.grantors[job] = &grantor
 		}
-		if m.mayCrash(c) {
+		if m.maybeCrash(c) {
 			return
 		}
 	}
@@ -40,7 +40,7 @@
 
 // applyTarget does the same for the target.
 func (m *model) applyTarget(c *modelCell, decision Decision[TargetRecord]) {
-	if m.mayCrash(c) {
+	if m.maybeCrash(c) {
 		return
 	}
 	id := decision.Record.Transfer
@@ -59,7 +59,7 @@
 		case TargetFinished, TargetRefused:
 			c.leader.reservations.Release(id)
 		}
-		if m.mayCrash(c) {
+		if m.maybeCrash(c) {
 			return
 		}
 	}
@@ -69,7 +69,7 @@
 // deliver delivers a message, unless the receiver has no leader or is partitioned.
 func (m *model) deliver(sent envelope) {
 	c, message := sent.to, &sent.message
-	if m.now < c.leaderFrom || m.partitions[[2]string{sent.from.name, c.name}] {
+	if m.now < c.leaderStartsAt || m.partitions[[2]string{sent.from.name, c.name}] {
 		return // the message is lost
 	}
 	if message.Kind.toTarget() {
--- a/internal/federation/modelleader_test.go
+++ b/internal/federation/modelleader_test.go
@@ -14,11 +14,11 @@
 
 // tick has a cell's leader look at all of its records.
 func (m *model) tick(c *modelCell) {
-	if m.now < c.leaderFrom {
+	if m.now < c.leaderStartsAt {
 		return
 	}
 	for _, job := range m.jobs {
-		if job.home == c {
+		if job.origin == c {
 			m.tickJob(c, job)
 		}
 	}
@@ -30,7 +30,7 @@
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(c.incoming), compareTransferIDs) {
-		if r, ok := c.incoming[id]; ok && m.now >= c.leaderFrom {
+		if r, ok := c.incoming[id]; ok && m.now >= c.leaderStartsAt {
 			m.tickTarget(c, r)
 		}
 	}
@@ -38,11 +38,11 @@
 
 // tickJob is what the origin does about one of its jobs.
 func (m *model) tickJob(c *modelCell, job *userJob) {
-	if r, moved := c.outgoing[job.id]; !moved || r.Owner() == OwnerOrigin {
-		m.runAtHome(c, job)
+	if r, transferred := c.outgoing[job.id]; !transferred || r.Owner() == OwnerOrigin {
+		m.runAtOrigin(c, job)
 	}
-	r, moved := c.outgoing[job.id]
-	if !moved {
+	r, transferred := c.outgoing[job.id]
+	if !transferred {
 		return
 	}
 	switch r.Phase {
@@ -59,7 +59,7 @@
 	}
 	grantor := c.leader.grantors[job.id]
 	m.applyOrigin(c, r.Tick(grantor, m.clock(c), modelTiming))
-	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderFrom {
+	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderStartsAt {
 		switch {
 		case job.cancelRequested:
 			m.applyOrigin(c, r.Cancel())
@@ -67,37 +67,37 @@
 			m.applyOrigin(c, r.Reclaim())
 		}
 	}
-	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderFrom {
+	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderStartsAt {
 		m.applyOrigin(c, r.Resend())
 	}
 }
 
-// runAtHome is what a cell does with a job that it owns.
-func (m *model) runAtHome(c *modelCell, job *userJob) {
+// runAtOrigin is what a cell does with a job that it owns.
+func (m *model) runAtOrigin(c *modelCell, job *userJob) {
 	switch exec := c.executions[job.id]; {
 	case job.answeredDone || job.answeredCancelled:
 		delete(c.executions, job.id)
 	case job.cancelRequested:
 		delete(c.executions, job.id)
 		m.answerCancelled(job)
-		m.recordEndAtHome(c, job)
+		m.recordEndAtOrigin(c, job)
 	case exec != nil:
-		exec.leaseExpires = m.now + modelForever
+		exec.leaseExpires = m.now + modelUnlimitedLease
 		m.completeTasks(exec)
 		c.done[job.id] = c.done[job.id].Union(exec.done)
 		if modelJobDone(c.done[job.id]) {
 			m.answerDone(job, c.done[job.id])
-			m.recordEndAtHome(c, job)
+			m.recordEndAtOrigin(c, job)
 		}
 	case m.healed || rapid.IntRange(0, 3).Draw(m.t, "run here") == 0:
-		m.beginRun(c, job, fmt.Sprintf("at home after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), modelForever)
+		m.beginRun(c, job, fmt.Sprintf("at home after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), modelUnlimitedLease)
 	}
 }
 
-// recordEndAtHome stores, together with the end of a job, that its transfer no longer
+// recordEndAtOrigin stores, together with the end of a job, that its transfer no longer
 // matters.
-func (m *model) recordEndAtHome(c *modelCell, job *userJob) {
-	if r, moved := c.outgoing[job.id]; moved {
+func (m *model) recordEndAtOrigin(c *modelCell, job *userJob) {
+	if r, transferred := c.outgoing[job.id]; transferred {
 		c.outgoing[job.id] = r.JobEnded().Record
 	}
 }
@@ -118,7 +118,7 @@
 	if r.Stopping && exec == nil {
 		m.applyTarget(c, r.TasksStopped())
 	}
-	if r, ok := c.incoming[r.Transfer]; ok && m.now >= c.leaderFrom {
+	if r, ok := c.incoming[r.Transfer]; ok && m.now >= c.leaderStartsAt {
 		m.applyTarget(c, r.Resend())
 		m.applyTarget(c, r.RequestRenewal(holder, m.clock(c)))
 	}
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -2,8 +2,7 @@
 
 import "dunestand/internal/units"
 
-// BeginTransfer decides to hand a job over whose class allows it to be restarted
-// maxRestarts times.
+// BeginTransfer begins the transfer of a job. maxRestarts is the restart limit of its class.
 func BeginTransfer(id TransferID, request HandOverRequest, maxRestarts int) Decision[OriginRecord] {
 	r := OriginRecord{
 		Transfer:    id,
@@ -17,7 +16,7 @@
 	return changed(r, MessageReserve)
 }
 
-// Resend decides to send again what the target has not answered yet.
+// Resend resends the message that the target has not answered yet, if any.
 func (r OriginRecord) Resend() Decision[OriginRecord] {
 	switch {
 	case r.Phase == OriginIntended:
@@ -32,8 +31,8 @@
 	return unchanged(r)
 }
 
-// Receive decides on a message of the target. One about another incarnation is answered as
-// if there were no record.
+// Receive processes a message from the target. A message about another incarnation is answered
+// as if there were no record.
 func (r OriginRecord) Receive(message *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
 	if message.Transfer != r.Transfer {
 		return Decision[OriginRecord]{Record: r, Send: ReplyToUnknown(message)}
@@ -59,7 +58,8 @@
 	return unchanged(r)
 }
 
-// onReserved commits the job. A reservation for a transfer that was given up is released.
+// onReserved commits the job. If the transfer has left OriginIntended, it resends the message
+// of the current phase, which releases an unneeded reservation.
 func (r OriginRecord) onReserved() Decision[OriginRecord] {
 	if r.Phase != OriginIntended {
 		return r.Resend()
@@ -68,14 +68,14 @@
 	return changed(r, MessageCommit)
 }
 
-// onRenew grants a lease on a run of the job. That a run may begin is stored before the
-// grant is sent, so that runs are counted before they begin.
+// onRenew grants a lease on a run of the job. The run number is stored before the grant is sent,
+// so that no run begins uncounted.
 func (r OriginRecord) onRenew(renew *Message, grantor *LeaseGrantor, now units.Micros) Decision[OriginRecord] {
 	if r.Phase != OriginCommitted {
 		return r.Resend()
 	}
 	if renew.Run < r.Run || renew.Run > r.Run+1 || r.Restarts+renew.Run-1 > max(r.MaxRestarts, r.Restarts) {
-		return unchanged(r) // late, or a run that the class does not allow
+		return unchanged(r) // outdated request, or restart limit reached
 	}
 	write := renew.Run > r.Run
 	r.Run = renew.Run
@@ -90,10 +90,10 @@
 	return Decision[OriginRecord]{Record: r, Write: write, Send: []Message{grant}}
 }
 
-// onRefused records that nothing of the job is at the target, for good.
+// onRefused records that the target has permanently refused the transfer.
 func (r OriginRecord) onRefused(refused *Message) Decision[OriginRecord] {
 	r.Done = r.Done.Union(refused.Done)
-	r.Run = min(r.Run, refused.Run) // a run that was granted and never began does not count
+	r.Run = min(r.Run, refused.Run) // a run that was granted but never began does not count
 	switch r.Phase {
 	case OriginIntended, OriginCommitted:
 		return r.detach(OriginReturned, true)
@@ -107,8 +107,8 @@
 	return changed(r, MessageSettle)
 }
 
-// onResult finishes the job, even one that was reclaimed meanwhile, unless its user was
-// told otherwise.
+// onResult finishes the job, even if the origin has reclaimed it meanwhile, unless the user has
+// already been given a final answer.
 func (r OriginRecord) onResult(result *Message) Decision[OriginRecord] {
 	switch r.Phase {
 	case OriginFinished:
@@ -117,7 +117,7 @@
 		if r.Confirmed {
 			return unchanged(r, MessageSettle)
 		}
-		r.Confirmed = true // the user was told that the job is cancelled, or done at its origin
+		r.Confirmed = true // the final answer given to the user must not change
 		return changed(r, MessageSettle)
 	}
 	r.Phase, r.Confirmed = OriginFinished, true
@@ -125,7 +125,8 @@
 	return changed(r, MessageSettle)
 }
 
-// finishRevocation ends a revocation: nothing of the job runs at the target any more.
+// finishRevocation ends a revocation once no task of the job can run at the target. confirmed
+// is whether the target has confirmed that.
 func (r OriginRecord) finishRevocation(confirmed bool) Decision[OriginRecord] {
 	if r.Cause == CauseCancelled {
 		return r.detach(OriginWithdrawn, confirmed)
@@ -133,8 +134,8 @@
 	return r.detach(OriginReturned, confirmed)
 }
 
-// detach enters a phase in which nothing of the job runs at the target. Unless the target
-// has confirmed that, the transfer is revoked until it does.
+// detach enters a phase in which no task of the job can run at the target. Unless the target
+// has confirmed that, MessageRevoke is sent until it does.
 func (r OriginRecord) detach(phase OriginPhase, confirmed bool) Decision[OriginRecord] {
 	r.Phase, r.Confirmed = phase, confirmed
 	if confirmed {
@@ -143,15 +144,16 @@
 	return changed(r, MessageRevoke)
 }
 
-// Cancel begins to cancel the job. Its user may be told that it is cancelled once the phase
-// is OriginWithdrawn, or once it is OriginReturned and the origin has cancelled the job.
+// Cancel begins the cancellation of the job. The cancellation may be reported to the user once
+// the phase is OriginWithdrawn, or once it is OriginReturned and the origin has cancelled the
+// job itself.
 func (r OriginRecord) Cancel() Decision[OriginRecord] {
 	switch r.Phase {
 	case OriginIntended:
 		return r.detach(OriginReturned, false)
 	case OriginCommitted:
 		if r.Run == 0 {
-			return r.detach(OriginReturned, false) // no lease was ever granted
+			return r.detach(OriginReturned, false) // no lease was granted, so no task has started
 		}
 		r.Phase, r.Cause = OriginRevoking, CauseCancelled
 		return changed(r, MessageRevoke)
@@ -164,9 +166,9 @@
 	return unchanged(r)
 }
 
-// JobEnded records that a job that had returned has ended at its origin. The record is
-// written before the job's end, or in the same transaction: a late result of the target
-// must not change what the user was told.
+// JobEnded records that a returned job has reached a terminal state at its origin. The record
+// must be written before the terminal state or in the same transaction; otherwise a late
+// result from the target could change the final answer given to the user.
 func (r OriginRecord) JobEnded() Decision[OriginRecord] {
 	if r.Phase != OriginReturned {
 		return unchanged(r)
@@ -175,8 +177,8 @@
 	return changed(r)
 }
 
-// Reclaim begins to take the job back from a target that has been silent for too long. It
-// changes nothing if the class does not allow another restart.
+// Reclaim begins to return the job to the origin because the target has sent no renewal request
+// for too long. It has no effect if the class allows no further restart.
 func (r OriginRecord) Reclaim() Decision[OriginRecord] {
 	switch {
 	case r.Phase == OriginIntended:
@@ -190,7 +192,8 @@
 	return changed(r, MessageRevoke)
 }
 
-// Tick ends a revocation without the target's refusal, once nothing of the job can run there.
+// Tick ends a revocation without a refusal by the target once the lease and the grace period
+// have expired.
 func (r OriginRecord) Tick(grantor *LeaseGrantor, now units.Micros, timing Timing) Decision[OriginRecord] {
 	if r.Phase == OriginRevoking && !r.unbounded() && grantor.Expired(now, timing) {
 		return r.finishRevocation(false)
@@ -198,8 +201,8 @@
 	return unchanged(r)
 }
 
-// ReplyToUnknown returns the answer to a message about a transfer that the origin has no
-// record of, which is therefore over.
+// ReplyToUnknown returns the answer to a message about a transfer without a record at the
+// origin. Such a transfer has ended, since the origin deletes a record only after its end.
 func ReplyToUnknown(message *Message) []Message {
 	kind := MessageRevoke
 	if message.Kind == MessageResult || message.Kind == MessageRefused {
--- a/internal/federation/originrecord.go
+++ b/internal/federation/originrecord.go
@@ -3,22 +3,24 @@
 // OriginPhase is the state of a transfer at its origin.
 type OriginPhase uint8
 
-// The phases at the origin. docs/federation.md has the table of all steps.
+// The phases at the origin. docs/federation.md has the table of all transitions.
 const (
-	// OriginIntended: the origin starts no task of the job, and asks the target for a reservation.
+	// OriginIntended means that the origin starts no task of the job and has requested a
+	// reservation from the target.
 	OriginIntended OriginPhase = iota + 1
-	// OriginCommitted: the target may accept the job, and run it while it holds a lease.
+	// OriginCommitted means that the target may accept the job and run it while it holds a
+	// lease.
 	OriginCommitted
-	// OriginRevoking: no lease is granted any more; the origin waits for the target's
-	// refusal, or for the time after which nothing of the job can run there.
+	// OriginRevoking means that the origin grants no more leases and waits for a refusal by
+	// the target, or until the lease and the grace period have expired.
 	OriginRevoking
-	// OriginReturned: the origin runs the job again. The record stays until the target has
-	// refused the transfer.
+	// OriginReturned means that the origin runs the job again. The record is kept until the
+	// target has refused the transfer.
 	OriginReturned
-	// OriginFinished: all tasks are done.
+	// OriginFinished means that all tasks are done.
 	OriginFinished
-	// OriginWithdrawn: the job was cancelled, or ended at its origin after it had returned;
-	// nothing of it runs at the target.
+	// OriginWithdrawn means that the job was cancelled, or reached a terminal state at its
+	// origin after it had returned. No task of it runs at the target.
 	OriginWithdrawn
 	originPhaseCount
 )
@@ -32,19 +34,19 @@
 	OriginWithdrawn: "withdrawn",
 }
 
-// String returns the name of the phase, as docs/federation.md has it.
+// String returns the name of the phase, as used in logs and in docs/federation.md.
 func (p OriginPhase) String() string { return enumName(originPhaseNames[:], "phase", uint8(p)) }
 
-// RevokeCause is why a transfer is revoked.
+// RevokeCause is the reason for which the origin revokes a transfer.
 type RevokeCause uint8
 
 // The causes of a revocation.
 const (
-	// CauseNone: the transfer is not revoked.
+	// CauseNone means that the transfer is not revoked.
 	CauseNone RevokeCause = iota
-	// CauseTargetSilent: the target has not asked for a grant for too long.
+	// CauseTargetSilent means that the target has sent no renewal request for too long.
 	CauseTargetSilent
-	// CauseCancelled: the job's user cancelled it.
+	// CauseCancelled means that the user cancelled the job.
 	CauseCancelled
 	causeCount
 )
@@ -55,42 +57,44 @@
 	CauseCancelled:    "cancelled",
 }
 
+// String returns the name of the cause.
 func (c RevokeCause) String() string { return enumName(causeNames[:], "cause", uint8(c)) }
 
-// OriginRecord is what the origin stores of a transfer, and its state machine: each event
-// is a method that returns a Decision and leaves the record as it is.
+// OriginRecord is the record of a transfer stored at the origin, and the state machine of the
+// origin. Each event is a method that returns a Decision and does not modify the receiver.
 type OriginRecord struct {
 	Transfer TransferID  `cbor:"transfer"`
 	Target   string      `cbor:"to"` // name of the target cell
 	Phase    OriginPhase `cbor:"phase"`
 	Cause    RevokeCause `cbor:"cause,omitempty"`
-	// MaxRestarts is how often the job's class allows the job to be restarted; Restarts is
-	// how often it was before this transfer.
+	// MaxRestarts is the restart limit of the job's class. Restarts is the number of restarts
+	// before this transfer.
 	MaxRestarts int `cbor:"allowed"`
 	Restarts    int `cbor:"reruns"`
-	// Run is the last run that was granted to the target, 0: none.
+	// Run is the number of the last run granted to the target, 0 if none was.
 	Run int `cbor:"run"`
-	// Confirmed is set once the target has stated, durably, that no task of the job runs
-	// there and none will.
+	// Confirmed is set once the target has confirmed that no task of the job runs there or
+	// will run there. The target stores that before it sends the confirmation.
 	Confirmed bool `cbor:"heard,omitempty"`
-	// Job is the job's description as its user sent it, Work the capacity it takes.
+	// Job is the job description as submitted by the user. Work is the capacity that the job
+	// needs.
 	Job  []byte  `cbor:"job"`
 	Work Work    `cbor:"work"`
-	Done TaskSet `cbor:"done,omitempty"` // tasks that the target has completed
+	Done TaskSet `cbor:"done,omitempty"` // tasks completed by the target
 }
 
-// Owner is which cell may start tasks of a job.
+// Owner identifies the cell that may start tasks of a job.
 type Owner uint8
 
 // The owners.
 const (
-	// OwnerNone: no cell may now.
+	// OwnerNone means that currently no cell may start tasks.
 	OwnerNone Owner = iota
-	// OwnerOrigin: the origin may.
+	// OwnerOrigin means that the origin may start tasks.
 	OwnerOrigin
-	// OwnerTarget: the target may, while it holds a lease.
+	// OwnerTarget means that the target may start tasks while it holds a lease.
 	OwnerTarget
-	// OwnerEnded: no cell may any more, the job is in a terminal state.
+	// OwnerEnded means that the job is in a terminal state and no cell may start tasks.
 	OwnerEnded
 	ownerCount
 )
@@ -102,9 +106,10 @@
 	OwnerEnded:  "ended",
 }
 
+// String returns the name of the owner.
 func (o Owner) String() string { return enumName(ownerNames[:], "owner", uint8(o)) }
 
-// Owner returns which cell may start tasks of the job.
+// Owner returns the cell that may start tasks of the job.
 func (r OriginRecord) Owner() Owner {
 	switch r.Phase {
 	case OriginCommitted:
@@ -117,14 +122,14 @@
 		if r.Cause == CauseCancelled {
 			return OwnerEnded
 		}
-		return OwnerOrigin // whose own record of the job says that it has ended
+		return OwnerOrigin // the origin's own job record has the terminal state
 	}
 	return OwnerNone
 }
 
-// unbounded reports whether the run that was granted last is the last that the class
-// allows. Its lease never expires: a job that may not be restarted must not be stopped by
-// a partition.
+// unbounded reports whether the last granted run is the last one that the class allows. The
+// lease on such a run never expires, since a job that may not be restarted must not be stopped
+// by a partition.
 func (r OriginRecord) unbounded() bool { return r.Run > 0 && r.Restarts+r.Run-1 >= r.MaxRestarts }
 
 // canReclaim reports whether the class allows the origin to restart the job.
@@ -132,12 +137,12 @@
 	return r.Phase == OriginCommitted && (r.Run == 0 || r.Restarts+r.Run <= r.MaxRestarts)
 }
 
-// NextRestarts returns how often the job has been restarted once the origin starts it
-// again, which is what its next transfer begins with.
+// NextRestarts returns the restart count of the job after the origin has restarted it. It is
+// HandOverRequest.Restarts of the next transfer.
 func (r OriginRecord) NextRestarts() int { return r.Restarts + r.Run }
 
-// Removable reports whether the record may be deleted, once the job's own record says what
-// became of it: the target has confirmed that it runs nothing.
+// Removable reports whether the target has confirmed that it runs no task of the job, so that
+// the record may be deleted once the scheduler has stored the outcome of the transfer.
 func (r OriginRecord) Removable() bool {
 	return r.Confirmed && (r.Phase == OriginReturned || r.Phase == OriginFinished || r.Phase == OriginWithdrawn)
 }
--- a/internal/federation/placement.go
+++ b/internal/federation/placement.go
@@ -6,36 +6,39 @@
 	"dunestand/internal/units"
 )
 
-// Offer is what another cell has last said of itself.
+// Offer is the latest report of another cell about its load and capacity.
 type Offer struct {
 	Cell string
 	Load Load
-	// Free is the capacity that it can still reserve.
+	// Free is the unreserved capacity of the cell.
 	Free Work
-	// Age is how long ago the offer was sent, at the most.
+	// Age is an upper bound on the time since the offer was sent.
 	Age units.Micros
 }
 
-// maxOfferAge is the age beyond which an offer is not relied on: the cell may have reserved
-// its capacity for others since, or be partitioned.
+// maxOfferAge is the age beyond which an offer is ignored: the cell may have reserved its
+// capacity for other cells since then, or may be partitioned.
 const maxOfferAge = 15 * units.Second
 
-// Candidate is a job that may be handed over.
+// Candidate is a job considered for a transfer.
 type Candidate struct {
 	Demand Demand
-	// LocalCompletion is after how much time its own cell is expected to complete it.
+	// LocalCompletion is the forecast time until its own cell completes the job.
 	LocalCompletion units.Micros
-	// TimeToDeadline is after how much time it is to be complete.
+	// TimeToDeadline is the time until the job should be complete.
 	TimeToDeadline units.Micros
-	// Moves is how often it was handed over; Visited are the cells that have had it.
+	// Moves is the number of transfers of the job so far. Visited lists the cells that have
+	// held the job.
 	Moves   int
 	Visited []string
 }
 
-// ChooseTarget returns the cell that a job is to be handed to, "" if it is to stay. It stays
-// while its own cell is expected to complete it in time, and unless another cell is expected
-// to, and sooner by the margin. A job never returns to a cell that has had it, and moves a
-// bounded number of times. Of equal offers the cell that comes first by name is chosen.
+// ChooseTarget returns the cell to which a job should be transferred, or "" if it should stay.
+// A job is transferred only if its own cell is not expected to meet the deadline, and another
+// cell is expected to meet it and to complete the job sooner by at least Margin. A job is not
+// transferred to a cell that it has visited, nor more than MaxMoves times. Of several cells,
+// the one with the earliest forecast completion is chosen, and of equal ones the first by
+// name.
 func (c *Config) ChooseTarget(job Candidate, offers []Offer) string {
 	if job.LocalCompletion <= job.TimeToDeadline || job.Moves >= c.MaxMoves {
 		return ""
@@ -59,9 +62,9 @@
 	return best
 }
 
-// TimeToDeadline returns after how much time a job is to be complete: at the next
-// CompleteByHour, or after untilDeadline if that is sooner and not 0, which stands for a job
-// without a deadline. now is wall-clock time.
+// TimeToDeadline returns the time until a job should be complete: the time until the next
+// CompleteByHour, or untilDeadline if that is shorter. untilDeadline is the time until the
+// job's own deadline, 0 if it has none. now is wall-clock time.
 func (c *Config) TimeToDeadline(now, untilDeadline units.Micros) units.Micros {
 	const hour, day = 3600 * units.Second, 24 * 3600 * units.Second
 	left := (units.Micros(c.CompleteByHour)*hour - now%day + day) % day
--- a/internal/federation/placement_test.go
+++ b/internal/federation/placement_test.go
@@ -7,7 +7,7 @@
 	"dunestand/internal/units"
 )
 
-func TestChooseTarget(t *testing.T) {
+func TestChooseTargetPicksSoonestEligibleCell(t *testing.T) {
 	config := loadExampleConfig(t)
 	fast := Load{CPUs: cpus(100), QuotaFree: cpus(100)}
 	slow := Load{CPUs: cpus(10), QuotaFree: cpus(100)}
@@ -21,29 +21,29 @@
 		change func(*Candidate, []Offer)
 		want   string
 	}{
-		"the soonest":           {func(*Candidate, []Offer) {}, "recipes"},
-		"in time here":          {func(j *Candidate, _ []Offer) { j.LocalCompletion = j.TimeToDeadline }, ""},
-		"moved enough":          {func(j *Candidate, _ []Offer) { j.Moves = 2 }, ""},
-		"was there before":      {func(j *Candidate, _ []Offer) { j.Visited = []string{"recipes"} }, "dye"},
-		"no free capacity":      {func(_ *Candidate, o []Offer) { o[1].Free-- }, "dye"},
-		"an old offer":          {func(_ *Candidate, o []Offer) { o[1].Age = maxOfferAge + 1 }, "dye"},
-		"itself":                {func(_ *Candidate, o []Offer) { o[1].Cell = "mill" }, "dye"},
-		"not in time either":    {func(j *Candidate, _ []Offer) { j.TimeToDeadline = 9 * units.Second }, ""},
-		"not sooner by so much": {func(j *Candidate, _ []Offer) { j.LocalCompletion, j.TimeToDeadline = 69*units.Second, 20*units.Second }, ""},
-		"alike, by name":        {func(_ *Candidate, o []Offer) { o[0].Load = fast }, "dye"},
+		"soonest cell":       {func(*Candidate, []Offer) {}, "recipes"},
+		"local deadline met": {func(j *Candidate, _ []Offer) { j.LocalCompletion = j.TimeToDeadline }, ""},
+		"move limit reached": {func(j *Candidate, _ []Offer) { j.Moves = 2 }, ""},
+		"visited before":     {func(j *Candidate, _ []Offer) { j.Visited = []string{"recipes"} }, "dye"},
+		"no free capacity":   {func(_ *Candidate, o []Offer) { o[1].Free-- }, "dye"},
+		"outdated offer":     {func(_ *Candidate, o []Offer) { o[1].Age = maxOfferAge + 1 }, "dye"},
+		"own cell":           {func(_ *Candidate, o []Offer) { o[1].Cell = "mill" }, "dye"},
+		"deadline missed":    {func(j *Candidate, _ []Offer) { j.TimeToDeadline = 9 * units.Second }, ""},
+		"below margin":       {func(j *Candidate, _ []Offer) { j.LocalCompletion, j.TimeToDeadline = 69*units.Second, 20*units.Second }, ""},
+		"equal, by name":     {func(_ *Candidate, o []Offer) { o[0].Load = fast }, "dye"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			candidate, offers := job, slices.Clone(offers)
 			c.change(&candidate, offers)
 			if got := config.ChooseTarget(candidate, offers); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("target is %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-func TestTimeToDeadline(t *testing.T) {
-	config := loadExampleConfig(t) // complete by six
+func TestTimeToDeadlineIsTheSoonerDeadline(t *testing.T) {
+	config := loadExampleConfig(t) // CompleteByHour is 6
 	hour := 3600 * units.Second
 	for _, c := range []struct{ now, untilDeadline, want units.Micros }{
 		{5 * hour, 0, hour},
@@ -53,7 +53,7 @@
 		{5 * hour, 2 * hour, hour},
 	} {
 		if got := config.TimeToDeadline(c.now, c.untilDeadline); got != c.want {
-			t.Errorf("at %v h with %v h: %v h, want %v h", c.now/hour, c.untilDeadline/hour, got/hour, c.want/hour)
+			t.Errorf("at %v h with %v h until the deadline: %v h, want %v h", c.now/hour, c.untilDeadline/hour, got/hour, c.want/hour)
 		}
 	}
 }
--- a/internal/federation/receive.go
+++ b/internal/federation/receive.go
@@ -6,18 +6,18 @@
 	"fmt"
 )
 
-// ErrForbiddenMessage reports a message that the cell it came from may not send.
-var ErrForbiddenMessage = errors.New("message of a transfer from a cell that may not send it")
+// ErrForbiddenMessage reports a message that its sender is not allowed to send.
+var ErrForbiddenMessage = errors.New("transfer message from a cell that is not allowed to send it")
 
-// Receive decides on a message from another cell, whose name the caller has authenticated.
-// A malformed or forbidden message is logged and counted as rejected.
+// Receive processes a message from another cell. The caller must have authenticated the name
+// of the sender. Malformed and forbidden messages are logged and counted as rejected.
 func (m *Manager) Receive(ctx context.Context, from string, message Message) {
 	m.Stats.Received.Add(1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.checkMessage(from, &message); err != nil {
 		m.Stats.Rejected.Add(1)
-		m.Log.Warn("message of a transfer rejected", "from", from, "error", err)
+		m.Log.Warn("rejected transfer message", "from", from, "error", err)
 		return
 	}
 	if m.superseded {
@@ -30,19 +30,20 @@
 	m.receiveAtOrigin(ctx, from, &message)
 }
 
-// checkMessage returns why a message of a cell must not be acted on, nil if it may be: a
-// cell speaks only for transfers of its own jobs, and answers only about this cell's.
+// checkMessage returns an error if a message is malformed or its sender is not allowed to send
+// it: a cell may send messages to the target only for its own jobs, and messages to the
+// origin only for jobs of this cell.
 func (m *Manager) checkMessage(from string, message *Message) error {
 	if err := message.Check(); err != nil {
 		return err
 	}
 	switch {
 	case !m.otherCell(from):
-		return fmt.Errorf("%w: %q is no other cell", ErrForbiddenMessage, from)
+		return fmt.Errorf("%w: %q is not another cell of the federation", ErrForbiddenMessage, from)
 	case message.Kind.toTarget() && message.Transfer.Origin != from:
-		return fmt.Errorf("%w: %v speaks for %s", ErrForbiddenMessage, from, message.Transfer)
+		return fmt.Errorf("%w: %v is not the origin of transfer %s", ErrForbiddenMessage, from, message.Transfer)
 	case !message.Kind.toTarget() && message.Transfer.Origin != m.Config.Self:
-		return fmt.Errorf("%w: %s is no transfer of this cell", ErrForbiddenMessage, message.Transfer)
+		return fmt.Errorf("%w: transfer %s does not originate in this cell", ErrForbiddenMessage, message.Transfer)
 	}
 	return nil
 }
@@ -78,7 +79,8 @@
 	transfer := m.outgoing[message.Transfer.Job]
 	switch {
 	case transfer == nil && m.unreadable[outgoingKey(message.Transfer.Job)] != nil:
-		// What the record says is not known, so nothing is answered.
+		// The state of the transfer is unknown: an answer could revoke a running job or discard
+		// its result.
 	case transfer == nil, transfer.record.Transfer != message.Transfer:
 		m.send(from, ReplyToUnknown(message))
 	case !transfer.writing && transfer.record.Target == from:
--- a/internal/federation/recordcodec.go
+++ b/internal/federation/recordcodec.go
@@ -10,27 +10,27 @@
 
 // Prefixes of the keys of transfer records in the key-value store.
 const (
-	// OutgoingPrefix is followed by a job's id: a transfer of a job of this cell.
+	// OutgoingPrefix is the prefix for transfers of this cell's jobs. The job ID follows.
 	OutgoingPrefix = "transfer/out/"
-	// IncomingPrefix is followed by origin, job and incarnation: a transfer of another
-	// cell's job.
+	// IncomingPrefix is the prefix for transfers of other cells' jobs. Origin, job ID and
+	// incarnation follow.
 	IncomingPrefix = "transfer/in/"
 )
 
-// recordFormat is the format of both records that this version reads and writes.
+// recordFormat is the format version of both record types.
 const recordFormat = 1
 
-// ErrUnreadableRecord reports that a record of a transfer cannot be read. Its job is not
-// restored, and the record is not replaced.
-var ErrUnreadableRecord = errors.New("unreadable record of a transfer")
+// ErrUnreadableRecord reports a transfer record that cannot be decoded.
+var ErrUnreadableRecord = errors.New("unreadable transfer record")
 
-// RecordError is an unreadable record. It wraps ErrUnreadableRecord and the reason.
+// RecordError reports a record that cannot be decoded. It wraps ErrUnreadableRecord and the
+// reason.
 type RecordError struct {
 	Key    string
 	Reason error
 }
 
-// Error returns what is wrong with the record of which key.
+// Error returns the key of the record and the reason.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("%v: %s: %v", ErrUnreadableRecord, e.Key, e.Reason)
 }
@@ -38,16 +38,17 @@
 // Unwrap returns ErrUnreadableRecord and the reason.
 func (e *RecordError) Unwrap() []error { return []error{ErrUnreadableRecord, e.Reason} }
 
-// The reasons for which a record that can be decoded is not one of this version's.
+// Reasons for which a well-formed record is rejected.
 var (
-	errOtherTransfer  = errors.New("it is of another transfer")
+	errOtherTransfer  = errors.New("record does not belong to its key")
 	errUnknownPhase   = errors.New("unknown phase")
 	errUnknownState   = errors.New("unknown phase or cause")
-	errNoTarget       = errors.New("no target")
-	errNegativeAmount = errors.New("amounts below 0")
+	errNoTarget       = errors.New("target is missing or equal to the origin")
+	errNegativeAmount = errors.New("negative count or amount of work")
 )
 
-// Key returns the key of the origin's record. A job has one transfer at a time.
+// Key returns the key of the origin's record. The key does not contain the incarnation, since a
+// job has at most one transfer at a time.
 func (r OriginRecord) Key() string { return outgoingKey(r.Transfer.Job) }
 
 // Key returns the key of the target's record.
@@ -59,22 +60,22 @@
 	return fmt.Sprintf("%s%s/%s/%d", IncomingPrefix, id.Origin, id.Job, id.Incarnation)
 }
 
-// JobFromKey returns the job of an origin's record by the record's key, and whether it is
-// the key of such a record.
+// JobFromKey returns the job ID from the key of an origin's record, and whether key is the key
+// of such a record.
 func JobFromKey(key string) (string, bool) { return strings.CutPrefix(key, OutgoingPrefix) }
 
-// storedRecord is the envelope in which both records are stored.
+// storedRecord is the stored form of both record types.
 type storedRecord[R transferRecord] struct {
 	Format  int    `cbor:"v"`
 	WriteID string `cbor:"save"`
 	Record  R      `cbor:"record"`
 }
 
-// Encode returns the value that is stored. writeID identifies the write: its author finds
-// out by it whether one that got no answer was carried out.
+// Encode returns the stored form of the record. writeID identifies the write, so that its author
+// can determine whether a write with an unknown outcome has succeeded.
 func (r OriginRecord) Encode(writeID string) []byte { return encodeRecord(r, writeID) }
 
-// Encode returns the value that is stored. writeID identifies the write, as for
+// Encode returns the stored form of the record. writeID identifies the write, as in
 // OriginRecord.Encode.
 func (r TargetRecord) Encode(writeID string) []byte { return encodeRecord(r, writeID) }
 
@@ -82,12 +83,12 @@
 	return protocol.Encode(storedRecord[R]{Format: recordFormat, WriteID: writeID, Record: record})
 }
 
-// DecodeOriginRecord reads an origin's record. Its error is a *RecordError.
+// DecodeOriginRecord decodes an origin's record. The error is a *RecordError.
 func DecodeOriginRecord(item protocol.Item) (OriginRecord, error) {
 	return decodeRecord[OriginRecord](item)
 }
 
-// DecodeTargetRecord reads a target's record. Its error is a *RecordError.
+// DecodeTargetRecord decodes a target's record. The error is a *RecordError.
 func DecodeTargetRecord(item protocol.Item) (TargetRecord, error) {
 	return decodeRecord[TargetRecord](item)
 }
@@ -104,11 +105,11 @@
 	return stored.Record, err
 }
 
-// check returns why a record under a key is not one that this version stores there, nil if
-// it is.
+// check returns an error if the record has an unsupported format, does not belong to the key,
+// or has a field value that this software version never stores.
 func (s *storedRecord[R]) check(key string) error {
 	if s.Format != recordFormat {
-		return fmt.Errorf("format %d", s.Format)
+		return fmt.Errorf("unsupported format %d", s.Format)
 	}
 	if s.Record.id().check() != nil || s.Record.Key() != key {
 		return errOtherTransfer
--- a/internal/federation/recordcodec_test.go
+++ b/internal/federation/recordcodec_test.go
@@ -8,8 +8,8 @@
 	"dunestand/internal/protocol"
 )
 
-// What is stored and sent is read by other versions: its bytes stay, whatever the fields
-// are called here.
+// Stored records and messages are read by other software versions, so renaming a Go field must
+// not change the encoding.
 func TestEncodedFormsAreStable(t *testing.T) {
 	id := TransferID{Origin: "mill", Job: "j-000001", Incarnation: 7}
 	origin := OriginRecord{
@@ -76,7 +76,8 @@
 	}
 }
 
-// A record that cannot be read is never taken for another, and its error has the key.
+// A record that is damaged, of another format or under the wrong key is rejected with an error
+// that contains the key.
 func TestUnreadableRecordNamesItsKey(t *testing.T) {
 	origin := BeginTransfer(transfer, HandOverRequest{Target: "dye", Work: 1}, 0).Record
 	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
@@ -91,16 +92,16 @@
 		t.Helper()
 		var unreadable *RecordError
 		if !errors.Is(err, ErrUnreadableRecord) || !errors.As(err, &unreadable) || unreadable.Key != item.Key {
-			t.Errorf("read as %+v with error %v, want an error with the key %q", record, err, item.Key)
+			t.Errorf("decoded as %+v with error %v, want an error with the key %q", record, err, item.Key)
 		}
 	}
 	for name, item := range map[string]protocol.Item{
-		"no value":        {Key: origin.Key()},
-		"other key":       {Key: outgoingKey("j-000002"), Value: origin.Encode("")},
-		"unknown phase":   {Key: origin.Key(), Value: unknownPhase.Encode("")},
-		"to itself":       {Key: origin.Key(), Value: toItself.Encode("")},
-		"a later format":  {Key: origin.Key(), Value: later},
-		"target's record": {Key: origin.Key(), Value: target.Encode("")},
+		"no value":         {Key: origin.Key()},
+		"wrong key":        {Key: outgoingKey("j-000002"), Value: origin.Encode("")},
+		"unknown phase":    {Key: origin.Key(), Value: unknownPhase.Encode("")},
+		"target is origin": {Key: origin.Key(), Value: toItself.Encode("")},
+		"later format":     {Key: origin.Key(), Value: later},
+		"target's record":  {Key: origin.Key(), Value: target.Encode("")},
 	} {
 		t.Run("origin: "+name, func(t *testing.T) {
 			record, err := DecodeOriginRecord(item)
@@ -109,7 +110,7 @@
 	}
 	for name, item := range map[string]protocol.Item{
 		"no value":     {Key: target.Key()},
-		"other key":    {Key: origin.Key(), Value: target.Encode("")},
+		"wrong key":    {Key: origin.Key(), Value: target.Encode("")},
 		"negative run": {Key: negative.Key(), Value: negative.Encode("")},
 	} {
 		t.Run("target: "+name, func(t *testing.T) {
@@ -122,10 +123,10 @@
 func TestJobFromKey(t *testing.T) {
 	key := outgoingKey("j-000001")
 	if job, ok := JobFromKey(key); !ok || job != "j-000001" {
-		t.Errorf("the job of %s: %q", key, job)
+		t.Errorf("job of key %s is %q, want j-000001", key, job)
 	}
 	key = incomingKey(transfer)
 	if job, ok := JobFromKey(key); ok {
-		t.Errorf("%s is the key of a target's record, not of a transfer of %q", key, job)
+		t.Errorf("key %s of a target's record is accepted as the key of job %q", key, job)
 	}
 }
--- a/internal/federation/reservation.go
+++ b/internal/federation/reservation.go
@@ -7,12 +7,12 @@
 	"dunestand/internal/units"
 )
 
-// Reservations are what a target has reserved of the capacity that it can spare. Cells that
-// ask at the same time share it equally: what one does not ask for the others may have, but
-// none gets more than its fair share while others ask. Times are of the leader's steady
-// clock. It is not safe for concurrent use.
+// Reservations tracks the capacity of a target that is reserved for jobs of other cells. The
+// capacity is divided equally among the origins that have requested some recently: an origin
+// gets no more than its fair share while others are requesting, and up to all of it otherwise.
+// Times are on the leader's steady clock. Reservations is not safe for concurrent use.
 type Reservations struct {
-	// HoldTime is for how long a reservation lasts that no commitment follows.
+	// HoldTime is the time after which an uncommitted reservation expires.
 	HoldTime units.Micros
 
 	capacity    Work
@@ -22,13 +22,14 @@
 
 type reservation struct {
 	work    Work
-	expires units.Micros // 0: committed, it lasts until it is released
+	expires units.Micros // 0: committed, does not expire
 }
 
-// requestWindow is for how long after its last request an origin counts as one that asks.
+// requestWindow is the time after its last request for which an origin counts towards the fair
+// share.
 const requestWindow = 30 * units.Second
 
-// NewReservations returns empty reservations. Nothing is reserved before SetCapacity.
+// NewReservations returns an empty set of reservations with a capacity of 0.
 func NewReservations(holdTime units.Micros) *Reservations {
 	return &Reservations{
 		HoldTime:    holdTime,
@@ -37,12 +38,12 @@
 	}
 }
 
-// SetCapacity sets how much work of other cells the cell can run beside its own. What is
-// reserved already stays reserved.
+// SetCapacity sets the capacity for jobs of other cells. Existing reservations are kept, even
+// if they exceed the new capacity.
 func (r *Reservations) SetCapacity(work Work) { r.capacity = max(0, work) }
 
-// Reserve reserves work for a transfer and reports whether there was capacity. Another call
-// for the same transfer extends its reservation.
+// Reserve reserves work for a transfer and reports whether it succeeded. A repeated call for
+// the same transfer succeeds, and extends its reservation if that is not committed yet.
 func (r *Reservations) Reserve(id TransferID, work Work, now units.Micros) bool {
 	r.lastRequest[id.Origin] = now
 	if held, ok := r.byID[id]; ok {
@@ -59,7 +60,7 @@
 	return true
 }
 
-// Restore reserves what a record says, whatever the capacity is.
+// Restore recreates the reservation of a stored record, regardless of the capacity.
 func (r *Reservations) Restore(record TargetRecord, now units.Micros) {
 	switch record.Phase {
 	case TargetReserved:
@@ -69,7 +70,7 @@
 	}
 }
 
-// Commit makes a reservation last until it is released.
+// Commit makes a reservation permanent until it is released.
 func (r *Reservations) Commit(id TransferID) {
 	if held, ok := r.byID[id]; ok {
 		held.expires = 0
@@ -77,11 +78,12 @@
 	}
 }
 
-// Release frees what is reserved for a transfer.
+// Release frees the reservation of a transfer, if it has one.
 func (r *Reservations) Release(id TransferID) { delete(r.byID, id) }
 
-// Expired returns the transfers whose reservations have expired, in order. They stay
-// reserved until they are released, once their refusal is stored.
+// Expired returns the transfers whose reservations have expired, in the order of
+// compareTransferIDs. The caller must store the refusal of each before it calls Release;
+// until then the capacity remains reserved.
 func (r *Reservations) Expired(now units.Micros) []TransferID {
 	var expired []TransferID
 	for id, held := range r.byID {
@@ -93,10 +95,10 @@
 	return expired
 }
 
-// Free returns what can still be reserved.
+// Free returns the unreserved capacity.
 func (r *Reservations) Free() Work { return max(0, r.capacity-r.reserved()) }
 
-// reserved returns what is reserved for all origins.
+// reserved returns the total work reserved for all origins.
 func (r *Reservations) reserved() Work {
 	total := Work(0)
 	for _, held := range r.byID {
@@ -105,7 +107,7 @@
 	return total
 }
 
-// reservedBy returns what is reserved for an origin.
+// reservedBy returns the total work reserved for an origin.
 func (r *Reservations) reservedBy(origin string) Work {
 	total := Work(0)
 	for id, held := range r.byID {
@@ -116,7 +118,8 @@
 	return total
 }
 
-// fairShare returns what each of the origins that ask may have.
+// fairShare returns the capacity divided by the number of origins with a request within
+// requestWindow.
 func (r *Reservations) fairShare(now units.Micros) Work {
 	maps.DeleteFunc(r.lastRequest, func(_ string, at units.Micros) bool { return now-at > requestWindow })
 	return r.capacity / Work(max(1, len(r.lastRequest)))
--- a/internal/federation/target.go
+++ b/internal/federation/target.go
@@ -5,15 +5,18 @@
 // TargetPhase is the state of a transfer at its target.
 type TargetPhase uint8
 
-// The phases at the target. docs/federation.md has the table of all steps.
+// The phases at the target. docs/federation.md has the table of all transitions.
 const (
-	// TargetReserved: capacity is reserved for the job, for a while.
+	// TargetReserved means that capacity is reserved for the job until the reservation
+	// expires.
 	TargetReserved TargetPhase = iota + 1
-	// TargetAccepted: the target runs the job, while it holds a lease.
+	// TargetAccepted means that the target runs the job while it holds a lease.
 	TargetAccepted
-	// TargetFinished: all tasks are done; the result is sent until the origin settles.
+	// TargetFinished means that all tasks are done. The result is resent until the origin
+	// answers with MessageSettle.
 	TargetFinished
-	// TargetRefused: nothing of the job is here, and the transfer will never be accepted.
+	// TargetRefused means that no task of the job runs at the target and that the target will
+	// never accept the transfer.
 	TargetRefused
 	targetPhaseCount
 )
@@ -25,34 +28,36 @@
 	TargetRefused:  "refused",
 }
 
-// String returns the name of the phase, as docs/federation.md has it.
+// String returns the name of the phase, as used in logs and in docs/federation.md.
 func (p TargetPhase) String() string { return enumName(targetPhaseNames[:], "phase", uint8(p)) }
 
-// TargetRecord is what the target stores of a transfer, and its state machine: each event
-// is a method that returns a Decision and leaves the record as it is.
+// TargetRecord is the record of a transfer stored at the target, and the state machine of the
+// target. Each event is a method that returns a Decision and does not modify the receiver.
 type TargetRecord struct {
 	Transfer TransferID  `cbor:"transfer"`
 	Phase    TargetPhase `cbor:"phase"`
-	// Run is the last run that began here, 0: none.
+	// Run is the number of the last run that began at the target, 0 if none did.
 	Run int `cbor:"run"`
-	// Unbounded is set if the lease on the run never expires.
+	// Unbounded is set if the lease on Run never expires.
 	Unbounded bool `cbor:"unbounded,omitempty"`
 	// Stopping is set once the transfer is revoked, while the tasks are being stopped.
 	Stopping bool `cbor:"stopping,omitempty"`
-	// Job is the job's description as its user sent it, Work the capacity it takes.
+	// Job is the job description as submitted by the user. Work is the capacity that the job
+	// needs.
 	Job  []byte  `cbor:"job,omitempty"`
 	Work Work    `cbor:"work,omitempty"`
-	Done TaskSet `cbor:"done,omitempty"` // tasks that were completed here
+	Done TaskSet `cbor:"done,omitempty"` // tasks completed by the target
 }
 
-// MayRun reports whether tasks of the job may be started, and may go on, at the target.
+// MayRun reports whether the target may start tasks of the job and continue running them.
 func (r TargetRecord) MayRun(holder *LeaseHolder, now units.Micros) bool {
 	return r.Phase == TargetAccepted && r.Run > 0 && !r.Stopping && (r.Unbounded || holder.Valid(now, r.Run))
 }
 
-// ReceiveNew decides on a message about a transfer that the target has no record of.
-// hasCapacity is whether capacity for it was reserved. A commitment or a revocation is
-// refused durably: either may be a late copy, of a transfer that was refused or settled.
+// ReceiveNew processes a message about a transfer without a record at the target. hasCapacity
+// is whether capacity for the transfer was reserved. MessageCommit and MessageRevoke are
+// refused durably, since either may be a late copy from a transfer that was already refused
+// or settled.
 func ReceiveNew(message *Message, hasCapacity bool) Decision[TargetRecord] {
 	r := TargetRecord{Transfer: message.Transfer}
 	switch message.Kind {
@@ -65,11 +70,10 @@
 	case MessageCommit, MessageRevoke:
 		return r.refuse()
 	}
-	return unchanged(r) // a late grant, or a repeated settlement
+	return unchanged(r) // late MessageGrant, or repeated MessageSettle
 }
 
-// Receive decides on a message of the origin. lease is the length of the lease that a grant
-// is for.
+// Receive processes a message from the origin. lease is the duration of a granted lease.
 func (r TargetRecord) Receive(message *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
 	switch message.Kind {
 	case MessageReserve:
@@ -92,7 +96,7 @@
 	return unchanged(r)
 }
 
-// Resend decides to send again what the origin has not answered yet.
+// Resend resends the message that the origin has not answered yet, if any.
 func (r TargetRecord) Resend() Decision[TargetRecord] {
 	switch r.Phase {
 	case TargetReserved:
@@ -107,8 +111,8 @@
 	return unchanged(r)
 }
 
-// onGrant extends the lease. That a run begins, and that its lease never expires, is stored
-// before any task is started on account of it.
+// onGrant extends the lease. The start of a run and an unbounded grant are stored before any
+// task is started under them, so that the next leader knows of both.
 func (r TargetRecord) onGrant(grant *Message, holder *LeaseHolder, lease, now units.Micros) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || r.Stopping || grant.Run < r.Run || !holder.acceptGrant(grant, lease, now) {
 		return unchanged(r)
@@ -120,7 +124,8 @@
 	return changed(r)
 }
 
-// onRevoke refuses the transfer, once what runs has been stopped.
+// onRevoke refuses the transfer, at once if no run has begun, otherwise after the tasks have
+// been stopped.
 func (r TargetRecord) onRevoke() Decision[TargetRecord] {
 	switch {
 	case r.Phase == TargetReserved, r.Phase == TargetAccepted && r.Run == 0:
@@ -134,13 +139,13 @@
 	return changed(r)
 }
 
-// refuse ends the transfer for good.
+// refuse permanently refuses the transfer.
 func (r TargetRecord) refuse() Decision[TargetRecord] {
 	r.Phase = TargetRefused
 	return changed(r, MessageRefused)
 }
 
-// ExpireReservation ends a reservation that no commitment has followed in time.
+// ExpireReservation refuses the transfer if it is still in phase TargetReserved.
 func (r TargetRecord) ExpireReservation() Decision[TargetRecord] {
 	if r.Phase != TargetReserved {
 		return unchanged(r)
@@ -148,8 +153,8 @@
 	return r.refuse()
 }
 
-// RequestRenewal asks for the next grant. Where this leader holds no lease on the run, it
-// asks for a new run: its predecessor may have stopped the tasks.
+// RequestRenewal requests the next grant. If this leader holds no valid lease on the current
+// run, it requests a new run, since the tasks may have been stopped.
 func (r TargetRecord) RequestRenewal(holder *LeaseHolder, now units.Micros) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || r.Stopping || r.Unbounded {
 		return unchanged(r)
@@ -164,8 +169,8 @@
 	return Decision[TargetRecord]{Record: r, Send: []Message{renew}}
 }
 
-// TasksCompleted records tasks that were completed here, durably; all is whether no task of
-// the job is left to be done.
+// TasksCompleted records tasks whose completion at the target is stored durably. all is
+// whether all tasks of the job are done.
 func (r TargetRecord) TasksCompleted(done TaskSet, all bool) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted {
 		return unchanged(r)
@@ -178,7 +183,8 @@
 	return changed(r, MessageResult)
 }
 
-// TasksStopped records that, after a revocation, no task of the job is on any machine.
+// TasksStopped refuses a revoked transfer once no task of the job runs on any machine of the
+// target.
 func (r TargetRecord) TasksStopped() Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || !r.Stopping {
 		return unchanged(r)
--- a/internal/federation/taskset.go
+++ b/internal/federation/taskset.go
@@ -1,10 +1,10 @@
 package federation
 
-// TaskSet is a set of a job's tasks by their index: a bit for each, from the lowest of the
-// first byte on. Nil is the empty set.
+// TaskSet is a bit set of the tasks of a job by task index. Task 0 is the lowest bit of the
+// first byte. Nil is the empty set.
 type TaskSet []byte
 
-// Union returns a new set of the tasks in either.
+// Union returns a new set of the tasks that are in s or other.
 func (s TaskSet) Union(other TaskSet) TaskSet {
 	out := make(TaskSet, max(len(s), len(other)))
 	copy(out, s)
@@ -24,7 +24,7 @@
 	return true
 }
 
-// Add adds a task.
+// Add adds the task with the given index.
 func (s *TaskSet) Add(task int) {
 	for len(*s) <= task/8 {
 		*s = append(*s, 0)
--- a/internal/federation/tick.go
+++ b/internal/federation/tick.go
@@ -8,9 +8,9 @@
 	"dunestand/internal/units"
 )
 
-// Tick looks at every transfer: what is to be sent again, what has expired, and what the
-// scheduler has to know. It is called about once a second, by one goroutine, and returns
-// once the store has answered.
+// Tick processes all transfers: it resends unanswered messages, expires reservations and leases,
+// and notifies the scheduler. It must be called about once per second, by one goroutine, and
+// blocks until the store has answered.
 func (m *Manager) Tick(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// notifyScheduler gives a job back to the scheduler, or ends it there, and reports whether
-// that is durable, so that the record of the transfer is no longer needed for it.
+// notifyScheduler returns a job to the scheduler or ends it there. It reports whether the
+// scheduler has stored that durably, so that the transfer record may be deleted.
 func (m *Manager) notifyScheduler(job string, record OriginRecord) bool {
 	switch {
 	case record.Phase == OriginFinished:
@@ -67,7 +67,7 @@
 	if transfer.record.Phase == TargetAccepted {
 		m.tickAccepted(ctx, transfer, now)
 	}
-	if transfer.record.Phase != TargetAccepted { // else MessageRenew says as much
+	if transfer.record.Phase != TargetAccepted { // in TargetAccepted, MessageRenew also confirms the acceptance
 		m.applyTarget(ctx, transfer, transfer.record.Resend())
 	}
 	if now-transfer.lastRenewal >= m.Config.Timing.Lease/renewalsPerLease || transfer.lastRenewal == 0 {
@@ -81,7 +81,7 @@
 	m.Scheduler.Stop(id)
 }
 
-// tickAccepted records how far the tasks are.
+// tickAccepted records the progress of the tasks of an accepted job.
 func (m *Manager) tickAccepted(ctx context.Context, transfer *incomingTransfer, now units.Micros) {
 	progress := m.Scheduler.Progress(transfer.record.Transfer)
 	switch {
--- a/internal/federation/timing.go
+++ b/internal/federation/timing.go
@@ -2,30 +2,32 @@
 
 import "dunestand/internal/units"
 
-// Timing is the lengths of time that the cells of one cells file agree on.
+// Timing holds the durations that must be the same in all cells of a federation.
 type Timing struct {
-	// Lease is for how long a grant lets the target run tasks, from when it asked.
+	// Lease is the duration for which a grant lets the target run tasks, counted from when
+	// the target sent the renewal request.
 	Lease units.Micros
-	// StopGrace is the grace period after the lease has expired within which the target's
-	// tasks are gone, even if all of its controllers fail. It is no less than the lease of
-	// its workers.
+	// StopGrace is the grace period after lease expiry within which all tasks of the job at
+	// the target have stopped, even if all controllers of the target fail. It must be at
+	// least the lease of the workers plus clock drift.
 	StopGrace units.Micros
 }
 
 const (
-	// maxDriftPPM is by how many parts in a million two steady clocks may drift apart.
+	// maxDriftPPM is the maximum drift between two steady clocks, in parts per million.
 	maxDriftPPM = 500
-	// roundingAllowance covers the resolution of both clocks.
+	// roundingAllowance covers the limited resolution of both clocks.
 	roundingAllowance = 100 * units.Millisecond
 )
 
-// ReclaimDelay returns how long the origin waits, by its own steady clock, from its last
-// grant until nothing of the job can run at the target.
+// ReclaimDelay returns the time, on the origin's steady clock, from the origin's last grant
+// until no task of the job can be running at the target.
 func (t Timing) ReclaimDelay() units.Micros {
 	return withDrift(t.Lease+t.StopGrace) + roundingAllowance
 }
 
-// withDrift returns the longest time that a length on one steady clock takes on another.
-func withDrift(length units.Micros) units.Micros {
-	return length + length*maxDriftPPM/1_000_000
+// withDrift returns the longest duration that another steady clock may measure for a given
+// duration on this one.
+func withDrift(duration units.Micros) units.Micros {
+	return duration + duration*maxDriftPPM/1_000_000
 }
--- a/internal/federation/transfer.go
+++ b/internal/federation/transfer.go
@@ -10,34 +10,35 @@
 
 // TransferID identifies one transfer of a job.
 type TransferID struct {
-	// Origin is the name of the cell that the job belongs to, Job the job's id there.
+	// Origin is the name of the cell that the job belongs to. Job is the ID of the job in that
+	// cell.
 	Origin string `cbor:"from"`
 	Job    string `cbor:"job"`
-	// Incarnation, from 1, is greater with each new transfer of the job, so that late
-	// messages of an earlier one are recognised.
+	// Incarnation starts from 1 and increases with each transfer of the job, so that late
+	// messages of an earlier transfer are recognized.
 	Incarnation uint64 `cbor:"n"`
 }
 
-// String returns origin, job and incarnation, as they appear in logs.
+// String returns origin, job and incarnation in the form used in logs.
 func (t TransferID) String() string { return fmt.Sprintf("%s/%s#%d", t.Origin, t.Job, t.Incarnation) }
 
-// check returns what is wrong with an id that came from outside, nil if nothing is.
+// check returns an error if a field is invalid. It is used for IDs from messages and records.
 func (t TransferID) check() error {
 	switch {
 	case !validCellName(t.Origin):
-		return fmt.Errorf("transfer %q: bad name of a cell", t)
+		return fmt.Errorf("transfer %q: invalid cell name", t)
 	case !protocol.ValidJobID(t.Job):
-		return fmt.Errorf("transfer %q: bad id of a job", t)
+		return fmt.Errorf("transfer %q: invalid job ID", t)
 	case t.Incarnation == 0:
-		return fmt.Errorf("transfer %q: no incarnation", t)
+		return fmt.Errorf("transfer %q: missing incarnation", t)
 	}
 	return nil
 }
 
-// cellNamePattern has no "/": a cell's name is part of keys.
+// cellNamePattern excludes "/", since cell names are part of keys of the key-value store.
 var cellNamePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,31}$`)
 
-// validCellName reports whether a cell may have a name.
+// validCellName reports whether name is a valid cell name.
 func validCellName(name string) bool { return cellNamePattern.MatchString(name) }
 
 // compareTransferIDs orders transfers by origin, job and incarnation.
