--- a/internal/federation/fakecell_test.go
+++ b/internal/federation/fakecell_test.go
@@ -9,47 +9,47 @@
 	"dunestand/internal/units"
 )
 
-// machineTask is a task on a machine of a fake cell.
+// machineTask is a task running on a machine of a fakeCell.
 type machineTask struct {
 	job          string
-	transfer     TransferID // zero for a job of the cell's own
+	transfer     TransferID // transfer of the job, zero for the cell's own jobs
 	task         int
 	completesAt  units.Micros
-	leaseExpires units.Micros // the worker's lease, extended by the leader
+	leaseExpires units.Micros // expiry of the worker's lease, which the leader extends
 }
 
-// fakeJob is a job as a fake cell's scheduler keeps it, durably.
+// fakeJob is the durable job record of a fakeCell's scheduler.
 type fakeJob struct {
 	id, class       string
-	handedOver      bool // handed over, or being handed over
+	handedOver      bool // a transfer was begun and the job has not returned
 	cancelRequested bool
 	ended           bool
 	done            TaskSet
 	restarts        int
 }
 
-// fakeCell is a cell: a leader that may be away, machines that go on without it, and a
-// store. It is the Scheduler of its leader's Manager.
+// fakeCell is a cell with a leader, which may be stopped, machines that keep running without
+// the leader, and a store. It implements Scheduler for the Manager of its leader.
 type fakeCell struct {
 	name         string
 	federation   *fakeFederation
 	store        *fakeStore
-	manager      *Manager // nil: no leader
+	manager      *Manager // nil while there is no leader
 	fencingToken uint64
 	slots        int
 
 	mu             sync.Mutex
 	jobs           []*fakeJob
-	incomingDone   map[TransferID]TaskSet // of other cells' jobs
-	incomingWanted map[TransferID]bool    // which of them are to run
+	incomingDone   map[TransferID]TaskSet // completed tasks of other cells' jobs
+	incomingWanted map[TransferID]bool    // other cells' jobs that the Manager wants to run
 	tasks          []machineTask
 }
 
 const (
 	fakeJobTasks    = 4
 	fakeTaskRunTime = 5 * units.Second
-	// fakeJobWork is the work of a job, four tasks of a CPU; fakeSlotCapacity is what a
-	// cell offers for each of its slots.
+	// fakeJobWork is the work of a job, whose tasks use one CPU each. fakeSlotCapacity is the
+	// capacity that a cell offers to other cells per slot.
 	fakeJobWork      = Work(fakeJobTasks * 5 * 1000)
 	fakeSlotCapacity = Work(100_000)
 )
@@ -75,14 +75,14 @@
 	c.federation.mu.Unlock()
 }
 
-// stopLeader stops the leader. The machines go on until their leases expire.
+// stopLeader stops the leader. Tasks keep running until the leases of their workers expire.
 func (c *fakeCell) stopLeader() {
 	c.federation.mu.Lock()
 	defer c.federation.mu.Unlock()
 	c.manager = nil
 }
 
-// stepMachines completes tasks, extends the leases of workers and starts tasks.
+// stepMachines extends the leases of workers, completes tasks and starts new ones.
 func (c *fakeCell) stepMachines() {
 	now := c.federation.clock.Steady()
 	manager := c.manager
@@ -125,7 +125,7 @@
 	return jobs
 }
 
-// recordStoppedJobs records which jobs are no longer on the cell's machines.
+// recordStoppedJobs records which jobs no longer run on the cell's machines.
 func (c *fakeCell) recordStoppedJobs() {
 	running := c.jobsOnMachines()
 	c.federation.mu.Lock()
@@ -141,8 +141,8 @@
 	}
 }
 
-// schedule starts tasks while there are free slots: of the cell's own jobs first, in their
-// order.
+// schedule starts tasks while there are free slots. The cell's own jobs take precedence, in
+// order of submission.
 func (c *fakeCell) schedule(manager *Manager, now units.Micros) {
 	for _, j := range c.jobs {
 		if !j.handedOver && !j.ended && !j.cancelRequested {
@@ -174,8 +174,8 @@
 	}
 }
 
-// stepLeader has the Manager look at its transfers, ends jobs that are done or cancelled
-// here, and hands over jobs that wait.
+// stepLeader calls Manager.Tick, ends the cell's own jobs that are done or cancelled, and begins
+// transfers of pending jobs.
 func (c *fakeCell) stepLeader(ctx context.Context) {
 	manager := c.manager
 	if manager == nil {
@@ -207,7 +207,8 @@
 	c.handOverPending(ctx, manager)
 }
 
-// handOverPending hands up to three jobs that wait to the first cell that has capacity.
+// handOverPending begins transfers of up to three pending jobs, each to the first cell with
+// enough capacity. Two pending jobs always stay.
 func (c *fakeCell) handOverPending(ctx context.Context, manager *Manager) {
 	c.mu.Lock()
 	var pending []*fakeJob
--- a/internal/federation/fakeregion_test.go
+++ b/internal/federation/fakefederation_test.go
@@ -13,8 +13,8 @@
 	"dunestand/internal/units"
 )
 
-// fakeFederation is three cells on one network, and an observer of all their machines and
-// answers, in the time of a synctest bubble.
+// fakeFederation consists of three cells on one network. It observes the machines and the
+// final answers of all cells. It must be used inside a synctest bubble.
 type fakeFederation struct {
 	t      *testing.T
 	clock  units.Clock
@@ -23,12 +23,12 @@
 	config *Config
 
 	mu          sync.Mutex
-	partitioned map[string]bool            // cells that are cut off
-	answers     map[string]string          // by job, the last that its user got
-	runningIn   map[string]map[string]bool // by job, then by cell
+	partitioned map[string]bool            // cells without connection to the others
+	answers     map[string]string          // last answer given to the user, by job
+	runningIn   map[string]map[string]bool // cells that run a job, by job
 }
 
-// bubbleClock is the time of a synctest bubble.
+// bubbleClock is a units.Clock on the fake time of a synctest bubble.
 type bubbleClock struct{ began time.Time }
 
 func (c bubbleClock) Steady() units.Micros {
@@ -37,7 +37,7 @@
 
 func (c bubbleClock) Wall() units.Micros { return units.Micros(time.Now().UnixMicro()) }
 
-// fakeTransport loses, duplicates and delays messages.
+// fakeTransport is a Transport that loses, duplicates and delays messages.
 type fakeTransport struct {
 	federation *fakeFederation
 	from       string
@@ -63,7 +63,7 @@
 	}
 }
 
-// deliver delivers a message, unless one of the cells is partitioned or has no leader.
+// deliver delivers a message unless either cell is partitioned or the receiver has no leader.
 func (f *fakeFederation) deliver(from, to string, message Message) {
 	f.mu.Lock()
 	lost := f.partitioned[from] || f.partitioned[to]
@@ -74,18 +74,19 @@
 	}
 }
 
-// recordAnswer records that a job's user is told that it is done or cancelled, which must not
-// change any more.
+// recordAnswer records the final answer given to the user of a job, "done" or "cancelled", and
+// fails the test if it contradicts an earlier one.
 func (f *fakeFederation) recordAnswer(job, answer string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if before := f.answers[job]; before != "" && before != answer {
-		f.t.Errorf("the user of %s was told that it is %s, and now that it is %s", job, before, answer)
+		f.t.Errorf("final answer for %s changes from %s to %s", job, before, answer)
 	}
 	f.answers[job] = answer
 }
 
-// recordRun records that a job begins to run, or ends, on the machines of a cell.
+// recordRun records that a job begins or stops running on the machines of a cell, and fails
+// the test if it runs in two cells.
 func (f *fakeFederation) recordRun(cell, job string, begins bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,18 +99,18 @@
 		delete(f.runningIn[job], cell)
 	}
 	if len(f.runningIn[job]) > 1 {
-		f.t.Errorf("%s runs in two cells: %v", job, f.runningIn[job])
+		f.t.Errorf("job %s runs in more than one cell: %v", job, f.runningIn[job])
 	}
 }
 
-// configFor returns the cells file of a cell.
+// configFor returns the Config of a cell.
 func (f *fakeFederation) configFor(self string) *Config {
 	config := *f.config
 	config.Self = self
 	return &config
 }
 
-// newFakeFederation returns a region in which every cell has a leader and no job.
+// newFakeFederation returns a federation in which every cell has a leader and no jobs.
 func newFakeFederation(t *testing.T, seed uint64) *fakeFederation {
 	t.Helper()
 	config := loadExampleConfig(t)
@@ -140,13 +141,12 @@
 	return f
 }
 
-// fakeStep is how often the machines of all cells do something; the leaders do so at every
-// fourth step.
+// fakeStep is the interval between steps of the machines. Leaders act on every fourth step.
 const fakeStep = 250 * time.Millisecond
 
-// advance lets the cells work for a time.
-func (f *fakeFederation) advance(length time.Duration) {
-	for step := range int(length / fakeStep) {
+// advance runs all cells for a duration.
+func (f *fakeFederation) advance(duration time.Duration) {
+	for step := range int(duration / fakeStep) {
 		time.Sleep(fakeStep)
 		synctest.Wait()
 		for _, name := range []string{"mill", "dye", "recipes"} {
@@ -168,14 +168,14 @@
 	}
 }
 
-// setPartitioned cuts a cell off from all others, or ends that.
+// setPartitioned begins or ends a partition between a cell and all others.
 func (f *fakeFederation) setPartitioned(cell string, partitioned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.partitioned[cell] = partitioned
 }
 
-// cancelSome cancels every sixth job of the mill.
+// cancelSome cancels every sixth job of cell mill.
 func (f *fakeFederation) cancelSome() {
 	c := f.cells["mill"]
 	c.mu.Lock()
@@ -185,15 +185,15 @@
 	}
 }
 
-// restartLeader stops a cell's leader, and starts another after a downtime.
+// restartLeader stops a cell's leader and starts a new one after a downtime.
 func (f *fakeFederation) restartLeader(cell string, downtime time.Duration) {
 	f.cells[cell].stopLeader()
 	f.advance(downtime)
 	f.cells[cell].startLeader()
 }
 
-// failStore has a cell's store refuse all writes for a time.
-func (f *fakeFederation) failStore(cell string, length time.Duration) {
+// failStore makes a cell's store reject all writes for a duration.
+func (f *fakeFederation) failStore(cell string, duration time.Duration) {
 	s := f.cells[cell].store
 	set := func(down bool) {
 		s.mu.Lock()
@@ -201,6 +201,6 @@
 		s.down = down
 	}
 	set(true)
-	f.advance(length)
+	f.advance(duration)
 	set(false)
 }
--- a/internal/federation/fakescheduler_test.go
+++ b/internal/federation/fakescheduler_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// This file is the Scheduler of a fakeCell.
+// This file implements Scheduler for fakeCell.
 
 func (c *fakeCell) Run(id TransferID, _ []byte, done TaskSet) {
 	c.mu.Lock()
@@ -26,7 +26,7 @@
 
 func fakeJobDone(done TaskSet) bool { return done.ContainsAll(TaskSet{1<<fakeJobTasks - 1}) }
 
-// job returns a job of the cell's own.
+// job returns one of the cell's own jobs. c.mu must be held.
 func (c *fakeCell) job(id string) *fakeJob {
 	i := slices.IndexFunc(c.jobs, func(j *fakeJob) bool { return j.id == id })
 	return c.jobs[i]
@@ -46,7 +46,7 @@
 	j := c.job(id)
 	j.done = j.done.Union(done)
 	if !fakeJobDone(j.done) {
-		c.federation.t.Errorf("%s is finished with tasks %v done", id, j.done)
+		c.federation.t.Errorf("job %s is finished with only tasks %v done", id, j.done)
 	}
 	j.ended = true
 	c.federation.recordAnswer(id, "done")
--- a/internal/federation/fakestore_test.go
+++ b/internal/federation/fakestore_test.go
@@ -9,10 +9,10 @@
 	"dunestand/internal/protocol"
 )
 
-// fakeWriteTime is how long a write takes.
+// fakeWriteTime is the duration of a write.
 const fakeWriteTime = 6 * time.Millisecond
 
-// fakeStore is a key-value store in memory. While it is down it refuses all writes.
+// fakeStore is an in-memory Store. It rejects all writes while down is set.
 type fakeStore struct {
 	mu       sync.Mutex
 	records  map[string]protocol.Item
--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -8,7 +8,8 @@
 	"dunestand/internal/protocol"
 )
 
-// A leader that was replaced writes nothing, stops, and reports that once.
+// A superseded leader begins no transfers after its first version conflict, and calls
+// OnSuperseded exactly once.
 func TestSupersededLeaderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFederation(t, 1)
@@ -21,43 +22,43 @@
 			t.Fatal(err)
 		}
 		c.startLeader()
-		c.manager.Cancel(ctx, "j-000001") // the new leader writes
+		c.manager.Cancel(ctx, "j-000001") // the new leader writes the record
 		old.Cancel(ctx, "j-000001")
 		for range 3 {
 			old.Tick(ctx)
 		}
 		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000002", Class: "loomplan", Target: "dye", Work: 10}); !errors.Is(err, ErrNotHandedOver) {
-			t.Errorf("it begins a transfer: %v", err)
+			t.Errorf("superseded leader: HandOver returns %v, want ErrNotHandedOver", err)
 		}
 		if calls != 1 {
-			t.Errorf("it reports %d times that it was replaced", calls)
+			t.Errorf("OnSuperseded was called %d times, want once", calls)
 		}
 	})
 }
 
-// A job that may not be handed over stays where it is, and the error gives the reason.
+// A job that is not eligible for a transfer stays at its origin, and HandOver returns an error.
 func TestIneligibleJobIsNotHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFederation(t, 1)
 		m := f.cells["mill"].manager
 		for name, mutate := range map[string]func(*HandOverRequest){
-			"unknown class": func(f *HandOverRequest) { f.Class = "other" },
-			"to itself":     func(f *HandOverRequest) { f.Target = "mill" },
-			"to nowhere":    func(f *HandOverRequest) { f.Target = "loom" },
-			"used up":       func(f *HandOverRequest) { f.Class, f.Restarts = "yarnrecount", 3 },
-			"bad id":        func(f *HandOverRequest) { f.Job = "job" },
+			"unknown class":  func(f *HandOverRequest) { f.Class = "other" },
+			"to own cell":    func(f *HandOverRequest) { f.Target = "mill" },
+			"unknown target": func(f *HandOverRequest) { f.Target = "loom" },
+			"restart limit":  func(f *HandOverRequest) { f.Class, f.Restarts = "yarnrecount", 3 },
+			"invalid job ID": func(f *HandOverRequest) { f.Job = "job" },
 		} {
 			request := HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}
 			mutate(&request)
 			if err := m.HandOver(t.Context(), request); !errors.Is(err, ErrNotHandedOver) || m.Owner("j-000001") != OwnerOrigin {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s: error is %v, want ErrNotHandedOver and an unchanged owner", name, err)
 			}
 		}
 	})
 }
 
-// A record that cannot be read blocks its job alone: it is not replaced, and messages
-// about it get no answer.
+// A record that cannot be decoded blocks its job: the record is not overwritten, and messages
+// about its transfer are not answered.
 func TestUnreadableRecordBlocksItsJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFederation(t, 1)
@@ -69,22 +70,23 @@
 		}
 		c.startLeader()
 		if err := c.manager.ReadError("j-000001"); !errors.Is(err, ErrUnreadableRecord) || c.manager.Owner("j-000001") != OwnerNone {
-			t.Errorf("the job is not blocked: %v", err)
+			t.Errorf("job with an unreadable record is not blocked: read error is %v", err)
 		}
 		if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}); !errors.Is(err, ErrNotHandedOver) {
-			t.Errorf("it is handed over: %v", err)
+			t.Errorf("HandOver of the blocked job returns %v, want ErrNotHandedOver", err)
 		}
 		out := TransferID{Origin: "mill", Job: "j-000001", Incarnation: 1}
 		c.manager.Receive(t.Context(), "dye", Message{Kind: MessageRefused, Transfer: out})
 		c.manager.Receive(t.Context(), "dye", Message{Kind: MessageCommit, Transfer: in})
 		c.manager.Tick(t.Context())
 		if sent, writes := c.manager.Stats.Sent.Load(), c.manager.Stats.Writes.Load(); sent != 0 || writes != 0 {
-			t.Errorf("%d messages and %d writes about what cannot be read", sent, writes)
+			t.Errorf("%d messages and %d writes about unreadable records, want none", sent, writes)
 		}
 	})
 }
 
-// Messages are accepted only from cells of the cells file, and only about their transfers.
+// A message is accepted only from another cell of the cells file, and only about a transfer in
+// which that cell has the matching role.
 func TestForbiddenMessageIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newFakeFederation(t, 1).cells["mill"].manager
@@ -101,7 +103,7 @@
 		} {
 			m.Receive(t.Context(), c.from, c.m)
 			if got := m.Stats.Rejected.Load(); got != int64(n+1) || m.Stats.Sent.Load() != 0 {
-				t.Errorf("%s says %v of %v: rejected %d, answered %d", c.from, c.m.Kind, c.m.Transfer, got, m.Stats.Sent.Load())
+				t.Errorf("message from %s (%v of %v): %d rejected and %d sent so far, want all rejected and none sent", c.from, c.m.Kind, c.m.Transfer, got, m.Stats.Sent.Load())
 			}
 		}
 	})
--- a/internal/federation/managercells_test.go
+++ b/internal/federation/managercells_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Three fake cells: one that is overloaded, and one that is partitioned and later loses half
-// of its machines; all leaders are replaced. Every job gets exactly one final answer.
+// Every job gets exactly one final answer although cell mill is overloaded, cell dye is
+// partitioned and later loses half of its machines, all leaders are replaced and the store of
+// mill fails for a time.
 func TestThreeFakeCellsGiveOneFinalAnswerPerJob(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -40,23 +41,23 @@
 		answers[f.answers[j.id]]++
 	}
 	if answers["done"]+answers["cancelled"] != 36 || answers["done"] < 30 {
-		t.Errorf("36 jobs ended as %v", answers)
+		t.Errorf("final answers are %v, want 36 in total and at least 30 done", answers)
 	}
 	moved, messages, writes := 0, int64(0), int64(0)
 	for name, c := range f.cells {
 		messages += c.manager.Stats.Sent.Load()
 		writes += c.manager.Stats.Writes.Load()
 		if len(c.store.records) != 0 {
-			t.Errorf("%s keeps %d records", name, len(c.store.records))
+			t.Errorf("cell %s still has %d transfer records", name, len(c.store.records))
 		}
 		moved += len(c.incomingDone)
 	}
 	if moved == 0 {
 		t.Error("no job was handed over")
 	}
-	t.Logf("%v; %d transfers began to run; of the last leaders %d messages, %d writes", answers, moved, messages, writes)
+	t.Logf("answers: %v; transfers that began to run: %d; sent by the last leaders: %d messages, %d writes", answers, moved, messages, writes)
 	for _, c := range f.cells {
 		c.stopLeader()
 	}
-	time.Sleep(2 * time.Minute) // until the late messages have been delivered
+	time.Sleep(2 * time.Minute) // until delayed messages have been delivered
 }
--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -8,15 +8,15 @@
 	"dunestand/internal/units"
 )
 
-// originRecord returns the record of a transfer of a job of this cell.
+// originRecord returns the transfer record of a job of this cell.
 func (m *Manager) originRecord(job string) OriginRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.outgoing[job].record
 }
 
-// newFederationWithTransfer returns a region in which the dyehouse runs a job of the mill, and the
-// transfer of that job.
+// newFederationWithTransfer returns a federation in which cell dye runs a job of cell
+// mill, and the ID of the transfer.
 func newFederationWithTransfer(t *testing.T, class string) (*fakeFederation, TransferID) {
 	t.Helper()
 	f := newFakeFederation(t, 3)
@@ -32,30 +32,29 @@
 			return f, id
 		}
 	}
-	t.Fatal("the target does not get to run the job")
+	t.Fatal("target is not allowed to run the job within 20 s")
 	return nil, id
 }
 
-// A job whose target is partitioned for ever is reclaimed once lease, grace period and drift
-// have passed; one that may not be restarted waits.
+// A job whose target is partitioned permanently is reclaimed after the reclaim delay. A job
+// that may not be restarted stays with its target.
 func TestJobIsReclaimedFromPartitionedCell(t *testing.T) {
 	for class, want := range map[string]Owner{"loomplan": OwnerOrigin, "rushorder": OwnerTarget} {
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := newFederationWithTransfer(t, class)
-			f.cells["dye"].slots = 0 // so that the job gets no further
+			f.cells["dye"].slots = 0 // so that the job makes no progress
 			f.setPartitioned("dye", true)
 			m := f.cells["mill"].manager
 			f.advance((reclaimAfterLeases*f.config.Timing.Lease + f.config.Timing.ReclaimDelay() + 3*units.Second).Duration())
 			if got := m.Owner("j-000001"); got != want && !(want == OwnerOrigin && got == OwnerEnded) {
-				t.Errorf("%s: owner %v, want %v", class, got, want)
+				t.Errorf("class %s: owner is %v, want %v", class, got, want)
 			}
 		})
 	}
 }
 
-// A leader that takes over while a job is elsewhere does not know when its predecessor
-// granted a lease last: it counts from its own election, also when the job is cancelled at
-// once.
+// A new leader does not know when the previous one granted its last lease, so it counts the
+// reclaim delay from its own election, even if the job is cancelled immediately.
 func TestNewLeaderWaitsForPredecessorsGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, id := newFederationWithTransfer(t, "loomplan")
@@ -66,19 +65,19 @@
 		c.manager.Cancel(t.Context(), "j-000001")
 		f.advance((f.config.Timing.ReclaimDelay() - 2*units.Second).Duration())
 		if got := c.manager.Owner("j-000001"); got != OwnerNone {
-			t.Errorf("before the reclaim delay: owner %v", got)
+			t.Errorf("before the reclaim delay: owner is %v, want none", got)
 		}
 		f.advance(4 * time.Second)
 		if got := c.manager.Owner("j-000001"); got != OwnerEnded || f.answers["j-000001"] != "cancelled" {
-			t.Errorf("after the reclaim delay: owner %v, answer %q", got, f.answers["j-000001"])
+			t.Errorf("after the reclaim delay: owner is %v and answer is %q, want ended and cancelled", got, f.answers["j-000001"])
 		}
 		if d := f.cells["dye"]; d.manager.MayRun(id) || d.incomingWanted[id] {
-			t.Error("the target goes on")
+			t.Error("target keeps running the job after the reclaim delay")
 		}
 	})
 }
 
-// While the store is down no record changes, and nothing is sent that rests on a change.
+// While writes fail, records do not change, and messages that depend on a write are not sent.
 func TestNothingIsSentBeforeItIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFederation(t, 1)
@@ -92,15 +91,16 @@
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserved, Transfer: id})
 		m.Receive(t.Context(), "dye", Message{Kind: MessageReserve, Transfer: TransferID{"dye", "j-000002", 1}, Work: 1})
 		if sent := m.Stats.Sent.Load() - before; sent != 0 || m.originRecord("j-000001").Phase != OriginIntended {
-			t.Errorf("%d messages, phase %v", sent, m.originRecord("j-000001").Phase)
+			t.Errorf("%d messages sent and phase is %v, want 0 and intended", sent, m.originRecord("j-000001").Phase)
 		}
 		if free := m.FreeCapacity(); free != Work(f.cells["mill"].slots)*fakeSlotCapacity {
-			t.Errorf("%d free: a reservation that is not stored is kept", free)
+			t.Errorf("free capacity is %d: a reservation without a stored record is kept", free)
 		}
 	})
 }
 
-// Only the target's result counts, and none once the job's user was told of its end.
+// A result is accepted only from the target of the transfer, and only until the job has reached
+// a terminal state at its origin.
 func TestLateOrForbiddenResultChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, id := newFederationWithTransfer(t, "loomplan")
@@ -108,31 +108,31 @@
 		result := Message{Kind: MessageResult, Transfer: id, Done: TaskSet{15}, Run: 1}
 		m.Receive(t.Context(), "recipes", result)
 		if got := m.Owner("j-000001"); got != OwnerTarget {
-			t.Errorf("after a result of another cell: owner %v", got)
+			t.Errorf("after a result from a cell other than the target: owner is %v, want target", got)
 		}
 		if m.JobEnded(t.Context(), "j-000001") {
-			t.Error("a job that is elsewhere may end here")
+			t.Error("JobEnded permits the end of a job that is at its target")
 		}
 		m.mu.Lock()
 		m.outgoing["j-000001"].record.Phase = OriginReturned
 		m.mu.Unlock()
 		if !m.JobEnded(t.Context(), "j-000001") {
-			t.Fatal("a job that is back may not end")
+			t.Fatal("JobEnded does not permit the end of a returned job")
 		}
 		m.Receive(t.Context(), "dye", result)
 		if phase := m.originRecord("j-000001").Phase; phase != OriginWithdrawn {
-			t.Errorf("a result after the job's end: phase %v", phase)
+			t.Errorf("after a result that follows the end of the job: phase is %v, want withdrawn", phase)
 		}
 	})
 }
 
-// nonDurableScheduler is a cell that cannot store the end of its jobs.
+// nonDurableScheduler is a fakeCell that cannot store the end of its jobs.
 type nonDurableScheduler struct{ *fakeCell }
 
 func (nonDurableScheduler) Finished(string, TaskSet) bool { return false }
 
-// The record of a transfer is what is known of the job's end until that is durable in the
-// cell itself.
+// The transfer record of a finished job is kept until the scheduler has stored the end of the
+// job durably. Otherwise the result would be lost.
 func TestRecordStaysUntilTheJobsEndIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, id := newFederationWithTransfer(t, "loomplan")
@@ -141,15 +141,15 @@
 		f.advance(time.Minute)
 		key := outgoingKey(id.Job)
 		if _, stored := c.store.records[key]; !stored {
-			t.Fatal("the record is gone before the job's end is durable")
+			t.Fatal("record was deleted before the end of the job was durable")
 		}
 		if got := c.manager.Owner(id.Job); got != OwnerEnded {
-			t.Errorf("owner %v, want %v", got, OwnerEnded)
+			t.Errorf("owner is %v, want %v", got, OwnerEnded)
 		}
 		c.manager.Scheduler = c
 		f.advance(10 * time.Second)
 		if _, stored := c.store.records[key]; stored {
-			t.Error("the record stays though the job's end is durable")
+			t.Error("record was not deleted although the end of the job is durable")
 		}
 	})
 }
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -11,65 +11,67 @@
 	"dunestand/internal/units"
 )
 
-// The model plays random histories of three cells: messages that are lost, duplicated and
-// delayed by any time, partitions in one direction, leaders that crash before and after a
-// write, clocks that drift. The invariants are checked on the tasks themselves, from outside.
+// The model executes the state machines of three cells in random histories. Messages are lost,
+// duplicated and delayed without limit, partitions may affect a single direction, leaders
+// crash before and after writes, and clocks drift. The invariants are checked on the simulated
+// executions of tasks, independently of the records.
 
 const (
 	modelTasks        = 4
 	modelCapacity     = Work(5)
 	modelReclaimAfter = 20 * units.Second
-	// modelUnlimitedLease is the lease of a task at home, whose scheduling is not modelled.
+	// modelUnlimitedLease is the lease of workers at the origin, whose scheduling is not
+	// modelled.
 	modelUnlimitedLease units.Micros = 1 << 50
 )
 
 var modelTiming = Timing{Lease: 10 * units.Second, StopGrace: 15 * units.Second}
 
-// execution is a job's tasks on the machines of one cell.
+// execution is the execution of a job on the machines of one cell.
 type execution struct {
-	leaseExpires units.Micros // real time of the workers' leases
+	leaseExpires units.Micros // real time at which the workers' leases expire
 	done         TaskSet
 }
 
-// userJob is a job as its user and an observer of all machines see it.
+// userJob is a job as seen by its user and by the invariant checker.
 type userJob struct {
 	id                              string
 	origin                          *modelCell
 	maxRestarts                     int
-	runs                            map[string]bool // of its tasks, in whichever cell
+	runs                            map[string]bool // all runs begun in any cell
 	cancelRequested                 bool
-	answeredDone, answeredCancelled bool // what the user was told
+	answeredDone, answeredCancelled bool // final answers given to the user
 	incarnation                     uint64
 	restarts                        int
 }
 
-// modelCell is a cell: what is stored, what its machines do, and its leader.
+// modelCell is a cell with its stored records, the executions on its machines, and its leader.
 type modelCell struct {
 	name           string
-	clockRate      float64 // of its steady clock, against real time
+	clockRate      float64 // rate of its steady clock relative to real time
 	fencingToken   uint64
-	leaderStartsAt units.Micros // real time from which a leader is there
+	leaderStartsAt units.Micros // real time until which the cell has no leader
 	outgoing       map[string]OriginRecord
 	incoming       map[TransferID]TargetRecord
-	executions     map[string]*execution // by job
-	done           map[string]TaskSet    // of jobs that are the cell's own
+	executions     map[string]*execution // executions by job
+	done           map[string]TaskSet    // completed tasks of the cell's own jobs
 	leader         modelLeader
 }
 
-// modelLeader is what a leader keeps in memory only.
+// modelLeader is the volatile state of a leader.
 type modelLeader struct {
 	grantors     map[string]*LeaseGrantor
 	holders      map[TransferID]*LeaseHolder
 	reservations *Reservations
 }
 
-// envelope is a message that was sent.
+// envelope is a sent message that may still be delivered.
 type envelope struct {
 	from, to *modelCell
 	message  Message
 }
 
-// model is three cells, their network and their users.
+// model consists of three cells, the network between them, and their users' jobs.
 type model struct {
 	t          *rapid.T
 	now        units.Micros
@@ -77,7 +79,7 @@
 	jobs       []*userJob
 	network    []envelope
 	partitions map[[2]string]bool // by sender and receiver
-	healed     bool               // no faults any more
+	healed     bool               // all faults have ended
 }
 
 func newModel(t *rapid.T) *model {
@@ -108,7 +110,7 @@
 // clock returns the steady time of a cell.
 func (m *model) clock(c *modelCell) units.Micros { return units.Micros(float64(m.now) * c.clockRate) }
 
-// startLeader starts a leader, which knows what is stored and nothing else.
+// startLeader starts a new leader, which knows only the stored records.
 func (m *model) startLeader(c *modelCell) {
 	c.fencingToken++
 	c.leader = modelLeader{
@@ -128,7 +130,7 @@
 	}
 }
 
-// maybeCrash may crash a cell's leader, and reports whether it did.
+// maybeCrash crashes a cell's leader at random and reports whether it did.
 func (m *model) maybeCrash(c *modelCell) bool {
 	if m.healed || rapid.IntRange(0, 99).Draw(m.t, "leader ends") != 50 {
 		return false
@@ -137,7 +139,7 @@
 	return true
 }
 
-// crash replaces a cell's leader, after a time without one.
+// crash replaces a cell's leader after a random time without a leader.
 func (m *model) crash(c *modelCell) {
 	m.startLeader(c)
 	c.leaderStartsAt = m.now + rapid.SampledFrom([]units.Micros{0, 1, 5, 40}).Draw(m.t, "away")*units.Second
@@ -147,7 +149,8 @@
 	return m.jobs[slices.IndexFunc(m.jobs, func(j *userJob) bool { return j.id == id })]
 }
 
-// maybeHandOver begins a transfer of a job that does not run.
+// maybeHandOver begins a transfer of a job to a random cell if the job is eligible and does not
+// run.
 func (m *model) maybeHandOver(job *userJob) {
 	c := job.origin
 	if _, transferred := c.outgoing[job.id]; transferred || m.now < c.leaderStartsAt || c.executions[job.id] != nil || job.answeredDone || job.cancelRequested {
@@ -166,7 +169,7 @@
 	m.applyOrigin(c, BeginTransfer(id, request, job.maxRestarts))
 }
 
-// step is one event of a history.
+// step executes one random event.
 func (m *model) step() {
 	c := m.cells[rapid.IntRange(0, len(m.cells)-1).Draw(m.t, "cell")]
 	job := m.jobs[rapid.IntRange(0, len(m.jobs)-1).Draw(m.t, "job")]
@@ -192,9 +195,9 @@
 	}
 }
 
-// advance lets time pass, and then every leader look at its records.
-func (m *model) advance(time units.Micros) {
-	m.now += time
+// advance advances real time and then calls tick for every cell.
+func (m *model) advance(duration units.Micros) {
+	m.now += duration
 	m.checkInvariants()
 	for _, c := range m.cells {
 		m.tick(c)
@@ -202,9 +205,10 @@
 	}
 }
 
-// Tasks of a job run in one cell at a time and no more often than its class allows; users get
-// one final answer, and a true one; reservations stay within what is offered; and once all is
-// healed every job ends and no record is left.
+// In every history, tasks of a job run in at most one cell at a time, a job is not restarted
+// more often than its class allows, users get one correct final answer, and reservations do not
+// exceed the capacity. After all faults have ended, every job reaches a terminal state and all
+// records are deleted.
 func TestRandomHistoriesKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
--- a/internal/federation/modelcheck_test.go
+++ b/internal/federation/modelcheck_test.go
@@ -2,7 +2,8 @@
 
 import "dunestand/internal/units"
 
-// checkInvariants looks at the machines and the reservations of all cells.
+// checkInvariants requires that no job runs in two cells and that no cell has reserved more than
+// its capacity.
 func (m *model) checkInvariants() {
 	for _, job := range m.jobs {
 		var in []string
@@ -17,17 +18,18 @@
 			}
 		}
 		if len(in) > 1 {
-			m.t.Fatalf("%s runs in %v at once", job.id, in)
+			m.t.Fatalf("job %s runs in cells %v at the same time", job.id, in)
 		}
 	}
 	for _, c := range m.cells {
 		if c.leader.reservations.reserved() > modelCapacity {
-			m.t.Fatalf("%s has reserved %d of %d", c.name, c.leader.reservations.reserved(), modelCapacity)
+			m.t.Fatalf("cell %s has reserved %d of %d", c.name, c.leader.reservations.reserved(), modelCapacity)
 		}
 	}
 }
 
-// healAndFinish ends all faults, after which every job must end and no record be left.
+// healAndFinish ends all faults and runs the cells. It requires that every job then reaches a
+// terminal state and that all records are deleted.
 func (m *model) healAndFinish() {
 	m.healed = true
 	clear(m.partitions)
@@ -48,36 +50,37 @@
 	}
 	for _, job := range m.jobs {
 		if !job.answeredDone && !job.answeredCancelled {
-			m.t.Fatalf("%s has not ended: %+v", job.id, job.origin.outgoing[job.id])
+			m.t.Fatalf("job %s has not ended, its record is %+v", job.id, job.origin.outgoing[job.id])
 		}
 	}
 	for _, c := range m.cells {
 		if len(c.outgoing)+len(c.incoming) != 0 {
-			m.t.Fatalf("%s keeps records: %+v %+v", c.name, c.outgoing, c.incoming)
+			m.t.Fatalf("cell %s still has records: outgoing %+v, incoming %+v", c.name, c.outgoing, c.incoming)
 		}
 	}
 }
 
-// answerDone tells a job's user that it is done, which must be true.
+// answerDone gives the user the final answer that the job is done. It requires that all tasks
+// are done and that no other answer was given.
 func (m *model) answerDone(job *userJob, done TaskSet) {
 	if !modelJobDone(done) {
-		m.t.Fatalf("the user of %s is told that it is done, with tasks %v done", job.id, done)
+		m.t.Fatalf("job %s is reported as done with only tasks %v done", job.id, done)
 	}
 	if job.answeredCancelled {
-		m.t.Fatalf("the user of %s is told that it is done, and was told that it is cancelled", job.id)
+		m.t.Fatalf("job %s is reported as done after it was reported as cancelled", job.id)
 	}
 	job.answeredDone = true
 }
 
-// answerCancelled tells a job's user that it is cancelled, unless it was done before: no task
-// of it may run elsewhere.
+// answerCancelled gives the user the final answer that the job is cancelled, unless it was
+// reported as done before. It requires that no task of the job runs outside its origin.
 func (m *model) answerCancelled(job *userJob) {
 	if job.answeredDone {
-		return // the job was done before it could be cancelled
+		return // the job completed before the cancellation took effect
 	}
 	for _, c := range m.cells {
 		if exec := c.executions[job.id]; exec != nil && m.now < exec.leaseExpires && c != job.origin {
-			m.t.Fatalf("the user of %s is told that it is cancelled while it runs in %s", job.id, c.name)
+			m.t.Fatalf("job %s is reported as cancelled while it runs in cell %s", job.id, c.name)
 		}
 	}
 	job.answeredCancelled = true
--- a/internal/federation/modeldelivery_test.go
+++ b/internal/federation/modeldelivery_test.go
@@ -8,18 +8,19 @@
 	"dunestand/internal/protocol"
 )
 
-// send sends messages, which must be well-formed.
+// send adds messages to the network and requires that they are well-formed.
 func (m *model) send(from *modelCell, to string, messages []Message) {
 	for _, message := range messages {
 		if err := message.Check(); err != nil {
-			m.t.Fatalf("%s sends %+v: %v", from.name, message, err)
+			m.t.Fatalf("cell %s sends invalid message %+v: %v", from.name, message, err)
 		}
 		i := slices.IndexFunc(m.cells, func(c *modelCell) bool { return c.name == to })
 		m.network = append(m.network, envelope{from, m.cells[i], message})
 	}
 }
 
-// applyOrigin carries out a decision: first the record is written, then messages are sent.
+// applyOrigin executes a decision of the origin: it writes the record, then sends the messages.
+// The leader may crash before the write and between both steps.
 func (m *model) applyOrigin(c *modelCell, decision Decision[OriginRecord]) {
 	if m.maybeCrash(c) {
 		return
@@ -38,7 +39,7 @@
 	m.send(c, decision.Record.Target, decision.Send)
 }
 
-// applyTarget does the same for the target.
+// applyTarget executes a decision of the target like applyOrigin, and updates the reservations.
 func (m *model) applyTarget(c *modelCell, decision Decision[TargetRecord]) {
 	if m.maybeCrash(c) {
 		return
@@ -66,7 +67,7 @@
 	m.send(c, id.Origin, decision.Send)
 }
 
-// deliver delivers a message, unless the receiver has no leader or is partitioned.
+// deliver delivers a message, unless the receiver has no leader or a partition affects the link.
 func (m *model) deliver(sent envelope) {
 	c, message := sent.to, &sent.message
 	if m.now < c.leaderStartsAt || m.partitions[[2]string{sent.from.name, c.name}] {
@@ -95,7 +96,8 @@
 	m.applyOrigin(c, decision)
 }
 
-// deliverAny delivers any message that was sent, however long ago. A copy may stay.
+// deliverAny delivers a random message of the network, regardless of its age. The message may
+// stay in the network and be delivered again.
 func (m *model) deliverAny() {
 	i := rapid.IntRange(0, len(m.network)-1).Draw(m.t, "message")
 	sent := m.network[i]
@@ -106,7 +108,7 @@
 	m.checkInvariants()
 }
 
-// roundTripOrigin returns a record as it is read after it was stored.
+// roundTripOrigin encodes and decodes an origin's record.
 func roundTripOrigin(t *rapid.T, record OriginRecord) OriginRecord {
 	read, err := DecodeOriginRecord(protocol.Item{Key: record.Key(), Value: record.Encode("1-1")})
 	if err != nil {
@@ -115,7 +117,7 @@
 	return read
 }
 
-// roundTripTarget returns a record as it is read after it was stored.
+// roundTripTarget encodes and decodes a target's record.
 func roundTripTarget(t *rapid.T, record TargetRecord) TargetRecord {
 	read, err := DecodeTargetRecord(protocol.Item{Key: record.Key(), Value: record.Encode("1-1")})
 	if err != nil {
--- a/internal/federation/modelleader_test.go
+++ b/internal/federation/modelleader_test.go
@@ -10,9 +10,9 @@
 	"dunestand/internal/units"
 )
 
-// This file is what the leaders of the model do when they look at their records.
+// This file holds the periodic work of the model's leaders.
 
-// tick has a cell's leader look at all of its records.
+// tick processes all jobs and transfers of a cell, unless it has no leader.
 func (m *model) tick(c *modelCell) {
 	if m.now < c.leaderStartsAt {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// tickJob is what the origin does about one of its jobs.
+// tickJob processes one of the origin's own jobs.
 func (m *model) tickJob(c *modelCell, job *userJob) {
 	if r, transferred := c.outgoing[job.id]; !transferred || r.Owner() == OwnerOrigin {
 		m.runAtOrigin(c, job)
@@ -72,7 +72,7 @@
 	}
 }
 
-// runAtOrigin is what a cell does with a job that it owns.
+// runAtOrigin simulates the scheduling of a job that its origin owns.
 func (m *model) runAtOrigin(c *modelCell, job *userJob) {
 	switch exec := c.executions[job.id]; {
 	case job.answeredDone || job.answeredCancelled:
@@ -90,19 +90,19 @@
 			m.recordEndAtOrigin(c, job)
 		}
 	case m.healed || rapid.IntRange(0, 3).Draw(m.t, "run here") == 0:
-		m.beginRun(c, job, fmt.Sprintf("at home after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), modelUnlimitedLease)
+		m.beginRun(c, job, fmt.Sprintf("at origin after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), modelUnlimitedLease)
 	}
 }
 
-// recordEndAtOrigin stores, together with the end of a job, that its transfer no longer
-// matters.
+// recordEndAtOrigin applies OriginRecord.JobEnded, as if in the same transaction as the
+// terminal state of the job.
 func (m *model) recordEndAtOrigin(c *modelCell, job *userJob) {
 	if r, transferred := c.outgoing[job.id]; transferred {
 		c.outgoing[job.id] = r.JobEnded().Record
 	}
 }
 
-// tickTarget is what the target does about a transfer.
+// tickTarget processes a transfer at its target.
 func (m *model) tickTarget(c *modelCell, r TargetRecord) {
 	holder := c.leader.holders[r.Transfer]
 	exec := c.executions[r.Transfer.Job]
@@ -124,22 +124,22 @@
 	}
 }
 
-// stopGrace is, in real time, how long a cell's workers go on without their leader.
+// stopGrace returns the real time for which a cell's workers keep running without their leader.
 func (m *model) stopGrace(c *modelCell) units.Micros {
 	return units.Micros(float64(modelTiming.StopGrace) / c.clockRate)
 }
 
-// beginRun starts the tasks of a job. Where a cell starts tasks of the same run once more, as
-// after the loss of machines, that is ordinary scheduling and no other run.
+// beginRun starts the tasks of a job and requires that the restart limit is not exceeded.
+// Starting tasks of the same run again, as after the loss of machines, is not a restart.
 func (m *model) beginRun(c *modelCell, job *userJob, run string, lease units.Micros) {
 	job.runs[run] = true
 	if len(job.runs) > 1+job.maxRestarts {
-		m.t.Fatalf("%s has the runs %v, its class allows %d restarts", job.id, job.runs, job.maxRestarts)
+		m.t.Fatalf("job %s has runs %v, its restart limit is %d", job.id, job.runs, job.maxRestarts)
 	}
 	c.executions[job.id] = &execution{leaseExpires: m.now + lease}
 }
 
-// completeTasks completes some tasks, or all once faults are healed.
+// completeTasks completes random tasks, or all tasks after all faults have ended.
 func (m *model) completeTasks(exec *execution) {
 	for task := range modelTasks {
 		if m.healed || rapid.IntRange(0, 5).Draw(m.t, "ends") == 0 {
