--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -17,8 +17,8 @@
 	"dunestand/internal/telemetry"
 )
 
-// A job whose plan has been replaced before its acceptance was stored is decided by the
-// new plan: the version that is current at the commit decides.
+// A job is admitted by the plan that is current when the job is stored. If the plan is replaced
+// before that, the write batch conflicts and the new plan decides.
 func TestAcceptanceIsConditionalOnThePlan(t *testing.T) {
 	store := fake.NewKVServer()
 	var unreadable atomic.Bool
@@ -30,12 +30,12 @@
 	admitted := make(chan answer.Answer, 1)
 	go func() { admitted <- leader.Submit(t.Context(), teamJobSpec(testJob, "team", 1)) }()
 	var batch *cluster.WriteBatch
-	for batch == nil { // the job is entered, and its write batch built
+	for batch == nil { // until the job is added and its write batch can be built
 		time.Sleep(time.Millisecond)
 		batch = leader.nextBatch()
 	}
 	fillQuota(t, leader)
-	// Even while the record cannot be read again, the job is not written by the new plan.
+	// While the new plan cannot be read, the job must not be part of another write batch.
 	unreadable.Store(true)
 	conflicted := make(chan struct{})
 	go func() {
@@ -45,32 +45,33 @@
 	for range 50 {
 		time.Sleep(time.Millisecond)
 		if again := leader.nextBatch(); again != nil {
-			t.Error("the job is written again before it is decided anew")
+			t.Error("the job is in another write batch before the new plan has decided")
 			break
 		}
 	}
 	unreadable.Store(false)
 	<-conflicted
 	if _, stored := store.Get(storage.KeyJob(testJob)); stored {
-		t.Error("the job was stored by a plan that has been replaced")
+		t.Error("the job was stored although its plan has been replaced")
 	}
 	if a := <-admitted; a.Status == http.StatusCreated {
-		t.Errorf("its user was told %d", a.Status)
+		t.Errorf("submission answered with status %d although its plan has been replaced", a.Status)
 	}
 	leader.expectWait(t, teamJobSpec(testJob, "team", 1))
 	var refusal protocol.ErrorResponse
 	a := leader.Submit(t.Context(), teamJobSpec(testJob, "team", 1))
 	if err := protocol.Decode(a.Body, &refusal); err != nil || refusal.PlanVersion != leader.admission.PlanVersion() {
-		t.Errorf("the answer names plan %d, %v", refusal.PlanVersion, err)
+		t.Errorf("answer with plan version %d, %v", refusal.PlanVersion, err)
 	}
 	if a := leader.Submit(t.Context(), teamJobSpec("j-000002", "other", 1)); a.Status == http.StatusTooManyRequests {
-		t.Error("the other team waits for the one that has used up its quota")
+		t.Error("the other team is asked to wait although only the first team has used up its quota")
 	}
 }
 
-// A job whose quota is used up is answered so that a controller that forwarded it does not
-// admit it by its own part of the quota.
-func TestUsedUpQuotaIsNotPassedOn(t *testing.T) {
+// A submission beyond its team's quota is answered with status 429, not 503. A controller that
+// forwarded the submission would take a 503 for the lack of a leader and admit the job by its own
+// share of the quota.
+func TestSubmissionBeyondQuotaIsNotAnsweredAsUnavailable(t *testing.T) {
 	store := fake.NewKVServer()
 	leader := newLeaderWithAdmission(t, 1, store)
 	if err := leader.publishPlan(t.Context()); err != nil {
@@ -87,16 +88,16 @@
 		}
 		a := leader.deferSubmission(t.Context(), spec.ID, decision)
 		if decision.Verdict != admission.Undecided || a.Status != http.StatusTooManyRequests || a.RetryAfter != 1 {
-			t.Errorf("%v: %d, Retry-After %d", decision.Verdict, a.Status, a.RetryAfter)
+			t.Errorf("verdict %v: status %d, Retry-After %d", decision.Verdict, a.Status, a.RetryAfter)
 		}
 		return
 	}
-	t.Error("the quota is never used up")
+	t.Error("all jobs were admitted: the quota is not used up")
 }
 
-// A controller without a leader accepts by the plan it knows, and only while the record is
-// as it knows it.
-func TestAcceptsAloneOnConditionOfThePlan(t *testing.T) {
+// A controller without a leader admits jobs by the last plan that it has read, on condition that
+// the stored plan is still the same.
+func TestLeaderlessAcceptanceIsConditionalOnThePlan(t *testing.T) {
 	store := fake.NewKVServer()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	leader := newLeaderWithAdmission(t, 1, store)
@@ -104,7 +105,7 @@
 		t.Fatal(err)
 	}
 	c, _ := newRefusedController(t, store)
-	c.deps.Settings, c.deps.KV = leader.Settings, leader.KV // whose limits are far away
+	c.deps.Settings, c.deps.KV = leader.Settings, leader.KV // the limits of this client are not reached
 	format := fake.NewRecordFormat(storage.FormatAdmission)
 	c.deps.Format = format
 	deps := c.deps
@@ -116,47 +117,47 @@
 		return c.submit(t.Context(), encodeSubmission(spec, team), fromUser).Status
 	}
 	follower := admissioncontrol.NewPlanFollower(admitter)
-	learn := func() {
+	readPlan := func() {
 		t.Helper()
 		if err := follower.Step(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// A controller that has just started does not know that the fleet admits by a plan.
+	// A controller that has just started does not know yet whether the fleet uses admission plans.
 	format.Level.Store(int64(storage.FormatOld))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
-		t.Errorf("before the fleet's format is known: %d", status)
+		t.Errorf("before the fleet's record format is known: status %d", status)
 	}
 	if _, stored := store.Get(storage.KeyPending(testJob)); stored {
-		t.Error("the job was accepted regardless of the plan")
+		t.Error("the job was accepted without a plan")
 	}
 	format.Level.Store(int64(storage.FormatAdmission))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
-		t.Errorf("before the plan is read: %d", status)
+		t.Errorf("before the plan is read: status %d", status)
 	}
-	learn() // of unknown age
+	readPlan() // the age of this plan is unknown
 	if err := leader.publishPlan(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	learn()
+	readPlan()
 	if status := submit("j-000002", "team"); status != http.StatusCreated {
-		t.Errorf("by the plan: %d", status)
+		t.Errorf("admitted by the plan: status %d", status)
 	}
 	fillQuota(t, leader)
 	if status := submit("j-000003", "other"); status != http.StatusServiceUnavailable {
-		t.Errorf("by a plan that has been replaced: %d", status)
+		t.Errorf("admitted by a plan that has been replaced: status %d", status)
 	}
 	if _, stored := store.Get(storage.KeyPending("j-000003")); stored {
-		t.Error("the job was accepted by a plan that has been replaced")
+		t.Error("the job was accepted although its plan has been replaced")
 	}
-	learn()
+	readPlan()
 	if status := submit("j-000004", "team"); status != http.StatusTooManyRequests {
-		t.Errorf("of the team that has used up its quota: %d", status)
+		t.Errorf("job of the team that has used up its quota: status %d", status)
 	}
 	if status := submit("j-000002", "team"); status != http.StatusOK {
-		t.Errorf("a duplicate: %d", status)
+		t.Errorf("duplicate: status %d", status)
 	}
 	if status := submit("j-000005", "other"); status != http.StatusCreated {
-		t.Errorf("of the other team: %d", status)
+		t.Errorf("job of the other team: status %d", status)
 	}
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -14,8 +14,8 @@
 	"dunestand/internal/units"
 )
 
-// perFleet runs a benchmark on fleets of growing size.
-func perFleet(b *testing.B, run func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat)) {
+// forEachFleetSize runs a benchmark for each of several fleet sizes.
+func forEachFleetSize(b *testing.B, run func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat)) {
 	for _, machines := range []int{50, 200, 800, 1700, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			leader, heartbeats := newBusyLeader(machines)
@@ -25,9 +25,10 @@
 	}
 }
 
-// BenchmarkHeartbeat reconciles and answers a heartbeat that shows nothing new.
+// BenchmarkHeartbeat measures how a leader reconciles an unchanged heartbeat and determines the
+// commands for its response.
 func BenchmarkHeartbeat(b *testing.B) {
-	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
+	forEachFleetSize(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
 			heartbeat := heartbeats[i%len(heartbeats)]
 			heartbeat.Sequence += 10
@@ -37,10 +38,10 @@
 	})
 }
 
-// BenchmarkExchange is the whole exchange of such a heartbeat over a kept connection: HTTP,
-// echo and CBOR on both sides, the client's share included.
+// BenchmarkExchange measures the exchange of an unchanged heartbeat and its response over a
+// persistent connection: HTTP, the echo framework and CBOR, including the client's share.
 func BenchmarkExchange(b *testing.B) {
-	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
+	forEachFleetSize(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		c := newTestController(leader)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -48,7 +49,7 @@
 		}
 		startLoop(b, func(ctx context.Context) { _ = c.server.Serve(ctx, listener) })
 		client := transport.NewClient(nil, listener.Addr().String(), 1, protocol.MaxBody)
-		tasks := map[string]protocol.Raw{} // encoded, by machine
+		tasks := map[string]protocol.Raw{} // encoded task statuses, by machine ID
 		for i := 0; b.Loop(); i++ {
 			heartbeat := heartbeats[i%len(heartbeats)]
 			heartbeat.Sequence += 10
@@ -64,9 +65,9 @@
 	})
 }
 
-// BenchmarkPlaceOnMachine ends a task and places the next one in its stead.
+// BenchmarkPlaceOnMachine measures the end of a task and the placement of another on its machine.
 func BenchmarkPlaceOnMachine(b *testing.B) {
-	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
+	forEachFleetSize(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		for i := 0; b.Loop(); i++ {
 			machine := leader.state.Machines[heartbeats[i%len(heartbeats)].Machine]
 			leader.state.RemoveAttempt(machine.SortedAttempts()[0], units.Second)
@@ -75,27 +76,28 @@
 	})
 }
 
-// BenchmarkCycle runs a whole scheduling cycle.
+// BenchmarkCycle measures a scheduling cycle.
 func BenchmarkCycle(b *testing.B) {
-	perFleet(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
+	forEachFleetSize(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
 			leader.scheduler.RunCycle(units.Second, nil)
 		}
 	})
 }
 
-// BenchmarkWriteBatch writes the records of all jobs.
+// BenchmarkWriteBatch measures the building of write batches with the records of all jobs.
 func BenchmarkWriteBatch(b *testing.B) {
-	perFleet(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
+	forEachFleetSize(b, func(b *testing.B, leader *Leader, _ []*protocol.Heartbeat) {
 		for b.Loop() {
 			writeAllRecords(leader)
 		}
 	})
 }
 
-// BenchmarkRestore reads every live job's record, and then reconciles each machine's heartbeat.
+// BenchmarkRestore measures a failover: the next leader parses the records of all live jobs and
+// reconciles a heartbeat of each machine.
 func BenchmarkRestore(b *testing.B) {
-	perFleet(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
+	forEachFleetSize(b, func(b *testing.B, leader *Leader, heartbeats []*protocol.Heartbeat) {
 		records := writeAllRecords(leader)
 		for b.Loop() {
 			later := newTestLeader(2, &fake.Clock{Now: units.Second})
@@ -111,9 +113,9 @@
 	})
 }
 
-// encodeTasks returns a heartbeat's list of tasks as a worker sends it, all of them running.
-// BenchmarkExchange encodes it once a machine, so that its figures are those of the server more
-// than those of the client; protocol.EncodeHeartbeat encodes all anew each time.
+// encodeTasks returns the encoded task statuses of a heartbeat, with all tasks running.
+// BenchmarkExchange encodes them once per machine, so that it measures the server rather than the
+// client: protocol.EncodeHeartbeat would encode them for each heartbeat.
 func encodeTasks(heartbeat *protocol.Heartbeat) protocol.Raw {
 	tasks := make([]map[string]any, len(heartbeat.Tasks))
 	for i, task := range heartbeat.Tasks {
@@ -126,7 +128,7 @@
 	return protocol.Encode(tasks)
 }
 
-// encodeHeartbeat returns a heartbeat as a worker sends it, with a list of tasks.
+// encodeHeartbeat returns an encoded heartbeat with the given encoded task statuses.
 func encodeHeartbeat(heartbeat *protocol.Heartbeat, tasks protocol.Raw) []byte {
 	return protocol.Encode(map[string]any{
 		"dune":     heartbeat.Machine,
--- a/internal/controller/broadcast_test.go
+++ b/internal/controller/broadcast_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Machines that are cut off or hang do not keep the one that would answer
-// waiting: with a third of a large fleet gone, each in the queue once cost 1.5 s
-// of one of four places.
+// Unreachable machines do not delay the broadcast to machines that answer. With a third of a large
+// fleet unreachable, each of these machines once occupied one of only four concurrent calls for
+// 1.5 s.
 func TestBroadcastReachesMachinesThatAnswer(t *testing.T) {
 	hanging := listenHanging(t)
 	leader, clock := newLeaderWithJob(t, 1)
 	job := leader.state.Jobs[testJob]
-	const last = "i-000099"
+	const answering = "i-000099"
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(encodeWithEndpoint(testHeartbeat(last, 1, 1, leader.token)))
+		_, _ = w.Write(encodeWithEndpoint(testHeartbeat(answering, 1, 1, leader.token)))
 	}))
 	t.Cleanup(worker.Close)
 	addUnreconciled := func(id, endpoint string) {
@@ -27,15 +27,15 @@
 	for i := range hangingMachines {
 		addUnreconciled(machineID(i), hanging)
 	}
-	addUnreconciled(last, worker.Listener.Addr().String())
+	addUnreconciled(answering, worker.Listener.Addr().String())
 	startLoop(t, leader.broadcaster.Run)
 	reconciled := func() bool {
 		leader.state.Lock()
 		defer leader.state.Unlock()
-		return !leader.state.Unreconciled.Contains(last)
+		return !leader.state.Unreconciled.Contains(answering)
 	}
 	if !eventually(10*time.Second, reconciled) {
-		t.Fatal("the machine that answers was not reached")
+		t.Fatal("machine that answers not reconciled within 10 s")
 	}
 	leader.state.Lock()
 	defer leader.state.Unlock()
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -12,11 +12,11 @@
 	"dunestand/internal/units"
 )
 
-// While much is pending, cycles run every 25 ms. Going over the whole fleet for what has
-// timed out is not needed as often.
+// Under load, scheduling cycles run every 25 ms. Timeouts are checked less often, since each check
+// iterates over the whole fleet.
 func TestTimeoutsAreCheckedFourTimesASecond(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
-	leader.lastSummary = clock.Now + units.Second // this leader has no key-value store to count requests of
+	leader.lastSummary = clock.Now + units.Second // no summary: it would need a key-value store client
 	checks := 0
 	for range 40 {
 		clock.Now += scheduler.MinCycleInterval
@@ -27,14 +27,14 @@
 		}
 	}
 	if checks != 4 {
-		t.Errorf("%d checks within a second", checks)
+		t.Errorf("%d checks in a second, want 4", checks)
 	}
 }
 
-// The jobs that a controller accepts are bounded by its memory. The estimate of what one
-// takes must leave room for everything else.
-func TestJobsAtTheBoundLeaveRoom(t *testing.T) {
-	const maxShare = 0.5 // of the estimate
+// A controller accepts jobs up to a limit on their estimated memory. The estimate must exceed the
+// memory that the jobs take by so much that enough is left for everything else.
+func TestJobsTakeAtMostHalfOfTheirEstimatedMemory(t *testing.T) {
+	const maxShare = 0.5 // of the estimated memory
 	for _, c := range []struct{ jobs, tasks int }{{400, 1}, {400, 3000}, {20, protocol.MaxTasks}} {
 		leader, clock := newLeaderWithJob(t, 1)
 		heapBefore, estimateBefore := heapInUse(), leader.state.EstimatedMemory()
@@ -55,7 +55,7 @@
 	}
 }
 
-// heapInUse returns the bytes of the heap that are in use, after a collection.
+// heapInUse returns the heap memory in use after a garbage collection, in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -63,10 +63,9 @@
 	return stats.HeapAlloc
 }
 
-// One heartbeat, the end of one task and one write batch cost the same however many
-// machines and jobs there are besides: a leader of a thousand machines handles
-// hundreds of heartbeats a second.
-func TestOneStepCostsTheSameInALargeFleet(t *testing.T) {
+// The cost of a heartbeat, of the end of a task and of a write batch does not grow with the number
+// of machines and jobs: a leader of a thousand machines handles hundreds of heartbeats per second.
+func TestStepCostDoesNotGrowWithTheFleet(t *testing.T) {
 	steps := func(machines int) map[string]float64 {
 		leader, heartbeats := newBusyLeader(machines)
 		i := 0
@@ -105,9 +104,8 @@
 	}
 }
 
-// A heartbeat that shows nothing new is reconciled hundreds of times a second by a leader on
-// a small machine: it leaves nothing for the collector, however many tasks the worker has and
-// whatever would be logged of them.
+// A leader on a small machine reconciles hundreds of unchanged heartbeats per second. They leave no
+// garbage to collect, whatever the number of tasks and whatever is logged at disabled levels.
 func TestUnchangedHeartbeatAllocatesNothing(t *testing.T) {
 	leader, heartbeats := newBusyLeader(20)
 	heartbeat := heartbeats[0]
@@ -118,10 +116,10 @@
 		heartbeat.Sequence++
 		machine := leader.reconciler.Reconcile(heartbeat, units.Second)
 		if commands := leader.reconciler.Commands(machine, heartbeat, units.Second); len(commands) > 0 {
-			t.Errorf("commands for nothing new: %v", commands)
+			t.Errorf("commands for an unchanged heartbeat: %v", commands)
 		}
 	})
 	if allocs > 0 {
-		t.Errorf("%v allocations", allocs)
+		t.Errorf("%v allocations per heartbeat", allocs)
 	}
 }
--- a/internal/controller/delivery_test.go
+++ b/internal/controller/delivery_test.go
@@ -9,9 +9,9 @@
 	"dunestand/internal/units"
 )
 
-// A machine whose heartbeats arrive but which carries out no command gets no more
-// work and is released; what was sent there is pending again.
-func TestMachineThatReceivesNoCommandsIsReleased(t *testing.T) {
+// A machine that sends heartbeats but executes no commands gets no more work and is released. The
+// tasks that were assigned to it are pending again.
+func TestMachineUnresponsiveToCommandsIsReleased(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 8)
 	for i := range 4 {
 		for sequence := uint64(1); sequence <= 2; sequence++ {
@@ -28,21 +28,22 @@
 		}
 	}
 	if starts == 0 || starts > cluster.MaxUndeliveredCommands*modelMachineCPUs {
-		t.Errorf("%d starts were sent to a machine that never carried one out", starts)
+		t.Errorf("%d starts sent to a machine that executes no commands", starts)
 	}
 	if machine := leader.state.Machines[unresponsive]; leader.scheduler.MachineSchedulable(machine, clock.Now) || len(machine.Attempts) > 0 {
-		t.Error("a machine that receives no commands is given work")
+		t.Error("a machine that is unresponsive to commands is given work")
 	}
 	if lost := leader.detector.LostMachines(clock.Now); !lost[unresponsive] || len(lost) != 1 {
 		t.Errorf("to be released: %v", lost)
 	}
 }
 
-// A machine that is thought to receive no commands is sent none any more, so none can show
-// that it is reachable again. Its incarnation does: without an answer it would begin another
-// one within its lease. Where too many received none for any to be released, they would
-// otherwise never get work again, with jobs waiting.
-func TestMachineThatReceivesCommandsGetsWorkAgain(t *testing.T) {
+// A machine that counts as unresponsive to commands is sent none, so it cannot show by executing
+// one that it is responsive again. It shows this by keeping its incarnation beyond its lease: its
+// agent begins a new incarnation when the lease expires without a response. Otherwise, when so many
+// machines are unresponsive that none of them is released, they would never get work again although
+// jobs are pending.
+func TestMachineThatKeepsItsIncarnationGetsWorkAgain(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 8)
 	const id = "i-000000"
 	sequence := uint64(0)
@@ -56,14 +57,14 @@
 	}
 	machine := exchange(1)
 	if !machine.IgnoresCommands() {
-		t.Fatal("the machine is not thought to receive no commands")
+		t.Fatal("the machine does not count as unresponsive to commands")
 	}
-	// No answers still: a new incarnation each lease.
+	// Responses are still lost: a new incarnation begins with each lease.
 	for incarnation := uint64(2); incarnation < 5; incarnation++ {
 		for range 8 {
 			clock.Now += modelLease / 8
 			if exchange(incarnation); !machine.IgnoresCommands() {
-				t.Fatal("a machine of a new incarnation with each lease is thought to receive commands")
+				t.Fatal("a machine with a new incarnation in each lease counts as responsive to commands")
 			}
 		}
 	}
@@ -73,18 +74,18 @@
 			return
 		}
 	}
-	t.Error("a machine that keeps its incarnation beyond its lease is thought to receive no commands")
+	t.Error("a machine that keeps its incarnation beyond its lease counts as unresponsive to commands")
 }
 
-// A machine that receives some of its answers gets enough of them.
-func TestLostAnswerIsTolerated(t *testing.T) {
+// A machine that receives every other response does not count as unresponsive to commands.
+func TestLostResponsesAreTolerated(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 8)
 	var exited []protocol.TaskStatus
 	for sequence := uint64(1); sequence < 6; sequence++ {
 		heartbeat := testHeartbeat("i-000001", 1, sequence, 7)
 		heartbeat.Tasks = exited
 		commands := leader.exchange(heartbeat)
-		if sequence%2 == 0 { // every other answer is lost
+		if sequence%2 == 0 { // every other response is lost
 			continue
 		}
 		exited = nil
@@ -105,32 +106,32 @@
 		}
 	}
 	if machine := leader.state.Machines["i-000001"]; machine.IgnoresCommands() || !leader.scheduler.MachineSchedulable(machine, clock.Now) {
-		t.Errorf("%d answers count as undelivered", machine.UndeliveredCommands)
+		t.Errorf("%d responses count as undelivered", machine.UndeliveredCommands)
 	}
 }
 
-// Copies of heartbeats come late, of machines that are gone or that this leader does
-// not know. They bring no capacity, reconcile nothing and renew nothing.
+// A duplicate of a heartbeat may arrive late, also when its machine is released or unknown to this
+// leader. It adds no capacity, reconciles no machine and renews no lease.
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
-	// Of a machine that worked under an earlier leader and is gone.
+	// A machine that worked under an earlier leader and no longer exists.
 	for sequence := uint64(5); sequence < 9; sequence++ {
 		if commands := leader.exchange(testHeartbeat("i-000001", 3, sequence, 6)); len(commands) > 0 {
 			t.Fatalf("a machine that has not shown this leader's token is sent %v", commands)
 		}
 	}
 	if leader.scheduler.MachineSchedulable(leader.state.Machines["i-000001"], clock.Now) {
-		t.Error("it may be given work")
+		t.Error("a machine that has not shown this leader's token may be given work")
 	}
-	// Of one that was released by this leader, however late.
+	// A machine that this leader released long ago.
 	leader.reconciler.Reconcile(testHeartbeat("i-000002", 1, 1, 7), clock.Now)
 	leader.state.RemoveMachine(leader.state.Machines["i-000002"], clock.Now)
 	leader.state.Released.Add("i-000002", clock.Now)
 	clock.Now += 600 * units.Second
 	if machine := leader.reconciler.Reconcile(testHeartbeat("i-000002", 1, 9, 7), clock.Now); machine != nil || leader.state.Machines["i-000002"] != nil {
-		t.Error("a released machine is back")
+		t.Error("a released machine is added again")
 	}
-	// Of one that is known: the older heartbeat has no effect.
+	// A known machine: its older heartbeats have no effect.
 	machine := leader.reconciler.Reconcile(testHeartbeat("i-000003", 2, 4, 7), clock.Now)
 	lastHeartbeat := machine.LastHeartbeat
 	clock.Now += 5 * units.Second
@@ -139,7 +140,7 @@
 			t.Error("an old heartbeat renews the machine's lease")
 		}
 	}
-	// A machine stays unreconciled whatever a heartbeat with an earlier token shows.
+	// An unreconciled machine: a heartbeat with an earlier token does not reconcile it.
 	job := leader.state.Jobs[testJob]
 	leader.state.Unreconciled.Mark(job, "i-000004")
 	leader.reconciler.Reconcile(testHeartbeat("i-000004", 1, 1, 6), clock.Now)
@@ -148,9 +149,9 @@
 	}
 }
 
-// A machine's answer to the broadcast of the token reconciles it, but only as the first that
-// this leader receives from it. After a heartbeat of its own, a start may be in flight to it
-// that such an answer does not show; taking the start for lost would run the task twice.
+// A machine's answer to the broadcast of the fencing token reconciles it only if the leader has
+// received no heartbeat of that machine before. After a heartbeat, a start may be in flight that
+// the answer does not show. If the leader considered that start lost, the task would run twice.
 func TestBroadcastAnswerCountsOnlyBeforeTheFirstHeartbeat(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 2)
 	job := leader.state.Jobs[testJob]
@@ -165,9 +166,9 @@
 	}
 	leader.broadcaster.ReconcileResponse(testHeartbeat("i-000001", 1, 7, 7))
 	if len(job.LiveAttempts) != 2 {
-		t.Error("starts in flight are taken for lost")
+		t.Error("starts in flight are considered lost")
 	}
-	// A machine that is not in the state is not added in this way.
+	// An answer does not add a machine that is not in the state.
 	if leader.broadcaster.ReconcileResponse(testHeartbeat("i-000009", 1, 1, 7)); leader.state.Machines["i-000009"] != nil {
 		t.Error("an unknown machine is added")
 	}
--- a/internal/controller/failuredetector_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -8,9 +8,9 @@
 	"dunestand/internal/units"
 )
 
-// A zone that is cut off falls silent as a whole while the rest of the fleet,
-// which is much larger, sends heartbeats. It must not be released: its machines work on
-// and are back after the partition. A single machine of another zone is released.
+// During a network partition all machines of a zone become silent while the rest of the fleet,
+// which is much larger, sends heartbeats. They must not be released: they still run their tasks and
+// reconnect after the partition. A single silent machine of another zone is released.
 func TestPartitionedZoneIsNotReleased(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
 	reconcile := func(sequence uint64, skip func(i int) bool) {
@@ -35,10 +35,10 @@
 	}
 }
 
-// A leader that is elected while a zone is cut off knows the zone's machines from
-// the cloud's list alone. They run: on a day of our own 147 of them were given
-// away, as if they had never come up.
-func TestZoneUnheardSinceTheElectionIsNotReleased(t *testing.T) {
+// A leader that is elected while a zone is partitioned knows the zone's machines only from the
+// cloud's list, which shows that they run. In one run, 147 such machines were released as if they
+// had never finished booting.
+func TestZoneSilentSinceElectionIsNotReleasedEarly(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
 	for i, stage := range []protocol.MachineStage{protocol.MachineRunning, protocol.MachineRunning, protocol.MachineBooting} {
 		machine := leader.state.EnsureMachine(machineID(i), "m", "cut", false, clock.Now-500*units.Second)
@@ -50,14 +50,14 @@
 	}
 	clock.Now += 200 * units.Second
 	if names := leader.autoscaler.MachinesToRelease(clock.Now); len(names) != 3 {
-		t.Errorf("to be released at last: %v", names)
+		t.Errorf("to be released after 290 s: %v", names)
 	}
 }
 
-// Where heartbeats are seldom, a machine that died is suspected at the first heartbeat
-// that it misses, and one whose heartbeat merely got no answer is not given away:
-// it waits 4 s, and comes back a second later. On a day of the fleet's, tasks of
-// 75 dead machines waited for 15 s before they started elsewhere.
+// With long heartbeat intervals, a dead machine is suspected at the first missing heartbeat. A
+// machine whose heartbeat got no response is not released: its worker waits 4 s for the response and
+// sends another heartbeat 1 s later. In one run, tasks of 75 dead machines were started elsewhere
+// only after 15 s.
 func TestSuspicionWithLongHeartbeatIntervals(t *testing.T) {
 	for _, seconds := range []float64{3, 5, 10, 30} {
 		t.Run(fmt.Sprintf("every %vs", seconds), func(t *testing.T) {
@@ -72,25 +72,25 @@
 				leader.reconciler.Reconcile(testHeartbeat(machineID(i), 1, 2, 7), clock.Now)
 			}
 			if len(leader.detector.LostMachines(clock.Now)) != 0 {
-				t.Error("a heartbeat that got no answer counts as missed")
+				t.Error("a heartbeat that got no response counts as missing")
 			}
 			clock.Now += 1100 * units.Millisecond
 			if lost := leader.detector.LostMachines(clock.Now); !lost["i-000004"] || len(lost) != 1 {
-				t.Errorf("lost are %v", lost)
+				t.Errorf("lost: %v", lost)
 			}
 		})
 	}
 }
 
-// One machine whose heartbeats cease is released; when those of half of them do, it is the
-// network: on a recorded day five of twelve machines that were cut off for 14 s
-// were given away, since they reached the limit a little before the others.
-func TestManyLostMachinesAreKept(t *testing.T) {
+// A single silent machine is released. When half of the machines are silent, the cause is the
+// network, and none is released. In a recorded run, five of twelve machines that were partitioned
+// for 14 s were released, because they reached the limit slightly before the others.
+func TestNoMachineIsReleasedWhenManyAreSilent(t *testing.T) {
 	leader, clock := newEmptyLeader(1, 100*units.Second)
 	send := func(machines int, sequence uint64) {
 		for i := range machines {
 			if _, err := leader.Heartbeat(t.Context(), testHeartbeat(machineID(i), 1, sequence, 1), nil); err != nil {
-				t.Fatal("heartbeat refused")
+				t.Fatal("heartbeat rejected")
 			}
 		}
 	}
@@ -102,14 +102,14 @@
 		t.Fatalf("%d to be released", len(lost))
 	}
 	clock.Now += 2 * units.Second
-	send(4, 3) // five more are late by now
+	send(4, 3) // the heartbeats of five more are overdue
 	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 0 {
 		t.Fatalf("%d to be released", len(lost))
 	}
 }
 
-// A leader that stood still, or cannot keep up, finds heartbeats that have waited
-// for it. It must not suspect the machines that it gets to last, and give them away.
+// A leader that was paused or is overloaded handles heartbeats that have been waiting. It must not
+// suspect and release the machines whose heartbeats it handles last.
 func TestDelayedLeaderSuspectsNoMachine(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
 	reconcile := func(machines int, sequence uint64) {
@@ -127,6 +127,6 @@
 	clock.Now += leader.detector.SuspectAfter() + units.Second
 	reconcile(29, 3)
 	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 1 || !lost["i-000029"] {
-		t.Errorf("to be released after a while: %v", lost)
+		t.Errorf("to be released after the suspicion timeout: %v", lost)
 	}
 }
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -9,15 +9,15 @@
 	"dunestand/internal/units"
 )
 
-// A fleet of 4,000 machines is kept in records of bounded size, all of it is unreconciled
-// after a failover, and one heartbeat of each machine reconciles it.
+// The records of a fleet of 4,000 machines stay within the size limit. After a failover all machines
+// are unreconciled, and one heartbeat of each machine reconciles them.
 func TestLargestFleetIsRestored(t *testing.T) {
 	leader, heartbeats := newReconciledLeader(largestFleet)
 	records := writeAllRecords(leader)
 	limit := leader.Settings.Fleet.State.Lowest().ValueBytes()
 	for _, record := range records {
 		if len(record.Value) > limit {
-			t.Fatalf("record %s has %d bytes, %d are allowed", record.Key, len(record.Value), limit)
+			t.Fatalf("record %s has %d bytes, limit %d", record.Key, len(record.Value), limit)
 		}
 	}
 	later := newTestLeader(2, &fake.Clock{Now: units.Second})
@@ -43,24 +43,25 @@
 	}
 }
 
-// What is done for one machine after the other takes no longer on the largest fleet: where
-// half of it hangs, the broadcast of the token takes as many attempts in a row as on the
-// largest fleet before.
-func TestLargestFleetIsBroadcastToAsSoon(t *testing.T) {
-	const before, socketsEach = 768, 2
+// Concurrency grows with the fleet. When half of the machines hang, the broadcast of the fencing
+// token to the largest fleet takes at most two more rounds of concurrent calls than to a fleet of 768
+// machines, the largest supported before. Enough connections remain for the controller's own
+// calls, and at least half of them for users and workers.
+func TestBroadcastRoundsDoNotGrowWithTheFleet(t *testing.T) {
+	const previousLargestFleet, connectionsPerMachine = 768, 2
 	rounds := func(machines int) int {
-		slots := push.BroadcastConcurrency(machines/2, socketsEach*machines)
+		slots := push.BroadcastConcurrency(machines/2, connectionsPerMachine*machines)
 		return (machines/2 + slots - 1) / slots
 	}
-	if small, large := rounds(before), rounds(largestFleet); large > small+2 {
-		t.Errorf("%d machines take %d rounds, %d take %d", before, small, largestFleet, large)
+	if small, large := rounds(previousLargestFleet), rounds(largestFleet); large > small+2 {
+		t.Errorf("%d machines take %d rounds, %d take %d", previousLargestFleet, small, largestFleet, large)
 	}
-	for _, sockets := range []int{100, 1200, 2 * largestFleet, 100_000} {
-		if left := sockets - clientConnectionLimit(sockets); sockets >= 400 && left < push.ReservedConnections(sockets) || clientConnectionLimit(sockets) < sockets/2 {
-			t.Errorf("of %d sockets %d are left beside users and workers", sockets, left)
+	for _, connections := range []int{100, 1200, 2 * largestFleet, 100_000} {
+		if left := connections - clientConnectionLimit(connections); connections >= 400 && left < push.ReservedConnections(connections) || clientConnectionLimit(connections) < connections/2 {
+			t.Errorf("of %d connections, %d are not for users and workers", connections, left)
 		}
 	}
-	if kept := push.ReservedConnections(1200); kept != 64 {
-		t.Errorf("%d sockets are kept on a deployment of 1,200", kept)
+	if reserved := push.ReservedConnections(1200); reserved != 64 {
+		t.Errorf("%d connections reserved with a limit of 1,200", reserved)
 	}
 }
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -13,11 +13,10 @@
 	"dunestand/internal/storage"
 )
 
-// Records of a format that this version does not know are neither skipped nor
-// taken for less than they are: the controller leaves the lease to others and does not
-// campaign while the fleet has a later format.
-func TestUnknownFormatsAreLeftToOthers(t *testing.T) {
-	for what, put := range map[string]func(store *fake.KVServer){
+// A leader that finds records in a format unknown to its version neither skips nor misreads them. It
+// gives up the lease and abstains from campaigns, so that a controller of a newer version can lead.
+func TestLeaderAbstainsOnUnknownFormats(t *testing.T) {
+	for name, put := range map[string]func(store *fake.KVServer){
 		"the fleet's format": func(store *fake.KVServer) {
 			store.Put(storage.KeyFleetFormat, protocol.Encode(storage.FormatRecord{Format: storage.NewestFormat + 1}))
 		},
@@ -28,10 +27,10 @@
 				"tasks": 1,
 			}))
 		},
-		"a part of a job": func(store *fake.KVServer) {
+		"a part record of a job": func(store *fake.KVServer) {
 			store.Put(storage.KeyJob(testJob)+"/z0", protocol.Encode(map[string]any{"v": 1}))
 		},
-		"a part without its job, which is not in a terminal state": func(store *fake.KVServer) {
+		"a part record without a job record or a terminal record": func(store *fake.KVServer) {
 			store.Put(storage.KeyJob(testJob)+"/d0", protocol.Encode(map[string]any{"v": 2}))
 		},
 	} {
@@ -39,21 +38,21 @@
 		put(store)
 		leader := newLeaderWithStore(t, 1, store)
 		if leader.persister.Restore(t.Context()) || leader.Ready() {
-			t.Errorf("%s: the node leads", what)
+			t.Errorf("%s: the controller leads", name)
 		}
 		if leader.leadership.Valid() || leader.fakeLeadership().Abstained != persister.UnreadableAbstention {
-			t.Errorf("%s: the node keeps the lease", what)
+			t.Errorf("%s: the controller keeps the lease or does not abstain", name)
 		}
-		if newer := leader.Format.TooNew(); newer != (what == "the fleet's format") {
-			t.Errorf("%s: a later version's %v", what, newer)
+		if newer := leader.Format.TooNew(); newer != (name == "the fleet's format") {
+			t.Errorf("%s: the fleet's format is too new: %v", name, newer)
 		}
 	}
 }
 
-// Until all controllers are upgraded a service is not accepted: a leader of the
-// version before would call it done when its replicas end. Its user is told to come
-// back; what can never run is rejected for good either way.
-func TestServicesWaitForTheUpgrade(t *testing.T) {
+// No service is accepted before all controllers are upgraded: a leader of the previous version would
+// consider it done when its replicas end. The user is asked to retry. A service that can never run
+// is rejected permanently, before and after the upgrade.
+func TestServicesAreNotAcceptedBeforeTheUpgrade(t *testing.T) {
 	leader := newTestLeader(1, &fake.Clock{})
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	service := *fake.JobSpec(testJob)
@@ -77,10 +76,10 @@
 	}
 }
 
-// The key-value store lowers its limits in the midst of a run, and later the format
-// is raised: every job is accepted, a large one that was stored before is divided,
-// and no write batch is sent unchanged for ever.
-func TestLimitsThatFall(t *testing.T) {
+// The key-value store lowers its limits during a run, and the record format is upgraded later. Every
+// job is accepted, a large job that was stored before is split into several records, and no write
+// batch is retried unchanged forever.
+func TestJobsAreStoredAfterLimitsAreLowered(t *testing.T) {
 	store := fake.NewKVServer()
 	store.SetLimits(16<<10, 12, 1000)
 	leader := newLeaderWithStore(t, 1, store, func(d *Deps) {
@@ -94,7 +93,7 @@
 		}
 	})
 	if !leader.persister.Restore(t.Context()) {
-		t.Fatal("not restored")
+		t.Fatal("records not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	startLoop(t, leader.persister.Run)
@@ -105,7 +104,7 @@
 	assignMachines(leader, 0, 300)
 	expectWritten(t, leader, durable(300))
 	store.SetLimits(2<<10, 4, 600)
-	assignMachines(leader, 300, 310) // the job's record is too large by now; the rest goes on
+	assignMachines(leader, 300, 310) // the record of testJob is too large now; other jobs are still written
 	for i := range 10 {
 		submitUntilAccepted(t, leader, fmt.Sprintf("j-%06d", i+10), 3)
 	}
@@ -119,15 +118,15 @@
 	expectWritten(t, leader, durable(900))
 	completeAllTasks(leader)
 	expectWritten(t, leader, func() bool { return leader.state.Jobs[testJob] == nil })
-	if !eventually(writePatience, func() bool { return len(store.Keys(storage.KeyJob(testJob))) == 0 }) {
-		t.Fatalf("left over: %v", store.Keys(storage.KeyJob(testJob)))
+	if !eventually(recordWriteTimeout, func() bool { return len(store.Keys(storage.KeyJob(testJob))) == 0 }) {
+		t.Fatalf("records left of a job in a terminal state: %v", store.Keys(storage.KeyJob(testJob)))
 	}
 	if record, found, err := persister.ReadTerminal(t.Context(), leader.KV, testJob); err != nil || !found || record.Stage != protocol.StageDone || record.Done != protocol.MaxTasks {
-		t.Errorf("%+v %v %v", record, found, err)
+		t.Errorf("terminal record %+v, found %v, error %v", record, found, err)
 	}
 }
 
-// submitUntilAccepted submits a job, and again while it is refused, for 20 times at most.
+// submitUntilAccepted submits a job and retries up to 20 times until it is accepted.
 func submitUntilAccepted(t *testing.T, leader *Leader, id string, tasks int) {
 	t.Helper()
 	spec := *fake.JobSpec(id)
@@ -142,22 +141,24 @@
 	}
 }
 
-// writePatience is how long tests wait for what the persister is to write.
-const writePatience = 20 * time.Second
+// recordWriteTimeout is how long tests wait for the persister to write records.
+const recordWriteTimeout = 20 * time.Second
 
-// expectWritten waits until a condition holds, which is checked under the lock of state.
+// expectWritten waits until condition holds, for recordWriteTimeout at most. It calls condition with
+// the state lock held.
 func expectWritten(t *testing.T, leader *Leader, condition func() bool) {
 	t.Helper()
-	if !eventually(writePatience, func() bool {
+	if !eventually(recordWriteTimeout, func() bool {
 		leader.state.Lock()
 		defer leader.state.Unlock()
 		return condition()
 	}) {
-		t.Fatal("not written")
+		t.Fatal("records not written in time")
 	}
 }
 
-// assignMachines assigns a task of testJob to each of some machines.
+// assignMachines assigns one task of testJob to each machine from index from up to, but not
+// including, index to.
 func assignMachines(leader *Leader, from, to int) {
 	leader.state.Lock()
 	defer leader.state.Unlock()
@@ -167,7 +168,7 @@
 	leader.writeSignal.Raise()
 }
 
-// completeAllTasks has all tasks of testJob done.
+// completeAllTasks marks all tasks of testJob as done.
 func completeAllTasks(leader *Leader) {
 	leader.state.Lock()
 	defer leader.state.Unlock()
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -17,10 +17,10 @@
 	"dunestand/internal/units"
 )
 
-// While the leader refuses this controller's links and renews its lease, workers are
-// redirected to it and the controller is unhealthy. Once the lease record is stale nobody
-// leads: then workers are not redirected, and the controller stays in use for the election.
-func TestNodeThatTheLeaderRefuses(t *testing.T) {
+// While a leader that renews its lease refuses this controller's connections, workers are
+// redirected to the leader and the controller is unhealthy. Once the lease record is stale there is
+// no leader: workers are not redirected, and the controller is healthy during the election.
+func TestControllerRefusedByTheLeaderIsUnhealthy(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
 	for version := uint64(1); version <= 2; version++ {
 		c.observeLeaseRecord(version)
@@ -35,25 +35,26 @@
 	clock.Now += units.Second
 	c.observeLeaseRecord(3)
 	if response := c.health(); response.Status != http.StatusServiceUnavailable {
-		t.Error("a node that can forward nothing counts as healthy")
+		t.Error("a controller that can forward no request counts as healthy")
 	}
 	clock.Now += c.elector.LeaseDuration()
-	c.observeLeaseRecord(3) // the record is read, and unchanged
+	c.observeLeaseRecord(3) // the record is read again, unchanged
 	if got := c.redirectTarget(); got != "" {
-		t.Errorf("workers are redirected to %q, which does not renew", got)
+		t.Errorf("workers are redirected to %q, which does not renew its lease", got)
 	}
 	if response := c.health(); response.Status != http.StatusOK {
-		t.Error("a node is unhealthy in the middle of an election")
+		t.Error("the controller is unhealthy during an election")
 	}
 }
 
-// A controller without the key-value store and all other controllers is soon unhealthy, and
-// answers at once instead of asking the store.
-func TestNodeCutOffFromStateAndPeers(t *testing.T) {
+// A controller that is cut off from the key-value store and from all other controllers becomes
+// unhealthy after the lease duration. It answers a poll at once instead of sending a request to the
+// store.
+func TestControllerCutOffFromStoreAndPeersIsUnhealthy(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
 	clock.Now += c.elector.LeaseDuration() + units.Millisecond
 	if response := c.health(); response.Status != http.StatusServiceUnavailable {
-		t.Error("it counts as healthy")
+		t.Error("the controller counts as healthy")
 	}
 	startedAt := time.Now()
 	if a := c.poll(t.Context(), testJob, fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
@@ -64,10 +65,10 @@
 	}
 }
 
-// A controller that has lost the key-value store still takes the former leader for the leader,
-// itself perhaps. It learns of the present one from that one's answers
-// to its pings, forwards requests to it and redirects workers to it.
-func TestLeaderIsKnownWithoutTheStateService(t *testing.T) {
+// A controller that cannot reach the key-value store still considers the former leader, possibly
+// itself, to be the leader. It learns of the current leader from that leader's answers to its pings,
+// forwards requests to it and redirects workers to it.
+func TestCurrentLeaderIsKnownWithoutTheStore(t *testing.T) {
 	mesh, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -100,6 +101,6 @@
 	}
 	c.elector.ObserveRecord(record, 1)
 	if got := c.leaderName(); got != settings.Node {
-		t.Errorf("the record was just read, and %q counts as the leader", got)
+		t.Errorf("leader %q although the lease record was just read", got)
 	}
 }
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -11,12 +11,12 @@
 	"dunestand/internal/units"
 )
 
-// Old and repeated heartbeats have no effect, and a worker that has seen a later leader's
-// fencing token is not answered.
+// Old and duplicate heartbeats have no effect, and a worker that has seen a later leader's fencing
+// token gets no response.
 func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
 	leader, _ := newEmptyLeader(5, units.Second)
 	if _, err := leader.Heartbeat(t.Context(), testHeartbeat("i-1", 2, 7, 0), nil); err != nil {
-		t.Fatal("fresh heartbeat refused")
+		t.Fatal("new heartbeat rejected")
 	}
 	for _, old := range []struct{ incarnation, sequence uint64 }{{2, 7}, {2, 6}, {1, 99}} {
 		if _, err := leader.Heartbeat(t.Context(), testHeartbeat("i-1", old.incarnation, old.sequence, 0), nil); !errors.Is(err, errStaleHeartbeat) {
@@ -27,13 +27,13 @@
 		t.Errorf("machine at %d/%d", machine.Incarnation, machine.Sequence)
 	}
 	if _, err := leader.Heartbeat(t.Context(), testHeartbeat("i-2", 1, 1, 6), nil); !errors.Is(err, errNotLeader) {
-		t.Error("a worker that has seen a later fencing token was answered")
+		t.Error("a worker that has seen a later fencing token got a response")
 	}
 }
 
-// A task that two attempts run, one of a former leader's that nobody knew of,
-// ends its job when the first is done. What heartbeats then show of the other must not
-// trip over the job that has left the state.
+// A task may run in two attempts, one of which was started by a former leader and is unknown to this
+// one. The first attempt to finish completes the job, which is then removed from the state. Heartbeats
+// that still show the other attempt must be handled without the job.
 func TestAttemptOutlivesItsJob(t *testing.T) {
 	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
@@ -44,10 +44,10 @@
 	machine := state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
 	attempt := state.Assign(job, machine, 7, clock.Now)
 	attempt.Stage = cluster.Running
-	state.TaskDone(job, 0, clock.Now) // shown by another machine
+	state.TaskDone(job, 0, clock.Now) // reported by another machine
 	leader.commitWrites()
 	if state.Jobs[testJob] != nil {
-		t.Fatal("the job is still there")
+		t.Fatal("the completed job is still in the state")
 	}
 	for i, task := range []protocol.TaskStatus{
 		{Job: testJob, Attempt: 7, Stage: protocol.TaskFetching},
@@ -57,16 +57,16 @@
 		heartbeat := testHeartbeat(machine.ID, 1, uint64(i+1), 2)
 		heartbeat.Tasks = []protocol.TaskStatus{task}
 		if _, err := leader.Heartbeat(t.Context(), heartbeat, nil); err != nil {
-			t.Fatal("heartbeat refused")
+			t.Fatal("heartbeat rejected")
 		}
 	}
 	if len(machine.Attempts) != 0 || machine.Used != (units.Resources{}) {
-		t.Fatalf("left on the machine: %v", machine.Attempts)
+		t.Fatalf("attempts left on the machine: %v", machine.Attempts)
 	}
 }
 
-// A completion stays with its worker until it is durable: a later leader must
-// be able to learn of it, or the task would run once more.
+// A worker is told to forget a completed task only once the completion is durable. Otherwise a later
+// leader might not learn of the completion and would run the task again.
 func TestCompletionsAreForgottenOnlyOnceDurable(t *testing.T) {
 	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
@@ -92,7 +92,7 @@
 		}}
 		response, err := leader.Heartbeat(t.Context(), heartbeat, nil)
 		if err != nil {
-			t.Fatal("heartbeat refused")
+			t.Fatal("heartbeat rejected")
 		}
 		return slices.ContainsFunc(response.Commands, func(c protocol.Command) bool { return c.Verb == protocol.VerbForget })
 	}
@@ -107,15 +107,15 @@
 	}
 }
 
-// A start whose write batch is a little late goes with the next heartbeat, which is seconds
-// away where heartbeats are seldom: there the answer waits longer for the write, and
-// always far less than the 4 s after which the worker gives up.
-func TestHeartbeatAnswersWaitForWritesByTheHeartbeatInterval(t *testing.T) {
+// A start whose write batch is late is sent only with the next response. With long heartbeat
+// intervals that is seconds later, so the response waits longer for the write batch, but always far
+// less than the 4 s after which the worker times out.
+func TestDurableStartsTimeoutGrowsWithTheHeartbeatInterval(t *testing.T) {
 	leader, _ := newLeaderWithJob(t, 1)
 	for seconds, want := range map[float64]units.Micros{0.8: 150, 3: 300, 5: 500, 60: 500} {
 		leader.Settings.Fleet.Workers.HeartbeatS = seconds
 		if got := leader.durableStartsTimeout(); got != want*units.Millisecond {
-			t.Errorf("heartbeats every %v s: %d ms", seconds, got/units.Millisecond)
+			t.Errorf("heartbeats every %v s: timeout %d ms", seconds, got/units.Millisecond)
 		}
 	}
 }
--- a/internal/controller/heartbeatlimiter_test.go
+++ b/internal/controller/heartbeatlimiter_test.go
@@ -13,7 +13,7 @@
 	"dunestand/internal/units"
 )
 
-// The limiter lets one heartbeat through at a time, and nobody whose context has ended.
+// The limiter admits one heartbeat at a time, and none whose context has ended.
 func TestHeartbeatsAreHandledOneAtATime(t *testing.T) {
 	limiter := newHeartbeatLimiter()
 	var handling, most atomic.Int64
@@ -27,25 +27,25 @@
 			}
 			time.Sleep(time.Millisecond)
 			handling.Add(-1)
-			slot.release() // and once more when the function returns
+			slot.release() // released again when the function returns, which has no effect
 		})
 	}
 	wg.Wait()
 	if most.Load() != 1 {
-		t.Errorf("%d were handled at a time", most.Load())
+		t.Errorf("%d heartbeats were handled at a time", most.Load())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	held := limiter.acquire(t.Context())
 	if late := limiter.acquire(ctx); late != nil {
-		t.Error("acquired while another one was handled")
+		t.Error("slot acquired while another heartbeat was handled")
 	}
 	held.release()
 }
 
-// Heartbeats are handled one at a time, but one that waits for a write batch, or for the
-// restore, does not hold up the others.
-func TestWaitingHeartbeatLetsOthersThrough(t *testing.T) {
+// A heartbeat that waits for a write batch or for the restore does not block other heartbeats, though
+// only one is handled at a time.
+func TestWaitingHeartbeatDoesNotBlockOthers(t *testing.T) {
 	leader := newTestLeader(1, &fake.Clock{Now: units.Second})
 	controller := newTestController(leader)
 	send := func(machine string, sequence uint64) <-chan int {
@@ -57,12 +57,12 @@
 		return status
 	}
 	beforeRestore := []<-chan int{send("i-1", 1), send("i-2", 1)}
-	time.Sleep(20 * time.Millisecond) // both wait by now
+	time.Sleep(20 * time.Millisecond) // until both wait
 	soon, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	other := controller.heartbeatLimiter.acquire(soon)
 	if other == nil {
-		t.Fatal("a heartbeat that waits for the restore holds up the others")
+		t.Fatal("a heartbeat that waits for the restore blocks the others")
 	}
 	other.release()
 	leader.persister.InstallRecords(nil, modelCatalog)
@@ -77,25 +77,25 @@
 	leader.commitWrites()
 	leader.state.Assign(job, leader.state.Machines["i-1"], 1, leader.Clock.Steady())
 	waiting := send("i-1", 2)
-	time.Sleep(20 * time.Millisecond) // it waits by now
+	time.Sleep(20 * time.Millisecond) // until it waits
 	expectStatus(t, send("i-2", 2), http.StatusOK)
 	select {
 	case <-waiting:
-		t.Fatal("a heartbeat that waits for a write batch holds up the others")
+		t.Fatal("a heartbeat that waits for a write batch blocks the others")
 	default:
 	}
 	expectStatus(t, waiting, 200)
 }
 
-// expectStatus waits for the answer to a heartbeat, for less than its worker would.
+// expectStatus waits for the status of a heartbeat's response, for less than the worker's timeout.
 func expectStatus(t *testing.T, status <-chan int, want int) {
 	t.Helper()
 	select {
 	case got := <-status:
 		if got != want {
-			t.Errorf("status %d, expected %d", got, want)
+			t.Errorf("status %d, want %d", got, want)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("a heartbeat is held up")
+		t.Fatal("no response to a heartbeat within 3 s")
 	}
 }
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -13,9 +13,9 @@
 	"dunestand/internal/units"
 )
 
-// A controller that reaches no leader accepts a job by itself. From then on nobody answers
-// that it is unknown, or anything older than what its user was told: not this
-// node, and not a leader, whether or not it has ingested the job.
+// A controller that reaches no leader accepts a job without one. From then on neither this controller
+// nor a leader answers that the job is unknown or in an older state than its user has been given,
+// whether or not the leader has ingested the job.
 func TestJobsAreAcceptedWithoutALeader(t *testing.T) {
 	store := fake.NewKVServer()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
@@ -32,14 +32,14 @@
 		}
 	}
 	if a := c.submit(ctx, encodeSubmission(fake.JobSpec("j-000009"), "team"), fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageDone {
-		t.Errorf("a job in a terminal state: %d %s", a.Status, a.Body)
+		t.Errorf("submission of a job in a terminal state: %d %s", a.Status, a.Body)
 	}
-	// Only a leader rejects for good: it knows whether the job was accepted before.
+	// Only a leader rejects permanently: it knows whether the job was accepted before.
 	if a := c.submit(ctx, encodeSubmission(fake.JobSpec("j-000002"), "nobody"), fromUser); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
-		t.Errorf("an infeasible job: %d", a.Status)
+		t.Errorf("submission of an infeasible job: %d", a.Status)
 	}
 	if a := c.submit(ctx, encodeSubmission(fake.JobSpec("j-000003"), "team"), fromPeer); a.Status != http.StatusServiceUnavailable {
-		t.Errorf("forwarded by another node: %d", a.Status)
+		t.Errorf("submission forwarded by another controller: %d", a.Status)
 	}
 	if a := c.poll(ctx, testJob, fromUser); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("poll: %d %s", a.Status, a.Body)
@@ -50,13 +50,13 @@
 
 	leader := newLeaderWithStore(t, 1, store)
 	if !leader.persister.Restore(ctx) {
-		t.Fatal("not restored")
+		t.Fatal("records not restored")
 	}
 	if a := leader.Poll(ctx, testJob); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
-		t.Errorf("a leader that has not ingested it: %d", a.Status)
+		t.Errorf("poll of a leader that has not ingested the job: %d", a.Status)
 	}
 	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusServiceUnavailable {
-		t.Errorf("cancellation before it is ingested: %d", a.Status)
+		t.Errorf("cancellation before the job is ingested: %d", a.Status)
 	}
 	infeasible := fake.JobSpec(testJob)
 	infeasible.Team = "nobody"
@@ -66,16 +66,16 @@
 	startLoop(t, leader.persister.Run)
 	startLoop(t, leader.ingester.Run)
 	if !eventually(10*time.Second, func() bool { return len(store.Keys(storage.PrefixPending)) == 0 }) {
-		t.Fatal("it stays in the pending-submission queue")
+		t.Fatal("the job stays in the pending-submission queue")
 	}
-	// The store has removed it from the queue; the leader learns of that by the response only.
+	// The job has left the queue in the store, but the leader learns this only from the response.
 	accepted := func() bool {
 		leader.state.Lock()
 		defer leader.state.Unlock()
 		return leader.state.Jobs[testJob].Accepted()
 	}
 	if !eventually(10*time.Second, accepted) {
-		t.Fatal("the leader does not learn that it is stored")
+		t.Fatal("the leader does not consider the job accepted after its write")
 	}
 	if a := leader.Cancel(ctx, testJob); a.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StageCancelled {
 		t.Errorf("cancellation: %d %s", a.Status, a.Body)
@@ -85,9 +85,9 @@
 	}
 }
 
-// A job is accepted without a leader by a commit that takes long. By then it may have been
-// ingested and cancelled, so its state is read again before the user is told of it.
-func TestAcceptanceThatTookLongIsReadAgain(t *testing.T) {
+// When the commit that accepts a job without a leader is slow, the job may have been ingested and
+// cancelled by the time it is confirmed. Its state is read again before it is returned to the user.
+func TestStateIsReadAgainAfterSlowAcceptance(t *testing.T) {
 	store := fake.NewKVServer()
 	store.Put(storage.KeyCatalog, protocol.Encode(modelCatalog))
 	c, clock := newRefusedController(t, store)
@@ -99,16 +99,16 @@
 	}
 	a := c.submit(t.Context(), encodeSubmission(fake.JobSpec(testJob), "team"), fromUser)
 	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
-		t.Errorf("%d %s", got.Status, got.Body)
+		t.Errorf("submission: %d %s", got.Status, got.Body)
 	}
 	if len(store.Keys(storage.PrefixPending)) != 1 {
-		t.Error("it is not in the pending-submission queue")
+		t.Error("the job is not in the pending-submission queue")
 	}
 }
 
-// What was put into the pending-submission queue late, for a job in a terminal state, is
-// cleared away and never answered for: the job's terminal state stands.
-func TestLatePendingSubmissionOfAFinishedJob(t *testing.T) {
+// A late pending submission of a job in a terminal state is removed from the pending-submission queue
+// without effect: polls are never answered with another state, and the job is not accepted again.
+func TestLatePendingSubmissionOfFinishedJobIsRemoved(t *testing.T) {
 	store := fake.NewKVServer()
 	spec := fake.JobSpec(testJob)
 	for _, change := range cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec}).Then {
@@ -121,11 +121,11 @@
 	}))
 	leader := newLeaderWithStore(t, 1, store)
 	if !leader.persister.Restore(t.Context()) {
-		t.Fatal("not restored")
+		t.Fatal("records not restored")
 	}
 	startLoop(t, leader.persister.Run)
 	startLoop(t, leader.ingester.Run)
-	cleared := func() bool {
+	removed := func() bool {
 		if len(store.Keys(storage.PrefixPending)) == 0 {
 			return true
 		}
@@ -134,10 +134,10 @@
 		}
 		return false
 	}
-	if !eventually(10*time.Second, cleared) {
-		t.Fatal("it stays in the pending-submission queue")
+	if !eventually(10*time.Second, removed) {
+		t.Fatal("the job stays in the pending-submission queue")
 	}
 	if live := store.Keys("job/"); len(live) > 0 {
-		t.Errorf("live again: %v", live)
+		t.Errorf("live records of a finished job: %v", live)
 	}
 }
--- a/internal/controller/nolimit_test.go
+++ b/internal/controller/nolimit_test.go
@@ -14,18 +14,18 @@
 	"dunestand/internal/units"
 )
 
-// guestTaskCount is more than all machines of the model and any quota limit have room for.
+// guestTaskCount exceeds the capacity of all machines in these tests and every quota limit.
 const guestTaskCount = 25_000
 
-// newGuestLeader returns a leader that has restored its records, with a second team that has
-// neither a guaranteed quota nor a quota limit, and with a job of that team.
-func newGuestLeader(t *testing.T) *Leader {
+// newLeaderWithGuestJob returns a leader that has restored its records, with a job of a second team,
+// "guest", that has neither a guaranteed quota nor a quota limit.
+func newLeaderWithGuestJob(t *testing.T) *Leader {
 	t.Helper()
 	leader := newLeaderWithStore(t, 1, fake.NewKVServer(), func(d *Deps) {
 		d.Settings.Fleet.Teams = append(d.Settings.Fleet.Teams, config.Team{Name: "guest"})
 	})
 	if !leader.persister.Restore(t.Context()) {
-		t.Fatal("not restored")
+		t.Fatal("records not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	startLoop(t, leader.persister.Run)
@@ -34,16 +34,16 @@
 	spec.Tasks = guestTaskCount
 	spec.Request = units.Resources{CPU: units.AmountOf(0.25)}
 	if a := leader.Submit(t.Context(), spec); a.Status != http.StatusCreated {
-		t.Fatalf("a job of a team without a quota limit: %d %s", a.Status, a.Body)
+		t.Fatalf("submission of a team without a quota limit: %d %s", a.Status, a.Body)
 	}
 	return leader
 }
 
-// All jobs of a guest team were once rejected for good, as needing more than its limit: a limit
-// of 0 is none. Such a job is accepted, the fleet scales out for all of it, and its tasks
-// are placed wherever there is free capacity.
-func TestTeamWithoutALimitIsServed(t *testing.T) {
-	leader := newGuestLeader(t)
+// A quota limit of 0 means no limit. It was once taken for a limit that every job exceeds, so all jobs
+// of such a team were rejected permanently. A job of the team is accepted, the fleet scales out for
+// all its tasks, and they are placed wherever there is free capacity.
+func TestJobsOfTeamWithoutALimitArePlaced(t *testing.T) {
+	leader := newLeaderWithGuestJob(t)
 	leader.state.Lock()
 	defer leader.state.Unlock()
 	demand := leader.autoscaler.Demand()
@@ -62,14 +62,15 @@
 		placed += placement.Count
 	}
 	if want := 3 * modelMachineCPUs * 4; placed != want {
-		t.Errorf("%d tasks placed, want the %d that three machines hold", placed, want)
+		t.Errorf("%d tasks placed, want %d, the capacity of three machines", placed, want)
 	}
 }
 
-// The summary counts teams near their quota limit: one without a limit never is, also where
-// nine tenths of "no limit" would be computed.
+// The summary counts the teams that use more than nine tenths of their quota limit. A team without a
+// limit is never counted: the large value that stands for "unlimited" must not overflow when nine
+// tenths of it are computed.
 func TestTeamWithoutALimitIsNeverNearIt(t *testing.T) {
-	leader := newGuestLeader(t)
+	leader := newLeaderWithGuestJob(t)
 	leader.state.Lock()
 	defer leader.state.Unlock()
 	var log bytes.Buffer
@@ -77,25 +78,26 @@
 	leader.state.Teams["guest"].Used = fake.CPUs(1_000_000)
 	leader.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=0") {
-		t.Errorf("the summary: %s", log.String())
+		t.Errorf("summary: %s", log.String())
 	}
 	leader.state.Teams["team"].Used = fake.CPUs(modelQuotaCPUs)
 	log.Reset()
 	leader.logSummary(0)
 	if !strings.Contains(log.String(), "teams_near_limit=1") {
-		t.Errorf("the summary with a team at its limit: %s", log.String())
+		t.Errorf("summary with a team at its quota limit: %s", log.String())
 	}
 }
 
-// Why a submission was rejected for good is logged: users are told, on-call engineers asked.
-func TestRefusalsAreLogged(t *testing.T) {
-	leader := newGuestLeader(t)
+// The reason for a permanent rejection is logged, so that operators can answer users who ask about
+// it.
+func TestRejectedSubmissionsAreLogged(t *testing.T) {
+	leader := newLeaderWithGuestJob(t)
 	var log bytes.Buffer
 	leader.Log = slog.New(slog.NewTextHandler(&log, nil))
 	spec := fake.JobSpec("j-000002")
 	spec.Team = "nobody"
 	if a := leader.Submit(t.Context(), spec); a.Status != http.StatusUnprocessableEntity {
-		t.Fatalf("a job of an unknown team: %d", a.Status)
+		t.Fatalf("submission of an unknown team: %d", a.Status)
 	}
 	for _, part := range []string{"submission rejected", "job=j-000002", "status=422", "unknown team"} {
 		if !strings.Contains(log.String(), part) {
--- a/internal/controller/order_test.go
+++ b/internal/controller/order_test.go
@@ -14,9 +14,9 @@
 	"dunestand/internal/units"
 )
 
-// Under an overload that goes on, with jobs of all sizes and priorities coming
-// faster than they can be served, each job still starts within four minutes.
-// By the order alone what is late waits behind all that comes after it.
+// Under sustained overload, with jobs of all sizes and several priorities arriving faster than they can
+// be run, each job still starts within four minutes. Ordered by rank alone, a job that can no longer
+// meet its deadlines would wait behind all jobs that arrive after it.
 func TestEveryJobStartsUnderOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, clock := newEmptyLeader(7, 100*units.Second)
@@ -38,23 +38,23 @@
 			}
 			for id, deadline := range fleet.deadlines {
 				if clock.Now > deadline {
-					t.Fatalf("%s of %d processors a task has not started in four minutes", id, leader.state.Jobs[id].Spec.Request.CPU/1_000_000)
+					t.Fatalf("%s, with %d CPUs per task, has not started within four minutes", id, leader.state.Jobs[id].Spec.Request.CPU/1_000_000)
 				}
 			}
 		}
 	})
 }
 
-// overloadedFleet is the workers of machines that are given more than they can serve.
+// overloadedFleet simulates the workers of a fleet that gets more jobs than it can run.
 type overloadedFleet struct {
 	leader    *Leader
 	clock     *fake.Clock
-	runTimes  []int // in seconds, drawn from by attempt number
+	runTimes  []int // in seconds; the attempt number selects one
 	endsAt    map[cluster.AttemptKey]units.Micros
-	deadlines map[string]units.Micros // until when each job that has not started must start
+	deadlines map[string]units.Micros // time by which a job must start, for jobs that have not started
 }
 
-// submit submits a job that must start within four minutes.
+// submit adds a job that must start within four minutes.
 func (f *overloadedFleet) submit(t *rapid.T, id string) {
 	spec := *fake.JobSpec(id)
 	spec.Tasks = rapid.IntRange(40, 90).Draw(t, "tasks")
@@ -66,8 +66,8 @@
 	f.leader.commitWrites()
 }
 
-// exchange has a machine send the heartbeat of a step. In every third step the leader runs a
-// whole cycle.
+// exchange has a machine send the heartbeat of a step. In every third step the leader runs a whole
+// scheduling cycle, otherwise it only places tasks on that machine.
 func (f *overloadedFleet) exchange(machineIndex, step int) {
 	leader, now := f.leader, f.clock.Now
 	heartbeat := testHeartbeat(machineID(machineIndex), 1, uint64(step+1), 7)
@@ -91,7 +91,7 @@
 	}
 }
 
-// taskStatuses returns the statuses of the attempts that were sent to a machine.
+// taskStatuses returns the statuses of the attempts whose starts were sent to a machine.
 func (f *overloadedFleet) taskStatuses(machine *cluster.Machine) []protocol.TaskStatus {
 	var statuses []protocol.TaskStatus
 	for _, attempt := range machine.SortedAttempts() {
@@ -111,7 +111,7 @@
 	return cluster.AttemptKey{Job: attempt.Job.Spec.ID, Index: attempt.Index, Number: attempt.Number}
 }
 
-// When more is to be written than may be, what a user waits for goes first.
+// When more changes are due than fit into a write batch, those that users wait for are written first.
 func TestUserRequestsAreWrittenFirst(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 1)
 	for i := range 40 {
@@ -127,6 +127,6 @@
 	leader.cancelJob(leader.state.Jobs["j-000030"])
 	batch := leader.state.BuildWriteBatch("x", leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
 	if first := batch.JobIDs()[:2]; !slices.Contains(first, "j-000100") || !slices.Contains(first, "j-000030") {
-		t.Errorf("written first: %v", first)
+		t.Errorf("first in the write batch: %v", first)
 	}
 }
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -8,8 +8,8 @@
 	"dunestand/internal/units"
 )
 
-// A machine on which several jobs fail is quarantined; a job that fails
-// everywhere is retried ever later, and no machine is blamed for it.
+// A machine on which several jobs fail is quarantined. A job that fails on every machine is retried
+// with growing delays, and no machine is quarantined for it.
 func TestMachineIsQuarantinedWhenSeveralJobsFailOnIt(t *testing.T) {
 	leader, clock := newEmptyLeader(1, units.Second)
 	state := leader.state
@@ -36,10 +36,10 @@
 	}
 	for _, id := range others {
 		if state.Machines[id].Quarantined {
-			t.Errorf("%s is quarantined for a job that fails everywhere", id)
+			t.Errorf("%s is quarantined because of a job that fails everywhere", id)
 		}
 	}
 	if failing.RetryAt <= clock.Now {
-		t.Error("a job that fails everywhere is retried at once")
+		t.Error("a job that fails everywhere is retried without a delay")
 	}
 }
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -12,14 +12,14 @@
 	"dunestand/internal/units"
 )
 
-// A replica that ends runs again, with an error or without, and the job is never
-// done, not even by what an older version or a late copy of a heartbeat shows. Its
-// replicas are spread over the zones at every start.
-func TestReplicasRunAgain(t *testing.T) {
+// A replica that exits is restarted, whether it succeeded or failed, and the service is never
+// considered done, not even when a duplicate of an older heartbeat arrives late. The replicas are
+// spread over the zones at every start.
+func TestReplicasAreRestarted(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 4, true)
 	fleet.exchangeAll()
 	if fleet.runningReplicas() != 4 || fleet.replicasByZone()["a"] != 2 {
-		t.Fatalf("%d run, in %v", fleet.runningReplicas(), fleet.replicasByZone())
+		t.Fatalf("%d replicas run, by zone %v", fleet.runningReplicas(), fleet.replicasByZone())
 	}
 	for range 30 {
 		fleet.exchangeAll()
@@ -35,20 +35,20 @@
 	fleet.exchangeAll()
 	fleet.exchangeAll()
 	if fleet.runningReplicas() != 4 || fleet.replicasByZone()["a"] != 2 || fleet.started != 8 {
-		t.Errorf("%d run in %v, %d were started", fleet.runningReplicas(), fleet.replicasByZone(), fleet.started)
+		t.Errorf("%d replicas run, by zone %v, %d were started", fleet.runningReplicas(), fleet.replicasByZone(), fleet.started)
 	}
 	job := leader.state.Jobs[testJob]
 	if job.Complete() || job.DoneCount() != 0 || job.IsDone(0) {
-		t.Error("the service counts as done")
+		t.Error("the service is considered done")
 	}
 	if state := decodeState(t, leader.Poll(t.Context(), testJob)); state.Stage != protocol.StageRunning {
-		t.Errorf("its user is told %s", state.Stage)
+		t.Errorf("poll: stage %s, want running", state.Stage)
 	}
 }
 
-// A replica that keeps exiting is restarted ever more slowly; one that ran for a
-// while is restarted at once.
-func TestReplicasThatKeepEndingBackOff(t *testing.T) {
+// A replica that keeps exiting is restarted with growing delays. One that has run for a while is
+// restarted at once.
+func TestReplicasThatKeepExitingAreRestartedWithBackoff(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 1, false)
 	for range 120 {
 		fleet.exchangeAll()
@@ -59,22 +59,22 @@
 	if fleet.started < 4 || fleet.started > 15 {
 		t.Errorf("%d starts in 120 s", fleet.started)
 	}
-	for range 60 { // it runs on now
+	for range 60 { // it keeps running now
 		fleet.exchangeAll()
 	}
 	before := fleet.started
 	fleet.exitReplica(0, protocol.CauseError)
 	fleet.exchangeAll()
 	if on, _ := fleet.findReplica(testJob, 0); on == "" || fleet.started != before+1 {
-		t.Errorf("it is not started at once after a long run: retry in %d ms", (leader.state.Jobs[testJob].RetryAt-fleet.clock.Now)/units.Millisecond)
+		t.Errorf("replica not restarted at once after a long run: retry in %d ms", (leader.state.Jobs[testJob].RetryAt-fleet.clock.Now)/units.Millisecond)
 	}
 }
 
-// A replica leaves a machine that is about to be terminated as soon as the notice comes, and
-// runs elsewhere once it is known to be gone from there; one whose machine is lost
-// does once that is certain. While its zone is gone, no more than half are in the
-// other one.
-func TestReplicasLeaveMachines(t *testing.T) {
+// A replica is stopped when its machine receives a termination notice, and starts elsewhere once it is
+// known to have ended. A replica on a lost machine starts elsewhere once the machine's lease has
+// expired. While a zone is lost, the other zone runs at most half of the replicas, as the topology
+// spread requires.
+func TestReplicasMoveFromTerminatedAndLostMachines(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, true)
 	fleet.exchangeAll()
 	on, _ := fleet.findReplica(testJob, 0)
@@ -107,12 +107,12 @@
 	fleet.exchangeAll()
 	fleet.exchangeAll()
 	if fleet.runningReplicas() != 2 {
-		t.Errorf("%d replicas run after the zone is back", fleet.runningReplicas())
+		t.Errorf("%d replicas run after the zone has recovered", fleet.runningReplicas())
 	}
 }
 
-// A service ends when its user cancels it, also in the midst of a replica's
-// restart: nothing of it starts after that.
+// A service ends when its user cancels it, also while a replica is being restarted. No replica starts
+// after the cancellation.
 func TestCancelledServicesEnd(t *testing.T) {
 	leader, _, fleet := newServiceLeader(t, 3, false)
 	fleet.exchangeAll()
@@ -126,16 +126,16 @@
 	}
 	leader.commitWrites()
 	if fleet.started > started || fleet.replicasByZone()["a"]+fleet.replicasByZone()["b"] != 0 {
-		t.Errorf("%d starts after the cancellation, replicas in %v", fleet.started-started, fleet.replicasByZone())
+		t.Errorf("%d starts after the cancellation, replicas by zone %v", fleet.started-started, fleet.replicasByZone())
 	}
 	if !job.CancelDurable || leader.state.Jobs[testJob] != nil {
-		t.Error("it has not ended")
+		t.Error("the service has not ended")
 	}
 }
 
-// A record of a service that a version before has taken for an array, with some
-// tasks done, is that of a service all the same, and all its replicas run.
-func TestServicesAreRestoredAsServices(t *testing.T) {
+// A previous version treats a service as a job array and may record some of its tasks as done. Its
+// record is restored as that of a service none of whose replicas is done.
+func TestServicesWithDoneTasksAreRestoredAsServices(t *testing.T) {
 	spec := *fake.JobSpec(testJob)
 	spec.Tasks = 3
 	writer := newTestLeader(7, &fake.Clock{Now: units.Second})
@@ -162,9 +162,9 @@
 	}
 }
 
-// What is urgent does not wait for a heartbeat that is seconds away: a stop is
-// pushed to the worker. A start never is: the machine is woken by one that no
-// worker carries out, whenever it comes, since the job has no such task.
+// When the next heartbeat is seconds away, a stop is pushed to the worker. A start is never pushed,
+// since it could be carried out late. Instead the worker is woken by the start of a task that the job
+// does not have, which every worker rejects whenever it arrives.
 func TestPushedCommandsStartNothing(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, false)
 	leader.Settings.Fleet.Workers.HeartbeatS = 5
@@ -195,19 +195,20 @@
 	attempt.Stage = cluster.Running
 	leader.state.StopAttempt(attempt, units.Second)
 	if _, body := leader.pusher.Commands(attempt.Machine.ID, nil); body == nil {
-		t.Error("the stop waits")
+		t.Error("the stop is not pushed")
 	}
-	// One more task than a job may have is no task: a heartbeat that named it would
-	// be refused for ever.
+	// A wake command must not name an index beyond the last that any job may have: a heartbeat with
+	// that index would be rejected forever.
 	huge := *leader.state.Jobs[testJob]
 	huge.Spec.Tasks = protocol.MaxTasks
 	if _, body := leader.pusher.Commands("i-000003", &huge); body != nil {
-		t.Error("a machine is woken with a task beyond the last number")
+		t.Error("a machine is woken with a task index beyond the largest valid one")
 	}
 }
 
-// Services never end, so they must not keep the reserve for ever: once nothing else is
-// left, the fleet scales in to what they need and capacity for those that may be lost.
+// Services do not end, so they must not keep the reserve of idle machines forever. Once no other job is
+// left, the fleet scales in to the capacity that they need and headroom for replicas that may be
+// lost.
 func TestServicesDoNotKeepTheReserve(t *testing.T) {
 	leader, clock, fleet := newServiceLeader(t, 2, false)
 	for i := range 30 {
@@ -221,15 +222,16 @@
 		fleet.exchangeAll()
 	}
 	if got := len(leader.autoscaler.IdleMachines(clock.Now)); got != 0 || leader.autoscaler.PolicyInput().QuietS != 0 {
-		t.Errorf("%d machines are idle while there is work", got)
+		t.Errorf("%d machines may be released as idle while another job is pending", got)
 	}
 	leader.state.TaskDone(leader.state.Jobs["j-000002"], 0, clock.Now)
 	leader.state.TaskDone(leader.state.Jobs["j-000002"], 1, clock.Now)
 	for range 60 {
 		fleet.exchangeAll()
 	}
-	// 34 machines of 4 processors; two replicas, and two spare ones in the zone.
+	// The fleet has 34 machines with 4 CPUs. The service needs capacity for two replicas and headroom
+	// for two more in their zone.
 	if got := len(leader.autoscaler.IdleMachines(clock.Now)); got < 28 || got > 32 {
-		t.Errorf("%d machines are idle", got)
+		t.Errorf("%d machines may be released as idle", got)
 	}
 }
--- a/internal/controller/submit_test.go
+++ b/internal/controller/submit_test.go
@@ -15,16 +15,16 @@
 	"dunestand/internal/storage"
 )
 
-// Submissions, cancellations and their duplicates, with commits that are carried
-// out and not answered: the write ID tells the leader that they were.
-func TestSubmitAndCancelWithLostAnswers(t *testing.T) {
+// Submissions, cancellations and their duplicates succeed although every other response of the
+// key-value store is lost. The leader finds out by the write ID that a commit took effect.
+func TestSubmitAndCancelSucceedWithLostResponses(t *testing.T) {
 	store := fake.NewKVServer()
 	store.DropResponse = func(n int) bool { return n%2 == 0 }
 	leader := newLeaderWithStore(t, 1, store)
 	ctx := t.Context()
 	for try := 0; !leader.persister.Restore(ctx); try++ {
 		if try == 3 {
-			t.Fatal("not restored")
+			t.Fatal("records not restored")
 		}
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
@@ -46,15 +46,15 @@
 			t.Fatalf("duplicate after cancel: %d %s", a.Status, a.Body)
 		}
 	}
-	// The terminal records are apart, and a restore does not read them.
+	// Terminal records have a key prefix of their own, which a restore does not read.
 	eventually(5*time.Second, func() bool { return len(store.Keys("final/")) >= 3 })
 	if terminal, live := store.Keys("final/"), store.Keys("job/"); len(terminal) != 3 || len(live) != 0 {
-		t.Fatalf("terminal %v, live %v", terminal, live)
+		t.Fatalf("terminal records %v, live records %v", terminal, live)
 	}
 }
 
-// A later leader does not hold finished jobs in memory: it must find them, for
-// polls and for duplicate submissions whatever their body now says.
+// A later leader does not hold finished jobs in memory. It must find their records for polls and for
+// duplicate submissions, even if the duplicate has another body.
 func TestFinishedJobsAreFoundByLaterLeaders(t *testing.T) {
 	const id = "j-000007"
 	store := fake.NewKVServer()
@@ -66,7 +66,7 @@
 	leader := newLeaderWithStore(t, 3, store)
 	ctx := t.Context()
 	if !leader.persister.Restore(ctx) {
-		t.Fatal("not restored")
+		t.Fatal("records not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	startLoop(t, leader.persister.Run)
@@ -89,28 +89,28 @@
 	}
 }
 
-// A record that cannot be read stops the restore and stays as it is.
+// An unreadable record prevents the restore and is not changed.
 func TestUnreadableRecordStopsTheRestore(t *testing.T) {
 	store := fake.NewKVServer()
 	record := protocol.Encode(map[string]any{"v": 99, "id": testJob})
 	store.Put(storage.KeyJob(testJob), record)
 	leader := newLeaderWithStore(t, 2, store)
 	if leader.persister.Restore(t.Context()) || leader.Ready() {
-		t.Fatal("led in spite of it")
+		t.Fatal("the leader is ready despite an unreadable record")
 	}
 	if a := leader.Poll(t.Context(), testJob); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Fatalf("poll: %d", a.Status)
 	}
 	if item, _ := store.Get(storage.KeyJob(testJob)); string(item.Value) != string(record) {
-		t.Fatal("record was changed")
+		t.Fatal("unreadable record changed")
 	}
 }
 
-// Without a valid lease nothing is answered 200.
-func TestNothingIsAnsweredWithoutTheLease(t *testing.T) {
+// Without a valid lease every request is answered with status 503 and every heartbeat is rejected.
+func TestRequestsAreUnavailableWithoutTheLease(t *testing.T) {
 	leader := newLeaderWithStore(t, 2, fake.NewKVServer())
 	if !leader.persister.Restore(t.Context()) {
-		t.Fatal("not restored")
+		t.Fatal("records not restored")
 	}
 	leader.fakeLeadership().Lost = true
 	for name, a := range map[string]answer.Answer{
@@ -127,9 +127,10 @@
 	}
 }
 
-// The leader answers nothing about a job while its terminal state or cancellation is in a
-// write batch whose outcome it does not know, and answers again once it is known, either way.
-func TestPollIsUnavailableWhileTheEndIsInFlight(t *testing.T) {
+// The leader answers polls of a job with status 503 while the job's terminal state or cancellation is
+// in a write batch whose outcome is unknown. It answers again once the batch is committed or has
+// conflicted.
+func TestPollIsUnavailableWhileTerminalWriteIsInFlight(t *testing.T) {
 	for _, committed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("committed=%v", committed), func(t *testing.T) {
 			leader, clock := newLeaderWithJob(t, 2)
@@ -141,15 +142,15 @@
 				return a.Status
 			}
 			if got := status(); got != http.StatusOK {
-				t.Fatalf("a live job: %d", got)
+				t.Fatalf("poll of a live job: %d", got)
 			}
 			leader.cancelJob(leader.state.Jobs[testJob])
 			if got := status(); got != http.StatusOK {
-				t.Errorf("a cancellation that nobody can have read: %d", got)
+				t.Errorf("poll before the cancellation is written: %d", got)
 			}
 			batch := leader.state.BuildWriteBatch(leader.persister.NextWriteID(), leader.persister.BucketVersions(), cluster.BatchLimits{}, clock.Now)
 			if got := status(); got != http.StatusServiceUnavailable {
-				t.Errorf("its write batch is in flight: %d", got)
+				t.Errorf("poll while the write batch is in flight: %d", got)
 			}
 			if committed {
 				leader.persister.BatchCommitted(batch, 5)
@@ -157,21 +158,21 @@
 				leader.state.BatchConflicted(batch, clock.Now)
 			}
 			if got := status(); got != http.StatusOK {
-				t.Errorf("after the outcome is known: %d", got)
+				t.Errorf("poll after the outcome is known: %d", got)
 			}
 		})
 	}
 }
 
-// Where a worker may run a cancelled job for longer than its user may be told, a cancellation is
-// not confirmed while one of the job's tasks runs, though it is durable.
+// If the workers' lease is longer than tasks may run after their cancellation is confirmed, no
+// cancellation is confirmed while one of the job's tasks runs, even if the cancellation is durable.
 func TestCancellationIsNotConfirmedWhileTasksRun(t *testing.T) {
 	leader := newLeaderWithStore(t, 1, fake.NewKVServer(), func(d *Deps) {
 		d.Settings.Fleet.Workers.CancelS = d.Settings.Fleet.Workers.LeaseS / 2
 	})
 	ctx := t.Context()
 	if !leader.persister.Restore(ctx) {
-		t.Fatal("not restored")
+		t.Fatal("records not restored")
 	}
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	startLoop(t, leader.persister.Run)
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -10,10 +10,10 @@
 	"dunestand/internal/sorted"
 )
 
-// While machines are unreconciled, a leader's regular check of the fleet costs no
-// more for all that the records name: it once gathered every name of every job
-// each time, 40 times a second, just after a failover, when there is most to do.
-func TestUnreconciledMachinesCostNothing(t *testing.T) {
+// The cost of the leader's periodic check of worker leases does not grow with the number of
+// unreconciled machines. It once collected the machines that the records of all jobs name, 40 times
+// per second, immediately after a failover, when the load is highest.
+func TestLeaseCheckCostDoesNotGrowWithUnreconciledMachines(t *testing.T) {
 	allocs := func(jobs, machines int) float64 {
 		leader, clock := newLeaderWithJob(t, 1)
 		for i := range jobs {
@@ -29,9 +29,9 @@
 	}
 }
 
-// Each machine that is reconciled is removed from the jobs that name it and from no others;
-// the last one leaves nothing unreconciled, whatever became of the jobs meanwhile.
-func TestUnreconciledEndsWithMachinesAndJobs(t *testing.T) {
+// A reconciled machine is no longer unreconciled for any job. Once all machines are reconciled nothing
+// is left, also if some of the jobs have ended meanwhile.
+func TestNothingIsUnreconciledAfterAllMachinesAreReconciled(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		leader, clock := newLeaderWithJob(t, 1)
 		state := leader.state
@@ -57,7 +57,7 @@
 				got++
 			}
 			if got != want {
-				rt.Fatalf("%d jobs unreconciled, %d name machines", got, want)
+				rt.Fatalf("%d unreconciled jobs, but %d jobs with unreconciled machines", got, want)
 			}
 			if jobs := sorted.Keys(named); len(jobs) > 0 && rapid.Bool().Draw(rt, "a job ends first") {
 				state.DropUnaccepted(jobs[0])
@@ -65,7 +65,7 @@
 			}
 			state.Unreconciled.Resolve(id)
 			if state.Unreconciled.Contains(id) {
-				rt.Fatal("a reconciled machine is unreconciled")
+				rt.Fatal("a machine is unreconciled after it was reconciled")
 			}
 		}
 		if state.Unreconciled.Len() != 0 || len(state.Unreconciled.Machines()) != 0 {
