--- a/internal/persister/claim.go
+++ b/internal/persister/claim.go
@@ -10,16 +10,17 @@
 	"dunestand/internal/storage"
 )
 
-// bucketClaim is the write that claims one bucket.
+// bucketClaim is the conditional write of a bucket's head that claims the bucket.
 type bucketClaim struct {
 	bucket    int
 	condition protocol.Condition
 	change    protocol.Change
 }
 
-// claimBuckets raises every bucket's incarnation, a transaction's worth at a time: from then on,
-// batches of a former leader that are still on their way fail. What an error leaves unclaimed
-// is claimed by the next call. It runs before anything else uses the versions, without the lock.
+// claimBuckets raises the incarnation of every bucket, in as many transactions as the limits
+// require. Batches of a former leader that arrive later fail. After an error, the next call claims
+// the remaining buckets. It accesses bucketVersions without the state lock, so it must return before
+// any other method uses them.
 func (p *Persister) claimBuckets(ctx context.Context) error {
 	items, _, err := p.KV.ListAll(ctx, storage.PrefixBucketHeads)
 	if err != nil {
@@ -33,14 +34,14 @@
 	for from := 0; from < len(claims); from += maxChanges {
 		to := min(from+maxChanges, len(claims))
 		if err := p.commitClaims(ctx, claims[from:to]); err != nil {
-			return err // tried again, with the versions then read
+			return err // the next call reads the versions again
 		}
 	}
 	return nil
 }
 
-// missingClaims returns the claims of the buckets that this leader does not hold yet by the
-// heads that were read.
+// missingClaims returns the claims of the buckets that, according to the given heads, this leader
+// has not claimed yet. It fails with a *storage.RecordError if a head cannot be decoded.
 func (p *Persister) missingClaims(heads []protocol.Item) ([]bucketClaim, error) {
 	byKey := map[string]protocol.Item{}
 	for _, item := range heads {
@@ -58,7 +59,7 @@
 			}
 		}
 		if ok && p.isOwnClaim(head) {
-			p.bucketVersions[bucket] = item.Version // by an earlier try that got no answer
+			p.bucketVersions[bucket] = item.Version // claimed by an earlier request that got no response
 			continue
 		}
 		head = storage.LeaseRecord{Holder: p.Settings.Node, Incarnation: head.Incarnation + 1, WriteID: writeID}
@@ -71,7 +72,7 @@
 	return claims, nil
 }
 
-// commitClaims writes some claims as one transaction.
+// commitClaims commits the claims in one transaction and stores the new versions of the heads.
 func (p *Persister) commitClaims(ctx context.Context, claims []bucketClaim) error {
 	var txn protocol.Txn
 	for _, claim := range claims {
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// isOwnClaim reports whether a bucket's head was written by this very leader, not by a former
-// process or an earlier leadership of the same controller.
+// isOwnClaim reports whether a bucket's head was written in the present leadership, as opposed to
+// an earlier leadership of the same controller.
 func (p *Persister) isOwnClaim(head storage.LeaseRecord) bool {
 	return head.Holder == p.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
 }
--- a/internal/persister/claim_test.go
+++ b/internal/persister/claim_test.go
@@ -10,8 +10,8 @@
 	"dunestand/internal/units"
 )
 
-// expectHeads checks that every bucket's head has an incarnation, and the version that the
-// persister knows.
+// expectHeads checks that the head of every bucket has the given incarnation and the version that
+// the persister stores.
 func expectHeads(t *testing.T, server *fake.KVServer, p *Persister, incarnation uint64) {
 	t.Helper()
 	for bucket := range storage.Buckets {
@@ -21,10 +21,10 @@
 			t.Fatalf("bucket %d: %v", bucket, err)
 		}
 		if head.Incarnation != incarnation || head.Holder != p.Settings.Node {
-			t.Errorf("bucket %d is at incarnation %d of %q, want %d", bucket, head.Incarnation, head.Holder, incarnation)
+			t.Errorf("bucket %d has incarnation %d, held by %q; want %d", bucket, head.Incarnation, head.Holder, incarnation)
 		}
 		if known := p.BucketVersion(bucket); known != item.Version {
-			t.Errorf("bucket %d is known at version %d, and has %d", bucket, known, item.Version)
+			t.Errorf("bucket %d: persister has version %d, key-value store has %d", bucket, known, item.Version)
 		}
 	}
 }
@@ -37,7 +37,8 @@
 	expectHeads(t, server, second, 2)
 }
 
-// A claim whose answer was lost is found to be this leader's own, and is not raised again.
+// A leader recognises its own claim after the response was lost, and does not raise the incarnation
+// again.
 func TestClaimContinuesAfterLostAnswers(t *testing.T) {
 	server := fake.NewKVServer()
 	server.DropResponse = func(n int) bool { return n%2 == 1 }
@@ -46,17 +47,17 @@
 	tries := 1
 	for ; !p.Restore(t.Context()); tries++ {
 		if tries > storage.Buckets {
-			t.Fatal("never restored")
+			t.Fatal("Restore still fails after as many calls as there are buckets")
 		}
 	}
 	if tries == 1 {
-		t.Error("no answer was lost: the test shows nothing")
+		t.Error("no response was lost, so the test is void")
 	}
 	expectHeads(t, server, p, 1)
 }
 
-// A head that is not readable is not overwritten: the leader tries again, and its error names the
-// record.
+// A head that cannot be decoded is not overwritten, and the error names its key. The leader does not
+// step down, so that it can retry.
 func TestUnreadableHeadIsNotClaimed(t *testing.T) {
 	server := fake.NewKVServer()
 	key := storage.KeyBucketHead(3)
@@ -65,15 +66,15 @@
 	p := newTestPersister(newTestClient(t, server, clock), clock, 1, persisterLimits)
 	var unreadable *storage.RecordError
 	if err := p.claimBuckets(t.Context()); !errors.As(err, &unreadable) || unreadable.Key != key {
-		t.Errorf("error: %v", err)
+		t.Errorf("got %v, want a RecordError with the key", err)
 	}
 	if p.Restore(t.Context()) {
-		t.Error("restored")
+		t.Error("Restore succeeded with an unreadable head")
 	}
 	if !p.Leadership.Valid() {
 		t.Error("the leader stepped down")
 	}
 	if server.Revision() != 1 {
-		t.Error("something was written")
+		t.Error("a record was written")
 	}
 }
--- a/internal/persister/commit.go
+++ b/internal/persister/commit.go
@@ -13,44 +13,46 @@
 )
 
 const (
-	// The backoff of a batch that is sent again.
+	// Initial and maximum backoff between two requests that send the same batch.
 	commitBackoff    = 100 * units.Millisecond
 	maxCommitBackoff = 400 * units.Millisecond
-	// ReadRetryDelay is until a read is tried again that the outcome of a batch, or the
-	// restore, depends on.
+	// ReadRetryDelay is the delay before a failed Restore, or a failed read on which the
+	// outcome of a batch depends, is retried.
 	ReadRetryDelay = 200 * units.Millisecond
-	// RejectedRetryDelay spaces the tries of batches that the key-value store rejects.
+	// RejectedRetryDelay is the delay before a batch that the key-value store rejected is rebuilt,
+	// or a failed read of its outcome is retried.
 	RejectedRetryDelay = 400 * units.Millisecond
 )
 
-// CommitBatch sends a batch until its outcome is known and applies the outcome to the state, or
-// gives up when ctx ends. A batch without an answer may be carried out at any later time, so the
-// very same one is sent again: its conditions ensure that it happens once. Its writes must have
-// been reserved. It must be called without the lock of the state.
+// CommitBatch sends a batch until its outcome is known, and applies the outcome to the state. It
+// returns early when ctx ends. A request without a response may still be committed at any later
+// time, so the same batch is sent again: its conditions ensure that it is committed at most once.
+// The writes of the batch must have been reserved. CommitBatch must be called without the state
+// lock.
 func (p *Persister) CommitBatch(ctx context.Context, batch *cluster.WriteBatch) {
-	began := p.Clock.Steady()
-	pacing, uncertain := kv.Reserved, false
+	started := p.Clock.Steady()
+	pacing, outcomeUnknown := kv.Reserved, false
 	for backoff := commitBackoff; ; backoff = min(2*backoff, maxCommitBackoff) {
 		version, err := p.KV.CompareAndSwap(ctx, batch.Txn, pacing, kv.CallTimeout)
 		pacing = kv.Paced
 		var conflict *kv.VersionConflictError
 		switch {
 		case err == nil:
-			p.traceCommit(batch, began)
+			p.traceCommit(batch, started)
 			p.BatchCommitted(batch, version)
 			return
 		case errors.As(err, &conflict):
-			if p.resolveConflict(ctx, batch, conflict, uncertain) {
+			if p.resolveConflict(ctx, batch, conflict, outcomeUnknown) {
 				return
 			}
 		case errors.Is(err, kv.ErrOutcomeUnknown):
-			uncertain = true
+			outcomeUnknown = true
 		case errors.Is(err, kv.ErrInvalidRequest):
-			p.batchRejected(ctx, batch, uncertain)
+			p.batchRejected(ctx, batch, outcomeUnknown)
 			return
 		case !errors.Is(err, kv.ErrRefused):
-			p.Log.Error("response to a write batch not understood", "jobs", batch.JobIDs(), "error", err)
-			uncertain = true
+			p.Log.Error("unexpected error from the key-value store for a write batch", "jobs", batch.JobIDs(), "error", err)
+			outcomeUnknown = true
 		}
 		if !loop.Sleep(ctx, backoff) {
 			return
@@ -58,15 +60,15 @@
 	}
 }
 
-func (p *Persister) traceCommit(batch *cluster.WriteBatch, began units.Micros) {
+func (p *Persister) traceCommit(batch *cluster.WriteBatch, started units.Micros) {
 	if p.Tracer.Enabled() {
 		p.Log.Debug("write batch committed", "jobs", batch.JobIDs(), "changes", len(batch.Txn.Then),
-			"took_us", int64(p.Clock.Steady()-began))
+			"took_us", int64(p.Clock.Steady()-started))
 	}
 }
 
-// BatchCommitted applies to the state that a batch was carried out at a version. It must be
-// called without the lock of the state.
+// BatchCommitted applies to the state a batch that was committed, with the version of its records.
+// It must be called without the state lock.
 func (p *Persister) BatchCommitted(batch *cluster.WriteBatch, version uint64) {
 	p.State.Lock()
 	defer p.State.Unlock()
@@ -77,16 +79,16 @@
 	p.CycleSignal.Raise()
 }
 
-// resolveConflict handles a batch that met another version of a record. uncertain says that an
-// earlier try got no answer: then that one may have been carried out. It reports whether
-// the batch is done with; if not, it is to be sent again.
-func (p *Persister) resolveConflict(ctx context.Context, batch *cluster.WriteBatch, conflict *kv.VersionConflictError, uncertain bool) bool {
-	if uncertain && batch.ProbeKey() != "" {
-		version, ours, err := p.probeOutcome(ctx, batch)
+// resolveConflict handles a version conflict of a batch. outcomeUnknown is set if an earlier request
+// with the same batch got no usable response: that request may have been committed, and so have
+// caused the conflict. It reports whether the batch is finished; if not, it must be sent again.
+func (p *Persister) resolveConflict(ctx context.Context, batch *cluster.WriteBatch, conflict *kv.VersionConflictError, outcomeUnknown bool) bool {
+	if outcomeUnknown && batch.ProbeKey() != "" {
+		version, committed, err := p.probeOutcome(ctx, batch)
 		if err != nil {
 			return false
 		}
-		if ours {
+		if committed {
 			p.BatchCommitted(batch, version)
 			return true
 		}
@@ -95,9 +97,9 @@
 	return true
 }
 
-// probeOutcome reads a record of a batch to find out whether the batch was carried out, and at
-// which version.
-func (p *Persister) probeOutcome(ctx context.Context, batch *cluster.WriteBatch) (version uint64, ours bool, err error) {
+// probeOutcome reads a record that the batch writes. It reports whether the batch was committed,
+// and the version of the record.
+func (p *Persister) probeOutcome(ctx context.Context, batch *cluster.WriteBatch) (version uint64, committed bool, err error) {
 	item, ok, err := p.KV.Get(ctx, batch.ProbeKey(), kv.CallTimeout)
 	if err != nil || !ok {
 		return 0, false, err
@@ -109,15 +111,16 @@
 	return item.Version, id == batch.ID, nil
 }
 
-// conflictCauses is what a batch that was certainly not carried out has met.
+// conflictCauses are the causes of the version conflict of a batch that was not committed.
 type conflictCauses struct {
-	plan     bool // another admission plan than the one that its jobs were accepted by
-	finished map[string]storage.StoredTerminalRecord
+	planReplaced bool // the admission plan by which new jobs were admitted is no longer current
+	// finishedJobs are the terminal records of finished jobs whose IDs new jobs of the batch have.
+	finishedJobs map[string]storage.StoredTerminalRecord
 }
 
-// batchConflicted applies a conflict: the batch was certainly not carried out. Its causes: a new
-// job has the ID of a finished one; the admission plan that a job was accepted by was replaced;
-// or another leader claimed the buckets, and this one steps down.
+// batchConflicted handles the version conflict of a batch that was not committed. There are three
+// causes: a new job has the ID of a finished job; the admission plan by which a new job was admitted
+// has been replaced; or another leader has claimed the buckets, and this one steps down.
 func (p *Persister) batchConflicted(ctx context.Context, batch *cluster.WriteBatch, conflict *kv.VersionConflictError) {
 	causes, ok := p.findCauses(ctx, batch, conflict)
 	if !ok {
@@ -125,28 +128,29 @@
 	}
 	p.State.Lock()
 	p.State.BatchConflicted(batch, p.Clock.Steady())
-	if causes.plan {
+	if causes.planReplaced {
 		p.Admission.Reconsider()
 	}
 	p.State.Unlock()
-	if causes.plan {
+	if causes.planReplaced {
 		p.Admission.RereadPlan(ctx)
 	}
 	p.State.Lock()
 	defer p.State.Unlock()
-	for id, record := range causes.finished {
+	for id, record := range causes.finishedJobs {
 		p.Terminals.Remember(id, record)
 		p.State.DropUnaccepted(id)
-		p.Ingester.resyncNeeded.Store(true) // it may have come from there
+		p.Ingester.resyncNeeded.Store(true) // the job may be in the queue of pending submissions
 	}
 }
 
-// findCauses returns what a batch has met; false if the leader steps down, or ctx ended.
+// findCauses returns the causes of a version conflict. ok is false if the leader stepped down or ctx
+// ended.
 func (p *Persister) findCauses(ctx context.Context, batch *cluster.WriteBatch, conflict *kv.VersionConflictError) (conflictCauses, bool) {
-	causes := conflictCauses{finished: map[string]storage.StoredTerminalRecord{}}
+	causes := conflictCauses{finishedJobs: map[string]storage.StoredTerminalRecord{}}
 	for _, key := range conflict.Keys {
 		if key == admission.KeyPlan {
-			causes.plan = true
+			causes.planReplaced = true
 			continue
 		}
 		id, isTerminal := storage.JobOfTerminalKey(key)
@@ -157,16 +161,16 @@
 			p.Leadership.StepDown()
 			return conflictCauses{}, false
 		}
-		if !p.readFinished(ctx, id, causes.finished) {
+		if !p.readTerminalWithRetries(ctx, id, causes.finishedJobs) {
 			return conflictCauses{}, false
 		}
 	}
 	return causes, true
 }
 
-// readFinished adds the terminal record of a job to those found, if there is one. It tries until
-// the read is answered, and reports whether it was before ctx ended.
-func (p *Persister) readFinished(ctx context.Context, id string, found map[string]storage.StoredTerminalRecord) bool {
+// readTerminalWithRetries adds the terminal record of a job to found, if there is one. It retries
+// failed reads, and reports whether a read succeeded before ctx ended.
+func (p *Persister) readTerminalWithRetries(ctx context.Context, id string, found map[string]storage.StoredTerminalRecord) bool {
 	for {
 		record, ok, err := p.Terminals.read(ctx, id)
 		if err == nil {
@@ -181,20 +185,21 @@
 	}
 }
 
-// batchRejected handles a batch that the key-value store will not accept as it is, as the store
-// has lower limits now. The batch is built anew. But where an earlier try got no answer, that one
-// may have been carried out, or may be still.
-func (p *Persister) batchRejected(ctx context.Context, batch *cluster.WriteBatch, uncertain bool) {
-	if uncertain {
+// batchRejected handles a batch that the key-value store rejected as invalid because it exceeds the
+// store's limits, which have been lowered since. Each job is then written in a batch of its own,
+// unless outcomeUnknown is set: an earlier request with the same batch got no usable response, so it
+// may have been committed or may still be.
+func (p *Persister) batchRejected(ctx context.Context, batch *cluster.WriteBatch, outcomeUnknown bool) {
+	if outcomeUnknown {
 		p.resolveRejected(ctx, batch)
 		return
 	}
 	p.State.Lock()
-	first := p.State.ApplyNextLimits()
+	limitsLowered := p.State.ApplyNextLimits()
 	p.State.Unlock()
 	p.KV.ApplyNextLimits()
-	p.Log.Error("write batch rejected; rebuilding it", "jobs", batch.JobIDs(), "changes", len(batch.Txn.Then), "limits_lowered", first)
-	if !first && !loop.Sleep(ctx, RejectedRetryDelay) {
+	p.Log.Error("write batch rejected; rebuilding it", "jobs", batch.JobIDs(), "changes", len(batch.Txn.Then), "limits_lowered", limitsLowered)
+	if !limitsLowered && !loop.Sleep(ctx, RejectedRetryDelay) {
 		return
 	}
 	p.State.Lock()
@@ -202,9 +207,9 @@
 	p.State.BatchRejected(batch, p.Clock.Steady())
 }
 
-// resolveRejected finds out whether an earlier try of a batch that is now rejected was carried
-// out. If it was not, only the claim of a next leader makes certain that it never is, and this
-// leader steps down.
+// resolveRejected determines whether a batch that was rejected had been committed by an earlier
+// request. If not, that request may still be committed later. Only the bucket claim of the next
+// leader excludes this, so this leader steps down.
 func (p *Persister) resolveRejected(ctx context.Context, batch *cluster.WriteBatch) {
 	for {
 		version, ours, err := p.probeOutcome(ctx, batch)
@@ -213,7 +218,7 @@
 			p.BatchCommitted(batch, version)
 			return
 		case err == nil:
-			p.Log.Info("write batch rejected after an unanswered try; stepping down", "jobs", batch.JobIDs())
+			p.Log.Info("write batch rejected after a request without a response; stepping down", "jobs", batch.JobIDs())
 			p.Leadership.StepDown()
 			return
 		}
--- a/internal/persister/commit_test.go
+++ b/internal/persister/commit_test.go
@@ -23,7 +23,7 @@
 	return job, batch
 }
 
-// isClosed reports whether whoever waits on a channel is woken.
+// isClosed reports whether a channel is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -33,24 +33,25 @@
 	}
 }
 
-// A batch whose answer was lost is sent again, and found to be carried out.
+// A batch whose response was lost is sent again. After the version conflict, the write ID in its
+// record shows that the first request was committed.
 func TestUnansweredBatchIsCommittedOnce(t *testing.T) {
 	server := fake.NewKVServer()
 	p, _ := newRestoredPersister(t, server, 1)
 	job, batch := newAcceptance(t, p, "j-000001")
 	durable, before := job.Durable(), server.Revision()
-	lost := false
+	responseLost := false
 	server.DropResponse = func(int) bool {
-		first := !lost
-		lost = true
+		first := !responseLost
+		responseLost = true
 		return first
 	}
 	p.CommitBatch(t.Context(), batch)
-	if !lost || server.Revision() != before+1 {
-		t.Errorf("carried out %d times", server.Revision()-before)
+	if !responseLost || server.Revision() != before+1 {
+		t.Errorf("committed %d times, want once after a lost response", server.Revision()-before)
 	}
 	if !job.Accepted() || !isClosed(durable) {
-		t.Error("the job does not count as accepted")
+		t.Error("the job is not accepted")
 	}
 	if !p.Leadership.Valid() {
 		t.Error("the leader stepped down")
@@ -64,15 +65,15 @@
 	job, batch := newAcceptance(t, former, "j-000001")
 	former.CommitBatch(t.Context(), batch)
 	if former.Leadership.Valid() || job.Accepted() {
-		t.Error("the former leader goes on")
+		t.Error("the former leader did not step down, or accepted the job")
 	}
 	if written := server.Keys(storage.PrefixJobs); len(written) != 0 {
-		t.Errorf("written: %v", written)
+		t.Errorf("job records written: %v", written)
 	}
 }
 
-// The id of a finished job is not accepted again; whoever waits is woken and told of the finished
-// one.
+// A new job with the ID of a finished job is not accepted. Its waiters are woken, and the terminal
+// record of the finished job is cached.
 func TestFinishedJobIsNotAcceptedAgain(t *testing.T) {
 	server := fake.NewKVServer()
 	const id = "j-000001"
@@ -82,21 +83,22 @@
 	durable := job.Durable()
 	p.CommitBatch(t.Context(), batch)
 	if p.State.Jobs[id] != nil || job.Accepted() || !isClosed(durable) {
-		t.Error("the job stays in the state")
+		t.Error("the job is still in the state, or its waiters are not woken")
 	}
 	if record, ok := p.Terminals.Cached(id); !ok || record.Stage != protocol.StageDone {
-		t.Errorf("the terminal record: %+v, %v", record, ok)
+		t.Errorf("cached terminal record: %+v, %v", record, ok)
 	}
 	if !p.Leadership.Valid() {
 		t.Error("the leader stepped down")
 	}
 }
 
-// A batch beyond the limits of the key-value store is built anew; if an earlier try got no answer,
-// it may still be carried out, and only the next leader's claim can exclude that.
-func TestRejectedBatch(t *testing.T) {
+// A batch that exceeds the limits of the key-value store is rebuilt. After an earlier request without
+// a response the leader steps down instead: that request may still be committed, which only the
+// claim of the next leader can exclude.
+func TestRejectedBatchIsRebuiltUnlessOutcomeUnknown(t *testing.T) {
 	const tooSmall, ops, writesPerSecond = 1, 12, 1000
-	t.Run("is rebuilt", func(t *testing.T) {
+	t.Run("rebuilt", func(t *testing.T) {
 		server := fake.NewKVServer()
 		p, _ := newRestoredPersister(t, server, 1)
 		job, batch := newAcceptance(t, p, "j-000001")
@@ -108,13 +110,13 @@
 		server.SetLimits(64<<10, ops, writesPerSecond)
 		again := p.nextBatch()
 		if again == nil {
-			t.Fatal("not built again")
+			t.Fatal("the job is not in a new batch")
 		}
 		if p.CommitBatch(t.Context(), again); !job.Accepted() {
 			t.Error("not accepted with the next batch")
 		}
 	})
-	t.Run("after an unanswered try", func(t *testing.T) {
+	t.Run("steps down if the outcome is unknown", func(t *testing.T) {
 		server := fake.NewKVServer()
 		p, _ := newRestoredPersister(t, server, 1)
 		job, batch := newAcceptance(t, p, "j-000001")
@@ -130,10 +132,10 @@
 		}
 		p.CommitBatch(t.Context(), batch)
 		if commits != 2 || server.RejectedTxns() != 1 {
-			t.Errorf("%d tries, %d rejected: the test shows nothing", commits, server.RejectedTxns())
+			t.Errorf("%d requests, %d rejected; want 2 and 1, otherwise the test is void", commits, server.RejectedTxns())
 		}
 		if job.Accepted() || p.Leadership.Valid() {
-			t.Error("the leader goes on though the batch may still be carried out")
+			t.Error("the leader did not step down though the batch may still be committed")
 		}
 	})
 }
--- a/internal/persister/errors.go
+++ b/internal/persister/errors.go
@@ -3,9 +3,9 @@
 import "errors"
 
 var (
-	// errJobsUnreadable says that some record of the jobs cannot be read by this version, so
-	// that a leader would forget the job. Restore abstains on it; other records that are not
-	// readable make it try again.
+	// errJobsUnreadable means that this version cannot use the record of some job. A leader
+	// without that record would lose the job, so Restore abstains from the leadership. After an
+	// error in any other record Restore is only retried.
 	errJobsUnreadable = errors.New("jobs not readable")
 	errNoSuchJob      = errors.New("belongs to no job")
 	errNotTerminal    = errors.New("holds no terminal stage")
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -16,7 +16,7 @@
 	"dunestand/internal/units"
 )
 
-// persisterLimits are far above what the tests write.
+// persisterLimits are limits of the key-value store that the tests never reach.
 var persisterLimits = config.KVLimits{RPS: 1e4, WriteRPS: 1e4, ValueKB: 8, TxnOps: 12}
 
 // newTestClient returns a client of a fake key-value store.
@@ -27,7 +27,7 @@
 	return kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), persisterLimits, 0, clock)
 }
 
-// newTestPersister returns the persister of a leader that has restored nothing yet.
+// newTestPersister returns the persister of a new leader that has not restored any records.
 func newTestPersister(client *kv.Client, clock units.Clock, token uint64, limits config.KVLimits) *Persister {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
@@ -66,22 +66,22 @@
 	})
 }
 
-// newRestoredPersister returns a persister that has restored what a fake store holds, and its
-// clock.
+// newRestoredPersister returns a persister that has restored the records of a fake key-value store,
+// and its clock.
 func newRestoredPersister(t *testing.T, server *fake.KVServer, token uint64) (*Persister, *fake.Clock) {
 	t.Helper()
 	clock := &fake.Clock{Now: units.Second}
 	p := newTestPersister(newTestClient(t, server, clock), clock, token, persisterLimits)
 	if !p.Restore(t.Context()) {
-		t.Fatal("not restored")
+		t.Fatal("Restore failed")
 	}
 	if !p.State.Restored {
-		t.Fatal("restored, and the state does not say so")
+		t.Fatal("State.Restored is not set after Restore")
 	}
 	select {
 	case <-p.Restored():
 	default:
-		t.Fatal("restored, and nobody who waits for it is woken")
+		t.Fatal("the Restored channel is not closed after Restore")
 	}
 	return p, clock
 }
--- a/internal/persister/ingester.go
+++ b/internal/persister/ingester.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	ingestInterval = units.Second
-	// PendingTimeout bounds a read or write of the queue of pending submissions, for which a
-	// user waits.
+	ingestInterval = units.Second // between reads of the queue of pending submissions
+	// PendingTimeout is the timeout of a request to the queue of pending submissions on behalf of
+	// a waiting user.
 	PendingTimeout = 1200 * units.Millisecond
 )
 
-// IngesterDeps is what an Ingester works with.
+// IngesterDeps are the dependencies of an Ingester. All are required.
 type IngesterDeps struct {
 	State       *cluster.State
 	Leadership  election.Leadership
@@ -31,25 +31,26 @@
 	KV          *kv.Client
 	Clock       units.Clock
 	Log         *slog.Logger
-	WriteSignal loop.Signal // raised when ingested jobs are to be written
+	WriteSignal loop.Signal // raised when ingested jobs are due to be written
 }
 
-// Ingester adds the jobs that other controllers accepted without a leader to the state, from the
-// queue of pending submissions. It belongs to one leader. Its methods may be called concurrently,
-// without the lock of the state.
+// Ingester adds pending submissions to the state: jobs that other controllers accepted without a
+// leader and put into the queue of pending submissions. Each leadership has its own Ingester. Its
+// methods may be called concurrently, without the state lock.
 type Ingester struct {
 	IngesterDeps
 
-	// resyncNeeded: the queue may hold what should have been removed from it.
+	// resyncNeeded is set when the queue may still contain finished jobs, so that it must be
+	// read completely.
 	resyncNeeded atomic.Bool
 }
 
-// NewIngester returns the ingester of a leader.
+// NewIngester returns the ingester of a new leader.
 func NewIngester(deps IngesterDeps) *Ingester {
 	return &Ingester{IngesterDeps: deps}
 }
 
-// Run follows the queue and ingests what is new in it, until ctx ends.
+// Run watches the queue and ingests new submissions until ctx ends.
 func (in *Ingester) Run(ctx context.Context) {
 	var watch pendingWatcher
 	for wait := units.Micros(0); loop.Sleep(ctx, wait); wait = ingestInterval {
@@ -61,12 +62,12 @@
 			in.Log.Debug("pending submissions not read", "error", err)
 			continue
 		}
-		_ = in.Ingest(ctx, items) // what is not readable is logged
+		_ = in.Ingest(ctx, items) // unreadable records have been logged
 	}
 }
 
-// IngestOne ingests a single job, if it is in the queue. It fails if the queue cannot be read,
-// or the job's record in it is not readable.
+// IngestOne ingests one job if it is in the queue. It fails if the queue cannot be read or the
+// job's record in it cannot be decoded.
 func (in *Ingester) IngestOne(ctx context.Context, id string) error {
 	item, ok, err := in.KV.Get(ctx, storage.KeyPending(id), PendingTimeout)
 	if err == nil && ok {
@@ -75,9 +76,9 @@
 	return err
 }
 
-// Ingest adds jobs from the queue to the state. A job that is finished is removed from the queue
-// instead: its user sent it again, and the leader was reachable then. Ingest fails if a record is
-// not readable, after it has ingested the others.
+// Ingest adds jobs from the queue to the state. A job known to be finished is removed from the
+// queue instead: its user submitted it again while the leader was reachable. If a record cannot be
+// decoded, Ingest returns an error after it has ingested the other jobs.
 func (in *Ingester) Ingest(ctx context.Context, items []protocol.Item) error {
 	finished, err := in.addToState(items)
 	if len(items) > 0 {
@@ -85,15 +86,15 @@
 	}
 	if len(finished.Then) > 0 {
 		if _, err := in.KV.CompareAndSwap(ctx, finished, kv.Paced, kv.CallTimeout); err != nil {
-			in.Log.Debug("pending submissions not cleared", "error", err)
+			in.Log.Debug("finished jobs not removed from the pending submissions", "error", err)
 			in.resyncNeeded.Store(true)
 		}
 	}
 	return err
 }
 
-// addToState adds jobs from the queue to the state. It returns the transaction that removes the
-// finished ones from the queue, and an error if a record is not readable.
+// addToState adds jobs from the queue to the state. It returns the transaction that removes
+// finished jobs from the queue, and an error if a record cannot be decoded.
 func (in *Ingester) addToState(items []protocol.Item) (finished protocol.Txn, unreadable error) {
 	in.State.Lock()
 	defer in.State.Unlock()
--- a/internal/persister/pendingwatcher.go
+++ b/internal/persister/pendingwatcher.go
@@ -10,19 +10,20 @@
 	"dunestand/internal/units"
 )
 
-// pendingResyncInterval is how often the whole queue is read again, whatever its changes were.
+// pendingResyncInterval is the interval at which the whole queue is read, regardless of changes.
 const pendingResyncInterval = 30 * units.Second
 
-// pendingWatcher follows the queue of pending submissions. Hundreds of jobs may be in it for
-// half a minute after a burst, and to read them all each second took much of a leader's processor
-// just then: so the whole queue is read once in a while, and its changes in between. Only one
-// goroutine may use it.
+// pendingWatcher reads the queue of pending submissions incrementally. After a burst the queue can
+// contain hundreds of jobs for half a minute, and reading all of them each second takes much of the
+// leader's CPU time. So the whole queue is read only at intervals, and just its changes in between.
+// It must not be used concurrently.
 type pendingWatcher struct {
-	revision    uint64 // up to which the queue is known, 0: it has to be read whole
+	revision    uint64 // up to which the queue has been read; 0 if the whole queue must be read
 	lastReadAll units.Micros
 }
 
-// next returns what is new in the queue; after a read of the whole, all that is in it.
+// next returns the submissions added to the queue since the last call, or all submissions if it
+// reads the whole queue. After an error the next call returns the submissions missed by this one.
 func (w *pendingWatcher) next(ctx context.Context, in *Ingester) ([]protocol.Item, error) {
 	now := in.Clock.Steady()
 	if w.revision == 0 || now-w.lastReadAll >= pendingResyncInterval || in.resyncNeeded.Swap(false) {
@@ -36,10 +37,10 @@
 		return nil, err
 	}
 	w.revision = max(w.revision, list.Revision)
-	return livingItems(list.Changes), nil
+	return liveItems(list.Changes), nil
 }
 
-// readAll reads the whole queue.
+// readAll returns all submissions in the queue.
 func (w *pendingWatcher) readAll(ctx context.Context, in *Ingester, now units.Micros) ([]protocol.Item, error) {
 	w.revision = 0
 	items, revision, err := in.KV.ListAll(ctx, storage.PrefixPending)
@@ -50,8 +51,8 @@
 	return items, nil
 }
 
-// livingItems returns the records that were set and not deleted since.
-func livingItems(changes []protocol.KeyChange) []protocol.Item {
+// liveItems returns the items that were set and not deleted by a later change.
+func liveItems(changes []protocol.KeyChange) []protocol.Item {
 	deletedAt := map[string]uint64{}
 	for _, change := range changes {
 		if change.Delete != "" {
--- a/internal/persister/pendingwatcher_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -12,61 +12,61 @@
 	"dunestand/internal/units"
 )
 
-// acceptWithoutLeader puts a job into the queue of pending submissions, as another controller
-// does.
+// acceptWithoutLeader adds a job to the queue of pending submissions, as a controller does that
+// cannot reach a leader.
 func acceptWithoutLeader(t *testing.T, server *fake.KVServer, id string) {
 	t.Helper()
 	if _, ok := server.Apply(cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *fake.JobSpec(id)})); !ok {
-		t.Fatalf("%s is not put into the queue", id)
+		t.Fatalf("%s was not added to the queue", id)
 	}
 }
 
-// After a burst the queue held hundreds of jobs, and reading them all each second took much of
-// the leader's processor. Each job is read once, unless something went wrong.
+// Each pending submission is read once between resyncs. After a burst the queue can contain hundreds
+// of jobs, and reading all of them each second takes much of the leader's CPU time.
 func TestPendingQueueIsReadIncrementally(t *testing.T) {
 	server := fake.NewKVServer()
 	p, clock := newRestoredPersister(t, server, 1)
 	var watch pendingWatcher
-	expect := func(what string, want ...string) {
+	expect := func(step string, want ...string) {
 		t.Helper()
 		items, err := watch.next(t.Context(), p.Ingester)
 		if err != nil {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", step, err)
 		}
 		var got []string
 		for _, item := range items {
 			got = append(got, item.Key)
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("%s: %v, want %v", what, got, want)
+			t.Errorf("%s: %v, want %v", step, got, want)
 		}
 	}
 	first, second, third := storage.KeyPending("j-000001"), storage.KeyPending("j-000002"), storage.KeyPending("j-000003")
 	acceptWithoutLeader(t, server, "j-000001")
-	expect("at first", first)
-	expect("nothing new")
+	expect("first read", first)
+	expect("no change")
 	acceptWithoutLeader(t, server, "j-000002")
 	acceptWithoutLeader(t, server, "j-000003")
 	server.Apply(protocol.Txn{Then: []protocol.Change{{Delete: second}}})
-	expect("one came and went, one came", third)
+	expect("one added and deleted, one added", third)
 	server.Put("other/key", protocol.Encode("x"))
-	expect("a change elsewhere")
+	expect("change outside the queue")
 	p.Ingester.resyncNeeded.Store(true)
-	expect("something was not cleared", first, third)
-	expect("and then no more")
+	expect("resync needed", first, third)
+	expect("no change after the resync")
 	clock.Now += pendingResyncInterval
-	expect("once in a while", first, third)
-	ended, end := context.WithCancel(t.Context())
-	end()
+	expect("resync interval elapsed", first, third)
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
 	acceptWithoutLeader(t, server, "j-000004")
-	if items, err := watch.next(ended, p.Ingester); err == nil {
-		t.Fatalf("without an answer: %v", items)
+	if items, err := watch.next(cancelled, p.Ingester); err == nil {
+		t.Fatalf("request with a cancelled context returned %v without an error", items)
 	}
-	expect("after an outage", storage.KeyPending("j-000004"))
+	expect("after a failed request", storage.KeyPending("j-000004"))
 }
 
-// A finished job is removed from the queue, though only the batch that would have accepted it
-// once more shows that it is finished.
+// A finished job is removed from the queue even if the leader learns that it is finished only from the
+// version conflict of the batch that would accept it again.
 func TestFinishedJobIsRemovedFromPendingQueue(t *testing.T) {
 	server := fake.NewKVServer()
 	p, clock := newRestoredPersister(t, server, 1)
--- a/internal/persister/persister.go
+++ b/internal/persister/persister.go
@@ -1,9 +1,9 @@
 // Package persister writes the leader's state to the key-value store in write batches, reads
 // it back after a failover, and ingests jobs that were accepted without a leader.
 //
-// It alone writes the records of jobs and the heads of their buckets. Every batch is
-// conditional on the heads of the buckets that it touches, which a new leader claims before it
-// reads a record; so nothing that a former leader sent is carried out any more.
+// No other package writes job records or bucket heads. Every batch is conditional on the heads
+// of the buckets that it writes to. A new leader claims these heads before it reads any record, so
+// a write of a former leader that arrives later fails.
 package persister
 
 import (
@@ -21,27 +21,27 @@
 	"dunestand/internal/units"
 )
 
-// PlanConflictHandler is notified when a batch met another version of the admission plan than
-// the one that its new jobs were accepted by.
+// PlanConflictHandler is notified when a batch conflicts because the admission plan by which its
+// new jobs were admitted has been replaced.
 type PlanConflictHandler interface {
-	// Reconsider decides again about the jobs that are not accepted yet. It needs the lock
-	// of the state held.
+	// Reconsider decides again whether to admit the jobs that are not accepted yet. The caller
+	// must hold the state lock.
 	Reconsider()
-	// RereadPlan finds out which plan is in force. It must not be called with the lock of
-	// the state held.
+	// RereadPlan reads the current plan, and retries until it succeeds or ctx ends. It must be
+	// called without the state lock.
 	RereadPlan(ctx context.Context)
 }
 
-// Deps is what a Persister works with. All fields but Admission are needed before New;
-// Admission before Run.
+// Deps are the dependencies of a Persister. All are required; Admission must be set before Run is
+// called, the others before New.
 type Deps struct {
 	State      *cluster.State
 	Leadership election.Leadership
 	Ingester   *Ingester
 	Terminals  *TerminalJobs
 	Admission  PlanConflictHandler
-	// OnCatalog is called once by Restore, with the lock of the state held, with the keys and
-	// versions of the records that hold the stored catalog.
+	// OnCatalog is called once, by Restore, with the versions of the stored catalog records by
+	// key. The state lock is held during the call.
 	OnCatalog   func(versions map[string]uint64)
 	Settings    *config.Settings
 	KV          *kv.Client
@@ -51,25 +51,25 @@
 	Tracer      cluster.AttemptTracer
 	Token       uint64       // the leader's fencing token
 	ElectedAt   units.Micros // steady time
-	WriteSignal loop.Signal  // wakes Run: something is to be written for which somebody waits
-	CycleSignal loop.Signal  // raised once records are restored or written
+	WriteSignal loop.Signal  // wakes Run when urgent changes are due
+	CycleSignal loop.Signal  // raised when records have been restored or written
 }
 
 // Persister writes changed records to the key-value store and reads them back after a
-// failover. It belongs to one leader. Its methods may be called concurrently, unless they say
-// that they need the lock of the state held.
+// failover. Each leadership has its own Persister. Methods that require the state lock say so;
+// the others may be called concurrently.
 type Persister struct {
 	Deps
 
 	restored chan struct{} // closed once the records are restored
 
-	// What follows is guarded by the lock of the state.
-	writes         uint64 // numbers the batches
+	// The fields below are guarded by the state lock.
+	writes         uint64 // number of write IDs issued
 	writesInFlight int
-	bucketVersions []uint64 // of the buckets' heads, as this leader claimed them
+	bucketVersions []uint64 // versions of the bucket heads when this leader claimed them, by bucket
 }
 
-// New returns the persister of a leader that has restored nothing yet.
+// New returns the persister of a new leader, which has claimed no bucket and restored no record.
 func New(deps Deps) *Persister {
 	return &Persister{
 		Deps:           deps,
@@ -78,22 +78,23 @@
 	}
 }
 
-// NextWriteID returns a new id for a write of this leader, which begins with its fencing
-// token. It needs the lock of the state held once Run has begun.
+// NextWriteID returns a new ID for a write of this leader. It begins with the fencing token, so it
+// is unique across leaders. Once Run has started, the caller must hold the state lock.
 func (p *Persister) NextWriteID() string {
 	p.writes++
 	return fmt.Sprintf("%d-%d", p.Token, p.writes)
 }
 
-// BucketVersion returns the version of a bucket's head, as this leader claimed it.
+// BucketVersion returns the version that a bucket's head had when this leader claimed it. It must
+// be called without the state lock.
 func (p *Persister) BucketVersion(bucket int) uint64 {
 	p.State.Lock()
 	defer p.State.Unlock()
 	return p.bucketVersions[bucket]
 }
 
-// BucketVersions returns the versions of all buckets' heads, as this leader claimed them. It
-// needs the lock of the state held; the slice is the persister's own.
+// BucketVersions returns the versions that the bucket heads had when this leader claimed them, by
+// bucket. The caller must hold the state lock while it uses the slice, which the persister owns.
 func (p *Persister) BucketVersions() []uint64 { return p.bucketVersions }
 
 // Restored returns a channel that is closed once the records are restored.
--- a/internal/persister/restore.go
+++ b/internal/persister/restore.go
@@ -12,13 +12,13 @@
 	"dunestand/internal/units"
 )
 
-// UnreadableAbstention is for how long a controller that could not read the records leaves the
-// lease to others.
+// UnreadableAbstention is the time for which a controller that cannot read the records does not
+// campaign, so that another controller can take the lease.
 const UnreadableAbstention = 30 * units.Second
 
-// Restore claims the buckets, reads the records and installs them in the state. It reports
-// whether it did; if not, it is to be tried again, unless the leadership is lost. It must
-// succeed only once, and be called without the lock of the state.
+// Restore claims the buckets, reads the records and installs them in the state. It reports whether
+// it succeeded; if not, the caller must retry unless the leadership is lost. It must not be called
+// again after it has succeeded. It must be called without the state lock, and not concurrently.
 func (p *Persister) Restore(ctx context.Context) bool {
 	if err := p.claimBuckets(ctx); err != nil {
 		p.Log.Info("buckets not claimed yet", "error", err)
@@ -34,8 +34,8 @@
 	}
 	jobs, orphans, revision, err := p.readJobs(ctx)
 	if errors.Is(err, errJobsUnreadable) {
-		// A leader without such a job would forget it. Another controller may be of a version
-		// that reads it; if none is, nobody leads until an operator has looked.
+		// A leader that skipped such a job would lose it. A controller of another version may be
+		// able to read the record; if none is, there is no leader until an operator intervenes.
 		p.Log.Error("records not readable; abstaining from leadership", "error", err)
 		p.Leadership.Abstain(UnreadableAbstention)
 		return false
@@ -62,15 +62,15 @@
 	return true
 }
 
-// readJobs reads all live jobs, the keys of records that are left over of finished jobs, by job,
-// and the revision of the store at which it began. It fails with errJobsUnreadable if a job
-// would be forgotten.
+// readJobs returns all live jobs; orphans, the keys of remaining records of finished jobs, by job
+// ID; and the revision of the store at the start of the read. It fails with errJobsUnreadable if
+// the records of a job cannot be used.
 func (p *Persister) readJobs(ctx context.Context) (jobs []*cluster.Job, orphans map[string][]string, revision uint64, err error) {
-	rows, revision, err := p.KV.ListAll(ctx, storage.PrefixJobs)
+	items, revision, err := p.KV.ListAll(ctx, storage.PrefixJobs)
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	jobs, orphans, err = cluster.ParseJobs(rows)
+	jobs, orphans, err = cluster.ParseJobs(items)
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("%w: %w", errJobsUnreadable, err)
 	}
@@ -86,22 +86,22 @@
 	return jobs, orphans, revision, nil
 }
 
-// readStoredCatalog reads the catalog that a former leader stored, and the versions of its
-// records by key. One that is not readable is logged, and counts as none.
+// readStoredCatalog reads the catalog that a former leader stored, and the versions of its records
+// by key. A record that cannot be decoded is logged and omitted from the catalog.
 func (p *Persister) readStoredCatalog(ctx context.Context) (protocol.Catalog, map[string]uint64, error) {
-	list, _, err := p.KV.ListAll(ctx, storage.KeyCatalog)
+	items, _, err := p.KV.ListAll(ctx, storage.KeyCatalog)
 	if err != nil {
 		return protocol.Catalog{}, nil, err
 	}
-	catalog, stored, err := storage.ParseCatalog(list)
+	catalog, stored, err := storage.ParseCatalog(items)
 	if err != nil {
 		p.Log.Error("stored catalog not readable", "error", err)
 	}
 	return catalog, stored, nil
 }
 
-// InstallRecords makes the restored records the leader's state. It must be called once, with
-// the lock of the state held.
+// InstallRecords adds the restored jobs and the catalog to the state, and marks it as restored. It
+// must be called once. The caller must hold the state lock.
 func (p *Persister) InstallRecords(jobs []*cluster.Job, catalog protocol.Catalog) {
 	now := p.Clock.Steady()
 	p.State.SetInstanceTypes(catalog.Types)
--- a/internal/persister/terminalcache.go
+++ b/internal/persister/terminalcache.go
@@ -2,11 +2,12 @@
 
 import "dunestand/internal/storage"
 
-// terminalCacheSize bounds the terminal records that are kept in memory.
+// terminalCacheSize is the largest number of terminal records that are kept in memory.
 const terminalCacheSize = 4096
 
-// terminalCache keeps the terminal records of the jobs asked about last, in two generations of
-// half the bound each. It must not be used concurrently.
+// terminalCache caches the most recently used terminal records, by job ID. It has two generations
+// of at most maxEntries/2 records each: when the recent one is full, it replaces the previous one.
+// It must not be used concurrently.
 type terminalCache struct {
 	maxEntries       int
 	previous, recent map[string]storage.StoredTerminalRecord
--- a/internal/persister/terminaljobs.go
+++ b/internal/persister/terminaljobs.go
@@ -10,26 +10,29 @@
 	"dunestand/internal/units"
 )
 
-// terminalReadTimeout bounds the read of a terminal record. A user waits for it, for 2 s in all.
+// terminalReadTimeout is the timeout of the read of a terminal record. It leaves time for the
+// answer to the waiting user, whose request has a timeout of 2 s.
 const terminalReadTimeout = 1200 * units.Millisecond
 
-// TerminalJobs finds the terminal records of jobs: those asked about last in memory, the others
-// in the key-value store.
+// TerminalJobs provides the terminal records of finished jobs. It caches recently used records and
+// reads the others from the key-value store. Its methods may be called concurrently, as far as they
+// do not require the state lock.
 type TerminalJobs struct {
 	state  *cluster.State
 	client *kv.Client
 
-	cache *terminalCache // guarded by the lock of the state
+	cache *terminalCache // guarded by the state lock
 }
 
-// NewTerminalJobs returns the terminal jobs of a leader, none of them in memory.
+// NewTerminalJobs returns the terminal jobs of a new leader, with an empty cache. state provides the
+// lock.
 func NewTerminalJobs(state *cluster.State, client *kv.Client) *TerminalJobs {
 	return &TerminalJobs{state: state, client: client, cache: newTerminalCache(terminalCacheSize)}
 }
 
-// Lookup returns the terminal record of a job, and whether there is one. It fails with
-// kv.ErrRefused where the request budget is short, and otherwise as ReadTerminal does. It must
-// be called without the lock of the state.
+// Lookup returns the terminal record of a job, and whether there is one. If the record is not
+// cached, it fails with kv.ErrRefused if the request budget is exhausted, and with the errors of
+// ReadTerminal. It must be called without the state lock.
 func (tj *TerminalJobs) Lookup(ctx context.Context, id string) (storage.StoredTerminalRecord, bool, error) {
 	tj.state.Lock()
 	record, ok := tj.cache.get(id)
@@ -38,7 +41,7 @@
 		return record, true, nil
 	}
 	if !tj.client.HasRequestBudget() {
-		return record, false, kv.ErrRefused // questions about unknown jobs must not crowd out the rest
+		return record, false, kv.ErrRefused // queries for unknown jobs must not starve other requests
 	}
 	record, ok, err := tj.read(ctx, id)
 	if ok {
@@ -49,13 +52,13 @@
 	return record, ok, err
 }
 
-// Cached returns the terminal record of a job if it is in memory. It needs the lock of the
-// state held.
+// Cached returns the terminal record of a job, and whether it is in the cache. The caller must hold
+// the state lock.
 func (tj *TerminalJobs) Cached(id string) (storage.StoredTerminalRecord, bool) {
 	return tj.cache.get(id)
 }
 
-// Remember keeps the terminal record of a job in memory. It needs the lock of the state held.
+// Remember adds the terminal record of a job to the cache. The caller must hold the state lock.
 func (tj *TerminalJobs) Remember(id string, record storage.StoredTerminalRecord) {
 	tj.cache.put(id, record)
 }
@@ -64,8 +67,8 @@
 	return ReadTerminal(ctx, tj.client, id)
 }
 
-// ReadTerminal reads the terminal record of a job, and reports whether there is one. It fails
-// with a storage.RecordError, or with an error of the client.
+// ReadTerminal reads the terminal record of a job, and reports whether there is one. It fails with a
+// *storage.RecordError if the record cannot be used, or with an error of the client.
 func ReadTerminal(ctx context.Context, client *kv.Client, id string) (storage.StoredTerminalRecord, bool, error) {
 	var record storage.StoredTerminalRecord
 	item, ok, err := client.Get(ctx, storage.KeyTerminal(id), terminalReadTimeout)
--- a/internal/persister/terminaljobs_test.go
+++ b/internal/persister/terminaljobs_test.go
@@ -11,25 +11,25 @@
 	"dunestand/internal/units"
 )
 
-// The records asked about last stay in memory, and their number is bounded.
+// Recently used records stay in the cache, and the number of cached records is bounded.
 func TestTerminalCacheKeepsRecentRecords(t *testing.T) {
 	const size = 8
 	cache := newTerminalCache(size)
 	for n := range 10 * size {
 		cache.put(fmt.Sprintf("j-%06d", n), storage.StoredTerminalRecord{Version: uint64(n)})
 		if _, ok := cache.get("j-000000"); !ok {
-			t.Fatalf("gone after %d others, though asked about each time", n)
+			t.Fatalf("a record that is read each time was evicted after %d others", n)
 		}
 		if kept := len(cache.previous) + len(cache.recent); kept > size {
-			t.Fatalf("%d records are kept", kept)
+			t.Fatalf("%d records are cached", kept)
 		}
 	}
 	if _, ok := cache.get("j-000001"); ok {
-		t.Error("a record that nobody asked about is still kept")
+		t.Error("a record that was never read is still cached")
 	}
 }
 
-func TestReadTerminal(t *testing.T) {
+func TestReadTerminalAcceptsOnlyTerminalRecords(t *testing.T) {
 	const key = "j-000001"
 	done := storage.TerminalRecord{Stage: protocol.StageDone, Tasks: 2, Done: 2}
 	for name, c := range map[string]struct {
@@ -50,14 +50,14 @@
 			client := newTestClient(t, server, &fake.Clock{Now: units.Second})
 			record, found, err := ReadTerminal(t.Context(), client, key)
 			if found != c.found || found && (record.TerminalRecord != done || record.Version == 0) {
-				t.Errorf("%+v, %v", record, found)
+				t.Errorf("got %+v, found %v", record, found)
 			}
 			var unreadable *storage.RecordError
 			if errors.As(err, &unreadable) != c.unreadable || err != nil && !c.unreadable {
 				t.Fatalf("error: %v", err)
 			}
 			if c.unreadable && unreadable.Key != storage.KeyTerminal(key) {
-				t.Errorf("the error names %s", unreadable.Key)
+				t.Errorf("the error has the key %s", unreadable.Key)
 			}
 		})
 	}
--- a/internal/persister/transferstore_test.go
+++ b/internal/persister/transferstore_test.go
@@ -18,20 +18,20 @@
 	return &federation.OriginRecord{Transfer: transferID, Target: "dye", Phase: phase}
 }
 
-// A transfer's record is written, replaced, listed and deleted; a former leader can do nothing
-// of that, and the outcome of a write without an answer is found out.
+// A leader can write, list, replace and delete transfer records, even if responses are lost. Writes
+// of a former leader fail.
 func TestFormerLeaderCannotWriteTransferRecords(t *testing.T) {
 	server := fake.NewKVServer()
 	former, _ := newRestoredPersister(t, server, 1)
-	old := NewTransferStore(former.KV, former.BucketVersion)
+	formerStore := NewTransferStore(former.KV, former.BucketVersion)
 	intended, committed := transferRecord(federation.OriginIntended), transferRecord(federation.OriginCommitted)
-	version, err := old.CompareAndSwap(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
+	version, err := formerStore.CompareAndSwap(t.Context(), intended.Key(), intended.Encode("1-1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	leader, _ := newRestoredPersister(t, server, 2)
-	if _, err := old.CompareAndSwap(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrVersionConflict) {
-		t.Fatalf("a former leader's write: %v", err)
+	if _, err := formerStore.CompareAndSwap(t.Context(), intended.Key(), committed.Encode("1-2"), version); !errors.Is(err, federation.ErrVersionConflict) {
+		t.Fatalf("write of a former leader: got %v, want a version conflict", err)
 	}
 	store := NewTransferStore(leader.KV, leader.BucketVersion)
 	items, err := store.List(t.Context(), federation.OutgoingPrefix)
@@ -42,20 +42,21 @@
 		t.Fatalf("read: %+v, %v", r, err)
 	}
 	if _, err := store.CompareAndSwap(t.Context(), intended.Key(), committed.Encode("2-1"), 0); !errors.Is(err, federation.ErrVersionConflict) {
-		t.Errorf("a write on another version: %v", err)
+		t.Errorf("write with an outdated version: got %v, want a version conflict", err)
 	}
-	server.DropResponse = func(n int) bool { return n%2 == 0 } // every other answer is lost
+	server.DropResponse = func(n int) bool { return n%2 == 0 } // every second response is lost
 	for n, value := range [][]byte{committed.Encode("2-2"), committed.Encode("2-3"), nil} {
 		if version, err = store.CompareAndSwap(t.Context(), intended.Key(), value, version); err != nil {
 			t.Fatalf("write %d: %v", n, err)
 		}
 	}
 	if left := server.Keys(federation.OutgoingPrefix); len(left) != 0 {
-		t.Errorf("left: %v", left)
+		t.Errorf("records left after the deletion: %v", left)
 	}
 }
 
-// A write whose outcome cannot be found out does not count as one that was not carried out.
+// A write whose outcome cannot be determined is reported as a version conflict: any other error means
+// that the write was not carried out.
 func TestTransferWriteOfUnknownOutcomeIsConflict(t *testing.T) {
 	server := fake.NewKVServer()
 	leader, _ := newRestoredPersister(t, server, 1)
@@ -64,14 +65,15 @@
 	defer cancel()
 	record := transferRecord(federation.OriginIntended)
 	if _, err := NewTransferStore(leader.KV, leader.BucketVersion).CompareAndSwap(ctx, record.Key(), record.Encode("1-1"), 0); !errors.Is(err, federation.ErrVersionConflict) {
-		t.Errorf("the write: %v", err)
+		t.Errorf("got %v, want a version conflict", err)
 	}
 	if len(server.Keys(federation.OutgoingPrefix)) != 1 {
-		t.Error("it was not carried out: the test shows nothing")
+		t.Error("the write was not carried out, so the test is void")
 	}
 }
 
-// A record matches a write if it has that write's id, or is deleted as it was to be.
+// A record matches a write if it has the ID of that write, or if the write is a deletion and there is
+// no record.
 func TestTransferRecordMatchesWrite(t *testing.T) {
 	written := transferRecord(federation.OriginIntended).Encode("1-1")
 	item := func(value []byte) protocol.Item { return protocol.Item{Key: storage.KeyLeaderLease, Value: value} }
@@ -79,12 +81,12 @@
 		stored, value []byte
 		want          bool
 	}{
-		"as written":              {written, written, true},
-		"of another write":        {transferRecord(federation.OriginCommitted).Encode("1-2"), written, false},
-		"not readable":            {protocol.Encode(7), written, false},
-		"gone, not written":       {nil, written, false},
-		"still there":             {written, nil, false},
-		"deleted as it was to be": {nil, nil, true},
+		"as written":        {written, written, true},
+		"of another write":  {transferRecord(federation.OriginCommitted).Encode("1-2"), written, false},
+		"not readable":      {protocol.Encode(7), written, false},
+		"gone, not written": {nil, written, false},
+		"still there":       {written, nil, false},
+		"deleted":           {nil, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := matchesWrite(item(c.stored), c.stored != nil, c.value); got != c.want {
--- a/internal/persister/writer.go
+++ b/internal/persister/writer.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	maxWritesInFlight       = 3                       // batches on their way at a time
-	coalesceBackground      = units.Second            // changes nobody waits for are gathered so long
-	coalesceUrgent          = 2 * units.Millisecond   // submissions that come together are written together
-	backgroundWriteInterval = 200 * units.Millisecond // for the changes nobody waits for
-	// minChangesPerBatch is for how many changes the write budget must have room before a
-	// batch is built. Fewer would be many small transactions; more would let what comes
-	// meanwhile wait longer.
+	maxWritesInFlight       = 3                       // batches in flight
+	coalesceBackground      = units.Second            // delay of background changes, to coalesce them
+	coalesceUrgent          = 2 * units.Millisecond   // delay of urgent changes, to coalesce simultaneous submissions
+	backgroundWriteInterval = 200 * units.Millisecond // between checks for background changes
+	// minChangesPerBatch is the number of changes that the write budget must allow before a
+	// batch is built. A lower value causes many small transactions; a higher one delays changes
+	// that become due meanwhile.
 	minChangesPerBatch = 4
-	// writeBudgetRetry is until the write budget is looked at again.
-	writeBudgetRetry = 50 * units.Millisecond
+	// writeBudgetPollInterval is the interval between checks of an exhausted write budget.
+	writeBudgetPollInterval = 50 * units.Millisecond
 )
 
-// Run writes changed records until ctx ends, and then waits for the batches on their way.
+// Run writes changed records until ctx ends. It returns when no batch is in flight any more.
 func (p *Persister) Run(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
-	tick := backgroundWriteInterval
+	wait := backgroundWriteInterval
 	for {
 		select {
 		case <-ctx.Done():
@@ -36,18 +36,18 @@
 			if !loop.Sleep(ctx, coalesceUrgent) {
 				return
 			}
-		case <-time.After(tick.Duration()):
+		case <-time.After(wait.Duration()):
 		}
-		tick = p.startBatches(ctx, &inFlight)
+		wait = p.startBatches(ctx, &inFlight)
 	}
 }
 
-// startBatches builds and sends batches while there is something to write and room for it. It
-// returns the time until the next look.
+// startBatches builds and sends batches while changes are due and the limits allow it. It returns
+// the time to wait before the next call.
 func (p *Persister) startBatches(ctx context.Context, inFlight *sync.WaitGroup) units.Micros {
 	for {
 		if p.KV.WritesAvailable() < p.batchThreshold() {
-			return writeBudgetRetry
+			return writeBudgetPollInterval
 		}
 		batch := p.nextBatch()
 		if batch == nil {
@@ -65,16 +65,15 @@
 	}
 }
 
-// batchThreshold returns for how many changes the write budget must have room before a batch is
-// built.
+// batchThreshold returns the number of changes that the write budget must allow before a batch is
+// built: minChangesPerBatch, or the limit of a transaction if that is lower.
 func (p *Persister) batchThreshold() int {
 	return min(minChangesPerBatch, p.Settings.Fleet.State.Lowest().TxnOps)
 }
 
-// nextBatch builds the next batch if one may be sent now, and reserves its writes; nil if not,
-// or if there is nothing to write. A batch is built only once the write budget has room for it:
-// what waits for the budget can still be overtaken by what a user waits for, what is built can
-// not.
+// nextBatch builds the next batch and reserves its writes. It returns nil if no change is due or too
+// many batches are in flight. The caller must first check that the write budget allows a batch:
+// urgent changes can overtake changes that are not yet in a batch, but not a batch already built.
 func (p *Persister) nextBatch() *cluster.WriteBatch {
 	p.State.Lock()
 	defer p.State.Unlock()
