--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -85,7 +85,7 @@
 // space, else the record with the most space once unused names are removed, else a new part.
 func (r *jobRecords) shardFor(machine string) *shard {
 	size := storage.NameSize(machine)
-	if r.format == storage.FormatOld || r.openShard.nameBytes+size <= r.openShard.nameLimit {
+	if r.format == storage.FormatV1 || r.openShard.nameBytes+size <= r.openShard.nameLimit {
 		return r.openShard
 	}
 	best := r.shardWithMostSpace()
@@ -152,7 +152,7 @@
 // hasSpaceFor reports whether a record names the machine or has space for its name. In the new
 // format there is always space, because parts can be added.
 func (r *jobRecords) hasSpaceFor(machine string) bool {
-	return r.format != storage.FormatOld || r.main.nameBytes+storage.NameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
+	return r.format != storage.FormatV1 || r.main.nameBytes+storage.NameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
 }
 
 // isDurable reports whether a stored record names the machine and no later write omits the name.
--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -28,7 +28,7 @@
 		If: []protocol.Condition{{Key: storage.KeyPending(id)}, {Key: storage.KeyJob(id)}, {Key: storage.KeyTerminal(id)}},
 		Then: []protocol.Change{{
 			Set:   storage.KeyPending(id),
-			Value: protocol.Encode(newJob(p.Spec, p.Submitted, storage.FormatOld).record("", nil)),
+			Value: protocol.Encode(newJob(p.Spec, p.Submitted, storage.FormatV1).record("", nil)),
 		}},
 	}
 }
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -149,7 +149,7 @@
 				delete(items, c.Delete)
 				continue
 			}
-			if format != storage.FormatOld && sizeAsJSON(t, c.Value) > 2048 {
+			if format != storage.FormatV1 && sizeAsJSON(t, c.Value) > 2048 {
 				t.Errorf("%s is too large", c.Set)
 			}
 			items[c.Set] = protocol.Item{Key: c.Set, Value: c.Value, Version: uint64(i + 1)}
@@ -158,7 +158,7 @@
 	for step, want := range []struct {
 		types  int
 		format storage.Format
-	}{{40, storage.FormatOld}, {40, storage.FormatNew}, {3, storage.FormatNew}} {
+	}{{40, storage.FormatV1}, {40, storage.FormatNew}, {3, storage.FormatNew}} {
 		write(types[:want.types], want.format)
 		var rows []protocol.Item
 		for _, key := range slices.Sorted(maps.Keys(items)) {
@@ -169,7 +169,7 @@
 		if c, stored, err = storage.ParseCatalog(rows); err != nil || len(c.Types) != want.types {
 			t.Errorf("step %d: %d types, %v", step, len(c.Types), err)
 		}
-		if _, old := stored[storage.KeyCatalog]; old != (want.format == storage.FormatOld) {
+		if _, old := stored[storage.KeyCatalog]; old != (want.format == storage.FormatV1) {
 			t.Errorf("step %d: records %v", step, stored)
 		}
 	}
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -79,7 +79,7 @@
 			store:          &store{items: map[string]protocol.Item{}},
 			bucketVersions: make([]uint64, storage.Buckets),
 			limits:         now,
-			format:         storage.FormatOld,
+			format:         storage.FormatV1,
 		}
 		steps := rapid.IntRange(1, 3).Draw(t, "steps")
 		for step := range 2 * steps {
@@ -180,7 +180,7 @@
 		m.t.Fatal(err)
 	}
 	var legacy map[string]*fake.LegacyJob
-	if m.format == storage.FormatOld { // the next leader can be of the legacy version
+	if m.format == storage.FormatV1 { // the next leader can be of the legacy version
 		if legacy, err = fake.ParseLegacyJobs(m.store.jobItems()); err != nil || len(orphans) > 0 {
 			m.t.Fatal(err, orphans)
 		}
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -18,7 +18,7 @@
 	return recordRules{
 		limits:     limits,
 		nameBudget: storage.NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes()),
-		format:     storage.FormatOld,
+		format:     storage.FormatV1,
 	}
 }
 
--- a/internal/cluster/restore_test.go
+++ b/internal/cluster/restore_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestUnreadableRecordFailsTheRestore(t *testing.T) {
-	good := newJob(protocol.JobSpec{ID: "j-000001", Tasks: 3}, 0, storage.FormatOld).record("1-1", nil)
+	good := newJob(protocol.JobSpec{ID: "j-000001", Tasks: 3}, 0, storage.FormatV1).record("1-1", nil)
 	other := good
 	other.Tasks = protocol.MaxTasks + 1
 	later := good
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -80,7 +80,7 @@
 func (r *jobRecords) pageOf(task int) *shard {
 	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/storage.PageTasks
 	switch {
-	case r.format == storage.FormatOld:
+	case r.format == storage.FormatV1:
 		pages, kind, n = r.oldDonePages, storage.PartOldDonePage, task/storage.OldPageTasks
 		if n == 0 {
 			return r.main
@@ -98,7 +98,7 @@
 // with done.
 func (r *jobRecords) inlineDone(done bitset.Set) []byte {
 	switch {
-	case r.format == storage.FormatOld:
+	case r.format == storage.FormatV1:
 		return done.Page(0, storage.OldPageTasks)
 	case r.spec.Tasks <= storage.InlineTasks:
 		return done
@@ -124,7 +124,7 @@
 // markMainDirty marks the main record as dirty if a page in the old format is. Such a page has
 // no write ID, so only the main record shows whether the write was applied.
 func (r *jobRecords) markMainDirty() {
-	if r.format != storage.FormatOld {
+	if r.format != storage.FormatV1 {
 		return
 	}
 	for _, sh := range r.oldDonePages {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -97,7 +97,7 @@
 
 // AddJob adds a job that was restored from its records.
 func (s *State) AddJob(j *Job) {
-	if !s.rules.oldLeadersPossible() && j.records.format == storage.FormatOld {
+	if !s.rules.oldLeadersPossible() && j.records.format == storage.FormatV1 {
 		j.records.main.dirty, j.write.due = true, true // to be migrated to the new format
 	}
 	j.write.due = j.write.due || len(j.records.obsolete) > 0 // an earlier leader failed before it deleted them
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -15,7 +15,7 @@
 	w := &jobWrites{job: j, records: &j.records, writeID: id}
 	if entry.terminal != nil {
 		w.addTerminalRecord(entry.terminal)
-		if rules.oldLeadersPossible() && j.records.format == storage.FormatOld {
+		if rules.oldLeadersPossible() && j.records.format == storage.FormatV1 {
 			w.deleteOldPages()
 		}
 		return entry, w.writes
@@ -35,7 +35,7 @@
 // addLiveRecords adds the changed records of a job that is not in a terminal state.
 func (w *jobWrites) addLiveRecords(rules *recordRules) {
 	j, r := w.job, w.records
-	if !rules.oldLeadersPossible() && r.format == storage.FormatOld {
+	if !rules.oldLeadersPossible() && r.format == storage.FormatV1 {
 		r.migrate(j.done.set, j.stored, rules.nameBudget)
 	}
 	r.main.dirty = r.main.dirty || j.Cancelled && !j.CancelDurable
@@ -121,7 +121,7 @@
 // addDonePages adds the pages of the done set that have changed.
 func (w *jobWrites) addDonePages() {
 	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatNew, w.writeID
-	if w.records.format == storage.FormatOld {
+	if w.records.format == storage.FormatV1 {
 		pages, size, format, writeID = w.records.oldDonePages, storage.OldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -123,7 +123,7 @@
 		}
 	}
 	// A controller that has just started does not know that the fleet admits by a plan.
-	format.Level.Store(int64(storage.FormatOld))
+	format.Level.Store(int64(storage.FormatV1))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's format is known: %d", status)
 	}
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -64,8 +64,8 @@
 		want   *rejectionError
 		status int // 0: accepted
 	}{
-		{storage.FormatOld, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
-		{storage.FormatOld, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatV1, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
+		{storage.FormatV1, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 		{storage.FormatNew, modelQuotaCPUs, nil, 0},
 		{storage.FormatNew, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 	} {
@@ -84,7 +84,7 @@
 	store := fake.NewKVServer()
 	store.SetLimits(16<<10, 12, 1000)
 	leader := newLeaderWithStore(t, 1, store, func(d *Deps) {
-		d.Format = fake.NewRecordFormat(storage.FormatOld)
+		d.Format = fake.NewRecordFormat(storage.FormatV1)
 		d.Settings.Fleet.State = config.KVLimits{
 			RPS:      1e4,
 			WriteRPS: 1e4,
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -77,7 +77,7 @@
 		Clock:            clock,
 		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics:          telemetry.NewMetrics(),
-		Format:           fake.NewRecordFormat(storage.FormatOld),
+		Format:           fake.NewRecordFormat(storage.FormatV1),
 		UnreachablePeers: func() int { return 0 },
 		PeerReachable:    func() bool { return false },
 	}
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -51,7 +51,7 @@
 	}
 	if m.leaderUpgraded {
 		// A leader reads the fleet's record format before the records.
-		m.leader.setFormat(max(m.formats()[storage.KeyFleetFormat].Format, storage.FormatOld))
+		m.leader.setFormat(max(m.formats()[storage.KeyFleetFormat].Format, storage.FormatV1))
 	}
 	m.leader.persister.InstallRecords(jobs, modelCatalog)
 }
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -75,7 +75,7 @@
 	for i := range m.controllers {
 		names = append(names, controllerName(i))
 	}
-	if supported := recordformat.SupportedByAll(names, formats); supported > max(level, storage.FormatOld) {
+	if supported := recordformat.SupportedByAll(names, formats); supported > max(level, storage.FormatV1) {
 		level = supported
 		m.store.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -55,7 +55,7 @@
 		OnCatalog:   func(map[string]uint64) {},
 		Settings:    settings,
 		KV:          client,
-		Format:      fake.NewRecordFormat(storage.FormatOld),
+		Format:      fake.NewRecordFormat(storage.FormatV1),
 		Clock:       clock,
 		Log:         log,
 		Tracer:      cluster.NewAttemptTracer(log),
--- a/internal/recordformat/negotiator.go
+++ b/internal/recordformat/negotiator.go
@@ -61,7 +61,7 @@
 		log:         log,
 		supported:   supported,
 	}
-	n.current.Store(int64(storage.FormatOld))
+	n.current.Store(int64(storage.FormatV1))
 	return n
 }
 
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -48,14 +48,14 @@
 			t.Errorf("%s has format %d, want %d", name, got, want)
 		}
 	}
-	step("a", true, storage.FormatOld)
-	step("b", false, storage.FormatOld)
-	step("a", true, storage.FormatOld) // c is not upgraded, or has never started
-	step("c", false, storage.FormatOld)
-	step("b", false, storage.FormatOld) // a follower does not raise it
+	step("a", true, storage.FormatV1)
+	step("b", false, storage.FormatV1)
+	step("a", true, storage.FormatV1) // c is not upgraded, or has never started
+	step("c", false, storage.FormatV1)
+	step("b", false, storage.FormatV1) // a follower does not raise it
 	step("a", true, storage.FormatNew)
 	step("b", false, storage.FormatNew)
-	server.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatOld}))
+	server.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatV1}))
 	later := newNegotiators(t, server, "a", "b", "c")["b"]
 	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatNew {
 		t.Errorf("a restarted leader has format %d, %v, want the raised format", later.Current(), err)
--- a/internal/recordformat/records.go
+++ b/internal/recordformat/records.go
@@ -21,7 +21,7 @@
 func SupportedByAll(controllers []string, known map[string]StoredFormat) storage.Format {
 	format := storage.NewestFormat
 	for _, name := range controllers {
-		format = min(format, max(known[storage.KeyFormat(name)].Format, storage.FormatOld))
+		format = min(format, max(known[storage.KeyFormat(name)].Format, storage.FormatV1))
 	}
 	return format
 }
--- a/internal/storage/catalog.go
+++ b/internal/storage/catalog.go
@@ -24,7 +24,7 @@
 // holds the versions of the present catalog records by key. valueBytes is the largest size of a
 // record in the new format, in bytes of JSON; a type that does not fit into a record is omitted.
 func CatalogChanges(types []protocol.InstanceType, format Format, valueBytes int, stored map[string]uint64) []protocol.Change {
-	if format == FormatOld {
+	if format == FormatV1 {
 		return []protocol.Change{{Set: KeyCatalog, Value: protocol.Encode(protocol.Catalog{Types: types})}}
 	}
 	var changes []protocol.Change
--- a/internal/storage/formats.go
+++ b/internal/storage/formats.go
@@ -5,10 +5,10 @@
 
 // Record formats. A later format has a larger number.
 const (
-	// FormatOld, "the old format", keeps the names of all of a job's machines in a single record,
+	// FormatV1, "the old format", keeps the names of all of a job's machines in a single record,
 	// followed by the pages of a large done set. Controllers that support only this format may
 	// lead until the fleet format is raised.
-	FormatOld Format = 1
+	FormatV1 Format = 1
 	// FormatNew, "the new format", bounds the size of every record, regardless of the size of the
 	// job and the number of its machines.
 	FormatNew Format = 2
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -128,7 +128,7 @@
 // OldPageCount returns the number of done pages after the first that a reader of the old format
 // expects; 0 in other formats.
 func OldPageCount(tasks int, format Format) int {
-	if format == FormatOld {
+	if format == FormatV1 {
 		return (tasks - 1) / OldPageTasks
 	}
 	return 0
@@ -138,7 +138,7 @@
 // UnknownFormatError, ErrOutOfRange, or one that says that the job ID does not match the key.
 func (r *JobRecord) Check(key string) error {
 	switch {
-	case r.Format != FormatOld && r.Format != FormatNew:
+	case r.Format != FormatV1 && r.Format != FormatNew:
 		return UnknownFormatError(r.Format)
 	case !protocol.ValidJobID(r.ID) || KeyJob(r.ID) != key:
 		return fmt.Errorf("job ID %q is invalid or does not match the key", r.ID)
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -37,7 +37,7 @@
 func NewNameBudgetFunc(currentValueBytes, lowestValueBytes int) NameBudgetFunc {
 	return func(spec *protocol.JobSpec, format Format) NameBudget {
 		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
-		if format != FormatOld {
+		if format != FormatV1 {
 			if value, inlineDone = lowestValueBytes, spec.Tasks; inlineDone > InlineTasks {
 				inlineDone = 0
 			}
@@ -60,7 +60,7 @@
 // FitsRecords reports whether a job fits into records of a format until its end, with all tasks done.
 func FitsRecords(spec *protocol.JobSpec, format Format, limits config.KVLimits) bool {
 	budget := NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes())(spec, format)
-	if format != FormatOld {
+	if format != FormatV1 {
 		return budget.Main >= 0
 	}
 	// The end of a job deletes all its pages in one transaction.
