--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -94,7 +94,7 @@
 		s := &store{items: productionRecords(t), revision: 100}
 		for restart := 0; ; restart++ {
 			state := NewState(nil, limits)
-			state.UpgradeFormat(storage.FormatNew, 0)
+			state.UpgradeFormat(storage.FormatV2, 0)
 			jobs, orphans, err := ParseJobs(s.jobItems())
 			if err != nil || len(orphans) > 0 {
 				t.Fatal(err, orphans)
@@ -158,7 +158,7 @@
 	for step, want := range []struct {
 		types  int
 		format storage.Format
-	}{{40, storage.FormatV1}, {40, storage.FormatNew}, {3, storage.FormatNew}} {
+	}{{40, storage.FormatV1}, {40, storage.FormatV2}, {3, storage.FormatV2}} {
 		write(types[:want.types], want.format)
 		var rows []protocol.Item
 		for _, key := range slices.Sorted(maps.Keys(items)) {
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -98,8 +98,8 @@
 
 // upgrade raises the format of the records and puts the next limits into force.
 func (m *restoreModel) upgrade() {
-	m.state.UpgradeFormat(storage.FormatNew, 1)
-	m.format, m.limits = storage.FormatNew, m.kvLimits.Lowest()
+	m.state.UpgradeFormat(storage.FormatV2, 1)
+	m.format, m.limits = storage.FormatV2, m.kvLimits.Lowest()
 	m.limits.ValueKB, m.limits.TxnOps = m.kvLimits.Lowest().ValueKB, m.kvLimits.Lowest().TxnOps
 }
 
@@ -229,7 +229,7 @@
 		m.t.Fatalf("%d jobs restored of %d", len(jobs), len(m.state.Jobs))
 	}
 	for _, j := range jobs {
-		if j.records.format != storage.FormatNew {
+		if j.records.format != storage.FormatV2 {
 			m.t.Fatalf("%s is still in the old format", j.Spec.ID)
 		}
 	}
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -108,7 +108,7 @@
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return err
 	}
-	if r.Format != storage.FormatNew {
+	if r.Format != storage.FormatV2 {
 		return storage.UnknownFormatError(r.Format)
 	}
 	n, sh := part.Number, &shard{key: item.Key, version: item.Version}
@@ -135,7 +135,7 @@
 		j.records.oldDonePages[n] = sh
 		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.OldPageTasks))
 	}
-	if r.Format != storage.FormatNew {
+	if r.Format != storage.FormatV2 {
 		return storage.UnknownFormatError(r.Format)
 	}
 	if n > last/storage.PageTasks {
@@ -155,7 +155,7 @@
 	if j.IsService() {
 		clear(j.done.set) // an older version may have treated the service as a job array
 	}
-	if r.format == storage.FormatNew { // the migration stopped before it deleted the old pages
+	if r.format == storage.FormatV2 { // the migration stopped before it deleted the old pages
 		r.markOldPagesObsolete()
 	}
 	j.done.recount()
--- a/internal/cluster/restore_test.go
+++ b/internal/cluster/restore_test.go
@@ -22,7 +22,7 @@
 		"unknown part":      {Key: storage.KeyJob("j-000001") + "/x1", Value: protocol.Encode(storage.DonePageRecord{})},
 		"odd number": {
 			Key:   storage.KeyJob("j-000001") + "/m01",
-			Value: protocol.Encode(storage.MachineNamesRecord{Format: storage.FormatNew}),
+			Value: protocol.Encode(storage.MachineNamesRecord{Format: storage.FormatV2}),
 		},
 		"page of no job": {Key: storage.KeyJob("j-000001") + "x/d1", Value: protocol.Encode(storage.DonePageRecord{})},
 	} {
@@ -45,7 +45,7 @@
 	good := protocol.Encode(newJob(protocol.JobSpec{
 		ID:    "j-000001",
 		Tasks: 5000,
-	}, 0, storage.FormatNew).record("1-1", nil))
+	}, 0, storage.FormatV2).record("1-1", nil))
 	for kind, value := range map[byte]protocol.Raw{
 		storage.PartMachineNames: protocol.Encode(storage.MachineNamesRecord{Format: storage.NewestFormat + 1}),
 		storage.PartDonePage:     protocol.Encode(storage.DonePageRecord{Format: storage.NewestFormat + 1}),
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -74,7 +74,7 @@
 // read. It marks all jobs in an older format as changed, so that they are migrated when they
 // are next written. A format that is not above the current one has no effect.
 func (s *State) UpgradeFormat(format storage.Format, now units.Micros) {
-	format = min(format, storage.FormatNew) // later formats do not change the records of jobs
+	format = min(format, storage.FormatV2) // later formats do not change the records of jobs
 	if format <= s.rules.format {
 		return
 	}
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -113,14 +113,14 @@
 	for _, n := range slices.Sorted(maps.Keys(w.records.nameParts)) {
 		if sh := w.records.nameParts[n]; sh.dirty {
 			machines := w.records.namesToWrite(sh)
-			w.setRecord(sh, machines, storage.MachineNamesRecord{Format: storage.FormatNew, WriteID: w.writeID, Machines: machines})
+			w.setRecord(sh, machines, storage.MachineNamesRecord{Format: storage.FormatV2, WriteID: w.writeID, Machines: machines})
 		}
 	}
 }
 
 // addDonePages adds the pages of the done set that have changed.
 func (w *jobWrites) addDonePages() {
-	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatNew, w.writeID
+	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatV2, w.writeID
 	if w.records.format == storage.FormatV1 {
 		pages, size, format, writeID = w.records.oldDonePages, storage.OldPageTasks, 0, ""
 	}
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -69,7 +69,7 @@
 		return errNoInstanceType
 	case !storage.FitsRecords(spec, storage.NewestFormat, s.Fleet.State):
 		return errSpecTooLong
-	case format < storage.FormatNew && (spec.Kind == protocol.Service || !storage.FitsRecords(spec, format, s.Fleet.State)):
+	case format < storage.FormatV2 && (spec.Kind == protocol.Service || !storage.FitsRecords(spec, format, s.Fleet.State)):
 		// A leader of the previous version would read a service as a job array.
 		return errNotUpgraded
 	}
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -66,8 +66,8 @@
 	}{
 		{storage.FormatV1, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
 		{storage.FormatV1, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
-		{storage.FormatNew, modelQuotaCPUs, nil, 0},
-		{storage.FormatNew, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatV2, modelQuotaCPUs, nil, 0},
+		{storage.FormatV2, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 	} {
 		leader.setFormat(c.level)
 		service.Tasks = c.tasks
@@ -113,7 +113,7 @@
 	if n := store.RejectedTxns(); n == 0 || n > 3 {
 		t.Errorf("%d write batches were rejected", n)
 	}
-	leader.setFormat(storage.FormatNew)
+	leader.setFormat(storage.FormatV2)
 	expectWritten(t, leader, durable(310))
 	assignMachines(leader, 310, 900)
 	expectWritten(t, leader, durable(900))
--- a/internal/controller/harness_fleet_test.go
+++ b/internal/controller/harness_fleet_test.go
@@ -63,7 +63,7 @@
 func newReconciledLeader(machines int) (*Leader, []*protocol.Heartbeat) {
 	const perMachine, jobs = 4, 40
 	leader, clock := newEmptyLeader(1, units.Second)
-	leader.state.UpgradeFormat(storage.FormatNew, clock.Now)
+	leader.state.UpgradeFormat(storage.FormatV2, clock.Now)
 	leader.state.Teams["team"].QuotaLimit = fake.CPUs(perMachine * machines)
 	var running []*cluster.Job
 	for i := range jobs {
--- a/internal/controller/harness_service_test.go
+++ b/internal/controller/harness_service_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	clock := &fake.Clock{Now: 100 * units.Second}
 	leader := newTestLeader(7, clock)
-	leader.setFormat(storage.FormatNew)
+	leader.setFormat(storage.FormatV2)
 	leader.persister.InstallRecords(nil, modelCatalog)
 	spec := *fake.JobSpec(testJob)
 	spec.Kind, spec.Tasks, spec.ZoneSpread, spec.Priority = protocol.Service, replicas, spread, protocol.Production
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -120,7 +120,7 @@
 	}, 0, clock)
 	return newTestLeader(token, clock, append([]func(*Deps){func(d *Deps) {
 		d.KV = client
-		d.Format = recordformat.NewNegotiator("n", nil, storage.FormatNew, client, d.Log)
+		d.Format = recordformat.NewNegotiator("n", nil, storage.FormatV2, client, d.Log)
 	}}, changes...)...)
 }
 
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -96,7 +96,7 @@
 func (m *model) advanceWrite() {
 	state := m.leader.state
 	if m.batch == nil {
-		m.batchInNewFormat = m.leader.Format.Current() >= storage.FormatNew
+		m.batchInNewFormat = m.leader.Format.Current() >= storage.FormatV2
 		state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
 		m.batch = state.BuildWriteBatch(m.leader.persister.NextWriteID(), m.leader.persister.BucketVersions(), cluster.BatchLimits{
 			CoalesceFor: units.Second,
@@ -205,7 +205,7 @@
 		Estimate:  10 * units.Second,
 	}
 	// One service at most: two could occupy so many machines that a larger task fits on none.
-	if len(m.services) == 0 && m.leader.Format.Current() >= storage.FormatNew && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
+	if len(m.services) == 0 && m.leader.Format.Current() >= storage.FormatV2 && rapid.IntRange(0, 2).Draw(m.t, "a service") == 0 {
 		spec.Kind, spec.Tasks, spec.Request, spec.Priority, spec.Estimate = protocol.Service, min(spec.Tasks, 2), fake.CPUs(1), protocol.Production, 0
 		m.services[id] = true
 	}
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -95,7 +95,7 @@
 
 // lowerLimits lowers the limits of the key-value store once all controllers are upgraded.
 func (m *model) lowerLimits() {
-	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatNew {
+	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatV2 {
 		m.store.limits = m.store.limits.Lowest()
 	}
 }
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -95,7 +95,7 @@
 	for i, other := range s.Peers {
 		others[i] = other.Node
 	}
-	supported := storage.FormatNew
+	supported := storage.FormatV2
 	if options := env.admissionOptions(); options.Enabled() {
 		supported = storage.FormatAdmission
 	}
--- a/internal/recordformat/negotiator_test.go
+++ b/internal/recordformat/negotiator_test.go
@@ -29,7 +29,7 @@
 			WriteRPS: 1e4,
 		}, len(names)-1, units.NewSystemClock())
 		others := slices.Concat(names[:i], names[i+1:])
-		negotiators[name] = NewNegotiator(name, others, storage.FormatNew, client, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		negotiators[name] = NewNegotiator(name, others, storage.FormatV2, client, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	return negotiators
 }
@@ -53,11 +53,11 @@
 	step("a", true, storage.FormatV1) // c is not upgraded, or has never started
 	step("c", false, storage.FormatV1)
 	step("b", false, storage.FormatV1) // a follower does not raise it
-	step("a", true, storage.FormatNew)
-	step("b", false, storage.FormatNew)
+	step("a", true, storage.FormatV2)
+	step("b", false, storage.FormatV2)
 	server.Put(storage.KeyFormat("c"), protocol.Encode(storage.FormatRecord{Format: storage.FormatV1}))
 	later := newNegotiators(t, server, "a", "b", "c")["b"]
-	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatNew {
+	if err := later.step(t.Context(), true); err != nil || later.Current() != storage.FormatV2 {
 		t.Errorf("a restarted leader has format %d, %v, want the raised format", later.Current(), err)
 	}
 }
--- a/internal/storage/formats.go
+++ b/internal/storage/formats.go
@@ -9,9 +9,9 @@
 	// followed by the pages of a large done set. Controllers that support only this format may
 	// lead until the fleet format is raised.
 	FormatV1 Format = 1
-	// FormatNew, "the new format", bounds the size of every record, regardless of the size of the
+	// FormatV2, "the new format", bounds the size of every record, regardless of the size of the
 	// job and the number of its machines.
-	FormatNew Format = 2
+	FormatV2 Format = 2
 	// FormatAdmission has the records of FormatNew. All controllers of a fleet in this format
 	// admit jobs by the admission plan; one that does not support the plan must not lead.
 	FormatAdmission Format = 3
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -138,7 +138,7 @@
 // UnknownFormatError, ErrOutOfRange, or one that says that the job ID does not match the key.
 func (r *JobRecord) Check(key string) error {
 	switch {
-	case r.Format != FormatV1 && r.Format != FormatNew:
+	case r.Format != FormatV1 && r.Format != FormatV2:
 		return UnknownFormatError(r.Format)
 	case !protocol.ValidJobID(r.ID) || KeyJob(r.ID) != key:
 		return fmt.Errorf("job ID %q is invalid or does not match the key", r.ID)
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -46,7 +46,7 @@
 		record.WriteID = LongestWriteID
 		main := JSONSize(record)
 		part := JSONSize(MachineNamesRecord{
-			Format:   FormatNew,
+			Format:   FormatV2,
 			WriteID:  LongestWriteID,
 			Machines: []string{},
 		})
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -39,7 +39,7 @@
 	small := protocol.InstanceType{Name: "small", CPUs: 4}
 	large := protocol.InstanceType{Name: "large", Zones: make([]string, 1000)}
 	limit := catalogOverhead + JSONSize(small) + typeOverhead
-	changes := CatalogChanges([]protocol.InstanceType{small, large, small}, FormatNew, limit, nil)
+	changes := CatalogChanges([]protocol.InstanceType{small, large, small}, FormatV2, limit, nil)
 	if len(changes) != 2 || changes[0].Set != "catalog/0" || changes[1].Set != "catalog/1" {
 		t.Fatalf("changes: %+v", changes)
 	}
