--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -72,7 +72,7 @@
 // active reports whether jobs are admitted by a plan: it is enabled, and every controller that
 // may lead knows of it.
 func (a *Admitter) active() bool {
-	return a != nil && a.format.Current() >= storage.FormatAdmission
+	return a != nil && a.format.Current() >= storage.FormatV3
 }
 
 // State returns what admits jobs now: the plan in force, or the built-in fallback.
--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -33,7 +33,7 @@
 		}},
 		Options: admission.Options{Horizon: horizon},
 		KV:      kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), limits, 0, clock),
-		Format:  fake.NewRecordFormat(storage.FormatAdmission),
+		Format:  fake.NewRecordFormat(storage.FormatV3),
 		Clock:   clock,
 		Log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: telemetry.NewMetrics(),
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -105,7 +105,7 @@
 	}
 	c, _ := newRefusedController(t, store)
 	c.deps.Settings, c.deps.KV = leader.Settings, leader.KV // whose limits are far away
-	format := fake.NewRecordFormat(storage.FormatAdmission)
+	format := fake.NewRecordFormat(storage.FormatV3)
 	c.deps.Format = format
 	deps := c.deps
 	deps.Metrics = telemetry.NewMetrics()
@@ -130,7 +130,7 @@
 	if _, stored := store.Get(storage.KeyPending(testJob)); stored {
 		t.Error("the job was accepted regardless of the plan")
 	}
-	format.Level.Store(int64(storage.FormatAdmission))
+	format.Level.Store(int64(storage.FormatV3))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: %d", status)
 	}
--- a/internal/controller/harness_admission_test.go
+++ b/internal/controller/harness_admission_test.go
@@ -24,7 +24,7 @@
 func newLeaderWithAdmission(t *testing.T, token uint64, store *fake.KVServer) *Leader {
 	t.Helper()
 	leader := newLeaderWithStore(t, token, store, func(d *Deps) {
-		d.Format = fake.NewRecordFormat(storage.FormatAdmission)
+		d.Format = fake.NewRecordFormat(storage.FormatV3)
 		d.Settings.Fleet.Teams = []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}, {Name: "other", GuaranteedCPUs: 4, LimitCPUs: 8}}
 		d.Admitter = newTestAdmitter(*d)
 	})
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -97,7 +97,7 @@
 	}
 	supported := storage.FormatV2
 	if options := env.admissionOptions(); options.Enabled() {
-		supported = storage.FormatAdmission
+		supported = storage.FormatV3
 	}
 	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
 }
--- a/internal/storage/formats.go
+++ b/internal/storage/formats.go
@@ -12,9 +12,9 @@
 	// FormatV2, "the new format", bounds the size of every record, regardless of the size of the
 	// job and the number of its machines.
 	FormatV2 Format = 2
-	// FormatAdmission has the records of FormatNew. All controllers of a fleet in this format
+	// FormatV3 has the records of FormatNew. All controllers of a fleet in this format
 	// admit jobs by the admission plan; one that does not support the plan must not lead.
-	FormatAdmission Format = 3
+	FormatV3 Format = 3
 	// NewestFormat is the newest format that this version reads and writes.
-	NewestFormat = FormatAdmission
+	NewestFormat = FormatV3
 )
