--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -23,19 +23,19 @@
 // LongestWriteID has the length of the longest ID of a write batch.
 const LongestWriteID = "00000000000000000000-00000000000000000000"
 
-// NameBudget is the space that is left for the names of machines, in bytes of JSON: Main in a
+// MachineNameBudget is the space that is left for the names of machines, in bytes of JSON: Main in a
 // JobRecord, even when all tasks are done, and Part in a MachineNamesRecord. It is negative if the
 // record does not fit even without names.
-type NameBudget struct{ Main, Part int }
+type MachineNameBudget struct{ Main, Part int }
 
 // NameBudgetFunc returns the space for machine names in the records of a job in a format.
-type NameBudgetFunc func(spec *protocol.JobSpec, format Format) NameBudget
+type NameBudgetFunc func(spec *protocol.JobSpec, format Format) MachineNameBudget
 
 // NewNameBudgetFunc returns the NameBudgetFunc for the value sizes, in bytes, that the store accepts:
 // currentValueBytes now, lowestValueBytes both now and under the announced next limits. Records in
 // the old format, which cannot be divided, may use the current value size.
 func NewNameBudgetFunc(currentValueBytes, lowestValueBytes int) NameBudgetFunc {
-	return func(spec *protocol.JobSpec, format Format) NameBudget {
+	return func(spec *protocol.JobSpec, format Format) MachineNameBudget {
 		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
 		if format != FormatV1 {
 			if value, inlineDone = lowestValueBytes, spec.Tasks; inlineDone > InlineTasks {
@@ -50,7 +50,7 @@
 			WriteID:  LongestWriteID,
 			Machines: []string{},
 		})
-		return NameBudget{
+		return MachineNameBudget{
 			Main: min(value, maxRecordBytes) - main - (inlineDone/8+1)*4/3 - recordMargin,
 			Part: min(value, maxPartBytes) - part,
 		}
