--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -37,7 +37,7 @@
 }
 
 // setNameLimits sets the maximum size of the names in each record.
-func (r *jobRecords) setNameLimits(budget storage.NameBudgetFunc) {
+func (r *jobRecords) setNameLimits(budget storage.MachineNameBudgetFunc) {
 	available := budget(r.spec, r.format)
 	r.main.nameLimit, r.partNameLimit = available.Main, available.Part
 	for _, sh := range r.nameParts {
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -9,7 +9,7 @@
 // of the State guards them.
 type recordRules struct {
 	limits            config.KVLimits // of the key-value store
-	nameBudget        storage.NameBudgetFunc
+	nameBudget        storage.MachineNameBudgetFunc
 	format            storage.Format // the newest that every leader can read
 	nextLimitsApplied bool           // the announced next limits are in force
 }
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -108,7 +108,7 @@
 
 // migrate starts the migration of a job to the new format. The main record is written after
 // all parts, because until then the stored one in the old format names all machines.
-func (r *jobRecords) migrate(done bitset.Set, stored bool, budget storage.NameBudgetFunc) {
+func (r *jobRecords) migrate(done bitset.Set, stored bool, budget storage.MachineNameBudgetFunc) {
 	r.format, r.migrating = storage.FormatV2, stored
 	r.main.dirty = true
 	for p := 0; p*storage.PageTasks < r.spec.Tasks && r.spec.Tasks > storage.InlineTasks; p++ {
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -28,13 +28,13 @@
 // record does not fit even without names.
 type MachineNameBudget struct{ Main, Part int }
 
-// NameBudgetFunc returns the space for machine names in the records of a job in a format.
-type NameBudgetFunc func(spec *protocol.JobSpec, format Format) MachineNameBudget
+// MachineNameBudgetFunc returns the space for machine names in the records of a job in a format.
+type MachineNameBudgetFunc func(spec *protocol.JobSpec, format Format) MachineNameBudget
 
 // NewNameBudgetFunc returns the NameBudgetFunc for the value sizes, in bytes, that the store accepts:
 // currentValueBytes now, lowestValueBytes both now and under the announced next limits. Records in
 // the old format, which cannot be divided, may use the current value size.
-func NewNameBudgetFunc(currentValueBytes, lowestValueBytes int) NameBudgetFunc {
+func NewNameBudgetFunc(currentValueBytes, lowestValueBytes int) MachineNameBudgetFunc {
 	return func(spec *protocol.JobSpec, format Format) MachineNameBudget {
 		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
 		if format != FormatV1 {
