--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -17,7 +17,7 @@
 func newRecordRules(limits config.KVLimits) recordRules {
 	return recordRules{
 		limits:     limits,
-		nameBudget: storage.NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes()),
+		nameBudget: storage.NewMachineNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes()),
 		format:     storage.FormatV1,
 	}
 }
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -31,10 +31,10 @@
 // MachineNameBudgetFunc returns the space for machine names in the records of a job in a format.
 type MachineNameBudgetFunc func(spec *protocol.JobSpec, format Format) MachineNameBudget
 
-// NewNameBudgetFunc returns the NameBudgetFunc for the value sizes, in bytes, that the store accepts:
+// NewMachineNameBudgetFunc returns the NameBudgetFunc for the value sizes, in bytes, that the store accepts:
 // currentValueBytes now, lowestValueBytes both now and under the announced next limits. Records in
 // the old format, which cannot be divided, may use the current value size.
-func NewNameBudgetFunc(currentValueBytes, lowestValueBytes int) MachineNameBudgetFunc {
+func NewMachineNameBudgetFunc(currentValueBytes, lowestValueBytes int) MachineNameBudgetFunc {
 	return func(spec *protocol.JobSpec, format Format) MachineNameBudget {
 		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
 		if format != FormatV1 {
@@ -59,7 +59,7 @@
 
 // FitsRecords reports whether a job fits into records of a format until its end, with all tasks done.
 func FitsRecords(spec *protocol.JobSpec, format Format, limits config.KVLimits) bool {
-	budget := NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes())(spec, format)
+	budget := NewMachineNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes())(spec, format)
 	if format != FormatV1 {
 		return budget.Main >= 0
 	}
