--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -48,7 +48,7 @@
 // addName adds a name to a record, which becomes dirty.
 func (r *jobRecords) addName(sh *shard, machine string, durable bool) {
 	sh.machines[machine] = durable
-	sh.nameBytes += storage.NameSize(machine)
+	sh.nameBytes += storage.MachineNameSize(machine)
 	sh.dirty = true
 	r.shardOf[machine] = sh
 }
@@ -58,7 +58,7 @@
 func (r *jobRecords) dropName(machine string) {
 	sh := r.shardOf[machine]
 	delete(sh.machines, machine)
-	sh.nameBytes -= storage.NameSize(machine)
+	sh.nameBytes -= storage.MachineNameSize(machine)
 	delete(r.shardOf, machine)
 }
 
@@ -84,7 +84,7 @@
 // shardFor selects the record for a new name: the one that got the last new name if it has
 // space, else the record with the most space once unused names are removed, else a new part.
 func (r *jobRecords) shardFor(machine string) *shard {
-	size := storage.NameSize(machine)
+	size := storage.MachineNameSize(machine)
 	if r.format == storage.FormatV1 || r.openShard.nameBytes+size <= r.openShard.nameLimit {
 		return r.openShard
 	}
@@ -138,7 +138,7 @@
 	for _, m := range sortedNames(r.main.machines) {
 		if !r.inUse(m) {
 			r.dropName(m)
-		} else if kept += storage.NameSize(m); kept > r.main.nameLimit {
+		} else if kept += storage.MachineNameSize(m); kept > r.main.nameLimit {
 			excess = append(excess, m)
 		}
 	}
@@ -152,7 +152,7 @@
 // hasSpaceFor reports whether a record names the machine or has space for its name. In the new
 // format there is always space, because parts can be added.
 func (r *jobRecords) hasSpaceFor(machine string) bool {
-	return r.format != storage.FormatV1 || r.main.nameBytes+storage.NameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
+	return r.format != storage.FormatV1 || r.main.nameBytes+storage.MachineNameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
 }
 
 // isDurable reports whether a stored record names the machine and no later write omits the name.
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -67,5 +67,5 @@
 	return budget.Main >= minNameBytes && 3+(spec.Tasks-1)/OldPageTasks <= limits.TxnOps
 }
 
-// NameSize returns the size in bytes of a machine name in a JSON list, with its quotes and comma.
-func NameSize(machine string) int { return len(machine) + 3 }
+// MachineNameSize returns the size in bytes of a machine name in a JSON list, with its quotes and comma.
+func MachineNameSize(machine string) int { return len(machine) + 3 }
