--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -102,8 +102,9 @@
 	}
 }
 
-// tooLarge reports whether a job has a record in the old format that exceeds the new limits of
-// the key-value store and must not be split yet, because an old leader may still read it.
+// tooLarge reports whether a job has a record in FormatV1 that exceeds the next limits of the
+// key-value store and must not be split yet, because a leader that supports only FormatV1 may
+// still read it.
 func (b *batchBuilder) tooLarge(j *Job, all []write) bool {
 	if !b.rules.nextLimitsApplied || !b.rules.oldLeadersPossible() {
 		return false
--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// A page in the old format has no write ID. Unless the main record is written with it, a leader
+// A page in FormatV1 has no write ID. Unless the main record is written with it, a leader
 // that got no response to a committed batch does not recognise the batch as its own.
 func TestOldPagesAreWrittenWithMainRecord(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -20,7 +20,7 @@
 // only if there is no record of the job, so a delayed transaction fails if the job was accepted
 // in another way or has ended.
 //
-// The record is always in the old format, which leaders of every version can read. It is small
+// The record is always in FormatV1, which leaders of every version can read. It is small
 // enough for that format.
 func PendingSubmissionTxn(p PendingSubmission) protocol.Txn {
 	id := p.Spec.ID
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Records in the old format can be larger than the lowered limit of a value. They are split
+// Records in FormatV1 can be larger than the lowered limit of a value. They are split
 // before they have to be changed. Wherever a crash interrupts that, all 600 machines remain
 // named and all completions are kept.
 func TestLargeOldRecordsAreSplit(t *testing.T) {
@@ -129,7 +129,7 @@
 }
 
 // A catalog that exceeds the limit of a value is split into several records. Both the single
-// record of the old format and the split records can be read.
+// record of FormatV1 and the split records can be read.
 func TestCatalogTooLargeForOneRecordIsSplit(t *testing.T) {
 	var types []protocol.InstanceType
 	for i := range 40 {
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -62,7 +62,7 @@
 }
 
 // For any jobs, completions and placements, a restore after any write batch reads the state that
-// was written, in the old format, in the new one and during the migration: every machine that
+// was written, in FormatV1, in FormatV2 and during the migration: every machine that
 // may hold a task is named, no durable completion is lost, and no record or transaction exceeds
 // its limit.
 func TestWrittenJobsAreRestored(t *testing.T) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// checkRestore checks the jobs that a new leader would restore. In the old format it also checks
+// checkRestore checks the jobs that a new leader would restore. In FormatV1 it also checks
 // what a leader of the legacy version would restore.
 func (m *restoreModel) checkRestore() {
 	jobs, orphans, err := ParseJobs(m.store.jobItems())
@@ -221,8 +221,7 @@
 	}
 }
 
-// checkMigrated checks that all jobs are in the new format and no record in the old format is
-// left.
+// checkMigrated checks that all jobs are in FormatV2 and no record in FormatV1 is left.
 func (m *restoreModel) checkMigrated() {
 	jobs, _, _ := ParseJobs(m.store.jobItems())
 	if len(jobs) != len(m.state.Jobs) {
@@ -230,12 +229,12 @@
 	}
 	for _, j := range jobs {
 		if j.records.format != storage.FormatV2 {
-			m.t.Fatalf("%s is still in the old format", j.Spec.ID)
+			m.t.Fatalf("%s is still in FormatV1", j.Spec.ID)
 		}
 	}
 	for _, item := range m.store.jobItems() {
 		if strings.Contains(item.Key, "/p") {
-			m.t.Fatalf("%s is left in the old format", item.Key)
+			m.t.Fatalf("%s is left in FormatV1", item.Key)
 		}
 	}
 }
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// oldLeadersPossible reports whether a later leader may be able to read only the old format.
+// oldLeadersPossible reports whether a later leader may be able to read only FormatV1.
 func (r *recordRules) oldLeadersPossible() bool { return r.format < storage.FormatV2 }
 
 // maxChanges returns the maximum number of changes in a transaction.
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -10,7 +10,7 @@
 
 // ParseJobs decodes the records under the jobs' prefix. If any record cannot be decoded it
 // returns a *storage.RecordError, because skipping a record would lose a job. The records of a
-// job whose migration to the new format is incomplete are merged from both formats. orphans
+// job whose migration to FormatV2 is incomplete are merged from both formats. orphans
 // are the keys of parts without a main record, by job ID: such parts are left over from jobs
 // that have ended.
 func ParseJobs(items []protocol.Item) (jobs []*Job, orphans map[string][]string, err error) {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// parsePage decodes a part with a page of the job's done set, in either format.
+// parsePage decodes a part with a page of the job's done set, in FormatV1 or FormatV2.
 func (j *Job) parsePage(item protocol.Item, part storage.JobPart) error {
 	var r storage.DonePageRecord
 	if err := protocol.Decode(item.Value, &r); err != nil {
@@ -155,7 +155,7 @@
 	if j.IsService() {
 		clear(j.done.set) // an older version may have treated the service as a job array
 	}
-	if r.format == storage.FormatV2 { // the migration stopped before it deleted the old pages
+	if r.format == storage.FormatV2 { // the migration stopped before it deleted the pages in FormatV1
 		r.markOldPagesObsolete()
 	}
 	j.done.recount()
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -32,12 +32,12 @@
 	attempts     map[string]int  // number of live attempts by machine
 
 	format       storage.Format
-	migrating    bool           // to the new format; the stored main record is in the old one
+	migrating    bool           // to FormatV2; the stored main record is in FormatV1
 	main         *shard         // the main record
 	nameParts    map[int]*shard // by number: parts with machine names that do not fit in main
-	donePages    map[int]*shard // by number: parts with pages of the done set, in the new format
-	oldDonePages map[int]*shard // the same in the old format
-	obsolete     []string       // keys of parts in the old format that are to be deleted
+	donePages    map[int]*shard // by number: parts with pages of the done set, in FormatV2
+	oldDonePages map[int]*shard // the same in FormatV1
+	obsolete     []string       // keys of parts in FormatV1 that are to be deleted
 
 	shardOf       map[string]*shard // by machine: the record that names it
 	openShard     *shard            // the record that got the last new name
@@ -64,7 +64,7 @@
 	}
 }
 
-// markOldPagesObsolete schedules the stored pages in the old format for deletion.
+// markOldPagesObsolete schedules the stored pages in FormatV1 for deletion.
 func (r *jobRecords) markOldPagesObsolete() {
 	for n, sh := range r.oldDonePages {
 		if sh.version != 0 {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// migrate starts the migration of a job to the new format. The main record is written after
-// all parts, because until then the stored one in the old format names all machines.
+// migrate starts the migration of a job to FormatV2. The main record is written after all
+// parts, because until then the stored one in FormatV1 names all machines.
 func (r *jobRecords) migrate(done bitset.Set, stored bool, budget storage.MachineNameBudgetFunc) {
 	r.format, r.migrating = storage.FormatV2, stored
 	r.main.dirty = true
@@ -121,8 +121,8 @@
 	r.moveExcessNames()
 }
 
-// markMainDirty marks the main record as dirty if a page in the old format is. Such a page has
-// no write ID, so only the main record shows whether the write was applied.
+// markMainDirty marks the main record as dirty if a page in FormatV1 is. Such a page has no
+// write ID, so only the main record shows whether the write was applied.
 func (r *jobRecords) markMainDirty() {
 	if r.format != storage.FormatV1 {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// recordDeleted removes an old part whose record was deleted from the key-value store.
+// recordDeleted removes a part in FormatV1 whose record was deleted from the key-value store.
 func (r *jobRecords) recordDeleted(key string) {
 	r.obsolete = slices.DeleteFunc(r.obsolete, func(o string) bool { return o == key })
 	for n, sh := range r.oldDonePages {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -51,7 +51,7 @@
 	memory         int64         // estimate for all live jobs, in bytes
 }
 
-// NewState returns an empty state that writes records in the old format and keeps write
+// NewState returns an empty state that writes records in FormatV1 and keeps write
 // batches within the limits of the key-value store.
 func NewState(teams []config.Team, limits config.KVLimits) *State {
 	s := &State{
@@ -98,7 +98,7 @@
 // AddJob adds a job that was restored from its records.
 func (s *State) AddJob(j *Job) {
 	if !s.rules.oldLeadersPossible() && j.records.format == storage.FormatV1 {
-		j.records.main.dirty, j.write.due = true, true // to be migrated to the new format
+		j.records.main.dirty, j.write.due = true, true // to be migrated to FormatV2
 	}
 	j.write.due = j.write.due || len(j.records.obsolete) > 0 // an earlier leader failed before it deleted them
 	j.records.setNameLimits(s.rules.nameBudget)
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -87,8 +87,8 @@
 	w.deletePendingSubmission()
 }
 
-// deleteOldPages adds the deletion of pages in the old format together with the main record,
-// because a reader of the old format rejects pages without a main record.
+// deleteOldPages adds the deletion of pages in FormatV1 together with the main record, because a
+// reader of FormatV1 rejects pages without a main record.
 func (w *jobWrites) deleteOldPages() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.oldDonePages)) {
 		if sh := w.records.oldDonePages[n]; sh.version != 0 {
--- a/internal/storage/catalog.go
+++ b/internal/storage/catalog.go
@@ -9,7 +9,7 @@
 	"dunestand/internal/protocol"
 )
 
-// keyCatalogPart returns the key of the n-th record of the catalog. In the new format the catalog is
+// keyCatalogPart returns the key of the n-th record of the catalog. From FormatV2 on the catalog is
 // divided into several records, since its size grows with the number of instance types.
 func keyCatalogPart(n int) string { return fmt.Sprintf("%s/%d", KeyCatalog, n) }
 
@@ -22,7 +22,7 @@
 // CatalogChanges returns the changes that replace the stored catalog by one of the given types in
 // the given format. Sets come before deletions, so that no type is missing at any moment. stored
 // holds the versions of the present catalog records by key. valueBytes is the largest size of a
-// record in the new format, in bytes of JSON; a type that does not fit into a record is omitted.
+// record from FormatV2 on, in bytes of JSON; a type that does not fit into a record is omitted.
 func CatalogChanges(types []protocol.InstanceType, format Format, valueBytes int, stored map[string]uint64) []protocol.Change {
 	if format == FormatV1 {
 		return []protocol.Change{{Set: KeyCatalog, Value: protocol.Encode(protocol.Catalog{Types: types})}}
@@ -69,13 +69,13 @@
 	return parts
 }
 
-// ParseCatalog decodes the catalog from records of either format, and returns the versions of these
+// ParseCatalog decodes the catalog from records in any format, and returns the versions of these
 // records by key. Items with other keys are ignored. A record that cannot be decoded is omitted from
 // the catalog and reported as a *RecordError: if there are several, the one that is first in items.
 func ParseCatalog(items []protocol.Item) (catalog protocol.Catalog, stored map[string]uint64, err error) {
 	stored = map[string]uint64{}
 	seen := map[string]bool{}
-	for _, item := range slices.Backward(items) { // the record in the old format comes first and may be outdated
+	for _, item := range slices.Backward(items) { // the record in FormatV1 comes first and may be outdated
 		if item.Key != KeyCatalog && !strings.HasPrefix(item.Key, KeyCatalog+"/") {
 			continue
 		}
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -40,8 +40,8 @@
 	Submitted          units.Micros `cbor:"submitted" json:"submitted"` // time of day
 	Cancelled          bool         `cbor:"cancelled" json:"cancelled"`
 	Machines           []string     `cbor:"machines" json:"machines"` // those that may hold tasks of the job
-	Done               string       `cbor:"done" json:"done"`         // the done set as base64 if it is stored here, or its first page in the old format
-	Pages              int          `cbor:"pages" json:"pages"`       // number of further pages, in the old format
+	Done               string       `cbor:"done" json:"done"`         // the done set as base64 if it is stored here, or its first page in FormatV1
+	Pages              int          `cbor:"pages" json:"pages"`       // number of further pages, in FormatV1
 }
 
 // MachineNamesRecord holds the names of a job's machines that did not fit into its JobRecord, or
@@ -55,19 +55,19 @@
 // DonePageRecord is one page of the done set of a large job array: one bit per task, set if the task
 // has completed.
 type DonePageRecord struct {
-	Format  Format `cbor:"v,omitempty" json:"v"` // 0 in the old format
+	Format  Format `cbor:"v,omitempty" json:"v"` // 0 in FormatV1
 	WriteID string `cbor:"save,omitempty" json:"save"`
 	Done    string `cbor:"done" json:"done"`
 }
 
 const (
-	// OldPageTasks is the number of tasks per page in the old format: 2 KiB of bits, stored as
-	// 2.7 KiB of base64, since the key-value store holds only text.
+	// OldPageTasks is the number of tasks per page in FormatV1: 2 KiB of bits, stored as 2.7 KiB
+	// of base64, since the key-value store holds only text.
 	OldPageTasks = 16 << 10
-	// PageTasks is the number of tasks per page in the new format: 0.7 KiB of base64.
+	// PageTasks is the number of tasks per page from FormatV2 on: 0.7 KiB of base64.
 	PageTasks = 4 << 10
 	// InlineTasks is the largest number of tasks of a job whose done set is stored in its
-	// JobRecord, in the new format.
+	// JobRecord, from FormatV2 on.
 	InlineTasks = 1 << 10
 )
 
@@ -91,7 +91,7 @@
 		return errors.New("done set is longer than the job")
 	}
 	for i, x := range raw {
-		into[i] |= x // pages of both formats may cover the same tasks
+		into[i] |= x // pages in FormatV1 and FormatV2 may cover the same tasks
 	}
 	return nil
 }
@@ -125,8 +125,8 @@
 	}
 }
 
-// OldPageCount returns the number of done pages after the first that a reader of the old format
-// expects; 0 in other formats.
+// OldPageCount returns the number of done pages after the first that a reader of FormatV1 expects;
+// 0 in other formats.
 func OldPageCount(tasks int, format Format) int {
 	if format == FormatV1 {
 		return (tasks - 1) / OldPageTasks
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -18,7 +18,7 @@
 // them.
 const (
 	KeyLeaderLease = "fleet"
-	KeyCatalog     = "catalog" // in the new format, the prefix of the catalog's keys
+	KeyCatalog     = "catalog" // from FormatV2 on, the prefix of the catalog's keys
 	// PrefixFormats is the prefix of the records of the formats that the controllers read, and
 	// of the fleet format.
 	PrefixFormats     = "format/"
@@ -66,7 +66,7 @@
 const (
 	PartMachineNames = 'm' // a MachineNamesRecord
 	PartDonePage     = 'd' // a DonePageRecord
-	PartOldDonePage  = 'p' // a DonePageRecord in the old format
+	PartOldDonePage  = 'p' // a DonePageRecord in FormatV1
 )
 
 // partKinds contains all kinds of part records.
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -13,8 +13,8 @@
 	// maxPartBytes is the limit of a MachineNamesRecord. It keeps it cheap to add a machine, which
 	// rewrites the record.
 	maxPartBytes = 8 << 10
-	// minNameBytes is the space for machine names that a job needs in order to be accepted in the
-	// old format.
+	// minNameBytes is the space for machine names that a job needs in order to be accepted in
+	// FormatV1.
 	minNameBytes = 1000
 	// recordMargin is the space that is left free in a JobRecord.
 	recordMargin = 64
@@ -31,9 +31,9 @@
 // MachineNameBudgetFunc returns the space for machine names in the records of a job in a format.
 type MachineNameBudgetFunc func(spec *protocol.JobSpec, format Format) MachineNameBudget
 
-// NewMachineNameBudgetFunc returns the NameBudgetFunc for the value sizes, in bytes, that the store accepts:
-// currentValueBytes now, lowestValueBytes both now and under the announced next limits. Records in
-// the old format, which cannot be divided, may use the current value size.
+// NewMachineNameBudgetFunc returns the MachineNameBudgetFunc for the value sizes, in bytes, that the
+// store accepts: currentValueBytes now, lowestValueBytes both now and under the announced next
+// limits. Records in FormatV1, which cannot be divided, may use the current value size.
 func NewMachineNameBudgetFunc(currentValueBytes, lowestValueBytes int) MachineNameBudgetFunc {
 	return func(spec *protocol.JobSpec, format Format) MachineNameBudget {
 		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
@@ -67,5 +67,6 @@
 	return budget.Main >= minNameBytes && 3+(spec.Tasks-1)/OldPageTasks <= limits.TxnOps
 }
 
-// MachineNameSize returns the size in bytes of a machine name in a JSON list, with its quotes and comma.
+// MachineNameSize returns the size in bytes of a machine name in a JSON list, with its quotes and
+// comma.
 func MachineNameSize(machine string) int { return len(machine) + 3 }
