--- a/internal/persister/commit.go
+++ b/internal/persister/commit.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// findCauses returns the causes of a version conflict. ok is false if the leader stepped down or ctx
-// ended.
+// findCauses returns the causes of a version conflict, and reports false if the leader stepped down
+// or ctx ended.
 func (p *Persister) findCauses(ctx context.Context, batch *cluster.WriteBatch, conflict *kv.VersionConflictError) (conflictCauses, bool) {
 	causes := conflictCauses{finishedJobs: map[string]storage.StoredTerminalRecord{}}
 	for _, key := range conflict.Keys {
