--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -71,7 +71,7 @@
 // active reports whether jobs are admitted by a plan: admission by a plan is enabled, and the
 // fleet's record format says that every controller that may lead supports it.
 func (a *Admitter) active() bool {
-	return a != nil && a.format.Current() >= storage.FormatAdmission
+	return a != nil && a.format.Current() >= storage.FormatV3
 }
 
 // State returns the current state of the plan store: the plan in force, if any, and its source.
--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -20,7 +20,7 @@
 // only if there is no record of the job, so a delayed transaction fails if the job was accepted
 // in another way or has ended.
 //
-// The record is always in the old format, which leaders of every version can read. It is small
+// The record is always in FormatV1, which leaders of every version can read. It is small
 // enough for that format.
 func PendingSubmissionTxn(p PendingSubmission) protocol.Txn {
 	id := p.Spec.ID
@@ -28,7 +28,7 @@
 		If: []protocol.Condition{{Key: storage.KeyPending(id)}, {Key: storage.KeyJob(id)}, {Key: storage.KeyTerminal(id)}},
 		Then: []protocol.Change{{
 			Set:   storage.KeyPending(id),
-			Value: protocol.Encode(newJob(p.Spec, p.Submitted, storage.FormatOld).record("", nil)),
+			Value: protocol.Encode(newJob(p.Spec, p.Submitted, storage.FormatV1).record("", nil)),
 		}},
 	}
 }
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Records in the old format can be larger than the lowered limit of a value. They are split
+// Records in FormatV1 can be larger than the lowered limit of a value. They are split
 // before they have to be changed. Wherever a crash interrupts that, all 600 machines remain
 // named and all completions are kept.
 func TestLargeOldRecordsAreSplit(t *testing.T) {
@@ -94,7 +94,7 @@
 		s := &store{items: productionRecords(t), revision: 100}
 		for restart := 0; ; restart++ {
 			state := NewState(nil, limits)
-			state.UpgradeFormat(storage.FormatNew, 0)
+			state.UpgradeFormat(storage.FormatV2, 0)
 			jobs, orphans, err := ParseJobs(s.jobItems())
 			if err != nil || len(orphans) > 0 {
 				t.Fatal(err, orphans)
@@ -129,7 +129,7 @@
 }
 
 // A catalog that exceeds the limit of a value is split into several records. Both the single
-// record of the old format and the split records can be read.
+// record of FormatV1 and the split records can be read.
 func TestCatalogTooLargeForOneRecordIsSplit(t *testing.T) {
 	var types []protocol.InstanceType
 	for i := range 40 {
@@ -149,7 +149,7 @@
 				delete(items, c.Delete)
 				continue
 			}
-			if format != storage.FormatOld && sizeAsJSON(t, c.Value) > 2048 {
+			if format != storage.FormatV1 && sizeAsJSON(t, c.Value) > 2048 {
 				t.Errorf("%s is too large", c.Set)
 			}
 			items[c.Set] = protocol.Item{Key: c.Set, Value: c.Value, Version: uint64(i + 1)}
@@ -158,7 +158,7 @@
 	for step, want := range []struct {
 		types  int
 		format storage.Format
-	}{{40, storage.FormatOld}, {40, storage.FormatNew}, {3, storage.FormatNew}} {
+	}{{40, storage.FormatV1}, {40, storage.FormatV2}, {3, storage.FormatV2}} {
 		write(types[:want.types], want.format)
 		var rows []protocol.Item
 		for _, key := range slices.Sorted(maps.Keys(items)) {
@@ -169,7 +169,7 @@
 		if c, stored, err = storage.ParseCatalog(rows); err != nil || len(c.Types) != want.types {
 			t.Errorf("step %d: %d types, %v", step, len(c.Types), err)
 		}
-		if _, old := stored[storage.KeyCatalog]; old != (want.format == storage.FormatOld) {
+		if _, old := stored[storage.KeyCatalog]; old != (want.format == storage.FormatV1) {
 			t.Errorf("step %d: records %v", step, stored)
 		}
 	}
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -62,7 +62,7 @@
 }
 
 // For any jobs, completions and placements, a restore after any write batch reads the state that
-// was written, in the old format, in the new one and during the migration: every machine that
+// was written, in FormatV1, in FormatV2 and during the migration: every machine that
 // may hold a task is named, no durable completion is lost, and no record or transaction exceeds
 // its limit.
 func TestWrittenJobsAreRestored(t *testing.T) {
@@ -79,7 +79,7 @@
 			store:          &store{items: map[string]protocol.Item{}},
 			bucketVersions: make([]uint64, storage.Buckets),
 			limits:         now,
-			format:         storage.FormatOld,
+			format:         storage.FormatV1,
 		}
 		steps := rapid.IntRange(1, 3).Draw(t, "steps")
 		for step := range 2 * steps {
@@ -98,8 +98,8 @@
 
 // upgrade raises the format of the records and puts the next limits into force.
 func (m *restoreModel) upgrade() {
-	m.state.UpgradeFormat(storage.FormatNew, 1)
-	m.format, m.limits = storage.FormatNew, m.kvLimits.Lowest()
+	m.state.UpgradeFormat(storage.FormatV2, 1)
+	m.format, m.limits = storage.FormatV2, m.kvLimits.Lowest()
 	m.limits.ValueKB, m.limits.TxnOps = m.kvLimits.Lowest().ValueKB, m.kvLimits.Lowest().TxnOps
 }
 
@@ -172,7 +172,7 @@
 	}
 }
 
-// checkRestore checks the jobs that a new leader would restore. In the old format it also checks
+// checkRestore checks the jobs that a new leader would restore. In FormatV1 it also checks
 // what a leader of the legacy version would restore.
 func (m *restoreModel) checkRestore() {
 	jobs, orphans, err := ParseJobs(m.store.jobItems())
@@ -180,7 +180,7 @@
 		m.t.Fatal(err)
 	}
 	var legacy map[string]*fake.LegacyJob
-	if m.format == storage.FormatOld { // the next leader can be of the legacy version
+	if m.format == storage.FormatV1 { // the next leader can be of the legacy version
 		if legacy, err = fake.ParseLegacyJobs(m.store.jobItems()); err != nil || len(orphans) > 0 {
 			m.t.Fatal(err, orphans)
 		}
@@ -221,21 +221,20 @@
 	}
 }
 
-// checkMigrated checks that all jobs are in the new format and no record in the old format is
-// left.
+// checkMigrated checks that all jobs are in FormatV2 and no record in FormatV1 is left.
 func (m *restoreModel) checkMigrated() {
 	jobs, _, _ := ParseJobs(m.store.jobItems())
 	if len(jobs) != len(m.state.Jobs) {
 		m.t.Fatalf("%d jobs restored of %d", len(jobs), len(m.state.Jobs))
 	}
 	for _, j := range jobs {
-		if j.records.format != storage.FormatNew {
-			m.t.Fatalf("%s is still in the old format", j.Spec.ID)
+		if j.records.format != storage.FormatV2 {
+			m.t.Fatalf("%s is still in FormatV1", j.Spec.ID)
 		}
 	}
 	for _, item := range m.store.jobItems() {
 		if strings.Contains(item.Key, "/p") {
-			m.t.Fatalf("%s is left in the old format", item.Key)
+			m.t.Fatalf("%s is left in FormatV1", item.Key)
 		}
 	}
 }
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -9,7 +9,7 @@
 // of the State guards them.
 type recordRules struct {
 	limits            config.KVLimits // of the key-value store
-	nameBudget        storage.NameBudgetFunc
+	nameBudget        storage.MachineNameBudgetFunc
 	format            storage.Format // the newest that every leader can read
 	nextLimitsApplied bool           // the announced next limits are in force
 }
@@ -17,13 +17,13 @@
 func newRecordRules(limits config.KVLimits) recordRules {
 	return recordRules{
 		limits:     limits,
-		nameBudget: storage.NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes()),
-		format:     storage.FormatOld,
+		nameBudget: storage.NewMachineNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes()),
+		format:     storage.FormatV1,
 	}
 }
 
-// oldLeadersPossible reports whether a later leader may be able to read only the old format.
-func (r *recordRules) oldLeadersPossible() bool { return r.format < storage.FormatNew }
+// oldLeadersPossible reports whether a later leader may be able to read only FormatV1.
+func (r *recordRules) oldLeadersPossible() bool { return r.format < storage.FormatV2 }
 
 // maxChanges returns the maximum number of changes in a transaction.
 func (r *recordRules) maxChanges() int {
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -15,7 +15,7 @@
 	w := &jobWrites{job: j, records: &j.records, writeID: id}
 	if entry.terminal != nil {
 		w.addTerminalRecord(entry.terminal)
-		if rules.oldLeadersPossible() && j.records.format == storage.FormatOld {
+		if rules.oldLeadersPossible() && j.records.format == storage.FormatV1 {
 			w.deleteOldPages()
 		}
 		return entry, w.writes
@@ -35,7 +35,7 @@
 // addLiveRecords adds the changed records of a job that is not in a terminal state.
 func (w *jobWrites) addLiveRecords(rules *recordRules) {
 	j, r := w.job, w.records
-	if !rules.oldLeadersPossible() && r.format == storage.FormatOld {
+	if !rules.oldLeadersPossible() && r.format == storage.FormatV1 {
 		r.migrate(j.done.set, j.stored, rules.nameBudget)
 	}
 	r.main.dirty = r.main.dirty || j.Cancelled && !j.CancelDurable
@@ -87,8 +87,8 @@
 	w.deletePendingSubmission()
 }
 
-// deleteOldPages adds the deletion of pages in the old format together with the main record,
-// because a reader of the old format rejects pages without a main record.
+// deleteOldPages adds the deletion of pages in FormatV1 together with the main record, because a
+// reader of FormatV1 rejects pages without a main record.
 func (w *jobWrites) deleteOldPages() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.oldDonePages)) {
 		if sh := w.records.oldDonePages[n]; sh.version != 0 {
@@ -113,15 +113,15 @@
 	for _, n := range slices.Sorted(maps.Keys(w.records.nameParts)) {
 		if sh := w.records.nameParts[n]; sh.dirty {
 			machines := w.records.namesToWrite(sh)
-			w.setRecord(sh, machines, storage.MachineNamesRecord{Format: storage.FormatNew, WriteID: w.writeID, Machines: machines})
+			w.setRecord(sh, machines, storage.MachineNamesRecord{Format: storage.FormatV2, WriteID: w.writeID, Machines: machines})
 		}
 	}
 }
 
 // addDonePages adds the pages of the done set that have changed.
 func (w *jobWrites) addDonePages() {
-	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatNew, w.writeID
-	if w.records.format == storage.FormatOld {
+	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatV2, w.writeID
+	if w.records.format == storage.FormatV1 {
 		pages, size, format, writeID = w.records.oldDonePages, storage.OldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -106,7 +106,7 @@
 	}
 	c, _ := newRefusedController(t, store)
 	c.deps.Settings, c.deps.KV = leader.Settings, leader.KV // the limits of this client are not reached
-	format := fake.NewRecordFormat(storage.FormatAdmission)
+	format := fake.NewRecordFormat(storage.FormatV3)
 	c.deps.Format = format
 	deps := c.deps
 	deps.Metrics = telemetry.NewMetrics()
@@ -124,14 +124,14 @@
 		}
 	}
 	// A controller that has just started does not know yet whether the fleet uses admission plans.
-	format.Level.Store(int64(storage.FormatOld))
+	format.Level.Store(int64(storage.FormatV1))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's record format is known: status %d", status)
 	}
 	if _, stored := store.Get(storage.KeyPending(testJob)); stored {
 		t.Error("the job was accepted without a plan")
 	}
-	format.Level.Store(int64(storage.FormatAdmission))
+	format.Level.Store(int64(storage.FormatV3))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: status %d", status)
 	}
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -63,10 +63,10 @@
 		want   *rejectionError
 		status int // 0: accepted
 	}{
-		{storage.FormatOld, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
-		{storage.FormatOld, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
-		{storage.FormatNew, modelQuotaCPUs, nil, 0},
-		{storage.FormatNew, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatV1, modelQuotaCPUs, errNotUpgraded, http.StatusServiceUnavailable},
+		{storage.FormatV1, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
+		{storage.FormatV2, modelQuotaCPUs, nil, 0},
+		{storage.FormatV2, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 	} {
 		leader.setFormat(c.level)
 		service.Tasks = c.tasks
@@ -83,7 +83,7 @@
 	store := fake.NewKVServer()
 	store.SetLimits(16<<10, 12, 1000)
 	leader := newLeaderWithStore(t, 1, store, func(d *Deps) {
-		d.Format = fake.NewRecordFormat(storage.FormatOld)
+		d.Format = fake.NewRecordFormat(storage.FormatV1)
 		d.Settings.Fleet.State = config.KVLimits{
 			RPS:      1e4,
 			WriteRPS: 1e4,
@@ -112,7 +112,7 @@
 	if n := store.RejectedTxns(); n == 0 || n > 3 {
 		t.Errorf("%d write batches were rejected", n)
 	}
-	leader.setFormat(storage.FormatNew)
+	leader.setFormat(storage.FormatV2)
 	expectWritten(t, leader, durable(310))
 	assignMachines(leader, 310, 900)
 	expectWritten(t, leader, durable(900))
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -77,7 +77,7 @@
 		Clock:            clock,
 		Log:              slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics:          telemetry.NewMetrics(),
-		Format:           fake.NewRecordFormat(storage.FormatOld),
+		Format:           fake.NewRecordFormat(storage.FormatV1),
 		UnreachablePeers: func() int { return 0 },
 		PeerReachable:    func() bool { return false },
 	}
@@ -120,7 +120,7 @@
 	}, 0, clock)
 	return newTestLeader(token, clock, append([]func(*Deps){func(d *Deps) {
 		d.KV = client
-		d.Format = recordformat.NewNegotiator("n", nil, storage.FormatNew, client, d.Log)
+		d.Format = recordformat.NewNegotiator("n", nil, storage.FormatV2, client, d.Log)
 	}}, changes...)...)
 }
 
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -75,7 +75,7 @@
 	for i := range m.controllers {
 		names = append(names, controllerName(i))
 	}
-	if supported := recordformat.SupportedByAll(names, formats); supported > max(level, storage.FormatOld) {
+	if supported := recordformat.SupportedByAll(names, formats); supported > max(level, storage.FormatV1) {
 		level = supported
 		m.store.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
 	}
@@ -95,7 +95,7 @@
 
 // lowerLimits lowers the limits of the key-value store once all controllers are upgraded.
 func (m *model) lowerLimits() {
-	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatNew {
+	if m.formats()[storage.KeyFleetFormat].Format >= storage.FormatV2 {
 		m.store.limits = m.store.limits.Lowest()
 	}
 }
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -13,8 +13,8 @@
 	// maxPartBytes is the limit of a MachineNamesRecord. It keeps it cheap to add a machine, which
 	// rewrites the record.
 	maxPartBytes = 8 << 10
-	// minNameBytes is the space for machine names that a job needs in order to be accepted in the
-	// old format.
+	// minNameBytes is the space for machine names that a job needs in order to be accepted in
+	// FormatV1.
 	minNameBytes = 1000
 	// recordMargin is the space that is left free in a JobRecord.
 	recordMargin = 64
@@ -23,21 +23,21 @@
 // LongestWriteID has the length of the longest ID of a write batch.
 const LongestWriteID = "00000000000000000000-00000000000000000000"
 
-// NameBudget is the space that is left for the names of machines, in bytes of JSON: Main in a
+// MachineNameBudget is the space that is left for the names of machines, in bytes of JSON: Main in a
 // JobRecord, even when all tasks are done, and Part in a MachineNamesRecord. It is negative if the
 // record does not fit even without names.
-type NameBudget struct{ Main, Part int }
+type MachineNameBudget struct{ Main, Part int }
 
-// NameBudgetFunc returns the space for machine names in the records of a job in a format.
-type NameBudgetFunc func(spec *protocol.JobSpec, format Format) NameBudget
+// MachineNameBudgetFunc returns the space for machine names in the records of a job in a format.
+type MachineNameBudgetFunc func(spec *protocol.JobSpec, format Format) MachineNameBudget
 
-// NewNameBudgetFunc returns the NameBudgetFunc for the value sizes, in bytes, that the store accepts:
-// currentValueBytes now, lowestValueBytes both now and under the announced next limits. Records in
-// the old format, which cannot be divided, may use the current value size.
-func NewNameBudgetFunc(currentValueBytes, lowestValueBytes int) NameBudgetFunc {
-	return func(spec *protocol.JobSpec, format Format) NameBudget {
+// NewMachineNameBudgetFunc returns the MachineNameBudgetFunc for the value sizes, in bytes, that the
+// store accepts: currentValueBytes now, lowestValueBytes both now and under the announced next
+// limits. Records in FormatV1, which cannot be divided, may use the current value size.
+func NewMachineNameBudgetFunc(currentValueBytes, lowestValueBytes int) MachineNameBudgetFunc {
+	return func(spec *protocol.JobSpec, format Format) MachineNameBudget {
 		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
-		if format != FormatOld {
+		if format != FormatV1 {
 			if value, inlineDone = lowestValueBytes, spec.Tasks; inlineDone > InlineTasks {
 				inlineDone = 0
 			}
@@ -46,11 +46,11 @@
 		record.WriteID = LongestWriteID
 		main := JSONSize(record)
 		part := JSONSize(MachineNamesRecord{
-			Format:   FormatNew,
+			Format:   FormatV2,
 			WriteID:  LongestWriteID,
 			Machines: []string{},
 		})
-		return NameBudget{
+		return MachineNameBudget{
 			Main: min(value, maxRecordBytes) - main - (inlineDone/8+1)*4/3 - recordMargin,
 			Part: min(value, maxPartBytes) - part,
 		}
@@ -59,13 +59,14 @@
 
 // FitsRecords reports whether a job fits into records of a format until its end, with all tasks done.
 func FitsRecords(spec *protocol.JobSpec, format Format, limits config.KVLimits) bool {
-	budget := NewNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes())(spec, format)
-	if format != FormatOld {
+	budget := NewMachineNameBudgetFunc(limits.ValueBytes(), limits.Lowest().ValueBytes())(spec, format)
+	if format != FormatV1 {
 		return budget.Main >= 0
 	}
 	// The end of a job deletes all its pages in one transaction.
 	return budget.Main >= minNameBytes && 3+(spec.Tasks-1)/OldPageTasks <= limits.TxnOps
 }
 
-// NameSize returns the size in bytes of a machine name in a JSON list, with its quotes and comma.
-func NameSize(machine string) int { return len(machine) + 3 }
+// MachineNameSize returns the size in bytes of a machine name in a JSON list, with its quotes and
+// comma.
+func MachineNameSize(machine string) int { return len(machine) + 3 }
