--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -20,7 +20,7 @@
 // each; one submits ten times as much. The fleet has 8 machines of 2 processors, and tasks
 // take a second, so that a test machine can run it.
 const (
-	burstNodes    = 5
+	burstControllers    = 5
 	burstHorizon  = 10  // seconds
 	burstCPUs     = 8   // guaranteed to each team
 	burstTasks    = 2   // of a job, one processor and second each
@@ -51,7 +51,7 @@
 	users      sync.WaitGroup
 	mu         sync.Mutex     // guards all below
 	abandoned  map[string]int // users that gave up, by team
-	unanswered int            // users with indefinite responses only
+	usersWithoutDefiniteResponse int            // users with indefinite responses only
 	random     *rand.Rand
 }
 
@@ -74,7 +74,7 @@
 		random:    rand.New(rand.NewPCG(1, 2)),
 	}
 	b.cluster = newCluster(t, clusterOptions{
-		nodes:    burstNodes,
+		controllers:    burstControllers,
 		machines: 8,
 		cpus:     2,
 		runTime:  time.Second,
@@ -92,7 +92,7 @@
 // waitUntilActive waits until every controller admits by the plan.
 func (b *burst) waitUntilActive() {
 	b.t.Helper()
-	for i := range b.nodes {
+	for i := range b.controllers {
 		for try := 0; !strings.Contains(b.metrics(i), admissionActive); try++ {
 			if try == 200 {
 				b.t.Fatalf("node %d does not admit by the plan", i)
@@ -115,13 +115,13 @@
 
 // submitOnce submits a job to one controller and checks the response. retryAfter is how long the
 // user is to wait.
-func (b *burst) submitOnce(user, node int, job map[string]any) (kind admissioncheck.ResponseKind, retryAfter time.Duration) {
-	reply := b.checker.Submit(b.ctx, user, b.nodes[node].settings.ClientListen, job)
-	rejected := reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests
-	if reply.Kind == admissioncheck.Indefinite && reply.Status != 0 && !rejected {
-		b.t.Errorf("%v: status %d", job[protocol.FieldID], reply.Status)
+func (b *burst) submitOnce(user, controller int, job map[string]any) (kind admissioncheck.ResponseKind, retryAfter time.Duration) {
+	received := b.checker.Submit(b.ctx, user, b.controllers[controller].settings.ClientListen, job)
+	rejected := received.Status == http.StatusServiceUnavailable || received.Status == http.StatusTooManyRequests
+	if received.Kind == admissioncheck.Indefinite && received.Status != 0 && !rejected {
+		b.t.Errorf("%v: status %d", job[protocol.FieldID], received.Status)
 	}
-	return reply.Kind, max(reply.RetryAfter, time.Second)
+	return received.Kind, max(received.RetryAfter, time.Second)
 }
 
 const (
@@ -132,7 +132,7 @@
 // runUser submits a job, through the given nodes at first and then any, until it is
 // accepted, or for a quarter of the time that users take. An accepted job is submitted once
 // more.
-func (b *burst) runUser(id int, team, class string, nodes []int) {
+func (b *burst) runUser(id int, team, class string, controllers []int) {
 	job := burstJob(id, team, class)
 	if err := b.checker.RegisterSubmission(job); err != nil {
 		b.t.Error(err)
@@ -141,17 +141,17 @@
 	began := time.Now()
 	definite := false
 	for try := 0; b.ctx.Err() == nil; try++ {
-		node := nodes[b.randomBelow(len(nodes))]
+		controller := controllers[b.randomBelow(len(controllers))]
 		if try > 0 {
-			node = b.randomBelow(burstNodes)
+			controller = b.randomBelow(burstControllers)
 		}
 		if id%duplicateEvery == 0 {
-			b.users.Go(func() { b.submitOnce(-id, b.randomBelow(burstNodes), job) })
+			b.users.Go(func() { b.submitOnce(-id, b.randomBelow(burstControllers), job) })
 		}
-		kind, retryAfter := b.submitOnce(id, node, job)
+		kind, retryAfter := b.submitOnce(id, controller, job)
 		definite = definite || kind != admissioncheck.Indefinite
 		if kind == admissioncheck.Accepted {
-			b.submitOnce(id, b.randomBelow(burstNodes), job)
+			b.submitOnce(id, b.randomBelow(burstControllers), job)
 			return
 		}
 		retryAfter += time.Duration(b.randomBelow(300)) * time.Millisecond
@@ -164,16 +164,16 @@
 	defer b.mu.Unlock()
 	b.abandoned[team]++
 	if !definite {
-		b.unanswered++
+		b.usersWithoutDefiniteResponse++
 	}
 }
 
 // startUsers has users submit jobs of a team, so many a second, in the background.
-func (b *burst) startUsers(first int, team, class string, perSecond float64, duration time.Duration, nodes ...int) {
+func (b *burst) startUsers(first int, team, class string, perSecond float64, duration time.Duration, controllers ...int) {
 	b.users.Go(func() {
 		count := int(perSecond * duration.Seconds())
 		for i := range count {
-			b.users.Go(func() { b.runUser(first+i, team, class, nodes) })
+			b.users.Go(func() { b.runUser(first+i, team, class, controllers) })
 			time.Sleep(duration / time.Duration(count))
 		}
 	})
@@ -189,8 +189,8 @@
 	if b.checker.StoredPlans() < 3 || b.checker.DeferredResponses() == 0 {
 		b.t.Errorf("%d plans were stored, %d responses deferred jobs", b.checker.StoredPlans(), b.checker.DeferredResponses())
 	}
-	if b.unanswered > 0 {
-		b.t.Errorf("%d users got indefinite responses only", b.unanswered)
+	if b.usersWithoutDefiniteResponse > 0 {
+		b.t.Errorf("%d users got indefinite responses only", b.usersWithoutDefiniteResponse)
 	}
 	admitted := map[string]int{}
 	for id := range b.checker.DurableJobs() {
@@ -267,17 +267,17 @@
 	time.Sleep(2 * time.Second)
 	b.start(leader)
 	time.Sleep(2 * time.Second)
-	stale := (b.leader() + 1) % burstNodes
-	b.nodes[stale].rejectKV(true)
+	stale := (b.leader() + 1) % burstControllers
+	b.controllers[stale].setKVRejection(true)
 	time.Sleep(3 * time.Second)
-	b.nodes[stale].rejectKV(false)
+	b.controllers[stale].setKVRejection(false)
 	leader = b.leader()
-	for _, other := range b.nodes[leader].settings.Peers {
-		b.nodes[leader].dialer.setPartitioned(other.Endpoint, true)
+	for _, other := range b.controllers[leader].settings.Peers {
+		b.controllers[leader].dialer.setPartitioned(other.Endpoint, true)
 	}
 	time.Sleep(3 * time.Second)
-	for _, other := range b.nodes[leader].settings.Peers {
-		b.nodes[leader].dialer.setPartitioned(other.Endpoint, false)
+	for _, other := range b.controllers[leader].settings.Peers {
+		b.controllers[leader].dialer.setPartitioned(other.Endpoint, false)
 	}
 	b.users.Wait()
 	admitted := b.checkInvariants()
--- a/node/admission_faults_test.go
+++ b/node/admission_faults_test.go
@@ -28,8 +28,8 @@
 const admissionActive = "dunestand_admission_active 1"
 
 // metricsContain reports whether a controller's metrics have a line.
-func (d *deployment) metricsContain(node int, line string) bool {
-	r := d.request(node, http.MethodGet, metricsPath, nil)
+func (d *deployment) metricsContain(controller int, line string) bool {
+	r := d.request(controller, http.MethodGet, metricsPath, nil)
 	return r.status == http.StatusOK && bytes.Contains(r.body, []byte(line+"\n"))
 }
 
@@ -44,10 +44,10 @@
 	user, _ := strconv.Atoi(strings.TrimPrefix(job.ID, "j-"))
 	began := time.Now()
 	for try := 0; d.ctx.Err() == nil && time.Since(began) < time.Minute; try++ {
-		if d.submitChecked(user, (user+try)%len(d.nodes), job) {
+		if d.submitChecked(user, (user+try)%len(d.controllers), job) {
 			for next := user; !d.invariants.LastStage(job.ID).IsTerminal() && d.ctx.Err() == nil; next++ {
 				d.sleep(3 * time.Second)
-				d.poll(next%len(d.nodes), job.ID)
+				d.poll(next%len(d.controllers), job.ID)
 			}
 			return
 		}
@@ -56,10 +56,10 @@
 
 // submitChecked submits a job once, checks the response and sleeps for as long as it tells
 // the user to. It reports whether the job is accepted.
-func (d *deployment) submitChecked(user, node int, job fake.JobInfo) bool {
+func (d *deployment) submitChecked(user, controller int, job fake.JobInfo) bool {
 	sent := time.Now()
-	r := d.request(node, http.MethodPost, protocol.PathSubmit, submissionOf(job))
-	d.checked(job.ID, false, r)
+	r := d.request(controller, http.MethodPost, protocol.PathSubmit, submissionOf(job))
+	d.checkResponse(job.ID, false, r)
 	kind, plan := admissioncheck.ClassifyResponse(r.status, r.body)
 	d.admission.ResponseReceived(user, job.ID, sent, kind, plan)
 	if kind == admissioncheck.Accepted {
@@ -78,8 +78,8 @@
 func TestAdmissionPlanIsInactiveUntilAllControllersEnableIt(t *testing.T) {
 	enabled := shortHorizonPolicy(t)
 	disabled := map[int]bool{2: true}
-	simulate(t, deploymentOptions{policy: func(node int) *config.Policy {
-		if disabled[node] {
+	simulate(t, deploymentOptions{policy: func(controller int) *config.Policy {
+		if disabled[controller] {
 			return nil
 		}
 		return enabled
@@ -96,9 +96,9 @@
 		})
 		d.waitUntil("a plan is stored", func() bool { return len(d.kv.Keys("admission/plan")) == 1 })
 		d.submit(d.newJob(2, time.Second))
-		for node := range d.nodes {
-			disabled[node] = true
-			d.restart(node, time.Second)
+		for controller := range d.controllers {
+			disabled[controller] = true
+			d.restart(controller, time.Second)
 		}
 		for range 5 {
 			d.submit(d.newJob(manyTasks, 10*time.Millisecond))
@@ -113,7 +113,7 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			policy := shortHorizonPolicy(t)
-			options := deploymentOptions{nodes: 5, seed: seed, policy: func(int) *config.Policy { return policy }}
+			options := deploymentOptions{controllers: 5, seed: seed, policy: func(int) *config.Policy { return policy }}
 			simulate(t, options, func(d *deployment) {
 				d.admission = admissioncheck.New(d.kv)
 				d.waitUntil("it is active", func() bool { return d.metricsContain(0, admissionActive) })
@@ -153,18 +153,18 @@
 // injectControllerFault injects one of the faults of controllers, for some seconds.
 func (d *deployment) injectControllerFault() {
 	duration := time.Duration(1+d.randomBelow(14)) * time.Second
-	node := d.randomBelow(len(d.nodes))
+	controller := d.randomBelow(len(d.controllers))
 	switch d.randomBelow(6) {
 	case 0:
-		d.restart(d.leaderOr(node), 200*time.Millisecond)
+		d.restart(d.leaderOr(controller), 200*time.Millisecond)
 	case 1:
-		d.rejectKV(node, true)
+		d.setKVRejection(controller, true)
 		d.sleep(duration)
-		d.rejectKV(node, false)
+		d.setKVRejection(controller, false)
 	case 2:
-		d.partitionPeersOneWay(node, true)
+		d.partitionPeersOneWay(controller, true)
 		d.sleep(duration)
-		d.partitionPeersOneWay(node, false)
+		d.partitionPeersOneWay(controller, false)
 	case 3:
 		d.update(func() { d.lateCommitShare = 0.2 })
 		d.sleep(duration)
@@ -174,9 +174,9 @@
 		d.sleep(duration)
 		d.update(func() { d.kvDelay = 0 })
 	case 5:
-		leader := d.leaderOr(node)
-		d.rejectKV(leader, true)
+		leader := d.leaderOr(controller)
+		d.setKVRejection(leader, true)
 		d.sleep(duration)
-		d.rejectKV(leader, false)
+		d.setKVRejection(leader, false)
 	}
 }
--- a/node/admission_measure_test.go
+++ b/node/admission_measure_test.go
@@ -50,7 +50,7 @@
 	began := time.Now()
 	for {
 		sent := time.Now()
-		kind, retryAfter := b.submitOnce(id, b.randomBelow(burstNodes), job)
+		kind, retryAfter := b.submitOnce(id, b.randomBelow(burstControllers), job)
 		responses.record(time.Since(sent))
 		if kind == admissioncheck.Accepted {
 			break
@@ -62,7 +62,7 @@
 	}
 	accepted.record(time.Since(began))
 	for time.Since(began) < 3*time.Minute {
-		r := b.request(b.randomBelow(burstNodes), http.MethodGet, jobPath(job[protocol.FieldID].(string)), nil)
+		r := b.request(b.randomBelow(burstControllers), http.MethodGet, jobPath(job[protocol.FieldID].(string)), nil)
 		if r.job().Stage == protocol.StageDone {
 			done.record(time.Since(began))
 			return
--- a/node/cancellation_test.go
+++ b/node/cancellation_test.go
@@ -24,14 +24,14 @@
 				jobs := d.startEndlessJobs(6, 4)
 				leader := d.leader()
 				d.cancel(jobs[0].ID)
-				d.rejectKV(leader, true)
+				d.setKVRejection(leader, true)
 				for i, job := range jobs[1:] { // each user repeats the request every second
 					time.AfterFunc(time.Duration(i)*200*time.Millisecond, func() { d.cancel(job.ID) })
 				}
 				d.sleep(after)
 				d.setKVOutage(true)
 				d.sleep(defaultCancelTimeout + 12*time.Second)
-				d.rejectKV(leader, false)
+				d.setKVRejection(leader, false)
 				d.setKVOutage(false)
 				d.sleep(20 * time.Second)
 				confirmed += d.invariants.ConfirmedCancellations()
@@ -56,7 +56,7 @@
 		d.sleep(time.Second)
 		leader := d.leader()
 		d.cancel(jobs[1].ID)
-		d.rejectKV(leader, true)
+		d.setKVRejection(leader, true)
 		d.sleep(5 * time.Second)
 		d.cancel(jobs[2].ID)
 		d.cancel(jobs[3].ID)
@@ -100,12 +100,12 @@
 			d.waitUntil("its last task runs", func() bool { return d.invariants.RunningTasks(job.ID) == job.Tasks })
 			d.sleep(runTime + time.Duration(i-24)*60*time.Millisecond)
 			d.invariants.CancelRequested(job.ID)
-			d.cancelOnce(i%defaultNodes, job.ID)
+			d.cancelOnce(i%defaultControllers, job.ID)
 			if i%4 != 1 {
-				d.poll((i+1)%defaultNodes, job.ID)
+				d.poll((i+1)%defaultControllers, job.ID)
 			}
 			if i%4 != 2 {
-				d.submitOnce((i+2)%defaultNodes, job.ID, true, submissionOf(job))
+				d.submitOnce((i+2)%defaultControllers, job.ID, true, submissionOf(job))
 			}
 		}
 	})
@@ -128,7 +128,7 @@
 				d.sleep(14 * time.Second) // it is carried out
 				d.partitionPeers(next, true)
 				d.sleep(4 * time.Second)
-				for i := range d.nodes {
+				for i := range d.controllers {
 					d.poll(i, job.ID)
 				}
 				d.partitionPeers(next, false)
--- a/node/cluster_requests_test.go
+++ b/node/cluster_requests_test.go
@@ -8,20 +8,20 @@
 )
 
 // request sends a controller one request, as a user does.
-func (c *cluster) request(node int, method, path string, body any) response {
-	return send(c.ctx, http.DefaultClient, method, "http://"+c.nodes[node].settings.ClientListen+path, body)
+func (c *cluster) request(controller int, method, path string, body any) response {
+	return send(c.ctx, http.DefaultClient, method, "http://"+c.controllers[controller].settings.ClientListen+path, body)
 }
 
 // metrics returns a controller's metrics; "" if it does not respond.
-func (c *cluster) metrics(node int) string {
-	return string(c.request(node, http.MethodGet, metricsPath, nil).body)
+func (c *cluster) metrics(controller int) string {
+	return string(c.request(controller, http.MethodGet, metricsPath, nil).body)
 }
 
 // leader waits until a controller leads, by its metrics, and returns it.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	for range 100 {
-		for i := range c.nodes {
+		for i := range c.controllers {
 			if strings.Contains(c.metrics(i), "dunestand_term ") {
 				return i
 			}
@@ -34,12 +34,12 @@
 
 // requestUntil repeats a request on the controllers in turn until a response is as wanted, and
 // fails the test if none is after 25 s.
-func (c *cluster) requestUntil(t *testing.T, description string, nodes []int, method, path string, body any, wanted func(response) bool) {
+func (c *cluster) requestUntil(t *testing.T, description string, controllers []int, method, path string, body any, wanted func(response) bool) {
 	t.Helper()
 	deadline := time.Now().Add(25 * time.Second)
 	var last response
 	for try := 0; time.Now().Before(deadline); try++ {
-		last = c.request(nodes[try%len(nodes)], method, path, body)
+		last = c.request(controllers[try%len(controllers)], method, path, body)
 		if wanted(last) {
 			return
 		}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -18,7 +18,7 @@
 
 // clusterOptions is what a cluster consists of.
 type clusterOptions struct {
-	nodes    int
+	controllers    int
 	machines int
 	cpus     float64       // of a machine
 	runTime  time.Duration // of a task
@@ -34,13 +34,13 @@
 	t            *testing.T
 	ctx          context.Context
 	options      clusterOptions
-	nodes        []*clusterNode
+	controllers        []*clusterController
 	cloudAddress string
 	workers      sync.WaitGroup // end with ctx
 }
 
-// clusterNode is one node of a cluster and the faults that it meets.
-type clusterNode struct {
+// clusterController is one node of a cluster and the faults that it meets.
+type clusterController struct {
 	settings *config.Settings
 	kvServer *httptest.Server // the key-value store as this controller meets it
 	dialer   *dialer
@@ -51,19 +51,19 @@
 	kvRejects bool // the key-value store responds 503 to this controller
 }
 
-// rejectKV makes the key-value store reject a controller's requests, or serve them again.
-func (n *clusterNode) rejectKV(rejected bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.kvRejects = rejected
+// setKVRejection makes the key-value store reject a controller's requests, or serve them again.
+func (controller *clusterController) setKVRejection(rejected bool) {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	controller.kvRejects = rejected
 }
 
 // kvHandler is the key-value store as a controller meets it.
-func (c *cluster) kvHandler(n *clusterNode) http.Handler {
+func (c *cluster) kvHandler(controller *clusterController) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n.mu.Lock()
-		rejected := n.kvRejects
-		n.mu.Unlock()
+		controller.mu.Lock()
+		rejected := controller.kvRejects
+		controller.mu.Unlock()
 		if rejected {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -76,7 +76,7 @@
 func newDefaultCluster(t *testing.T) *cluster {
 	t.Helper()
 	return newCluster(t, clusterOptions{
-		nodes:    3,
+		controllers:    3,
 		machines: 3,
 		cpus:     4,
 		runTime:  300 * time.Millisecond,
@@ -91,7 +91,7 @@
 	t.Helper()
 	c := &cluster{t: t, ctx: t.Context(), options: options}
 	t.Cleanup(func() { // ctx has ended
-		for _, n := range c.nodes {
+		for _, n := range c.controllers {
 			if n.stopped != nil {
 				<-n.stopped
 			}
@@ -101,11 +101,11 @@
 		c.workers.Wait()
 	})
 	c.startCloud()
-	for range options.nodes {
-		c.nodes = append(c.nodes, c.newNode())
+	for range options.controllers {
+		c.controllers = append(c.controllers, c.newController())
 	}
-	for i, n := range c.nodes {
-		for k, other := range c.nodes {
+	for i, n := range c.controllers {
+		for k, other := range c.controllers {
 			if k != i {
 				n.settings.Peers = append(n.settings.Peers, config.Peer{
 					Node:     other.settings.Node,
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	for i := range c.nodes {
+	for i := range c.controllers {
 		c.start(i)
 	}
 	return c
@@ -147,18 +147,18 @@
 	c.cloudAddress = strings.TrimPrefix(server.URL, "http://")
 }
 
-// newNode returns one more node, which does not run yet, with ports that are free now.
-func (c *cluster) newNode() *clusterNode {
-	n := &clusterNode{dialer: newDialer()}
-	n.kvServer = httptest.NewServer(c.kvHandler(n))
-	n.settings = &config.Settings{
-		Node:         fmt.Sprintf("n-%d", len(c.nodes)),
+// newController returns one more node, which does not run yet, with ports that are free now.
+func (c *cluster) newController() *clusterController {
+	controller := &clusterController{dialer: newDialer()}
+	controller.kvServer = httptest.NewServer(c.kvHandler(controller))
+	controller.settings = &config.Settings{
+		Node:         fmt.Sprintf("n-%d", len(c.controllers)),
 		Zone:         "a",
 		ClientListen: freeAddress(c.t),
 		MeshListen:   freeAddress(c.t),
 		Services: config.Services{
 			Cloud: c.cloudAddress,
-			State: strings.TrimPrefix(n.kvServer.URL, "http://"),
+			State: strings.TrimPrefix(controller.kvServer.URL, "http://"),
 		},
 		Fleet: config.Fleet{
 			Zones:     []string{"a"},
@@ -169,38 +169,38 @@
 			Resources: config.Resources{CoreShare: 1, RAMMB: c.options.memoryMB, MaxConnections: 400},
 		},
 	}
-	return n
+	return controller
 }
 
 // start starts a controller, for the first time or again.
 func (c *cluster) start(i int) {
-	n := c.nodes[i]
+	controller := c.controllers[i]
 	ctx, stop := context.WithCancel(c.ctx)
 	stopped := make(chan struct{})
-	n.stop, n.stopped = stop, stopped
-	daemon := New(n.settings, Deps{
-		Dial:   transport.DialFunc(n.dialer.dial),
+	controller.stop, controller.stopped = stop, stopped
+	daemon := New(controller.settings, Deps{
+		Dial:   transport.DialFunc(controller.dialer.dial),
 		Policy: c.options.policy,
-		Log:    nodeLog(n.settings.Node),
+		Log:    controllerLog(controller.settings.Node),
 	})
 	go func() { // stop and the end of the test wait for it
 		defer close(stopped)
 		if err := daemon.Run(ctx); err != nil {
-			c.t.Errorf("%s: %v", n.settings.Node, err)
+			c.t.Errorf("%s: %v", controller.settings.Node, err)
 		}
 	}()
 }
 
 // stop stops a controller and waits for its end; start starts it again.
 func (c *cluster) stop(i int) {
-	c.nodes[i].stop()
-	<-c.nodes[i].stopped
+	c.controllers[i].stop()
+	<-c.controllers[i].stopped
 }
 
 // addresses returns where the controllers serve users and workers.
 func (c *cluster) addresses() []string {
 	var out []string
-	for _, n := range c.nodes {
+	for _, n := range c.controllers {
 		out = append(out, n.settings.ClientListen)
 	}
 	return out
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_controllers_test.go
@@ -15,8 +15,8 @@
 	"dunestand/internal/units"
 )
 
-// simulatedNode is a controller of a deployment.
-type simulatedNode struct {
+// simulatedController is a controller of a deployment.
+type simulatedController struct {
 	name      string
 	stop      context.CancelFunc
 	stopped   chan struct{}
@@ -25,45 +25,45 @@
 
 // start starts a controller, for the first time or again.
 func (d *deployment) start(i int) {
-	node := d.nodes[i]
+	controller := d.controllers[i]
 	settings := d.settings(i)
 	var policy *config.Policy
 	if d.policy != nil {
 		policy = d.policy(i)
 	}
 	daemon := New(settings, Deps{
-		Log:    nodeLog(node.name),
+		Log:    controllerLog(controller.name),
 		Policy: policy,
 		Random: d.newRandom(1),
-		Dial:   d.network.Dialer(node.name),
+		Dial:   d.network.Dialer(controller.name),
 		Listen: func(_ context.Context, addr string) (net.Listener, error) { return d.network.Listen(addr), nil },
 	})
 	ctx, stop := context.WithCancel(d.ctx)
 	stopped := make(chan struct{})
-	node.stop, node.stopped = stop, stopped
+	controller.stop, controller.stopped = stop, stopped
 	go func() { // stop waits for it
 		defer close(stopped)
 		if err := daemon.Run(ctx); err != nil {
-			d.t.Errorf("%s: %v", node.name, err)
+			d.t.Errorf("%s: %v", controller.name, err)
 		}
 	}()
 }
 
 // settings returns a controller's settings.
 func (d *deployment) settings(i int) *config.Settings {
-	endpoint := func(k int, port string) string { return d.nodes[k].name + port }
+	endpoint := func(k int, port string) string { return d.controllers[k].name + port }
 	settings := &config.Settings{
-		Node:         d.nodes[i].name,
+		Node:         d.controllers[i].name,
 		Zone:         zones[i%len(zones)],
 		ClientListen: endpoint(i, fake.UsersPort),
 		MeshListen:   endpoint(i, meshPort),
 		Services:     config.Services{Cloud: cloudAddress, State: endpoint(i, kvPort)},
 		Fleet:        d.fleet,
 	}
-	for k := range d.nodes {
+	for k := range d.controllers {
 		if k != i {
 			settings.Peers = append(settings.Peers, config.Peer{
-				Node:     d.nodes[k].name,
+				Node:     d.controllers[k].name,
 				Zone:     zones[k%len(zones)],
 				Endpoint: endpoint(k, meshPort),
 			})
@@ -81,8 +81,8 @@
 
 // stop stops a controller and waits for its end.
 func (d *deployment) stop(i int) {
-	d.nodes[i].stop()
-	<-d.nodes[i].stopped
+	d.controllers[i].stop()
+	<-d.controllers[i].stopped
 }
 
 // restart stops a controller and starts it again after a downtime.
@@ -96,7 +96,7 @@
 func (d *deployment) leader() int {
 	d.t.Helper()
 	for range 200 {
-		if i, ok := d.leaderNow(); ok {
+		if i, ok := d.currentLeader(); ok {
 			return i
 		}
 		d.sleep(100 * time.Millisecond)
@@ -105,15 +105,15 @@
 	return 0
 }
 
-// leaderNow returns the controller that leads, by its metrics, and whether any does.
-func (d *deployment) leaderNow() (node int, ok bool) {
-	node, _, ok = d.leaderTerm()
-	return node, ok
+// currentLeader returns the controller that leads, by its metrics, and whether any does.
+func (d *deployment) currentLeader() (controller int, ok bool) {
+	controller, _, ok = d.currentLeaderTerm()
+	return controller, ok
 }
 
-// leaderTerm is leaderNow with the leader's fencing token as its metrics show it.
-func (d *deployment) leaderTerm() (node int, token string, ok bool) {
-	for i := range d.nodes {
+// currentLeaderTerm is leaderNow with the leader's fencing token as its metrics show it.
+func (d *deployment) currentLeaderTerm() (controller int, token string, ok bool) {
+	for i := range d.controllers {
 		r := d.request(i, http.MethodGet, metricsPath, nil)
 		if r.status != http.StatusOK {
 			continue
@@ -132,7 +132,7 @@
 	var down bool
 	d.update(func() { down = d.kvDown })
 	if down {
-		return other % defaultNodes
+		return other % defaultControllers
 	}
 	return d.leader()
 }
@@ -143,7 +143,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var names []string
-	for _, n := range d.nodes {
+	for _, n := range d.controllers {
 		names = append(names, n.name)
 	}
 	machine := fake.NewMachine(fake.MachineSpec{
--- a/node/deployment_faults_test.go
+++ b/node/deployment_faults_test.go
@@ -8,11 +8,11 @@
 func (d *deployment) clearFaults() {
 	d.update(func() {
 		d.kvDown, d.kvDelay, d.kvListDelay, d.lateCommitShare = false, 0, 0, 0
-		for _, n := range d.nodes {
+		for _, n := range d.controllers {
 			n.kvRejects = false
 		}
 	})
-	for i := range d.nodes {
+	for i := range d.controllers {
 		d.partitionPeers(i, false)
 		d.partitionMachines(i, false, anyMachine)
 	}
@@ -22,30 +22,30 @@
 	}
 }
 
-// rejectKV makes the key-value store reject one controller's requests, or serve them again.
-func (d *deployment) rejectKV(node int, rejected bool) {
-	d.update(func() { d.nodes[node].kvRejects = rejected })
+// setKVRejection makes the key-value store reject one controller's requests, or serve them again.
+func (d *deployment) setKVRejection(controller int, rejected bool) {
+	d.update(func() { d.controllers[controller].kvRejects = rejected })
 }
 
 // setKVOutage makes the key-value store reject all requests, or serve them again.
 func (d *deployment) setKVOutage(down bool) { d.update(func() { d.kvDown = down }) }
 
 // partitionPeers separates a controller from the others, or joins them again.
-func (d *deployment) partitionPeers(node int, partitioned bool) {
-	d.partitionPeersOneWay(node, partitioned)
-	for k := range d.nodes {
-		if k != node {
-			d.network.Partition(d.nodes[k].name, d.nodes[node].name+meshPort, partitioned)
+func (d *deployment) partitionPeers(controller int, partitioned bool) {
+	d.partitionPeersOneWay(controller, partitioned)
+	for k := range d.controllers {
+		if k != controller {
+			d.network.Partition(d.controllers[k].name, d.controllers[controller].name+meshPort, partitioned)
 		}
 	}
 }
 
 // partitionPeersOneWay cuts off what a controller sends to the others, or joins them again;
 // what they send to it arrives.
-func (d *deployment) partitionPeersOneWay(node int, partitioned bool) {
-	for k := range d.nodes {
-		if k != node {
-			d.network.Partition(d.nodes[node].name, d.nodes[k].name+meshPort, partitioned)
+func (d *deployment) partitionPeersOneWay(controller int, partitioned bool) {
+	for k := range d.controllers {
+		if k != controller {
+			d.network.Partition(d.controllers[controller].name, d.controllers[k].name+meshPort, partitioned)
 		}
 	}
 }
@@ -53,11 +53,11 @@
 func anyMachine(*fake.Machine) bool { return true }
 
 // partitionMachines separates a controller from the selected machines, or joins them again.
-func (d *deployment) partitionMachines(node int, partitioned bool, selected func(m *fake.Machine) bool) {
+func (d *deployment) partitionMachines(controller int, partitioned bool, selected func(m *fake.Machine) bool) {
 	for _, m := range d.allMachines() {
 		if selected(m) {
-			d.network.Partition(m.ID, d.nodes[node].name+fake.UsersPort, partitioned)
-			d.network.Partition(d.nodes[node].name, m.Endpoint(), partitioned)
+			d.network.Partition(m.ID, d.controllers[controller].name+fake.UsersPort, partitioned)
+			d.network.Partition(d.controllers[controller].name, m.Endpoint(), partitioned)
 		}
 	}
 }
--- a/node/deployment_services_test.go
+++ b/node/deployment_services_test.go
@@ -23,11 +23,11 @@
 const kvLatency = 5 * time.Millisecond
 
 // kvHandler is the key-value store with the faults that one controller meets.
-func (d *deployment) kvHandler(node int) http.Handler {
+func (d *deployment) kvHandler(controller int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		responseDelay := d.kvResponseDelay
-		rejected, delay, listDelay := d.kvDown || d.nodes[node].kvRejects, d.kvDelay, d.kvListDelay
+		rejected, delay, listDelay := d.kvDown || d.controllers[controller].kvRejects, d.kvDelay, d.kvListDelay
 		late := r.URL.Path == protocol.PathCommit && d.random.Float64() < d.lateCommitShare
 		commitDelay := 2*time.Second + time.Duration(d.random.Int64N(int64(10*time.Second)))
 		d.mu.Unlock()
@@ -50,7 +50,7 @@
 				d.kv.ServeHTTP(w, r)
 				return
 			}
-			d.serveKVDelayed(w, r, func(body []byte) <-chan time.Time { return responseDelay(node, r, body) })
+			d.serveKVDelayed(w, r, func(body []byte) <-chan time.Time { return responseDelay(controller, r, body) })
 		}
 	})
 }
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -28,12 +28,12 @@
 	kv         *fake.KVServer
 	fleet      config.Fleet
 	background sync.WaitGroup // all that ends with ctx
-	policy     func(node int) *config.Policy
+	policy     func(controller int) *config.Policy
 	admission  *admissioncheck.Checker // nil: nobody checks how jobs are admitted
 
 	mu              sync.Mutex // guards all below
 	random          *rand.Rand
-	nodes           []*simulatedNode
+	controllers           []*simulatedController
 	machines        []*fake.Machine
 	jobCount        int
 	kvDown          bool
@@ -42,7 +42,7 @@
 	lateCommitShare float64       // share of transactions that get no response and are carried out later
 	// kvResponseDelay holds back the store's response to a request that was carried out
 	// until the returned channel is ready; nil: no delay.
-	kvResponseDelay func(node int, r *http.Request, body []byte) <-chan time.Time
+	kvResponseDelay func(controller int, r *http.Request, body []byte) <-chan time.Time
 }
 
 const (
@@ -53,7 +53,7 @@
 
 // What a deployment has unless its options say otherwise.
 const (
-	defaultNodes             = 3
+	defaultControllers             = 3
 	defaultMachines          = 6
 	defaultHeartbeatInterval = time.Second
 	defaultMemoryMB          = 100.0
@@ -78,9 +78,9 @@
 	memoryMB          float64 // of a controller
 	maxConnections    int     // of a controller
 	kvRPS             float64 // requests a second that the store serves
-	nodes             int     // controllers
+	controllers             int     // controllers
 	seed              uint64
-	policy            func(node int) *config.Policy // nil: the built-in one everywhere
+	policy            func(controller int) *config.Policy // nil: the built-in one everywhere
 }
 
 const (
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := newDeployment(ctx, t, options.withDefaults())
-		for i := range d.nodes {
+		for i := range d.controllers {
 			d.start(i)
 		}
 		d.background.Go(d.watchCancellations)
@@ -104,8 +104,8 @@
 		scenario(d)
 		d.clearFaults()
 		d.sleep(recoveryTime)
-		if open := d.invariants.UnfinishedJobs(); len(open) > 0 {
-			t.Errorf("%v after the last fault these jobs are not over: %v", recoveryTime, open)
+		if unfinished := d.invariants.UnfinishedJobs(); len(unfinished) > 0 {
+			t.Errorf("%v after the last fault these jobs are not over: %v", recoveryTime, unfinished)
 		}
 		if d.invariants.Starts() == 0 {
 			t.Error("no task started")
@@ -114,7 +114,7 @@
 			t.Error(violation)
 		}
 		cancel()
-		for i := range d.nodes {
+		for i := range d.controllers {
 			d.stop(i)
 		}
 		d.network.Close()
@@ -129,7 +129,7 @@
 	o.cancelTimeout = cmp.Or(o.cancelTimeout, defaultCancelTimeout)
 	o.heartbeatInterval = cmp.Or(o.heartbeatInterval, defaultHeartbeatInterval)
 	o.memoryMB = cmp.Or(o.memoryMB, defaultMemoryMB)
-	o.nodes = cmp.Or(o.nodes, defaultNodes)
+	o.controllers = cmp.Or(o.controllers, defaultControllers)
 	o.maxConnections = cmp.Or(o.maxConnections, defaultMaxConnections)
 	o.kvRPS = cmp.Or(o.kvRPS, defaultKVRPS)
 	return o
@@ -160,9 +160,9 @@
 	}}}, options.machines/len(zones))
 	cloud.OnProvision, cloud.OnRelease = d.startMachine, d.stopMachine
 	d.serve(cloudAddress, cloud)
-	for i := range options.nodes {
-		d.nodes = append(d.nodes, &simulatedNode{name: fmt.Sprintf("n-%d", i)})
-		d.serve(d.nodes[i].name+kvPort, d.kvHandler(i))
+	for i := range options.controllers {
+		d.controllers = append(d.controllers, &simulatedController{name: fmt.Sprintf("n-%d", i)})
+		d.serve(d.controllers[i].name+kvPort, d.kvHandler(i))
 	}
 	return d
 }
--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -22,19 +22,19 @@
 }
 
 // userURL is a controller's URL for users.
-func (d *deployment) userURL(node int, path string) string {
-	return "http://" + d.nodes[node].name + fake.UsersPort + path
+func (d *deployment) userURL(controller int, path string) string {
+	return "http://" + d.controllers[controller].name + fake.UsersPort + path
 }
 
 // request sends a controller one request, as a user does.
-func (d *deployment) request(node int, method, path string, body any) response {
+func (d *deployment) request(controller int, method, path string, body any) response {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*time.Second)
 	defer cancel()
-	return send(ctx, d.userClient(), method, d.userURL(node, path), body)
+	return send(ctx, d.userClient(), method, d.userURL(controller, path), body)
 }
 
-// checked has the invariant checker check a response about a job.
-func (d *deployment) checked(id string, duplicate bool, r response) (status int, stage protocol.JobStage) {
+// checkResponse has the invariant checker check a response about a job.
+func (d *deployment) checkResponse(id string, duplicate bool, r response) (status int, stage protocol.JobStage) {
 	stage = r.job().Stage
 	d.invariants.ResponseReceived(id, duplicate, r.status, stage)
 	return r.status, stage
@@ -42,19 +42,19 @@
 
 // submitOnce sends a job's submission to a controller. duplicate: it may have been accepted
 // before.
-func (d *deployment) submitOnce(node int, id string, duplicate bool, fields map[string]any) (status int) {
-	status, _ = d.checked(id, duplicate, d.request(node, http.MethodPost, protocol.PathSubmit, fields))
+func (d *deployment) submitOnce(controller int, id string, duplicate bool, fields map[string]any) (status int) {
+	status, _ = d.checkResponse(id, duplicate, d.request(controller, http.MethodPost, protocol.PathSubmit, fields))
 	return status
 }
 
 // poll asks a controller for a job's state.
-func (d *deployment) poll(node int, id string) (status int, stage protocol.JobStage) {
-	return d.checked(id, false, d.request(node, http.MethodGet, jobPath(id), nil))
+func (d *deployment) poll(controller int, id string) (status int, stage protocol.JobStage) {
+	return d.checkResponse(id, false, d.request(controller, http.MethodGet, jobPath(id), nil))
 }
 
 // cancelOnce sends a job's cancellation to a controller.
-func (d *deployment) cancelOnce(node int, id string) (status int, stage protocol.JobStage) {
-	return d.checked(id, false, d.request(node, http.MethodPost, cancelPath(id), nil))
+func (d *deployment) cancelOnce(controller int, id string) (status int, stage protocol.JobStage) {
+	return d.checkResponse(id, false, d.request(controller, http.MethodPost, cancelPath(id), nil))
 }
 
 // newJob returns a job that nobody has submitted yet, with a new ID.
@@ -90,9 +90,9 @@
 func (d *deployment) submit(job fake.JobInfo) {
 	d.t.Helper()
 	d.invariants.JobSubmitted(job)
-	first := d.randomBelow(defaultNodes)
+	first := d.randomBelow(defaultControllers)
 	for try := 0; d.ctx.Err() == nil; try++ {
-		status := d.submitOnce((first+try)%defaultNodes, job.ID, false, submissionOf(job))
+		status := d.submitOnce((first+try)%defaultControllers, job.ID, false, submissionOf(job))
 		if status == http.StatusOK || status == http.StatusCreated {
 			break
 		}
@@ -105,7 +105,7 @@
 	d.background.Go(func() {
 		for try := 0; d.ctx.Err() == nil && !d.invariants.LastStage(job.ID).IsTerminal(); try++ {
 			d.sleep(3 * time.Second)
-			d.poll((first+try)%defaultNodes, job.ID)
+			d.poll((first+try)%defaultControllers, job.ID)
 		}
 	})
 }
@@ -139,7 +139,7 @@
 		for try := 0; d.ctx.Err() == nil; try++ {
 			var first int
 			d.update(func() { first = d.jobCount })
-			if status, stage := d.cancelOnce((first+try)%defaultNodes, id); status == http.StatusOK && stage.IsTerminal() {
+			if status, stage := d.cancelOnce((first+try)%defaultControllers, id); status == http.StatusOK && stage.IsTerminal() {
 				return
 			}
 			d.sleep(time.Second)
@@ -149,8 +149,8 @@
 
 // cancelConfirmed requests a cancellation once from one controller, and reports whether it
 // confirmed.
-func (d *deployment) cancelConfirmed(node int, id string) bool {
+func (d *deployment) cancelConfirmed(controller int, id string) bool {
 	d.invariants.CancelRequested(id)
-	status, stage := d.cancelOnce(node, id)
+	status, stage := d.cancelOnce(controller, id)
 	return status == http.StatusOK && stage == protocol.StageCancelled
 }
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -102,13 +102,13 @@
 	d.sleep(2 * time.Second)
 	inside := d.leader()
 	if !withLeader {
-		inside = (inside + 1) % defaultNodes
+		inside = (inside + 1) % defaultControllers
 	}
 	zone := zones[inside%len(zones)]
-	d.rejectKV(inside, true)
+	d.setKVRejection(inside, true)
 	d.partitionPeers(inside, true)
 	d.partitionMachines(inside, true, func(m *fake.Machine) bool { return m.Zone != zone })
-	for i := range d.nodes {
+	for i := range d.controllers {
 		if i != inside {
 			d.partitionMachines(i, true, func(m *fake.Machine) bool { return m.Zone == zone })
 		}
@@ -117,10 +117,10 @@
 	d.sleep(5 * time.Second)
 	d.cancel(jobs[1].ID)
 	d.sleep(2 * workerLease)
-	for i := range d.nodes {
+	for i := range d.controllers {
 		d.partitionMachines(i, false, anyMachine)
 	}
-	d.rejectKV(inside, false)
+	d.setKVRejection(inside, false)
 	d.partitionPeers(inside, false)
 	d.sleep(5 * time.Second)
 }
@@ -200,7 +200,7 @@
 		d.sleep(4 * time.Second)
 		d.cancel(jobs[1].ID)
 		leader := d.leaderOr(0)
-		d.rejectKV(leader, true)
+		d.setKVRejection(leader, true)
 		d.cancel(jobs[2].ID)
 		d.sleep(6 * time.Second)
 		d.cancel(jobs[3].ID)
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -24,20 +24,20 @@
 	jobs, terminal := 0, 0
 	for seed := range uint64(historyRuns) {
 		h := fake.NewHistory()
-		simulate(t, deploymentOptions{nodes: 3 + 2*int(seed%2), seed: seed}, func(d *deployment) {
+		simulate(t, deploymentOptions{controllers: 3 + 2*int(seed%2), seed: seed}, func(d *deployment) {
 			d.runConcurrentUsers(h, rand.New(rand.NewPCG(seed, 11)))
 		})
 		jobs, terminal = jobs+h.Jobs(), terminal+h.TerminalJobs()
-		late := 0
+		lateRegressions := 0
 		for _, r := range h.Regressions() {
 			if r.Kind == fake.AfterTimeout {
-				late++
+				lateRegressions++
 				continue
 			}
 			t.Errorf("seed %d: %v", seed, r)
 		}
-		if late > 0 {
-			t.Logf("seed %d: %d responses regressed after their users had given up", seed, late)
+		if lateRegressions > 0 {
+			t.Logf("seed %d: %d responses regressed after their users had given up", seed, lateRegressions)
 		}
 	}
 	if want := historyRuns * historyJobs; jobs < want || terminal < want*9/10 {
@@ -52,8 +52,8 @@
 	for range historyJobs {
 		job := d.newTrackedJob(h, 1+random.IntN(3), time.Duration(1500+random.IntN(4000))*time.Millisecond)
 		jobs = append(jobs, job)
-		users := rand.New(rand.NewPCG(random.Uint64(), 2))
-		job.pending.Go(func() { job.simulateUsers(users) })
+		userRandom := rand.New(rand.NewPCG(random.Uint64(), 2))
+		job.pending.Go(func() { job.simulateUsers(userRandom) })
 		d.sleep(time.Duration(random.IntN(2500)) * time.Millisecond)
 		d.injectRandomFault(random)
 	}
@@ -68,17 +68,17 @@
 
 // injectRandomFault injects or ends at most one fault.
 func (d *deployment) injectRandomFault(random *rand.Rand) {
-	node := random.IntN(len(d.nodes))
+	controller := random.IntN(len(d.controllers))
 	switch random.IntN(6) {
 	case 0:
-		d.restart(node, time.Duration(random.IntN(1500))*time.Millisecond)
+		d.restart(controller, time.Duration(random.IntN(1500))*time.Millisecond)
 	case 1:
-		d.partitionPeers(node, true)
+		d.partitionPeers(controller, true)
 	case 2:
-		d.partitionPeers(node, false)
+		d.partitionPeers(controller, false)
 	case 3:
-		d.rejectKV(node, true)
-		time.AfterFunc(time.Duration(500+random.IntN(5000))*time.Millisecond, func() { d.rejectKV(node, false) })
+		d.setKVRejection(controller, true)
+		time.AfterFunc(time.Duration(500+random.IntN(5000))*time.Millisecond, func() { d.setKVRejection(controller, false) })
 	}
 }
 
@@ -86,7 +86,7 @@
 // carried out, of those between controllers and of those to users, the last for less than
 // the time that controllers leave for the way to users.
 func (d *deployment) delayResponses(random *rand.Rand) {
-	draw := func(share float64, longest time.Duration) <-chan time.Time {
+	randomDelay := func(share float64, longest time.Duration) <-chan time.Time {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if random.Float64() >= share {
@@ -97,17 +97,17 @@
 	d.update(func() {
 		d.kvResponseDelay = func(_ int, r *http.Request, _ []byte) <-chan time.Time {
 			if r.URL.Path == protocol.PathCommit {
-				return draw(0.25, 2500*time.Millisecond) // also beyond the leader's timeout
+				return randomDelay(0.25, 2500*time.Millisecond) // also beyond the leader's timeout
 			}
-			return draw(0.15, 1200*time.Millisecond)
+			return randomDelay(0.15, 1200*time.Millisecond)
 		}
 	})
 	d.network.SetDelay(func(from, to string) <-chan time.Time {
 		switch {
 		case strings.HasSuffix(to, meshPort):
-			return draw(0.15, 1500*time.Millisecond)
+			return randomDelay(0.15, 1500*time.Millisecond)
 		case from == "user":
-			return draw(0.2, 350*time.Millisecond)
+			return randomDelay(0.2, 350*time.Millisecond)
 		}
 		return noDelay()
 	})
@@ -120,19 +120,19 @@
 	cancelAt := time.Now().Add(time.Duration(random.IntN(12_000)) * time.Millisecond) // often after the end
 	started, pollsAfterEnd := false, 0
 	for range 400 {
-		running, node := d.invariants.RunningTasks(j.info.ID), random.IntN(len(d.nodes))
+		running, controller := d.invariants.RunningTasks(j.info.ID), random.IntN(len(d.controllers))
 		started = started || running > 0
 		nearEnd := started && running == 0 // its users are about to be told of the end
 		switch {
 		case time.Now().After(cancelAt):
 			cancelAt = cancelAt.Add(time.Minute)
-			j.pending.Go(func() { j.cancel(node) })
+			j.pending.Go(func() { j.cancel(controller) })
 			nearEnd = true
 		case nearEnd && random.IntN(4) == 0:
-			j.pending.Go(func() { j.submit(node) })
+			j.pending.Go(func() { j.submit(controller) })
 		}
-		for each := range d.nodes {
-			j.pending.Go(func() { j.poll(each) })
+		for target := range d.controllers {
+			j.pending.Go(func() { j.poll(target) })
 		}
 		if d.invariants.LastStage(j.info.ID).IsTerminal() {
 			if pollsAfterEnd++; pollsAfterEnd > 12 {
--- a/node/http_test.go
+++ b/node/http_test.go
@@ -58,10 +58,10 @@
 
 const metricsPath = "/metrics"
 
-// nodeLog is a controller's log: on stderr with -v, otherwise nil.
-func nodeLog(node string) *slog.Logger {
+// controllerLog is a controller's log: on stderr with -v, otherwise nil.
+func controllerLog(controller string) *slog.Logger {
 	if !testing.Verbose() {
 		return nil
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", node)
+	return slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", controller)
 }
--- a/node/leadership_test.go
+++ b/node/leadership_test.go
@@ -34,9 +34,9 @@
 func TestCancellationsConfirmWhileOldLeaderIsIsolatedWithItsWorkers(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		jobs := d.startEndlessJobs(4, 4)
-		old := d.leader()
-		d.rejectKV(old, true)
-		d.partitionPeers(old, true)
+		oldLeader := d.leader()
+		d.setKVRejection(oldLeader, true)
+		d.partitionPeers(oldLeader, true)
 		d.sleep(4500 * time.Millisecond)
 		for _, job := range jobs {
 			d.cancel(job.ID)
@@ -129,14 +129,14 @@
 			d.restart(leader, 100*time.Millisecond)
 			d.restart(leader, time.Duration(round)*400*time.Millisecond)
 			d.sleep(4 * time.Second)
-			for i := range d.nodes {
+			for i := range d.controllers {
 				d.stop(i)
 			}
 			d.sleep(time.Duration(round) * 700 * time.Millisecond)
-			d.start(round % defaultNodes)
+			d.start(round % defaultControllers)
 			d.sleep(2 * time.Second)
-			for i := range d.nodes {
-				if i != round%defaultNodes {
+			for i := range d.controllers {
+				if i != round%defaultControllers {
 					d.start(i)
 				}
 			}
@@ -159,7 +159,7 @@
 		leader, busy := d.leader(), d.busyMachines()
 		injectFault(busy, fake.Fault{HeartbeatsLost: true})
 		d.restart(leader, 300*time.Millisecond)
-		next := d.nodes[d.leader()].name
+		next := d.controllers[d.leader()].name
 		for _, m := range busy {
 			deliver[m.ID](d.ctx, next)
 		}
@@ -171,23 +171,23 @@
 // not store must not have started: the next leader would start it elsewhere.
 func TestTasksPlacedWithoutKVStoreDoNotStart(t *testing.T) {
 	simulate(t, deploymentOptions{machines: 4, quotaLimit: 40}, func(d *deployment) {
-		var full []fake.JobInfo // a task ends on each machine every three seconds
+		var fillingJobs []fake.JobInfo // a task ends on each machine every three seconds
 		for range 4 {
 			job := d.newJob(4, 12*time.Second)
 			d.submit(job)
-			full = append(full, job)
+			fillingJobs = append(fillingJobs, job)
 		}
-		d.waitUntil("all machines are full", func() bool { return d.runningTasks(full) == 16 })
+		d.waitUntil("all machines are full", func() bool { return d.runningTasks(fillingJobs) == 16 })
 		pending := d.newJob(6, endlessRunTime)
 		d.submit(pending)
 		leader := d.leader()
 		d.sleep(1500 * time.Millisecond)
-		d.rejectKV(leader, true)
-		d.waitUntil("tasks end", func() bool { return d.runningTasks(full) <= 12 })
+		d.setKVRejection(leader, true)
+		d.waitUntil("tasks end", func() bool { return d.runningTasks(fillingJobs) <= 12 })
 		d.sleep(1300 * time.Millisecond)
 		injectFault(d.allMachines()[:2], fake.Fault{Partitioned: true})
 		d.stop(leader)
-		d.rejectKV(leader, false)
+		d.setKVRejection(leader, false)
 		d.sleep(workerLease)
 		d.start(leader)
 		d.cancel(pending.ID)
@@ -203,11 +203,11 @@
 		if !d.cancelConfirmed(d.leader(), jobs[0].ID) {
 			t.Error("the cancellation was not confirmed")
 		}
-		for i := range d.nodes {
+		for i := range d.controllers {
 			d.stop(i)
 		}
 		d.sleep(workerLease + 5*time.Second)
-		for i := range d.nodes {
+		for i := range d.controllers {
 			d.start(i)
 		}
 		d.cancel(jobs[1].ID)
--- a/node/node.go
+++ b/node/node.go
@@ -82,21 +82,21 @@
 // The port of a process that has just ended may not be free for some seconds.
 const (
 	listenRetries = 20
-	listenPause   = 250 * time.Millisecond // between two tries
+	listenRetryInterval   = 250 * time.Millisecond // between two tries
 )
 
 // listenWithRetry listens on the system's network, and retries for 5 s.
 func listenWithRetry(ctx context.Context, addr string) (net.Listener, error) {
-	var network net.ListenConfig
+	var listenConfig net.ListenConfig
 	for try := 0; ; try++ {
-		listener, err := network.Listen(ctx, "tcp", addr)
+		listener, err := listenConfig.Listen(ctx, "tcp", addr)
 		if err == nil || try == listenRetries {
 			return listener, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(listenPause):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
@@ -106,16 +106,16 @@
 // cannot be listened on, or is that of a listener that failed.
 func (n *Node) Run(ctx context.Context) error {
 	s, d := n.settings, n.deps
-	users, err := d.Listen(ctx, s.ClientListen)
+	clientListener, err := d.Listen(ctx, s.ClientListen)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	defer users.Close()
-	mesh, err := d.Listen(ctx, s.MeshListen)
+	defer clientListener.Close()
+	meshListener, err := d.Listen(ctx, s.MeshListen)
 	if err != nil {
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
-	defer mesh.Close()
+	defer meshListener.Close()
 	d.Log.Info("node starts", "node", s.Node, "zone", s.Zone, "clients", s.ClientListen, "mesh", s.MeshListen)
 	return controller.New(s, controller.Environment{
 		Policy:    d.Policy,
@@ -124,5 +124,5 @@
 		Log:       d.Log,
 		Dial:      d.Dial,
 		Admission: d.Admission,
-	}).Run(ctx, users, mesh)
+	}).Run(ctx, clientListener, meshListener)
 }
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -15,20 +15,20 @@
 	const memoryMB = 0.1 // for 8 jobs
 	simulate(t, deploymentOptions{memoryMB: memoryMB}, func(d *deployment) {
 		accepted := fillMemory(d)
-		for node := range d.nodes {
-			expectRejection(d, node)
+		for controller := range d.controllers {
+			expectRejection(d, controller)
 			for _, job := range accepted {
-				if status, _ := d.poll(node, job.ID); status != http.StatusOK {
-					t.Errorf("%s: status %d about a known job", d.nodes[node].name, status)
+				if status, _ := d.poll(controller, job.ID); status != http.StatusOK {
+					t.Errorf("%s: status %d about a known job", d.controllers[controller].name, status)
 				}
-				if status := d.submitOnce(node, job.ID, true, submissionOf(job)); status != http.StatusOK {
-					t.Errorf("%s: status %d for a duplicate", d.nodes[node].name, status)
+				if status := d.submitOnce(controller, job.ID, true, submissionOf(job)); status != http.StatusOK {
+					t.Errorf("%s: status %d for a duplicate", d.controllers[controller].name, status)
 				}
 			}
 		}
-		for node, job := range accepted[:2] {
-			if !d.cancelConfirmed(node, job.ID) {
-				t.Errorf("%s does not cancel while memory is full", d.nodes[node].name)
+		for controller, job := range accepted[:2] {
+			if !d.cancelConfirmed(controller, job.ID) {
+				t.Errorf("%s does not cancel while memory is full", d.controllers[controller].name)
 			}
 		}
 		d.waitUntil("cancelled jobs have ended", func() bool { return d.runningTasks(accepted[:2]) == 0 })
@@ -51,9 +51,9 @@
 // those that were accepted.
 func fillMemory(d *deployment) []fake.JobInfo {
 	d.t.Helper()
-	const most = 100
+	const maxJobs = 100
 	var accepted []fake.JobInfo
-	for len(accepted) < most {
+	for len(accepted) < maxJobs {
 		job := d.newJob(1, endlessRunTime)
 		if r := d.request(d.leader(), http.MethodPost, protocol.PathSubmit, submissionOf(job)); r.status != http.StatusCreated {
 			break
@@ -61,22 +61,22 @@
 		d.submit(job) // known by now
 		accepted = append(accepted, job)
 	}
-	if len(accepted) < 2 || len(accepted) == most {
+	if len(accepted) < 2 || len(accepted) == maxJobs {
 		d.t.Fatalf("%d jobs are accepted", len(accepted))
 	}
 	return accepted
 }
 
 // expectRejection checks that a controller rejects a new job at once and says when to retry.
-func expectRejection(d *deployment, node int) {
+func expectRejection(d *deployment, controller int) {
 	d.t.Helper()
-	const atOnce = 500 * time.Millisecond
-	sent, name := time.Now(), d.nodes[node].name
-	r := d.request(node, http.MethodPost, protocol.PathSubmit, submissionOf(d.newJob(1, time.Second)))
+	const maxRejectionTime = 500 * time.Millisecond
+	sent, name := time.Now(), d.controllers[controller].name
+	r := d.request(controller, http.MethodPost, protocol.PathSubmit, submissionOf(d.newJob(1, time.Second)))
 	if r.status != http.StatusTooManyRequests || r.header.Get("Retry-After") == "" {
 		d.t.Errorf("%s: status %d for one job too many, Retry-After %q", name, r.status, r.header.Get("Retry-After"))
 	}
-	if took := time.Since(sent); took > atOnce {
+	if took := time.Since(sent); took > maxRejectionTime {
 		d.t.Errorf("%s takes %v to reject a job", name, took)
 	}
 }
--- a/node/requests_test.go
+++ b/node/requests_test.go
@@ -15,35 +15,35 @@
 // rejected, by every controller.
 func TestDuplicateAndInvalidRequestsGetTheirStatus(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
-		unfinished, over := d.newJob(3, 60*time.Second), d.newJob(1, time.Second)
+		unfinished, finished := d.newJob(3, 60*time.Second), d.newJob(1, time.Second)
 		d.submit(unfinished)
-		d.submit(over)
-		d.waitUntil("it is done", func() bool { return d.invariants.LastStage(over.ID) == protocol.StageDone })
+		d.submit(finished)
+		d.waitUntil("it is done", func() bool { return d.invariants.LastStage(finished.ID) == protocol.StageDone })
 		check := func(when string, leaderless bool) {
-			for node := range d.nodes {
+			for controller := range d.controllers {
 				for i, fields := range duplicatesOf(submissionOf(unfinished)) {
-					if status := d.submitOnce(node, unfinished.ID, true, fields); status != http.StatusOK && !leaderless {
-						t.Errorf("%s, %s: duplicate %d gets status %d", when, d.nodes[node].name, i, status)
+					if status := d.submitOnce(controller, unfinished.ID, true, fields); status != http.StatusOK && !leaderless {
+						t.Errorf("%s, %s: duplicate %d gets status %d", when, d.controllers[controller].name, i, status)
 					}
 				}
-				if status, stage := d.cancelOnce(node, over.ID); !leaderless && (status != http.StatusOK || stage != protocol.StageDone) {
-					t.Errorf("%s, %s: cancelling a job that is done: status %d, %s", when, d.nodes[node].name, status, stage)
+				if status, stage := d.cancelOnce(controller, finished.ID); !leaderless && (status != http.StatusOK || stage != protocol.StageDone) {
+					t.Errorf("%s, %s: cancelling a job that is done: status %d, %s", when, d.controllers[controller].name, status, stage)
 				}
-				if r := d.request(node, http.MethodPost, cancelPath("j-999999"), nil); !leaderless && r.status != http.StatusNotFound {
-					t.Errorf("%s, %s: cancelling an unknown job: status %d", when, d.nodes[node].name, r.status)
+				if r := d.request(controller, http.MethodPost, cancelPath("j-999999"), nil); !leaderless && r.status != http.StatusNotFound {
+					t.Errorf("%s, %s: cancelling an unknown job: status %d", when, d.controllers[controller].name, r.status)
 				}
 				for i, invalid := range invalidSubmissions {
-					fields := submission(fmt.Sprintf("j-8%02d%02d", node, i), 1)
+					fields := submission(fmt.Sprintf("j-8%02d%02d", controller, i), 1)
 					invalid.change(fields)
-					r := d.request(node, http.MethodPost, protocol.PathSubmit, fields)
+					r := d.request(controller, http.MethodPost, protocol.PathSubmit, fields)
 					if r.accepted() || !leaderless && r.status != invalid.status {
-						t.Errorf("%s, %s: %s: status %d", when, d.nodes[node].name, invalid.name, r.status)
+						t.Errorf("%s, %s: %s: status %d", when, d.controllers[controller].name, invalid.name, r.status)
 					}
 				}
 			}
 		}
 		check("with a leader", false)
-		d.rejectKV(d.leader(), true)
+		d.setKVRejection(d.leader(), true)
 		d.sleep(2 * time.Second)
 		check("without a leader", true)
 	})
@@ -52,10 +52,10 @@
 // duplicatesOf returns submissions of the same job: the same, with other contents, without
 // a field.
 func duplicatesOf(fields map[string]any) []map[string]any {
-	other, lacking := maps.Clone(fields), maps.Clone(fields)
-	other[protocol.FieldTasks], other[protocol.FieldTeam] = 7, "nobody"
-	delete(lacking, protocol.FieldCPUs)
-	return []map[string]any{fields, other, lacking}
+	changed, incomplete := maps.Clone(fields), maps.Clone(fields)
+	changed[protocol.FieldTasks], changed[protocol.FieldTeam] = 7, "nobody"
+	delete(incomplete, protocol.FieldCPUs)
+	return []map[string]any{fields, changed, incomplete}
 }
 
 // invalidSubmissions are changes to a valid submission, and the status that it gets then.
--- a/node/soak_test.go
+++ b/node/soak_test.go
@@ -22,11 +22,11 @@
 const (
 	soakDefaultMachines = 50
 	soakDefaultLength   = 4 * time.Minute
-	// soakHeartbeats is longer than a new leader waits before it broadcasts its token: only
+	// soakHeartbeatInterval is longer than a new leader waits before it broadcasts its token: only
 	// then do machines answer a broadcast before they have sent a heartbeat by themselves.
-	soakHeartbeats = 4 * time.Second
-	// soakCopies is the share of heartbeats of which a copy comes again later.
-	soakCopies = 0.9
+	soakHeartbeatInterval = 4 * time.Second
+	// soakDuplicatedShare is the share of heartbeats of which a copy comes again later.
+	soakDuplicatedShare = 0.9
 )
 
 // soakSeeds are those that CI runs.
@@ -39,40 +39,40 @@
 //	go test ./node -run Soak -soak 30m -seed 7 -machines 4000 -timeout 2h -v
 func TestSoak(t *testing.T) {
 	if *soakLength > 0 {
-		soak(t, *soakSeed, *soakMachines, *soakLength)
+		runSoak(t, *soakSeed, *soakMachines, *soakLength)
 		return
 	}
 	for _, seed := range soakSeeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			soak(t, seed, soakDefaultMachines, soakDefaultLength)
+			runSoak(t, seed, soakDefaultMachines, soakDefaultLength)
 		})
 	}
 }
 
-// soak plays one random day.
-func soak(t *testing.T, seed uint64, machines int, length time.Duration) {
+// runSoak plays one random day.
+func runSoak(t *testing.T, seed uint64, machines int, length time.Duration) {
 	t.Helper()
 	const quotaShare = 0.9 // of all processors
 	options := deploymentOptions{
 		machines:          machines,
 		quotaLimit:        quotaShare * machineCPUs * float64(machines),
-		heartbeatInterval: soakHeartbeats,
+		heartbeatInterval: soakHeartbeatInterval,
 		cancelTimeout:     2 * workerLease,
 		seed:              seed,
 	}
 	simulate(t, options.sizedForMachines(), func(d *deployment) {
-		s := &soakDay{
+		s := &soakRun{
 			deployment: d,
 			random:     rand.New(rand.NewPCG(seed, 11)),
-			capacity:   int(options.quotaLimit),
+			quotaLimitCPUs:   int(options.quotaLimit),
 			tasks:      map[string]int{},
-			faultyTill: make([]time.Time, len(d.nodes)),
+			faultyUntil: make([]time.Time, len(d.controllers)),
 		}
 		d.network.SetDelay(s.freezeDelay)
-		d.background.Go(s.copyToNewLeaders)
+		d.background.Go(s.deliverOldHeartbeatsToNewLeaders)
 		s.run(length)
-		s.ended.Store(true)
+		s.faultsEnded.Store(true)
 		d.network.SetDelay(nil)
 		t.Logf("seed %d: %d faults, %d jobs, %d starts, %d cancellations confirmed", seed, s.faults,
 			s.jobs, d.invariants.Starts(), d.invariants.ConfirmedCancellations())
@@ -87,59 +87,59 @@
 	return o
 }
 
-// soakDay is a random day in progress. One goroutine decides all that happens, by random.
-type soakDay struct {
+// soakRun is a random day in progress. One goroutine decides all that happens, by random.
+type soakRun struct {
 	*deployment
 	random   *rand.Rand
-	capacity int            // processors of the team
+	quotaLimitCPUs int            // processors of the team
 	tasks    map[string]int // of each job that is not over
 	jobs     int            // submitted
 	faults   int
-	ended    atomic.Bool // the faults are over
+	faultsEnded    atomic.Bool // the faults are over
 
-	// faultyTill is when the controller's fault ends. freezes is which of these faults are
+	// faultyUntil is when the controller's fault ends. freezes is which of these faults are
 	// freezes; the lock of the deployment guards it.
-	faultyTill []time.Time
-	freezes    map[string]time.Time
+	faultyUntil []time.Time
+	frozenUntil    map[string]time.Time
 }
 
 // run has something happen every second or so.
-func (s *soakDay) run(length time.Duration) {
-	s.copyHeartbeats(s.allMachines())
+func (s *soakRun) run(length time.Duration) {
+	s.duplicateHeartbeatsOnly(s.allMachines())
 	for end := time.Now().Add(length); time.Now().Before(end) && len(s.invariants.Violations()) == 0; {
 		s.sleep(time.Duration(500+s.random.IntN(1000)) * time.Millisecond)
 		s.submitWork()
 		if s.random.IntN(4) == 0 {
-			s.cancelAny()
+			s.cancelRandomJob()
 		}
 		if s.random.IntN(2) == 0 {
-			s.injectAnyFault()
+			s.startRandomFault()
 		}
 	}
 }
 
 // submitWork submits jobs of all priorities until there is half as much work again as the team
 // may run.
-func (s *soakDay) submitWork() {
+func (s *soakRun) submitWork() {
 	const overload = 1.5
-	for s.openTasks() < int(overload*float64(s.capacity)) {
+	for s.openTasks() < int(overload*float64(s.quotaLimitCPUs)) {
 		priority := protocol.Priority(s.random.IntN(protocol.Priorities))
-		s.submitJob(1+s.random.IntN(s.tasksInProportion(leastJobTasks)), s.between(4*time.Second, 40*time.Second), priority)
+		s.submitJob(1+s.random.IntN(s.scaledTaskCount(largestJobTasks)), s.randomDuration(4*time.Second, 40*time.Second), priority)
 	}
 }
 
-// leastJobTasks is how many tasks the largest job has at least.
-const leastJobTasks = 8
+// largestJobTasks is how many tasks the largest job has at least.
+const largestJobTasks = 8
 
-// tasksInProportion returns a number of tasks that keeps the number of jobs the same in fleets
+// scaledTaskCount returns a number of tasks that keeps the number of jobs the same in fleets
 // of a hundred machines and more: each job costs the scheduler time in every cycle.
-func (s *soakDay) tasksInProportion(least int) int {
+func (s *soakRun) scaledTaskCount(minimum int) int {
 	const smallFleetCPUs = 200
-	return max(least, least*s.capacity/smallFleetCPUs)
+	return max(minimum, minimum*s.quotaLimitCPUs/smallFleetCPUs)
 }
 
 // submitJob has a user submit a job in the background.
-func (s *soakDay) submitJob(tasks int, runTime time.Duration, priority protocol.Priority) {
+func (s *soakRun) submitJob(tasks int, runTime time.Duration, priority protocol.Priority) {
 	job := s.newJob(tasks, runTime)
 	job.Priority = priority
 	job.ZoneSpread = s.random.IntN(8) == 0
@@ -151,7 +151,7 @@
 
 // openTasks returns how many tasks belong to jobs whose users have not been told of an end, and
 // drops the other jobs.
-func (s *soakDay) openTasks() int {
+func (s *soakRun) openTasks() int {
 	open := 0
 	for id, tasks := range s.tasks {
 		if s.invariants.LastStage(id).IsTerminal() {
@@ -163,8 +163,8 @@
 	return open
 }
 
-// cancelAny has a user cancel a job that runs.
-func (s *soakDay) cancelAny() {
+// cancelRandomJob has a user cancel a job that runs.
+func (s *soakRun) cancelRandomJob() {
 	var running []string
 	for id := range s.tasks {
 		if s.invariants.RunningTasks(id) > 0 && !s.invariants.LastStage(id).IsTerminal() {
@@ -177,7 +177,7 @@
 	}
 }
 
-// copyHeartbeats ends the faults of machines, but for the copies of their heartbeats.
-func (s *soakDay) copyHeartbeats(machines []*fake.Machine) {
-	injectFault(machines, fake.Fault{DuplicatedShare: soakCopies})
+// duplicateHeartbeatsOnly ends the faults of machines, but for the copies of their heartbeats.
+func (s *soakRun) duplicateHeartbeatsOnly(machines []*fake.Machine) {
+	injectFault(machines, fake.Fault{DuplicatedShare: soakDuplicatedShare})
 }
--- a/node/stale_responses_test.go
+++ b/node/stale_responses_test.go
@@ -20,12 +20,12 @@
 
 // holdCommitResponses has the store carry out a controller's transactions that name a key
 // and hold back their responses until release is called. held reports whether one is held.
-func (d *deployment) holdCommitResponses(node int, key string) (held *atomic.Bool, release func()) {
+func (d *deployment) holdCommitResponses(controller int, key string) (held *atomic.Bool, release func()) {
 	held = new(atomic.Bool)
 	gate := make(chan time.Time)
 	d.update(func() {
 		d.kvResponseDelay = func(from int, r *http.Request, body []byte) <-chan time.Time {
-			if from == node && r.URL.Path == protocol.PathCommit && bytes.Contains(body, []byte(key)) {
+			if from == controller && r.URL.Path == protocol.PathCommit && bytes.Contains(body, []byte(key)) {
 				held.Store(true)
 				return gate
 			}
@@ -41,9 +41,9 @@
 // delayMesh delays all that one controller receives from another until the channel from
 // gate is ready.
 func (d *deployment) delayMesh(caller, callee int, gate func() <-chan time.Time) {
-	mesh := d.nodes[callee].name + meshPort
+	mesh := d.controllers[callee].name + meshPort
 	d.network.SetDelay(func(from, to string) <-chan time.Time {
-		if from == d.nodes[caller].name && to == mesh {
+		if from == d.controllers[caller].name && to == mesh {
 			return gate()
 		}
 		return noDelay()
@@ -163,8 +163,8 @@
 		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.info.ID) == 1 })
 		d.sleep(runTime - 300*time.Millisecond) // the link counts as lost by now
 		d.update(func() {
-			d.kvResponseDelay = func(node int, r *http.Request, _ []byte) <-chan time.Time {
-				if node == follower && r.URL.Path == protocol.PathKeys+"/"+storage.KeyJob(job.info.ID) {
+			d.kvResponseDelay = func(controller int, r *http.Request, _ []byte) <-chan time.Time {
+				if controller == follower && r.URL.Path == protocol.PathKeys+"/"+storage.KeyJob(job.info.ID) {
 					return time.After(780 * time.Millisecond) // within the limit of such a read
 				}
 				return noDelay()
--- a/node/tracked_job_test.go
+++ b/node/tracked_job_test.go
@@ -40,17 +40,17 @@
 	job = d.newTrackedJob(fake.NewHistory(), tasks, runTime)
 	job.submitUntilAccepted()
 	leader = d.leader()
-	return job, leader, (leader + 1) % len(d.nodes)
+	return job, leader, (leader + 1) % len(d.controllers)
 }
 
 // request sends one request and records the response, also one received after the user's
 // timeout.
-func (j *trackedJob) request(node int, method, path string, body any, timeout time.Duration) fake.Request {
+func (j *trackedJob) request(controller int, method, path string, body any, timeout time.Duration) fake.Request {
 	d := j.deployment
-	request := fake.Request{Job: j.info.ID, Controller: d.nodes[node].name, Sent: time.Now()}
+	request := fake.Request{Job: j.info.ID, Controller: d.controllers[controller].name, Sent: time.Now()}
 	ctx, cancel := context.WithTimeout(d.ctx, longestResponse)
 	defer cancel()
-	received := send(ctx, d.userClient(), method, d.userURL(node, path), body)
+	received := send(ctx, d.userClient(), method, d.userURL(controller, path), body)
 	if received.status == 0 {
 		return request
 	}
@@ -67,23 +67,23 @@
 	return request
 }
 
-func (j *trackedJob) submit(node int) fake.Request {
-	return j.request(node, http.MethodPost, protocol.PathSubmit, submissionOf(j.info), submitTimeout)
+func (j *trackedJob) submit(controller int) fake.Request {
+	return j.request(controller, http.MethodPost, protocol.PathSubmit, submissionOf(j.info), submitTimeout)
 }
 
-func (j *trackedJob) poll(node int) fake.Request {
-	return j.request(node, http.MethodGet, jobPath(j.info.ID), nil, pollTimeout)
+func (j *trackedJob) poll(controller int) fake.Request {
+	return j.request(controller, http.MethodGet, jobPath(j.info.ID), nil, pollTimeout)
 }
 
-func (j *trackedJob) cancel(node int) fake.Request {
+func (j *trackedJob) cancel(controller int) fake.Request {
 	j.deployment.invariants.CancelRequested(j.info.ID)
-	return j.request(node, http.MethodPost, cancelPath(j.info.ID), nil, submitTimeout)
+	return j.request(controller, http.MethodPost, cancelPath(j.info.ID), nil, submitTimeout)
 }
 
 // submitUntilAccepted repeats the submission as a user does.
 func (j *trackedJob) submitUntilAccepted() {
 	for try := 0; j.deployment.ctx.Err() == nil; try++ {
-		if r := j.submit(try % len(j.deployment.nodes)); r.Status == http.StatusOK || r.Status == http.StatusCreated {
+		if r := j.submit(try % len(j.deployment.controllers)); r.Status == http.StatusOK || r.Status == http.StatusCreated {
 			return
 		}
 		j.deployment.sleep(time.Second)
@@ -92,9 +92,9 @@
 
 // pollUntilTerminal polls one controller until it calls the job done or cancelled, and
 // reports whether it did so in time.
-func (j *trackedJob) pollUntilTerminal(node int, within time.Duration) bool {
+func (j *trackedJob) pollUntilTerminal(controller int, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); j.deployment.sleep(100 * time.Millisecond) {
-		if j.poll(node).Stage.IsTerminal() {
+		if j.poll(controller).Stage.IsTerminal() {
 			return true
 		}
 	}
