--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -16,16 +16,16 @@
 	"dunestand/internal/protocol"
 )
 
-// Five controllers under a burst. Two teams have a guaranteed quota of half of the fleet
-// each; one submits ten times as much. The fleet has 8 machines of 2 processors, and tasks
-// take a second, so that a test machine can run it.
+// The burst tests run five controllers in a fleet of 8 machines with 2 CPUs each. Each of two
+// teams has half of the fleet as its guaranteed quota, and one of them submits ten times as much.
+// Tasks take one second, so that a test machine can run the burst.
 const (
-	burstControllers    = 5
-	burstHorizon  = 10  // seconds
-	burstCPUs     = 8   // guaranteed to each team
-	burstTasks    = 2   // of a job, one processor and second each
-	burstMemoryMB = 100 // for more jobs than a burst has
-	// burstRate is the jobs a second that a team's guaranteed quota can run.
+	burstControllers = 5
+	burstHorizon     = 10  // seconds
+	burstCPUs        = 8   // guaranteed to each team
+	burstTasks       = 2   // per job; each uses one CPU for one second
+	burstMemoryMB    = 100 // enough for all jobs of a burst
+	// burstRate is the number of jobs per second that a team's guaranteed quota can run.
 	burstRate = burstCPUs / burstTasks
 )
 
@@ -44,18 +44,18 @@
 	return policy
 }
 
-// burst is a cluster with many users.
+// burst is a cluster with many concurrent users.
 type burst struct {
 	*cluster
-	checker    *admissioncheck.Checker
-	users      sync.WaitGroup
-	mu         sync.Mutex     // guards all below
-	abandoned  map[string]int // users that gave up, by team
-	usersWithoutDefiniteResponse int            // users with indefinite responses only
-	random     *rand.Rand
+	checker                      *admissioncheck.Checker
+	users                        sync.WaitGroup
+	mu                           sync.Mutex     // guards the fields below
+	abandoned                    map[string]int // number of users that gave up, by team
+	usersWithoutDefiniteResponse int            // that gave up, too
+	random                       *rand.Rand
 }
 
-// newBurst starts a cluster and waits until it admits by the plan.
+// newBurst starts a cluster and waits until every controller applies the admission plan.
 func newBurst(t *testing.T) *burst {
 	t.Helper()
 	b := newBurstWith(t, burstPolicy(t), burstMemoryMB)
@@ -63,7 +63,7 @@
 	return b
 }
 
-// newBurstWith starts a cluster with a policy; nil: the built-in one, which has no admission
+// newBurstWith starts a cluster with a policy; nil: the built-in policy, which has no admission
 // plan.
 func newBurstWith(t *testing.T, policy *config.Policy, memoryMB float64) *burst {
 	t.Helper()
@@ -74,11 +74,11 @@
 		random:    rand.New(rand.NewPCG(1, 2)),
 	}
 	b.cluster = newCluster(t, clusterOptions{
-		controllers:    burstControllers,
-		machines: 8,
-		cpus:     2,
-		runTime:  time.Second,
-		memoryMB: memoryMB,
+		controllers: burstControllers,
+		machines:    8,
+		cpus:        2,
+		runTime:     time.Second,
+		memoryMB:    memoryMB,
 		teams: []config.Team{
 			{Name: floodingTeam, GuaranteedCPUs: burstCPUs, LimitCPUs: 2 * burstCPUs},
 			{Name: steadyTeam, GuaranteedCPUs: burstCPUs, LimitCPUs: 2 * burstCPUs},
@@ -89,13 +89,13 @@
 	return b
 }
 
-// waitUntilActive waits until every controller admits by the plan.
+// waitUntilActive waits until every controller applies the admission plan.
 func (b *burst) waitUntilActive() {
 	b.t.Helper()
 	for i := range b.controllers {
 		for try := 0; !strings.Contains(b.metrics(i), admissionActive); try++ {
 			if try == 200 {
-				b.t.Fatalf("node %d does not admit by the plan", i)
+				b.t.Fatalf("controller %d does not apply the admission plan", i)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -114,7 +114,7 @@
 }
 
 // submitOnce submits a job to one controller and checks the response. retryAfter is how long the
-// user is to wait.
+// user must wait before a retry.
 func (b *burst) submitOnce(user, controller int, job map[string]any) (kind admissioncheck.ResponseKind, retryAfter time.Duration) {
 	received := b.checker.Submit(b.ctx, user, b.controllers[controller].settings.ClientListen, job)
 	rejected := received.Status == http.StatusServiceUnavailable || received.Status == http.StatusTooManyRequests
@@ -125,13 +125,12 @@
 }
 
 const (
-	burstUserTimeout = 15 * time.Second
-	duplicateEvery   = 4 // one user in so many sends each submission through two controllers at once
+	burstUserTimeout = 15 * time.Second // a quarter of the time for which users of the service retry
+	duplicateEvery   = 4                // one user in duplicateEvery sends each submission to two controllers concurrently
 )
 
-// runUser submits a job, through the given nodes at first and then any, until it is
-// accepted, or for a quarter of the time that users take. An accepted job is submitted once
-// more.
+// runUser submits a job until it is accepted or burstUserTimeout has passed. The first attempt
+// goes to one of the given controllers, later ones to any. An accepted job is submitted once more.
 func (b *burst) runUser(id int, team, class string, controllers []int) {
 	job := burstJob(id, team, class)
 	if err := b.checker.RegisterSubmission(job); err != nil {
@@ -168,7 +167,8 @@
 	}
 }
 
-// startUsers has users submit jobs of a team, so many a second, in the background.
+// startUsers starts, in the background, perSecond users per second, each of whom submits one job
+// of a team. Job numbers count up from first.
 func (b *burst) startUsers(first int, team, class string, perSecond float64, duration time.Duration, controllers ...int) {
 	b.users.Go(func() {
 		count := int(perSecond * duration.Seconds())
@@ -179,8 +179,8 @@
 	})
 }
 
-// checkInvariants checks what holds after every burst, and returns the number of admitted
-// jobs by team.
+// checkInvariants checks the invariants that hold after every burst, and returns the number of
+// admitted jobs by team.
 func (b *burst) checkInvariants() map[string]int {
 	b.t.Helper()
 	for _, violation := range b.checker.Violations() {
@@ -210,19 +210,19 @@
 	return steadyTeam
 }
 
-// flood has one team submit ten times its guaranteed quota through two controllers, and the
-// other one most of its own.
+// flood has the flooding team submit ten times its guaranteed quota through two controllers, and
+// the steady team four fifths of its own through all controllers. It returns at once.
 func (b *burst) flood(duration time.Duration) {
 	b.startUsers(0, floodingTeam, "bulk", 9.5*burstRate, duration, 0, 1)
 	b.startUsers(200_000, floodingTeam, "few", 0.5*burstRate, duration, 0, 1)
 	b.startUsers(firstSteadyID, steadyTeam, "lot", 0.8*burstRate, duration, 0, 1, 2, 3, 4)
 }
 
-// steadyJobs is the number of jobs that the steady team submits meanwhile.
+// steadyJobs returns the number of jobs that the steady team submits during a flood.
 func steadyJobs(duration time.Duration) int { return int(0.8 * burstRate * duration.Seconds()) }
 
-// One team floods through two controllers at once. Responses about each job are consistent,
-// the other team gets its guaranteed quota, no class starves, and the flood gets the rest.
+// One team floods two controllers at once. The responses about each job are consistent, the other
+// team gets its guaranteed quota, no job class starves, and the flooding team gets the rest.
 func TestFloodingTeamDoesNotDisplaceGuaranteedTeam(t *testing.T) {
 	b := newBurst(t)
 	const duration = 8 * time.Second
@@ -234,9 +234,9 @@
 	if b.abandoned[steadyTeam] > 0 || admitted[steadyTeam] != steadyJobs(duration) {
 		t.Errorf("%d of %d jobs of the steady team were admitted", admitted[steadyTeam], steadyJobs(duration))
 	}
-	// The flood gets what the fleet can run and a horizon ahead, without the other team's
-	// jobs. The margin is a fifth: tasks also wait for heartbeats, which their run time does
-	// not include.
+	// The flooding team gets what the fleet can run until the horizon ends, less the jobs of the
+	// other team. The margin is 20%: tasks also wait for heartbeats, which their run time does not
+	// include.
 	fleet := 2 * burstRate * (took.Seconds() + burstHorizon)
 	if got := float64(admitted[floodingTeam]); got > 1.2*(fleet-float64(admitted[steadyTeam])) || got < 0.4*burstRate*took.Seconds() {
 		t.Errorf("%v jobs of the flood were admitted within %v; the fleet can run %v in all", got, took, fleet)
@@ -253,9 +253,9 @@
 	t.Logf("admitted %v, gave up %v, %d deferred responses, %d plans, within %v", admitted, b.abandoned, b.checker.DeferredResponses(), b.checker.StoredPlans(), took)
 }
 
-// The same under faults: responses of the store are lost, the leader stops and returns, a
-// controller is rejected by the store and uses an old plan, and the leader is partitioned
-// from the other controllers, one way.
+// The guaranteed team is admitted although responses of the key-value store are lost, the leader
+// stops and restarts, the store rejects a controller, which then uses an old plan, and the leader
+// is partitioned one way from the other controllers.
 func TestGuaranteedTeamIsAdmittedWhileControllersFail(t *testing.T) {
 	b := newBurst(t)
 	const duration = 14 * time.Second
--- a/node/admission_faults_test.go
+++ b/node/admission_faults_test.go
@@ -15,7 +15,8 @@
 	"dunestand/internal/protocol"
 )
 
-// shortHorizonPolicy admits so little ahead that a few users are a flood.
+// shortHorizonPolicy returns a policy with an admission horizon so short that a few users overload
+// the fleet.
 func shortHorizonPolicy(t *testing.T) *config.Policy {
 	t.Helper()
 	policy, err := config.ParsePolicy("test", "admission_horizon_s = 10", config.DefaultPolicy())
@@ -27,14 +28,14 @@
 
 const admissionActive = "dunestand_admission_active 1"
 
-// metricsContain reports whether a controller's metrics have a line.
+// metricsContain reports whether the metrics of a controller contain a line.
 func (d *deployment) metricsContain(controller int, line string) bool {
 	r := d.request(controller, http.MethodGet, metricsPath, nil)
 	return r.status == http.StatusOK && bytes.Contains(r.body, []byte(line+"\n"))
 }
 
-// runFloodUser submits a job until it is accepted, or for as long as users do, and then
-// polls it until it is over.
+// runFloodUser submits a job until it is accepted, for a minute at most, and then polls it until
+// it is in a terminal state.
 func (d *deployment) runFloodUser(job fake.JobInfo) {
 	if err := d.admission.RegisterSubmission(submissionOf(job)); err != nil {
 		d.t.Error(err)
@@ -54,8 +55,8 @@
 	}
 }
 
-// submitChecked submits a job once, checks the response and sleeps for as long as it tells
-// the user to. It reports whether the job is accepted.
+// submitChecked submits a job once, checks the response and, if the job is not accepted, sleeps
+// for the response's Retry-After time. It reports whether the job is accepted.
 func (d *deployment) submitChecked(user, controller int, job fake.JobInfo) bool {
 	sent := time.Now()
 	r := d.request(controller, http.MethodPost, protocol.PathSubmit, submissionOf(job))
@@ -73,8 +74,8 @@
 	return false
 }
 
-// Jobs are admitted by the plan only once every controller has it enabled, and without it
-// until then; while it is disabled again, node by node, nothing is lost.
+// The plan takes effect only once every controller has it enabled, and jobs are admitted without
+// it until then. No job is lost while the controllers disable it again one after the other.
 func TestAdmissionPlanIsInactiveUntilAllControllersEnableIt(t *testing.T) {
 	enabled := shortHorizonPolicy(t)
 	disabled := map[int]bool{2: true}
@@ -106,9 +107,9 @@
 	})
 }
 
-// Controllers come and go, are partitioned one way and rejected by the store, responses are
-// lost and transactions are carried out late, while users flood the fleet: what is accepted
-// and what is deferred stays consistent, and no job is left over in the end.
+// While users flood the fleet, controllers restart, are partitioned one way and are rejected by
+// the key-value store, responses are lost and transactions are carried out late. Responses stay
+// consistent about which jobs are accepted or deferred, and every job ends.
 func TestAdmissionStaysConsistentUnderFaults(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -131,7 +132,8 @@
 	}
 }
 
-// runFlood has users come for two minutes, while one fault follows another.
+// runFlood starts users over two minutes and meanwhile injects one controller fault after the
+// other.
 func (d *deployment) runFlood() {
 	const users, every = 600, 200 * time.Millisecond
 	d.background.Go(func() {
@@ -147,10 +149,11 @@
 		d.sleep(time.Duration(1+d.randomBelow(4)) * time.Second)
 	}
 	d.clearFaults()
-	d.sleep(time.Minute) // the last users give up
+	d.sleep(time.Minute) // until the last users have given up
 }
 
-// injectControllerFault injects one of the faults of controllers, for some seconds.
+// injectControllerFault injects a random fault of a controller or the key-value store and returns
+// after it has ended, some seconds later.
 func (d *deployment) injectControllerFault() {
 	duration := time.Duration(1+d.randomBelow(14)) * time.Second
 	controller := d.randomBelow(len(d.controllers))
--- a/node/admission_measure_test.go
+++ b/node/admission_measure_test.go
@@ -18,7 +18,7 @@
 
 var measure = flag.Bool("measure", false, "run the measurements that take minutes")
 
-// latencies is a distribution of times in milliseconds. It may be used concurrently.
+// latencies is a distribution of durations in milliseconds. It is safe for concurrent use.
 type latencies struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -29,18 +29,19 @@
 func (l *latencies) record(t time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(max(t.Milliseconds(), 1)) // within ten minutes
+	_ = l.histogram.RecordValue(max(t.Milliseconds(), 1)) // durations are below the maximum of ten minutes
 }
 
 func (l *latencies) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.histogram
-	return fmt.Sprintf("%d: median %d ms, 90%% %d ms, 99%% %d ms, most %d ms", h.TotalCount(),
+	return fmt.Sprintf("%d: median %d ms, 90%% %d ms, 99%% %d ms, maximum %d ms", h.TotalCount(),
 		h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max())
 }
 
-// runMeasuredUser submits one job until it is accepted, and polls it until it is done.
+// runMeasuredUser submits one job until it is accepted, and polls it until it is done. It records
+// the time to each response, to acceptance and to completion.
 func (b *burst) runMeasuredUser(id int, team string, responses, accepted, done *latencies) {
 	job := burstJob(id, team, "lot")
 	if err := b.checker.RegisterSubmission(job); err != nil {
@@ -71,9 +72,9 @@
 	}
 }
 
-// One team floods for 30 s with ten times its guaranteed quota; the other one comes 10 s
-// later with four fifths of its own. With the admission plan on and off, on nodes with memory
-// for all jobs and for some 390.
+// Measures admission with the admission plan enabled and disabled: one team floods for 30 s with
+// ten times its guaranteed quota, and the other starts 10 s later with four fifths of its own. The
+// controllers have memory for all jobs, or for some 390 of them.
 func TestMeasureAdmission(t *testing.T) {
 	if !*measure {
 		t.Skip("takes minutes: run with -measure")
@@ -88,18 +89,18 @@
 	}
 }
 
-// measureBurst runs one burst and logs what was measured.
+// measureBurst runs one burst and logs the measurements.
 func measureBurst(t *testing.T, policy *config.Policy, memoryMB float64) {
 	const (
 		duration    = 30 * time.Second
-		steadyStart = 10 * time.Second // of the other team
+		steadyStart = 10 * time.Second // when the steady team's users start
 	)
 	b := newBurstWith(t, policy, memoryMB)
 	b.leader()
 	if policy != nil {
 		b.waitUntilActive()
 	}
-	time.Sleep(3 * time.Second) // machines are provisioned and send heartbeats
+	time.Sleep(3 * time.Second) // until machines are provisioned and send heartbeats
 	responses := newLatencies()
 	accepted := map[string]*latencies{floodingTeam: newLatencies(), steadyTeam: newLatencies()}
 	done := map[string]*latencies{floodingTeam: newLatencies(), steadyTeam: newLatencies()}
@@ -120,7 +121,7 @@
 	for policy != nil && !strings.Contains(b.metrics(b.leader()), "dunestand_admission_restricted_cells 0") {
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Logf("nothing is restricted %v after the flood", time.Since(ended).Round(100*time.Millisecond))
+	t.Logf("admission is unrestricted %v after the flood", time.Since(ended).Round(100*time.Millisecond))
 	b.users.Wait()
 	t.Logf("responses: %v, %.0f a second; transactions %d; plans %d", responses,
 		float64(responses.histogram.TotalCount())/time.Since(began).Seconds(), b.options.kv.Revision()-before, b.checker.StoredPlans())
--- a/node/cancellation_test.go
+++ b/node/cancellation_test.go
@@ -9,9 +9,10 @@
 	"dunestand/internal/fake"
 )
 
-// The key-value store rejects the leader alone, users cancel, and then it is down for all
-// for longer than cancel_s while workers send heartbeats to the old leader. Whoever confirms
-// a cancellation, in whichever second, the tasks are gone in time.
+// The key-value store rejects the leader alone, users cancel jobs, and then the store is down for
+// all controllers for longer than cancel_s, while workers send heartbeats to the old leader.
+// Whichever controller confirms a cancellation, and at whatever time, the tasks are gone within
+// cancel_s.
 func TestConfirmedCancellationHoldsAcrossKVOutage(t *testing.T) {
 	confirmed := 0
 	outages := []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond, 1700 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second, 9 * time.Second}
@@ -43,9 +44,9 @@
 	}
 }
 
-// cancel_s is shorter than the workers' lease: a machine that no command reaches may run a
-// task for longer. Then nobody is told of a cancellation, by the leader, by a follower or
-// from the records, until all tasks of the job are gone.
+// cancel_s is shorter than the workers' lease, so a machine that no command reaches can run a task
+// for longer than cancel_s. No controller may then confirm a cancellation, neither the leader nor
+// a follower nor one that reads the records, until all tasks of the job are gone.
 func TestCancellationIsConfirmedOnlyAfterTasksAreGone(t *testing.T) {
 	simulate(t, deploymentOptions{cancelTimeout: workerLease * 6 / 10}, func(d *deployment) {
 		jobs := d.startEndlessJobs(4, 4)
@@ -67,8 +68,8 @@
 	})
 }
 
-// A job is cancelled while its tasks wait for their images and the next heartbeats are
-// seconds away: none of them starts once its user has been told.
+// A job is cancelled while its tasks fetch their images and the next heartbeats are seconds away.
+// No task may start after the cancellation has been confirmed.
 func TestTaskCancelledWhileFetchingNeverStarts(t *testing.T) {
 	simulate(t, deploymentOptions{heartbeatInterval: 4 * time.Second}, func(d *deployment) {
 		d.submit(d.newJob(1, 2*time.Second))
@@ -84,13 +85,14 @@
 		}
 		d.sleep(4 * time.Second)
 		if n := d.invariants.StartsAfterCancel(); n > 0 {
-			t.Errorf("%d tasks started after their user had been told", n)
+			t.Errorf("%d tasks started after their cancellation was confirmed", n)
 		}
 	})
 }
 
-// A cancellation, a poll and a duplicate submission arrive around the end of a job's last
-// task, from shortly before to shortly after. What a user was told stays.
+// A cancellation, a poll and a duplicate submission arrive around the end of a job's last task,
+// from shortly before to shortly after. A terminal state that was reported to a user does not
+// change.
 func TestRequestsRacingCompletionGetStableResponses(t *testing.T) {
 	const runTime = 2 * time.Second
 	simulate(t, deploymentOptions{}, func(d *deployment) {
@@ -111,8 +113,8 @@
 	})
 }
 
-// A cancellation is carried out late, when the next leader has read the records and does
-// not know of it. Then nobody may be told of it from the records.
+// A cancellation is carried out late, after the next leader has read the records without it. No
+// controller may then confirm the cancellation from the records.
 func TestLateCancellationCommitIsNotConfirmedFromRecords(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -125,7 +127,7 @@
 				d.update(func() { d.lateCommitShare = 0 })
 				d.restart(leader, 100*time.Millisecond)
 				next := d.leader()
-				d.sleep(14 * time.Second) // it is carried out
+				d.sleep(14 * time.Second) // until the cancellation is carried out
 				d.partitionPeers(next, true)
 				d.sleep(4 * time.Second)
 				for i := range d.controllers {
@@ -140,9 +142,9 @@
 	}
 }
 
-// Commands are delayed for seconds, and machines hang at the moment at which their jobs are
-// cancelled, some for longer than cancel_s. What they run is cancelled and must be gone, and
-// they do not count as a zone that is partitioned.
+// Commands are delayed for seconds, and machines hang when their jobs are cancelled, some for
+// longer than cancel_s. The cancelled tasks must be gone in time, and the hung machines must not
+// count as a partitioned zone.
 func TestCancelledTasksOnHungMachinesEndInTime(t *testing.T) {
 	for _, hang := range []time.Duration{6 * time.Second, workerLease - time.Second, defaultCancelTimeout + 12*time.Second} {
 		t.Run(fmt.Sprintf("hang %v", hang), func(t *testing.T) {
--- a/node/cluster_network_test.go
+++ b/node/cluster_network_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// dialer opens a controller's connections and partitions it from addresses, one way.
+// dialer opens the outgoing connections of one controller and can partition it from addresses.
+// Partitions are one-way: connections that others open to the controller still work.
 type dialer struct {
 	mu          sync.Mutex
 	partitioned map[string]bool
-	conns       map[net.Conn]string // address of each that was opened
+	conns       map[net.Conn]string // opened connections, with their addresses
 }
 
 func newDialer() *dialer {
@@ -24,7 +25,7 @@
 	partitioned := d.partitioned[addr]
 	d.mu.Unlock()
 	if partitioned {
-		<-ctx.Done() // packets are lost
+		<-ctx.Done() // a partition drops packets, so dialling hangs
 		return nil, ctx.Err()
 	}
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
@@ -37,8 +38,8 @@
 	return conn, nil
 }
 
-// setPartitioned partitions the controller from an address, or joins them again. Connections that
-// it had opened there are lost.
+// setPartitioned starts or ends the partition from an address. Starting it closes the connections
+// that the controller has opened to the address.
 func (d *dialer) setPartitioned(addr string, partitioned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/node/cluster_requests_test.go
+++ b/node/cluster_requests_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// request sends a controller one request, as a user does.
+// request sends one user request to a controller.
 func (c *cluster) request(controller int, method, path string, body any) response {
 	return send(c.ctx, http.DefaultClient, method, "http://"+c.controllers[controller].settings.ClientListen+path, body)
 }
 
-// metrics returns a controller's metrics; "" if it does not respond.
+// metrics returns the metrics of a controller, or "" if it does not respond.
 func (c *cluster) metrics(controller int) string {
 	return string(c.request(controller, http.MethodGet, metricsPath, nil).body)
 }
 
-// leader waits until a controller leads, by its metrics, and returns it.
+// leader waits until the metrics of a controller show that it leads, and returns its index.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	for range 100 {
@@ -28,12 +28,12 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Fatal("no node leads")
+	c.t.Fatal("no controller leads")
 	return -1
 }
 
-// requestUntil repeats a request on the controllers in turn until a response is as wanted, and
-// fails the test if none is after 25 s.
+// requestUntil repeats a request, to each controller in turn, until wanted accepts a response. It
+// fails the test if no response is accepted within 25 s.
 func (c *cluster) requestUntil(t *testing.T, description string, controllers []int, method, path string, body any, wanted func(response) bool) {
 	t.Helper()
 	deadline := time.Now().Add(25 * time.Second)
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -16,33 +16,33 @@
 	"dunestand/internal/transport"
 )
 
-// clusterOptions is what a cluster consists of.
+// clusterOptions configures a cluster.
 type clusterOptions struct {
-	controllers    int
-	machines int
-	cpus     float64       // of a machine
-	runTime  time.Duration // of a task
-	memoryMB float64       // of a controller
-	teams    []config.Team
-	policy   *config.Policy // nil: the built-in one
-	kv       *fake.KVServer
+	controllers int
+	machines    int
+	cpus        float64       // per machine
+	runTime     time.Duration // per task
+	memoryMB    float64       // per controller
+	teams       []config.Team
+	policy      *config.Policy // nil: the built-in policy
+	kv          *fake.KVServer
 }
 
-// cluster is several controllers in this process, on loopback sockets and the real clock, with
-// fakes around them.
+// cluster is several controllers in this process, on loopback sockets and the real clock, with a
+// fake cloud, fake workers and a fake key-value store.
 type cluster struct {
 	t            *testing.T
 	ctx          context.Context
 	options      clusterOptions
-	controllers        []*clusterController
+	controllers  []*clusterController
 	cloudAddress string
-	workers      sync.WaitGroup // end with ctx
+	workers      sync.WaitGroup // running workers, which stop when ctx is cancelled
 }
 
-// clusterController is one node of a cluster and the faults that it meets.
+// clusterController is one controller of a cluster, with the faults injected into it.
 type clusterController struct {
 	settings *config.Settings
-	kvServer *httptest.Server // the key-value store as this controller meets it
+	kvServer *httptest.Server // serves the key-value store to this controller alone
 	dialer   *dialer
 	stop     context.CancelFunc
 	stopped  chan struct{}
@@ -51,14 +51,14 @@
 	kvRejects bool // the key-value store responds 503 to this controller
 }
 
-// setKVRejection makes the key-value store reject a controller's requests, or serve them again.
+// setKVRejection sets whether the key-value store rejects the requests of this controller.
 func (controller *clusterController) setKVRejection(rejected bool) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
 	controller.kvRejects = rejected
 }
 
-// kvHandler is the key-value store as a controller meets it.
+// kvHandler serves the key-value store to one controller, with the faults injected into it.
 func (c *cluster) kvHandler(controller *clusterController) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		controller.mu.Lock()
@@ -76,21 +76,21 @@
 func newDefaultCluster(t *testing.T) *cluster {
 	t.Helper()
 	return newCluster(t, clusterOptions{
-		controllers:    3,
-		machines: 3,
-		cpus:     4,
-		runTime:  300 * time.Millisecond,
-		memoryMB: 100,
-		teams:    []config.Team{{Name: "team", GuaranteedCPUs: 8, LimitCPUs: 12}},
-		kv:       fake.NewKVServer(),
+		controllers: 3,
+		machines:    3,
+		cpus:        4,
+		runTime:     300 * time.Millisecond,
+		memoryMB:    100,
+		teams:       []config.Team{{Name: "team", GuaranteedCPUs: 8, LimitCPUs: 12}},
+		kv:          fake.NewKVServer(),
 	})
 }
 
-// newCluster starts a cluster, which ends with the test.
+// newCluster starts a cluster, which is stopped when the test ends.
 func newCluster(t *testing.T, options clusterOptions) *cluster {
 	t.Helper()
 	c := &cluster{t: t, ctx: t.Context(), options: options}
-	t.Cleanup(func() { // ctx has ended
+	t.Cleanup(func() { // ctx has been cancelled by then
 		for _, n := range c.controllers {
 			if n.stopped != nil {
 				<-n.stopped
@@ -121,7 +121,7 @@
 	return c
 }
 
-// startCloud starts the cloud; each provisioned machine gets a worker.
+// startCloud starts the cloud, which starts a worker on each provisioned machine.
 func (c *cluster) startCloud() {
 	cloud := fake.NewCloud(protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
@@ -147,7 +147,7 @@
 	c.cloudAddress = strings.TrimPrefix(server.URL, "http://")
 }
 
-// newController returns one more node, which does not run yet, with ports that are free now.
+// newController returns a controller that is not running yet, with ports that are free now.
 func (c *cluster) newController() *clusterController {
 	controller := &clusterController{dialer: newDialer()}
 	controller.kvServer = httptest.NewServer(c.kvHandler(controller))
@@ -172,7 +172,7 @@
 	return controller
 }
 
-// start starts a controller, for the first time or again.
+// start starts a controller, for the first time or after stop.
 func (c *cluster) start(i int) {
 	controller := c.controllers[i]
 	ctx, stop := context.WithCancel(c.ctx)
@@ -183,7 +183,7 @@
 		Policy: c.options.policy,
 		Log:    controllerLog(controller.settings.Node),
 	})
-	go func() { // stop and the end of the test wait for it
+	go func() { // stop and the cleanup of the test wait until it returns
 		defer close(stopped)
 		if err := daemon.Run(ctx); err != nil {
 			c.t.Errorf("%s: %v", controller.settings.Node, err)
@@ -191,13 +191,13 @@
 	}()
 }
 
-// stop stops a controller and waits for its end; start starts it again.
+// stop stops a controller and waits until it has ended.
 func (c *cluster) stop(i int) {
 	c.controllers[i].stop()
 	<-c.controllers[i].stopped
 }
 
-// addresses returns where the controllers serve users and workers.
+// addresses returns the addresses at which the controllers serve users and workers.
 func (c *cluster) addresses() []string {
 	var out []string
 	for _, n := range c.controllers {
--- a/node/deployment_controllers_test.go
+++ b/node/deployment_controllers_test.go
@@ -15,15 +15,15 @@
 	"dunestand/internal/units"
 )
 
-// simulatedController is a controller of a deployment.
+// simulatedController is one controller of a deployment.
 type simulatedController struct {
 	name      string
 	stop      context.CancelFunc
 	stopped   chan struct{}
-	kvRejects bool // the key-value store responds 503 to this controller; under deployment.mu
+	kvRejects bool // the key-value store responds 503 to this controller; guarded by deployment.mu
 }
 
-// start starts a controller, for the first time or again.
+// start starts a controller, for the first time or after stop.
 func (d *deployment) start(i int) {
 	controller := d.controllers[i]
 	settings := d.settings(i)
@@ -41,7 +41,7 @@
 	ctx, stop := context.WithCancel(d.ctx)
 	stopped := make(chan struct{})
 	controller.stop, controller.stopped = stop, stopped
-	go func() { // stop waits for it
+	go func() { // stop waits until it returns
 		defer close(stopped)
 		if err := daemon.Run(ctx); err != nil {
 			d.t.Errorf("%s: %v", controller.name, err)
@@ -72,14 +72,14 @@
 	return settings
 }
 
-// newRandom returns a generator seeded from the deployment's.
+// newRandom returns a generator seeded from the random source of the deployment.
 func (d *deployment) newRandom(stream uint64) *rand.Rand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return rand.New(rand.NewPCG(d.random.Uint64(), stream))
 }
 
-// stop stops a controller and waits for its end.
+// stop stops a controller and waits until it has ended.
 func (d *deployment) stop(i int) {
 	d.controllers[i].stop()
 	<-d.controllers[i].stopped
@@ -92,7 +92,7 @@
 	d.start(i)
 }
 
-// leader waits until a controller leads, by its metrics, and returns it.
+// leader waits until the metrics of a controller show that it leads, and returns its index.
 func (d *deployment) leader() int {
 	d.t.Helper()
 	for range 200 {
@@ -105,13 +105,15 @@
 	return 0
 }
 
-// currentLeader returns the controller that leads, by its metrics, and whether any does.
+// currentLeader returns the index of the controller that leads according to its metrics, and
+// whether there is one.
 func (d *deployment) currentLeader() (controller int, ok bool) {
 	controller, _, ok = d.currentLeaderTerm()
 	return controller, ok
 }
 
-// currentLeaderTerm is leaderNow with the leader's fencing token as its metrics show it.
+// currentLeaderTerm is like currentLeader and also returns the fencing token that the metrics of
+// the leader show.
 func (d *deployment) currentLeaderTerm() (controller int, token string, ok bool) {
 	for i := range d.controllers {
 		r := d.request(i, http.MethodGet, metricsPath, nil)
@@ -126,8 +128,8 @@
 	return 0, "", false
 }
 
-// leaderOr returns the leader, or another controller while the store is down and none may
-// lead.
+// leaderOr returns the leader, or the controller other while the key-value store is down, because
+// there may be no leader then.
 func (d *deployment) leaderOr(other int) int {
 	var down bool
 	d.update(func() { down = d.kvDown })
@@ -173,7 +175,7 @@
 	}
 }
 
-// allMachines returns the machines that exist.
+// allMachines returns the machines that have not been released.
 func (d *deployment) allMachines() []*fake.Machine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/node/deployment_faults_test.go
+++ b/node/deployment_faults_test.go
@@ -22,15 +22,15 @@
 	}
 }
 
-// setKVRejection makes the key-value store reject one controller's requests, or serve them again.
+// setKVRejection sets whether the key-value store rejects the requests of one controller.
 func (d *deployment) setKVRejection(controller int, rejected bool) {
 	d.update(func() { d.controllers[controller].kvRejects = rejected })
 }
 
-// setKVOutage makes the key-value store reject all requests, or serve them again.
+// setKVOutage sets whether the key-value store rejects all requests.
 func (d *deployment) setKVOutage(down bool) { d.update(func() { d.kvDown = down }) }
 
-// partitionPeers separates a controller from the others, or joins them again.
+// partitionPeers starts or ends the partition between a controller and the others.
 func (d *deployment) partitionPeers(controller int, partitioned bool) {
 	d.partitionPeersOneWay(controller, partitioned)
 	for k := range d.controllers {
@@ -40,8 +40,8 @@
 	}
 }
 
-// partitionPeersOneWay cuts off what a controller sends to the others, or joins them again;
-// what they send to it arrives.
+// partitionPeersOneWay starts or ends the loss of all that a controller sends to the others. What
+// they send to it still arrives.
 func (d *deployment) partitionPeersOneWay(controller int, partitioned bool) {
 	for k := range d.controllers {
 		if k != controller {
@@ -52,7 +52,7 @@
 
 func anyMachine(*fake.Machine) bool { return true }
 
-// partitionMachines separates a controller from the selected machines, or joins them again.
+// partitionMachines starts or ends the partition between a controller and the selected machines.
 func (d *deployment) partitionMachines(controller int, partitioned bool, selected func(m *fake.Machine) bool) {
 	for _, m := range d.allMachines() {
 		if selected(m) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// injectFault replaces the fault of machines.
+// injectFault replaces the fault of each machine.
 func injectFault(machines []*fake.Machine, fault fake.Fault) {
 	for _, m := range machines {
 		m.InjectFault(fault)
--- a/node/deployment_services_test.go
+++ b/node/deployment_services_test.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/protocol"
 )
 
-// serve runs a server on the network until the deployment ends.
+// serve runs a server on the simulated network until the deployment ends.
 func (d *deployment) serve(addr string, h http.Handler) {
 	server := &http.Server{Handler: h}
 	listener := d.network.Listen(addr)
@@ -19,10 +19,10 @@
 	context.AfterFunc(d.ctx, func() { _ = server.Close() })
 }
 
-// kvLatency is the time in which the key-value store responds.
+// kvLatency is the response time of the key-value store without faults.
 const kvLatency = 5 * time.Millisecond
 
-// kvHandler is the key-value store with the faults that one controller meets.
+// kvHandler serves the key-value store to one controller, with the faults injected into it.
 func (d *deployment) kvHandler(controller int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
@@ -55,8 +55,8 @@
 	})
 }
 
-// serveKVDelayed carries a request out at once and holds its response back until the
-// channel from delay is ready.
+// serveKVDelayed carries out a request at once and withholds its response until the channel
+// returned by delay is ready.
 func (d *deployment) serveKVDelayed(w http.ResponseWriter, r *http.Request, delay func(body []byte) <-chan time.Time) {
 	body, _ := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -17,9 +17,9 @@
 	"dunestand/internal/protocol"
 )
 
-// deployment is a simulated deployment on a simulated clock: whole controllers, machines,
-// users, a key-value store and a cloud. Tests inject faults; the invariant checker, which
-// sees what machines do and users are told, decides whether anything is wrong.
+// deployment is a simulated deployment on a simulated clock: complete controllers, machines,
+// users, a key-value store and a cloud. Tests inject faults, and the invariant checker verifies
+// what machines do and what users are told.
 type deployment struct {
 	t          *testing.T
 	ctx        context.Context
@@ -27,21 +27,21 @@
 	invariants *fake.InvariantChecker
 	kv         *fake.KVServer
 	fleet      config.Fleet
-	background sync.WaitGroup // all that ends with ctx
+	background sync.WaitGroup // goroutines that end when ctx is cancelled
 	policy     func(controller int) *config.Policy
-	admission  *admissioncheck.Checker // nil: nobody checks how jobs are admitted
+	admission  *admissioncheck.Checker // nil: admission is not checked
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	random          *rand.Rand
-	controllers           []*simulatedController
+	controllers     []*simulatedController
 	machines        []*fake.Machine
 	jobCount        int
 	kvDown          bool
 	kvDelay         time.Duration
-	kvListDelay     time.Duration // for lists of keys alone
+	kvListDelay     time.Duration // additional delay of key listings
 	lateCommitShare float64       // share of transactions that get no response and are carried out later
-	// kvResponseDelay holds back the store's response to a request that was carried out
-	// until the returned channel is ready; nil: no delay.
+	// kvResponseDelay returns a channel. The key-value store carries out a request at once and
+	// withholds the response until the channel is ready. nil: no delay.
 	kvResponseDelay func(controller int, r *http.Request, body []byte) <-chan time.Time
 }
 
@@ -51,42 +51,42 @@
 	cloudAddress = "cloud:80"
 )
 
-// What a deployment has unless its options say otherwise.
+// Defaults of deploymentOptions.
 const (
-	defaultControllers             = 3
+	defaultControllers       = 3
 	defaultMachines          = 6
 	defaultHeartbeatInterval = time.Second
 	defaultMemoryMB          = 100.0
-	defaultCancelTimeout     = 11 * time.Second // little more than workerLease
+	defaultCancelTimeout     = 11 * time.Second // slightly longer than workerLease
 	defaultMaxConnections    = 400
 	defaultKVRPS             = 500.0
 )
 
 const (
-	machineCPUs = 4.0 // of each machine
+	machineCPUs = 4.0 // per machine
 	workerLease = 10 * time.Second
 )
 
 var zones = []string{"a", "b"}
 
-// deploymentOptions is how a deployment differs from the default. Zero values are defaults.
+// deploymentOptions configures a deployment. Zero values select the defaults.
 type deploymentOptions struct {
-	machines          int     // in all, half of them in each zone
-	quotaLimit        float64 // processors of the team; 0: all
+	machines          int     // total; half of them in each zone
+	quotaLimit        float64 // CPUs of the team; 0: those of all machines
 	cancelTimeout     time.Duration
 	heartbeatInterval time.Duration
-	memoryMB          float64 // of a controller
-	maxConnections    int     // of a controller
-	kvRPS             float64 // requests a second that the store serves
-	controllers             int     // controllers
+	memoryMB          float64 // per controller
+	maxConnections    int     // per controller
+	kvRPS             float64 // requests per second that the key-value store serves
+	controllers       int
 	seed              uint64
-	policy            func(controller int) *config.Policy // nil: the built-in one everywhere
+	policy            func(controller int) *config.Policy // nil: the built-in policy for every controller
 }
 
 const (
-	startupTime  = 20 * time.Second // machines are provisioned and send heartbeats
-	recoveryTime = 90 * time.Second // after the last fault; every job must be over by then
-	drainTime    = time.Minute      // for connections that still wait for something
+	startupTime  = 20 * time.Second // until machines are provisioned and send heartbeats
+	recoveryTime = 90 * time.Second // after the last fault; every job must have ended by then
+	drainTime    = time.Minute      // for pending connections to end
 )
 
 // simulate runs a scenario on a new deployment, then clears all faults and checks that
@@ -105,7 +105,7 @@
 		d.clearFaults()
 		d.sleep(recoveryTime)
 		if unfinished := d.invariants.UnfinishedJobs(); len(unfinished) > 0 {
-			t.Errorf("%v after the last fault these jobs are not over: %v", recoveryTime, unfinished)
+			t.Errorf("%v after the last fault, these jobs have not ended: %v", recoveryTime, unfinished)
 		}
 		if d.invariants.Starts() == 0 {
 			t.Error("no task started")
@@ -135,7 +135,7 @@
 	return o
 }
 
-// newDeployment returns a deployment whose controllers do not run yet.
+// newDeployment returns a deployment whose controllers are not running yet.
 func newDeployment(ctx context.Context, t *testing.T, options deploymentOptions) *deployment {
 	d := &deployment{
 		t:          t,
@@ -188,7 +188,8 @@
 	}
 }
 
-// watchCancellations has the invariant checker look at running tasks until ctx ends.
+// watchCancellations has the invariant checker check running tasks against cancellations until ctx
+// is cancelled.
 func (d *deployment) watchCancellations() {
 	for d.ctx.Err() == nil {
 		d.invariants.CheckCancellations()
@@ -196,7 +197,7 @@
 	}
 }
 
-// sleep returns after a time or when the deployment ends.
+// sleep returns after a duration or when the deployment ends.
 func (d *deployment) sleep(duration time.Duration) {
 	select {
 	case <-d.ctx.Done():
@@ -204,7 +205,7 @@
 	}
 }
 
-// update changes fields under the lock.
+// update calls change with the lock held.
 func (d *deployment) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -218,7 +219,7 @@
 	return d.random.IntN(n)
 }
 
-// waitUntil waits for a condition, and fails the test if it does not hold after a minute.
+// waitUntil waits for a condition, and fails the test if it does not hold within a minute.
 func (d *deployment) waitUntil(description string, condition func() bool) {
 	d.t.Helper()
 	for range 600 {
@@ -227,5 +228,5 @@
 		}
 		d.sleep(100 * time.Millisecond)
 	}
-	d.t.Fatalf("not after a minute: %s", description)
+	d.t.Fatalf("condition not met within a minute: %s", description)
 }
--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -10,10 +10,11 @@
 	"dunestand/internal/protocol"
 )
 
-// endlessRunTime is of a task that ends only by cancellation.
+// endlessRunTime is the run time of tasks that a test ends by cancellation.
 const endlessRunTime = 300 * time.Second
 
-// userClient is an HTTP client at the users' place in the network.
+// userClient returns an HTTP client that connects from the address of the users in the simulated
+// network.
 func (d *deployment) userClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:       d.network.Dialer("user"),
@@ -21,27 +22,28 @@
 	}}
 }
 
-// userURL is a controller's URL for users.
+// userURL returns the URL of a path that a controller serves to users.
 func (d *deployment) userURL(controller int, path string) string {
 	return "http://" + d.controllers[controller].name + fake.UsersPort + path
 }
 
-// request sends a controller one request, as a user does.
+// request sends one user request to a controller.
 func (d *deployment) request(controller int, method, path string, body any) response {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*time.Second)
 	defer cancel()
 	return send(ctx, d.userClient(), method, d.userURL(controller, path), body)
 }
 
-// checkResponse has the invariant checker check a response about a job.
+// checkResponse passes a response about a job to the invariant checker, and returns its status and
+// the stage of the job.
 func (d *deployment) checkResponse(id string, duplicate bool, r response) (status int, stage protocol.JobStage) {
 	stage = r.job().Stage
 	d.invariants.ResponseReceived(id, duplicate, r.status, stage)
 	return r.status, stage
 }
 
-// submitOnce sends a job's submission to a controller. duplicate: it may have been accepted
-// before.
+// submitOnce sends a job's submission to a controller. duplicate says that the job may have been
+// accepted before.
 func (d *deployment) submitOnce(controller int, id string, duplicate bool, fields map[string]any) (status int) {
 	status, _ = d.checkResponse(id, duplicate, d.request(controller, http.MethodPost, protocol.PathSubmit, fields))
 	return status
@@ -52,12 +54,12 @@
 	return d.checkResponse(id, false, d.request(controller, http.MethodGet, jobPath(id), nil))
 }
 
-// cancelOnce sends a job's cancellation to a controller.
+// cancelOnce requests the cancellation of a job from a controller.
 func (d *deployment) cancelOnce(controller int, id string) (status int, stage protocol.JobStage) {
 	return d.checkResponse(id, false, d.request(controller, http.MethodPost, cancelPath(id), nil))
 }
 
-// newJob returns a job that nobody has submitted yet, with a new ID.
+// newJob returns a job with a new ID, which has not been submitted yet.
 func (d *deployment) newJob(tasks int, runTime time.Duration) fake.JobInfo {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,8 +87,8 @@
 	return fields
 }
 
-// submit has a user submit a job until it is accepted, and poll it in the background until
-// it is over.
+// submit submits a job, as a user does, until it is accepted, and polls it in the background until
+// it is in a terminal state.
 func (d *deployment) submit(job fake.JobInfo) {
 	d.t.Helper()
 	d.invariants.JobSubmitted(job)
@@ -110,7 +112,8 @@
 	})
 }
 
-// startEndlessJobs submits jobs that end only by cancellation, and waits until they run.
+// startEndlessJobs submits jobs that end only by cancellation, and waits until all their tasks
+// run.
 func (d *deployment) startEndlessJobs(jobs, tasks int) []fake.JobInfo {
 	d.t.Helper()
 	var started []fake.JobInfo
@@ -132,7 +135,8 @@
 	return n
 }
 
-// cancel has a user request a cancellation in the background until the job is over.
+// cancel requests the cancellation of a job in the background, as a user does, until a response
+// reports a terminal state.
 func (d *deployment) cancel(id string) {
 	d.invariants.CancelRequested(id)
 	d.background.Go(func() {
@@ -147,8 +151,8 @@
 	})
 }
 
-// cancelConfirmed requests a cancellation once from one controller, and reports whether it
-// confirmed.
+// cancelConfirmed requests the cancellation of a job from one controller once, and reports whether
+// the response confirms it.
 func (d *deployment) cancelConfirmed(controller int, id string) bool {
 	d.invariants.CancelRequested(id)
 	status, stage := d.cancelOnce(controller, id)
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -9,10 +9,11 @@
 	"dunestand/internal/protocol"
 )
 
-// Each test brings about one combination of faults that has violated an invariant on real
-// machines. What must always hold is checked by simulate.
+// Each test reproduces a combination of faults that has violated an invariant on real machines.
+// simulate checks the invariants.
 
-// No faults, so that what the other tests find is not in every run.
+// The baseline without faults: if it fails too, the failure of another test is not due to its
+// faults.
 func TestJobsCompleteWithoutFaults(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		for range 4 {
@@ -22,7 +23,7 @@
 	})
 }
 
-// Copies of heartbeats arrive up to well over a lease later, from earlier incarnations and
+// Duplicates of heartbeats arrive up to well over a lease later, from earlier incarnations and
 // attempts too, while leaders change and machines lose their leases.
 func TestDuplicatedHeartbeatsBreakNoInvariant(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
@@ -38,8 +39,9 @@
 	})
 }
 
-// Jobs bound to zones lose machines that hang or are partitioned, and the leader changes.
-// What a machine ran does not start elsewhere while it may go on there.
+// Jobs with zone affinity, topology spread or a fixed zone lose machines that hang or are
+// partitioned, and the leader changes. A task must not start elsewhere while the lost machine may
+// still run it.
 func TestZoneBoundJobsKeepTheirPlacementWhenMachinesAreLost(t *testing.T) {
 	simulate(t, deploymentOptions{machines: 8}, func(d *deployment) {
 		for i := range 6 {
@@ -65,8 +67,8 @@
 	})
 }
 
-// There is more work than capacity, of all priorities, and everything is slow. A preempted
-// task counts until it is gone.
+// There is more work than capacity, of all priorities, and the key-value store and commands are
+// slow. A preempted task counts against capacity and quota limit until it is gone.
 func TestPreemptedTasksCountUntilGoneOverSlowLinks(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -125,8 +127,9 @@
 	d.sleep(5 * time.Second)
 }
 
-// A team is at its quota limit when the leader changes, the machines that it uses cannot be
-// reached, and a cancellation comes meanwhile. What they may be running counts.
+// A team is at its quota limit when the leader changes, the machines that it uses become
+// unreachable, and one of its jobs is cancelled. Tasks that may still run on those machines count
+// against the limit.
 func TestQuotaLimitHoldsAcrossFailover(t *testing.T) {
 	simulate(t, deploymentOptions{machines: 8, quotaLimit: 10}, func(d *deployment) {
 		jobs := d.startEndlessJobs(2, 5)
@@ -167,7 +170,7 @@
 	}
 }
 
-// Workers cannot reach any controller, while pushed commands reach them.
+// No heartbeat reaches a controller, while pushed commands reach the workers.
 func TestLostHeartbeatsBreakNoInvariant(t *testing.T) {
 	for _, oneIn := range []int{3, 1} {
 		t.Run(fmt.Sprintf("one machine in %d", oneIn), func(t *testing.T) {
@@ -190,7 +193,7 @@
 	}
 }
 
-// The key-value store responds slowly, then rejects the leader alone, then everybody for
+// The key-value store responds slowly, then rejects the leader alone, and then all controllers for
 // longer than cancel_s, while users cancel and poll.
 func TestSlowKVStoreAndOutagesBreakNoInvariant(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
@@ -214,8 +217,8 @@
 	})
 }
 
-// All machines receive no responses for longer than their lease. Once they do again, they
-// get work, although they were considered unresponsive to commands.
+// No machine receives a response for longer than its lease. Once responses arrive again, the
+// machines get work, although they were considered unresponsive to commands.
 func TestMachinesGetWorkAfterLostResponses(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		for range 4 {
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -11,15 +11,16 @@
 	"dunestand/internal/protocol"
 )
 
-// Runs of the history test, and jobs in each; half of the runs have five controllers.
+// historyRuns is the number of runs of the history test, half of them with five controllers;
+// historyJobs is the number of jobs in each run.
 const (
 	historyRuns = 10
 	historyJobs = 12
 )
 
-// Users poll all controllers concurrently, most densely around the end of a job, repeat its
-// submission and cancel it, while responses of the store and of other controllers are slow
-// or lost, partitions come and go and leaders stop. No response regresses.
+// Users poll all controllers concurrently, most often around the end of a job, repeat its
+// submission and cancel it, while responses of the key-value store and of other controllers are
+// slow or lost, partitions start and end, and leaders stop. No response regresses.
 func TestResponsesNeverRegress(t *testing.T) {
 	jobs, terminal := 0, 0
 	for seed := range uint64(historyRuns) {
@@ -41,7 +42,7 @@
 		}
 	}
 	if want := historyRuns * historyJobs; jobs < want || terminal < want*9/10 {
-		t.Errorf("%d jobs were polled and %d of them over, of %d", jobs, terminal, want)
+		t.Errorf("%d jobs were polled and %d of them ended, of %d", jobs, terminal, want)
 	}
 }
 
@@ -66,7 +67,7 @@
 	}
 }
 
-// injectRandomFault injects or ends at most one fault.
+// injectRandomFault starts or ends at most one fault.
 func (d *deployment) injectRandomFault(random *rand.Rand) {
 	controller := random.IntN(len(d.controllers))
 	switch random.IntN(6) {
@@ -82,9 +83,9 @@
 	}
 }
 
-// delayResponses delays a share of the responses of the store, whose requests have been
-// carried out, of those between controllers and of those to users, the last for less than
-// the time that controllers leave for the way to users.
+// delayResponses delays a share of three kinds of responses: from the key-value store, which has
+// carried out the request by then, between controllers, and to users. The delay to users is
+// shorter than the time that controllers reserve for a response to reach its user.
 func (d *deployment) delayResponses(random *rand.Rand) {
 	randomDelay := func(share float64, longest time.Duration) <-chan time.Time {
 		d.mu.Lock()
@@ -97,7 +98,7 @@
 	d.update(func() {
 		d.kvResponseDelay = func(_ int, r *http.Request, _ []byte) <-chan time.Time {
 			if r.URL.Path == protocol.PathCommit {
-				return randomDelay(0.25, 2500*time.Millisecond) // also beyond the leader's timeout
+				return randomDelay(0.25, 2500*time.Millisecond) // some delays exceed the timeout of the leader
 			}
 			return randomDelay(0.15, 1200*time.Millisecond)
 		}
@@ -113,16 +114,17 @@
 	})
 }
 
-// simulateUsers simulates a job's users until they know of its end, and a little longer.
+// simulateUsers simulates the users of a job until its end has been reported, and for some polls
+// after that.
 func (j *trackedJob) simulateUsers(random *rand.Rand) {
 	d := j.deployment
 	j.submitUntilAccepted()
-	cancelAt := time.Now().Add(time.Duration(random.IntN(12_000)) * time.Millisecond) // often after the end
+	cancelAt := time.Now().Add(time.Duration(random.IntN(12_000)) * time.Millisecond) // often after the job has ended
 	started, pollsAfterEnd := false, 0
 	for range 400 {
 		running, controller := d.invariants.RunningTasks(j.info.ID), random.IntN(len(d.controllers))
 		started = started || running > 0
-		nearEnd := started && running == 0 // its users are about to be told of the end
+		nearEnd := started && running == 0 // the end has not been reported yet
 		switch {
 		case time.Now().After(cancelAt):
 			cancelAt = cancelAt.Add(time.Minute)
--- a/node/http_test.go
+++ b/node/http_test.go
@@ -12,14 +12,14 @@
 	"dunestand/internal/protocol"
 )
 
-// response is a controller's response. The zero value: none was received.
+// response is a response from a controller. The zero value means that none was received.
 type response struct {
 	status int
 	body   []byte
 	header http.Header
 }
 
-// job decodes the state of a job; the zero state if the body holds none.
+// job decodes the job state in the body. It returns the zero state if the body holds none.
 func (r response) job() protocol.JobState {
 	var state protocol.JobState
 	_ = protocol.Decode(r.body, &state)
@@ -30,7 +30,8 @@
 	return r.status == http.StatusOK || r.status == http.StatusCreated
 }
 
-// send sends one request. body is encoded; nil: none.
+// send sends one request with the encoded body; nil: no body. It returns the zero response on any
+// error.
 func send(ctx context.Context, client *http.Client, method, url string, body any) response {
 	var content io.Reader
 	if body != nil {
@@ -52,13 +53,14 @@
 	return response{received.StatusCode, raw, received.Header}
 }
 
-// jobPath and cancelPath are the users' paths of a job.
+// jobPath and cancelPath return the paths of user requests about a job.
 func jobPath(id string) string    { return protocol.PathSubmit + "/" + id }
 func cancelPath(id string) string { return jobPath(id) + "/cancel" }
 
 const metricsPath = "/metrics"
 
-// controllerLog is a controller's log: on stderr with -v, otherwise nil.
+// controllerLog returns a logger that writes to standard error if the test runs with -v, and nil
+// otherwise.
 func controllerLog(controller string) *slog.Logger {
 	if !testing.Verbose() {
 		return nil
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -12,20 +12,20 @@
 	"dunestand/internal/units"
 )
 
-// AdmissionPlan decides which jobs are admitted under overload. Its Decide method depends on
-// nothing but the plan and the job. It is immutable.
+// AdmissionPlan decides which jobs are admitted under overload. It is immutable. The result of its
+// Decide method depends only on the plan and the job.
 type AdmissionPlan = admission.Plan
 
 // ErrNoPlan is returned by ReadAdmissionPlan if the key-value store holds no admission plan.
-var ErrNoPlan = errors.New("no admission plan is stored: admission by a plan is off, or nobody leads yet")
+var ErrNoPlan = errors.New("no admission plan is stored: the admission plan is disabled, or no leader has been elected yet")
 
-// inspectTimeout bounds the read of a record for a person who waits.
+// inspectTimeout limits how long an operator waits for a record to be read.
 const inspectTimeout = 3 * units.Second
 
-// ReadAdmissionPlan reads the plan that a fleet's controllers use, from the key-value store
-// named in the settings; no controller need run. It waits 3 s for a response. dial opens connections;
-// nil: the system's network. The error is ErrNoPlan, that of the store with its address, or
-// that of a plan that cannot be decoded.
+// ReadAdmissionPlan reads the plan that the controllers of a fleet use, from the key-value store
+// named in the settings. No controller has to be running. The read times out after 3 s. dial opens
+// connections; nil: the system's network. The error is ErrNoPlan, that of the store with its
+// address, or that of a plan that cannot be decoded.
 func ReadAdmissionPlan(ctx context.Context, s *config.Settings, dial transport.DialFunc) (*AdmissionPlan, error) {
 	store := kv.NewClient(dial, s.Services.State, s.Fleet.State, len(s.Peers), units.NewSystemClock())
 	item, _, err := store.ReadAtRevision(ctx, admission.KeyPlan, inspectTimeout)
--- a/node/leadership_test.go
+++ b/node/leadership_test.go
@@ -8,9 +8,9 @@
 	"dunestand/internal/fake"
 )
 
-// A new leader cannot read the records for longer than cancel_s, although it holds its lease:
-// it does not know of the cancellations that its predecessor confirmed, and must not keep
-// the machines' leases alive.
+// A new leader holds its lease but cannot read the records for longer than cancel_s. It does not
+// know of the cancellations that its predecessor confirmed, and must not renew the machines'
+// leases.
 func TestLeaderThatCannotRestoreKeepsNoCancelledTaskRunning(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		jobs := d.startEndlessJobs(3, 6)
@@ -29,8 +29,8 @@
 	})
 }
 
-// The leader loses the key-value store and the other controllers; workers and users still
-// reach it, and jobs are cancelled through the new one.
+// The leader loses access to the key-value store and the other controllers while workers and users
+// still reach it. Cancellations through the new leader must still be confirmed.
 func TestCancellationsConfirmWhileOldLeaderIsIsolatedWithItsWorkers(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		jobs := d.startEndlessJobs(4, 4)
@@ -49,9 +49,9 @@
 	})
 }
 
-// A leader stops while most machines with long tasks receive no responses. Their tasks end
-// with their leases and then start on the others, although those machines go on sending
-// heartbeats and never show the new fencing token.
+// A leader stops while most machines, which run long tasks, receive no responses. Their tasks end
+// with their leases and then start on the other machines, although the machines without responses
+// continue to send heartbeats and never show the new fencing token.
 func TestTasksRestartAfterFailoverWithLostResponses(t *testing.T) {
 	simulate(t, deploymentOptions{machines: 8}, func(d *deployment) {
 		for range 8 {
@@ -68,7 +68,8 @@
 	})
 }
 
-// Ten failovers in two minutes, during outages too, with cancellations between.
+// The leader changes ten times in two minutes, also during outages of the key-value store, and
+// jobs are cancelled between the failovers.
 func TestTenFailoversBreakNoInvariant(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		jobs := d.startEndlessJobs(3, 2)
@@ -91,8 +92,8 @@
 	})
 }
 
-// Tasks end far apart across failovers, each right after the completion of a task arrived in
-// a heartbeat. No completion is lost, so nothing runs again.
+// Tasks end at different times across several failovers. Each failover follows right after a
+// heartbeat has reported the completion of a task. No completion is lost, so no task runs again.
 func TestCompletionsSurviveFailover(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		tasks := 0
@@ -108,7 +109,7 @@
 			leader := d.leader()
 			running := d.runningTasks(jobs)
 			d.waitUntil("a task ends", func() bool { return d.runningTasks(jobs) < running })
-			d.sleep(700 * time.Millisecond) // the heartbeat with the end gets its response
+			d.sleep(700 * time.Millisecond) // until the heartbeat that reports the completion has got its response
 			d.restart(leader, time.Duration(i)*time.Second)
 		}
 		d.sleep(60 * time.Second)
@@ -118,7 +119,7 @@
 	})
 }
 
-// Controllers stop and are back within a fraction of a second, during an election too; all
+// Controllers stop and restart within a fraction of a second, also during a campaign. Then all
 // stop, and one returns before the others.
 func TestImmediateRestartsBreakNoInvariant(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
@@ -145,8 +146,8 @@
 	})
 }
 
-// Heartbeats are delayed until a new leader has acted, and then reach it: they show machines
-// without the tasks that they were given since. Later heartbeats are lost.
+// Heartbeats sent before the machines received tasks arrive only after a new leader has acted, and
+// thus lack those tasks. Later heartbeats are lost.
 func TestHeartbeatsDelayedPastFailoverBreakNoInvariant(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		deliver := map[string]func(context.Context, string){}
@@ -167,11 +168,12 @@
 	})
 }
 
-// A leader that has lost the key-value store places pending tasks, and stops. What it could
-// not store must not have started: the next leader would start it elsewhere.
+// A leader without access to the key-value store places pending tasks, and stops. A task whose
+// placement was not stored must not have started, because the next leader would start it
+// elsewhere.
 func TestTasksPlacedWithoutKVStoreDoNotStart(t *testing.T) {
 	simulate(t, deploymentOptions{machines: 4, quotaLimit: 40}, func(d *deployment) {
-		var fillingJobs []fake.JobInfo // a task ends on each machine every three seconds
+		var fillingJobs []fake.JobInfo // on each machine a task ends every three seconds
 		for range 4 {
 			job := d.newJob(4, 12*time.Second)
 			d.submit(job)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -9,15 +9,15 @@
 	"dunestand/internal/protocol"
 )
 
-// submission returns a submission by the only team, with two processors a task.
+// submission returns a submission of the only team, with two CPUs per task.
 func submission(id string, tasks int) map[string]any {
 	job := fake.Submission(id, "team", "q", tasks, 1)
 	job[protocol.FieldCPUs] = 2.0
 	return job
 }
 
-// The whole service end to end: any controller accepts, tasks run, the leader stops, and its
-// successor knows every job.
+// Jobs that any controller accepted complete although the leader stops, and the remaining
+// controllers know every job.
 func TestJobsSurviveLeaderFailover(t *testing.T) {
 	c := newDefaultCluster(t)
 	accepted := response.accepted
@@ -40,7 +40,8 @@
 	c.requestUntil(t, "cancel of a finished job", rest, http.MethodPost, cancelPath("j-000001"), nil, done)
 }
 
-// Invalid submissions get their status from every controller, and nothing is stored.
+// Every controller rejects an invalid submission with the status for its error, and nothing is
+// stored.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	c := newDefaultCluster(t)
 	all := []int{0, 1, 2}
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -9,8 +9,8 @@
 	"dunestand/internal/protocol"
 )
 
-// Controllers with as many jobs as fit into their memory reject new ones at once, and say
-// when to retry. All accepted jobs go on, and new ones are accepted when jobs have ended.
+// Controllers whose memory is full of jobs reject new ones at once and say when to retry. All
+// accepted jobs continue, and new ones are accepted once jobs have ended.
 func TestNewJobsAreRejectedBeforeMemoryRunsOut(t *testing.T) {
 	const memoryMB = 0.1 // for 8 jobs
 	simulate(t, deploymentOptions{memoryMB: memoryMB}, func(d *deployment) {
@@ -47,8 +47,8 @@
 	})
 }
 
-// fillMemory submits jobs that end only by cancellation until one is rejected, and returns
-// those that were accepted.
+// fillMemory submits jobs that end only by cancellation until one is rejected, and returns the
+// accepted ones.
 func fillMemory(d *deployment) []fake.JobInfo {
 	d.t.Helper()
 	const maxJobs = 100
@@ -58,7 +58,7 @@
 		if r := d.request(d.leader(), http.MethodPost, protocol.PathSubmit, submissionOf(job)); r.status != http.StatusCreated {
 			break
 		}
-		d.submit(job) // known by now
+		d.submit(job) // already accepted; registers the job with the invariant checker and polls it
 		accepted = append(accepted, job)
 	}
 	if len(accepted) < 2 || len(accepted) == maxJobs {
@@ -74,7 +74,7 @@
 	sent, name := time.Now(), d.controllers[controller].name
 	r := d.request(controller, http.MethodPost, protocol.PathSubmit, submissionOf(d.newJob(1, time.Second)))
 	if r.status != http.StatusTooManyRequests || r.header.Get("Retry-After") == "" {
-		d.t.Errorf("%s: status %d for one job too many, Retry-After %q", name, r.status, r.header.Get("Retry-After"))
+		d.t.Errorf("%s: status %d for a job that exceeds the memory, Retry-After %q", name, r.status, r.header.Get("Retry-After"))
 	}
 	if took := time.Since(sent); took > maxRejectionTime {
 		d.t.Errorf("%s takes %v to reject a job", name, took)
--- a/node/requests_test.go
+++ b/node/requests_test.go
@@ -10,9 +10,10 @@
 	"dunestand/internal/protocol"
 )
 
-// Duplicates of unfinished jobs, with other contents or without a field too, are the known
-// job; cancelling what is done responds done; what fits no machine or lacks a field is
-// rejected, by every controller.
+// A duplicate submission of an unfinished job gets the state of the known job, even if its
+// contents differ or lack a field. Cancelling a finished job reports it as done. A submission that
+// fits no machine or lacks a field is rejected. All controllers respond alike; without a leader
+// the statuses may differ, but no invalid submission is accepted.
 func TestDuplicateAndInvalidRequestsGetTheirStatus(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		unfinished, finished := d.newJob(3, 60*time.Second), d.newJob(1, time.Second)
@@ -49,8 +50,8 @@
 	})
 }
 
-// duplicatesOf returns submissions of the same job: the same, with other contents, without
-// a field.
+// duplicatesOf returns three submissions of the same job: the original, one with other contents
+// and one without a field.
 func duplicatesOf(fields map[string]any) []map[string]any {
 	changed, incomplete := maps.Clone(fields), maps.Clone(fields)
 	changed[protocol.FieldTasks], changed[protocol.FieldTeam] = 7, "nobody"
@@ -58,7 +59,8 @@
 	return []map[string]any{fields, changed, incomplete}
 }
 
-// invalidSubmissions are changes to a valid submission, and the status that it gets then.
+// invalidSubmissions are changes that make a valid submission invalid, with the status that it
+// then gets.
 var invalidSubmissions = []struct {
 	name   string
 	change func(map[string]any)
--- a/node/soak_faults_test.go
+++ b/node/soak_faults_test.go
@@ -11,8 +11,8 @@
 	"dunestand/internal/protocol"
 )
 
-// startRandomFault begins a fault that ends by itself. What goes wrong with a controller mostly
-// goes wrong with the leader.
+// startRandomFault starts a fault that ends after a random time. Most faults of controllers hit
+// the leader.
 func (s *soakRun) startRandomFault() {
 	s.faults++
 	faults := []func(){
@@ -24,18 +24,19 @@
 	faults[s.random.IntN(len(faults))]()
 }
 
-// logFault logs a fault, for a violation that follows it to be traced.
+// logFault logs a fault with the time, so that a later violation can be traced to it.
 func (s *soakRun) logFault(format string, args ...any) {
 	s.t.Logf("%s "+format, append([]any{time.Now().Format("04:05.000")}, args...)...)
 }
 
-// randomDuration draws a time.
+// randomDuration returns a random duration in [minimum, maximum).
 func (s *soakRun) randomDuration(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)))
 }
 
-// controllerToFail returns a controller without a fault, the leader three times in four, and
-// reserves it for a time; false if it has a fault, or if none leads.
+// controllerToFail returns a controller without a fault, the leader in three cases of four, and
+// excludes it from other faults for length. ok is false if the selected controller has a fault or
+// none leads.
 func (s *soakRun) controllerToFail(length time.Duration) (controller int, ok bool) {
 	controller = s.random.IntN(len(s.controllers))
 	if s.random.IntN(4) > 0 {
@@ -50,16 +51,18 @@
 	return controller, true
 }
 
-// isHealthy reports whether a controller has no fault, and had none shortly before.
-func (s *soakRun) isHealthy(controller int) bool { return !time.Now().Before(s.faultyUntil[controller]) }
+// isHealthy reports whether a controller has no fault and had none shortly before.
+func (s *soakRun) isHealthy(controller int) bool {
+	return !time.Now().Before(s.faultyUntil[controller])
+}
 
-// excludeFromFaults keeps a controller from other faults for a time and some more.
+// excludeFromFaults keeps other faults away from a controller for length and minGap.
 func (s *soakRun) excludeFromFaults(controller int, length time.Duration) {
 	const minGap = 3 * time.Second // from the end of a fault to the next
 	s.faultyUntil[controller] = time.Now().Add(length + minGap)
 }
 
-// scheduleFaultEnd calls a function at the end of a fault, unless the day has ended.
+// scheduleFaultEnd calls end after length, unless the run has ended by then.
 func (s *soakRun) scheduleFaultEnd(length time.Duration, end func()) {
 	s.background.Go(func() {
 		s.sleep(length)
@@ -69,7 +72,7 @@
 	})
 }
 
-// restartController ends a controller and starts it again, at once or after seconds.
+// restartController stops a controller and starts it again within seconds.
 func (s *soakRun) restartController() {
 	downtime := s.randomDuration(100*time.Millisecond, 5*time.Second)
 	if controller, ok := s.controllerToFail(downtime); ok {
@@ -77,23 +80,23 @@
 	}
 }
 
-// stopAndRestart ends a controller, which may take seconds, and starts it again after a downtime.
+// stopAndRestart stops a controller, which can take seconds, and starts it again after a downtime.
 func (s *soakRun) stopAndRestart(controller int, downtime time.Duration) {
-	s.logFault("%s ends for %v", s.controllers[controller].name, downtime)
+	s.logFault("%s stops for %v", s.controllers[controller].name, downtime)
 	s.stop(controller)
 	s.excludeFromFaults(controller, downtime)
 	s.scheduleFaultEnd(downtime, func() { s.start(controller) })
 }
 
-// preemptAndRestartLeader has urgent work push much of the rest to other machines, and the leader
-// end then. The next one hears old heartbeats of some machines first, and of others for a while
-// only what they answer to the broadcast of its token.
+// preemptAndRestartLeader has urgent jobs preempt many tasks, which then move to other machines,
+// and restarts the leader. The next leader first receives old heartbeats of some machines. For a
+// while it receives from others only their responses to the broadcast of its fencing token.
 func (s *soakRun) preemptAndRestartLeader() {
 	const (
 		minUrgentTasks = largestJobTasks / 2
-		rescheduleTime       = 9 * time.Second // what was preempted runs elsewhere
-		silentShare        = 0.4
-		silentDuration          = 8 * time.Second
+		rescheduleTime = 9 * time.Second // until preempted tasks run elsewhere
+		silentShare    = 0.4
+		silentDuration = 8 * time.Second
 	)
 	var captured []capturedHeartbeat
 	for _, m := range s.allMachines() {
@@ -109,13 +112,13 @@
 		return
 	}
 	silent := s.sampleMachines(silentShare)
-	s.logFault("%d machines reach no controller for %v", len(silent), silentDuration)
+	s.logFault("the heartbeats of %d machines are lost for %v", len(silent), silentDuration)
 	injectFault(silent, fake.Fault{HeartbeatsLost: true, DuplicatedShare: soakDuplicatedShare})
 	s.scheduleFaultEnd(silentDuration, func() { s.duplicateHeartbeatsOnly(silent) })
 	s.stopAndRestart(controller, s.randomDuration(100*time.Millisecond, 3*time.Second))
 	for range 100 {
 		if next, term, ok := s.currentLeaderTerm(); ok && term != previousTerm {
-			s.logFault("%s leads with token %s and hears old heartbeats", s.controllers[next].name, term)
+			s.logFault("%s leads with fencing token %s and receives old heartbeats", s.controllers[next].name, term)
 			s.deliverCaptured(captured, s.controllers[next].name, s.random)
 			return
 		}
@@ -123,8 +126,8 @@
 	}
 }
 
-// freezeController has nothing that is sent to a controller arrive for a while, neither
-// requests' answers nor its own, and all of it then.
+// freezeController delays everything that is sent to or from a controller, requests and responses,
+// until the freeze ends.
 func (s *soakRun) freezeController() {
 	length := s.randomDuration(2*time.Second, 14*time.Second)
 	if controller, ok := s.controllerToFail(length); ok {
@@ -138,7 +141,7 @@
 	}
 }
 
-// freezeDelay delays what passes between a frozen controller and others until its end.
+// freezeDelay delays traffic between a frozen controller and others until the freeze ends.
 func (s *soakRun) freezeDelay(from, to string) <-chan time.Time {
 	host, _, _ := strings.Cut(to, ":")
 	s.mu.Lock()
@@ -153,12 +156,12 @@
 	return nil
 }
 
-// isolateController cuts a controller off from the store and the other controllers; workers
-// and users still reach it.
+// isolateController partitions a controller from the key-value store and the other controllers;
+// workers and users still reach it.
 func (s *soakRun) isolateController() {
 	length := s.randomDuration(3*time.Second, 15*time.Second)
 	if controller, ok := s.controllerToFail(length); ok {
-		s.logFault("%s is cut off from the store and its peers for %v", s.controllers[controller].name, length)
+		s.logFault("%s is isolated from the key-value store and the other controllers for %v", s.controllers[controller].name, length)
 		s.setKVRejection(controller, true)
 		s.partitionPeers(controller, true)
 		s.scheduleFaultEnd(length, func() {
@@ -168,22 +171,22 @@
 	}
 }
 
-// rejectControllerKV has the store refuse one controller.
+// rejectControllerKV has the key-value store reject the requests of one controller.
 func (s *soakRun) rejectControllerKV() {
 	length := s.randomDuration(time.Second, 10*time.Second)
 	if controller, ok := s.controllerToFail(length); ok {
-		s.logFault("the store refuses %s for %v", s.controllers[controller].name, length)
+		s.logFault("the key-value store rejects %s for %v", s.controllers[controller].name, length)
 		s.setKVRejection(controller, true)
 		s.scheduleFaultEnd(length, func() { s.setKVRejection(controller, false) })
 	}
 }
 
-// someMachines returns a part of the machines, a twentieth on average.
+// someMachines returns a random selection of the machines, 5% on average.
 func (s *soakRun) someMachines() []*fake.Machine {
 	return s.sampleMachines(0.1 * s.random.Float64())
 }
 
-// sampleMachines returns each machine with a probability.
+// sampleMachines returns a random selection of the machines, each with the given probability.
 func (s *soakRun) sampleMachines(probability float64) []*fake.Machine {
 	var some []*fake.Machine
 	for _, m := range s.allMachines() {
@@ -194,30 +197,31 @@
 	return some
 }
 
-// injectFaultIntoSomeMachines gives some machines a fault for a while.
+// injectFaultIntoSomeMachines injects a fault into some machines and ends it after a random time.
 func (s *soakRun) injectFaultIntoSomeMachines(fault fake.Fault) {
 	fault.DuplicatedShare = soakDuplicatedShare
 	machines := s.someMachines()
 	length := s.randomDuration(2*time.Second, workerLease+5*time.Second)
-	s.logFault("%d machines have for %v the fault %+v", len(machines), length, fault)
+	s.logFault("%d machines have, for %v, the fault %+v", len(machines), length, fault)
 	injectFault(machines, fault)
 	s.scheduleFaultEnd(length, func() { s.duplicateHeartbeatsOnly(machines) })
 }
 
-// capturedHeartbeat is a heartbeat that was held back.
+// capturedHeartbeat is a heartbeat that has been withheld from the controllers.
 type capturedHeartbeat struct {
-	machine string
-	capturedAt      time.Time
-	deliver func(ctx context.Context, controller string)
+	machine    string
+	capturedAt time.Time
+	deliver    func(ctx context.Context, controller string)
 }
 
-// deliverOldHeartbeatsToNewLeaders holds heartbeats back, and brings each new leader one of the last minute of
-// some machines as soon as it leads: often it is the first that this leader hears of them.
+// deliverOldHeartbeatsToNewLeaders captures heartbeats, and delivers to each new leader, as soon
+// as it leads, one heartbeat of the last minute from some machines. It is often the first that
+// this leader receives from the machine.
 func (s *soakRun) deliverOldHeartbeatsToNewLeaders() {
 	const (
-		interval     = 500 * time.Millisecond
+		interval        = 500 * time.Millisecond
 		maxHeartbeatAge = time.Minute
-		captureShare = 0.15
+		captureShare    = 0.15
 	)
 	random := s.newRandom(3)
 	var captured []capturedHeartbeat
@@ -236,8 +240,9 @@
 	}
 }
 
-// deliverCaptured brings a controller one captured heartbeat of some machines each. The others
-// learn its token by the broadcast, which a machine that it has heard of is left out of.
+// deliverCaptured delivers to a controller one captured heartbeat each of some machines. The other
+// machines learn the fencing token of the controller by its broadcast, which leaves out machines
+// that it has received a heartbeat from.
 func (s *soakRun) deliverCaptured(captured []capturedHeartbeat, controller string, random *rand.Rand) {
 	const machineShare = 0.4
 	chosen := map[string]bool{}
@@ -254,14 +259,16 @@
 
 func (s *soakRun) loseResponses()  { s.injectFaultIntoSomeMachines(fake.Fault{ResponsesLost: true}) }
 func (s *soakRun) loseHeartbeats() { s.injectFaultIntoSomeMachines(fake.Fault{HeartbeatsLost: true}) }
-func (s *soakRun) partitionSomeMachines()    { s.injectFaultIntoSomeMachines(fake.Fault{Partitioned: true}) }
+func (s *soakRun) partitionSomeMachines() {
+	s.injectFaultIntoSomeMachines(fake.Fault{Partitioned: true})
+}
 func (s *soakRun) delayCommands() {
 	s.injectFaultIntoSomeMachines(fake.Fault{CommandDelay: 2 * time.Second, DelayedShare: 0.3})
 }
 
-// hangMachines stops everything on some machines. All of them go on within their lease: a
-// machine that hangs beyond it does not resume its tasks (docs/questions.md, 16), but the
-// checker counts these until it goes on. TestCancelledTasksOnHungMachinesEndInTime has such.
+// hangMachines hangs some machines, which all resume within their lease. A machine that hangs for
+// longer does not resume its tasks (docs/questions.md, 16), but the invariant checker counts them
+// until the machine resumes. TestCancelledTasksOnHungMachinesEndInTime covers such machines.
 func (s *soakRun) hangMachines() {
 	const margin = 200 * time.Millisecond
 	for _, m := range s.someMachines() {
--- a/node/soak_test.go
+++ b/node/soak_test.go
@@ -15,26 +15,27 @@
 
 var (
 	soakLength   = flag.Duration("soak", 0, "simulated length of TestSoak; 0: the fixed seeds, for CI")
-	soakSeed     = flag.Uint64("seed", 1, "of TestSoak, with -soak")
-	soakMachines = flag.Int("machines", soakDefaultMachines, "of TestSoak, with -soak")
+	soakSeed     = flag.Uint64("seed", 1, "seed of TestSoak, with -soak")
+	soakMachines = flag.Int("machines", soakDefaultMachines, "machines of TestSoak, with -soak")
 )
 
 const (
 	soakDefaultMachines = 50
 	soakDefaultLength   = 4 * time.Minute
-	// soakHeartbeatInterval is longer than a new leader waits before it broadcasts its token: only
-	// then do machines answer a broadcast before they have sent a heartbeat by themselves.
+	// soakHeartbeatInterval is longer than a new leader waits before it broadcasts its fencing
+	// token. Only then do machines respond to a broadcast before they have sent a heartbeat
+	// unsolicited.
 	soakHeartbeatInterval = 4 * time.Second
-	// soakDuplicatedShare is the share of heartbeats of which a copy comes again later.
+	// soakDuplicatedShare is the share of heartbeats that are delivered again later.
 	soakDuplicatedShare = 0.9
 )
 
-// soakSeeds are those that CI runs.
+// soakSeeds are the seeds that CI runs.
 var soakSeeds = []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 
-// TestSoak plays random faults of controllers, machines and the network on top of each other,
-// with more work than capacity, preemptions and cancellations, while the invariants are
-// checked on what machines do and users are told. By hand, for any length, seed and size:
+// TestSoak injects random, overlapping faults of controllers, machines and the network, with more
+// work than capacity, preemptions and cancellations, while the invariants are checked on what
+// machines do and users are told. To run it with any duration, seed and number of machines:
 //
 //	go test ./node -run Soak -soak 30m -seed 7 -machines 4000 -timeout 2h -v
 func TestSoak(t *testing.T) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// runSoak plays one random day.
+// runSoak performs one random run, whose faults and work are drawn from seed.
 func runSoak(t *testing.T, seed uint64, machines int, length time.Duration) {
 	t.Helper()
 	const quotaShare = 0.9 // of all processors
@@ -63,11 +64,11 @@
 	}
 	simulate(t, options.sizedForMachines(), func(d *deployment) {
 		s := &soakRun{
-			deployment: d,
-			random:     rand.New(rand.NewPCG(seed, 11)),
-			quotaLimitCPUs:   int(options.quotaLimit),
-			tasks:      map[string]int{},
-			faultyUntil: make([]time.Time, len(d.controllers)),
+			deployment:     d,
+			random:         rand.New(rand.NewPCG(seed, 11)),
+			quotaLimitCPUs: int(options.quotaLimit),
+			tasks:          map[string]int{},
+			faultyUntil:    make([]time.Time, len(d.controllers)),
 		}
 		d.network.SetDelay(s.freezeDelay)
 		d.background.Go(s.deliverOldHeartbeatsToNewLeaders)
@@ -79,7 +80,7 @@
 	})
 }
 
-// sizedForMachines raises the limits that depend on the number of machines.
+// sizedForMachines returns the options with limits that suit the number of machines.
 func (o deploymentOptions) sizedForMachines() deploymentOptions {
 	o.memoryMB = defaultMemoryMB + float64(o.machines)/5
 	o.maxConnections = max(defaultMaxConnections, 4*o.machines)
@@ -87,23 +88,25 @@
 	return o
 }
 
-// soakRun is a random day in progress. One goroutine decides all that happens, by random.
+// soakRun is one random run. A single goroutine decides at random what happens next.
 type soakRun struct {
 	*deployment
-	random   *rand.Rand
-	quotaLimitCPUs int            // processors of the team
-	tasks    map[string]int // of each job that is not over
-	jobs     int            // submitted
-	faults   int
-	faultsEnded    atomic.Bool // the faults are over
-
-	// faultyUntil is when the controller's fault ends. freezes is which of these faults are
-	// freezes; the lock of the deployment guards it.
+	random         *rand.Rand
+	quotaLimitCPUs int            // of the team
+	tasks          map[string]int // number of tasks of each job that has not ended
+	jobs           int            // number of submitted jobs
+	faults         int
+	faultsEnded    atomic.Bool // no more faults are injected
+
+	// faultyUntil is, for each controller, the time before which it gets no further fault.
+	// frozenUntil is, by controller name, the time at which its freeze ends; guarded by
+	// deployment.mu.
 	faultyUntil []time.Time
-	frozenUntil    map[string]time.Time
+	frozenUntil map[string]time.Time
 }
 
-// run has something happen every second or so.
+// run submits work, cancels jobs and injects faults about once per second, until length has passed
+// or an invariant is violated.
 func (s *soakRun) run(length time.Duration) {
 	s.duplicateHeartbeatsOnly(s.allMachines())
 	for end := time.Now().Add(length); time.Now().Before(end) && len(s.invariants.Violations()) == 0; {
@@ -118,8 +121,7 @@
 	}
 }
 
-// submitWork submits jobs of all priorities until there is half as much work again as the team
-// may run.
+// submitWork submits jobs of all priorities until the tasks need 1.5 times the team's quota limit.
 func (s *soakRun) submitWork() {
 	const overload = 1.5
 	for s.openTasks() < int(overload*float64(s.quotaLimitCPUs)) {
@@ -128,17 +130,18 @@
 	}
 }
 
-// largestJobTasks is how many tasks the largest job has at least.
+// largestJobTasks is the largest number of tasks of a job in a small fleet.
 const largestJobTasks = 8
 
-// scaledTaskCount returns a number of tasks that keeps the number of jobs the same in fleets
-// of a hundred machines and more: each job costs the scheduler time in every cycle.
+// scaledTaskCount scales a number of tasks with the size of the fleet, starting from minimum. This
+// keeps the number of jobs constant in fleets of a hundred machines and more: each job costs the
+// scheduler time in every scheduling cycle.
 func (s *soakRun) scaledTaskCount(minimum int) int {
 	const smallFleetCPUs = 200
 	return max(minimum, minimum*s.quotaLimitCPUs/smallFleetCPUs)
 }
 
-// submitJob has a user submit a job in the background.
+// submitJob submits a job in the background, as a user does.
 func (s *soakRun) submitJob(tasks int, runTime time.Duration, priority protocol.Priority) {
 	job := s.newJob(tasks, runTime)
 	job.Priority = priority
@@ -149,8 +152,8 @@
 	s.background.Go(func() { s.submit(job) })
 }
 
-// openTasks returns how many tasks belong to jobs whose users have not been told of an end, and
-// drops the other jobs.
+// openTasks returns the number of tasks of jobs whose end has not been reported to their users,
+// and forgets the other jobs.
 func (s *soakRun) openTasks() int {
 	open := 0
 	for id, tasks := range s.tasks {
@@ -163,7 +166,7 @@
 	return open
 }
 
-// cancelRandomJob has a user cancel a job that runs.
+// cancelRandomJob requests the cancellation of a running job, as a user does.
 func (s *soakRun) cancelRandomJob() {
 	var running []string
 	for id := range s.tasks {
@@ -177,7 +180,7 @@
 	}
 }
 
-// duplicateHeartbeatsOnly ends the faults of machines, but for the copies of their heartbeats.
+// duplicateHeartbeatsOnly ends all faults of machines except that their heartbeats are duplicated.
 func (s *soakRun) duplicateHeartbeatsOnly(machines []*fake.Machine) {
 	injectFault(machines, fake.Fault{DuplicatedShare: soakDuplicatedShare})
 }
--- a/node/stale_responses_test.go
+++ b/node/stale_responses_test.go
@@ -11,15 +11,16 @@
 	"dunestand/internal/storage"
 )
 
-// noDelay returns a channel that is ready.
+// noDelay returns a channel that is ready at once.
 func noDelay() <-chan time.Time {
 	c := make(chan time.Time)
 	close(c)
 	return c
 }
 
-// holdCommitResponses has the store carry out a controller's transactions that name a key
-// and hold back their responses until release is called. held reports whether one is held.
+// holdCommitResponses has the key-value store carry out the transactions of a controller that name
+// a key, and withhold their responses until release is called. held is set once a response is
+// withheld.
 func (d *deployment) holdCommitResponses(controller int, key string) (held *atomic.Bool, release func()) {
 	held = new(atomic.Bool)
 	gate := make(chan time.Time)
@@ -38,8 +39,8 @@
 	}
 }
 
-// delayMesh delays all that one controller receives from another until the channel from
-// gate is ready.
+// delayMesh delays all that caller receives on its connections to callee until the channel
+// returned by gate is ready.
 func (d *deployment) delayMesh(caller, callee int, gate func() <-chan time.Time) {
 	mesh := d.controllers[callee].name + meshPort
 	d.network.SetDelay(func(from, to string) <-chan time.Time {
@@ -50,9 +51,9 @@
 	})
 }
 
-// The write that ends a job is carried out and its response held back. A follower that does
-// not reach the leader reads the terminal record and reports it; from then on the leader,
-// which does not know yet, must not call the job running.
+// The write that ends a job is carried out and its response withheld from the leader. A follower
+// that cannot reach the leader reads the terminal record and reports the end. From then on the
+// leader, which does not know of the end yet, must not report the job as running.
 func TestLeaderUnawareOfStoredCompletionNeverReportsRunning(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		job, leader, follower := d.newAcceptedJob(2, 3*time.Second)
@@ -73,7 +74,8 @@
 	})
 }
 
-// The same for a cancellation, which is reported before the job is over.
+// Like TestLeaderUnawareOfStoredCompletionNeverReportsRunning for a cancellation, which is
+// reported before all tasks have ended.
 func TestLeaderUnawareOfStoredCancellationNeverReportsRunning(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		job, leader, follower := d.newAcceptedJob(4, endlessRunTime)
@@ -97,9 +99,9 @@
 	})
 }
 
-// A follower that waits too long for the leader's response to a duplicate submission reads
-// the records. It must not report an end that the leader does not know yet, although no
-// partition is between them.
+// A follower that is not partitioned from the leader, but gets no response to a duplicate
+// submission in time, reads the records. It must not report an end that the leader does not know
+// of yet.
 func TestDuplicateSubmissionDoesNotRevealCompletionBeforeLeader(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		job, leader, follower := d.newAcceptedJob(2, 3*time.Second)
@@ -120,9 +122,9 @@
 	})
 }
 
-// The leader's response to a poll that a follower forwarded is delayed between the two. The
-// leader meanwhile tells others that the job is done; the follower must not pass on the
-// response that arrives then.
+// The response of the leader to a poll that a follower forwarded is delayed on its way to the
+// follower. The leader meanwhile reports to other users that the job is done. The follower must
+// not pass on the late response.
 func TestDelayedForwardedPollNeverReturnsStaleStage(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		const runTime = 3 * time.Second
@@ -153,19 +155,19 @@
 	})
 }
 
-// The store's responses to reads of the live record are delayed, on their way to a follower
-// that reaches no leader, until the leader has reported that the job is done.
+// The key-value store's responses to reads of the live record are delayed, on their way to a
+// follower that reaches no leader, until the leader has reported that the job is done.
 func TestDelayedRecordReadNeverReturnsStaleStage(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		const runTime = 6 * time.Second
 		job, leader, follower := d.newAcceptedJob(1, runTime)
 		d.partitionPeers(follower, true)
 		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.info.ID) == 1 })
-		d.sleep(runTime - 300*time.Millisecond) // the link counts as lost by now
+		d.sleep(runTime - 300*time.Millisecond) // by then the follower considers its link to the leader lost
 		d.update(func() {
 			d.kvResponseDelay = func(controller int, r *http.Request, _ []byte) <-chan time.Time {
 				if controller == follower && r.URL.Path == protocol.PathKeys+"/"+storage.KeyJob(job.info.ID) {
-					return time.After(780 * time.Millisecond) // within the limit of such a read
+					return time.After(780 * time.Millisecond) // within the timeout of such a read
 				}
 				return noDelay()
 			}
--- a/node/tracked_job_test.go
+++ b/node/tracked_job_test.go
@@ -10,8 +10,8 @@
 	"dunestand/internal/protocol"
 )
 
-// How long users wait for a response, and how long a test waits for one that its user has
-// given up.
+// pollTimeout and submitTimeout are how long users wait for a response; longestResponse is how
+// long a test waits for a response that its user has given up on.
 const (
 	pollTimeout     = 2 * time.Second
 	submitTimeout   = 5 * time.Second
@@ -27,14 +27,15 @@
 	pending    sync.WaitGroup // requests in the background
 }
 
-// newTrackedJob returns a job that nobody has submitted yet.
+// newTrackedJob returns a job that has not been submitted yet.
 func (d *deployment) newTrackedJob(h *fake.History, tasks int, runTime time.Duration) *trackedJob {
 	job := &trackedJob{deployment: d, history: h, info: d.newJob(tasks, runTime)}
 	d.invariants.JobSubmitted(job.info)
 	return job
 }
 
-// newAcceptedJob returns a tracked job that is accepted, the leader and a follower.
+// newAcceptedJob returns a tracked job that is accepted, and the indexes of the leader and of a
+// follower.
 func (d *deployment) newAcceptedJob(tasks int, runTime time.Duration) (job *trackedJob, leader, follower int) {
 	d.t.Helper()
 	job = d.newTrackedJob(fake.NewHistory(), tasks, runTime)
@@ -80,7 +81,7 @@
 	return j.request(controller, http.MethodPost, cancelPath(j.info.ID), nil, submitTimeout)
 }
 
-// submitUntilAccepted repeats the submission as a user does.
+// submitUntilAccepted repeats the submission, as a user does, until it is accepted.
 func (j *trackedJob) submitUntilAccepted() {
 	for try := 0; j.deployment.ctx.Err() == nil; try++ {
 		if r := j.submit(try % len(j.deployment.controllers)); r.Status == http.StatusOK || r.Status == http.StatusCreated {
@@ -90,7 +91,7 @@
 	}
 }
 
-// pollUntilTerminal polls one controller until it calls the job done or cancelled, and
+// pollUntilTerminal polls one controller until it reports the job as done or cancelled, and
 // reports whether it did so in time.
 func (j *trackedJob) pollUntilTerminal(controller int, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); j.deployment.sleep(100 * time.Millisecond) {
