--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -51,7 +51,7 @@
 	users                        sync.WaitGroup
 	mu                           sync.Mutex     // guards the fields below
 	abandoned                    map[string]int // number of users that gave up, by team
-	usersWithoutDefiniteResponse int            // that gave up, too
+	usersWithoutDefiniteResponse int            // number of users that gave up without a definite response
 	random                       *rand.Rand
 }
 
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -52,10 +52,10 @@
 }
 
 // setKVRejection sets whether the key-value store rejects the requests of this controller.
-func (controller *clusterController) setKVRejection(rejected bool) {
-	controller.mu.Lock()
-	defer controller.mu.Unlock()
-	controller.kvRejects = rejected
+func (c *clusterController) setKVRejection(rejected bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.kvRejects = rejected
 }
 
 // kvHandler serves the key-value store to one controller, with the faults injected into it.
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -124,7 +124,7 @@
 	for range 400 {
 		running, controller := d.invariants.RunningTasks(j.info.ID), random.IntN(len(d.controllers))
 		started = started || running > 0
-		nearEnd := started && running == 0 // the end has not been reported yet
+		nearEnd := started && running == 0 // the end of the job is about to be reported
 		switch {
 		case time.Now().After(cancelAt):
 			cancelAt = cancelAt.Add(time.Minute)
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -24,8 +24,8 @@
 
 // ReadAdmissionPlan reads the plan that the controllers of a fleet use, from the key-value store
 // named in the settings. No controller has to be running. The read times out after 3 s. dial opens
-// connections; nil: the system's network. The error is ErrNoPlan, that of the store with its
-// address, or that of a plan that cannot be decoded.
+// connections; nil: the system's network. The error is ErrNoPlan if no plan is stored, otherwise
+// an error of the store with its address or an error in decoding the plan.
 func ReadAdmissionPlan(ctx context.Context, s *config.Settings, dial transport.DialFunc) (*AdmissionPlan, error) {
 	store := kv.NewClient(dial, s.Services.State, s.Fleet.State, len(s.Peers), units.NewSystemClock())
 	item, _, err := store.ReadAtRevision(ctx, admission.KeyPlan, inspectTimeout)
--- a/node/node.go
+++ b/node/node.go
@@ -105,8 +105,8 @@
 
 // Run serves users, workers and other controllers until ctx is cancelled or a listener fails, and
 // returns once the background loops of the controller have ended. It returns nil if ctx was
-// cancelled. An error names the setting whose address cannot be listened on, or is that of the
-// listener that failed.
+// cancelled. An error names the setting whose address cannot be listened on, or is the error of
+// the listener that failed.
 func (n *Node) Run(ctx context.Context) error {
 	s, d := n.settings, n.deps
 	clientListener, err := d.Listen(ctx, s.ClientListen)
--- a/node/soak_test.go
+++ b/node/soak_test.go
@@ -54,7 +54,7 @@
 // runSoak performs one random run, whose faults and work are drawn from seed.
 func runSoak(t *testing.T, seed uint64, machines int, length time.Duration) {
 	t.Helper()
-	const quotaShare = 0.9 // of all processors
+	const quotaShare = 0.9 // share of the CPUs of all machines
 	options := deploymentOptions{
 		machines:          machines,
 		quotaLimit:        quotaShare * machineCPUs * float64(machines),
