--- a/node/cluster_requests_test.go
+++ b/node/cluster_requests_test.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// request sends a controller one request, as a user does.
-func (c *cluster) request(node int, method, path string, body any) response {
-	return send(c.ctx, http.DefaultClient, method, "http://"+c.nodes[node].settings.ClientListen+path, body)
+// request sends one user request to a controller.
+func (c *cluster) request(controller int, method, path string, body any) response {
+	return send(c.ctx, http.DefaultClient, method, "http://"+c.controllers[controller].settings.ClientListen+path, body)
 }
 
-// metrics returns a controller's metrics; "" if it does not respond.
-func (c *cluster) metrics(node int) string {
-	return string(c.request(node, http.MethodGet, metricsPath, nil).body)
+// metrics returns the metrics of a controller, or "" if it does not respond.
+func (c *cluster) metrics(controller int) string {
+	return string(c.request(controller, http.MethodGet, metricsPath, nil).body)
 }
 
-// leader waits until a controller leads, by its metrics, and returns it.
+// leader waits until the metrics of a controller show that it leads, and returns its index.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	for range 100 {
-		for i := range c.nodes {
+		for i := range c.controllers {
 			if strings.Contains(c.metrics(i), "dunestand_term ") {
 				return i
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Fatal("no node leads")
+	c.t.Fatal("no controller leads")
 	return -1
 }
 
-// requestUntil repeats a request on the controllers in turn until a response is as wanted, and
-// fails the test if none is after 25 s.
-func (c *cluster) requestUntil(t *testing.T, description string, nodes []int, method, path string, body any, wanted func(response) bool) {
+// requestUntil repeats a request, to each controller in turn, until wanted accepts a response. It
+// fails the test if no response is accepted within 25 s.
+func (c *cluster) requestUntil(t *testing.T, description string, controllers []int, method, path string, body any, wanted func(response) bool) {
 	t.Helper()
 	deadline := time.Now().Add(25 * time.Second)
 	var last response
 	for try := 0; time.Now().Before(deadline); try++ {
-		last = c.request(nodes[try%len(nodes)], method, path, body)
+		last = c.request(controllers[try%len(controllers)], method, path, body)
 		if wanted(last) {
 			return
 		}
--- a/node/deployment_faults_test.go
+++ b/node/deployment_faults_test.go
@@ -8,11 +8,11 @@
 func (d *deployment) clearFaults() {
 	d.update(func() {
 		d.kvDown, d.kvDelay, d.kvListDelay, d.lateCommitShare = false, 0, 0, 0
-		for _, n := range d.nodes {
+		for _, n := range d.controllers {
 			n.kvRejects = false
 		}
 	})
-	for i := range d.nodes {
+	for i := range d.controllers {
 		d.partitionPeers(i, false)
 		d.partitionMachines(i, false, anyMachine)
 	}
@@ -22,47 +22,47 @@
 	}
 }
 
-// rejectKV makes the key-value store reject one controller's requests, or serve them again.
-func (d *deployment) rejectKV(node int, rejected bool) {
-	d.update(func() { d.nodes[node].kvRejects = rejected })
+// setKVRejection sets whether the key-value store rejects the requests of one controller.
+func (d *deployment) setKVRejection(controller int, rejected bool) {
+	d.update(func() { d.controllers[controller].kvRejects = rejected })
 }
 
-// setKVOutage makes the key-value store reject all requests, or serve them again.
+// setKVOutage sets whether the key-value store rejects all requests.
 func (d *deployment) setKVOutage(down bool) { d.update(func() { d.kvDown = down }) }
 
-// partitionPeers separates a controller from the others, or joins them again.
-func (d *deployment) partitionPeers(node int, partitioned bool) {
-	d.partitionPeersOneWay(node, partitioned)
-	for k := range d.nodes {
-		if k != node {
-			d.network.Partition(d.nodes[k].name, d.nodes[node].name+meshPort, partitioned)
+// partitionPeers starts or ends the partition between a controller and the others.
+func (d *deployment) partitionPeers(controller int, partitioned bool) {
+	d.partitionPeersOneWay(controller, partitioned)
+	for k := range d.controllers {
+		if k != controller {
+			d.network.Partition(d.controllers[k].name, d.controllers[controller].name+meshPort, partitioned)
 		}
 	}
 }
 
-// partitionPeersOneWay cuts off what a controller sends to the others, or joins them again;
-// what they send to it arrives.
-func (d *deployment) partitionPeersOneWay(node int, partitioned bool) {
-	for k := range d.nodes {
-		if k != node {
-			d.network.Partition(d.nodes[node].name, d.nodes[k].name+meshPort, partitioned)
+// partitionPeersOneWay starts or ends the loss of all that a controller sends to the others. What
+// they send to it still arrives.
+func (d *deployment) partitionPeersOneWay(controller int, partitioned bool) {
+	for k := range d.controllers {
+		if k != controller {
+			d.network.Partition(d.controllers[controller].name, d.controllers[k].name+meshPort, partitioned)
 		}
 	}
 }
 
 func anyMachine(*fake.Machine) bool { return true }
 
-// partitionMachines separates a controller from the selected machines, or joins them again.
-func (d *deployment) partitionMachines(node int, partitioned bool, selected func(m *fake.Machine) bool) {
+// partitionMachines starts or ends the partition between a controller and the selected machines.
+func (d *deployment) partitionMachines(controller int, partitioned bool, selected func(m *fake.Machine) bool) {
 	for _, m := range d.allMachines() {
 		if selected(m) {
-			d.network.Partition(m.ID, d.nodes[node].name+fake.UsersPort, partitioned)
-			d.network.Partition(d.nodes[node].name, m.Endpoint(), partitioned)
+			d.network.Partition(m.ID, d.controllers[controller].name+fake.UsersPort, partitioned)
+			d.network.Partition(d.controllers[controller].name, m.Endpoint(), partitioned)
 		}
 	}
 }
 
-// injectFault replaces the fault of machines.
+// injectFault replaces the fault of each machine.
 func injectFault(machines []*fake.Machine, fault fake.Fault) {
 	for _, m := range machines {
 		m.InjectFault(fault)
--- a/node/deployment_services_test.go
+++ b/node/deployment_services_test.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/protocol"
 )
 
-// serve runs a server on the network until the deployment ends.
+// serve runs a server on the simulated network until the deployment ends.
 func (d *deployment) serve(addr string, h http.Handler) {
 	server := &http.Server{Handler: h}
 	listener := d.network.Listen(addr)
@@ -19,15 +19,15 @@
 	context.AfterFunc(d.ctx, func() { _ = server.Close() })
 }
 
-// kvLatency is the time in which the key-value store responds.
+// kvLatency is the response time of the key-value store without faults.
 const kvLatency = 5 * time.Millisecond
 
-// kvHandler is the key-value store with the faults that one controller meets.
-func (d *deployment) kvHandler(node int) http.Handler {
+// kvHandler serves the key-value store to one controller, with the faults injected into it.
+func (d *deployment) kvHandler(controller int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		responseDelay := d.kvResponseDelay
-		rejected, delay, listDelay := d.kvDown || d.nodes[node].kvRejects, d.kvDelay, d.kvListDelay
+		rejected, delay, listDelay := d.kvDown || d.controllers[controller].kvRejects, d.kvDelay, d.kvListDelay
 		late := r.URL.Path == protocol.PathCommit && d.random.Float64() < d.lateCommitShare
 		commitDelay := 2*time.Second + time.Duration(d.random.Int64N(int64(10*time.Second)))
 		d.mu.Unlock()
@@ -50,13 +50,13 @@
 				d.kv.ServeHTTP(w, r)
 				return
 			}
-			d.serveKVDelayed(w, r, func(body []byte) <-chan time.Time { return responseDelay(node, r, body) })
+			d.serveKVDelayed(w, r, func(body []byte) <-chan time.Time { return responseDelay(controller, r, body) })
 		}
 	})
 }
 
-// serveKVDelayed carries a request out at once and holds its response back until the
-// channel from delay is ready.
+// serveKVDelayed carries out a request at once and withholds its response until the channel
+// returned by delay is ready.
 func (d *deployment) serveKVDelayed(w http.ResponseWriter, r *http.Request, delay func(body []byte) <-chan time.Time) {
 	body, _ := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -10,10 +10,11 @@
 	"dunestand/internal/protocol"
 )
 
-// endlessRunTime is of a task that ends only by cancellation.
+// endlessRunTime is the run time of tasks that a test ends by cancellation.
 const endlessRunTime = 300 * time.Second
 
-// userClient is an HTTP client at the users' place in the network.
+// userClient returns an HTTP client that connects from the address of the users in the simulated
+// network.
 func (d *deployment) userClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:       d.network.Dialer("user"),
@@ -21,43 +22,44 @@
 	}}
 }
 
-// userURL is a controller's URL for users.
-func (d *deployment) userURL(node int, path string) string {
-	return "http://" + d.nodes[node].name + fake.UsersPort + path
+// userURL returns the URL of a path that a controller serves to users.
+func (d *deployment) userURL(controller int, path string) string {
+	return "http://" + d.controllers[controller].name + fake.UsersPort + path
 }
 
-// request sends a controller one request, as a user does.
-func (d *deployment) request(node int, method, path string, body any) response {
+// request sends one user request to a controller.
+func (d *deployment) request(controller int, method, path string, body any) response {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*time.Second)
 	defer cancel()
-	return send(ctx, d.userClient(), method, d.userURL(node, path), body)
+	return send(ctx, d.userClient(), method, d.userURL(controller, path), body)
 }
 
-// checked has the invariant checker check a response about a job.
-func (d *deployment) checked(id string, duplicate bool, r response) (status int, stage protocol.JobStage) {
+// checkResponse passes a response about a job to the invariant checker, and returns its status and
+// the stage of the job.
+func (d *deployment) checkResponse(id string, duplicate bool, r response) (status int, stage protocol.JobStage) {
 	stage = r.job().Stage
 	d.invariants.ResponseReceived(id, duplicate, r.status, stage)
 	return r.status, stage
 }
 
-// submitOnce sends a job's submission to a controller. duplicate: it may have been accepted
-// before.
-func (d *deployment) submitOnce(node int, id string, duplicate bool, fields map[string]any) (status int) {
-	status, _ = d.checked(id, duplicate, d.request(node, http.MethodPost, protocol.PathSubmit, fields))
+// submitOnce sends a job's submission to a controller. duplicate says that the job may have been
+// accepted before.
+func (d *deployment) submitOnce(controller int, id string, duplicate bool, fields map[string]any) (status int) {
+	status, _ = d.checkResponse(id, duplicate, d.request(controller, http.MethodPost, protocol.PathSubmit, fields))
 	return status
 }
 
 // poll asks a controller for a job's state.
-func (d *deployment) poll(node int, id string) (status int, stage protocol.JobStage) {
-	return d.checked(id, false, d.request(node, http.MethodGet, jobPath(id), nil))
+func (d *deployment) poll(controller int, id string) (status int, stage protocol.JobStage) {
+	return d.checkResponse(id, false, d.request(controller, http.MethodGet, jobPath(id), nil))
 }
 
-// cancelOnce sends a job's cancellation to a controller.
-func (d *deployment) cancelOnce(node int, id string) (status int, stage protocol.JobStage) {
-	return d.checked(id, false, d.request(node, http.MethodPost, cancelPath(id), nil))
+// cancelOnce requests the cancellation of a job from a controller.
+func (d *deployment) cancelOnce(controller int, id string) (status int, stage protocol.JobStage) {
+	return d.checkResponse(id, false, d.request(controller, http.MethodPost, cancelPath(id), nil))
 }
 
-// newJob returns a job that nobody has submitted yet, with a new ID.
+// newJob returns a job with a new ID, which has not been submitted yet.
 func (d *deployment) newJob(tasks int, runTime time.Duration) fake.JobInfo {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,14 +87,14 @@
 	return fields
 }
 
-// submit has a user submit a job until it is accepted, and poll it in the background until
-// it is over.
+// submit submits a job, as a user does, until it is accepted, and polls it in the background until
+// it is in a terminal state.
 func (d *deployment) submit(job fake.JobInfo) {
 	d.t.Helper()
 	d.invariants.JobSubmitted(job)
-	first := d.randomBelow(defaultNodes)
+	first := d.randomBelow(defaultControllers)
 	for try := 0; d.ctx.Err() == nil; try++ {
-		status := d.submitOnce((first+try)%defaultNodes, job.ID, false, submissionOf(job))
+		status := d.submitOnce((first+try)%defaultControllers, job.ID, false, submissionOf(job))
 		if status == http.StatusOK || status == http.StatusCreated {
 			break
 		}
@@ -105,12 +107,13 @@
 	d.background.Go(func() {
 		for try := 0; d.ctx.Err() == nil && !d.invariants.LastStage(job.ID).IsTerminal(); try++ {
 			d.sleep(3 * time.Second)
-			d.poll((first+try)%defaultNodes, job.ID)
+			d.poll((first+try)%defaultControllers, job.ID)
 		}
 	})
 }
 
-// startEndlessJobs submits jobs that end only by cancellation, and waits until they run.
+// startEndlessJobs submits jobs that end only by cancellation, and waits until all their tasks
+// run.
 func (d *deployment) startEndlessJobs(jobs, tasks int) []fake.JobInfo {
 	d.t.Helper()
 	var started []fake.JobInfo
@@ -132,14 +135,15 @@
 	return n
 }
 
-// cancel has a user request a cancellation in the background until the job is over.
+// cancel requests the cancellation of a job in the background, as a user does, until a response
+// reports a terminal state.
 func (d *deployment) cancel(id string) {
 	d.invariants.CancelRequested(id)
 	d.background.Go(func() {
 		for try := 0; d.ctx.Err() == nil; try++ {
 			var first int
 			d.update(func() { first = d.jobCount })
-			if status, stage := d.cancelOnce((first+try)%defaultNodes, id); status == http.StatusOK && stage.IsTerminal() {
+			if status, stage := d.cancelOnce((first+try)%defaultControllers, id); status == http.StatusOK && stage.IsTerminal() {
 				return
 			}
 			d.sleep(time.Second)
@@ -147,10 +151,10 @@
 	})
 }
 
-// cancelConfirmed requests a cancellation once from one controller, and reports whether it
-// confirmed.
-func (d *deployment) cancelConfirmed(node int, id string) bool {
+// cancelConfirmed requests the cancellation of a job from one controller once, and reports whether
+// the response confirms it.
+func (d *deployment) cancelConfirmed(controller int, id string) bool {
 	d.invariants.CancelRequested(id)
-	status, stage := d.cancelOnce(node, id)
+	status, stage := d.cancelOnce(controller, id)
 	return status == http.StatusOK && stage == protocol.StageCancelled
 }
--- a/node/soak_faults_test.go
+++ b/node/soak_faults_test.go
@@ -11,56 +11,59 @@
 	"dunestand/internal/protocol"
 )
 
-// injectAnyFault begins a fault that ends by itself. What goes wrong with a controller mostly
-// goes wrong with the leader.
-func (s *soakDay) injectAnyFault() {
+// startRandomFault starts a fault that ends after a random time. Most faults of controllers hit
+// the leader.
+func (s *soakRun) startRandomFault() {
 	s.faults++
 	faults := []func(){
-		s.killController, s.killController, s.killController, s.preemptAndKillLeader, s.preemptAndKillLeader,
+		s.restartController, s.restartController, s.restartController, s.preemptAndRestartLeader, s.preemptAndRestartLeader,
 		s.freezeController, s.freezeController,
-		s.isolateController, s.rejectController, s.hangMachines, s.loseResponses, s.loseHeartbeats,
-		s.cutMachines, s.delayCommands,
+		s.isolateController, s.rejectControllerKV, s.hangMachines, s.loseResponses, s.loseHeartbeats,
+		s.partitionSomeMachines, s.delayCommands,
 	}
 	faults[s.random.IntN(len(faults))]()
 }
 
-// note logs a fault, for a violation that follows it to be traced.
-func (s *soakDay) note(format string, args ...any) {
+// logFault logs a fault with the time, so that a later violation can be traced to it.
+func (s *soakRun) logFault(format string, args ...any) {
 	s.t.Logf("%s "+format, append([]any{time.Now().Format("04:05.000")}, args...)...)
 }
 
-// between draws a time.
-func (s *soakDay) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+// randomDuration returns a random duration in [minimum, maximum).
+func (s *soakRun) randomDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)))
 }
 
-// controllerToFail returns a controller without a fault, the leader three times in four, and
-// reserves it for a time; false if it has a fault, or if none leads.
-func (s *soakDay) controllerToFail(length time.Duration) (node int, ok bool) {
-	node = s.random.IntN(len(s.nodes))
+// controllerToFail returns a controller without a fault, the leader in three cases of four, and
+// excludes it from other faults for length. ok is false if the selected controller has a fault or
+// none leads.
+func (s *soakRun) controllerToFail(length time.Duration) (controller int, ok bool) {
+	controller = s.random.IntN(len(s.controllers))
 	if s.random.IntN(4) > 0 {
-		if node, ok = s.leaderNow(); !ok {
+		if controller, ok = s.currentLeader(); !ok {
 			return 0, false
 		}
 	}
-	if !s.isSound(node) {
+	if !s.isHealthy(controller) {
 		return 0, false
 	}
-	s.reserve(node, length)
-	return node, true
+	s.excludeFromFaults(controller, length)
+	return controller, true
 }
 
-// isSound reports whether a controller has no fault, and had none shortly before.
-func (s *soakDay) isSound(node int) bool { return !time.Now().Before(s.faultyTill[node]) }
+// isHealthy reports whether a controller has no fault and had none shortly before.
+func (s *soakRun) isHealthy(controller int) bool {
+	return !time.Now().Before(s.faultyUntil[controller])
+}
 
-// reserve keeps a controller from other faults for a time and some more.
-func (s *soakDay) reserve(node int, length time.Duration) {
-	const apart = 3 * time.Second // from the end of a fault to the next
-	s.faultyTill[node] = time.Now().Add(length + apart)
+// excludeFromFaults keeps other faults away from a controller for length and minGap.
+func (s *soakRun) excludeFromFaults(controller int, length time.Duration) {
+	const minGap = 3 * time.Second // from the end of a fault to the next
+	s.faultyUntil[controller] = time.Now().Add(length + minGap)
 }
 
-// later calls a function at the end of a fault, unless the day has ended.
-func (s *soakDay) later(length time.Duration, end func()) {
+// scheduleFaultEnd calls end after length, unless the run has ended by then.
+func (s *soakRun) scheduleFaultEnd(length time.Duration, end func()) {
 	s.background.Go(func() {
 		s.sleep(length)
 		if s.ctx.Err() == nil {
@@ -69,165 +72,166 @@
 	})
 }
 
-// killController ends a controller and starts it again, at once or after seconds.
-func (s *soakDay) killController() {
-	downtime := s.between(100*time.Millisecond, 5*time.Second)
-	if node, ok := s.controllerToFail(downtime); ok {
-		s.kill(node, downtime)
+// restartController stops a controller and starts it again within seconds.
+func (s *soakRun) restartController() {
+	downtime := s.randomDuration(100*time.Millisecond, 5*time.Second)
+	if controller, ok := s.controllerToFail(downtime); ok {
+		s.stopAndRestart(controller, downtime)
 	}
 }
 
-// kill ends a controller, which may take seconds, and starts it again after a downtime.
-func (s *soakDay) kill(node int, downtime time.Duration) {
-	s.note("%s ends for %v", s.nodes[node].name, downtime)
-	s.stop(node)
-	s.reserve(node, downtime)
-	s.later(downtime, func() { s.start(node) })
+// stopAndRestart stops a controller, which can take seconds, and starts it again after a downtime.
+func (s *soakRun) stopAndRestart(controller int, downtime time.Duration) {
+	s.logFault("%s stops for %v", s.controllers[controller].name, downtime)
+	s.stop(controller)
+	s.excludeFromFaults(controller, downtime)
+	s.scheduleFaultEnd(downtime, func() { s.start(controller) })
 }
 
-// preemptAndKillLeader has urgent work push much of the rest to other machines, and the leader
-// end then. The next one hears old heartbeats of some machines first, and of others for a while
-// only what they answer to the broadcast of its token.
-func (s *soakDay) preemptAndKillLeader() {
+// preemptAndRestartLeader has urgent jobs preempt many tasks, which then move to other machines,
+// and restarts the leader. The next leader first receives old heartbeats of some machines. For a
+// while it receives from others only their responses to the broadcast of its fencing token.
+func (s *soakRun) preemptAndRestartLeader() {
 	const (
-		leastUrgentTasks = leastJobTasks / 2
-		movedAfter       = 9 * time.Second // what was preempted runs elsewhere
-		muteShare        = 0.4
-		muteFor          = 8 * time.Second
+		minUrgentTasks = largestJobTasks / 2
+		rescheduleTime = 9 * time.Second // until preempted tasks run elsewhere
+		silentShare    = 0.4
+		silentDuration = 8 * time.Second
 	)
 	var captured []capturedHeartbeat
 	for _, m := range s.allMachines() {
 		captured = append(captured, capturedHeartbeat{m.ID, time.Now(), m.CaptureHeartbeat()})
 	}
-	urgentTasks := s.tasksInProportion(leastUrgentTasks)
-	for range s.capacity / (2 * urgentTasks) {
+	urgentTasks := s.scaledTaskCount(minUrgentTasks)
+	for range s.quotaLimitCPUs / (2 * urgentTasks) {
 		s.submitJob(urgentTasks, 3*time.Second, protocol.Production)
 	}
-	s.sleep(movedAfter)
-	node, former, ok := s.leaderTerm()
-	if !ok || !s.isSound(node) {
+	s.sleep(rescheduleTime)
+	controller, previousTerm, ok := s.currentLeaderTerm()
+	if !ok || !s.isHealthy(controller) {
 		return
 	}
-	mute := s.machinesWith(muteShare)
-	s.note("%d machines reach no controller for %v", len(mute), muteFor)
-	injectFault(mute, fake.Fault{HeartbeatsLost: true, DuplicatedShare: soakCopies})
-	s.later(muteFor, func() { s.copyHeartbeats(mute) })
-	s.kill(node, s.between(100*time.Millisecond, 3*time.Second))
+	silent := s.sampleMachines(silentShare)
+	s.logFault("the heartbeats of %d machines are lost for %v", len(silent), silentDuration)
+	injectFault(silent, fake.Fault{HeartbeatsLost: true, DuplicatedShare: soakDuplicatedShare})
+	s.scheduleFaultEnd(silentDuration, func() { s.duplicateHeartbeatsOnly(silent) })
+	s.stopAndRestart(controller, s.randomDuration(100*time.Millisecond, 3*time.Second))
 	for range 100 {
-		if next, term, ok := s.leaderTerm(); ok && term != former {
-			s.note("%s leads with token %s and hears old heartbeats", s.nodes[next].name, term)
-			s.deliverSome(captured, s.nodes[next].name, s.random)
+		if next, term, ok := s.currentLeaderTerm(); ok && term != previousTerm {
+			s.logFault("%s leads with fencing token %s and receives old heartbeats", s.controllers[next].name, term)
+			s.deliverCaptured(captured, s.controllers[next].name, s.random)
 			return
 		}
 		s.sleep(100 * time.Millisecond)
 	}
 }
 
-// freezeController has nothing that is sent to a controller arrive for a while, neither
-// requests' answers nor its own, and all of it then.
-func (s *soakDay) freezeController() {
-	length := s.between(2*time.Second, 14*time.Second)
-	if node, ok := s.controllerToFail(length); ok {
-		s.note("%s freezes for %v", s.nodes[node].name, length)
+// freezeController delays everything that is sent to or from a controller, requests and responses,
+// until the freeze ends.
+func (s *soakRun) freezeController() {
+	length := s.randomDuration(2*time.Second, 14*time.Second)
+	if controller, ok := s.controllerToFail(length); ok {
+		s.logFault("%s freezes for %v", s.controllers[controller].name, length)
 		s.update(func() {
-			if s.freezes == nil {
-				s.freezes = map[string]time.Time{}
+			if s.frozenUntil == nil {
+				s.frozenUntil = map[string]time.Time{}
 			}
-			s.freezes[s.nodes[node].name] = time.Now().Add(length)
+			s.frozenUntil[s.controllers[controller].name] = time.Now().Add(length)
 		})
 	}
 }
 
-// freezeDelay delays what passes between a frozen controller and others until its end.
-func (s *soakDay) freezeDelay(from, to string) <-chan time.Time {
+// freezeDelay delays traffic between a frozen controller and others until the freeze ends.
+func (s *soakRun) freezeDelay(from, to string) <-chan time.Time {
 	host, _, _ := strings.Cut(to, ":")
 	s.mu.Lock()
-	till := s.freezes[host]
-	if other := s.freezes[from]; other.After(till) {
-		till = other
+	until := s.frozenUntil[host]
+	if other := s.frozenUntil[from]; other.After(until) {
+		until = other
 	}
 	s.mu.Unlock()
-	if left := time.Until(till); left > 0 {
-		return time.After(left)
+	if remaining := time.Until(until); remaining > 0 {
+		return time.After(remaining)
 	}
 	return nil
 }
 
-// isolateController cuts a controller off from the store and the other controllers; workers
-// and users still reach it.
-func (s *soakDay) isolateController() {
-	length := s.between(3*time.Second, 15*time.Second)
-	if node, ok := s.controllerToFail(length); ok {
-		s.note("%s is cut off from the store and its peers for %v", s.nodes[node].name, length)
-		s.rejectKV(node, true)
-		s.partitionPeers(node, true)
-		s.later(length, func() {
-			s.rejectKV(node, false)
-			s.partitionPeers(node, false)
+// isolateController partitions a controller from the key-value store and the other controllers;
+// workers and users still reach it.
+func (s *soakRun) isolateController() {
+	length := s.randomDuration(3*time.Second, 15*time.Second)
+	if controller, ok := s.controllerToFail(length); ok {
+		s.logFault("%s is isolated from the key-value store and the other controllers for %v", s.controllers[controller].name, length)
+		s.setKVRejection(controller, true)
+		s.partitionPeers(controller, true)
+		s.scheduleFaultEnd(length, func() {
+			s.setKVRejection(controller, false)
+			s.partitionPeers(controller, false)
 		})
 	}
 }
 
-// rejectController has the store refuse one controller.
-func (s *soakDay) rejectController() {
-	length := s.between(time.Second, 10*time.Second)
-	if node, ok := s.controllerToFail(length); ok {
-		s.note("the store refuses %s for %v", s.nodes[node].name, length)
-		s.rejectKV(node, true)
-		s.later(length, func() { s.rejectKV(node, false) })
+// rejectControllerKV has the key-value store reject the requests of one controller.
+func (s *soakRun) rejectControllerKV() {
+	length := s.randomDuration(time.Second, 10*time.Second)
+	if controller, ok := s.controllerToFail(length); ok {
+		s.logFault("the key-value store rejects %s for %v", s.controllers[controller].name, length)
+		s.setKVRejection(controller, true)
+		s.scheduleFaultEnd(length, func() { s.setKVRejection(controller, false) })
 	}
 }
 
-// someMachines returns a part of the machines, a twentieth on average.
-func (s *soakDay) someMachines() []*fake.Machine {
-	return s.machinesWith(0.1 * s.random.Float64())
+// someMachines returns a random selection of the machines, 5% on average.
+func (s *soakRun) someMachines() []*fake.Machine {
+	return s.sampleMachines(0.1 * s.random.Float64())
 }
 
-// machinesWith returns each machine with a probability.
-func (s *soakDay) machinesWith(share float64) []*fake.Machine {
+// sampleMachines returns a random selection of the machines, each with the given probability.
+func (s *soakRun) sampleMachines(probability float64) []*fake.Machine {
 	var some []*fake.Machine
 	for _, m := range s.allMachines() {
-		if s.random.Float64() < share {
+		if s.random.Float64() < probability {
 			some = append(some, m)
 		}
 	}
 	return some
 }
 
-// disturb gives some machines a fault for a while.
-func (s *soakDay) disturb(fault fake.Fault) {
-	fault.DuplicatedShare = soakCopies
+// injectFaultIntoSomeMachines injects a fault into some machines and ends it after a random time.
+func (s *soakRun) injectFaultIntoSomeMachines(fault fake.Fault) {
+	fault.DuplicatedShare = soakDuplicatedShare
 	machines := s.someMachines()
-	length := s.between(2*time.Second, workerLease+5*time.Second)
-	s.note("%d machines have for %v the fault %+v", len(machines), length, fault)
+	length := s.randomDuration(2*time.Second, workerLease+5*time.Second)
+	s.logFault("%d machines have, for %v, the fault %+v", len(machines), length, fault)
 	injectFault(machines, fault)
-	s.later(length, func() { s.copyHeartbeats(machines) })
+	s.scheduleFaultEnd(length, func() { s.duplicateHeartbeatsOnly(machines) })
 }
 
-// capturedHeartbeat is a heartbeat that was held back.
+// capturedHeartbeat is a heartbeat that has been withheld from the controllers.
 type capturedHeartbeat struct {
-	machine string
-	at      time.Time
-	deliver func(ctx context.Context, controller string)
+	machine    string
+	capturedAt time.Time
+	deliver    func(ctx context.Context, controller string)
 }
 
-// copyToNewLeaders holds heartbeats back, and brings each new leader one of the last minute of
-// some machines as soon as it leads: often it is the first that this leader hears of them.
-func (s *soakDay) copyToNewLeaders() {
+// deliverOldHeartbeatsToNewLeaders captures heartbeats, and delivers to each new leader, as soon
+// as it leads, one heartbeat of the last minute from some machines. It is often the first that
+// this leader receives from the machine.
+func (s *soakRun) deliverOldHeartbeatsToNewLeaders() {
 	const (
-		interval     = 500 * time.Millisecond
-		longestDelay = time.Minute
-		captureShare = 0.15
+		interval        = 500 * time.Millisecond
+		maxHeartbeatAge = time.Minute
+		captureShare    = 0.15
 	)
 	random := s.newRandom(3)
 	var captured []capturedHeartbeat
 	lastTerm := ""
-	for ; !s.ended.Load() && s.ctx.Err() == nil; s.sleep(interval) {
-		if node, term, ok := s.leaderTerm(); ok && term != lastTerm {
+	for ; !s.faultsEnded.Load() && s.ctx.Err() == nil; s.sleep(interval) {
+		if controller, term, ok := s.currentLeaderTerm(); ok && term != lastTerm {
 			lastTerm = term
-			s.deliverSome(captured, s.nodes[node].name, random)
+			s.deliverCaptured(captured, s.controllers[controller].name, random)
 		}
-		captured = slices.DeleteFunc(captured, func(c capturedHeartbeat) bool { return time.Since(c.at) > longestDelay })
+		captured = slices.DeleteFunc(captured, func(c capturedHeartbeat) bool { return time.Since(c.capturedAt) > maxHeartbeatAge })
 		for _, m := range s.allMachines() {
 			if random.Float64() < captureShare {
 				captured = append(captured, capturedHeartbeat{m.ID, time.Now(), m.CaptureHeartbeat()})
@@ -236,9 +240,10 @@
 	}
 }
 
-// deliverSome brings a controller one captured heartbeat of some machines each. The others
-// learn its token by the broadcast, which a machine that it has heard of is left out of.
-func (s *soakDay) deliverSome(captured []capturedHeartbeat, controller string, random *rand.Rand) {
+// deliverCaptured delivers to a controller one captured heartbeat each of some machines. The other
+// machines learn the fencing token of the controller by its broadcast, which leaves out machines
+// that it has received a heartbeat from.
+func (s *soakRun) deliverCaptured(captured []capturedHeartbeat, controller string, random *rand.Rand) {
 	const machineShare = 0.4
 	chosen := map[string]bool{}
 	for _, i := range random.Perm(len(captured)) {
@@ -252,22 +257,24 @@
 	}
 }
 
-func (s *soakDay) loseResponses()  { s.disturb(fake.Fault{ResponsesLost: true}) }
-func (s *soakDay) loseHeartbeats() { s.disturb(fake.Fault{HeartbeatsLost: true}) }
-func (s *soakDay) cutMachines()    { s.disturb(fake.Fault{Partitioned: true}) }
-func (s *soakDay) delayCommands() {
-	s.disturb(fake.Fault{CommandDelay: 2 * time.Second, DelayedShare: 0.3})
+func (s *soakRun) loseResponses()  { s.injectFaultIntoSomeMachines(fake.Fault{ResponsesLost: true}) }
+func (s *soakRun) loseHeartbeats() { s.injectFaultIntoSomeMachines(fake.Fault{HeartbeatsLost: true}) }
+func (s *soakRun) partitionSomeMachines() {
+	s.injectFaultIntoSomeMachines(fake.Fault{Partitioned: true})
+}
+func (s *soakRun) delayCommands() {
+	s.injectFaultIntoSomeMachines(fake.Fault{CommandDelay: 2 * time.Second, DelayedShare: 0.3})
 }
 
-// hangMachines stops everything on some machines. All of them go on within their lease: a
-// machine that hangs beyond it does not resume its tasks (docs/questions.md, 16), but the
-// checker counts these until it goes on. TestCancelledTasksOnHungMachinesEndInTime has such.
-func (s *soakDay) hangMachines() {
+// hangMachines hangs some machines, which all resume within their lease. A machine that hangs for
+// longer does not resume its tasks (docs/questions.md, 16), but the invariant checker counts them
+// until the machine resumes. TestCancelledTasksOnHungMachinesEndInTime covers such machines.
+func (s *soakRun) hangMachines() {
 	const margin = 200 * time.Millisecond
 	for _, m := range s.someMachines() {
-		length := min(s.between(time.Second, workerLease), m.LeaseLeft()-margin)
+		length := min(s.randomDuration(time.Second, workerLease), m.LeaseLeft()-margin)
 		if length > 0 {
-			s.note("%s hangs for %v", m.ID, length)
+			s.logFault("%s hangs for %v", m.ID, length)
 			m.Hang(length)
 		}
 	}
