--- a/internal/fake/admissioncheck/checker.go
+++ b/internal/fake/admissioncheck/checker.go
@@ -1,6 +1,6 @@
-// Package admissioncheck checks the admission of jobs under overload from outside: what
-// users are told about their submissions, and which jobs become durable in the key-value
-// store.
+// Package admissioncheck provides a checker of job admission under overload. It observes only
+// the responses to submissions and the transactions of the key-value store, not the state of the
+// controllers.
 package admissioncheck
 
 import (
@@ -24,24 +24,25 @@
 //   - A job becomes durable only while the stored plan admits it, or after that plan has
 //     expired.
 //   - A job is deferred only by a plan that was stored and that defers it.
-//   - Once a job is accepted no later response defers it: the responses about each job
+//   - Once a job is accepted, no later response defers it: the responses about each job
 //     are linearizable.
 //
-// It may be used concurrently.
+// A Checker may be used concurrently.
 type Checker struct {
 	mu           sync.Mutex
 	startedAt    time.Time
-	plans        map[uint64]*admission.Plan // all that were stored, by version
-	current      *admission.Plan            // the stored one; nil: none
+	plans        map[uint64]*admission.Plan // all stored plans by version
+	current      *admission.Plan            // the plan in the store; nil: none
 	currentSince time.Time
-	jobs         map[string]protocol.JobSpec // that users submit, by ID
-	durable      map[string]uint64           // version of the plan by ID; 0: there was none
+	jobs         map[string]protocol.JobSpec // registered submissions by ID
+	durable      map[string]uint64           // version of the plan at the time of storing, by job ID; 0: no plan
 	history      []porcupine.Operation
 	deferred     int
 	violations   []string
 }
 
-// New returns a checker that observes a key-value store from now on.
+// New returns a checker that observes a key-value store. It sets the store's BeforeApply and must
+// be called while the store serves no requests.
 func New(store *fake.KVServer) *Checker {
 	c := &Checker{
 		startedAt: time.Now(),
@@ -49,12 +50,12 @@
 		jobs:      map[string]protocol.JobSpec{},
 		durable:   map[string]uint64{},
 	}
-	store.OnApply = c.txnApplied
+	store.BeforeApply = c.checkTxn
 	return c
 }
 
-// RegisterSubmission records a job that users are about to submit. It fails if the submission is not
-// valid.
+// RegisterSubmission records a submission that users are about to send. It returns an error if
+// the submission is invalid.
 func (c *Checker) RegisterSubmission(job map[string]any) error {
 	spec, err := protocol.ParseSubmission(protocol.Encode(job))
 	if err != nil {
@@ -66,26 +67,29 @@
 	return nil
 }
 
-func (c *Checker) violatedLocked(format string, args ...any) {
+func (c *Checker) recordViolationLocked(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// txnApplied checks each transaction just before it is carried out.
-func (c *Checker) txnApplied(txn protocol.Txn, get func(string) (protocol.Item, bool)) {
+// checkTxn checks a transaction that is about to be applied. get reads a key's item from before
+// the transaction.
+func (c *Checker) checkTxn(txn protocol.Txn, get func(string) (protocol.Item, bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range txn.Then {
 		if change.Set == admission.KeyPlan {
-			c.planStoredLocked(change.Value)
+			c.checkPlanLocked(change.Value)
 		}
-		if id, isNew := newJob(change, get); isNew {
-			c.jobStoredLocked(id)
+		if id, isNew := newlyDurableJob(change, get); isNew {
+			c.checkDurableJobLocked(id)
 		}
 	}
 }
 
-// newJob returns the job that a change makes durable, and whether it is the first to do so.
-func newJob(change protocol.Change, get func(string) (protocol.Item, bool)) (id string, isNew bool) {
+// newlyDurableJob returns the ID of the job whose record a change writes, and reports whether
+// that makes the job durable. A pending submission always does; a job record does unless the job
+// is stored or pending already.
+func newlyDurableJob(change protocol.Change, get func(string) (protocol.Item, bool)) (id string, isNew bool) {
 	item := protocol.Item{Key: change.Set, Value: change.Value}
 	if a, err := cluster.ParsePendingSubmission(item); err == nil {
 		return a.Spec.ID, true
@@ -95,33 +99,33 @@
 		return "", false
 	}
 	id = jobs[0].Spec.ID
-	_, live := get(storage.KeyJob(id))
+	_, hasJobRecord := get(storage.KeyJob(id))
 	_, pending := get(storage.KeyPending(id))
-	return id, !live && !pending
+	return id, !hasJobRecord && !pending
 }
 
-func (c *Checker) planStoredLocked(raw []byte) {
+func (c *Checker) checkPlanLocked(raw []byte) {
 	plan, err := admission.Decode(raw)
 	if err != nil {
-		c.violatedLocked("a plan is stored that is not readable: %v", err)
+		c.recordViolationLocked("stored plan cannot be decoded: %v", err)
 		return
 	}
 	if c.current != nil && (plan.Version <= c.current.Version || plan.FencingToken < c.current.FencingToken) {
-		c.violatedLocked("plan %d of token %d replaces plan %d of token %d", plan.Version, plan.FencingToken, c.current.Version, c.current.FencingToken)
+		c.recordViolationLocked("plan %d with fencing token %d replaces plan %d with fencing token %d", plan.Version, plan.FencingToken, c.current.Version, c.current.FencingToken)
 	}
 	c.plans[plan.Version], c.current, c.currentSince = plan, plan, time.Now()
 }
 
-// ageTolerance is the error of a plan's age as the checker measures it.
+// ageTolerance is the tolerance for the error of a plan's age as the checker measures it.
 const ageTolerance = 50 * time.Millisecond
 
-func (c *Checker) jobStoredLocked(id string) {
-	if _, twice := c.durable[id]; twice {
-		c.violatedLocked("%s is accepted twice", id)
+func (c *Checker) checkDurableJobLocked(id string) {
+	if _, alreadyDurable := c.durable[id]; alreadyDurable {
+		c.recordViolationLocked("%s is accepted twice", id)
 	}
 	job, submitted := c.jobs[id]
 	if !submitted {
-		c.violatedLocked("%s is accepted, which nobody submitted", id)
+		c.recordViolationLocked("%s is accepted but was never submitted", id)
 		return
 	}
 	c.recordDurableLocked(id)
@@ -131,34 +135,34 @@
 	}
 	expired := time.Since(c.currentSince) > admission.PlanLifetime.Duration()-ageTolerance
 	if d := c.current.Decide(&job); d.Verdict != admission.Admit && !expired {
-		c.violatedLocked("%s is accepted while plan %d says %v", id, c.current.Version, d.Verdict)
+		c.recordViolationLocked("%s is accepted while the verdict of plan %d is %v", id, c.current.Version, d.Verdict)
 	}
 	c.durable[id] = c.current.Version
 }
 
-// Violations returns all violations, those in the history of responses among them.
+// Violations returns all violations, including the jobs whose responses are not linearizable.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Concat(c.violations, nonLinearizable(c.history))
 }
 
-// DurableJobs returns the jobs that became durable, with the version of the plan then stored;
-// 0: none was.
+// DurableJobs returns the IDs of the jobs that became durable. The value is the version of the
+// plan that was stored at the time; 0: no plan.
 func (c *Checker) DurableJobs() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.durable)
 }
 
-// DeferredResponses counts the responses that deferred a job.
+// DeferredResponses returns the number of responses that deferred a job.
 func (c *Checker) DeferredResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deferred
 }
 
-// StoredPlans counts the versions of the plan that were stored.
+// StoredPlans returns the number of plan versions that were stored.
 func (c *Checker) StoredPlans() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/admissioncheck/checker_test.go
+++ b/internal/fake/admissioncheck/checker_test.go
@@ -15,8 +15,9 @@
 
 const testJob = "j-1"
 
-// store makes a job durable, whatever the store holds of it.
-func store(t *testing.T, kv *fake.KVServer, id string) {
+// storePendingSubmission stores a pending submission unconditionally, even if the job is stored
+// already.
+func storePendingSubmission(t *testing.T, kv *fake.KVServer, id string) {
 	t.Helper()
 	spec, err := protocol.ParseSubmission(protocol.Encode(fake.Submission(id, "team", "class", 1, 1)))
 	if err != nil {
@@ -25,12 +26,13 @@
 	txn := cluster.PendingSubmissionTxn(cluster.PendingSubmission{Spec: *spec})
 	txn.If = nil
 	if _, ok := kv.Apply(txn); !ok {
-		t.Fatal("the job is not stored")
+		t.Fatal("pending submission is not stored")
 	}
 }
 
-// The checker finds each violation that needs no valid plan, and none in what is allowed.
-func TestCheckerFindsPlantedViolations(t *testing.T) {
+// The checker reports each violation that can be caused without a valid plan, and none for an
+// allowed sequence of events.
+func TestCheckerReportsEachKindOfViolation(t *testing.T) {
 	respond := func(c *Checker, kind ResponseKind, plan uint64) {
 		sent := time.Now()
 		time.Sleep(time.Millisecond)
@@ -39,11 +41,11 @@
 	}
 	for name, test := range map[string]struct {
 		events func(t *testing.T, c *Checker, kv *fake.KVServer)
-		want   []string // a part of each violation, in their order
+		want   []string // a substring of each violation, in the order of detection
 	}{
 		"stored, then accepted": {func(t *testing.T, c *Checker, kv *fake.KVServer) {
 			respond(c, Indefinite, 0)
-			store(t, kv, testJob)
+			storePendingSubmission(t, kv, testJob)
 			respond(c, Accepted, 0)
 			respond(c, Indefinite, 0)
 		}, nil},
@@ -51,20 +53,20 @@
 			respond(c, Accepted, 0)
 		}, []string{"not linearizable"}},
 		"stored twice": {func(t *testing.T, _ *Checker, kv *fake.KVServer) {
-			store(t, kv, testJob)
-			store(t, kv, testJob)
+			storePendingSubmission(t, kv, testJob)
+			storePendingSubmission(t, kv, testJob)
 		}, []string{"accepted twice"}},
-		"a job that nobody submitted": {func(t *testing.T, _ *Checker, kv *fake.KVServer) {
-			store(t, kv, "j-2")
-		}, []string{"nobody submitted"}},
+		"job that was never submitted": {func(t *testing.T, _ *Checker, kv *fake.KVServer) {
+			storePendingSubmission(t, kv, "j-2")
+		}, []string{"never submitted"}},
 		"deferred by a plan that was never stored, after it was accepted": {func(t *testing.T, c *Checker, kv *fake.KVServer) {
-			store(t, kv, testJob)
+			storePendingSubmission(t, kv, testJob)
 			respond(c, Accepted, 0)
 			respond(c, Deferred, 7)
 		}, []string{"never stored", "not linearizable"}},
-		"a plan that cannot be read": {func(_ *testing.T, _ *Checker, kv *fake.KVServer) {
+		"plan that cannot be decoded": {func(_ *testing.T, _ *Checker, kv *fake.KVServer) {
 			kv.Apply(protocol.Txn{Then: []protocol.Change{{Set: admission.KeyPlan, Value: protocol.Encode(map[string]int{})}}})
-		}, []string{"not readable"}},
+		}, []string{"cannot be decoded"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -88,7 +90,8 @@
 	}
 }
 
-// Responses are classified by their status and, if the job is deferred, by the plan.
+// A response with status 429 defers the job only if it names a plan; any other failure leaves the
+// outcome unknown.
 func TestResponsesAreClassified(t *testing.T) {
 	deferred := protocol.Encode(protocol.ErrorResponse{PlanVersion: 3})
 	for _, test := range []struct {
--- a/internal/fake/admissioncheck/responses.go
+++ b/internal/fake/admissioncheck/responses.go
@@ -11,15 +11,15 @@
 	"dunestand/internal/protocol"
 )
 
-// ResponseKind is what a response to a submission says about the job.
+// ResponseKind is the outcome of a submission according to the response.
 type ResponseKind uint8
 
 // The kinds of responses.
 const (
-	Indefinite ResponseKind = iota // nothing
-	Accepted                       // it is accepted
-	Deferred                       // it is deferred by the admission plan
-	// becameDurable is no response: the job's record was stored.
+	Indefinite ResponseKind = iota // unknown: the job may be accepted or not
+	Accepted                       // the job is accepted
+	Deferred                       // the job is deferred by the admission plan
+	// becameDurable is not a response; it marks in the history that the job's record was stored.
 	becameDurable
 )
 
@@ -27,8 +27,8 @@
 	return [...]string{"indefinite", "accepted", "deferred", "became durable"}[k]
 }
 
-// ClassifyResponse returns what a response to a submission says, and the version of the
-// plan that defers the job; 0: none does.
+// ClassifyResponse returns the outcome of a submission from the HTTP status and the body of the
+// response, and the version of the plan that defers the job; 0: not deferred.
 func ClassifyResponse(status int, body []byte) (kind ResponseKind, plan uint64) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
@@ -42,7 +42,8 @@
 	return Indefinite, 0
 }
 
-// ResponseReceived checks a response to a user's submission that was sent at a time.
+// ResponseReceived checks a response to a user's submission and adds it to the history. The
+// submission was sent at sent; the response is taken as received now.
 func (c *Checker) ResponseReceived(user int, id string, sent time.Time, kind ResponseKind, plan uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,20 +60,21 @@
 	c.deferred++
 	job := c.jobs[id]
 	if stored := c.plans[plan]; stored == nil {
-		c.violatedLocked("%s is deferred by plan %d, which was never stored", id, plan)
+		c.recordViolationLocked("%s is deferred by plan %d, which was never stored", id, plan)
 	} else if d := stored.Decide(&job); d.Verdict != admission.Wait {
-		c.violatedLocked("%s is deferred by plan %d, which says %v", id, plan, d.Verdict)
+		c.recordViolationLocked("%s is deferred by plan %d, whose verdict is %v", id, plan, d.Verdict)
 	}
 }
 
-// recordDurableLocked adds to the history that a job's record is stored now.
+// recordDurableLocked adds to the history that a job's record is being stored.
 func (c *Checker) recordDurableLocked(id string) {
 	at := time.Since(c.startedAt).Nanoseconds()
 	c.history = append(c.history, porcupine.Operation{Input: id, Output: becameDurable, Call: at, Return: at + 1})
 }
 
-// jobModel is one job as its users perceive it: accepted from the moment at which it becomes
-// durable, for good. Indefinite responses do not count.
+// jobModel is the sequential specification of one job: its state is whether it is accepted,
+// which becomes true when the job becomes durable and then stays true. Indefinite responses are
+// allowed in any state.
 var jobModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, _, output any) (bool, any) {
@@ -89,7 +91,7 @@
 	},
 }
 
-// nonLinearizable describes each job whose responses fit no order.
+// nonLinearizable describes each job whose responses are not linearizable under jobModel.
 func nonLinearizable(history []porcupine.Operation) []string {
 	byJob := map[string][]porcupine.Operation{}
 	for _, operation := range history {
--- a/internal/fake/admissioncheck/submit.go
+++ b/internal/fake/admissioncheck/submit.go
@@ -11,18 +11,19 @@
 	"dunestand/internal/protocol"
 )
 
-// submitTimeout is how long a user waits for the response to a submission.
+// submitTimeout is the timeout of a submission.
 const submitTimeout = 5 * time.Second
 
-// Response is a controller's response to a submission. The zero value: none was received.
+// Response is a controller's response to a submission. The zero value means that no response was
+// received.
 type Response struct {
 	Kind       ResponseKind
-	Status     int           // of HTTP
-	RetryAfter time.Duration // 0: the controller gave none
+	Status     int           // HTTP status
+	RetryAfter time.Duration // 0: not in the response
 }
 
-// Submit sends a submission to the controller at an address (IP:port), as a user does, and
-// checks the response.
+// Submit sends a submission to the controller at an address (IP:port) and checks the response.
+// user identifies the sender in the history.
 func (c *Checker) Submit(ctx context.Context, user int, address string, job map[string]any) Response {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -43,6 +44,6 @@
 	}
 	kind, plan := ClassifyResponse(response.StatusCode, body)
 	c.ResponseReceived(user, job[protocol.FieldID].(string), sent, kind, plan)
-	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 if it is missing
+	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After")) // 0 if the header is missing
 	return Response{Kind: kind, Status: response.StatusCode, RetryAfter: time.Duration(seconds) * time.Second}
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -9,23 +9,23 @@
 	"dunestand/internal/protocol"
 )
 
-// Cloud is a fake of the cloud, in memory. Its instances run as soon as they are
-// provisioned, and its list does not lag.
+// Cloud is an in-memory fake of the cloud. Its instances run as soon as they are provisioned,
+// and its list of machines is always up to date.
 type Cloud struct {
-	mu          sync.Mutex // guards all but the exported fields
-	catalog     protocol.Catalog
-	capacity    int                 // of each zone, in instances
-	provisioned map[string][]string // instance IDs by request
-	machines    map[string]protocol.ListedMachine
-	created     int
+	mu           sync.Mutex // guards the unexported fields
+	catalog      protocol.Catalog
+	capacity     int                 // of each zone, in instances
+	provisioned  map[string][]string // instance IDs by request ID
+	machines     map[string]protocol.ListedMachine
+	createdCount int
 
-	// OnProvision and OnRelease, if set, are called with each instance, under the cloud's
-	// lock. They are set before the first request.
+	// OnProvision and OnRelease, if set, are called for each instance that is provisioned or
+	// released. They are called under the cloud's lock and must be set before the first request.
 	OnProvision func(protocol.ListedMachine)
 	OnRelease   func(id string)
 }
 
-// NewCloud returns a cloud with a capacity of so many instances in each zone.
+// NewCloud returns a cloud without machines and with a capacity in instances per zone.
 func NewCloud(catalog protocol.Catalog, capacity int) *Cloud {
 	return &Cloud{
 		catalog:     catalog,
@@ -35,20 +35,20 @@
 	}
 }
 
-// ServeHTTP implements the cloud's interface.
+// ServeHTTP implements the cloud's HTTP API.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case r.URL.Path == protocol.PathCatalog:
-		reply(w, http.StatusOK, c.catalog)
+		writeResponse(w, http.StatusOK, c.catalog)
 	case r.URL.Path == protocol.PathMachines && r.Method == http.MethodGet:
 		list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 		for _, m := range c.machines {
 			list.Machines = append(list.Machines, m)
 		}
-		reply(w, http.StatusOK, list)
+		writeResponse(w, http.StatusOK, list)
 	case r.URL.Path == protocol.PathMachines:
 		var request protocol.ScaleOutRequest
 		if protocol.Decode(body, &request) != nil {
@@ -57,23 +57,24 @@
 		}
 		c.provisionLocked(w, request)
 	case r.URL.Path == protocol.PathScaleIn:
-		var names protocol.MachineIDs
-		_ = protocol.Decode(body, &names)
-		for _, id := range names.Machines {
+		var released protocol.MachineIDs
+		_ = protocol.Decode(body, &released)
+		for _, id := range released.Machines {
 			delete(c.machines, id)
 			if c.OnRelease != nil {
 				c.OnRelease(id)
 			}
 		}
-		reply(w, http.StatusOK, struct{}{})
+		writeResponse(w, http.StatusOK, struct{}{})
 	}
 }
 
-// provisionLocked starts the instances of a request. A request that is repeated gets the
-// same response.
+// provisionLocked provisions the instances of a request, or fewer if the zone's capacity is
+// exhausted; if there is no capacity at all, it responds with status 503. A request ID that has
+// already succeeded provisions nothing and gets the same response again.
 func (c *Cloud) provisionLocked(w http.ResponseWriter, request protocol.ScaleOutRequest) {
 	if ids, repeated := c.provisioned[request.RequestID]; repeated {
-		reply(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
+		writeResponse(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
 		return
 	}
 	var ids []string
@@ -85,14 +86,14 @@
 	}
 	for ; len(ids) < request.Count && inZone < c.capacity; inZone++ {
 		m := protocol.ListedMachine{
-			ID:           fmt.Sprintf("i-%06d", c.created),
-			Endpoint:     fmt.Sprintf("i-%06d:9000", c.created),
+			ID:           fmt.Sprintf("i-%06d", c.createdCount),
+			Endpoint:     fmt.Sprintf("i-%06d:9000", c.createdCount),
 			InstanceType: request.InstanceType,
 			Zone:         request.Zone,
 			Spot:         request.Spot,
 			Stage:        protocol.MachineRunning,
 		}
-		c.created++
+		c.createdCount++
 		c.machines[m.ID] = m
 		ids = append(ids, m.ID)
 		if c.OnProvision != nil {
@@ -100,9 +101,9 @@
 		}
 	}
 	if len(ids) == 0 {
-		reply(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Message: "no capacity"})
+		writeResponse(w, http.StatusServiceUnavailable, protocol.ErrorResponse{Message: "no capacity"})
 		return
 	}
 	c.provisioned[request.RequestID] = ids
-	reply(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
+	writeResponse(w, http.StatusOK, protocol.MachineIDs{Machines: ids})
 }
--- a/internal/fake/fixedseed/fixedseed.go
+++ b/internal/fake/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package fixedseed makes property tests draw the same cases on every run, so
-// that a checkout always gets the same verdict. It is imported for its effect. A
-// -rapid.seed on the command line takes precedence; 0 draws a new one each time.
+// Package fixedseed makes property tests generate the same cases on every run, so that their
+// result depends on the code alone. It is imported for its side effect. The flag -rapid.seed on
+// the command line takes precedence; with 0 each run uses a new seed.
 package fixedseed
 
 import (
@@ -12,7 +12,7 @@
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20260921", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // rapid no longer has the flag: every test shows it
+			panic(err) // rapid no longer has the flag
 		}
 	}
 }
--- a/internal/fake/history.go
+++ b/internal/fake/history.go
@@ -11,23 +11,24 @@
 	"dunestand/internal/protocol"
 )
 
-// Request is one request about a job with its response.
+// Request is a user's request about one job and the response to it.
 type Request struct {
 	Job        string
-	Controller string // that it was sent to
+	Controller string // the controller that the request was sent to
 	Sent       time.Time
 	Received   time.Time // of the response
-	Status     int       // of HTTP; 0: no response
+	Status     int       // HTTP status; 0: no response
 	Stage      protocol.JobStage
-	TimedOut   bool // its user had given up when the response was received
+	TimedOut   bool // the response was received after the user's timeout
 }
 
 func (r Request) accepted() bool {
 	return r.Status == http.StatusOK || r.Status == http.StatusCreated
 }
 
-// denied reports whether the response says that the job is unknown.
-func (r Request) denied() bool {
+// reportsUnknownJob reports whether the response implies that the job does not exist. For an
+// accepted job that includes 400 and 422: a repetition of its submission cannot be invalid.
+func (r Request) reportsUnknownJob() bool {
 	return r.Status == http.StatusNotFound || r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity
 }
 
@@ -42,18 +43,18 @@
 
 const timeFormat = "04:05.000"
 
-// RegressionKind is how the requests of a regression relate in time.
+// RegressionKind is the relation in time between the two requests of a regression.
 type RegressionKind uint8
 
 // The kinds of regression.
 const (
-	// Sequential: the request with the older response was sent after the newer response
-	// had been received. No delay on the way explains it.
+	// Sequential: the request with the older response was sent after the newer response had
+	// been received. Network delay cannot explain the regression.
 	Sequential RegressionKind = iota
 	// Concurrent: the request with the older response was sent before the newer response
 	// was received.
 	Concurrent
-	// AfterTimeout: one of the responses was received after its user had given up.
+	// AfterTimeout: one of the responses was received after its user's timeout.
 	AfterTimeout
 )
 
@@ -61,18 +62,19 @@
 	return [...]string{"sequential", "concurrent", "after timeout"}[k]
 }
 
-// Regression is a pair of responses about a job of which the one received later is older.
+// Regression is a pair of responses about a job of which the one received later shows an older
+// state.
 type Regression struct {
 	Kind         RegressionKind
-	Newer, Older Request
+	Newer, Older Request // by the state in the response; Older was received later
 }
 
 func (r Regression) String() string {
 	return fmt.Sprintf("%s (%s): %s, then %s", r.Newer.Job, r.Kind, r.Newer, r.Older)
 }
 
-// History records the concurrent requests of users and finds regressions: a job that was
-// called done or cancelled and later something else, or accepted and later unknown.
+// History records users' concurrent requests and finds regressions: a job that was reported in
+// a terminal state and later in another state, or accepted and later unknown.
 type History struct {
 	mu       sync.Mutex
 	requests map[string][]Request // by job
@@ -81,9 +83,10 @@
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{requests: map[string][]Request{}} }
 
-// Record adds a request. One whose response says nothing about the job is left out.
+// Record adds a request, unless its response does not tell whether the job exists (no response,
+// or a status such as 429 or 503).
 func (h *History) Record(r Request) {
-	if !r.accepted() && !r.denied() {
+	if !r.accepted() && !r.reportsUnknownJob() {
 		return
 	}
 	h.mu.Lock()
@@ -91,14 +94,15 @@
 	h.requests[r.Job] = append(h.requests[r.Job], r)
 }
 
-// Jobs counts the jobs with a recorded request.
+// Jobs returns the number of jobs with a recorded request.
 func (h *History) Jobs() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.requests)
 }
 
-// TerminalJobs counts the jobs that were called done or cancelled before a user gave up.
+// TerminalJobs returns the number of jobs that were reported in a terminal state within a user's
+// timeout.
 func (h *History) TerminalJobs() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,8 +115,8 @@
 	return n
 }
 
-// Regressions returns, ordered by job and time, every response that is older than one
-// received before it, once for each kind.
+// Regressions returns the regressions ordered by job and by the time of the older response. A
+// response that contradicts several earlier ones is reported once per kind.
 func (h *History) Regressions() []Regression {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,7 +125,7 @@
 		all = slices.Clone(all)
 		slices.SortStableFunc(all, func(a, b Request) int { return a.Received.Compare(b.Received) })
 		for i, r := range all {
-			out = append(out, regressionsTo(r, all[:i])...)
+			out = append(out, regressionsAgainst(r, all[:i])...)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Regression) int {
@@ -130,8 +134,9 @@
 	return out
 }
 
-// regressionsTo compares a response to those received before it.
-func regressionsTo(r Request, before []Request) []Regression {
+// regressionsAgainst returns the regressions of a response against those received before it, at
+// most one per kind.
+func regressionsAgainst(r Request, before []Request) []Regression {
 	var out []Regression
 	var found [AfterTimeout + 1]bool
 	for _, earlier := range before {
@@ -153,12 +158,12 @@
 	return out
 }
 
-// contradicts reports whether a response may not follow an earlier one.
+// contradicts reports whether a response shows an older state than an earlier response.
 func contradicts(r, earlier Request) bool {
 	if !earlier.accepted() {
 		return false
 	}
-	if r.denied() {
+	if r.reportsUnknownJob() {
 		return true
 	}
 	return earlier.Stage.IsTerminal() && r.Stage != earlier.Stage
--- a/internal/fake/history_test.go
+++ b/internal/fake/history_test.go
@@ -8,8 +8,8 @@
 	"dunestand/internal/protocol"
 )
 
-// The history finds each kind of regression, and none where there is none.
-func TestHistoryFindsPlantedRegressions(t *testing.T) {
+// The history reports each kind of regression, and none for an allowed sequence of responses.
+func TestHistoryReportsEachKindOfRegression(t *testing.T) {
 	type exchange struct {
 		sentMS, receivedMS int
 		status             int
@@ -25,21 +25,21 @@
 			[]exchange{{0, 5, 200, running, false}, {6, 9, 200, done, false}, {10, 12, 200, done, false}}, nil},
 		"concurrent, the older response is received first": {
 			[]exchange{{0, 5, 200, running, false}, {0, 9, 200, done, false}}, nil},
-		"failures and rejections say nothing": {
+		"failures and rejections are ignored": {
 			[]exchange{{0, 5, 200, done, false}, {6, 9, 503, "", false}, {6, 9, 0, "", false}, {6, 9, 429, "", false}}, nil},
 		"done, then running": {
 			[]exchange{{0, 5, 200, done, false}, {6, 9, 200, running, false}}, []RegressionKind{Sequential}},
 		"cancelled, then done": {
 			[]exchange{{0, 5, 200, cancelled, false}, {6, 9, 200, done, false}}, []RegressionKind{Sequential}},
-		"sent before, overtaken on the way": {
+		"sent before, received after the newer response": {
 			[]exchange{{0, 9, 200, running, false}, {3, 5, 200, done, false}}, []RegressionKind{Concurrent}},
 		"accepted, then unknown": {
 			[]exchange{{0, 5, 201, protocol.StagePending, false}, {6, 9, 404, "", false}}, []RegressionKind{Sequential}},
 		"a duplicate is rejected as malformed": {
 			[]exchange{{0, 5, 201, protocol.StagePending, false}, {4, 9, 400, "", false}}, []RegressionKind{Concurrent}},
-		"its user had given up": {
+		"received after the timeout": {
 			[]exchange{{0, 5, 200, done, false}, {1, 9000, 200, running, true}}, []RegressionKind{AfterTimeout}},
-		"both kinds": {
+		"sequential and concurrent": {
 			[]exchange{{0, 5, 200, done, false}, {1, 7, 200, done, false}, {6, 9, 200, running, false}},
 			[]RegressionKind{Sequential, Concurrent}},
 	} {
@@ -71,8 +71,8 @@
 	}
 }
 
-// Responses about one job say nothing about another.
-func TestHistoryKeepsJobsApart(t *testing.T) {
+// Responses about different jobs are not compared with each other.
+func TestHistoryComparesResponsesOfSameJobOnly(t *testing.T) {
 	h := NewHistory()
 	start := time.Unix(0, 0)
 	h.Record(Request{Job: "j-1", Received: start, Status: http.StatusOK, Stage: protocol.StageDone})
--- a/internal/fake/invariantchecker.go
+++ b/internal/fake/invariantchecker.go
@@ -9,12 +9,12 @@
 	"dunestand/internal/protocol"
 )
 
-// InvariantChecker checks the protocol's invariants against what machines do and what users
-// are told. It knows nothing of the controllers' state. Violations begin with the name that
-// the protocol gives to the broken rule.
+// InvariantChecker checks the protocol's invariants against the tasks that machines run and the
+// responses that users receive. It does not use the controllers' state. Each violation begins
+// with the protocol's name of the violated rule.
 type InvariantChecker struct {
 	mu                sync.Mutex
-	cancelTimeout     time.Duration // from a confirmed cancellation to the end of all tasks
+	cancelTimeout     time.Duration // limit from a confirmed cancellation to the end of all tasks
 	quotaLimit        float64       // processors of the only team
 	jobs              map[string]*checkedJob
 	placements        map[taskID]map[string]*MachineInfo // machines that run a task, by ID
@@ -28,36 +28,37 @@
 	index int
 }
 
-// JobInfo is a job as its user describes it.
+// JobInfo is the part of a job's submission that machines and checks need.
 type JobInfo struct {
 	ID           string
 	Tasks        int
-	CPUs         float64       // of a task
-	RunTime      time.Duration // of the last task; task i of n takes (i+1)/n of it
+	CPUs         float64       // per task
+	RunTime      time.Duration // of the last task; task i of n runs for (i+1)/n of it
 	ZoneAffinity bool          // all tasks run in one zone
 	ZoneSpread   bool          // at most half of the tasks, rounded up, run in one zone
-	Zone         string        // the only allowed one; "": any
+	Zone         string        // the only zone allowed; "": any
 	Priority     protocol.Priority
 	ImageFetch   time.Duration // 0: the machine's default
 }
 
-// MachineInfo is where a task runs.
+// MachineInfo identifies a machine and its zone.
 type MachineInfo struct{ ID, Zone string }
 
 type checkedJob struct {
 	JobInfo
-	accepted          bool // its user was told so
+	accepted          bool // a response has confirmed that the job exists
 	cancelRequested   bool
-	lastStage         protocol.JobStage // that its user was told
-	cancelConfirmedAt time.Time         // zero: never
-	done              map[int]bool      // by task
+	lastStage         protocol.JobStage // in the last response about the job
+	cancelConfirmedAt time.Time         // when a response first said cancelled; zero: never
+	done              map[int]bool      // indexes of the completed tasks
 }
 
-// maxViolations is how many violations are kept; more would bury the first.
+// maxViolations limits the violations that are kept, so that the first are easy to find.
 const maxViolations = 20
 
-// NewInvariantChecker returns a checker for one team with a quota limit in processors, and
-// the time in which the tasks of a cancelled job must have ended.
+// NewInvariantChecker returns a checker for a single team. quotaLimit is the team's quota limit
+// in processors; cancelTimeout is the time within which all tasks of a job must end after a
+// response has confirmed the job's cancellation.
 func NewInvariantChecker(quotaLimit float64, cancelTimeout time.Duration) *InvariantChecker {
 	return &InvariantChecker{
 		cancelTimeout: cancelTimeout,
@@ -67,14 +68,14 @@
 	}
 }
 
-func (c *InvariantChecker) violatedLocked(format string, args ...any) {
+func (c *InvariantChecker) recordViolationLocked(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// JobSubmitted records that a user submits a job. It comes before the first request about
-// the job.
+// JobSubmitted records that a user submits a job. It must be called before the first request
+// about the job is sent. Repeated calls for the same ID have no effect.
 func (c *InvariantChecker) JobSubmitted(j JobInfo) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +84,8 @@
 	}
 }
 
-// CancelRequested records that a user wants a submitted job cancelled.
+// CancelRequested records that a user requests the cancellation of a submitted job. It must be
+// called before the request is sent.
 func (c *InvariantChecker) CancelRequested(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,15 +102,15 @@
 	return JobInfo{}, false
 }
 
-// ResponseReceived checks a response to a user about a job. duplicate marks a submission
-// that was repeated.
+// ResponseReceived checks a response that a user received about a job. duplicate is true if the
+// request was a repeated submission.
 func (c *InvariantChecker) ResponseReceived(id string, duplicate bool, status int, stage protocol.JobStage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
 	if j == nil {
 		if status == http.StatusOK {
-			c.violatedLocked("invented: %s", id)
+			c.recordViolationLocked("invented: %s is reported but was never submitted", id)
 		}
 		return
 	}
@@ -117,42 +119,43 @@
 	case accepted:
 		j.accepted = true
 	case j.accepted && (status == http.StatusNotFound || invalid && duplicate):
-		c.violatedLocked("forgotten: %s gets status %d", id, status)
+		c.recordViolationLocked("forgotten: accepted job %s gets status %d", id, status)
 	default:
-		return // it says nothing about the job
+		return // the response does not tell the state of the job
 	}
 	c.checkStageLocked(j, stage)
 	j.lastStage = stage
 }
 
-// checkStageLocked checks a stage that a user is told against the job and the last stage.
+// checkStageLocked checks the stage in a response against the job's tasks, its cancel request
+// and the last stage.
 func (c *InvariantChecker) checkStageLocked(j *checkedJob, stage protocol.JobStage) {
 	if j.lastStage.IsTerminal() && stage != j.lastStage {
-		c.violatedLocked("went_back: %s was called %s, now %s", j.ID, j.lastStage, stage)
+		c.recordViolationLocked("went_back: %s was reported as %s, now as %s", j.ID, j.lastStage, stage)
 	}
 	switch {
 	case stage == protocol.StageDone && len(j.done) < j.Tasks:
-		c.violatedLocked("not_done: %s is called done with %d of %d tasks", j.ID, len(j.done), j.Tasks)
+		c.recordViolationLocked("not_done: %s is reported as done with %d of %d tasks completed", j.ID, len(j.done), j.Tasks)
 	case stage == protocol.StageCancelled && !j.cancelRequested:
-		c.violatedLocked("went_back: %s is called cancelled, which nobody requested", j.ID)
+		c.recordViolationLocked("went_back: %s is reported as cancelled without a cancel request", j.ID)
 	case stage == protocol.StageCancelled && j.cancelConfirmedAt.IsZero():
 		j.cancelConfirmedAt = time.Now()
 	}
 }
 
-// TaskStarted checks the start of a submitted job's task on a machine.
+// TaskStarted records and checks the start of a submitted job's task on a machine.
 func (c *InvariantChecker) TaskStarted(job string, index int, m *MachineInfo) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j, id := c.jobs[job], taskID{job, index}
 	c.starts++
 	for other := range c.placements[id] {
-		c.violatedLocked("ran_twice: %s/%d starts on %s while it is on %s", job, index, m.ID, other)
+		c.recordViolationLocked("ran_twice: %s/%d starts on %s while it runs on %s", job, index, m.ID, other)
 	}
 	if !j.cancelConfirmedAt.IsZero() {
 		c.startsAfterCancel++
 	}
-	zones := map[string]int{} // the job's other tasks, by zone
+	zones := map[string]int{} // number of the job's other running tasks by zone
 	used := j.CPUs
 	for other, machines := range c.placements {
 		for _, at := range machines {
@@ -163,10 +166,10 @@
 		}
 	}
 	if used > c.quotaLimit {
-		c.violatedLocked("quota: %g processors with %s/%d, of %g", used, job, index, c.quotaLimit)
+		c.recordViolationLocked("quota: %g processors in use with %s/%d, limit %g", used, job, index, c.quotaLimit)
 	}
 	if !j.mayStartIn(m.Zone, zones) {
-		c.violatedLocked("wrong_place: %s/%d in zone %s, the others %v", job, index, m.Zone, zones)
+		c.recordViolationLocked("wrong_place: %s/%d starts in zone %s, other tasks by zone %v", job, index, m.Zone, zones)
 	}
 	if c.placements[id] == nil {
 		c.placements[id] = map[string]*MachineInfo{}
@@ -174,8 +177,8 @@
 	c.placements[id][m.ID] = m
 }
 
-// mayStartIn reports whether a further task may start in a zone while so many others run in
-// each zone.
+// mayStartIn reports whether a further task may start in a zone. others is the number of the
+// job's running tasks by zone.
 func (j *JobInfo) mayStartIn(zone string, others map[string]int) bool {
 	switch {
 	case j.Zone != "" && j.Zone != zone,
@@ -186,7 +189,7 @@
 	return true
 }
 
-// TaskEnded records that a task no longer runs on a machine. done: it has completed.
+// TaskEnded records that a task no longer runs on a machine. done reports that it completed.
 func (c *InvariantChecker) TaskEnded(job string, index int, machine string, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,8 +203,9 @@
 	}
 }
 
-// CheckCancellations checks that no task runs for longer than the timeout after its job was
-// called cancelled. It is called at short intervals.
+// CheckCancellations checks that no task still runs when the cancel timeout has passed since the
+// cancellation of its job was confirmed. It only sees the tasks that run when it is called, so
+// that callers must repeat it at short intervals.
 func (c *InvariantChecker) CheckCancellations() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +215,7 @@
 			continue
 		}
 		for id := range machines {
-			c.violatedLocked("ran_cancelled: %s/%d is on %s %v after its user was told", task.job, task.index, id, time.Since(confirmed))
+			c.recordViolationLocked("ran_cancelled: %s/%d runs on %s %v after the cancellation was confirmed", task.job, task.index, id, time.Since(confirmed))
 		}
 	}
 }
--- a/internal/fake/invariantchecker_test.go
+++ b/internal/fake/invariantchecker_test.go
@@ -15,120 +15,120 @@
 	testQuotaLimit    = 4 // processors
 )
 
-// twoTasks is a submitted job in the checkers of these tests, with two tasks of one
-// processor.
+// twoTasks is the ID of a job with two tasks of one processor each, which each case finds
+// submitted.
 const twoTasks = "j-1"
 
-// The checker finds each kind of violation, and none in what is allowed.
-func TestInvariantCheckerFindsPlantedViolations(t *testing.T) {
+// The checker reports each kind of violation, and none for an allowed sequence of events.
+func TestInvariantCheckerReportsEachKindOfViolation(t *testing.T) {
 	a, b, c := &MachineInfo{ID: "i-1", Zone: "a"}, &MachineInfo{ID: "i-2", Zone: "a"}, &MachineInfo{ID: "i-3", Zone: "b"}
-	accept := func(k *InvariantChecker) {
-		k.ResponseReceived(twoTasks, false, http.StatusCreated, protocol.StagePending)
+	accept := func(checker *InvariantChecker) {
+		checker.ResponseReceived(twoTasks, false, http.StatusCreated, protocol.StagePending)
 	}
-	finish := func(k *InvariantChecker) {
+	finish := func(checker *InvariantChecker) {
 		for index, m := range []*MachineInfo{a, b} {
-			k.TaskStarted(twoTasks, index, m)
-			k.TaskEnded(twoTasks, index, m.ID, true)
+			checker.TaskStarted(twoTasks, index, m)
+			checker.TaskEnded(twoTasks, index, m.ID, true)
 		}
-		k.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageDone)
+		checker.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageDone)
 	}
-	confirmCancel := func(k *InvariantChecker) {
-		k.CancelRequested(twoTasks)
-		k.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageCancelled)
+	confirmCancel := func(checker *InvariantChecker) {
+		checker.CancelRequested(twoTasks)
+		checker.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageCancelled)
 	}
 	for name, test := range map[string]struct {
-		events func(k *InvariantChecker)
-		want   string // names of the violated rules, in their order
+		events func(checker *InvariantChecker)
+		want   string // names of the violated rules, in the order of detection
 	}{
-		"done": {func(k *InvariantChecker) { accept(k); finish(k) }, ""},
-		"rejected and failed before it is accepted": {func(k *InvariantChecker) {
+		"done": {func(checker *InvariantChecker) { accept(checker); finish(checker) }, ""},
+		"rejected and failed before it is accepted": {func(checker *InvariantChecker) {
 			for _, status := range []int{0, http.StatusNotFound, http.StatusUnprocessableEntity, http.StatusServiceUnavailable} {
-				k.ResponseReceived(twoTasks, false, status, "")
+				checker.ResponseReceived(twoTasks, false, status, "")
 			}
 		}, ""},
-		"unavailable after it is accepted": {func(k *InvariantChecker) {
-			accept(k)
-			k.ResponseReceived(twoTasks, true, http.StatusServiceUnavailable, "")
+		"unavailable after it is accepted": {func(checker *InvariantChecker) {
+			accept(checker)
+			checker.ResponseReceived(twoTasks, true, http.StatusServiceUnavailable, "")
 		}, ""},
-		"a job that nobody submitted": {func(k *InvariantChecker) {
-			k.ResponseReceived("j-9", false, http.StatusOK, protocol.StageRunning)
+		"job that was never submitted": {func(checker *InvariantChecker) {
+			checker.ResponseReceived("j-9", false, http.StatusOK, protocol.StageRunning)
 		}, "invented"},
-		"unknown after it is accepted": {func(k *InvariantChecker) {
-			accept(k)
-			k.ResponseReceived(twoTasks, false, http.StatusNotFound, "")
+		"unknown after it is accepted": {func(checker *InvariantChecker) {
+			accept(checker)
+			checker.ResponseReceived(twoTasks, false, http.StatusNotFound, "")
 		}, "forgotten"},
-		"a duplicate is invalid": {func(k *InvariantChecker) {
-			accept(k)
-			k.ResponseReceived(twoTasks, true, http.StatusUnprocessableEntity, "")
+		"duplicate rejected as invalid": {func(checker *InvariantChecker) {
+			accept(checker)
+			checker.ResponseReceived(twoTasks, true, http.StatusUnprocessableEntity, "")
 		}, "forgotten"},
-		"unknown after it is done": {func(k *InvariantChecker) {
-			accept(k)
-			finish(k)
-			k.ResponseReceived(twoTasks, false, http.StatusNotFound, "")
+		"unknown after it is done": {func(checker *InvariantChecker) {
+			accept(checker)
+			finish(checker)
+			checker.ResponseReceived(twoTasks, false, http.StatusNotFound, "")
 		}, "forgotten went_back"},
-		"running after it is done": {func(k *InvariantChecker) {
-			finish(k)
-			k.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageRunning)
+		"running after it is done": {func(checker *InvariantChecker) {
+			finish(checker)
+			checker.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageRunning)
 		}, "went_back"},
-		"done before its tasks": {func(k *InvariantChecker) {
-			k.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageDone)
+		"done before its tasks": {func(checker *InvariantChecker) {
+			checker.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageDone)
 		}, "not_done"},
-		"cancelled without a request": {func(k *InvariantChecker) {
-			k.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageCancelled)
+		"cancelled without a request": {func(checker *InvariantChecker) {
+			checker.ResponseReceived(twoTasks, false, http.StatusOK, protocol.StageCancelled)
 		}, "went_back"},
-		"a task on two machines": {func(k *InvariantChecker) {
-			k.TaskStarted(twoTasks, 0, a)
-			k.TaskStarted(twoTasks, 0, b)
+		"task on two machines": {func(checker *InvariantChecker) {
+			checker.TaskStarted(twoTasks, 0, a)
+			checker.TaskStarted(twoTasks, 0, b)
 		}, "ran_twice"},
-		"a task again after it has ended": {func(k *InvariantChecker) {
-			k.TaskStarted(twoTasks, 0, a)
-			k.TaskEnded(twoTasks, 0, a.ID, false)
-			k.TaskStarted(twoTasks, 0, b)
+		"task restarted after it ended": {func(checker *InvariantChecker) {
+			checker.TaskStarted(twoTasks, 0, a)
+			checker.TaskEnded(twoTasks, 0, a.ID, false)
+			checker.TaskStarted(twoTasks, 0, b)
 		}, ""},
-		"over the quota limit": {func(k *InvariantChecker) {
-			k.JobSubmitted(JobInfo{ID: "j-2", Tasks: 1, CPUs: testQuotaLimit})
-			k.TaskStarted("j-2", 0, a)
-			k.TaskStarted(twoTasks, 0, b)
+		"over the quota limit": {func(checker *InvariantChecker) {
+			checker.JobSubmitted(JobInfo{ID: "j-2", Tasks: 1, CPUs: testQuotaLimit})
+			checker.TaskStarted("j-2", 0, a)
+			checker.TaskStarted(twoTasks, 0, b)
 		}, "quota"},
-		"outside its zone": {func(k *InvariantChecker) {
-			k.JobSubmitted(JobInfo{ID: "j-2", Tasks: 1, CPUs: 1, Zone: "b"})
-			k.TaskStarted("j-2", 0, a)
+		"outside its zone": {func(checker *InvariantChecker) {
+			checker.JobSubmitted(JobInfo{ID: "j-2", Tasks: 1, CPUs: 1, Zone: "b"})
+			checker.TaskStarted("j-2", 0, a)
 		}, "wrong_place"},
-		"zone affinity, two zones": {func(k *InvariantChecker) {
-			k.JobSubmitted(JobInfo{ID: "j-2", Tasks: 2, CPUs: 1, ZoneAffinity: true})
-			k.TaskStarted("j-2", 0, a)
-			k.TaskStarted("j-2", 1, c)
+		"zone affinity, two zones": {func(checker *InvariantChecker) {
+			checker.JobSubmitted(JobInfo{ID: "j-2", Tasks: 2, CPUs: 1, ZoneAffinity: true})
+			checker.TaskStarted("j-2", 0, a)
+			checker.TaskStarted("j-2", 1, c)
 		}, "wrong_place"},
-		"zone spread, one zone": {func(k *InvariantChecker) {
-			k.JobSubmitted(JobInfo{ID: "j-2", Tasks: 2, CPUs: 1, ZoneSpread: true})
-			k.TaskStarted("j-2", 0, a)
-			k.TaskStarted("j-2", 1, b)
+		"zone spread, one zone": {func(checker *InvariantChecker) {
+			checker.JobSubmitted(JobInfo{ID: "j-2", Tasks: 2, CPUs: 1, ZoneSpread: true})
+			checker.TaskStarted("j-2", 0, a)
+			checker.TaskStarted("j-2", 1, b)
 		}, "wrong_place"},
-		"runs until the timeout after a cancellation": {func(k *InvariantChecker) {
-			k.TaskStarted(twoTasks, 0, a)
-			confirmCancel(k)
+		"runs until the cancel timeout": {func(checker *InvariantChecker) {
+			checker.TaskStarted(twoTasks, 0, a)
+			confirmCancel(checker)
 			time.Sleep(testCancelTimeout)
-			k.CheckCancellations()
+			checker.CheckCancellations()
 		}, ""},
-		"runs for longer after a cancellation": {func(k *InvariantChecker) {
-			k.TaskStarted(twoTasks, 0, a)
-			confirmCancel(k)
+		"runs beyond the cancel timeout": {func(checker *InvariantChecker) {
+			checker.TaskStarted(twoTasks, 0, a)
+			confirmCancel(checker)
 			time.Sleep(testCancelTimeout + time.Millisecond)
-			k.CheckCancellations()
+			checker.CheckCancellations()
 		}, "ran_cancelled"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := NewInvariantChecker(testQuotaLimit, testCancelTimeout)
-				k.JobSubmitted(JobInfo{ID: twoTasks, Tasks: 2, CPUs: 1})
-				test.events(k)
+				checker := NewInvariantChecker(testQuotaLimit, testCancelTimeout)
+				checker.JobSubmitted(JobInfo{ID: twoTasks, Tasks: 2, CPUs: 1})
+				test.events(checker)
 				var rules []string
-				for _, violation := range k.Violations() {
+				for _, violation := range checker.Violations() {
 					rule, _, _ := strings.Cut(violation, ":")
 					rules = append(rules, rule)
 				}
 				if got := strings.Join(rules, " "); got != test.want {
-					t.Errorf("%q, want %q", k.Violations(), test.want)
+					t.Errorf("%q, want %q", checker.Violations(), test.want)
 				}
 			})
 		})
--- a/internal/fake/invariantqueries.go
+++ b/internal/fake/invariantqueries.go
@@ -8,29 +8,29 @@
 	"dunestand/internal/protocol"
 )
 
-// Violations returns the first violations found.
+// Violations returns the first violations, at most maxViolations, in the order of detection.
 func (c *InvariantChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// StartsAfterCancel counts the starts of tasks whose users had been told of the
-// cancellation. Only those that run for too long are violations.
+// StartsAfterCancel returns the number of tasks that started after the cancellation of their job
+// was confirmed. Such a start is not a violation if the task ends within the cancel timeout.
 func (c *InvariantChecker) StartsAfterCancel() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.startsAfterCancel
 }
 
-// Starts counts all starts of tasks.
+// Starts returns the number of task starts.
 func (c *InvariantChecker) Starts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.starts
 }
 
-// RunningTasks counts the tasks of a job that run.
+// RunningTasks returns the number of running tasks of a job.
 func (c *InvariantChecker) RunningTasks(job string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,14 +43,15 @@
 	return n
 }
 
-// LastStage returns the stage that the user of a submitted job was told last; "": none.
+// LastStage returns the stage of a submitted job in the last response about it; "": no response
+// has reported a stage.
 func (c *InvariantChecker) LastStage(job string) protocol.JobStage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[job].lastStage
 }
 
-// ConfirmedCancellations counts the jobs whose users were told that they are cancelled.
+// ConfirmedCancellations returns the number of jobs that a response has reported as cancelled.
 func (c *InvariantChecker) ConfirmedCancellations() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,14 +64,15 @@
 	return n
 }
 
-// UnfinishedJobs describes the accepted jobs whose users have not been told of their end.
+// UnfinishedJobs describes, ordered by ID, the accepted jobs that the last response did not
+// report in a terminal state.
 func (c *InvariantChecker) UnfinishedJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if j := c.jobs[id]; j.accepted && !j.lastStage.IsTerminal() {
-			out = append(out, fmt.Sprintf("%s: %d of %d done, told %q", id, len(j.done), j.Tasks, j.lastStage))
+			out = append(out, fmt.Sprintf("%s: %d of %d tasks completed, last reported stage %q", id, len(j.done), j.Tasks, j.lastStage))
 		}
 	}
 	return out
--- a/internal/fake/kvserver.go
+++ b/internal/fake/kvserver.go
@@ -12,48 +12,50 @@
 	"dunestand/internal/protocol"
 )
 
-// KVServer is a fake of the consensus-backed key-value store, in memory. Its exported fields
-// inject faults; they are set before requests that they concern, or under the caller's own
-// lock.
+// KVServer is an in-memory fake of the consensus-backed key-value store. Its exported fields
+// inject faults or observe transactions. They must be set before the requests that they affect,
+// or under a lock of the caller that excludes such requests.
 type KVServer struct {
-	mu       sync.Mutex // guards all fields without their own comment
+	mu       sync.Mutex // guards the unexported fields
 	items    map[string]protocol.Item
 	revision uint64
-	commits  int // received over HTTP
+	commits  int // commit requests received over HTTP
 
-	// RejectRequest selects requests that are not carried out and get status 503. It is called
-	// for one request at a time; nil: none.
+	// RejectRequest selects the requests that get status 503 and have no effect. Calls are
+	// serialized. nil: no request.
 	RejectRequest func(method, path string) bool
-	// DropResponse selects commits, numbered from 1, that are carried out and get no response;
-	// nil: none.
+	// DropResponse selects the commits, numbered from 1, that are applied but get no response.
+	// nil: no commit.
 	DropResponse func(commit int) bool
-	// DelayCommit selects commits, numbered from 1, that get no response and are carried out by
-	// ApplyDelayed; nil: none.
+	// DelayCommit selects the commits, numbered from 1, that get no response and are applied
+	// only when ApplyDelayed is called. nil: no commit.
 	DelayCommit    func(commit int) bool
 	delayedCommits []protocol.Txn
 
-	// OnApply is called with each transaction just before it is carried out, under the
-	// server's lock; get reads a key as it was. nil: nothing is called.
-	OnApply func(txn protocol.Txn, get func(key string) (protocol.Item, bool))
+	// BeforeApply, if set, is called with each transaction whose conditions hold, before it is
+	// applied. It is called under the server's lock and must not call the server's methods; get
+	// reads a key's item from before the transaction.
+	BeforeApply func(txn protocol.Txn, get func(key string) (protocol.Item, bool))
 
-	limits       *kvLimits // nil: none
-	rejectedTxns int
+	limits       *kvLimits  // nil: no limits
+	rejectedTxns int        // transactions over a size limit
 	rejectMu     sync.Mutex // held while RejectRequest is called
 
-	changes []protocol.KeyChange // the latest, in their order
+	changes []protocol.KeyChange // the latest changes, oldest first
 	changed chan struct{}        // closed at the next change
 }
 
-// maxRetainedChanges is the number of latest changes that a watch can still read.
+// maxRetainedChanges is the number of latest changes that a watch is guaranteed to find.
 const maxRetainedChanges = 10_000
 
-// conditionsPerOp is how many conditions a transaction may have for each change allowed.
+// conditionsPerOp is the ratio of the limit on a transaction's conditions to the limit on its
+// changes.
 const conditionsPerOp = 4
 
-// kvLimits are the limits on transactions.
+// kvLimits are the limits on the size of a transaction and on the rate of changes.
 type kvLimits struct {
-	valueBytes, ops int
-	writes          *rate.Limiter // of changes a second, with bursts of one second's worth
+	maxValueBytes, maxOps int
+	writeLimiter          *rate.Limiter // of changes; the burst is one second's worth
 }
 
 // NewKVServer returns an empty server without limits.
@@ -61,40 +63,41 @@
 	return &KVServer{items: map[string]protocol.Item{}, changed: make(chan struct{})}
 }
 
-// SetLimits sets the largest value in bytes, the most changes in a transaction and the most
-// changes a second, from now on. Items that are stored already remain readable.
-func (s *KVServer) SetLimits(valueBytes, ops int, writes float64) {
+// SetLimits limits later transactions: the size of a value in bytes, the number of changes in a
+// transaction and the rate of changes. Stored items over the limit remain readable.
+func (s *KVServer) SetLimits(maxValueBytes, maxOps int, writesPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = &kvLimits{valueBytes, ops, rate.NewLimiter(rate.Limit(writes), int(writes))}
+	s.limits = &kvLimits{maxValueBytes, maxOps, rate.NewLimiter(rate.Limit(writesPerSecond), int(writesPerSecond))}
 }
 
-// RejectedTxns counts the transactions that were too large.
+// RejectedTxns returns the number of transactions that were rejected because of their size, not
+// because of the write rate.
 func (s *KVServer) RejectedTxns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejectedTxns
 }
 
-// checkLimits returns the status of a transaction that exceeds the limits, 0 for any other.
+// checkLimits returns the HTTP status for a transaction that exceeds a limit; 0: within limits.
 func (s *KVServer) checkLimits(txn protocol.Txn) (status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limits == nil {
 		return 0
 	}
-	large := slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return len(c.Value) > s.limits.valueBytes })
+	oversized := slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return len(c.Value) > s.limits.maxValueBytes })
 	switch {
-	case large, len(txn.Then) > s.limits.ops, len(txn.If) > conditionsPerOp*s.limits.ops:
+	case oversized, len(txn.Then) > s.limits.maxOps, len(txn.If) > conditionsPerOp*s.limits.maxOps:
 		s.rejectedTxns++
 		return http.StatusBadRequest
-	case !s.limits.writes.AllowN(time.Now(), len(txn.Then)):
+	case !s.limits.writeLimiter.AllowN(time.Now(), len(txn.Then)):
 		return http.StatusTooManyRequests
 	}
 	return 0
 }
 
-// Keys returns the keys with a prefix, in their order.
+// Keys returns the keys with a prefix in ascending order.
 func (s *KVServer) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +111,7 @@
 	return keys
 }
 
-// Put writes a key unconditionally.
+// Put writes a key unconditionally, without limits and without calling BeforeApply.
 func (s *KVServer) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,14 +119,15 @@
 	s.setLocked(key, value)
 }
 
-// Revision returns the number of transactions that were carried out.
+// Revision returns the store's revision: the number of writes by Put and of transactions that
+// were applied.
 func (s *KVServer) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Get reads a key and reports whether it exists.
+// Get returns the item of a key and reports whether the key exists.
 func (s *KVServer) Get(key string) (protocol.Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +139,9 @@
 	return item, ok
 }
 
-// Apply carries a transaction out, whole or not at all. It reports whether all conditions
-// held.
+// Apply applies a transaction atomically and reports whether all conditions held; if one did
+// not, nothing changes and the response lists the keys with a version conflict. Limits do not
+// apply.
 func (s *KVServer) Apply(txn protocol.Txn) (protocol.TxnResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,8 +152,8 @@
 		}
 	}
 	if len(response.Failed) == 0 {
-		if s.OnApply != nil {
-			s.OnApply(txn, s.getLocked)
+		if s.BeforeApply != nil {
+			s.BeforeApply(txn, s.getLocked)
 		}
 		s.revision++
 		for _, change := range txn.Then {
@@ -163,7 +168,7 @@
 	return response, len(response.Failed) == 0
 }
 
-// ApplyDelayed carries out the delayed commits, in their order.
+// ApplyDelayed applies the commits selected by DelayCommit in the order in which they arrived.
 func (s *KVServer) ApplyDelayed() {
 	s.mu.Lock()
 	delayed := s.delayedCommits
@@ -174,19 +179,19 @@
 	}
 }
 
-// setLocked sets a key in the current revision.
+// setLocked sets a key at the current revision.
 func (s *KVServer) setLocked(key string, value []byte) {
 	s.items[key] = protocol.Item{Key: key, Value: value, Version: s.revision}
 	s.recordChangeLocked(protocol.KeyChange{Set: key, Value: value, Version: s.revision})
 }
 
-// deleteLocked deletes a key in the current revision.
+// deleteLocked deletes a key at the current revision.
 func (s *KVServer) deleteLocked(key string) {
 	delete(s.items, key)
 	s.recordChangeLocked(protocol.KeyChange{Delete: key, Version: s.revision})
 }
 
-// recordChangeLocked retains a change for watches and wakes them.
+// recordChangeLocked retains a change for watches and wakes the waiting ones.
 func (s *KVServer) recordChangeLocked(change protocol.KeyChange) {
 	s.changes = append(s.changes, change)
 	if len(s.changes) > 2*maxRetainedChanges {
--- a/internal/fake/kvserverhttp.go
+++ b/internal/fake/kvserverhttp.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/protocol"
 )
 
-// ServeHTTP implements the parts of the store's protocol that controllers use.
+// ServeHTTP implements the requests of the key-value store's HTTP API that controllers send.
 func (s *KVServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.rejects(r) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -26,19 +26,19 @@
 		s.serveList(w, r)
 	default:
 		item, ok := s.Get(strings.TrimPrefix(r.URL.Path, protocol.PathKeys+"/"))
-		reply(w, statusOr(ok, http.StatusNotFound), item)
+		writeResponse(w, statusOr(ok, http.StatusNotFound), item)
 	}
 }
 
-// rejects consults RejectRequest, for one request at a time.
+// rejects reports whether RejectRequest selects a request.
 func (s *KVServer) rejects(r *http.Request) bool {
 	s.rejectMu.Lock()
 	defer s.rejectMu.Unlock()
 	return s.RejectRequest != nil && s.RejectRequest(r.Method, r.URL.Path)
 }
 
-// serveCommit carries a transaction out. A response that is to be lost closes the
-// connection.
+// serveCommit applies a transaction. If its response is to be lost, the handler aborts, which
+// closes the connection.
 func (s *KVServer) serveCommit(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	var txn protocol.Txn
@@ -65,12 +65,14 @@
 	if s.DropResponse != nil && s.DropResponse(commit) {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, statusOr(ok, http.StatusConflict), response)
+	writeResponse(w, statusOr(ok, http.StatusConflict), response)
 }
 
-// serveList responds with all items of a prefix, in one page.
+// serveList responds with all items of a prefix after the key "from", in one page.
 func (s *KVServer) serveList(w http.ResponseWriter, r *http.Request) {
-	revision := s.Revision() // before the keys: a watch from here repeats what changes meanwhile
+	// The revision is read before the keys: a watch from it then repeats the changes made while
+	// the list is built. Read afterwards, it would let the watch miss them.
+	revision := s.Revision()
 	list := protocol.ItemList{Items: []protocol.Item{}}
 	for _, key := range s.Keys(r.URL.Query().Get("prefix")) {
 		if item, ok := s.Get(key); ok && key > r.URL.Query().Get("from") {
@@ -78,10 +80,11 @@
 		}
 	}
 	list.Revision = revision
-	reply(w, http.StatusOK, list)
+	writeResponse(w, http.StatusOK, list)
 }
 
-// serveChanges responds to a watch when something has changed or its time is over.
+// serveChanges responds to a watch as soon as there are changes, or with an empty list after
+// wait_ms. A watch from a revision that is no longer retained gets status 410.
 func (s *KVServer) serveChanges(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
@@ -99,7 +102,7 @@
 			return
 		}
 		if len(list.Changes) > 0 || expired {
-			reply(w, http.StatusOK, list)
+			writeResponse(w, http.StatusOK, list)
 			return
 		}
 		select {
@@ -112,8 +115,9 @@
 	}
 }
 
-// changesSince returns the changes of keys with a prefix after a revision, and a channel
-// that is closed at the next change. retained is false if some are no longer retained.
+// changesSince returns the changes to keys with a prefix after a revision, and a channel that
+// is closed at the next change of any key. retained is false if some of the changes after the
+// revision have been discarded.
 func (s *KVServer) changesSince(prefix string, from uint64) (list protocol.ChangeList, changed <-chan struct{}, retained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +133,7 @@
 	return list, s.changed, true
 }
 
-// statusOr returns 200 if ok, otherwise the other status.
+// statusOr returns status 200 if ok is true, otherwise other.
 func statusOr(ok bool, other int) int {
 	if ok {
 		return http.StatusOK
@@ -137,8 +141,8 @@
 	return other
 }
 
-// reply writes a response with a CBOR body.
-func reply(w http.ResponseWriter, status int, body any) {
+// writeResponse writes a response with a CBOR body.
+func writeResponse(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	_, _ = w.Write(protocol.Encode(body))
 }
--- a/internal/fake/leadership.go
+++ b/internal/fake/leadership.go
@@ -2,25 +2,26 @@
 
 import "dunestand/internal/units"
 
-// Leadership is the leadership of a leader that loses it only by stepping down. It must not
-// be changed while others read it.
+// Leadership is a fake of a leader's leadership. It has no lease and therefore never expires:
+// it ends when the leader steps down or a test sets Lost. It must not
+// be changed while other goroutines read it.
 type Leadership struct {
-	FencingToken uint64 // the fencing token
-	Lost         bool
-	Abstained    units.Micros // for how long the leader does not campaign
+	FencingToken uint64
+	Lost         bool         // the leader must no longer act
+	Abstained    units.Micros // duration of the last Abstain
 }
 
-// Token returns the fencing token.
+// Token returns FencingToken.
 func (l *Leadership) Token() uint64 { return l.FencingToken }
 
-// Valid reports whether the leader may act.
+// Valid reports whether the leader may still act.
 func (l *Leadership) Valid() bool { return !l.Lost }
 
 // StepDown ends the leadership.
 func (l *Leadership) StepDown() { l.Lost = true }
 
-// Abstain ends the leadership and records for how long the leader does not campaign.
+// Abstain ends the leadership and records d, the time for which the leader must not campaign.
 func (l *Leadership) Abstain(d units.Micros) { l.Lost, l.Abstained = true, d }
 
-// HandOver refuses: the leader keeps the lease.
+// HandOver always returns false: the leadership is not handed over.
 func (l *Leadership) HandOver(units.Micros) bool { return false }
--- a/internal/fake/legacyjobs.go
+++ b/internal/fake/legacyjobs.go
@@ -11,28 +11,30 @@
 	"dunestand/internal/protocol"
 )
 
-// LegacyJob is what a leader of the last version without services reads of a job's records.
+// LegacyJob is a job as the last program version without services reads it from the job's
+// records.
 type LegacyJob struct {
-	Shape    uint8
-	Machines []string // all on which it would look for the job's tasks
-	Done     []byte   // a bit for each task
+	Kind     uint8
+	Machines []string // all machines on which that version looks for the job's tasks
+	Done     []byte   // bitmap of the completed tasks
 	Version  uint64
 }
 
-// The bounds of the version without services, restated from it.
+// Limits of the version without services, copied from it. They must not follow the current
+// limits.
 const (
 	legacyTasksPerPage = 16 << 10
-	legacyShapes       = 3
+	legacyKinds        = 3
 	legacyPriorities   = 4
 	legacyMaxTasks     = 100_000
 	legacyShards       = 16
 )
 
-// legacyRecord is a job's main record.
+// legacyRecord is a job's main record, with the bitmap of its first page of tasks.
 type legacyRecord struct {
 	Format   int      `cbor:"v"`
 	ID       string   `cbor:"id"`
-	Shape    uint8    `cbor:"shape"`
+	Kind     uint8    `cbor:"shape"`
 	Priority uint8    `cbor:"priority"`
 	Tasks    int      `cbor:"tasks"`
 	Machines []string `cbor:"machines"`
@@ -40,12 +42,12 @@
 	Pages    int      `cbor:"pages"`
 }
 
-// ParseLegacyJobs reads the items below job/ as the last version without services does: any
-// item that it cannot read is an error. All that is written while such a version may lead
-// must be readable here.
+// ParseLegacyJobs reads the items below job/ as the last version without services does, and
+// returns the jobs by ID. It returns an error for any item that this version cannot read. While
+// a controller of this version may become leader, only records that it can read may be written.
 func ParseLegacyJobs(items []protocol.Item) (map[string]*LegacyJob, error) {
 	jobs := map[string]*LegacyJob{}
-	pages := map[string]int{} // of each job, without the main record
+	pages := map[string]int{} // number of pages after the main record, by job ID
 	for _, item := range items {
 		if isLegacyPage(item.Key) {
 			continue
@@ -63,7 +65,7 @@
 		parts := strings.Split(item.Key, "/")
 		job, page := jobs[parts[2]], 0
 		if _, err := fmt.Sscanf(parts[3], "p%d", &page); err != nil || job == nil || page < 1 || page > pages[parts[2]] {
-			return nil, fmt.Errorf("record %s: belongs to no job", item.Key)
+			return nil, fmt.Errorf("record %s: not a page of a stored job", item.Key)
 		}
 		var record struct {
 			Done string `cbor:"done"`
@@ -78,7 +80,7 @@
 	return jobs, nil
 }
 
-// isLegacyPage reports whether a key is of a further page of a job: job/SHARD/ID/pN.
+// isLegacyPage reports whether a key names a page after the main record: job/SHARD/ID/pN.
 func isLegacyPage(key string) bool { return strings.Count(key, "/") == 3 }
 
 func parseLegacyRecord(item protocol.Item) (legacyRecord, *LegacyJob, error) {
@@ -90,13 +92,13 @@
 	_, _ = h.Write([]byte(r.ID))
 	key := fmt.Sprintf("job/%02d/%s", h.Sum32()%legacyShards, r.ID)
 	if r.Format != 1 || !protocol.ValidJobID(r.ID) || item.Key != key {
-		return r, nil, fmt.Errorf("format %d of job %q", r.Format, r.ID)
+		return r, nil, fmt.Errorf("invalid key, ID or format: format %d, ID %q", r.Format, r.ID)
 	}
-	if r.Tasks < 1 || r.Tasks > legacyMaxTasks || r.Priority >= legacyPriorities || r.Shape >= legacyShapes || r.Pages != (r.Tasks-1)/legacyTasksPerPage {
-		return r, nil, errors.New("out of range")
+	if r.Tasks < 1 || r.Tasks > legacyMaxTasks || r.Priority >= legacyPriorities || r.Kind >= legacyKinds || r.Pages != (r.Tasks-1)/legacyTasksPerPage {
+		return r, nil, errors.New("task count, priority, kind or page count is out of range")
 	}
 	job := &LegacyJob{
-		Shape:    r.Shape,
+		Kind:     r.Kind,
 		Machines: slices.Clone(r.Machines),
 		Done:     make([]byte, (r.Tasks+7)/8),
 		Version:  item.Version,
@@ -104,17 +106,17 @@
 	return r, job, job.readDone(r.Done, 0)
 }
 
-// readDone copies the completed tasks of a page into the job's.
+// readDone copies a page's bitmap of completed tasks, encoded as base64, into the job's bitmap.
 func (j *LegacyJob) readDone(text string, page int) error {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return err
 	}
 	const pageBytes = legacyTasksPerPage / 8
-	into := j.Done[min(page*pageBytes, len(j.Done)):min((page+1)*pageBytes, len(j.Done))]
-	if len(raw) > len(into) {
-		return errors.New("done set is longer than the job")
+	target := j.Done[min(page*pageBytes, len(j.Done)):min((page+1)*pageBytes, len(j.Done))]
+	if len(raw) > len(target) {
+		return errors.New("bitmap of completed tasks is longer than the job")
 	}
-	copy(into, raw)
+	copy(target, raw)
 	return nil
 }
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -15,50 +15,50 @@
 // UsersPort is the port on which the controllers of a Network serve users and workers.
 const UsersPort = ":8000"
 
-// Timing is what the settings prescribe to workers.
+// Timing holds the settings of the fleet that workers follow.
 type Timing struct{ HeartbeatInterval, LeaseDuration time.Duration }
 
-// Times of the workers' protocol that no setting changes.
+// Times that the worker protocol fixes, independent of the settings.
 const (
-	heartbeatTimeout     = 4 * time.Second        // from sending to the end of the response
-	retryDelay           = time.Second            // before the next controller is tried
-	minHeartbeatInterval = 500 * time.Millisecond // however often something changes
+	heartbeatTimeout     = 4 * time.Second        // from sending a heartbeat to the end of its response
+	retryDelay           = time.Second            // between a failed heartbeat and one to the next controller
+	minHeartbeatInterval = 500 * time.Millisecond // also after a change
 )
 
 const (
-	tickInterval      = 50 * time.Millisecond // resolution of a machine's clock
+	tickInterval      = 50 * time.Millisecond // how often leases and tasks are advanced
 	defaultImageFetch = 600 * time.Millisecond
 )
 
-// MachineSpec describes a machine.
+// MachineSpec describes a machine and the controllers to which its worker sends heartbeats.
 type MachineSpec struct {
 	MachineInfo
 	InstanceType string
 	Spot         bool
 	CPUs         float64
 	Timing       Timing
-	Controllers  []string // names, reached at NAME and UsersPort
+	Controllers  []string // names; the address is the name followed by UsersPort
 }
 
-// Machine simulates a machine with a worker that follows the whole protocol: incarnations
-// and leases, fencing tokens, one heartbeat in flight, pushed commands, image fetches. It
-// informs an InvariantChecker of every task that starts or ends.
+// Machine simulates a machine with a worker that implements the complete worker protocol: agent
+// incarnations and leases, fencing tokens, one heartbeat in flight, pushed commands, image
+// fetches. It reports every start and end of a task to an InvariantChecker.
 type Machine struct {
 	MachineSpec
 	network    *Network
 	invariants *InvariantChecker
 	client     *http.Client
-	background sync.WaitGroup // Run waits for it
+	background sync.WaitGroup // goroutines that Run waits for
 
-	mu             sync.Mutex // guards all below
+	mu             sync.Mutex // guards the fields below
 	random         *rand.Rand
 	killed         bool
 	incarnation    uint64
 	sequence       uint64    // of the last heartbeat
 	fencingToken   uint64    // the highest seen
 	tokenChangedAt time.Time // when a higher token last counted as a change
-	leaseStart     time.Time
-	changed        bool // since the last heartbeat
+	leaseStart     time.Time // when the last answered heartbeat was sent
+	changed        bool      // the state has changed since the last heartbeat
 	tasks          map[string]*machineTask
 	fault          Fault
 	hungUntil      time.Time
@@ -70,12 +70,12 @@
 	attempt   uint64
 	stage     protocol.TaskStage
 	exitCause protocol.ExitCause
-	stageEnd  time.Time // when the stage ends by itself; zero: never
+	stageEnd  time.Time // when the stage ends without a command; zero: never
 	runTime   time.Duration
 }
 
-// NewMachine returns a machine in its first incarnation; Run starts its worker. The machine
-// owns random.
+// NewMachine returns a machine in its first agent incarnation; Run starts its worker. The caller
+// must not use random afterwards.
 func NewMachine(spec MachineSpec, network *Network, invariants *InvariantChecker, random *rand.Rand) *Machine {
 	return &Machine{
 		MachineSpec: spec,
@@ -95,7 +95,7 @@
 // Endpoint returns the address at which the worker accepts pushed commands.
 func (m *Machine) Endpoint() string { return m.ID + ":9000" }
 
-// Kill ends the machine and every task on it, at once and for good.
+// Kill ends the machine and every task on it immediately and permanently.
 func (m *Machine) Kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,10 +103,10 @@
 	m.killed = true
 }
 
-// RunningTasks counts the tasks that run on the machine.
+// RunningTasks returns the number of running tasks.
 func (m *Machine) RunningTasks() int { return m.tasksInStage(protocol.TaskRunning) }
 
-// FetchingTasks counts the tasks that wait for their images.
+// FetchingTasks returns the number of tasks whose images are being fetched.
 func (m *Machine) FetchingTasks() int { return m.tasksInStage(protocol.TaskFetching) }
 
 func (m *Machine) tasksInStage(stage protocol.TaskStage) int {
@@ -130,8 +130,8 @@
 	clear(m.tasks)
 }
 
-// Run simulates the machine until ctx ends or the machine is killed, and returns once all
-// that it started has ended.
+// Run simulates the machine until ctx ends or the machine is killed, and returns once all its
+// goroutines have ended.
 func (m *Machine) Run(ctx context.Context) {
 	listener := m.network.Listen(m.Endpoint())
 	server := &http.Server{Handler: http.HandlerFunc(m.serveCommands)}
@@ -154,8 +154,8 @@
 	}
 }
 
-// tick advances leases and tasks to the present. It reports whether the machine still
-// exists.
+// tick advances the lease and the tasks to the current time, unless the machine hangs. It
+// reports whether the machine has not been killed.
 func (m *Machine) tick() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fake/machinecommands.go
+++ b/internal/fake/machinecommands.go
@@ -11,9 +11,10 @@
 	"dunestand/internal/protocol"
 )
 
-// handleResponse executes the response to a heartbeat that was sent in an incarnation, and
-// renews the lease from the time of sending. A response of another incarnation or with a
-// lower fencing token is dropped.
+// handleResponse executes the commands of a heartbeat response and renews the lease from the
+// time at which the heartbeat was sent. incarnation is the agent incarnation that sent the
+// heartbeat. The response is ignored if that incarnation has ended or if the response has no
+// fencing token or a lower one than the highest seen.
 func (m *Machine) handleResponse(body []byte, incarnation uint64, sent time.Time) {
 	var response protocol.HeartbeatResponse
 	if protocol.Decode(body, &response) != nil {
@@ -29,8 +30,8 @@
 	m.executeLocked(response.Commands)
 }
 
-// observeTokenLocked raises the highest token seen. It counts as a change, which causes a
-// heartbeat, no more than once in half of a lease.
+// observeTokenLocked raises the highest fencing token seen. A higher token triggers a heartbeat,
+// at most once per half a lease.
 func (m *Machine) observeTokenLocked(token uint64) {
 	if token > m.fencingToken {
 		m.fencingToken = token
@@ -40,7 +41,9 @@
 	}
 }
 
-// serveCommands executes pushed commands and responds with a heartbeat.
+// serveCommands executes pushed commands and responds with a heartbeat. It responds with status
+// 409 and executes nothing if the commands are for another incarnation or have a lower fencing
+// token than the highest seen.
 func (m *Machine) serveCommands(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
 	var push protocol.DirectCommands
@@ -69,7 +72,7 @@
 	}
 	changed := m.changed
 	body := m.encodeHeartbeatLocked()
-	m.changed = changed // the next heartbeat is due all the same
+	m.changed = changed // reset by the encoding, but the next heartbeat remains due
 	m.mu.Unlock()
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
@@ -96,15 +99,16 @@
 	}
 }
 
-// startTaskLocked begins to fetch a task's image, or refuses the task. existing is the
-// attempt that the machine has already; nil: none.
+// startTaskLocked starts to fetch a task's image, or rejects the task with an exit cause.
+// existing is the attempt of the task that the machine already has; nil: none. The command is
+// ignored if existing is the same attempt or has not exited.
 func (m *Machine) startTaskLocked(command protocol.Command, existing *machineTask) {
 	if existing != nil && (existing.attempt == command.Attempt || existing.stage != protocol.TaskExited) {
 		return
 	}
 	id, index := splitTaskName(command.Task)
 	job, known := m.invariants.Job(id)
-	job.ID = id // also of an unknown one
+	job.ID = id // Job returns an empty JobInfo if the job is unknown
 	used := job.CPUs
 	for _, other := range m.tasks {
 		if other.stage != protocol.TaskExited {
@@ -125,7 +129,7 @@
 	m.tasks[command.Task] = task
 }
 
-// splitTaskName returns the parts of a task's name as protocol.TaskName writes it.
+// splitTaskName splits a name that protocol.TaskName has built into its job ID and task index.
 func splitTaskName(name string) (job string, index int) {
 	job, number, _ := strings.Cut(name, "/")
 	index, _ = strconv.Atoi(number)
--- a/internal/fake/machinefault.go
+++ b/internal/fake/machinefault.go
@@ -2,34 +2,37 @@
 
 import "time"
 
-// Fault is what goes wrong on the way to and from a machine. The zero value is no fault.
+// Fault is a set of network faults between a machine and the controllers. The zero value is no
+// fault.
 type Fault struct {
 	ResponsesLost  bool // heartbeats arrive; their responses and pushed commands are lost
-	HeartbeatsLost bool // no heartbeat arrives; pushed commands do
-	Partitioned    bool // neither arrives
-	// DuplicatedShare is the share of heartbeats that are delivered once more, later.
+	HeartbeatsLost bool // heartbeats are lost; pushed commands arrive
+	Partitioned    bool // heartbeats and pushed commands are lost
+	// DuplicatedShare is the fraction of heartbeats of which a duplicate arrives later.
 	DuplicatedShare float64
-	// DelayedShare is the share of heartbeats that get no response and arrive later.
+	// DelayedShare is the fraction of heartbeats that arrive late and get no response.
 	DelayedShare float64
-	// CommandDelay holds up each pushed command.
+	// CommandDelay delays the execution of each push of commands.
 	CommandDelay time.Duration
 }
 
-// InjectFault replaces the machine's fault; the zero Fault ends it.
+// InjectFault replaces the machine's fault; the zero Fault removes it.
 func (m *Machine) InjectFault(fault Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = fault
 }
 
-// Hang stops everything on the machine for d, from now.
+// Hang suspends the machine for d, from now: tasks do not advance, and no heartbeat or command is
+// processed. The lease is not extended by the suspension.
 func (m *Machine) Hang(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hungUntil = time.Now().Add(d)
 }
 
-// LeaseLeft returns how long the worker's lease still holds if no heartbeat is answered.
+// LeaseLeft returns the time until the lease expiry if no further heartbeat is acknowledged. It
+// is negative after the lease expiry.
 func (m *Machine) LeaseLeft() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fake/machineheartbeat.go
+++ b/internal/fake/machineheartbeat.go
@@ -12,22 +12,22 @@
 	"dunestand/internal/protocol"
 )
 
-// sentHeartbeat is a heartbeat and the machine's state when it was sent.
+// sentHeartbeat is a heartbeat and the machine's state at the time of sending.
 type sentHeartbeat struct {
 	body        []byte
 	incarnation uint64
-	at          time.Time
+	sentAt      time.Time
 	fault       Fault
 	delayed     bool
 }
 
-// heartbeatResponse is a controller's response; status 0: none arrived in time.
+// heartbeatResponse is a controller's response. Status 0 means that none arrived in time.
 type heartbeatResponse struct {
 	status int
 	body   []byte
 }
 
-// heartbeatLoop sends heartbeats, one at a time, until ctx ends or the machine is killed.
+// heartbeatLoop sends one heartbeat at a time until ctx ends or the machine is killed.
 func (m *Machine) heartbeatLoop(ctx context.Context) {
 	controller := int(m.draw(int64(len(m.Controllers))))
 	for ctx.Err() == nil {
@@ -46,8 +46,8 @@
 		response := m.exchange(ctx, heartbeat, m.Controllers[controller])
 		switch response.status {
 		case http.StatusOK:
-			m.handleResponse(response.body, heartbeat.incarnation, heartbeat.at)
-			m.waitForNextHeartbeat(ctx, heartbeat.at)
+			m.handleResponse(response.body, heartbeat.incarnation, heartbeat.sentAt)
+			m.waitForNextHeartbeat(ctx, heartbeat.sentAt)
 		case http.StatusMisdirectedRequest:
 			var redirect protocol.LeaderRedirect
 			_ = protocol.Decode(response.body, &redirect)
@@ -64,20 +64,20 @@
 	}
 }
 
-// draw returns a random number below n.
+// draw returns a random number in [0, n).
 func (m *Machine) draw(n int64) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.random.Int64N(n)
 }
 
-// nextHeartbeatLocked makes a heartbeat of the present and has it duplicated if the fault
-// says so.
+// nextHeartbeatLocked returns a heartbeat of the current state and schedules its duplicate if
+// the fault requires one.
 func (m *Machine) nextHeartbeatLocked(ctx context.Context) sentHeartbeat {
 	heartbeat := sentHeartbeat{
 		body:        m.encodeHeartbeatLocked(),
 		incarnation: m.incarnation,
-		at:          time.Now(),
+		sentAt:      time.Now(),
 		fault:       m.fault,
 	}
 	heartbeat.delayed = m.random.Float64() < m.fault.DelayedShare
@@ -87,8 +87,8 @@
 	return heartbeat
 }
 
-// exchange sends a heartbeat to a controller and returns the response as the worker
-// perceives it.
+// exchange sends a heartbeat to a controller, subject to the fault, and returns the response
+// that the worker receives.
 func (m *Machine) exchange(ctx context.Context, heartbeat sentHeartbeat, controller string) heartbeatResponse {
 	var response heartbeatResponse
 	switch {
@@ -103,16 +103,17 @@
 		sleep(ctx, tickInterval)
 	}
 	if heartbeat.fault.ResponsesLost && response.status != 0 {
-		sleep(ctx, heartbeatTimeout-time.Since(heartbeat.at))
+		sleep(ctx, heartbeatTimeout-time.Since(heartbeat.sentAt))
 		response.status = 0
 	}
-	if time.Since(heartbeat.at) > heartbeatTimeout {
+	if time.Since(heartbeat.sentAt) > heartbeatTimeout {
 		response.status = 0
 	}
 	return response
 }
 
-// encodeHeartbeatLocked returns a heartbeat with the next sequence number.
+// encodeHeartbeatLocked returns an encoded heartbeat of the current state with the next sequence
+// number, and resets changed.
 func (m *Machine) encodeHeartbeatLocked() []byte {
 	m.sequence++
 	m.changed = false
@@ -139,8 +140,8 @@
 	return protocol.EncodeHeartbeat(&heartbeat)
 }
 
-// deliverLater delivers a heartbeat to a random controller, from 2 s to well over a lease
-// later.
+// deliverLater sends a heartbeat to a random controller after a random delay between 2 s and 2 s
+// plus one and a half leases, so that it may arrive after the lease expiry.
 func (m *Machine) deliverLater(ctx context.Context, body []byte) {
 	m.mu.Lock()
 	delay := 2*time.Second + time.Duration(m.random.Int64N(int64(m.Timing.LeaseDuration*3/2)))
@@ -152,8 +153,8 @@
 	}
 }
 
-// CaptureHeartbeat takes a heartbeat of the present out of the network. The function that
-// it returns delivers the heartbeat to a controller, whenever it is called.
+// CaptureHeartbeat encodes a heartbeat of the current state without sending it. The returned
+// function sends it to a controller each time it is called.
 func (m *Machine) CaptureHeartbeat() (deliver func(ctx context.Context, controller string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -177,13 +178,14 @@
 	return heartbeatResponse{response.StatusCode, content}
 }
 
-// waitForNextHeartbeat waits until a heartbeat is due: within a quarter of its interval, or
-// when something changes.
-func (m *Machine) waitForNextHeartbeat(ctx context.Context, sent time.Time) {
+// waitForNextHeartbeat returns when the next heartbeat is due: one interval after sentAt, with
+// up to a quarter of jitter either way, or earlier if the machine's state changes, but not
+// before minHeartbeatInterval.
+func (m *Machine) waitForNextHeartbeat(ctx context.Context, sentAt time.Time) {
 	m.mu.Lock()
-	due := sent.Add(time.Duration(float64(m.Timing.HeartbeatInterval) * (0.75 + m.random.Float64()/2)))
+	due := sentAt.Add(time.Duration(float64(m.Timing.HeartbeatInterval) * (0.75 + m.random.Float64()/2)))
 	m.mu.Unlock()
-	sleep(ctx, minHeartbeatInterval-time.Since(sent))
+	sleep(ctx, minHeartbeatInterval-time.Since(sentAt))
 	for ctx.Err() == nil && time.Now().Before(due) {
 		m.mu.Lock()
 		ready := m.changed || m.killed
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Network connects the parts of a test in memory, so that a test may run on a simulated
-// clock. Who can reach whom may be changed at any time.
+// Network is an in-memory network between the endpoints of a test, for tests that run on a
+// simulated clock. Partitions and delays may be changed at any time.
 type Network struct {
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	listeners   map[string]*listener
-	conns       map[*conn]bool
+	conns       map[*conn]bool // open connections
 	partitioned map[route]bool
-	delay       func(from, to string) <-chan time.Time // nil: nothing is delayed
+	delay       func(from, to string) <-chan time.Time // nil: no delay
 }
 
-// route is the one-way path from a part of the test to an address.
+// route is the path from the endpoint that opens a connection to the address that it dials.
 type route struct{ from, to string }
 
 // NewNetwork returns a network without listeners.
@@ -27,7 +27,8 @@
 	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, partitioned: map[route]bool{}}
 }
 
-// Listen returns a listener at an address, which replaces any other one there.
+// Listen returns a listener at an address. It replaces an earlier listener at that address,
+// which then gets no further connections.
 func (n *Network) Listen(addr string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,18 +42,19 @@
 	return l
 }
 
-// dialTimeout is how long the opening of a connection waits for the other side.
+// dialTimeout is how long a dial waits for the listener to accept.
 const dialTimeout = time.Second
 
 var errDialTimeout = errors.New("memory network: connection timed out")
 
-// Dialer returns a function that opens connections from one part of the test. It fails with
-// syscall.ECONNREFUSED where nobody listens, and after a second where a partition is.
+// Dialer returns a dial function for the endpoint named from. The function fails with
+// syscall.ECONNREFUSED if there is no listener at the address, and after dialTimeout or at the
+// end of its context if the address is partitioned or the listener does not accept.
 func (n *Network) Dialer(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
-		way := route{from, addr}
+		path := route{from, addr}
 		n.mu.Lock()
-		l, partitioned := n.listeners[addr], n.partitioned[way]
+		l, partitioned := n.listeners[addr], n.partitioned[path]
 		n.mu.Unlock()
 		if l == nil && !partitioned {
 			return nil, connectionRefused(addr)
@@ -66,16 +68,16 @@
 			}
 			return nil, errDialTimeout
 		}
-		near, far := net.Pipe()
+		local, remote := net.Pipe()
 		select {
-		case l.conns <- far:
-			return n.register(near, way), nil
+		case l.conns <- remote:
+			return n.register(local, path), nil
 		case <-l.closed:
 			return nil, connectionRefused(addr)
 		case <-timer.C:
 		case <-ctx.Done():
 		}
-		_ = near.Close()
+		_ = local.Close()
 		return nil, errDialTimeout
 	}
 }
@@ -84,24 +86,25 @@
 	return &net.OpError{Op: "dial", Net: memoryNetwork, Addr: memoryAddress(addr), Err: syscall.ECONNREFUSED}
 }
 
-// register notes the near side of a new connection, which a partition will close.
-func (n *Network) register(near net.Conn, way route) *conn {
-	c := &conn{Conn: near, network: n, route: way}
+// register records the dialing side of a new connection, so that Partition and Close can close
+// it.
+func (n *Network) register(local net.Conn, path route) *conn {
+	c := &conn{Conn: local, network: n, route: path}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns[c] = true
 	return c
 }
 
-// Partition separates one part from an address, one way, or joins them again. Connections
-// that it had opened there are lost.
+// Partition sets whether dials from an endpoint to an address fail. A partition also closes the
+// connections that the endpoint has open to the address. The opposite direction is unaffected.
 func (n *Network) Partition(from, to string, partitioned bool) {
-	way := route{from, to}
+	path := route{from, to}
 	n.mu.Lock()
-	n.partitioned[way] = partitioned
+	n.partitioned[path] = partitioned
 	var lost []*conn
 	for c := range n.conns {
-		if partitioned && c.route == way {
+		if partitioned && c.route == path {
 			lost = append(lost, c)
 		}
 	}
@@ -111,8 +114,8 @@
 	}
 }
 
-// SetDelay delays all that arrives at those who opened connections. delay is called for
-// each segment that arrives, with the route of its connection, and the segment is delivered
+// SetDelay delays the data that arrives at the dialing side of each connection. delay is called
+// for each segment that arrives, with the route of its connection, and the segment is delivered
 // once the returned channel is ready. nil: no delay.
 func (n *Network) SetDelay(delay func(from, to string) <-chan time.Time) {
 	n.mu.Lock()
@@ -126,7 +129,8 @@
 	return n.delay != nil
 }
 
-// segmentDelay returns what releases the next segment of a connection; nil: no delay.
+// segmentDelay returns the channel that releases the next segment of a connection; nil: no
+// delay.
 func (n *Network) segmentDelay(c *conn) <-chan time.Time {
 	n.mu.Lock()
 	delay := n.delay
--- a/internal/fake/networkconn.go
+++ b/internal/fake/networkconn.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// memoryNetwork is the network name of a Network's addresses and errors.
 const memoryNetwork = "memory"
 
 // memoryAddress is an address on a Network.
@@ -49,15 +50,16 @@
 	return nil
 }
 
-// conn is the side of a connection that opened it; closing it closes the other side.
+// conn is the dialing side of a connection. Closing it ends the connection for both sides.
 type conn struct {
 	net.Conn
 	network *Network
 	route   route
-	queue   *deliveryQueue // nil until something is delayed; only the reader uses it
+	queue   *deliveryQueue // nil until a segment is delayed; used by the reader only
 }
 
-// Read implements net.Conn. What was sent may be delayed.
+// Read implements net.Conn. The network's delay, if set, applies to the data. Read must not be
+// called concurrently.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.queue == nil {
 		n, err := c.Conn.Read(b)
@@ -66,7 +68,7 @@
 		}
 		c.queue = &deliveryQueue{source: c, segments: make(chan segment, queueSegments)}
 		c.queue.add(b[:n])
-		go c.queue.run() // until the connection is closed
+		go c.queue.run() // ends when the connection is closed
 	}
 	return c.queue.Read(b)
 }
@@ -79,20 +81,20 @@
 	return c.Conn.Close()
 }
 
-// deliveryQueue accepts at once what is sent on a connection, as a network does, so that
-// the sender does not wait for the delivery.
+// deliveryQueue buffers the data sent on a connection, as a real network does, so that the
+// sender does not block until the data is delivered.
 type deliveryQueue struct {
 	source   *conn
 	segments chan segment
-	unread   []byte // of the segment that is being read
-	err      error
+	unread   []byte // rest of the segment that is being read
+	err      error  // returned by Read once unread is empty
 }
 
-// segment is what was sent at one time.
+// segment is the data of one read from the connection, or the error that ended it.
 type segment struct {
 	data    []byte
-	release <-chan time.Time // nil: it may be delivered at once
-	err     error            // the end of the connection
+	release <-chan time.Time // ready when the data may be delivered; nil: at once
+	err     error            // of the read that ended the connection
 }
 
 const (
@@ -104,7 +106,7 @@
 	q.segments <- segment{data: bytes.Clone(data), release: q.source.network.segmentDelay(q.source)}
 }
 
-// run queues all that is sent until the connection is closed.
+// run reads the connection and queues its data until the connection is closed.
 func (q *deliveryQueue) run() {
 	buffer := make([]byte, queueBuffer)
 	for {
@@ -119,7 +121,7 @@
 	}
 }
 
-// Read delivers segments in their order, each once it is released.
+// Read delivers segments in the order in which they were sent, each once it is released.
 func (q *deliveryQueue) Read(b []byte) (int, error) {
 	for len(q.unread) == 0 {
 		if q.err != nil {
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -3,10 +3,12 @@
 import (
 	"dunestand/internal/config"
 	"dunestand/internal/protocol"
+	"dunestand/internal/units"
 )
 
-// Settings returns the settings of a small fleet: one zone, a team that may use nine processors
-// with four guaranteed, and a heartbeat each second. Each call returns a copy of its own.
+// Settings returns the settings of a small fleet: one zone, one team with a guaranteed quota of
+// four processors and a quota limit of nine, and a heartbeat interval of one second. Each call
+// returns a new value, which the caller may change.
 func Settings() *config.Settings {
 	return &config.Settings{Node: "n", Fleet: config.Fleet{
 		Zones:   []string{"a"},
@@ -16,7 +18,7 @@
 	}}
 }
 
-// Catalog returns the only instance type of that fleet, with four processors.
+// Catalog returns a catalog for the fleet of Settings: one instance type, with four processors.
 func Catalog() protocol.Catalog {
 	return protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:      "m",
@@ -30,8 +32,8 @@
 	}}}
 }
 
-// JobSpec returns a job array of that fleet's team: two tasks of a processor, on spot instances
-// too.
+// JobSpec returns a job array of the team in Settings: two tasks of one processor each, which
+// may run on spot instances.
 func JobSpec(id string) *protocol.JobSpec {
 	return &protocol.JobSpec{
 		ID:        id,
@@ -43,3 +45,8 @@
 		Image:     "i",
 	}
 }
+
+// CPUs returns a resource request of n processors and n GB of memory.
+func CPUs(n int) units.Resources {
+	return units.Resources{CPU: units.Amount(n) * 1_000_000, Memory: units.Amount(n) * 1_000_000}
+}
--- a/internal/fake/submission.go
+++ b/internal/fake/submission.go
@@ -2,10 +2,10 @@
 
 import "dunestand/internal/protocol"
 
-// Submission returns, as its user submits it, a job array of small tasks without
-// placement constraints, checkpoints or a deadline. expectSeconds is the estimated run time
-// of a task. Tests change single fields of the result.
-func Submission(id, team, class string, tasks int, expectSeconds float64) map[string]any {
+// Submission returns the submission of a job array in the form that users send: small tasks
+// without placement constraints, checkpoints or a deadline. estimateSeconds is the estimated run
+// time of a task. The caller may change fields of the result.
+func Submission(id, team, class string, tasks int, estimateSeconds float64) map[string]any {
 	return map[string]any{
 		protocol.FieldID:                 id,
 		protocol.FieldClass:              class,
@@ -23,7 +23,7 @@
 		protocol.FieldZoneAffinity:       false,
 		protocol.FieldZoneSpread:         false,
 		protocol.FieldAllowSpot:          true,
-		protocol.FieldEstimate:           expectSeconds,
+		protocol.FieldEstimate:           estimateSeconds,
 		protocol.FieldCheckpointInterval: 0.0,
 		protocol.FieldCheckpointDuration: 0.0,
 		protocol.FieldDeadline:           nil,
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -11,14 +11,15 @@
 	"dunestand/internal/protocol"
 )
 
-// Worker is a simple worker for tests on real sockets: it sends heartbeats to any of several
-// controllers and runs each task for a fixed time. Its fields are set before Run.
+// Worker is a simplified worker for tests on real sockets, without leases and pushed commands.
+// It sends heartbeats to one controller, to the next one after a failure, and simulates tasks
+// that all run for the same time. Its exported fields must be set before Run.
 type Worker struct {
 	Machine           protocol.ListedMachine
-	Controllers       []string // addresses
+	Controllers       []string // addresses; at least one
 	HeartbeatInterval time.Duration
 	RunTime           time.Duration // of each task
-	// OnStart, if set, is called with each start of a task, under the worker's lock.
+	// OnStart, if set, is called for each start of a task, under the worker's lock.
 	OnStart func(task string, attempt uint64)
 
 	mu    sync.Mutex
@@ -32,10 +33,10 @@
 	exitCause protocol.ExitCause
 }
 
-// workerTimeout is how long a worker waits for a response.
+// workerTimeout is the timeout of a heartbeat request.
 const workerTimeout = 2 * time.Second
 
-// Run sends heartbeats until ctx ends.
+// Run sends heartbeats and executes the commands in their responses until ctx ends.
 func (w *Worker) Run(ctx context.Context) {
 	w.tasks = map[string]*workerTask{}
 	client := &http.Client{Timeout: workerTimeout}
@@ -80,7 +81,8 @@
 	return decoded, ok
 }
 
-// taskStatuses ends the tasks that have run long enough and lists all.
+// taskStatuses marks the tasks that have run for RunTime as completed and returns the task
+// status of every task.
 func (w *Worker) taskStatuses() []protocol.TaskStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
