--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -16,7 +16,7 @@
 	metricsContentType = "text/plain; version=0.0.4"
 )
 
-// bodyTooLarge is the error text for a request whose body exceeds protocol.MaxBody.
+// bodyTooLarge is the error text for a request whose body exceeds protocol.MaxBodyBytes.
 const bodyTooLarge = "body over 64 KiB"
 
 // routes registers the HTTP handlers of the controller.
--- a/internal/federation/modelleader_test.go
+++ b/internal/federation/modelleader_test.go
@@ -10,15 +10,15 @@
 	"dunestand/internal/units"
 )
 
-// This file is what the leaders of the model do when they look at their records.
+// This file holds the periodic work of the model's leaders.
 
-// tick has a cell's leader look at all of its records.
+// tick processes all jobs and transfers of a cell, unless it has no leader.
 func (m *model) tick(c *modelCell) {
-	if m.now < c.leaderFrom {
+	if m.now < c.leaderStartsAt {
 		return
 	}
 	for _, job := range m.jobs {
-		if job.home == c {
+		if job.origin == c {
 			m.tickJob(c, job)
 		}
 	}
@@ -30,19 +30,19 @@
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(c.incoming), compareTransferIDs) {
-		if r, ok := c.incoming[id]; ok && m.now >= c.leaderFrom {
+		if r, ok := c.incoming[id]; ok && m.now >= c.leaderStartsAt {
 			m.tickTarget(c, r)
 		}
 	}
 }
 
-// tickJob is what the origin does about one of its jobs.
+// tickJob processes one of the origin's own jobs.
 func (m *model) tickJob(c *modelCell, job *userJob) {
-	if r, moved := c.outgoing[job.id]; !moved || r.Owner() == OwnerOrigin {
-		m.runAtHome(c, job)
+	if r, transferred := c.outgoing[job.id]; !transferred || r.Owner() == OwnerOrigin {
+		m.runAtOrigin(c, job)
 	}
-	r, moved := c.outgoing[job.id]
-	if !moved {
+	r, transferred := c.outgoing[job.id]
+	if !transferred {
 		return
 	}
 	switch r.Phase {
@@ -59,7 +59,7 @@
 	}
 	grantor := c.leader.grantors[job.id]
 	m.applyOrigin(c, r.Tick(grantor, m.clock(c), modelTiming))
-	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderFrom {
+	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderStartsAt {
 		switch {
 		case job.cancelRequested:
 			m.applyOrigin(c, r.Cancel())
@@ -67,42 +67,42 @@
 			m.applyOrigin(c, r.Reclaim())
 		}
 	}
-	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderFrom {
+	if r, ok := c.outgoing[job.id]; ok && m.now >= c.leaderStartsAt {
 		m.applyOrigin(c, r.Resend())
 	}
 }
 
-// runAtHome is what a cell does with a job that it owns.
-func (m *model) runAtHome(c *modelCell, job *userJob) {
+// runAtOrigin simulates the scheduling of a job that its origin owns.
+func (m *model) runAtOrigin(c *modelCell, job *userJob) {
 	switch exec := c.executions[job.id]; {
 	case job.answeredDone || job.answeredCancelled:
 		delete(c.executions, job.id)
 	case job.cancelRequested:
 		delete(c.executions, job.id)
 		m.answerCancelled(job)
-		m.recordEndAtHome(c, job)
+		m.recordEndAtOrigin(c, job)
 	case exec != nil:
-		exec.leaseExpires = m.now + modelForever
+		exec.leaseExpires = m.now + modelUnlimitedLease
 		m.completeTasks(exec)
 		c.done[job.id] = c.done[job.id].Union(exec.done)
 		if modelJobDone(c.done[job.id]) {
 			m.answerDone(job, c.done[job.id])
-			m.recordEndAtHome(c, job)
+			m.recordEndAtOrigin(c, job)
 		}
 	case m.healed || rapid.IntRange(0, 3).Draw(m.t, "run here") == 0:
-		m.beginRun(c, job, fmt.Sprintf("at home after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), modelForever)
+		m.beginRun(c, job, fmt.Sprintf("at origin after transfer %d", c.outgoing[job.id].Transfer.Incarnation+job.incarnation), modelUnlimitedLease)
 	}
 }
 
-// recordEndAtHome stores, together with the end of a job, that its transfer no longer
-// matters.
-func (m *model) recordEndAtHome(c *modelCell, job *userJob) {
-	if r, moved := c.outgoing[job.id]; moved {
+// recordEndAtOrigin applies OriginRecord.JobEnded, as if in the same transaction as the
+// terminal state of the job.
+func (m *model) recordEndAtOrigin(c *modelCell, job *userJob) {
+	if r, transferred := c.outgoing[job.id]; transferred {
 		c.outgoing[job.id] = r.JobEnded().Record
 	}
 }
 
-// tickTarget is what the target does about a transfer.
+// tickTarget processes a transfer at its target.
 func (m *model) tickTarget(c *modelCell, r TargetRecord) {
 	holder := c.leader.holders[r.Transfer]
 	exec := c.executions[r.Transfer.Job]
@@ -118,28 +118,28 @@
 	if r.Stopping && exec == nil {
 		m.applyTarget(c, r.TasksStopped())
 	}
-	if r, ok := c.incoming[r.Transfer]; ok && m.now >= c.leaderFrom {
+	if r, ok := c.incoming[r.Transfer]; ok && m.now >= c.leaderStartsAt {
 		m.applyTarget(c, r.Resend())
 		m.applyTarget(c, r.RequestRenewal(holder, m.clock(c)))
 	}
 }
 
-// stopGrace is, in real time, how long a cell's workers go on without their leader.
+// stopGrace returns the real time for which a cell's workers keep running without their leader.
 func (m *model) stopGrace(c *modelCell) units.Micros {
 	return units.Micros(float64(modelTiming.StopGrace) / c.clockRate)
 }
 
-// beginRun starts the tasks of a job. Where a cell starts tasks of the same run once more, as
-// after the loss of machines, that is ordinary scheduling and no other run.
+// beginRun starts the tasks of a job and requires that the restart limit is not exceeded.
+// Starting tasks of the same run again, as after the loss of machines, is not a restart.
 func (m *model) beginRun(c *modelCell, job *userJob, run string, lease units.Micros) {
 	job.runs[run] = true
 	if len(job.runs) > 1+job.maxRestarts {
-		m.t.Fatalf("%s has the runs %v, its class allows %d restarts", job.id, job.runs, job.maxRestarts)
+		m.t.Fatalf("job %s has runs %v, its restart limit is %d", job.id, job.runs, job.maxRestarts)
 	}
 	c.executions[job.id] = &execution{leaseExpires: m.now + lease}
 }
 
-// completeTasks completes some tasks, or all once faults are healed.
+// completeTasks completes random tasks, or all tasks after all faults have ended.
 func (m *model) completeTasks(exec *execution) {
 	for task := range modelTasks {
 		if m.healed || rapid.IntRange(0, 5).Draw(m.t, "ends") == 0 {
--- a/internal/push/broadcaster.go
+++ b/internal/push/broadcaster.go
@@ -71,7 +71,7 @@
 // instead of when its next heartbeat is due. Run returns when ctx ends or all machines are
 // reconciled, after the calls in flight have ended.
 func (b *TokenBroadcaster) Run(ctx context.Context) {
-	caller := transport.NewCaller(b.Dial, protocol.MaxBody)
+	caller := transport.NewCaller(b.Dial, protocol.MaxBodyBytes)
 	tries := map[string]broadcastTries{}
 	var calls sync.WaitGroup
 	defer calls.Wait()
