--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -12,8 +12,8 @@
 	"dunestand/internal/protocol"
 )
 
-// UsersPort is the port on which the controllers of a Network serve users and workers.
-const UsersPort = ":8000"
+// ClientPort is the port on which the controllers of a Network serve users and workers.
+const ClientPort = ":8000"
 
 // Timing holds the settings of the fleet that workers follow.
 type Timing struct{ HeartbeatInterval, LeaseDuration time.Duration }
@@ -37,7 +37,7 @@
 	Spot         bool
 	CPUs         float64
 	Timing       Timing
-	Controllers  []string // names; the address is the name followed by UsersPort
+	Controllers  []string // names; the address is the name followed by ClientPort
 }
 
 // Machine simulates a machine with a worker that implements the complete worker protocol: agent
--- a/internal/fake/machineheartbeat.go
+++ b/internal/fake/machineheartbeat.go
@@ -165,7 +165,7 @@
 func (m *Machine) sendHeartbeat(ctx context.Context, controller string, body []byte) heartbeatResponse {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+UsersPort+protocol.PathHeartbeat, bytes.NewReader(body))
+	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controller+ClientPort+protocol.PathHeartbeat, bytes.NewReader(body))
 	response, err := m.client.Do(request)
 	if err != nil {
 		return heartbeatResponse{}
--- a/node/deployment_faults_test.go
+++ b/node/deployment_faults_test.go
@@ -56,7 +56,7 @@
 func (d *deployment) partitionMachines(node int, partitioned bool, selected func(m *fake.Machine) bool) {
 	for _, m := range d.allMachines() {
 		if selected(m) {
-			d.network.Partition(m.ID, d.nodes[node].name+fake.UsersPort, partitioned)
+			d.network.Partition(m.ID, d.nodes[node].name+fake.ClientPort, partitioned)
 			d.network.Partition(d.nodes[node].name, m.Endpoint(), partitioned)
 		}
 	}
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -55,7 +55,7 @@
 	settings := &config.Settings{
 		Node:         d.nodes[i].name,
 		Zone:         zones[i%len(zones)],
-		ClientListen: endpoint(i, fake.UsersPort),
+		ClientListen: endpoint(i, fake.ClientPort),
 		MeshListen:   endpoint(i, meshPort),
 		Services:     config.Services{Cloud: cloudAddress, State: endpoint(i, kvPort)},
 		Fleet:        d.fleet,
--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -23,7 +23,7 @@
 
 // userURL is a controller's URL for users.
 func (d *deployment) userURL(node int, path string) string {
-	return "http://" + d.nodes[node].name + fake.UsersPort + path
+	return "http://" + d.nodes[node].name + fake.ClientPort + path
 }
 
 // request sends a controller one request, as a user does.
