--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -40,7 +40,7 @@
 		if leader.persister.Restore(t.Context()) || leader.Ready() {
 			t.Errorf("%s: the controller leads", name)
 		}
-		if leader.leadership.Valid() || leader.fakeLeadership().Abstained != persister.UnreadableAbstention {
+		if leader.leadership.Valid() || leader.fakeLeadership().AbstainedFor != persister.UnreadableAbstention {
 			t.Errorf("%s: the controller keeps the lease or does not abstain", name)
 		}
 		if newer := leader.Format.TooNew(); newer != (name == "the fleet's format") {
--- a/internal/fake/leadership.go
+++ b/internal/fake/leadership.go
@@ -8,7 +8,7 @@
 type Leadership struct {
 	FencingToken uint64
 	Lost         bool         // the leader must no longer act
-	Abstained    units.Micros // duration of the last Abstain
+	AbstainedFor units.Micros // duration of the last Abstain
 }
 
 // Token returns FencingToken.
@@ -21,7 +21,7 @@
 func (l *Leadership) StepDown() { l.Lost = true }
 
 // Abstain ends the leadership and records d, the time for which the leader must not campaign.
-func (l *Leadership) Abstain(d units.Micros) { l.Lost, l.Abstained = true, d }
+func (l *Leadership) Abstain(d units.Micros) { l.Lost, l.AbstainedFor = true, d }
 
 // HandOver always returns false: the leadership is not handed over.
 func (l *Leadership) HandOver(units.Micros) bool { return false }
