--- a/node/deployment_users_test.go
+++ b/node/deployment_users_test.go
@@ -24,7 +24,7 @@
 
 // userURL returns the URL of a path that a controller serves to users.
 func (d *deployment) userURL(controller int, path string) string {
-	return "http://" + d.controllers[controller].name + fake.UsersPort + path
+	return "http://" + d.controllers[controller].name + fake.ClientPort + path
 }
 
 // request sends one user request to a controller.
