--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -11,24 +11,27 @@
 	"dunestand/internal/units"
 )
 
-// AdmissionPolicy says how new jobs are admitted under overload. Its zero value admits all.
+// AdmissionPolicy controls which new jobs are admitted under overload. The zero value admits
+// all jobs.
 type AdmissionPolicy struct {
-	// Horizon is for how much time ahead work is admitted; 0: all jobs are.
+	// Horizon limits the unfinished work of a team to what its share of the fleet completes in
+	// this time. 0 means no limit: all jobs are admitted.
 	Horizon units.Micros
-	// TeamShares and ClassShares are the weights of fair sharing, in the order of the file;
-	// the weights are positive.
+	// TeamShares and ClassShares are the weights for fair sharing, in the order of the file. All
+	// weights are positive.
 	TeamShares  []Share
 	ClassShares []Share
 }
 
-// Share is the weight of a team or class, and where the policy says so.
+// Share is the weight of a team or class.
 type Share struct {
 	Name     string
 	Weight   float64
-	position Position
+	position Position // of the name in the policy file
 }
 
-// Bounds on the horizon, in seconds. A shorter one would be gone between two plans.
+// Bounds on the horizon, in seconds. Work admitted for a shorter horizon could be complete before
+// the next plan admits more.
 const (
 	minHorizonS = 10
 	maxHorizonS = 7 * 24 * 3600
@@ -51,17 +54,17 @@
 }
 
 func (p *Policy) parseTeamShares(source policySource) (err error) {
-	p.Admission.TeamShares, err = source.shares()
+	p.Admission.TeamShares, err = source.parseShares()
 	return err
 }
 
 func (p *Policy) parseClassShares(source policySource) (err error) {
-	p.Admission.ClassShares, err = source.shares()
+	p.Admission.ClassShares, err = source.parseShares()
 	return err
 }
 
-// shares reads a map of names to weights, such as {"planning": 3, "dyehouse": 1}.
-func (s policySource) shares() ([]Share, error) {
+// parseShares parses a map literal of names to weights, such as {"planning": 3, "dyehouse": 1}.
+func (s policySource) parseShares() ([]Share, error) {
 	program, err := expr.Compile(s.text, expr.Env(struct{}{}), expr.Optimize(false))
 	if err != nil {
 		return nil, s.locate(err)
@@ -82,8 +85,8 @@
 	return s.readShares(node, weights)
 }
 
-// readShares checks the shares of a map whose expressions are in node and whose values are
-// in weights.
+// readShares validates the shares of a map literal. The positions are taken from node, the
+// syntax tree of the literal, and the values from weights, its result.
 func (s policySource) readShares(node *ast.MapNode, weights map[string]any) ([]Share, error) {
 	var shares []Share
 	sum := 0.0
@@ -99,7 +102,7 @@
 		}
 		share.Name = key.Value
 		if slices.ContainsFunc(shares, func(other Share) bool { return other.Name == share.Name }) {
-			return nil, share.position.errorf("%q has a share already", share.Name)
+			return nil, share.position.errorf("%q already has a share", share.Name)
 		}
 		if err := share.setWeight(weights[share.Name]); err != nil {
 			return nil, err
@@ -108,17 +111,18 @@
 		shares = append(shares, share)
 	}
 	if len(shares) > 0 && sum == 0 {
-		return nil, s.expressionStart().errorf("the shares come to 0 together")
+		return nil, s.expressionStart().errorf("the sum of the shares is 0")
 	}
 	for _, share := range shares {
 		if share.Weight == 0 {
-			return nil, share.position.errorf("the share of %q is 0, which would starve it", share.Name)
+			return nil, share.position.errorf("the share of %q is 0, which would starve its jobs", share.Name)
 		}
 	}
 	return shares, nil
 }
 
-// setWeight checks a weight. It may be 0 here, as all shares together have their own error.
+// setWeight validates and sets the weight. It accepts 0, since the caller reports shares of 0 with
+// different errors if one or all of them are 0.
 func (s *Share) setWeight(value any) error {
 	weight, isNumber := asNumber(value)
 	if !isNumber || math.IsNaN(weight) || math.IsInf(weight, 0) {
@@ -131,7 +135,7 @@
 	return nil
 }
 
-// asNumber converts the result of an expression.
+// asNumber converts a result of an expression to a number; ok is false for other types.
 func asNumber(value any) (number float64, ok bool) {
 	switch n := value.(type) {
 	case int:
@@ -142,17 +146,17 @@
 	return 0, false
 }
 
-// CheckShares checks a policy against the settings: shares are for teams and classes that
-// exist. A mistake is a *PolicyError.
+// CheckShares checks a policy against the settings. It returns a *PolicyError if a share names a
+// team that the settings lack, or a class without an objective in the settings.
 func (p *Policy) CheckShares(f *Fleet) error {
 	for _, share := range p.Admission.TeamShares {
 		if !slices.ContainsFunc(f.Teams, func(t Team) bool { return t.Name == share.Name }) {
-			return share.position.errorf("%q is no team of the settings", share.Name)
+			return share.position.errorf("%q is not a team in the settings", share.Name)
 		}
 	}
 	for _, share := range p.Admission.ClassShares {
 		if !slices.ContainsFunc(f.Objectives, func(o Objective) bool { return o.Class == share.Name }) {
-			return share.position.errorf("%q is no class of the settings' objectives", share.Name)
+			return share.position.errorf("%q is not a class of an objective in the settings", share.Name)
 		}
 	}
 	return nil
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FieldError reports a setting that is missing or not valid. Its text fits on one line.
+// FieldError reports a missing or invalid setting. Its text is a single line.
 type FieldError struct {
 	Field   string // the path in the file, such as settings.workers.report_s
 	Problem string
@@ -14,18 +14,18 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Position is a place in a policy file. Lines and columns count from 1, columns in
+// Position is a location in a policy file. Lines and columns count from 1, columns in
 // characters.
 type Position struct {
 	File         string
 	Line, Column int
 }
 
-// String writes the position as compilers do: file:line:column.
+// String formats the position as compilers do: file:line:column.
 func (p Position) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// PolicyError reports a mistake in a policy file. Its text fits on one line and begins
-// with the position.
+// PolicyError reports a mistake in a policy file. Its text is a single line that begins with the
+// position.
 type PolicyError struct {
 	Position Position
 	Err      error
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -8,9 +8,9 @@
 	"os"
 )
 
-// Load reads and checks a settings file. Its errors fit on one line and name the file. One
-// about a value is a *FieldError; one about the file wraps that of the system, such as
-// fs.ErrNotExist.
+// Load reads and validates a settings file. The text of an error is a single line that names
+// the file. An invalid value is reported as a *FieldError; an unreadable file as an error that
+// wraps the operating system's, such as fs.ErrNotExist.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return settings, nil
 }
 
-// Parse reads and checks the text of a settings file. An error about a value is a
+// Parse parses and validates the text of a settings file. An invalid value is reported as a
 // *FieldError.
 func Parse(raw []byte) (*Settings, error) {
 	settings := new(Settings)
@@ -34,7 +34,7 @@
 		if typeError, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 			return nil, fieldErrorf(typeError.Field, "%s is not a valid value", typeError.Value)
 		}
-		return nil, fmt.Errorf("not JSON: %w", err)
+		return nil, fmt.Errorf("invalid JSON: %w", err)
 	}
 	if err := settings.validate(); err != nil {
 		return nil, err
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -13,48 +13,51 @@
 //go:embed default.policy
 var defaultPolicy string
 
-// NoDeadline is due_s of a job of which nothing says when it is due.
+// NoDeadline is the value of due_s for a job without a completion objective, and of start_due_s
+// for a job without a start objective.
 const NoDeadline = 1e9
 
-// RankInput holds the variables of a policy's rank, which describe one job. Names that end
-// in S are in seconds.
+// RankInput holds the variables of the rank expression, which describe one job. Fields whose
+// names end in S are in seconds.
 type RankInput struct {
 	Class      string  `expr:"class"`
 	Team       string  `expr:"team"`
 	Priority   int     `expr:"priority"`
 	Tasks      int     `expr:"tasks"`
-	Unfinished int     `expr:"unfinished"`
-	Pending    int     `expr:"pending"`
-	WaitedS    float64 `expr:"waited_s"`
-	RunS       float64 `expr:"run_s"`
-	WorkS      float64 `expr:"work_s"`
-	FinishS    float64 `expr:"finish_s"`
-	DueS       float64 `expr:"due_s"`
-	Late       bool    `expr:"late"`
-	StartDueS  float64 `expr:"start_due_s"`
+	Unfinished int     `expr:"unfinished"`  // tasks
+	Pending    int     `expr:"pending"`     // tasks
+	WaitedS    float64 `expr:"waited_s"`    // since submission
+	RunS       float64 `expr:"run_s"`       // estimated run time of one task
+	WorkS      float64 `expr:"work_s"`      // estimated CPU seconds of the unfinished tasks
+	FinishS    float64 `expr:"finish_s"`    // estimated time until the job completes
+	DueS       float64 `expr:"due_s"`       // time left until the next completion objective
+	Late       bool    `expr:"late"`        // the job is expected to miss all completion objectives
+	StartDueS  float64 `expr:"start_due_s"` // time left until the start objective
 }
 
-// FleetInput holds the variables of a policy's settings on the fleet.
+// FleetInput holds the variables of the policy expressions that control the size of the fleet.
+// CPU counts are totals over all teams or machines.
 type FleetInput struct {
 	GuaranteedCPUs float64 `expr:"guaranteed_cpus"`
 	LimitCPUs      float64 `expr:"limit_cpus"`
 	DemandCPUs     float64 `expr:"demand_cpus"`
 	FleetCPUs      float64 `expr:"fleet_cpus"`
-	QuietS         float64 `expr:"quiet_s"` // seconds
+	QuietS         float64 `expr:"quiet_s"` // seconds since the last batch job was unfinished
 	Hour           int     `expr:"hour"`    // 0 to 23, UTC
 }
 
-// Policy holds the operators' choices. Nothing in it can break a rule: it
-// orders what may be done, and says what to keep. It is not changed once it has been
-// parsed, and may be used from several goroutines.
+// Policy holds the operators' preferences: the order of jobs, the spare capacity of the fleet,
+// and admission under overload. No policy can violate a quota or another invariant of the
+// scheduler. A Policy is immutable after parsing and safe for concurrent use.
 type Policy struct {
 	rank, reserve, idle, spot *vm.Program
-	// Admission says how new jobs are admitted under overload.
+	// Admission controls which new jobs are admitted under overload.
 	Admission AdmissionPolicy
 }
 
-// policySettings parse the setting of each name into a policy.
-var policySettings = map[string]func(*Policy, policySource) error{
+// settingParsers maps the name of each setting to the function that parses its expression into
+// a policy.
+var settingParsers = map[string]func(*Policy, policySource) error{
 	"rank":            numberSetting(RankInput{}, func(p *Policy) **vm.Program { return &p.rank }),
 	"reserve_cpus":    numberSetting(FleetInput{}, func(p *Policy) **vm.Program { return &p.reserve }),
 	"idle_return_s":   numberSetting(FleetInput{}, func(p *Policy) **vm.Program { return &p.idle }),
@@ -65,7 +68,8 @@
 	"admission_class_shares": (*Policy).parseClassShares,
 }
 
-// numberSetting parses an expression of the variables in env whose result is a number.
+// numberSetting returns a parser for an expression that yields a number. The expression may
+// use the variables in env; the compiled program is stored in field.
 func numberSetting(env any, field func(*Policy) **vm.Program) func(*Policy, policySource) error {
 	return func(p *Policy, source policySource) error {
 		program, err := source.compileNumber(env)
@@ -77,17 +81,17 @@
 	}
 }
 
-// DefaultPolicy returns the policy that is built in.
+// DefaultPolicy returns a copy of the built-in policy.
 func DefaultPolicy() *Policy {
 	policy, err := ParsePolicy("default.policy", defaultPolicy, nil)
 	if err != nil {
-		panic(err) // embedded: a mistake here fails every test
+		panic(err) // the embedded policy is invalid
 	}
 	return policy
 }
 
-// LoadPolicy reads a policy file; what it leaves out is as in the default. A mistake in the
-// file is a *PolicyError.
+// LoadPolicy reads a policy file. Settings that the file omits have their default values. An
+// invalid policy is reported as a *PolicyError.
 func LoadPolicy(path string) (*Policy, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -96,9 +100,10 @@
 	return ParsePolicy(path, string(raw), DefaultPolicy())
 }
 
-// ParsePolicy reads a policy's text: lines of "name = expression", which may
-// go on in indented lines, and comments from # on. What the text leaves out is as in base,
-// if that is not nil. A mistake is a *PolicyError with the file's name.
+// ParsePolicy parses the text of a policy: statements of the form "name = expression", which
+// may continue on indented lines, and comments that begin with #. Settings that the text omits
+// are copied from base unless base is nil. An invalid policy is reported as a *PolicyError
+// whose position has name as its file.
 func ParsePolicy(name, text string, base *Policy) (*Policy, error) {
 	policy := new(Policy)
 	if base != nil {
@@ -120,21 +125,22 @@
 	}
 }
 
-// parseStatement parses a setting that is not among those seen, and adds it to them.
+// parseStatement parses a statement into the policy and adds its name to seen. It fails if seen
+// already contains the name.
 func (p *Policy) parseStatement(statement *policyStatement, seen map[string]bool) error {
 	if seen[statement.name] {
 		return statement.source.lineStart().errorf("%s is set twice", statement.name)
 	}
 	seen[statement.name] = true
-	parse := policySettings[statement.name]
+	parse := settingParsers[statement.name]
 	if parse == nil {
 		return statement.source.lineStart().errorf("unknown setting %q", statement.name)
 	}
 	return parse(p, statement.source)
 }
 
-// Rank orders jobs of one priority; a smaller one goes first. An expression
-// that fails at run time counts as 0.
+// Rank returns the rank of a job among jobs of the same priority; lower ranks come first. The
+// rank is 0 if the expression fails at run time.
 func (p *Policy) Rank(in RankInput) float64 {
 	rank, err := evaluate(p.rank, in)
 	if err != nil {
@@ -143,24 +149,23 @@
 	return rank
 }
 
-// ReserveCPUs is how many processors to keep in the fleet even when nothing needs
-// them.
+// ReserveCPUs returns how many processors to keep in the fleet even without demand for them.
 func (p *Policy) ReserveCPUs(in FleetInput) units.Amount {
-	return units.AmountOf(atLeastZero(p.reserve, in))
+	return units.AmountOf(evaluateNonNegative(p.reserve, in))
 }
 
-// IdleTimeout is how long a machine may be idle before it is scaled in.
+// IdleTimeout returns how long a machine may be idle before it is scaled in.
 func (p *Policy) IdleTimeout(in FleetInput) units.Micros {
-	return units.Seconds(atLeastZero(p.idle, in))
+	return units.Seconds(evaluateNonNegative(p.idle, in))
 }
 
-// SpotPreference is how many times dearer an ordinary instance may be and
-// still be preferred to a spot instance.
-func (p *Policy) SpotPreference(in FleetInput) float64 { return atLeastZero(p.spot, in) }
+// SpotPreference returns the factor by which the price of a spot instance is multiplied before it
+// is compared with the price of an instance that is not spot.
+func (p *Policy) SpotPreference(in FleetInput) float64 { return evaluateNonNegative(p.spot, in) }
 
-// atLeastZero runs a program. A negative result, or an expression that fails at run time,
-// counts as 0.
-func atLeastZero(program *vm.Program, in FleetInput) float64 {
+// evaluateNonNegative returns the result of a program, or 0 if the result is negative or the
+// expression fails at run time.
+func evaluateNonNegative(program *vm.Program, in FleetInput) float64 {
 	number, err := evaluate(program, in)
 	if err != nil || number < 0 {
 		return 0
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -29,7 +29,7 @@
 		t.Run(text, func(t *testing.T) {
 			_, err := ParsePolicy("p", text, DefaultPolicy())
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatal("the policy is accepted")
 			} else if !regexp.MustCompile(want).MatchString(err.Error()) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%q, want %s", err, want)
 			}
@@ -41,7 +41,7 @@
 	}
 }
 
-// The examples in the operators' pages are valid policies.
+// The examples in docs/operating.md are valid policies.
 func TestDocumentedPoliciesAreValid(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operating.md")
 	if err != nil {
@@ -58,7 +58,8 @@
 	}
 }
 
-// Whatever a policy says, its results are numbers that can be acted on.
+// A rank is never NaN, which could not be ordered, and no setting is negative or overflows,
+// even if the policy's expressions yield such values.
 func TestPolicyValuesAreBounded(t *testing.T) {
 	p, err := ParsePolicy("p", "rank = 1 / (due_s - due_s)\nreserve_cpus = -5\nidle_return_s = 1e300\nspot_preference = 0 - 3", DefaultPolicy())
 	if err != nil {
--- a/internal/config/policysource.go
+++ b/internal/config/policysource.go
@@ -11,20 +11,20 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// policyScanner divides a policy's text into statements.
+// policyScanner splits the text of a policy into statements.
 type policyScanner struct {
 	file  string
 	lines []string
-	next  int // index of the line that is read next
+	next  int // index of the next unread line
 }
 
-// policyStatement is a line "name = expression" with the indented lines that continue it.
+// policyStatement is a line "name = expression" with its indented continuation lines.
 type policyStatement struct {
 	name   string
 	source policySource
 }
 
-// scan returns the next statement, nil at the end of the text.
+// scan returns the next statement, or nil at the end of the text.
 func (s *policyScanner) scan() (*policyStatement, error) {
 	for s.next < len(s.lines) && strings.TrimSpace(stripComment(s.lines[s.next])) == "" {
 		s.next++
@@ -40,7 +40,8 @@
 	if !found || isIndented(line) {
 		return nil, source.lineStart().errorf("expected: name = expression")
 	}
-	// Columns count from the start of the line in the file.
+	// The name is replaced by spaces so that columns in errors of the expression compiler count
+	// from the start of the line in the file.
 	source.text = strings.Repeat(" ", len(name)+len("=")) + text
 	for s.next < len(s.lines) && isIndented(s.lines[s.next]) {
 		source.text += "\n" + stripComment(s.lines[s.next])
@@ -58,24 +59,24 @@
 	return line != "" && (line[0] == ' ' || line[0] == '\t')
 }
 
-// policySource is the expression of a setting and where it stands.
+// policySource is the expression of a setting with its location in the policy file.
 type policySource struct {
 	file      string
-	firstLine int // from 0
-	text      string
+	firstLine int    // line of the setting's name, zero-based
+	text      string // the expression, padded to its column in the first line
 }
 
-// lineStart is the position of the setting's name.
+// lineStart returns the position of the setting's name.
 func (s policySource) lineStart() Position {
 	return Position{File: s.file, Line: s.firstLine + 1, Column: 1}
 }
 
-// expressionStart is the position of the expression's first character.
+// expressionStart returns the position of the expression's first character.
 func (s policySource) expressionStart() Position {
 	return s.position(len(s.text) - len(strings.TrimLeft(s.text, " \t\n")))
 }
 
-// position is the place in the file of an offset in the text, in characters.
+// position returns the position in the file of an offset in the text, in characters.
 func (s policySource) position(offset int) Position {
 	before := []rune(s.text)[:min(offset, utf8.RuneCountInString(s.text))]
 	at := s.lineStart()
@@ -88,7 +89,8 @@
 	return at
 }
 
-// locate adds to an error the position that it is about.
+// locate wraps an error in a *PolicyError. The position is that of an error of the expression
+// compiler, or else the start of the setting.
 func (s policySource) locate(err error) error {
 	at := s.lineStart()
 	if located, ok := errors.AsType[*file.Error](err); ok {
@@ -98,7 +100,8 @@
 	return &PolicyError{Position: at, Err: err}
 }
 
-// compileNumber compiles an expression whose result is a number, and tries it.
+// compileNumber compiles an expression that yields a number. It also evaluates the expression
+// with the values in env, so that errors that show only at run time are reported at load time.
 func (s policySource) compileNumber(env any) (*vm.Program, error) {
 	program, err := expr.Compile(s.text, expr.Env(env), expr.AsFloat64())
 	if err != nil {
@@ -110,7 +113,7 @@
 	return program, nil
 }
 
-// evaluate runs a program whose result is a number.
+// evaluate returns the result of a program. It fails if the result is not a number or is NaN.
 func evaluate(program *vm.Program, env any) (float64, error) {
 	value, err := expr.Run(program, env)
 	if err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,33 +1,34 @@
-// Package config reads the settings file that the platform hands over and the
-// operators' own policy.
+// Package config loads the two configuration files of a controller: the settings, which the
+// platform provides, and the policy, which the operators write.
 package config
 
 import "dunestand/internal/units"
 
-// Settings is the settings file, checked. Unknown fields are ignored. Names of fields that
-// end in S are in seconds, MS in milliseconds, KB in KiB and MB in MiB.
+// Settings is the content of a valid settings file. Unknown fields of the file are ignored.
+// Fields whose names end in S are in seconds, MS in milliseconds, KB in KiB and MB in MiB.
+// Addresses consist of an IP address and a port.
 type Settings struct {
-	Node         string   `json:"node_name"`
+	Node         string   `json:"node_name"` // name of this controller
 	Zone         string   `json:"area"`
-	ClientListen string   `json:"client_listen"`
-	MeshListen   string   `json:"mesh_addr"`
+	ClientListen string   `json:"client_listen"` // address for users and workers
+	MeshListen   string   `json:"mesh_addr"`     // address for other controllers
 	Peers        []Peer   `json:"others"`
 	Services     Services `json:"services"`
-	PolicyFile   string   `json:"policy_file"`
+	PolicyFile   string   `json:"policy_file"` // optional
 	Fleet        Fleet    `json:"settings"`
 }
 
-// Peer is another controller node.
+// Peer is another controller.
 type Peer struct {
-	Node     string `json:"node_name"`
+	Node     string `json:"node_name"` // name of the controller
 	Zone     string `json:"area"`
 	Endpoint string `json:"endpoint"`
 }
 
-// Services are the addresses of what the region provides.
+// Services holds the addresses of the cloud API and of the key-value store.
 type Services struct {
 	Cloud string `json:"cloud"`
-	State string `json:"state"`
+	State string `json:"state"` // key-value store
 }
 
 // Fleet is the part of the settings that describes the deployment.
@@ -42,8 +43,9 @@
 	TimeBoundMS float64     `json:"time_bound_ms"`
 }
 
-// Team is a group of users with a guaranteed quota, in GuaranteedCPUs and GuaranteedGPUs, and a quota limit, in
-// LimitCPUs and LimitGPUs. A quota or limit of 0 is none.
+// Team is a group of users with a guaranteed quota, in GuaranteedCPUs and GuaranteedGPUs, and a
+// quota limit, in LimitCPUs and LimitGPUs. A guaranteed quota of 0 guarantees nothing; a quota
+// limit of 0 means no limit.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -52,75 +54,77 @@
 	LimitGPUs      float64 `json:"gpus_max"`
 }
 
-// Objective is one of the users' service-level objectives.
+// Objective is a service-level objective. Its kind determines the fields that apply.
 type Objective struct {
 	Kind    ObjectiveKind `json:"kind"`
-	Class   string        `json:"class"` // of jobs
+	Class   string        `json:"class"` // class of the jobs
 	WithinS float64       `json:"within_s"`
-	Share   float64       `json:"share"` // of the jobs, that meet it
-	Times   float64       `json:"times"` // for ObjectiveDeadline: multiple of a job's own deadline
+	Share   float64       `json:"share"` // share of the jobs that have to meet the objective
+	Times   float64       `json:"times"` // multiple of the job's own deadline, for ObjectiveDeadline
 }
 
-// Workers holds the pace of the workers' heartbeats and leases.
+// Workers holds the heartbeat interval and the time limits of the workers.
 type Workers struct {
 	HeartbeatS float64 `json:"report_s"`
 	LeaseS     float64 `json:"lease_s"`
 	CancelS    float64 `json:"cancel_s"`
 }
 
-// HeartbeatInterval is the interval of a worker's heartbeats.
+// HeartbeatInterval returns the interval between two heartbeats of a worker.
 func (w Workers) HeartbeatInterval() units.Micros { return units.Seconds(w.HeartbeatS) }
 
-// LeaseDuration is how long a worker goes on without a response to its heartbeats.
+// LeaseDuration returns how long a worker keeps running its tasks without an acknowledged
+// heartbeat.
 func (w Workers) LeaseDuration() units.Micros { return units.Seconds(w.LeaseS) }
 
-// CancelBound is how long the tasks of a cancelled job may still run after its user got the
-// confirmation.
+// CancelBound returns the longest time that tasks of a cancelled job may continue to run after
+// the cancellation was acknowledged to the user.
 func (w Workers) CancelBound() units.Micros { return units.Seconds(w.CancelS) }
 
-// KVLimits holds the limits of the state service.
+// KVLimits holds the limits of the key-value store.
 type KVLimits struct {
 	RPS      float64 `json:"rps"`       // requests per second
 	WriteRPS float64 `json:"write_rps"` // of those, writes
 	ValueKB  float64 `json:"value_kb"`
 	TxnOps   int     `json:"txn_ops"` // operations in one transaction
-	// Next holds limits that the service will have from some moment on, without
-	// notice. What it leaves out, or sets to 0, stays as it is.
+	// Next holds upcoming limits, which may take effect at any time without notice. A limit
+	// that Next omits or sets to 0 does not change.
 	Next *KVLimits `json:"next"`
 }
 
-// ValueBytes is the size of the largest value that can be stored.
+// ValueBytes returns the size of the largest value that can be stored, in bytes.
 func (s KVLimits) ValueBytes() int { return int(s.ValueKB * 1024) }
 
-// Lowest returns limits that hold now and will go on holding: the lower ones of now and Next.
+// Lowest returns limits that are safe before and after Next takes effect: of each limit, the
+// lower of its current and its upcoming value. The result has no Next.
 func (s KVLimits) Lowest() KVLimits {
 	if next := s.Next; next != nil {
-		s.RPS = lower(s.RPS, next.RPS)
-		s.WriteRPS = lower(s.WriteRPS, next.WriteRPS)
-		s.ValueKB = lower(s.ValueKB, next.ValueKB)
-		s.TxnOps = lower(s.TxnOps, next.TxnOps)
+		s.RPS = lowerLimit(s.RPS, next.RPS)
+		s.WriteRPS = lowerLimit(s.WriteRPS, next.WriteRPS)
+		s.ValueKB = lowerLimit(s.ValueKB, next.ValueKB)
+		s.TxnOps = lowerLimit(s.TxnOps, next.TxnOps)
 		s.Next = nil
 	}
 	return s
 }
 
-// lower returns the lower of two limits; a next of 0 changes nothing.
-func lower[T int | float64](now, next T) T {
+// lowerLimit returns the lower one of two limits. A next of 0 means that the limit does not change.
+func lowerLimit[T int | float64](current, next T) T {
 	if next == 0 {
-		return now
+		return current
 	}
-	return min(now, next)
+	return min(current, next)
 }
 
-// CloudLimits holds the limits of the cloud.
+// CloudLimits holds the limits of the cloud API.
 type CloudLimits struct {
 	RPS      float64 `json:"rps"`        // requests per second
-	ListLagS float64 `json:"list_lag_s"` // how old a list of instances may be
+	ListLagS float64 `json:"list_lag_s"` // by how much the list of instances may be out of date
 }
 
-// Resources is what this process may use.
+// Resources holds the resource limits of the controller process.
 type Resources struct {
-	CoreShare      float64 `json:"core_share"` // 1: a whole core
+	CoreShare      float64 `json:"core_share"` // 1 is a whole core
 	RAMMB          float64 `json:"ram_mb"`
 	MaxConnections int     `json:"max_connections"`
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -13,7 +13,7 @@
 	"dunestand/internal/units"
 )
 
-func goodSettings() map[string]any {
+func validSettings() map[string]any {
 	return map[string]any{
 		"node_name":     "dune-0",
 		"area":          "a",
@@ -49,8 +49,8 @@
 	return raw
 }
 
-func TestGoodSettings(t *testing.T) {
-	s, err := Parse(encode(t, goodSettings()))
+func TestValidSettingsAreParsed(t *testing.T) {
+	s, err := Parse(encode(t, validSettings()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-func TestObjectives(t *testing.T) {
-	s, err := Parse(encode(t, goodSettings()))
+func TestObjectivesApplyByClassAndKind(t *testing.T) {
+	s, err := Parse(encode(t, validSettings()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,22 +81,22 @@
 		})
 	}
 	if due := s.Fleet.GuaranteedStartObjective(); due != 0 {
-		t.Errorf("work within a guarantee is due after %v without an objective", due)
+		t.Errorf("work within a guaranteed quota has to start within %v without an objective", due)
 	}
 	s.Fleet.Objectives = append(s.Fleet.Objectives,
 		Objective{Kind: ObjectiveGuarantee, WithinS: 30},
 		Objective{Kind: ObjectiveWait, Class: "c", WithinS: 20},
 		Objective{Kind: ObjectiveWait, Class: "d", WithinS: 10})
 	if due := s.Fleet.GuaranteedStartObjective(); due != 30*units.Second {
-		t.Errorf("work within a guarantee is due after %v", due)
+		t.Errorf("work within a guaranteed quota has to start within %v", due)
 	}
 	if due := s.Fleet.StartObjective("d"); due != 10*units.Second {
-		t.Errorf("the start of a job is due after %v", due)
+		t.Errorf("the job has to start within %v", due)
 	}
 }
 
-// grownSettings returns the settings of a grown deployment: five controllers, a dozen teams.
-func grownSettings() map[string]any {
+// largeSettings returns the settings of a deployment of five controllers and twelve teams.
+func largeSettings() map[string]any {
 	var others, teams []any
 	for i := range 4 {
 		others = append(others, map[string]any{
@@ -112,35 +112,35 @@
 			"cpus_max": 800.0,
 		})
 	}
-	settings := goodSettings()
+	settings := validSettings()
 	settings["others"], settings["settings"].(map[string]any)["teams"] = others, teams
 	return settings
 }
 
-func TestManyNodesAndTeams(t *testing.T) {
-	parsed, err := Parse(encode(t, grownSettings()))
+func TestSettingsOfLargeDeploymentAreParsed(t *testing.T) {
+	parsed, err := Parse(encode(t, largeSettings()))
 	if err != nil || len(parsed.Peers) != 4 || len(parsed.Fleet.Teams) != 12 {
 		t.Fatalf("%v %+v", err, parsed)
 	}
 }
 
-func TestMissingAndRepeatedSettings(t *testing.T) {
+func TestMissingAndDuplicateSettingsAreRejected(t *testing.T) {
 	appendTo := func(settings map[string]any, list string, entry any) {
 		settings[list] = append(settings[list].([]any), entry)
 	}
-	for what, spoil := range map[string]func(settings, fleet map[string]any){
+	for what, invalidate := range map[string]func(settings, fleet map[string]any){
 		"others[4].node_name":           func(s, _ map[string]any) { appendTo(s, "others", s["others"].([]any)[0]) },
 		"others[4].endpoint":            func(s, _ map[string]any) { appendTo(s, "others", map[string]any{"node_name": "dune-9"}) },
 		"teams[12].name":                func(_, f map[string]any) { appendTo(f, "teams", f["teams"].([]any)[3]) },
-		"teams[12]: negative amount":    func(_, f map[string]any) { appendTo(f, "teams", map[string]any{"name": "x", "cpus": -1.0}) },
+		"teams[12]: negative quota":     func(_, f map[string]any) { appendTo(f, "teams", map[string]any{"name": "x", "cpus": -1.0}) },
 		"settings.workers.report_s":     func(_, f map[string]any) { delete(f, "workers") },
 		"settings.resources.core_share": func(_, f map[string]any) { delete(f, "resources") },
 		"services.cloud":                func(s, _ map[string]any) { delete(s, "services") },
 		"settings.zones":                func(_, f map[string]any) { delete(f, "zones") },
 	} {
 		t.Run(what, func(t *testing.T) {
-			settings := grownSettings()
-			spoil(settings, settings["settings"].(map[string]any))
+			settings := largeSettings()
+			invalidate(settings, settings["settings"].(map[string]any))
 			if _, err := Parse(encode(t, settings)); err == nil || !strings.Contains(err.Error(), what) || strings.Contains(err.Error(), "\n") {
 				t.Error(err)
 			}
@@ -148,8 +148,8 @@
 	}
 }
 
-// Every bad value is refused with one line that names the field.
-func TestBadSettings(t *testing.T) {
+// An invalid value is rejected with a single line that names the field.
+func TestInvalidValuesAreRejected(t *testing.T) {
 	for path, bad := range map[string][]any{
 		"node_name":                     {"", 7},
 		"client_listen":                 {"", "localhost:80", "10.0.0.1"},
@@ -174,22 +174,22 @@
 				_, err := Parse(encode(t, settingsWith(path, value)))
 				field := path[strings.LastIndexByte(path, '.')+1:]
 				if err == nil {
-					t.Fatal("taken")
+					t.Fatal("the value is accepted")
 				} else if !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 					t.Errorf("%q", err)
 				}
 				fieldError, ok := errors.AsType[*FieldError](err)
 				if !ok || fieldError.Field == "" || fieldError.Problem == "" {
-					t.Errorf("%#v is no FieldError", err)
+					t.Errorf("%#v is not a complete FieldError", err)
 				}
 			})
 		}
 	}
 }
 
-// settingsWith returns good settings with another value at a path.
+// settingsWith returns valid settings in which the value at a path is replaced.
 func settingsWith(path string, value any) map[string]any {
-	settings := goodSettings()
+	settings := validSettings()
 	parent := settings
 	parts := strings.Split(path, ".")
 	for _, part := range parts[:len(parts)-1] {
@@ -202,24 +202,24 @@
 	return settings
 }
 
-func TestUnreadableSettings(t *testing.T) {
+func TestMalformedAndMissingFilesAreRejected(t *testing.T) {
 	for _, raw := range []string{"", "{", "[]", "null"} {
 		if _, err := Parse([]byte(raw)); err == nil {
-			t.Errorf("%q is taken", raw)
+			t.Errorf("%q is accepted", raw)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "none.json")
 	_, err := Load(path)
 	if err == nil {
-		t.Fatal("a missing file is taken")
+		t.Fatal("a missing file is accepted")
 	}
 	if !errors.Is(err, fs.ErrNotExist) || !strings.HasPrefix(err.Error(), "settings "+path+": ") {
 		t.Errorf("a missing file: %v", err)
 	}
 }
 
-// The limits to come are optional, each of them, and never loosen those of now.
-func TestLimitsToCome(t *testing.T) {
+// All upcoming limits are optional, and none raises a current limit.
+func TestUpcomingLimitsNeverRaiseCurrentLimits(t *testing.T) {
 	for _, c := range []struct {
 		next any
 		want KVLimits
@@ -235,7 +235,7 @@
 			KVLimits{RPS: 150, WriteRPS: 42, ValueKB: 16, TxnOps: 12},
 		},
 	} {
-		s := goodSettings()
+		s := validSettings()
 		s["settings"].(map[string]any)["state"] = map[string]any{
 			"rps":       150.0,
 			"write_rps": 60.0,
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -5,24 +5,23 @@
 	"net/netip"
 )
 
-// The least that the state service must take: a job's record with short texts
-// fits into a value, and the end of a job that is in the inbox into a
-// transaction.
+// Minimum limits of the key-value store: a value must hold the record of a job with short
+// texts, and a transaction must hold the operations that end a job that is still in the inbox.
 const (
 	minValueKB = 1
 	minTxnOps  = 3
 )
 
-// The most that a setting may say, by its unit. More than that is a mistake of the file.
+// Upper bounds of the settings. A higher value is a mistake in the file.
 const (
-	maxHeartbeatS = 3600
-	maxLeaseS     = 24 * 3600
-	maxRate       = 1e9 // requests per second
-	maxValueKB    = 1e6
-	maxTxnOps     = 1e6
-	maxCores      = 1e6
-	maxMemoryMB   = 1e9
-	maxSockets    = 1e9
+	maxHeartbeatS  = 3600
+	maxLeaseS      = 24 * 3600
+	maxRate        = 1e9 // requests per second
+	maxValueKB     = 1e6
+	maxTxnOps      = 1e6
+	maxCores       = 1e6
+	maxMemoryMB    = 1e9
+	maxConnections = 1e9
 )
 
 func (s *Settings) validate() error {
@@ -53,7 +52,7 @@
 }
 
 func (f *Fleet) validate() error {
-	if err := f.validateAmounts(); err != nil {
+	if err := f.validatePositiveNumbers(); err != nil {
 		return err
 	}
 	if f.Workers.LeaseS <= f.Workers.HeartbeatS {
@@ -82,27 +81,27 @@
 	return nil
 }
 
-// amount is a numeric setting and the most that it may be.
-type amount struct {
+// numericSetting is a numeric setting with its upper bound.
+type numericSetting struct {
 	field      string
 	value, max float64
 }
 
-// validateAmounts checks the numbers that must be given and positive.
-func (f *Fleet) validateAmounts() error {
-	amounts := []amount{
+// validatePositiveNumbers checks the mandatory numbers, all of which have to be positive.
+func (f *Fleet) validatePositiveNumbers() error {
+	numbers := []numericSetting{
 		{"settings.workers.report_s", f.Workers.HeartbeatS, maxHeartbeatS},
 		{"settings.workers.lease_s", f.Workers.LeaseS, maxLeaseS},
 		{"settings.workers.cancel_s", f.Workers.CancelS, maxLeaseS},
 	}
-	amounts = append(amounts, f.State.amounts("settings.state")...)
-	amounts = append(amounts, []amount{
+	numbers = append(numbers, f.State.numericSettings("settings.state")...)
+	numbers = append(numbers, []numericSetting{
 		{"settings.cloud.rps", f.Cloud.RPS, maxRate},
 		{"settings.resources.core_share", f.Resources.CoreShare, maxCores},
 		{"settings.resources.ram_mb", f.Resources.RAMMB, maxMemoryMB},
-		{"settings.resources.max_connections", float64(f.Resources.MaxConnections), maxSockets},
+		{"settings.resources.max_connections", float64(f.Resources.MaxConnections), maxConnections},
 	}...)
-	for _, a := range amounts {
+	for _, a := range numbers {
 		if a.value <= 0 || a.value > a.max {
 			return fieldErrorf(a.field, "%v is missing or out of range", a.value)
 		}
@@ -118,15 +117,15 @@
 			return err
 		}
 		if min(team.GuaranteedCPUs, team.GuaranteedGPUs, team.LimitCPUs, team.LimitGPUs) < 0 {
-			return fieldErrorf(field, "negative amount")
+			return fieldErrorf(field, "negative quota")
 		}
 	}
 	return nil
 }
 
-// amounts lists the limits; field is the setting that holds them.
-func (s KVLimits) amounts(field string) []amount {
-	return []amount{
+// numericSettings returns the limits as settings of the object at the path field.
+func (s KVLimits) numericSettings(field string) []numericSetting {
+	return []numericSetting{
 		{field + ".rps", s.RPS, maxRate},
 		{field + ".write_rps", s.WriteRPS, maxRate},
 		{field + ".value_kb", s.ValueKB, maxValueKB},
@@ -134,25 +133,25 @@
 	}
 }
 
-// validateMinimum checks limits against what controllers need; field is the setting that
-// holds them.
+// validateMinimum checks that the limits are not below what controllers need. field is the path
+// of the limits in the settings.
 func (s KVLimits) validateMinimum(field string) error {
 	if s.TxnOps < minTxnOps {
-		return fieldErrorf(field+".txn_ops", "%d is below %d, the least a job's end takes", s.TxnOps, minTxnOps)
+		return fieldErrorf(field+".txn_ops", "%d is below %d, the minimum for ending a job", s.TxnOps, minTxnOps)
 	}
 	if s.ValueKB < minValueKB {
-		return fieldErrorf(field+".value_kb", "%v is below %v, the least a job's record takes", s.ValueKB, minValueKB)
+		return fieldErrorf(field+".value_kb", "%v is below %v, the minimum for the record of a job", s.ValueKB, minValueKB)
 	}
 	return nil
 }
 
-// validateNext checks the limits to come, each of which may be left out.
+// validateNext checks the upcoming limits, all of which are optional.
 func (s KVLimits) validateNext() error {
 	const field = "settings.state.next"
 	if s.Next == nil {
 		return nil
 	}
-	for _, a := range s.Next.amounts(field) {
+	for _, a := range s.Next.numericSettings(field) {
 		if a.value < 0 || a.value > a.max {
 			return fieldErrorf(a.field, "%v is out of range", a.value)
 		}
@@ -160,12 +159,13 @@
 	return s.Lowest().validateMinimum(field)
 }
 
-// nameSet holds the names that a list must not repeat.
+// nameSet holds the names of a list, which have to be unique.
 type nameSet map[string]bool
 
+// add adds a name. It fails if the name is empty or already in the set.
 func (names nameSet) add(field, name string) error {
 	if name == "" || names[name] {
-		return fieldErrorf(field, "missing or repeated")
+		return fieldErrorf(field, "missing or duplicate")
 	}
 	names[name] = true
 	return nil
