--- a/cmd/dunestand/admission.go
+++ b/cmd/dunestand/admission.go
@@ -13,18 +13,19 @@
 )
 
 func newAdmissionCommand() *cobra.Command {
-	return groupCommand(&cobra.Command{
+	return newGroupCommand(&cobra.Command{
 		Use:   "admission",
-		Short: "Look at the admission plan of a fleet",
-		Long: `Look at the plan by which controllers admit jobs under overload. It is read from the
-state service that the settings name; no controller is asked and nothing is changed.`,
+		Short: "Inspect the admission plan of a fleet",
+		Long: `Inspect the plan by which controllers admit jobs under overload. It is read from the
+key-value store that the settings name as services.state. The commands contact no
+controller and change nothing.`,
 	}, "dunestand admission show or explain", newShowCommand(), newExplainCommand())
 }
 
 func newShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show SETTINGS",
-		Short: "Show the plan: quotas, what is restricted, whose turn it is",
+		Short: "Show the plan: quotas, restrictions and the jobs at the head of the queue",
 		Args:  oneFile,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			plan, err := readPlan(cmd, args[0])
@@ -39,10 +40,10 @@
 func newExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain SETTINGS JOB",
-		Short: "Tell what the plan says about a job, and why",
-		Long: `Tell what the plan says about a job that is not known yet. JOB is a file with the
-submission as JSON.`,
-		Args: exactArgs(2, "a settings file and a job"),
+		Short: "Explain how the plan decides on a job",
+		Long: `Explain how the plan decides on a job that has not been submitted yet. JOB is a file that
+contains the submission as JSON.`,
+		Args: exactArgs(2, "a settings file and a job file"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			job, err := readJob(args[1])
 			if err != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-// readPlan reads the plan of the fleet that a settings file is for.
+// readPlan reads the current admission plan of the fleet that a settings file belongs to.
 func readPlan(cmd *cobra.Command, settingsFile string) (*node.AdmissionPlan, error) {
 	settings, err := config.Load(settingsFile)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return node.ReadAdmissionPlan(cmd.Context(), settings, nil)
 }
 
-// readJob reads a submission that is written as JSON.
+// readJob reads a file that contains a submission as JSON.
 func readJob(path string) (*protocol.JobSpec, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +75,7 @@
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(raw, &fields); err != nil {
-		return nil, fmt.Errorf("job %s: not JSON: %w", path, err)
+		return nil, fmt.Errorf("job %s: invalid JSON: %w", path, err)
 	}
 	convertTaskCount(fields)
 	job, err := protocol.ParseSubmission(protocol.Encode(fields))
@@ -84,8 +85,8 @@
 	return job, nil
 }
 
-// convertTaskCount makes the number of tasks an integer, as the protocol has it: JSON does
-// not distinguish it from other numbers.
+// convertTaskCount converts the number of tasks to an integer, which the protocol requires. JSON
+// decodes every number as a float64.
 func convertTaskCount(fields map[string]any) {
 	if count, ok := fields[protocol.FieldTasks].(float64); ok && count == float64(int64(count)) {
 		fields[protocol.FieldTasks] = int64(count)
--- a/cmd/dunestand/admission_test.go
+++ b/cmd/dunestand/admission_test.go
@@ -13,7 +13,7 @@
 	"dunestand/node"
 )
 
-// startState starts a state service and returns it and its address.
+// startState starts a fake key-value store and returns it and its address.
 func startState(t *testing.T) (*fake.KVServer, string) {
 	t.Helper()
 	state := fake.NewKVServer()
@@ -22,7 +22,7 @@
 	return state, strings.TrimPrefix(server.URL, "http://")
 }
 
-// encodedPlan is plan 3 of term 2, which restricts the team mill.
+// encodedPlan returns the record of plan 3 of term 2, which restricts the team mill.
 func encodedPlan(t *testing.T) []byte {
 	t.Helper()
 	teams := []admission.Team{{
@@ -42,11 +42,11 @@
 	return raw
 }
 
-// The commands show the plan that is stored, and what it says about a job.
-func TestAdmissionCommands(t *testing.T) {
+// The commands print the stored plan and its decision on a job.
+func TestAdmissionCommandsPrintStoredPlan(t *testing.T) {
 	state, address := startState(t)
 	settings := writeSettings(t, address)
-	job := writeJSON(t, "job.json", processJob(7, "mill", 1))
+	job := writeJSON(t, "job.json", testSubmission(7, "mill", 1))
 	if _, err := execute("admission", "show", settings); !errors.Is(err, node.ErrNoPlan) {
 		t.Errorf("without a plan: %v", err)
 	}
@@ -72,12 +72,12 @@
 	}
 	state.Put(admission.KeyPlan, protocol.Encode("nonsense"))
 	if _, err := execute("admission", "show", settings); err == nil {
-		t.Error("a plan that is not readable is shown")
+		t.Error("no error for an invalid plan record")
 	}
 }
 
-func TestReadJob(t *testing.T) {
-	job := processJob(7, "mill", 3)
+func TestReadJobConvertsOnlyWholeTaskCounts(t *testing.T) {
+	job := testSubmission(7, "mill", 3)
 	spec, err := readJob(writeJSON(t, "job.json", job))
 	if err != nil {
 		t.Fatal(err)
@@ -87,14 +87,14 @@
 	}
 	job[protocol.FieldTasks] = 2.5
 	if _, err := readJob(writeJSON(t, "job.json", job)); err == nil {
-		t.Error("a job with half a task is read")
+		t.Error("a job with 2.5 tasks is accepted")
 	}
 }
 
-func TestBadInputOfAdmissionCommands(t *testing.T) {
+func TestInvalidInputOfAdmissionCommandsIsAnInputError(t *testing.T) {
 	_, address := startState(t)
 	settings := writeSettings(t, address)
-	job := writeJSON(t, "job.json", processJob(7, "mill", 1))
+	job := writeJSON(t, "job.json", testSubmission(7, "mill", 1))
 	for _, args := range [][]string{
 		{"admission"},
 		{"admission", "show"},
--- a/cmd/dunestand/cells.go
+++ b/cmd/dunestand/cells.go
@@ -7,7 +7,7 @@
 )
 
 func newCellsCommand() *cobra.Command {
-	return groupCommand(&cobra.Command{Use: "cells", Short: "Work with cells files"}, "dunestand cells check FILE", newCellsCheckCommand())
+	return newGroupCommand(&cobra.Command{Use: "cells", Short: "Work with cells files"}, "dunestand cells check FILE", newCellsCheckCommand())
 }
 
 func newCellsCheckCommand() *cobra.Command {
@@ -15,8 +15,8 @@
 	check := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a cells file",
-		Long: `Check a cells file, and with --config whether it goes together with the settings of the
-cell. Prints nothing but what is wrong, and then exits with status 2.`,
+		Long: `Check a cells file and, with --config, whether it is consistent with the settings of the
+cell. Prints nothing if it is valid; otherwise prints the error and exits with status 2.`,
 		Args: oneFile,
 		RunE: func(_ *cobra.Command, args []string) error {
 			cells, err := federation.LoadConfig(args[0])
--- a/cmd/dunestand/layers_test.go
+++ b/cmd/dunestand/layers_test.go
@@ -14,15 +14,15 @@
 
 const module = "dunestand"
 
-// packageColumn matches the first column of CONTRIBUTING's table of packages, and packageName
-// a package in it.
+// packageColumn matches the first column of the table of packages in CONTRIBUTING.md, and
+// packageName matches a package in that column.
 var (
 	packageColumn = regexp.MustCompile("(?m)^\\| (`[^|]+`) \\|")
 	packageName   = regexp.MustCompile("`([^`]+)`")
 )
 
-// documentedLayers returns the packages of CONTRIBUTING's table, each with its line there,
-// counted from the top.
+// documentedLayers returns the packages in the table of CONTRIBUTING.md, each with the number of
+// its row, counted from the top.
 func documentedLayers(t *testing.T, root string) map[string]int {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "CONTRIBUTING.md"))
@@ -38,7 +38,7 @@
 	return layers
 }
 
-// layerOf returns the line of a package, which is that of its parent if it has none itself.
+// layerOf returns the row of a package. A package without a row has that of its nearest parent.
 func layerOf(layers map[string]int, name string) (line int, found bool) {
 	for ; name != "."; name = filepath.Dir(name) {
 		if line, found := layers[name]; found {
@@ -68,8 +68,8 @@
 	return imports
 }
 
-// Packages import only downwards in CONTRIBUTING's table, and every package is in it. Tests may
-// use the fakes, which stand apart.
+// A package imports only packages in lower rows of the table in CONTRIBUTING.md, and every package
+// is in the table. Tests, and the fakes themselves, are exempt from the order.
 func TestImportsPointDownwards(t *testing.T) {
 	root := filepath.Join("..", "..")
 	layers := documentedLayers(t, root)
@@ -88,13 +88,13 @@
 		importer := filepath.Dir(relative)
 		line, found := layerOf(layers, importer)
 		if !found {
-			t.Errorf("%s is not in CONTRIBUTING's table", importer)
+			t.Errorf("%s is not in the table of CONTRIBUTING.md", importer)
 		}
 		for _, imported := range importsOf(t, path) {
 			importedLine, found := layerOf(layers, imported)
 			inside := imported == importer || strings.HasPrefix(imported, importer+"/")
 			if !found || importedLine <= line && !inside && !strings.HasPrefix(importer, "internal/fake") {
-				t.Errorf("%s imports %s, which does not stand below it", relative, imported)
+				t.Errorf("%s imports %s, which is not in a lower row of the table", relative, imported)
 			}
 		}
 		checked++
--- a/cmd/dunestand/main.go
+++ b/cmd/dunestand/main.go
@@ -1,4 +1,5 @@
-// Command dunestand is the cluster scheduler's controller.
+// Command dunestand runs a controller of the cluster scheduler. Its other commands check
+// configuration files and show the admission plan.
 package main
 
 import (
@@ -8,17 +9,17 @@
 	"os"
 )
 
-// Version is what `dunestand version` prints.
+// Version is the version of the program, as printed by `dunestand version`.
 const Version = "0.1.0"
 
-// Exit statuses other than 0.
+// Exit statuses in case of an error.
 const (
 	exitFailure  = 1
 	exitBadInput = 2
 )
 
-// inputError marks an error that the operator has to correct, in the command line or in a
-// file: exit status 2.
+// inputError marks an error in the command line or in a file, which the operator has to correct.
+// The program exits with status exitBadInput.
 type inputError struct{ err error }
 
 func (e inputError) Error() string { return e.err.Error() }
--- a/cmd/dunestand/main_test.go
+++ b/cmd/dunestand/main_test.go
@@ -17,7 +17,7 @@
 	"dunestand/internal/config"
 )
 
-// execute runs the program's command line in this process.
+// execute runs a command line of the program in this process.
 func execute(args ...string) (output string, err error) {
 	var out bytes.Buffer
 	root := newRootCommand()
@@ -28,7 +28,7 @@
 	return out.String(), err
 }
 
-// writeFile writes a file in a directory of the test's own, and returns its path.
+// writeFile writes a file in a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -38,7 +38,7 @@
 	return path
 }
 
-// writeJSON writes a value as a JSON file, and returns its path.
+// writeJSON writes a value as a JSON file in a temporary directory and returns its path.
 func writeJSON(t *testing.T, name string, content any) string {
 	t.Helper()
 	raw, err := json.Marshal(content)
@@ -48,15 +48,15 @@
 	return writeFile(t, name, string(raw))
 }
 
-// writeSettings writes valid settings that name a state service, and returns the path.
+// writeSettings writes valid settings with the address of a key-value store and returns the
+// path.
 func writeSettings(t *testing.T, stateService string) string {
 	t.Helper()
 	return writeJSON(t, "settings.json",
-		processSettings(0, "127.0.0.1:1", []string{"127.0.0.1:2"}, stateService, "127.0.0.1:4"))
+		controllerSettings(0, "127.0.0.1:1", []string{"127.0.0.1:2"}, stateService, "127.0.0.1:4"))
 }
 
-// expectInputError fails the test if an error is not the operator's to correct or not one
-// line.
+// expectInputError fails the test unless an error is an input error whose text is one line.
 func expectInputError(t *testing.T, err error) {
 	t.Helper()
 	if _, ok := errors.AsType[inputError](err); !ok {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Bad input at the command line is reported in one line and ends with status 2.
-func TestBadInputIsAnInputError(t *testing.T) {
+// Invalid input on the command line is reported in one line, with exit status 2.
+func TestInvalidInputIsAnInputError(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	broken := writeFile(t, "broken.json", `{"node_name": 7}`)
 	badPolicy := writeFile(t, "bad.policy", "rank = 1 +\n")
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestExitStatus(t *testing.T) {
+func TestExitStatusDistinguishesInvalidInput(t *testing.T) {
 	program := buildProgram(t)
 	for _, c := range []struct {
 		name   string
@@ -113,7 +113,7 @@
 			cmd := exec.CommandContext(t.Context(), program, c.args...)
 			var stderr bytes.Buffer
 			cmd.Stderr = &stderr
-			_ = cmd.Run() // the status is looked at below
+			_ = cmd.Run() // the exit status is checked below
 			if status := cmd.ProcessState.ExitCode(); status != c.status {
 				t.Errorf("status %d, expected %d", status, c.status)
 			}
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestGroupCommandsNameTheirMembers(t *testing.T) {
+func TestGroupCommandWithoutSubcommandNamesItsUsage(t *testing.T) {
 	for group, want := range map[string]string{
 		"policy":    "policy: use dunestand policy check FILE",
 		"cells":     "cells: use dunestand cells check FILE",
@@ -140,11 +140,11 @@
 
 func TestInputErrorKeepsItsCause(t *testing.T) {
 	if _, err := execute("check", filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	_, err := execute("check", writeFile(t, "broken.json", `{"node_name": 7}`))
 	if fieldError, ok := errors.AsType[*config.FieldError](err); !ok || fieldError.Field != "node_name" {
-		t.Errorf("a bad field: %v", err)
+		t.Errorf("invalid field: %v", err)
 	}
 }
 
@@ -153,7 +153,7 @@
 	_, err := execute("--config", writeSettings(t, "127.0.0.1:3"), "--policy", policy)
 	expectInputError(t, err)
 	if want := policy + ":2:26: "; err == nil || !strings.HasPrefix(err.Error(), want) {
-		t.Errorf("a share for an unknown team: %v, want %s", err, want)
+		t.Errorf("share of an unknown team: %v, want %s", err, want)
 	}
 }
 
@@ -165,14 +165,14 @@
 	}
 }
 
-func TestGoodInput(t *testing.T) {
+func TestValidInputIsAccepted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		args   []string
 		output string
 	}{
 		{"policy", []string{"policy", "check", writeFile(t, "good.policy", "rank = waited_s * -1\n")}, ""},
-		{"the cells file that is delivered", []string{"cells", "check", "../../deploy/cells.toml"}, ""},
+		{"cells file in deploy", []string{"cells", "check", "../../deploy/cells.toml"}, ""},
 		{"settings", []string{"check", writeSettings(t, "127.0.0.1:3")}, ""},
 		{"version", []string{"version"}, "dunestand " + Version + " " + runtime.Version() + "\n"},
 	} {
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestLogLevel(t *testing.T) {
+func TestLogLevelIsParsed(t *testing.T) {
 	for name, want := range map[string]slog.Level{
 		"":      slog.LevelInfo,
 		"error": slog.LevelError,
--- a/cmd/dunestand/processes_test.go
+++ b/cmd/dunestand/processes_test.go
@@ -21,13 +21,13 @@
 	"dunestand/internal/protocol"
 )
 
-// processes are controllers as operators start them: the built program, a settings file
-// and the policy of deploy/, on loopback sockets.
-type processes struct {
-	t       *testing.T
-	addrs   []string
-	running []*exec.Cmd
-	checker *admissioncheck.Checker
+// controllerProcesses runs controllers as operators do: as processes of the built program, with
+// settings files and the policy in deploy/, on loopback addresses.
+type controllerProcesses struct {
+	t               *testing.T
+	clientAddresses []string
+	running         []*exec.Cmd
+	checker         *admissioncheck.Checker
 }
 
 const (
@@ -46,7 +46,7 @@
 }
 
 // startProcesses builds the program and starts the controllers.
-func startProcesses(t *testing.T) *processes {
+func startProcesses(t *testing.T) *controllerProcesses {
 	t.Helper()
 	program := buildProgram(t)
 	state, stateAddress := startState(t)
@@ -54,19 +54,19 @@
 		Types: []protocol.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootS: 1, Zones: []string{"a"}}},
 	}, 0))
 	t.Cleanup(cloud.Close)
-	p := &processes{t: t, checker: admissioncheck.New(state)}
-	meshes := make([]string, controllers)
-	for i := range meshes {
-		p.addrs, meshes[i] = append(p.addrs, freeAddress(t)), freeAddress(t)
+	p := &controllerProcesses{t: t, checker: admissioncheck.New(state)}
+	meshAddresses := make([]string, controllers)
+	for i := range meshAddresses {
+		p.clientAddresses, meshAddresses[i] = append(p.clientAddresses, freeAddress(t)), freeAddress(t)
 	}
 	for i := range controllers {
-		settings := processSettings(i, p.addrs[i], meshes, stateAddress, strings.TrimPrefix(cloud.URL, "http://"))
+		settings := controllerSettings(i, p.clientAddresses[i], meshAddresses, stateAddress, strings.TrimPrefix(cloud.URL, "http://"))
 		p.running = append(p.running, startProcess(t, program, writeJSON(t, "settings.json", settings)))
 	}
 	return p
 }
 
-// startProcess starts a controller that is killed at the end of the test.
+// startProcess starts a controller, which is killed at the end of the test.
 func startProcess(t *testing.T, program, settingsFile string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(program, "--config", settingsFile, "--policy", policyFile)
@@ -82,10 +82,11 @@
 	return cmd
 }
 
-// processSettings returns the settings of controller i, whose peers' addresses are in meshes.
-func processSettings(i int, client string, meshes []string, state, cloud string) map[string]any {
+// controllerSettings returns the settings of controller i. meshAddresses holds the addresses of all
+// controllers, including its own.
+func controllerSettings(i int, client string, meshAddresses []string, state, cloud string) map[string]any {
 	var others []any
-	for peer, mesh := range meshes {
+	for peer, mesh := range meshAddresses {
 		if peer != i {
 			others = append(others, map[string]any{"node_name": fmt.Sprintf("dune-%d", peer), "area": "a", "endpoint": mesh})
 		}
@@ -94,7 +95,7 @@
 		"node_name":     fmt.Sprintf("dune-%d", i),
 		"area":          "a",
 		"client_listen": client,
-		"mesh_addr":     meshes[i],
+		"mesh_addr":     meshAddresses[i],
 		"others":        others,
 		"services":      map[string]any{"cloud": cloud, "state": state},
 		"settings": map[string]any{
@@ -111,6 +112,7 @@
 	}
 }
 
+// freeAddress returns a loopback address whose port is unused.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,10 +123,10 @@
 	return listener.Addr().String()
 }
 
-// shows reports whether a controller's metrics contain a text.
-func (p *processes) shows(i int, text string) bool {
+// metricsContain reports whether a controller's metrics contain a text.
+func (p *controllerProcesses) metricsContain(i int, text string) bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + p.addrs[i] + "/metrics")
+	resp, err := client.Get("http://" + p.clientAddresses[i] + "/metrics")
 	if err != nil {
 		return false
 	}
@@ -133,12 +135,13 @@
 	return bytes.Contains(body, []byte(text))
 }
 
-// leader waits for a controller that shows a term, other than the excluded one.
-func (p *processes) leader(excluded int) int {
+// waitForLeader waits until a controller other than the excluded one is the leader, which its
+// metric of the term shows, and returns its index.
+func (p *controllerProcesses) waitForLeader(excluded int) int {
 	p.t.Helper()
 	for range 300 {
 		for i := range controllers {
-			if i != excluded && p.shows(i, "dunestand_term ") {
+			if i != excluded && p.metricsContain(i, "dunestand_term ") {
 				return i
 			}
 		}
@@ -148,30 +151,31 @@
 	return 0
 }
 
-// submit sends a job to a controller, as user does, through the checker, which judges the
+// submit submits a job to a controller in the name of a user, and has the checker verify the
 // response.
-func (p *processes) submit(user, controller int, job map[string]any) admissioncheck.ResponseKind {
-	reply := p.checker.Submit(p.t.Context(), user, p.addrs[controller], job)
+func (p *controllerProcesses) submit(user, controller int, job map[string]any) admissioncheck.ResponseKind {
+	reply := p.checker.Submit(p.t.Context(), user, p.clientAddresses[controller], job)
 	if seconds := reply.RetryAfter.Seconds(); reply.Kind == admissioncheck.Deferred && (seconds < 1 || seconds > 30) {
-		p.t.Errorf("a job that waits is to come back after %v s", seconds)
+		p.t.Errorf("a deferred job has a Retry-After of %v s, expected 1 to 30 s", seconds)
 	}
 	return reply.Kind
 }
 
-func processJob(id int, team string, tasks int) map[string]any {
+// testSubmission returns a job array whose ID is built from a number.
+func testSubmission(id int, team string, tasks int) map[string]any {
 	return fake.Submission(fmt.Sprintf("j-%06d", id), team, "q", tasks, 60)
 }
 
-// announce has the checker know a job before it is submitted.
-func (p *processes) announce(job map[string]any) {
+// registerSubmission registers a job with the checker, which is required before its submission.
+func (p *controllerProcesses) registerSubmission(job map[string]any) {
 	if err := p.checker.RegisterSubmission(job); err != nil {
 		p.t.Error(err)
 	}
 }
 
-// startFlood has users of a team submit jobs one after the other through two controllers,
-// with repeats through any. The function that it returns ends that and waits for it.
-func (p *processes) startFlood() (stop func()) {
+// startFlood starts users of one team that submit jobs without a pause, each job several times
+// through different controllers. stop ends the submissions and waits for the users.
+func (p *controllerProcesses) startFlood() (stop func()) {
 	const users = 8
 	stopped := make(chan struct{})
 	var flood sync.WaitGroup
@@ -183,8 +187,8 @@
 					return
 				default:
 				}
-				job := processJob(100_000*(user+1)+n, "mill", 5)
-				p.announce(job)
+				job := testSubmission(100_000*(user+1)+n, "mill", 5)
+				p.registerSubmission(job)
 				for controller := range 3 {
 					p.submit(user, (user+controller*n)%controllers, job)
 				}
@@ -197,44 +201,44 @@
 	}
 }
 
-// waitForPlan waits until each controller admits by the plan.
-func (p *processes) waitForPlan() {
+// waitForPlan waits until every controller admits jobs by a plan.
+func (p *controllerProcesses) waitForPlan() {
 	p.t.Helper()
 	for i := range controllers {
-		for try := 0; !p.shows(i, "dunestand_admission_active 1"); try++ {
+		for try := 0; !p.metricsContain(i, "dunestand_admission_active 1"); try++ {
 			if try == 300 {
-				p.t.Fatalf("controller %d does not admit by the plan", i)
+				p.t.Fatalf("controller %d does not admit jobs by a plan", i)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-// serveWithinGuarantee submits job number id of a team that stays within its guaranteed
-// quota, until it is accepted.
-func (p *processes) serveWithinGuarantee(id int) {
+// submitUntilAccepted submits a job of a team that stays within its guaranteed quota until the
+// job is accepted.
+func (p *controllerProcesses) submitUntilAccepted(id int) {
 	p.t.Helper()
-	job := processJob(id, "dye", 1)
-	p.announce(job)
+	job := testSubmission(id, "dye", 1)
+	p.registerSubmission(job)
 	for try := 0; p.submit(-id, (id+try)%controllers, job) != admissioncheck.Accepted; try++ {
 		if try == 60 {
-			p.t.Fatal("a job within its team's guarantee is not accepted")
+			p.t.Fatal("a job within its team's guaranteed quota is not accepted")
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
 }
 
-func (p *processes) signal(controller int, signal os.Signal) {
+func (p *controllerProcesses) signal(controller int, signal os.Signal) {
 	p.t.Helper()
 	if err := p.running[controller].Process.Signal(signal); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// The program, started as the page for operators says, admits by a plan. While one team
-// floods it the leader is paused for longer than its lease and the plan's lifetime, and
-// resumed; another one is killed. Answers stay consistent, and the other team is served
-// all the time but during a failover.
+// Processes started as in docs/operating.md admit jobs by a plan. While one team floods them with
+// submissions, the leader is paused for longer than its lease and the lifetime of the plan, then
+// resumed, and its successor is killed. Responses stay consistent, and jobs of the other team are
+// accepted throughout, except during a failover.
 func TestProcessesAdmitByThePlanWhileTheLeaderIsPaused(t *testing.T) {
 	p := startProcesses(t)
 	p.waitForPlan()
@@ -243,18 +247,18 @@
 	serve := func() {
 		t.Helper()
 		jobs++
-		p.serveWithinGuarantee(jobs)
+		p.submitUntilAccepted(jobs)
 	}
 	for range 5 {
 		serve()
 	}
-	paused := p.leader(-1)
+	paused := p.waitForLeader(-1)
 	p.signal(paused, syscall.SIGSTOP)
 	const pause = 12 * time.Second // longer than the lease and a plan's lifetime
 	for began := time.Now(); time.Since(began) < pause; time.Sleep(time.Second) {
 		serve()
 	}
-	successor := p.leader(paused)
+	successor := p.waitForLeader(paused)
 	p.signal(paused, syscall.SIGCONT)
 	serve()
 	p.signal(successor, syscall.SIGKILL)
@@ -266,10 +270,10 @@
 		t.Error(broken)
 	}
 	if p.checker.DeferredResponses() == 0 {
-		t.Error("no job had to wait")
+		t.Error("no job was deferred")
 	}
 	if plans := p.checker.StoredPlans(); plans < 5 {
-		t.Errorf("%d plans", plans)
+		t.Errorf("%d plans stored, expected at least 5", plans)
 	}
-	t.Logf("%d accepted, %d waits, %d plans", len(p.checker.DurableJobs()), p.checker.DeferredResponses(), p.checker.StoredPlans())
+	t.Logf("%d jobs accepted, %d deferred responses, %d plans", len(p.checker.DurableJobs()), p.checker.DeferredResponses(), p.checker.StoredPlans())
 }
--- a/cmd/dunestand/root.go
+++ b/cmd/dunestand/root.go
@@ -16,10 +16,10 @@
 		Short: "Run one controller of the cluster scheduler",
 		Long: `dunestand schedules batch jobs on rented machines.
 
-Start one process per controller node, each with its own settings file. All
-state is in the state service that the settings name; a process can be killed
-and started again at any time. It logs to standard error, as much as the
-variable LOG_LEVEL says: error, info or debug.`,
+Start one process per controller, each with its own settings file. All state is
+in the key-value store that the settings name as services.state, so a process
+can be killed and restarted at any time. It logs to standard error; the
+environment variable LOG_LEVEL sets the level: error, info (default) or debug.`,
 		Example: `  dunestand check settings.json      # is the settings file valid?
   dunestand policy check site.policy # is the policy valid?
   LOG_LEVEL=info dunestand --config settings.json`,
@@ -33,8 +33,8 @@
 		},
 		RunE: func(cmd *cobra.Command, _ []string) error { return run(cmd.Context(), settingsFile, policyFile) },
 	}
-	root.Flags().StringVar(&settingsFile, "config", "", "settings file (JSON) as the platform hands it over")
-	root.Flags().StringVar(&policyFile, "policy", "", "policy file, in place of the settings' policy_file")
+	root.Flags().StringVar(&settingsFile, "config", "", "settings file (JSON), as provided by the platform")
+	root.Flags().StringVar(&policyFile, "policy", "", "policy file; overrides policy_file in the settings")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return inputError{err} })
 	root.CompletionOptions.DisableDefaultCmd = true
 
@@ -42,16 +42,17 @@
 	return root
 }
 
-// groupCommand completes a command that only holds others; without one of them it fails with
-// the usage given.
-func groupCommand(group *cobra.Command, usage string, members ...*cobra.Command) *cobra.Command {
+// newGroupCommand adds subcommands to a command that does nothing without one. In that case it
+// fails with an input error that names the usage.
+func newGroupCommand(group *cobra.Command, usage string, members ...*cobra.Command) *cobra.Command {
 	group.Args = oneFile
 	group.RunE = func(*cobra.Command, []string) error { return inputErrorf("%s: use %s", group.Use, usage) }
 	group.AddCommand(members...)
 	return group
 }
 
-// exactArgs accepts count arguments; expected names them.
+// exactArgs requires count arguments. The error for another number of arguments contains
+// expected, which describes them.
 func exactArgs(count int, expected string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != count {
@@ -67,7 +68,7 @@
 	return &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a settings file",
-		Long:  "Check a settings file, and the policy that it names. Prints nothing but what is wrong, and then exits with status 2.",
+		Long:  "Check a settings file and the policy file that it names. Prints nothing if both are valid; otherwise prints the error and exits with status 2.",
 		Args:  oneFile,
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, _, err := load(args[0], "")
@@ -88,7 +89,7 @@
 			return nil
 		},
 	}
-	return groupCommand(&cobra.Command{Use: "policy", Short: "Work with policy files"}, "dunestand policy check FILE", check)
+	return newGroupCommand(&cobra.Command{Use: "policy", Short: "Work with policy files"}, "dunestand policy check FILE", check)
 }
 
 func newVersionCommand() *cobra.Command {
--- a/cmd/dunestand/run.go
+++ b/cmd/dunestand/run.go
@@ -13,11 +13,11 @@
 	"dunestand/node"
 )
 
-// load reads the settings and the policy: the one in policyFile, or else the one that the
-// settings name, or else the default.
+// load reads and validates the settings and the policy. The policy is that of policyFile, or else
+// of the file that the settings name, or else the built-in one. Invalid files are input errors.
 func load(settingsFile, policyFile string) (*config.Settings, *config.Policy, error) {
 	if settingsFile == "" {
-		return nil, nil, inputErrorf("--config: missing; see dunestand --help")
+		return nil, nil, inputErrorf("--config is required; see dunestand --help")
 	}
 	settings, err := config.Load(settingsFile)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return settings, policy, nil
 }
 
-// run runs the controller until ctx ends or the process gets a signal to end.
+// run runs a controller until ctx is done or the process receives SIGINT or SIGTERM.
 func run(ctx context.Context, settingsFile, policyFile string) error {
 	settings, policy, err := load(settingsFile, policyFile)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return node.New(settings, node.Deps{Log: log, Policy: policy}).Run(ctx)
 }
 
-// logLevel reads the name of a level; without one it is info.
+// logLevel parses the name of a log level. The default for an empty name is info.
 func logLevel(name string) (slog.Level, error) {
 	level := slog.LevelInfo
 	if name == "" {
@@ -68,20 +68,20 @@
 	return level, nil
 }
 
-// Pace of the garbage collector. What is live is a few MB, and a collection delays
-// everything else on a small share of a core: so the heap may grow to many times that.
-// The limit, a share of the machine's memory, has it collect in time.
+// Garbage collector settings. The live heap is a few MB, and on a small share of a core a
+// collection delays all other work. So the heap may grow to many times its live size, up to a
+// memory limit near which collections become more frequent.
 const (
 	gcPercent   = 1000
-	memoryShare = 0.7
+	memoryShare = 0.7 // share of the memory in the settings that is the memory limit
 )
 
-// threadRounding is added to the share of cores before it is cut off to a number of threads:
-// one thread more for a share that is at least a hundredth over a whole number.
+// threadRounding is added to the core share before it is truncated to the number of threads. A
+// share that exceeds a whole number by 0.01 or more gets an additional thread.
 const threadRounding = 0.99
 
-// limitProcess fits the runtime to the machine's share: one thread of Go code
-// for a share of one core, and a collector that works harder near the limit.
+// limitProcess adapts the Go runtime to the resource limits of the process: one thread per core
+// of the core share, and a memory limit for the garbage collector.
 func limitProcess(resources config.Resources) {
 	runtime.GOMAXPROCS(max(1, int(resources.CoreShare+threadRounding)))
 	debug.SetGCPercent(gcPercent)
