--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -27,7 +27,7 @@
 	clock := &fake.Clock{Now: 100 * units.Second}
 	limits := config.KVLimits{RPS: 1e4, WriteRPS: 1e4}
 	return NewAdmitter(AdmitterDeps{
-		Settings: &config.Settings{Node: "n", Fleet: config.Fleet{
+		Settings: &config.Settings{Name: "n", Fleet: config.Fleet{
 			Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}},
 			State: limits,
 		}},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,7 @@
 // Fields whose names end in S are in seconds, MS in milliseconds, KB in KiB and MB in MiB.
 // Addresses consist of an IP address and a port.
 type Settings struct {
-	Node         string   `json:"node_name"` // name of this controller
+	Name         string   `json:"node_name"` // name of this controller
 	Zone         string   `json:"area"`
 	ClientListen string   `json:"client_listen"` // address for users and workers
 	MeshListen   string   `json:"mesh_addr"`     // address for other controllers
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Node != "dune-0" || s.Peers[0].Endpoint != "10.0.0.2:8081" || s.Fleet.Workers.LeaseDuration() != 26*units.Second {
+	if s.Name != "dune-0" || s.Peers[0].Endpoint != "10.0.0.2:8081" || s.Fleet.Workers.LeaseDuration() != 26*units.Second {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -25,7 +25,7 @@
 )
 
 func (s *Settings) validate() error {
-	if s.Node == "" {
+	if s.Name == "" {
 		return fieldErrorf("node_name", "missing")
 	}
 	for _, address := range []struct{ field, value string }{
@@ -38,7 +38,7 @@
 			return err
 		}
 	}
-	names := nameSet{s.Node: true}
+	names := nameSet{s.Name: true}
 	for i, peer := range s.Peers {
 		field := fmt.Sprintf("others[%d]", i)
 		if err := names.add(field+".node_name", peer.Node); err != nil {
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -14,7 +14,7 @@
 // stopped answering.
 func (c *Controller) forward(ctx context.Context, origin requestOrigin, kind protocol.FrameKind, id string, body []byte) answer.Answer {
 	leader := c.leaderName()
-	if origin == fromPeer || leader == c.deps.Settings.Node || !c.peers.Reachable(leader) {
+	if origin == fromPeer || leader == c.deps.Settings.Name || !c.peers.Reachable(leader) {
 		return answer.Unavailable("no leader in reach")
 	}
 	sentAt := c.deps.Clock.Steady()
@@ -32,7 +32,7 @@
 func (c *Controller) servePeer(ctx context.Context, data []byte) ([]byte, error) {
 	leading := ""
 	if c.activeLeader() != nil {
-		leading = c.deps.Settings.Node
+		leading = c.deps.Settings.Name
 	}
 	return peers.AnswerFrame(ctx, data, leading, func(ctx context.Context, frame protocol.Frame) transport.Response {
 		var a answer.Answer
@@ -53,7 +53,7 @@
 // connections, so that leader is returned while its lease record is seen to be renewed.
 func (c *Controller) redirectTarget() string {
 	leader := c.leaderName()
-	if leader == c.deps.Settings.Node || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.elector.SeesRenewals()) {
+	if leader == c.deps.Settings.Name || !c.peers.Reachable(leader) && !(c.peers.RefusesConnections(leader) && c.elector.SeesRenewals()) {
 		return ""
 	}
 	return leader
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -29,7 +29,7 @@
 
 // modelSettings returns the settings of a fleet with one team and one zone.
 func modelSettings() *config.Settings {
-	return &config.Settings{Node: "n", Fleet: config.Fleet{Zones: []string{"a"},
+	return &config.Settings{Name: "n", Fleet: config.Fleet{Zones: []string{"a"},
 		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: modelQuotaCPUs}},
 		Workers: config.Workers{HeartbeatS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancelGrace.Seconds()},
 		State: config.KVLimits{
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -86,7 +86,7 @@
 	settings.Services.State = unusedAddress
 	settings.Peers = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
 	c := New(settings, env)
-	record := storage.LeaseRecord{Holder: settings.Node, Incarnation: 3}
+	record := storage.LeaseRecord{Holder: settings.Name, Incarnation: 3}
 	c.elector.ObserveRecord(record, 1)
 	clock.Now += leaseRecordTTL + units.Millisecond
 	startLoop(t, c.peers.Run)
@@ -100,7 +100,7 @@
 		t.Errorf("health: %s", response.Body)
 	}
 	c.elector.ObserveRecord(record, 1)
-	if got := c.leaderName(); got != settings.Node {
+	if got := c.leaderName(); got != settings.Name {
 		t.Errorf("leader %q although the lease record was just read", got)
 	}
 }
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -80,7 +80,7 @@
 // store, so that lease renewals do not wait behind other requests.
 func newElector(s *config.Settings, env Environment, client *kv.Client) *election.Elector {
 	return election.NewElector(election.Deps{
-		Name:   s.Node,
+		Name:   s.Name,
 		KV:     client.WithOwnConnections(),
 		Clock:  env.Clock,
 		Timing: election.TimingFor(s.Fleet.Workers.LeaseDuration()),
@@ -99,7 +99,7 @@
 	if options := env.admissionOptions(); options.Enabled() {
 		supported = storage.FormatAdmission
 	}
-	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
+	return recordformat.NewNegotiator(s.Name, others, supported, client, env.Log)
 }
 
 // newDeps returns the dependencies that the controller passes to each Leader.
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -8,7 +8,7 @@
 // Settings returns the settings of a small fleet: one zone, a team that may use nine processors
 // with four guaranteed, and a heartbeat each second. Each call returns a copy of its own.
 func Settings() *config.Settings {
-	return &config.Settings{Node: "n", Fleet: config.Fleet{
+	return &config.Settings{Name: "n", Fleet: config.Fleet{
 		Zones:   []string{"a"},
 		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
 		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
--- a/internal/persister/claim.go
+++ b/internal/persister/claim.go
@@ -61,7 +61,7 @@
 			p.bucketVersions[bucket] = item.Version // by an earlier try that got no answer
 			continue
 		}
-		head = storage.LeaseRecord{Holder: p.Settings.Node, Incarnation: head.Incarnation + 1, WriteID: writeID}
+		head = storage.LeaseRecord{Holder: p.Settings.Name, Incarnation: head.Incarnation + 1, WriteID: writeID}
 		claims = append(claims, bucketClaim{
 			bucket:    bucket,
 			condition: protocol.Condition{Key: key, Version: item.Version},
@@ -91,5 +91,5 @@
 // isOwnClaim reports whether a bucket's head was written by this very leader, not by a former
 // process or an earlier leadership of the same controller.
 func (p *Persister) isOwnClaim(head storage.LeaseRecord) bool {
-	return head.Holder == p.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
+	return head.Holder == p.Settings.Name && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
 }
--- a/internal/persister/claim_test.go
+++ b/internal/persister/claim_test.go
@@ -20,7 +20,7 @@
 		if err := protocol.Decode(item.Value, &head); err != nil {
 			t.Fatalf("bucket %d: %v", bucket, err)
 		}
-		if head.Incarnation != incarnation || head.Holder != p.Settings.Node {
+		if head.Incarnation != incarnation || head.Holder != p.Settings.Name {
 			t.Errorf("bucket %d is at incarnation %d of %q, want %d", bucket, head.Incarnation, head.Holder, incarnation)
 		}
 		if known := p.BucketVersion(bucket); known != item.Version {
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -30,7 +30,7 @@
 // newTestPersister returns the persister of a leader that has restored nothing yet.
 func newTestPersister(client *kv.Client, clock units.Clock, token uint64, limits config.KVLimits) *Persister {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
+	settings := &config.Settings{Name: "n", Fleet: config.Fleet{
 		Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
 		State: limits,
 	}}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -108,7 +108,7 @@
 		for k, other := range c.nodes {
 			if k != i {
 				n.settings.Peers = append(n.settings.Peers, config.Peer{
-					Node:     other.settings.Node,
+					Node:     other.settings.Name,
 					Zone:     "a",
 					Endpoint: other.settings.MeshListen,
 				})
@@ -152,7 +152,7 @@
 	n := &clusterNode{dialer: newDialer()}
 	n.kvServer = httptest.NewServer(c.kvHandler(n))
 	n.settings = &config.Settings{
-		Node:         fmt.Sprintf("n-%d", len(c.nodes)),
+		Name:         fmt.Sprintf("n-%d", len(c.nodes)),
 		Zone:         "a",
 		ClientListen: freeAddress(c.t),
 		MeshListen:   freeAddress(c.t),
@@ -181,12 +181,12 @@
 	daemon := New(n.settings, Deps{
 		Dial:   transport.DialFunc(n.dialer.dial),
 		Policy: c.options.policy,
-		Log:    nodeLog(n.settings.Node),
+		Log:    nodeLog(n.settings.Name),
 	})
 	go func() { // stop and the end of the test wait for it
 		defer close(stopped)
 		if err := daemon.Run(ctx); err != nil {
-			c.t.Errorf("%s: %v", n.settings.Node, err)
+			c.t.Errorf("%s: %v", n.settings.Name, err)
 		}
 	}()
 }
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -53,7 +53,7 @@
 func (d *deployment) settings(i int) *config.Settings {
 	endpoint := func(k int, port string) string { return d.nodes[k].name + port }
 	settings := &config.Settings{
-		Node:         d.nodes[i].name,
+		Name:         d.nodes[i].name,
 		Zone:         zones[i%len(zones)],
 		ClientListen: endpoint(i, fake.UsersPort),
 		MeshListen:   endpoint(i, meshPort),
--- a/node/node.go
+++ b/node/node.go
@@ -116,7 +116,7 @@
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
 	defer mesh.Close()
-	d.Log.Info("node starts", "node", s.Node, "zone", s.Zone, "clients", s.ClientListen, "mesh", s.MeshListen)
+	d.Log.Info("node starts", "node", s.Name, "zone", s.Zone, "clients", s.ClientListen, "mesh", s.MeshListen)
 	return controller.New(s, controller.Environment{
 		Policy:    d.Policy,
 		Clock:     d.Clock,
