--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,7 +20,7 @@
 
 // Peer is another controller.
 type Peer struct {
-	Node     string `json:"node_name"` // name of the controller
+	Name     string `json:"node_name"` // name of the controller
 	Zone     string `json:"area"`
 	Endpoint string `json:"endpoint"`
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -41,7 +41,7 @@
 	names := nameSet{s.Name: true}
 	for i, peer := range s.Peers {
 		field := fmt.Sprintf("others[%d]", i)
-		if err := names.add(field+".node_name", peer.Node); err != nil {
+		if err := names.add(field+".node_name", peer.Name); err != nil {
 			return err
 		}
 		if err := validateAddress(field+".endpoint", peer.Endpoint); err != nil {
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -62,7 +62,7 @@
 	refusing := closed.Addr().String()
 	closed.Close()
 	settings := modelSettings()
-	settings.Peers = []config.Peer{{Node: "leader", Endpoint: refusing}}
+	settings.Peers = []config.Peer{{Name: "leader", Endpoint: refusing}}
 	if store != nil {
 		server := httptest.NewServer(store)
 		t.Cleanup(server.Close)
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -84,7 +84,7 @@
 	})
 	settings := modelSettings()
 	settings.Services.State = unusedAddress
-	settings.Peers = []config.Peer{{Node: "next", Endpoint: mesh.Addr().String()}}
+	settings.Peers = []config.Peer{{Name: "next", Endpoint: mesh.Addr().String()}}
 	c := New(settings, env)
 	record := storage.LeaseRecord{Holder: settings.Name, Incarnation: 3}
 	c.elector.ObserveRecord(record, 1)
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -93,7 +93,7 @@
 func newNegotiator(s *config.Settings, env Environment, client *kv.Client) *recordformat.Negotiator {
 	others := make([]string, len(s.Peers))
 	for i, other := range s.Peers {
-		others[i] = other.Node
+		others[i] = other.Name
 	}
 	supported := storage.FormatNew
 	if options := env.admissionOptions(); options.Enabled() {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -28,7 +28,7 @@
 	p := &Peers{links: map[string]*peerLink{}}
 	for _, peer := range others {
 		seeded := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
-		p.links[peer.Node] = newPeerLink(dial, peer.Endpoint, clock, seeded, log)
+		p.links[peer.Name] = newPeerLink(dial, peer.Endpoint, clock, seeded, log)
 	}
 	return p
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	p := New(nil, []config.Peer{{Node: "b", Endpoint: mesh.Addr().String()}}, units.NewSystemClock(), rand.New(rand.NewPCG(1, 1)), log)
+	p := New(nil, []config.Peer{{Name: "b", Endpoint: mesh.Addr().String()}}, units.NewSystemClock(), rand.New(rand.NewPCG(1, 1)), log)
 	ctx, cancel := context.WithCancel(t.Context())
 	served, ran := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -108,7 +108,7 @@
 		for k, other := range c.nodes {
 			if k != i {
 				n.settings.Peers = append(n.settings.Peers, config.Peer{
-					Node:     other.settings.Name,
+					Name:     other.settings.Name,
 					Zone:     "a",
 					Endpoint: other.settings.MeshListen,
 				})
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -63,7 +63,7 @@
 	for k := range d.nodes {
 		if k != i {
 			settings.Peers = append(settings.Peers, config.Peer{
-				Node:     d.nodes[k].name,
+				Name:     d.nodes[k].name,
 				Zone:     zones[k%len(zones)],
 				Endpoint: endpoint(k, meshPort),
 			})
