--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -28,8 +28,8 @@
 	limits := config.KVLimits{RPS: 1e4, WriteRPS: 1e4}
 	return NewAdmitter(AdmitterDeps{
 		Settings: &config.Settings{Name: "n", Fleet: config.Fleet{
-			Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}},
-			State: limits,
+			Teams:    []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}},
+			KVLimits: limits,
 		}},
 		Options: admission.Options{Horizon: horizon},
 		KV:      kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), limits, 0, clock),
--- a/internal/admissioncontrol/planpublisher.go
+++ b/internal/admissioncontrol/planpublisher.go
@@ -116,7 +116,7 @@
 
 // publish encodes and writes a plan. A plan that is too large is logged once.
 func (p *planPublisher) publish(ctx context.Context, plan *admission.Plan) error {
-	raw, encoded, err := admission.Encode(plan, p.Settings.Fleet.State.Lowest().ValueBytes())
+	raw, encoded, err := admission.Encode(plan, p.Settings.Fleet.KVLimits.Lowest().ValueBytes())
 	if err != nil {
 		if !p.loggedTooLarge {
 			p.Admitter.log.Error("admission plan not written; jobs are admitted by the built-in fallback", "error", err)
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -20,7 +20,7 @@
 	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := fake.Settings()
-	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
+	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.KVLimits)
 	state.SetInstanceTypes(fake.Catalog().Types)
 	policy := config.DefaultPolicy()
 	as := New(Deps{
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -32,7 +32,7 @@
 // storeCatalog stores the catalog for a leader that is elected during an outage of the cloud.
 // Errors are only logged, since this leader does not need the stored catalog.
 func (as *Autoscaler) storeCatalog(ctx context.Context, catalog protocol.Catalog, format storage.Format) {
-	bounds := as.Settings.Fleet.State.Lowest()
+	bounds := as.Settings.Fleet.KVLimits.Lowest()
 	versions := as.provisioning.catalogStored
 	changes := storage.CatalogChanges(catalog.Types, format, bounds.ValueBytes(), versions)
 	for part := range slices.Chunk(changes, bounds.TxnOps) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -37,7 +37,7 @@
 	Teams       []Team      `json:"teams"`
 	Objectives  []Objective `json:"objectives"`
 	Workers     Workers     `json:"workers"`
-	State       KVLimits    `json:"state"`
+	KVLimits    KVLimits    `json:"state"`
 	Cloud       CloudLimits `json:"cloud"`
 	Resources   Resources   `json:"resources"`
 	TimeBoundMS float64     `json:"time_bound_ms"`
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -246,7 +246,7 @@
 		parsed, err := Parse(encode(t, s))
 		if err != nil {
 			t.Errorf("%v: %v", c.next, err)
-		} else if got := parsed.Fleet.State.Lowest(); got != c.want {
+		} else if got := parsed.Fleet.KVLimits.Lowest(); got != c.want {
 			t.Errorf("%v: %+v", c.next, got)
 		}
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -61,10 +61,10 @@
 	if f.Cloud.ListLagS < 0 {
 		return fieldErrorf("settings.cloud.list_lag_s", "%v is negative", f.Cloud.ListLagS)
 	}
-	if err := f.State.validateMinimum("settings.state"); err != nil {
+	if err := f.KVLimits.validateMinimum("settings.state"); err != nil {
 		return err
 	}
-	if err := f.State.validateNext(); err != nil {
+	if err := f.KVLimits.validateNext(); err != nil {
 		return err
 	}
 	if len(f.Zones) == 0 {
@@ -94,7 +94,7 @@
 		{"settings.workers.lease_s", f.Workers.LeaseS, maxLeaseS},
 		{"settings.workers.cancel_s", f.Workers.CancelS, maxLeaseS},
 	}
-	numbers = append(numbers, f.State.numericSettings("settings.state")...)
+	numbers = append(numbers, f.KVLimits.numericSettings("settings.state")...)
 	numbers = append(numbers, []numericSetting{
 		{"settings.cloud.rps", f.Cloud.RPS, maxRate},
 		{"settings.resources.core_share", f.Resources.CoreShare, maxCores},
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -67,9 +67,9 @@
 		return errInstanceTypesUnknown
 	case !fitsAnyType(spec, types):
 		return errNoInstanceType
-	case !storage.FitsRecords(spec, storage.NewestFormat, s.Fleet.State):
+	case !storage.FitsRecords(spec, storage.NewestFormat, s.Fleet.KVLimits):
 		return errSpecTooLong
-	case format < storage.FormatNew && (spec.Kind == protocol.Service || !storage.FitsRecords(spec, format, s.Fleet.State)):
+	case format < storage.FormatNew && (spec.Kind == protocol.Service || !storage.FitsRecords(spec, format, s.Fleet.KVLimits)):
 		// A leader of the previous version would read a service as a job array.
 		return errNotUpgraded
 	}
--- a/internal/controller/fleetsize_test.go
+++ b/internal/controller/fleetsize_test.go
@@ -14,7 +14,7 @@
 func TestLargestFleetIsRestored(t *testing.T) {
 	leader, heartbeats := newReconciledLeader(largestFleet)
 	records := writeAllRecords(leader)
-	limit := leader.Settings.Fleet.State.Lowest().ValueBytes()
+	limit := leader.Settings.Fleet.KVLimits.Lowest().ValueBytes()
 	for _, record := range records {
 		if len(record.Value) > limit {
 			t.Fatalf("record %s has %d bytes, limit %d", record.Key, len(record.Value), limit)
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -84,7 +84,7 @@
 	store.SetLimits(16<<10, 12, 1000)
 	leader := newLeaderWithStore(t, 1, store, func(d *Deps) {
 		d.Format = fake.NewRecordFormat(storage.FormatOld)
-		d.Settings.Fleet.State = config.KVLimits{
+		d.Settings.Fleet.KVLimits = config.KVLimits{
 			RPS:      1e4,
 			WriteRPS: 1e4,
 			ValueKB:  16,
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -32,7 +32,7 @@
 	return &config.Settings{Name: "n", Fleet: config.Fleet{Zones: []string{"a"},
 		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: modelQuotaCPUs}},
 		Workers: config.Workers{HeartbeatS: 1, LeaseS: modelLease.Seconds(), CancelS: modelCancelGrace.Seconds()},
-		State: config.KVLimits{
+		KVLimits: config.KVLimits{
 			RPS:      100,
 			WriteRPS: 50,
 			ValueKB:  8,
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -84,7 +84,7 @@
 		leadership:  leadership,
 		token:       leadership.Token(),
 		electedAt:   deps.Clock.Steady(),
-		state:       cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.State),
+		state:       cluster.NewState(deps.Settings.Fleet.Teams, deps.Settings.Fleet.KVLimits),
 		writeSignal: loop.NewSignal(),
 		cycleSignal: loop.NewSignal(),
 	}
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -52,7 +52,7 @@
 
 // New returns a controller with the given settings. It sends no request before Run is called.
 func New(s *config.Settings, env Environment) *Controller {
-	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Peers), env.Clock)
+	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.KVLimits, len(s.Peers), env.Clock)
 	format := newNegotiator(s, env, client)
 	c := &Controller{
 		deps:             newDeps(s, env, client, format),
@@ -137,7 +137,7 @@
 // addMetrics registers the metrics of the controller itself and of its use of the key-value
 // store.
 func (c *Controller) addMetrics() {
-	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.State
+	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.KVLimits
 	gauges := []struct {
 		name  string
 		value func() float64
--- a/internal/failuredetector/lostmachines_test.go
+++ b/internal/failuredetector/lostmachines_test.go
@@ -22,10 +22,10 @@
 func newTestDetector(t *testing.T) *Detector {
 	t.Helper()
 	settings := &config.Settings{Fleet: config.Fleet{
-		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+		Workers:  config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
+		KVLimits: config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
-	state := cluster.NewState(nil, settings.Fleet.State)
+	state := cluster.NewState(nil, settings.Fleet.KVLimits)
 	for i := range 14 {
 		zone := "a"
 		if i >= 10 {
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -9,10 +9,10 @@
 // with four guaranteed, and a heartbeat each second. Each call returns a copy of its own.
 func Settings() *config.Settings {
 	return &config.Settings{Name: "n", Fleet: config.Fleet{
-		Zones:   []string{"a"},
-		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
-		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+		Zones:    []string{"a"},
+		Teams:    []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
+		Workers:  config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
+		KVLimits: config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
 }
 
--- a/internal/persister/claim.go
+++ b/internal/persister/claim.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	maxChanges := p.Settings.Fleet.State.Lowest().TxnOps
+	maxChanges := p.Settings.Fleet.KVLimits.Lowest().TxnOps
 	for from := 0; from < len(claims); from += maxChanges {
 		to := min(from+maxChanges, len(claims))
 		if err := p.commitClaims(ctx, claims[from:to]); err != nil {
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -31,8 +31,8 @@
 func newTestPersister(client *kv.Client, clock units.Clock, token uint64, limits config.KVLimits) *Persister {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := &config.Settings{Name: "n", Fleet: config.Fleet{
-		Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
-		State: limits,
+		Teams:    []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
+		KVLimits: limits,
 	}}
 	state := cluster.NewState(settings.Fleet.Teams, limits)
 	leadership := &fake.Leadership{FencingToken: token}
--- a/internal/persister/ingester.go
+++ b/internal/persister/ingester.go
@@ -110,7 +110,7 @@
 				in.Log.Info("pending submission ingested", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 			}
 			in.State.AddPendingSubmission(pending, in.Clock.Steady())
-		} else if len(finished.Then) < in.Settings.Fleet.State.Lowest().TxnOps {
+		} else if len(finished.Then) < in.Settings.Fleet.KVLimits.Lowest().TxnOps {
 			finished.If = append(finished.If, protocol.Condition{Key: item.Key, Version: item.Version})
 			finished.Then = append(finished.Then, protocol.Change{Delete: item.Key})
 		} else {
--- a/internal/persister/writer.go
+++ b/internal/persister/writer.go
@@ -68,7 +68,7 @@
 // batchThreshold returns for how many changes the write budget must have room before a batch is
 // built.
 func (p *Persister) batchThreshold() int {
-	return min(minChangesPerBatch, p.Settings.Fleet.State.Lowest().TxnOps)
+	return min(minChangesPerBatch, p.Settings.Fleet.KVLimits.Lowest().TxnOps)
 }
 
 // nextBatch builds the next batch if one may be sent now, and reserves its writes; nil if not,
--- a/internal/push/pusher_test.go
+++ b/internal/push/pusher_test.go
@@ -20,10 +20,10 @@
 func newTestPusher(t *testing.T) (*CommandPusher, *cluster.Machine, *cluster.Attempt) {
 	t.Helper()
 	settings := &config.Settings{Fleet: config.Fleet{
-		Workers: config.Workers{HeartbeatS: 4, LeaseS: 20, CancelS: 21},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+		Workers:  config.Workers{HeartbeatS: 4, LeaseS: 20, CancelS: 21},
+		KVLimits: config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
-	state := cluster.NewState(nil, settings.Fleet.State)
+	state := cluster.NewState(nil, settings.Fleet.KVLimits)
 	m := state.EnsureMachine("i-000001", "m", "a", false, testNow)
 	m.Endpoint, m.FencingToken, m.LastHeartbeat = "10.0.0.1:80", testToken, testNow
 	job := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 2, Request: fake.CPUs(1)}, testNow, testNow)
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := fake.Settings()
-	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
+	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.KVLimits)
 	rc := New(Deps{
 		State:       state,
 		Detector:    failuredetector.New(failuredetector.Deps{State: state, Settings: settings, Log: log}),
--- a/internal/scheduler/waiting_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -19,7 +19,7 @@
 	clock := &fake.Clock{Now: 100 * units.Second}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	settings := fake.Settings()
-	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.State)
+	state := cluster.NewState(settings.Fleet.Teams, settings.Fleet.KVLimits)
 	scheduler := New(Deps{
 		State:    state,
 		Settings: settings,
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -164,7 +164,7 @@
 			Zones:     []string{"a"},
 			Teams:     c.options.teams,
 			Workers:   config.Workers{HeartbeatS: 0.1, LeaseS: 8, CancelS: 10},
-			State:     config.KVLimits{RPS: 1000, WriteRPS: 800, ValueKB: 8, TxnOps: 12},
+			KVLimits:  config.KVLimits{RPS: 1000, WriteRPS: 800, ValueKB: 8, TxnOps: 12},
 			Cloud:     config.CloudLimits{RPS: 50},
 			Resources: config.Resources{CoreShare: 1, RAMMB: c.options.memoryMB, MaxConnections: 400},
 		},
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -182,7 +182,7 @@
 			LeaseS:     workerLease.Seconds(),
 			CancelS:    o.cancelTimeout.Seconds(),
 		},
-		State:     config.KVLimits{RPS: o.kvRPS, WriteRPS: 0.8 * o.kvRPS, ValueKB: 8, TxnOps: 12},
+		KVLimits:  config.KVLimits{RPS: o.kvRPS, WriteRPS: 0.8 * o.kvRPS, ValueKB: 8, TxnOps: 12},
 		Cloud:     config.CloudLimits{RPS: 50, ListLagS: 1},
 		Resources: config.Resources{CoreShare: 1, RAMMB: o.memoryMB, MaxConnections: o.maxConnections},
 	}
