--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -27,8 +27,8 @@
 
 // Services holds the addresses of the cloud API and of the key-value store.
 type Services struct {
-	Cloud string `json:"cloud"`
-	State string `json:"state"` // key-value store
+	Cloud   string `json:"cloud"`
+	KVStore string `json:"state"` // key-value store
 }
 
 // Fleet is the part of the settings that describes the deployment.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -32,7 +32,7 @@
 		{"client_listen", s.ClientListen},
 		{"mesh_addr", s.MeshListen},
 		{"services.cloud", s.Services.Cloud},
-		{"services.state", s.Services.State},
+		{"services.state", s.Services.KVStore},
 	} {
 		if err := validateAddress(address.field, address.value); err != nil {
 			return err
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -34,7 +34,7 @@
 // or a cloud.
 func newTestController(leader *Leader) *Controller {
 	settings := modelSettings()
-	settings.Services.State, settings.Services.Cloud = unusedAddress, unusedAddress
+	settings.Services.KVStore, settings.Services.Cloud = unusedAddress, unusedAddress
 	c := New(settings, testEnvironment(leader.Clock))
 	c.leader.Store(leader)
 	return c
@@ -66,9 +66,9 @@
 	if store != nil {
 		server := httptest.NewServer(store)
 		t.Cleanup(server.Close)
-		settings.Services.State = strings.TrimPrefix(server.URL, "http://")
+		settings.Services.KVStore = strings.TrimPrefix(server.URL, "http://")
 	} else {
-		settings.Services.State = listenHanging(t)
+		settings.Services.KVStore = listenHanging(t)
 	}
 	clock := &fake.Clock{Now: 100 * units.Second}
 	c := New(settings, testEnvironment(clock))
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -83,7 +83,7 @@
 		})
 	})
 	settings := modelSettings()
-	settings.Services.State = unusedAddress
+	settings.Services.KVStore = unusedAddress
 	settings.Peers = []config.Peer{{Name: "next", Endpoint: mesh.Addr().String()}}
 	c := New(settings, env)
 	record := storage.LeaseRecord{Holder: settings.Name, Incarnation: 3}
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -52,7 +52,7 @@
 
 // New returns a controller with the given settings. It sends no request before Run is called.
 func New(s *config.Settings, env Environment) *Controller {
-	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.KVLimits, len(s.Peers), env.Clock)
+	client := kv.NewClient(env.Dial, s.Services.KVStore, s.Fleet.KVLimits, len(s.Peers), env.Clock)
 	format := newNegotiator(s, env, client)
 	c := &Controller{
 		deps:             newDeps(s, env, client, format),
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -157,8 +157,8 @@
 		ClientListen: freeAddress(c.t),
 		MeshListen:   freeAddress(c.t),
 		Services: config.Services{
-			Cloud: c.cloudAddress,
-			State: strings.TrimPrefix(n.kvServer.URL, "http://"),
+			Cloud:   c.cloudAddress,
+			KVStore: strings.TrimPrefix(n.kvServer.URL, "http://"),
 		},
 		Fleet: config.Fleet{
 			Zones:     []string{"a"},
--- a/node/deployment_nodes_test.go
+++ b/node/deployment_nodes_test.go
@@ -57,7 +57,7 @@
 		Zone:         zones[i%len(zones)],
 		ClientListen: endpoint(i, fake.UsersPort),
 		MeshListen:   endpoint(i, meshPort),
-		Services:     config.Services{Cloud: cloudAddress, State: endpoint(i, kvPort)},
+		Services:     config.Services{Cloud: cloudAddress, KVStore: endpoint(i, kvPort)},
 		Fleet:        d.fleet,
 	}
 	for k := range d.nodes {
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -27,10 +27,10 @@
 // nil: the system's network. The error is ErrNoPlan, that of the store with its address, or
 // that of a plan that cannot be decoded.
 func ReadAdmissionPlan(ctx context.Context, s *config.Settings, dial transport.DialFunc) (*AdmissionPlan, error) {
-	store := kv.NewClient(dial, s.Services.State, s.Fleet.KVLimits, len(s.Peers), units.NewSystemClock())
+	store := kv.NewClient(dial, s.Services.KVStore, s.Fleet.KVLimits, len(s.Peers), units.NewSystemClock())
 	item, _, err := store.ReadAtRevision(ctx, admission.KeyPlan, inspectTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("state service %s: %w", s.Services.State, err)
+		return nil, fmt.Errorf("state service %s: %w", s.Services.KVStore, err)
 	}
 	if item.Version == 0 {
 		return nil, ErrNoPlan
