--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -28,7 +28,7 @@
 // Services holds the addresses of the cloud API and of the key-value store.
 type Services struct {
 	Cloud   string `json:"cloud"`
-	KVStore string `json:"state"` // key-value store
+	KVStore string `json:"state"`
 }
 
 // Fleet is the part of the settings that describes the deployment.
