--- a/cmd/dunestand/root.go
+++ b/cmd/dunestand/root.go
@@ -42,8 +42,8 @@
 	return root
 }
 
-// newGroupCommand adds subcommands to a command that does nothing without one. In that case it
-// fails with an input error that names the usage.
+// newGroupCommand adds subcommands to a command that only groups them. An unknown subcommand
+// is an input error that names the usage.
 func newGroupCommand(group *cobra.Command, usage string, members ...*cobra.Command) *cobra.Command {
 	group.Args = oneFile
 	group.RunE = func(*cobra.Command, []string) error { return inputErrorf("%s: use %s", group.Use, usage) }
