--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -27,9 +27,9 @@
 	clock := &fake.Clock{Now: 100 * units.Second}
 	limits := config.KVLimits{RPS: 1e4, WriteRPS: 1e4}
 	return NewAdmitter(AdmitterDeps{
-		Settings: &config.Settings{Node: "n", Fleet: config.Fleet{
-			Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}},
-			State: limits,
+		Settings: &config.Settings{Name: "n", Fleet: config.Fleet{
+			Teams:    []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 8}},
+			KVLimits: limits,
 		}},
 		Options: admission.Options{Horizon: horizon},
 		KV:      kv.NewClient(nil, strings.TrimPrefix(listener.URL, "http://"), limits, 0, clock),
--- a/internal/controller/harness_controller_test.go
+++ b/internal/controller/harness_controller_test.go
@@ -34,7 +34,7 @@
 // or a cloud.
 func newTestController(leader *Leader) *Controller {
 	settings := modelSettings()
-	settings.Services.State, settings.Services.Cloud = unusedAddress, unusedAddress
+	settings.Services.KVStore, settings.Services.Cloud = unusedAddress, unusedAddress
 	c := New(settings, testEnvironment(leader.Clock))
 	c.leader.Store(leader)
 	return c
@@ -62,13 +62,13 @@
 	refusing := closed.Addr().String()
 	closed.Close()
 	settings := modelSettings()
-	settings.Peers = []config.Peer{{Node: "leader", Endpoint: refusing}}
+	settings.Peers = []config.Peer{{Name: "leader", Endpoint: refusing}}
 	if store != nil {
 		server := httptest.NewServer(store)
 		t.Cleanup(server.Close)
-		settings.Services.State = strings.TrimPrefix(server.URL, "http://")
+		settings.Services.KVStore = strings.TrimPrefix(server.URL, "http://")
 	} else {
-		settings.Services.State = listenHanging(t)
+		settings.Services.KVStore = listenHanging(t)
 	}
 	clock := &fake.Clock{Now: 100 * units.Second}
 	c := New(settings, testEnvironment(clock))
--- a/internal/controller/newcontroller.go
+++ b/internal/controller/newcontroller.go
@@ -52,7 +52,7 @@
 
 // New returns a controller with the given settings. It sends no request before Run is called.
 func New(s *config.Settings, env Environment) *Controller {
-	client := kv.NewClient(env.Dial, s.Services.State, s.Fleet.State, len(s.Peers), env.Clock)
+	client := kv.NewClient(env.Dial, s.Services.KVStore, s.Fleet.KVLimits, len(s.Peers), env.Clock)
 	format := newNegotiator(s, env, client)
 	c := &Controller{
 		deps:             newDeps(s, env, client, format),
@@ -80,7 +80,7 @@
 // store, so that lease renewals do not wait behind other requests.
 func newElector(s *config.Settings, env Environment, client *kv.Client) *election.Elector {
 	return election.NewElector(election.Deps{
-		Name:   s.Node,
+		Name:   s.Name,
 		KV:     client.WithOwnConnections(),
 		Clock:  env.Clock,
 		Timing: election.TimingFor(s.Fleet.Workers.LeaseDuration()),
@@ -93,13 +93,13 @@
 func newNegotiator(s *config.Settings, env Environment, client *kv.Client) *recordformat.Negotiator {
 	others := make([]string, len(s.Peers))
 	for i, other := range s.Peers {
-		others[i] = other.Node
+		others[i] = other.Name
 	}
 	supported := storage.FormatV2
 	if options := env.admissionOptions(); options.Enabled() {
 		supported = storage.FormatV3
 	}
-	return recordformat.NewNegotiator(s.Node, others, supported, client, env.Log)
+	return recordformat.NewNegotiator(s.Name, others, supported, client, env.Log)
 }
 
 // newDeps returns the dependencies that the controller passes to each Leader.
@@ -137,7 +137,7 @@
 // addMetrics registers the metrics of the controller itself and of its use of the key-value
 // store.
 func (c *Controller) addMetrics() {
-	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.State
+	stats, limits := c.deps.KV.Stats, c.deps.Settings.Fleet.KVLimits
 	gauges := []struct {
 		name  string
 		value func() float64
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -10,11 +10,11 @@
 // four processors and a quota limit of nine, and a heartbeat interval of one second. Each call
 // returns a new value, which the caller may change.
 func Settings() *config.Settings {
-	return &config.Settings{Node: "n", Fleet: config.Fleet{
-		Zones:   []string{"a"},
-		Teams:   []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
-		Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
-		State:   config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
+	return &config.Settings{Name: "n", Fleet: config.Fleet{
+		Zones:    []string{"a"},
+		Teams:    []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
+		Workers:  config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 11},
+		KVLimits: config.KVLimits{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 	}}
 }
 
--- a/internal/persister/claim.go
+++ b/internal/persister/claim.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	maxChanges := p.Settings.Fleet.State.Lowest().TxnOps
+	maxChanges := p.Settings.Fleet.KVLimits.Lowest().TxnOps
 	for from := 0; from < len(claims); from += maxChanges {
 		to := min(from+maxChanges, len(claims))
 		if err := p.commitClaims(ctx, claims[from:to]); err != nil {
@@ -62,7 +62,7 @@
 			p.bucketVersions[bucket] = item.Version // claimed by an earlier request that got no response
 			continue
 		}
-		head = storage.LeaseRecord{Holder: p.Settings.Node, Incarnation: head.Incarnation + 1, WriteID: writeID}
+		head = storage.LeaseRecord{Holder: p.Settings.Name, Incarnation: head.Incarnation + 1, WriteID: writeID}
 		claims = append(claims, bucketClaim{
 			bucket:    bucket,
 			condition: protocol.Condition{Key: key, Version: item.Version},
@@ -92,5 +92,5 @@
 // isOwnClaim reports whether a bucket's head was written in the present leadership, as opposed to
 // an earlier leadership of the same controller.
 func (p *Persister) isOwnClaim(head storage.LeaseRecord) bool {
-	return head.Holder == p.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
+	return head.Holder == p.Settings.Name && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
 }
--- a/internal/persister/harness_test.go
+++ b/internal/persister/harness_test.go
@@ -30,9 +30,9 @@
 // newTestPersister returns the persister of a new leader that has not restored any records.
 func newTestPersister(client *kv.Client, clock units.Clock, token uint64, limits config.KVLimits) *Persister {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	settings := &config.Settings{Node: "n", Fleet: config.Fleet{
-		Teams: []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
-		State: limits,
+	settings := &config.Settings{Name: "n", Fleet: config.Fleet{
+		Teams:    []config.Team{{Name: "team", GuaranteedCPUs: 4, LimitCPUs: 9}},
+		KVLimits: limits,
 	}}
 	state := cluster.NewState(settings.Fleet.Teams, limits)
 	leadership := &fake.Leadership{FencingToken: token}
--- a/internal/persister/writer.go
+++ b/internal/persister/writer.go
@@ -68,7 +68,7 @@
 // batchThreshold returns the number of changes that the write budget must allow before a batch is
 // built: minChangesPerBatch, or the limit of a transaction if that is lower.
 func (p *Persister) batchThreshold() int {
-	return min(minChangesPerBatch, p.Settings.Fleet.State.Lowest().TxnOps)
+	return min(minChangesPerBatch, p.Settings.Fleet.KVLimits.Lowest().TxnOps)
 }
 
 // nextBatch builds the next batch and reserves its writes. It returns nil if no change is due or too
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -108,7 +108,7 @@
 		for k, other := range c.controllers {
 			if k != i {
 				n.settings.Peers = append(n.settings.Peers, config.Peer{
-					Node:     other.settings.Node,
+					Name:     other.settings.Name,
 					Zone:     "a",
 					Endpoint: other.settings.MeshListen,
 				})
@@ -152,19 +152,19 @@
 	controller := &clusterController{dialer: newDialer()}
 	controller.kvServer = httptest.NewServer(c.kvHandler(controller))
 	controller.settings = &config.Settings{
-		Node:         fmt.Sprintf("n-%d", len(c.controllers)),
+		Name:         fmt.Sprintf("n-%d", len(c.controllers)),
 		Zone:         "a",
 		ClientListen: freeAddress(c.t),
 		MeshListen:   freeAddress(c.t),
 		Services: config.Services{
-			Cloud: c.cloudAddress,
-			State: strings.TrimPrefix(controller.kvServer.URL, "http://"),
+			Cloud:   c.cloudAddress,
+			KVStore: strings.TrimPrefix(controller.kvServer.URL, "http://"),
 		},
 		Fleet: config.Fleet{
 			Zones:     []string{"a"},
 			Teams:     c.options.teams,
 			Workers:   config.Workers{HeartbeatS: 0.1, LeaseS: 8, CancelS: 10},
-			State:     config.KVLimits{RPS: 1000, WriteRPS: 800, ValueKB: 8, TxnOps: 12},
+			KVLimits:  config.KVLimits{RPS: 1000, WriteRPS: 800, ValueKB: 8, TxnOps: 12},
 			Cloud:     config.CloudLimits{RPS: 50},
 			Resources: config.Resources{CoreShare: 1, RAMMB: c.options.memoryMB, MaxConnections: 400},
 		},
@@ -181,12 +181,12 @@
 	daemon := New(controller.settings, Deps{
 		Dial:   transport.DialFunc(controller.dialer.dial),
 		Policy: c.options.policy,
-		Log:    controllerLog(controller.settings.Node),
+		Log:    controllerLog(controller.settings.Name),
 	})
 	go func() { // stop and the cleanup of the test wait until it returns
 		defer close(stopped)
 		if err := daemon.Run(ctx); err != nil {
-			c.t.Errorf("%s: %v", controller.settings.Node, err)
+			c.t.Errorf("%s: %v", controller.settings.Name, err)
 		}
 	}()
 }
--- a/node/deployment_controllers_test.go
+++ b/node/deployment_controllers_test.go
@@ -53,17 +53,17 @@
 func (d *deployment) settings(i int) *config.Settings {
 	endpoint := func(k int, port string) string { return d.controllers[k].name + port }
 	settings := &config.Settings{
-		Node:         d.controllers[i].name,
+		Name:         d.controllers[i].name,
 		Zone:         zones[i%len(zones)],
 		ClientListen: endpoint(i, fake.ClientPort),
 		MeshListen:   endpoint(i, meshPort),
-		Services:     config.Services{Cloud: cloudAddress, State: endpoint(i, kvPort)},
+		Services:     config.Services{Cloud: cloudAddress, KVStore: endpoint(i, kvPort)},
 		Fleet:        d.fleet,
 	}
 	for k := range d.controllers {
 		if k != i {
 			settings.Peers = append(settings.Peers, config.Peer{
-				Node:     d.controllers[k].name,
+				Name:     d.controllers[k].name,
 				Zone:     zones[k%len(zones)],
 				Endpoint: endpoint(k, meshPort),
 			})
