--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxBatchBytes bounds the size of a batch as CBOR. The key-value store limits a transaction
-	// to 64 KiB as JSON, which is about 1.5 times as large as CBOR at most.
+	// to 64 KiB as JSON. The JSON is up to about 1.5 times as large as the CBOR.
 	maxBatchBytes = 36 << 10
 	// changeOverhead is the estimated size of a change without its value, in bytes.
 	changeOverhead = 64
@@ -106,7 +106,7 @@
 // key-value store and must not be split yet, because a leader that supports only FormatV1 may
 // still read it.
 func (b *batchBuilder) tooLarge(j *Job, all []write) bool {
-	if !b.rules.nextLimitsApplied || !b.rules.oldLeadersPossible() {
+	if !b.rules.nextLimitsApplied || !b.rules.v1LeadersPossible() {
 		return false
 	}
 	return slices.ContainsFunc(all, func(w write) bool {
--- a/internal/cluster/liveattempts.go
+++ b/internal/cluster/liveattempts.go
@@ -3,9 +3,9 @@
 import "iter"
 
 // LiveAttempts are the attempts of a job that may be on machines, by task index. A task usually
-// has one. It has several if heartbeats list it on more than one machine, which a delayed copy
-// of an old heartbeat can cause. The map contains the latest attempt of each task, which is the
-// one with the highest number; the others are linked from it in descending order.
+// has one. It has several if heartbeats list it on more than one machine, which a delayed
+// duplicate of a heartbeat can cause. The map contains the latest attempt of each task, which is
+// the one with the highest number; the others are linked from it in descending order.
 type LiveAttempts map[int]*Attempt
 
 // All returns an iterator over all attempts, in no order. The loop body may remove the current
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -37,7 +37,7 @@
 	TerminatesAt     units.Micros // when the cloud terminates it, 0 without a notice
 	Quarantined      bool         // faulty: gets no work and is released
 	Slow             bool         // runs tasks slower than other machines run tasks of the same job
-	BlockedUntil     units.Micros // it rejected a start for lack of capacity, so Used is wrong
+	BlockedUntil     units.Micros // no task is placed before: it rejected a start for lack of capacity, so Used is wrong
 
 	Stage        protocol.MachineStage // as listed by the cloud
 	LaunchedAt   units.Micros
--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -82,7 +82,8 @@
 }
 
 // shardFor selects the record for a new name: the one that got the last new name if it has
-// space, else the record with the most space once unused names are removed, else a new part.
+// space, else the record with the most space once unused names are removed. If less than a quarter
+// of its space for names is free, shardFor adds a part. In FormatV1 only the main record has names.
 func (r *jobRecords) shardFor(machine string) *shard {
 	size := storage.MachineNameSize(machine)
 	if r.format == storage.FormatV1 || r.openShard.nameBytes+size <= r.openShard.nameLimit {
@@ -149,8 +150,8 @@
 	}
 }
 
-// hasSpaceFor reports whether a record names the machine or has space for its name. In the new
-// format there is always space, because parts can be added.
+// hasSpaceFor reports whether a record names the machine or has space for its name. From
+// FormatV2 on there is always space, because parts can be added.
 func (r *jobRecords) hasSpaceFor(machine string) bool {
 	return r.format != storage.FormatV1 || r.main.nameBytes+storage.MachineNameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
 }
--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -52,7 +52,7 @@
 
 // A page in FormatV1 has no write ID. Unless the main record is written with it, a leader
 // that got no response to a committed batch does not recognise the batch as its own.
-func TestOldPagesAreWrittenWithMainRecord(t *testing.T) {
+func TestV1PageIsWrittenWithMainRecord(t *testing.T) {
 	state := NewState(nil, config.KVLimits{ValueKB: 8, TxnOps: 12})
 	bucketVersions := make([]uint64, storage.Buckets)
 	j := state.NewJob(protocol.JobSpec{ID: "j-000001", Tasks: 40_000}, 0, 0)
--- a/internal/cluster/outcomes.go
+++ b/internal/cluster/outcomes.go
@@ -32,8 +32,8 @@
 	maxBackoffShift   = 8
 )
 
-// A machine counts as slow if, after minComparedRuns runs, the moving mean of their run times
-// relative to the mean run times of their jobs is above 1.5.
+// A machine counts as slow if it has completed at least minComparedRuns compared runs and the
+// geometric moving mean of run time / mean run time of the job is above 1.5.
 const (
 	minComparedRuns = 6
 	slowThreshold   = 0.6  // log2(1.5)
@@ -66,7 +66,7 @@
 	if mean := j.MeanRuntime(); j.observedRuns >= minObservedRuns && mean > minComparedRuntime {
 		m.compareRun(run, mean)
 	}
-	if !m.Slow {
+	if !m.Slow { // runs on a slow machine would distort the mean run time of the job
 		j.totalRuntime += run
 		j.observedRuns++
 	}
@@ -108,8 +108,8 @@
 	// quarantineAfterJobs is the number of jobs that must fail on a machine, without a success
 	// in between, before the machine is quarantined.
 	quarantineAfterJobs = 2
-	// quarantineAfterErrors is the number of consecutive attempts that must fail, of a job that
-	// has succeeded before, until the machine of the last one is quarantined.
+	// quarantineAfterErrors applies to a job that has succeeded before: it is the number of
+	// consecutive failed attempts after which the machine of the last one is quarantined.
 	quarantineAfterErrors = 3
 	// backOffAfterMachines is the number of machines on which a job must fail, without any
 	// success, before it is retried with backoff and its failures no longer count against the
@@ -168,8 +168,8 @@
 }
 
 // ReplicaEnded records a replica that ended without being stopped. Replicas that repeatedly end
-// soon are restarted with exponential backoff and on other machines. failed is set if the
-// replica ended in an error.
+// soon after their start are restarted with exponential backoff and on other machines. failed is
+// set if the replica ended in an error.
 func (o *Outcomes) ReplicaEnded(a *Attempt, failed bool, now units.Micros) {
 	o.ReplicaSteady(a, now)
 	j := a.Job
--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -88,7 +88,7 @@
 // Records in FormatV1 can be larger than the lowered limit of a value. They are split
 // before they have to be changed. Wherever a crash interrupts that, all 600 machines remain
 // named and all completions are kept.
-func TestLargeOldRecordsAreSplit(t *testing.T) {
+func TestLargeV1RecordsAreSplitWithoutLoss(t *testing.T) {
 	limits := config.KVLimits{ValueKB: 16, TxnOps: 12, Next: &config.KVLimits{ValueKB: 2, TxnOps: 4}}
 	for crash := range 40 {
 		s := &store{items: productionRecords(t), revision: 100}
@@ -169,7 +169,7 @@
 		if c, stored, err = storage.ParseCatalog(rows); err != nil || len(c.Types) != want.types {
 			t.Errorf("step %d: %d types, %v", step, len(c.Types), err)
 		}
-		if _, old := stored[storage.KeyCatalog]; old != (want.format == storage.FormatV1) {
+		if _, inFormatV1 := stored[storage.KeyCatalog]; inFormatV1 != (want.format == storage.FormatV1) {
 			t.Errorf("step %d: records %v", step, stored)
 		}
 	}
--- a/internal/cluster/recordrules.go
+++ b/internal/cluster/recordrules.go
@@ -22,12 +22,12 @@
 	}
 }
 
-// oldLeadersPossible reports whether a later leader may be able to read only FormatV1.
-func (r *recordRules) oldLeadersPossible() bool { return r.format < storage.FormatV2 }
+// v1LeadersPossible reports whether a later leader may be able to read only FormatV1.
+func (r *recordRules) v1LeadersPossible() bool { return r.format < storage.FormatV2 }
 
 // maxChanges returns the maximum number of changes in a transaction.
 func (r *recordRules) maxChanges() int {
-	if r.nextLimitsApplied || !r.oldLeadersPossible() {
+	if r.nextLimitsApplied || !r.v1LeadersPossible() {
 		return r.limits.Lowest().TxnOps
 	}
 	return r.limits.TxnOps
--- a/internal/cluster/released.go
+++ b/internal/cluster/released.go
@@ -6,9 +6,9 @@
 const maxReleasedMachines = 8192
 
 // ReleasedMachines are the latest machines that this leader released, up to a bound. The cloud
-// may list such a machine for a while, and delayed copies of its heartbeats can arrive at any
-// time; neither may add the machine again as capacity. It maps machine IDs to the steady time
-// of their release.
+// may list such a machine for a while, and delayed duplicates of its heartbeats can arrive at any
+// time; neither may add the machine again as capacity. The map contains the steady time of the
+// release by machine ID.
 type ReleasedMachines map[string]units.Micros
 
 // Has reports whether the set contains a machine.
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -11,8 +11,8 @@
 // ParseJobs decodes the records under the jobs' prefix. If any record cannot be decoded it
 // returns a *storage.RecordError, because skipping a record would lose a job. The records of a
 // job whose migration to FormatV2 is incomplete are merged from both formats. orphans
-// are the keys of parts without a main record, by job ID: such parts are left over from jobs
-// that have ended.
+// are the keys of parts without a main record, by job ID. They are left over if the job has ended;
+// otherwise its main record is missing, so the caller must read the job's terminal record.
 func ParseJobs(items []protocol.Item) (jobs []*Job, orphans map[string][]string, err error) {
 	byKey := map[string]*Job{}
 	var parts []protocol.Item
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// parseRecord decodes and validates a job's main record. It returns a *storage.RecordError if
-// the record is invalid.
+// parseRecord decodes and validates a job's main record. If the record is invalid it returns a
+// *storage.RecordError, and never an empty job.
 func parseRecord(key string, raw protocol.Raw) (*Job, storage.JobRecord, error) {
 	var r storage.JobRecord
 	if err := protocol.Decode(raw, &r); err != nil {
@@ -132,7 +132,7 @@
 		if n < 1 || n > last/storage.OldPageTasks {
 			return storage.ErrOutOfRange
 		}
-		j.records.oldDonePages[n] = sh
+		j.records.donePagesV1[n] = sh
 		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.OldPageTasks))
 	}
 	if r.Format != storage.FormatV2 {
@@ -156,7 +156,7 @@
 		clear(j.done.set) // an older version may have treated the service as a job array
 	}
 	if r.format == storage.FormatV2 { // the migration stopped before it deleted the pages in FormatV1
-		r.markOldPagesObsolete()
+		r.markV1PagesObsolete()
 	}
 	j.done.recount()
 }
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -31,13 +31,13 @@
 	unreconciled map[string]bool // Job.UnreconciledMachines
 	attempts     map[string]int  // number of live attempts by machine
 
-	format       storage.Format
-	migrating    bool           // to FormatV2; the stored main record is in FormatV1
-	main         *shard         // the main record
-	nameParts    map[int]*shard // by number: parts with machine names that do not fit in main
-	donePages    map[int]*shard // by number: parts with pages of the done set, in FormatV2
-	oldDonePages map[int]*shard // the same in FormatV1
-	obsolete     []string       // keys of parts in FormatV1 that are to be deleted
+	format      storage.Format
+	migrating   bool           // to FormatV2; the stored main record is in FormatV1
+	main        *shard         // the main record
+	nameParts   map[int]*shard // by number: parts with machine names that do not fit in main
+	donePages   map[int]*shard // by number: parts with pages of the done set, in FormatV2
+	donePagesV1 map[int]*shard // the same in FormatV1
+	obsolete    []string       // keys of parts in FormatV1 that are to be deleted
 
 	shardOf       map[string]*shard // by machine: the record that names it
 	openShard     *shard            // the record that got the last new name
@@ -60,17 +60,17 @@
 		shardOf:      map[string]*shard{},
 		nameParts:    map[int]*shard{},
 		donePages:    map[int]*shard{},
-		oldDonePages: map[int]*shard{},
+		donePagesV1:  map[int]*shard{},
 	}
 }
 
-// markOldPagesObsolete schedules the stored pages in FormatV1 for deletion.
-func (r *jobRecords) markOldPagesObsolete() {
-	for n, sh := range r.oldDonePages {
+// markV1PagesObsolete schedules the stored pages in FormatV1 for deletion.
+func (r *jobRecords) markV1PagesObsolete() {
+	for n, sh := range r.donePagesV1 {
 		if sh.version != 0 {
 			r.obsolete = append(r.obsolete, sh.key)
 		}
-		delete(r.oldDonePages, n)
+		delete(r.donePagesV1, n)
 	}
 	slices.Sort(r.obsolete)
 }
@@ -81,7 +81,7 @@
 	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/storage.PageTasks
 	switch {
 	case r.format == storage.FormatV1:
-		pages, kind, n = r.oldDonePages, storage.PartOldDonePage, task/storage.OldPageTasks
+		pages, kind, n = r.donePagesV1, storage.PartOldDonePage, task/storage.OldPageTasks
 		if n == 0 {
 			return r.main
 		}
@@ -116,7 +116,7 @@
 			r.pageOf(p * storage.PageTasks).dirty = true
 		}
 	}
-	r.markOldPagesObsolete()
+	r.markV1PagesObsolete()
 	r.setNameLimits(budget)
 	r.moveExcessNames()
 }
@@ -127,17 +127,18 @@
 	if r.format != storage.FormatV1 {
 		return
 	}
-	for _, sh := range r.oldDonePages {
+	for _, sh := range r.donePagesV1 {
 		r.main.dirty = r.main.dirty || sh.dirty
 	}
 }
 
-// recordDeleted removes a part in FormatV1 whose record was deleted from the key-value store.
+// recordDeleted stops tracking the page in FormatV1 under a key that was deleted from the key-value
+// store.
 func (r *jobRecords) recordDeleted(key string) {
 	r.obsolete = slices.DeleteFunc(r.obsolete, func(o string) bool { return o == key })
-	for n, sh := range r.oldDonePages {
+	for n, sh := range r.donePagesV1 {
 		if sh.key == key {
-			delete(r.oldDonePages, n)
+			delete(r.donePagesV1, n)
 		}
 	}
 }
@@ -145,7 +146,7 @@
 // storedPartKeys returns the keys of the job's stored parts and of its obsolete records.
 func (r *jobRecords) storedPartKeys() []string {
 	keys := r.obsolete
-	for _, shards := range []map[int]*shard{r.nameParts, r.donePages, r.oldDonePages} {
+	for _, shards := range []map[int]*shard{r.nameParts, r.donePages, r.donePagesV1} {
 		for _, n := range slices.Sorted(maps.Keys(shards)) {
 			if sh := shards[n]; sh.version != 0 {
 				keys = append(keys, sh.key)
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -37,7 +37,7 @@
 	Machines      map[string]*Machine // by ID
 	Teams         map[string]*Team    // by name
 	InstanceTypes map[string]protocol.InstanceType
-	// Unreconciled is the index of machines not reconciled since the failover.
+	// Unreconciled is the index of machines that have not been reconciled since the failover.
 	Unreconciled UnreconciledIndex
 	// Outcomes holds the statistics of finished attempts.
 	Outcomes Outcomes
@@ -92,12 +92,12 @@
 func (s *State) ApplyNextLimits() bool {
 	was := s.rules.nextLimitsApplied
 	s.rules.nextLimitsApplied = true
-	return !was && s.rules.oldLeadersPossible()
+	return !was && s.rules.v1LeadersPossible()
 }
 
 // AddJob adds a job that was restored from its records.
 func (s *State) AddJob(j *Job) {
-	if !s.rules.oldLeadersPossible() && j.records.format == storage.FormatV1 {
+	if !s.rules.v1LeadersPossible() && j.records.format == storage.FormatV1 {
 		j.records.main.dirty, j.write.due = true, true // to be migrated to FormatV2
 	}
 	j.write.due = j.write.due || len(j.records.obsolete) > 0 // an earlier leader failed before it deleted them
--- a/internal/cluster/unreconciled.go
+++ b/internal/cluster/unreconciled.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// UnreconciledIndex contains the machines that are not reconciled since the failover: a job's
+// UnreconciledIndex contains the machines that have not been reconciled since the failover: a job's
 // records name them, and no heartbeat has shown which tasks they hold. It shrinks as machines
 // are reconciled, so the cost of an operation depends on the unreconciled machines and not on
 // the size of the fleet. The mutex of its State guards it.
@@ -42,7 +42,8 @@
 	}
 }
 
-// Mark records that a machine may hold tasks of a job which no heartbeat has listed.
+// Mark adds an unreconciled machine of a job: it may hold tasks of the job, and no heartbeat has
+// listed them.
 func (u *UnreconciledIndex) Mark(j *Job, machine string) {
 	if !j.UnreconciledMachines[machine] {
 		j.UnreconciledMachines[machine] = true
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -127,7 +127,7 @@
 	return cmp.Or(cmp.Compare(effectiveDueTime(a), effectiveDueTime(b)), cmp.Compare(a.Spec.ID, b.Spec.ID))
 }
 
-// firstIf returns the result of a comparison function whose first argument goes first or not.
+// firstIf returns -1 if the first of two compared values goes first, and 1 if the second does.
 func firstIf(first bool) int {
 	if first {
 		return -1
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -8,15 +8,16 @@
 	"dunestand/internal/storage"
 )
 
-// collectWrites returns all due writes of a job, in an order in which it is safe to apply only
-// the first ones.
+// collectWrites returns all due writes of a job. Any number of them from the start can safely be
+// committed without the others, except that a write with withPrevious must not be separated from
+// the preceding one.
 func collectWrites(j *Job, id string, rules *recordRules) (batchEntry, []write) {
 	entry := batchEntry{job: j, cancelled: j.Cancelled, terminal: j.terminalRecord(id)}
 	w := &jobWrites{job: j, records: &j.records, writeID: id}
 	if entry.terminal != nil {
 		w.addTerminalRecord(entry.terminal)
-		if rules.oldLeadersPossible() && j.records.format == storage.FormatV1 {
-			w.deleteOldPages()
+		if rules.v1LeadersPossible() && j.records.format == storage.FormatV1 {
+			w.deleteV1Pages()
 		}
 		return entry, w.writes
 	}
@@ -35,7 +36,7 @@
 // addLiveRecords adds the changed records of a job that is not in a terminal state.
 func (w *jobWrites) addLiveRecords(rules *recordRules) {
 	j, r := w.job, w.records
-	if !rules.oldLeadersPossible() && r.format == storage.FormatV1 {
+	if !rules.v1LeadersPossible() && r.format == storage.FormatV1 {
 		r.migrate(j.done.set, j.stored, rules.nameBudget)
 	}
 	r.main.dirty = r.main.dirty || j.Cancelled && !j.CancelDurable
@@ -87,11 +88,11 @@
 	w.deletePendingSubmission()
 }
 
-// deleteOldPages adds the deletion of pages in FormatV1 together with the main record, because a
+// deleteV1Pages adds the deletion of pages in FormatV1 together with the main record, because a
 // reader of FormatV1 rejects pages without a main record.
-func (w *jobWrites) deleteOldPages() {
-	for _, n := range slices.Sorted(maps.Keys(w.records.oldDonePages)) {
-		if sh := w.records.oldDonePages[n]; sh.version != 0 {
+func (w *jobWrites) deleteV1Pages() {
+	for _, n := range slices.Sorted(maps.Keys(w.records.donePagesV1)) {
+		if sh := w.records.donePagesV1[n]; sh.version != 0 {
 			w.deleteRecord(sh.key, true)
 		}
 	}
@@ -122,7 +123,7 @@
 func (w *jobWrites) addDonePages() {
 	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatV2, w.writeID
 	if w.records.format == storage.FormatV1 {
-		pages, size, format, writeID = w.records.oldDonePages, storage.OldPageTasks, 0, ""
+		pages, size, format, writeID = w.records.donePagesV1, storage.OldPageTasks, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
 		if sh := pages[n]; sh.dirty {
--- a/internal/cluster/writestate.go
+++ b/internal/cluster/writestate.go
@@ -51,8 +51,8 @@
 	w.abortedWaiters, w.durable = nil, make(chan struct{})
 }
 
-// takeWaiters returns the channels of the due write, for the batch that contains it to close.
-// Waiters for later changes get a new channel.
+// takeWaiters returns the channels of the due write, which the caller must close once the batch
+// with that write is committed. Waiters for later changes get a new channel.
 func (w *writeState) takeWaiters() []chan struct{} {
 	waiters := append(w.abortedWaiters, w.durable)
 	w.abortedWaiters, w.durableInFlight, w.durable = nil, w.durable, make(chan struct{})
--- a/internal/cluster/writestate_test.go
+++ b/internal/cluster/writestate_test.go
@@ -11,8 +11,8 @@
 	}
 }
 
-// A waiter is woken by the write that contains its change, also after an aborted attempt of that
-// write, and not by an earlier write.
+// A waiter is woken by the write that contains its change, also if an earlier request for that
+// write was aborted, and not by the write of earlier changes.
 func TestWaitersAreWokenByTheWriteOfTheirChange(t *testing.T) {
 	w := newWriteState()
 	w.mark(1, true)
--- a/internal/persister/claim.go
+++ b/internal/persister/claim.go
@@ -90,7 +90,7 @@
 }
 
 // isOwnClaim reports whether a bucket's head was written in the present leadership, as opposed to
-// an earlier leadership of the same controller.
+// an earlier leadership of the same controller, which may have restarted since.
 func (p *Persister) isOwnClaim(head storage.LeaseRecord) bool {
 	return head.Holder == p.Settings.Node && strings.HasPrefix(head.WriteID, fmt.Sprintf("%d-", p.Token))
 }
--- a/internal/persister/claim_test.go
+++ b/internal/persister/claim_test.go
@@ -39,7 +39,7 @@
 
 // A leader recognises its own claim after the response was lost, and does not raise the incarnation
 // again.
-func TestClaimContinuesAfterLostAnswers(t *testing.T) {
+func TestClaimContinuesAfterLostResponses(t *testing.T) {
 	server := fake.NewKVServer()
 	server.DropResponse = func(n int) bool { return n%2 == 1 }
 	clock := &fake.Clock{Now: units.Second}
--- a/internal/persister/commit.go
+++ b/internal/persister/commit.go
@@ -19,8 +19,9 @@
 	// ReadRetryDelay is the delay before a failed Restore, or a failed read on which the
 	// outcome of a batch depends, is retried.
 	ReadRetryDelay = 200 * units.Millisecond
-	// RejectedRetryDelay is the delay before a batch that the key-value store rejected is rebuilt,
-	// or a failed read of its outcome is retried.
+	// RejectedRetryDelay is the delay before a batch that the key-value store rejected is rebuilt
+	// for unchanged limits, or before a failed read of its outcome is retried. If the rejection
+	// lowers the limits of write batches, the batch is rebuilt without delay.
 	RejectedRetryDelay = 400 * units.Millisecond
 )
 
@@ -114,7 +115,8 @@
 // conflictCauses are the causes of the version conflict of a batch that was not committed.
 type conflictCauses struct {
 	planReplaced bool // the admission plan by which new jobs were admitted is no longer current
-	// finishedJobs are the terminal records of finished jobs whose IDs new jobs of the batch have.
+	// finishedJobs are terminal records by job ID: a new job of the batch has the ID of such a
+	// finished job.
 	finishedJobs map[string]storage.StoredTerminalRecord
 }
 
--- a/internal/persister/commit_test.go
+++ b/internal/persister/commit_test.go
@@ -35,7 +35,7 @@
 
 // A batch whose response was lost is sent again. After the version conflict, the write ID in its
 // record shows that the first request was committed.
-func TestUnansweredBatchIsCommittedOnce(t *testing.T) {
+func TestBatchWithoutResponseIsCommittedOnce(t *testing.T) {
 	server := fake.NewKVServer()
 	p, _ := newRestoredPersister(t, server, 1)
 	job, batch := newAcceptance(t, p, "j-000001")
--- a/internal/persister/restore.go
+++ b/internal/persister/restore.go
@@ -21,11 +21,11 @@
 // again after it has succeeded. It must be called without the state lock, and not concurrently.
 func (p *Persister) Restore(ctx context.Context) bool {
 	if err := p.claimBuckets(ctx); err != nil {
-		p.Log.Info("buckets not claimed yet", "error", err)
+		p.Log.Info("failed to claim the buckets", "error", err)
 		return false
 	}
 	if err := p.Format.Refresh(ctx); err != nil {
-		p.Log.Info("fleet record format not read yet", "error", err)
+		p.Log.Info("failed to read the fleet record format", "error", err)
 		return false
 	}
 	if p.Format.TooNew() {
@@ -41,12 +41,12 @@
 		return false
 	}
 	if err != nil {
-		p.Log.Info("records not read yet", "error", err)
+		p.Log.Info("failed to read the job records", "error", err)
 		return false
 	}
 	catalog, stored, err := p.readStoredCatalog(ctx)
 	if err != nil {
-		p.Log.Info("records not read yet", "error", err)
+		p.Log.Info("failed to read the stored catalog", "error", err)
 		return false
 	}
 	p.State.Lock()
--- a/internal/recordformat/negotiator.go
+++ b/internal/recordformat/negotiator.go
@@ -24,15 +24,16 @@
 	// controller must not lead then: it would lose the state in records that it cannot read.
 	TooNew() bool
 	// Refresh reads the fleet format from the key-value store. It fails if the store does not
-	// answer, or if a format record cannot be decoded.
+	// respond, or if a format record cannot be decoded.
 	Refresh(ctx context.Context) error
 }
 
 // Negotiator determines the newest record format that every controller can read. During a rolling
 // upgrade some controllers still run the previous version, and any of them may become the leader
 // at any moment. Each controller announces the newest format that it reads in a durable record of
-// its own. Once all configured controllers have announced a format, the leader raises the fleet
-// format to it. The fleet format is never lowered, so that later leaders come to the same result.
+// its own. Once all configured controllers have announced a format or a newer one, the leader raises
+// the fleet format to it. The fleet format is never lowered, so that later leaders come to the same
+// result.
 //
 // Run must be called once; the methods of Source may be called concurrently with it.
 type Negotiator struct {
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// adopt makes format, read or written as the fleet format, the current one if it is newer.
+// adopt sets the current format to the fleet format that was read or written, if that is newer.
 func (n *Negotiator) adopt(format storage.Format) {
 	if format > storage.NewestFormat && !n.tooNew.Swap(true) {
 		n.log.Error("fleet record format is newer than this version supports; this controller will not lead", "format", format, "known", storage.NewestFormat)
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -88,7 +88,7 @@
 		return err
 	}
 	if len(raw) > len(into) {
-		return errors.New("done set is longer than the job")
+		return fmt.Errorf("done set of %d bytes exceeds the limit of %d bytes", len(raw), len(into))
 	}
 	for i, x := range raw {
 		into[i] |= x // pages in FormatV1 and FormatV2 may cover the same tasks
