--- a/internal/scheduler/eviction.go
+++ b/internal/scheduler/eviction.go
@@ -9,9 +9,9 @@
 	// evictionGraceMargin is added to a job's checkpoint duration to give the grace period of
 	// an evicted task.
 	evictionGraceMargin = units.Second
-	// evictionLeadHeartbeats is the number of heartbeat intervals before the latest start of a
-	// checkpoint at which a task is evicted, since a heartbeat's response carries the stop
-	// command.
+	// evictionLeadHeartbeats is the lead time of an eviction in heartbeat intervals: a task is
+	// evicted this long before the last time at which its checkpoint can begin, since the
+	// response to a heartbeat carries the stop command.
 	evictionLeadHeartbeats = 3
 )
 
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -20,7 +20,7 @@
 }
 
 // MachineSchedulable reports whether a machine may be given work now. A machine that has not
-// reported the leader's fencing token may not, nor one that is suspected to be lost, is
+// shown the leader's fencing token may not, nor one that is suspected to be lost, is
 // faulty, is being released or is about to terminate.
 func (sc *Scheduler) MachineSchedulable(m *cluster.Machine, now units.Micros) bool {
 	return m.Registered && m.FencingToken == sc.Token && m.Capacity.CPU > 0 &&
@@ -54,8 +54,9 @@
 }
 
 // tasksWithinZone returns an upper bound on how many more tasks of the job may be placed in a
-// zone by its zone, topology spread and zone affinity. It is not positive if the zone is not
-// allowed or has its share already.
+// zone. The bound follows from the zone, topology spread and zone affinity that the job
+// specifies. It is zero or negative if the zone is not allowed or already has its share of the
+// tasks.
 func tasksWithinZone(job *JobView, zone string) int {
 	if job.Spec.Zone != "" && job.Spec.Zone != zone {
 		return 0
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -46,12 +46,12 @@
 	never := func(int) bool { return false }
 	t.Run("in each zone", func(t *testing.T) {
 		if got := reserveHeadroom(machines, nil, replica, func(i int) bool { return i == 11 }); fmt.Sprint(got) != "[4 0 9 11]" {
-			t.Errorf("reserved on %v", got)
+			t.Errorf("reserved on %v, want two machines in each zone", got)
 		}
 	})
 	t.Run("not in a small fleet", func(t *testing.T) {
 		if got := reserveHeadroom(machines[:6], nil, replica, never); len(got) != 0 {
-			t.Errorf("reserved on %v of a small fleet", got)
+			t.Errorf("reserved on %v of a small fleet, want none", got)
 		}
 	})
 	t.Run("not without a service", func(t *testing.T) {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -58,7 +58,7 @@
 	if job.LiveTasks > 0 || p.tasksWithinQuota(job) < job.Pending {
 		return
 	}
-	before := p.checkpoint(job)
+	before := p.savepoint(job)
 	// A gang may exceed the cycle's limit: one larger than the limit would never start.
 	p.placementsLeft = max(p.placementsLeft, job.Pending)
 	p.place(jobIndex, job)
@@ -67,8 +67,8 @@
 	}
 }
 
-// checkpoint is a copy of the planner's state that placing a job's tasks changes.
-type checkpoint struct {
+// savepoint is a copy of the part of the planner's state that placing a job's tasks changes.
+type savepoint struct {
 	machines             []MachineView
 	pending              int
 	placementsLeft       int
@@ -77,10 +77,10 @@
 	usageAfterPreemption units.Resources
 }
 
-// checkpoint returns the state to which rollback returns. The job must have no live tasks,
+// savepoint returns the state that rollback restores. The job must have no live tasks,
 // since rollback clears their counts by zone.
-func (p *planner) checkpoint(job *JobView) checkpoint {
-	return checkpoint{
+func (p *planner) savepoint(job *JobView) savepoint {
+	return savepoint{
 		machines:             slices.Clone(p.snapshot.Machines),
 		pending:              job.Pending,
 		placementsLeft:       p.placementsLeft,
@@ -90,8 +90,8 @@
 	}
 }
 
-// rollback undoes all placements of a job since the checkpoint before.
-func (p *planner) rollback(job *JobView, before checkpoint) {
+// rollback undoes all placements of a job since the given savepoint.
+func (p *planner) rollback(job *JobView, before savepoint) {
 	copy(p.snapshot.Machines, before.machines)
 	job.Pending = before.pending
 	p.placementsLeft = before.placementsLeft
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -9,7 +9,7 @@
 // Snapshot.Jobs and Snapshot.Machines, here and in the other decisions.
 type Placement struct{ Job, Machine, Count int }
 
-// Preemption stops the victim with the Ref Victim to free capacity for a job.
+// Preemption stops a task to free capacity for a job. Victim is the Victim.Ref of the task.
 type Preemption struct{ Victim, Job int }
 
 // Reservation reserves a machine's free capacity for a job, so that it accumulates until a
@@ -109,9 +109,9 @@
 	job.Pending += rest
 }
 
-// blockFullTeam blocks the team's later jobs in this cycle if the job's tasks exceed what is
-// left of the team's quota limit. Otherwise smaller tasks would keep using up the remaining
-// quota, and a larger task would never fit.
+// blockFullTeam blocks the team's later jobs in this cycle if not one more task of the job fits
+// into the team's quota limit. Otherwise smaller tasks would keep using up the remaining quota,
+// and a larger task would never fit.
 func (p *planner) blockFullTeam(job *JobView) {
 	p.snapshot.Teams[job.Team].Blocked = p.tasksWithinQuota(job) == 0
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -43,8 +43,8 @@
 
 // mayPreempt reports whether a task may be preempted for a job. The job must be urgent and of
 // a higher priority, or be entitled to the capacity by its team's guaranteed quota
-// (mayReclaimGuarantee). The victim waits again once it is stopped, so its job must also come
-// after the other in scheduling order: otherwise the next cycle would return the capacity to
+// (mayReclaimGuarantee). The victim waits again once it is stopped, so the job must also precede
+// the victim's job in scheduling order: otherwise the next cycle would return the capacity to
 // the victim, and the two would preempt each other in turn.
 func (p *planner) mayPreempt(job *JobView, victim Victim) bool {
 	outranked := job.urgent() && victim.Priority < job.Spec.Priority
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -40,8 +40,8 @@
 	Log      *slog.Logger
 	Metrics  *telemetry.Metrics
 	Tracer   cluster.AttemptTracer
-	// Token is the leader's fencing token. Machines whose heartbeats have not reported it get
-	// no work.
+	// Token is the leader's fencing token. Machines whose heartbeats have not shown it get no
+	// work.
 	Token       uint64
 	WriteSignal loop.Signal // wakes the persister
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -23,7 +23,7 @@
 	hasImage         bool
 	heartbeatPending bool // a start is delivered at once
 	freeCPU          units.Amount
-	startDelay       int64 // half seconds until a start is delivered or, see scoreMachine, the replica runs
+	startDelay       int64 // half seconds until a start is delivered, or until a replica runs (scoreMachine)
 	startDelayFirst  bool  // compare startDelay before freeCPU
 }
 
@@ -54,10 +54,11 @@
 }
 
 // rankCandidates returns the machines on which at least one of the job's tasks fits, the best
-// first. Machines that hold the image come first, and those with the most free capacity next
-// (docs/design.md). Machines that hold the image are ordered by their next heartbeat, whose
-// response delivers a start, and then by free capacity. Slow machines come last. The slice is
-// valid until the next call.
+// first by score.compare. Slow machines come after all others, except that a service's replicas
+// are spread first. Of the others, machines that hold the image come first, and those with the
+// most free capacity next (docs/design.md). Machines that hold the image are ordered by their
+// next heartbeat, whose response delivers a start, and then by free capacity. The slice is valid
+// until the next call.
 func (p *planner) rankCandidates(job *JobView) []candidate {
 	p.candidates = p.candidates[:0]
 	for i := range p.snapshot.Machines {
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		if sc.starved(job) && len(job.LiveAttempts) == 1 {
-			continue // the only live task of a job that has waited for it too long
+			continue // the only live task of a starved job
 		}
 		victims = append(victims, Victim{
 			Ref:      len(index.victims),
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -21,7 +21,7 @@
 	QuotaLimit      units.Resources
 	Used            units.Resources // by tasks that may be running
 	Freeing         units.Resources // part of Used, held by tasks that are being stopped
-	Blocked         bool            // a job that exceeds the limit blocks the jobs after it
+	Blocked         bool            // a job's next task exceeds QuotaLimit, so the team's later jobs wait
 }
 
 // MachineView is a machine's capacity and the properties that placement depends on.
@@ -32,7 +32,7 @@
 	Spot                   bool
 	Schedulable            bool // may be given work
 	HeartbeatPending       bool // its heartbeat is being answered, so a start is delivered at once
-	HalfSecondsToHeartbeat int  // time until its next heartbeat, which delivers a start
+	HalfSecondsToHeartbeat int  // time until its next heartbeat, whose response delivers a start
 	Slow                   bool // runs tasks slower than other machines do
 	Reserved               bool // its free capacity is reserved for a job of this cycle
 	Capacity               units.Resources
--- a/internal/scheduler/waiting.go
+++ b/internal/scheduler/waiting.go
@@ -11,7 +11,7 @@
 const starvationAge = 120 * units.Second
 
 // starved reports whether a job was submitted more than starvationAge ago and has no task done.
-// Gangs and services that have started are never starved. Live attempts are not considered.
+// A gang is never starved, nor is a service that has started. Live attempts are not considered.
 func (sc *Scheduler) starved(job *cluster.Job) bool {
 	return job.DoneCount() == 0 && !(job.IsService() && job.Started) &&
 		sc.Clock.Wall()-job.Submitted > starvationAge && job.Spec.Kind != protocol.Gang
@@ -20,8 +20,9 @@
 const (
 	// defaultCompletionWait applies to jobs without a service-level objective for their start.
 	defaultCompletionWait = 2 * units.Second
-	// The time that an objective allows for the start of a job, divided by one of these, is
-	// the time that the job waits for completions.
+	// The maximum wait for completions is the time that an objective allows for the start of
+	// the job, divided by guaranteedStartWaitDivisor for an objective on jobs within their
+	// team's guaranteed quota, and by urgentStartWaitDivisor for one on an urgent job's class.
 	guaranteedStartWaitDivisor = 4
 	urgentStartWaitDivisor     = 8
 )
