--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -40,7 +40,7 @@
 	Clock      units.Clock
 	Log        *slog.Logger
 	// Token is the leader's fencing token. It makes the IDs of scale-out requests unique. Only
-	// machines whose heartbeats have reported it are scaled in as idle.
+	// machines whose heartbeats have shown it are scaled in as idle.
 	Token       uint64
 	ElectedAt   units.Micros // steady time at which this leader was elected
 	CycleSignal loop.Signal  // wakes the scheduler
--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -16,9 +16,9 @@
 	listRateShare   = 0.3 // maximum share of the cloud's request rate limit
 )
 
-// A machine that never registered and is missing from the list counts as gone this long after
-// its launch. The list may lag behind by ListLagS; the factor and the margin allow for a longer
-// lag.
+// A machine that never registered and is missing from the list counts as gone unlistedLagFactor
+// list lags plus unlistedMargin after its launch. The list may lag behind by ListLagS; the
+// factor and the margin allow for a longer lag.
 const (
 	unlistedLagFactor = 4 // multiple of the list's lag
 	unlistedMargin    = 20 * units.Second
@@ -35,7 +35,7 @@
 func (as *Autoscaler) refreshMachineList(ctx context.Context) {
 	listed, err := as.Cloud.ListMachines(ctx)
 	if err != nil {
-		as.Log.Debug("machines not listed", "error", err)
+		as.Log.Debug("failed to read the machine list", "error", err)
 		return
 	}
 	as.State.Lock()
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -167,7 +167,8 @@
 	return best
 }
 
-// result returns the orders, sorted like the offerings and limited to the size of a request.
+// result returns the orders in the sequence of the offerings, each limited to the size of a
+// request.
 func (p *scaleOutPlan) result() []Order {
 	var orders []Order
 	for _, o := range p.offerings {
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -132,7 +132,7 @@
 }
 
 // neverRegistered reports whether a machine has sent this leader no heartbeat for longer than
-// its lease plus the grace period of a zone that is cut off from the network, and so is lost.
+// its lease plus the grace period of a partitioned zone, and so is lost.
 func (as *Autoscaler) neverRegistered(m *cluster.Machine, now units.Micros) bool {
 	return !m.Registered &&
 		now-max(as.ElectedAt, m.LaunchedAt) > election.WithDrift(as.Settings.Fleet.Workers.LeaseDuration(), failuredetector.ZonePartitionGrace)
--- a/internal/failuredetector/delay.go
+++ b/internal/failuredetector/delay.go
@@ -18,8 +18,8 @@
 // delayMonitor detects that this process is overloaded: its timers fire late. An overloaded leader
 // delays all users and workers, while another controller could lead.
 type delayMonitor struct {
-	mean        units.Micros // exponential moving mean of the timer's delay
-	behindSince units.Micros // steady time since which the mean is too high, 0 if it is not
+	mean         units.Micros // exponential moving mean of the timer's delay
+	delayedSince units.Micros // steady time since which the mean is too high, 0 if it is not
 }
 
 // observe adds the delay with which the timer fired, and reports whether the mean has been too high
@@ -28,11 +28,11 @@
 	m.mean = ((delayMeanSamples-1)*m.mean + max(0, delay)) / delayMeanSamples
 	switch {
 	case m.mean < maxMeanDelay:
-		m.behindSince = 0
-	case m.behindSince == 0:
-		m.behindSince = now
+		m.delayedSince = 0
+	case m.delayedSince == 0:
+		m.delayedSince = now
 	}
-	return m.behindSince != 0 && now-m.behindSince >= maxDelayDuration
+	return m.delayedSince != 0 && now-m.delayedSince >= maxDelayDuration
 }
 
 // MonitorDelay hands the leader lease over when this controller is overloaded and another controller
@@ -41,12 +41,12 @@
 	var monitor delayMonitor
 	for last := d.Clock.Steady(); loop.Sleep(ctx, delayCheckInterval); {
 		now := d.Clock.Steady()
-		behind := monitor.observe(now-last-delayCheckInterval, now)
+		overloaded := monitor.observe(now-last-delayCheckInterval, now)
 		if monitor.mean >= maxMeanDelay {
 			d.NoteDelay(now)
 		}
 		last = now
-		if behind && now-d.ElectedAt > minLeadershipDuration && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
+		if overloaded && now-d.ElectedAt > minLeadershipDuration && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
 			d.Log.Info("controller overloaded; leader lease handed over", "late_ms", monitor.mean/units.Millisecond)
 			monitor = delayMonitor{}
 		}
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -51,8 +51,8 @@
 
 // Delays of a worker's next heartbeat that SuspectAfter tolerates.
 const (
-	reconnectTime           = 1500 * units.Millisecond // after the connection to the leader was lost
-	unansweredHeartbeatTime = 5 * units.Second         // after a heartbeat that got no response
+	reconnectTime    = 1500 * units.Millisecond // after the connection to the leader was lost
+	lostResponseTime = 5 * units.Second         // after a heartbeat that got no response
 )
 
 // maxHeartbeatInterval returns the longest time between two heartbeats of a machine. Workers vary the
@@ -66,7 +66,7 @@
 // heartbeat without a response: the worker then waits 4 s and tries the next controller 1 s later.
 func (d *Detector) SuspectAfter() units.Micros {
 	twoHeartbeats := d.Settings.Fleet.Workers.HeartbeatInterval().Fraction(5, 2)
-	return min(twoHeartbeats+reconnectTime, d.maxHeartbeatInterval()+unansweredHeartbeatTime)
+	return min(twoHeartbeats+reconnectTime, d.maxHeartbeatInterval()+lostResponseTime)
 }
 
 // WorkerLease returns the time after which the lease of a machine has certainly expired. It counts
--- a/internal/failuredetector/lostmachines.go
+++ b/internal/failuredetector/lostmachines.go
@@ -13,8 +13,8 @@
 	// lateMargin is how long a heartbeat may be overdue before the machine counts as suspected.
 	lateMargin = units.Second
 
-	// Number of healthy machines required per silent machine, so that the silence is attributed
-	// to the machines and not to the network.
+	// Number of healthy machines required per lost or suspected machine, so that the silence is
+	// attributed to the machines and not to the network.
 	healthyPerMissingInFleet = 2
 	healthyPerMissingInZone  = 1
 
@@ -28,7 +28,7 @@
 const ZonePartitionGrace = 120 * units.Second
 
 // Bounds of the time that a worker needs to find a new leader: it tries the next controller after
-// 1 s, and waits 4 s for each controller that does not answer.
+// 1 s, and waits 4 s for each controller that does not respond.
 const (
 	leaderSearchStart         = 2500 * units.Millisecond
 	leaderSearchPerController = 5 * units.Second
@@ -39,8 +39,8 @@
 
 // hasHealthyPerMissing reports whether there are at least n healthy machines per lost or suspected
 // one. If there are fewer, the network is the likelier cause, and the silent machines may return.
-// Suspected machines count as well, since machines that a partition cuts off at the same time do not
-// become lost at the same time.
+// Suspected machines count as well, since machines that are partitioned at the same time do not become
+// lost at the same time.
 func (h heartbeatHealth) hasHealthyPerMissing(n int) bool { return h.healthy >= n*(h.lost+h.suspected) }
 
 // heartbeatSurvey holds the health of the fleet, the health of each zone by name, and the IDs of the
@@ -54,9 +54,9 @@
 // LostMachines returns the IDs of the machines that may be released as lost: those that have been
 // silent for too long, do not carry out commands, or are known only from a record. If too many
 // machines of the fleet or of a zone are silent at the same time, a network partition is the likelier
-// cause; LostMachines then returns none of the fleet, or none of the zone until ZonePartitionGrace has
-// passed. It still returns machines that may run tasks of cancelled jobs, unless no machine of their
-// zone is healthy.
+// cause, and a partitioned zone must not be released. LostMachines then returns none of the fleet, or
+// none of the zone until ZonePartitionGrace has passed. It still returns machines that may run tasks
+// of cancelled jobs, unless no machine of their zone is healthy.
 func (d *Detector) LostMachines(now units.Micros) map[string]bool {
 	if now < d.reportLostFrom {
 		return map[string]bool{}
--- a/internal/failuredetector/lostmachines_test.go
+++ b/internal/failuredetector/lostmachines_test.go
@@ -48,7 +48,7 @@
 
 // A silent machine is lost if most other machines of the fleet and of its zone are healthy. If they
 // are silent, too, the network is the likelier cause.
-func TestLostMachines(t *testing.T) {
+func TestSilentMachineIsLostUnlessMostOthersAreSilent(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		silent  []int
@@ -83,7 +83,7 @@
 	d := newTestDetector(t)
 	d.State.Machines[machineID(5)].UndeliveredCommands = cluster.MaxUndeliveredCommands
 	if got := d.LostMachines(testNow); len(got) != 1 || !got[machineID(5)] {
-		t.Errorf("lost: %v", got)
+		t.Errorf("lost: %v, want only the machine that ignores commands", got)
 	}
 }
 
@@ -93,7 +93,7 @@
 	d.State.Machines[machineID(3)].LastHeartbeat = testNow - 20*units.Second
 	d.NoteDelay(testNow)
 	if got := d.LostMachines(testNow); len(got) != 0 {
-		t.Errorf("lost: %v", got)
+		t.Errorf("lost: %v, want none during the delay", got)
 	}
 	later := testNow + d.SuspectAfter()
 	for id, m := range d.State.Machines {
@@ -102,7 +102,7 @@
 		}
 	}
 	if got := d.LostMachines(later); len(got) != 1 || !got[machineID(3)] {
-		t.Errorf("lost after the delay: %v", got)
+		t.Errorf("lost after the delay: %v, want only the silent machine", got)
 	}
 }
 
--- a/internal/push/concurrency.go
+++ b/internal/push/concurrency.go
@@ -19,8 +19,9 @@
 // store and the cloud.
 const otherConnections = 24
 
-// BroadcastConcurrency returns the number of machines to which the fencing token is sent concurrently, given
-// the number of unreconciled machines and the connection limit of the controller.
+// BroadcastConcurrency returns the number of machines to which the fencing token is sent
+// concurrently, given the number of unreconciled machines and the connection limit of the
+// controller.
 func BroadcastConcurrency(unreconciled, maxConnections int) int {
 	limit := min(max(maxConnections/connectionsPerBroadcast, minBroadcastLimit), maxBroadcastLimit)
 	return min(max(unreconciled/machinesPerBroadcast, minBroadcastConcurrency), limit)
@@ -31,8 +32,8 @@
 	return min(max(maxConnections/connectionsPerPush, minPushConcurrency), maxPushConcurrency)
 }
 
-// ReservedConnections returns the number of connections reserved for calls that the controller makes. The
-// rest of maxConnections is for users and workers.
+// ReservedConnections returns the number of connections reserved for calls that the controller
+// makes. The rest of maxConnections is for users and workers.
 func ReservedConnections(maxConnections int) int {
 	return otherConnections + BroadcastConcurrency(math.MaxInt32, maxConnections) + pushConcurrency(maxConnections)
 }
--- a/internal/push/pusher.go
+++ b/internal/push/pusher.go
@@ -78,8 +78,8 @@
 	p.pushSignal.Raise()
 }
 
-// TakeRequests removes and returns the pending requests, by machine ID: a job that has a task to start
-// there, or nil.
+// TakeRequests removes and returns the pending requests. The result maps the ID of each machine to a
+// job that has a task to start there, or to nil.
 func (p *CommandPusher) TakeRequests() map[string]*cluster.Job {
 	p.State.Lock()
 	defer p.State.Unlock()
--- a/internal/push/pusher_test.go
+++ b/internal/push/pusher_test.go
@@ -65,7 +65,7 @@
 
 // Stops are pushed for running tasks that are no longer wanted, and a wake command for a machine that
 // has a start waiting. Starts themselves are never pushed.
-func TestPushedCommands(t *testing.T) {
+func TestOnlyStopsAndWakeCommandsArePushed(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		stage             cluster.AttemptStage
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -9,8 +9,9 @@
 	"dunestand/internal/units"
 )
 
-// PendingStartWrite returns a channel that is closed once the write is durable for which a start on the
-// machine waits. It returns nil if no start waits for a write.
+// PendingStartWrite returns a channel that is closed once the write that a start on the machine
+// waits for is durable. It returns nil if no start waits for a write or if the machine has not
+// shown the leader's fencing token.
 func (rc *Reconciler) PendingStartWrite(m *cluster.Machine) <-chan struct{} {
 	if m.FencingToken != rc.Token {
 		return nil
--- a/internal/reconciler/duplicates_test.go
+++ b/internal/reconciler/duplicates_test.go
@@ -29,17 +29,17 @@
 		for sequence := uint64(2); sequence < 4; sequence++ {
 			later := heartbeatOf(machines[2], sequence, 2)
 			if commands := rc.Commands(rc.Reconcile(later, testNow), later, testNow); len(commands) != 0 {
-				t.Errorf("order %v: the later attempt gets %v", order, commands)
+				t.Errorf("order %v: the later attempt gets %v, want no command", order, commands)
 			}
 			earlier := heartbeatOf(machines[1], sequence, 1)
 			commands := rc.Commands(rc.Reconcile(earlier, testNow), earlier, testNow)
 			if len(commands) != 1 || commands[0].Verb != protocol.VerbStop || commands[0].Attempt != 1 {
-				t.Errorf("order %v: the earlier attempt gets %v", order, commands)
+				t.Errorf("order %v: the earlier attempt gets %v, want one stop", order, commands)
 			}
 		}
 		rc.Reconcile(heartbeatOf(machines[1], 4), testNow)
 		if live := job.LiveAttempts[0]; live == nil || live.Number != 2 || live.HasRival() || job.Pending() != 1 {
-			t.Errorf("order %v: left %v, %d tasks pending", order, live, job.Pending())
+			t.Errorf("order %v: latest attempt %v with %d tasks pending, want only attempt 2 and 1 pending", order, live, job.Pending())
 		}
 	}
 }
@@ -51,10 +51,10 @@
 	rc.Reconcile(heartbeatOf(testMachine, 1, 1), testNow)
 	own := heartbeatOf(testMachine, 9, 2)
 	if commands := rc.Commands(rc.Reconcile(own, testNow), own, testNow); len(commands) != 0 {
-		t.Errorf("commands %v", commands)
+		t.Errorf("the later attempt gets %v, want no command", commands)
 	}
 	if live := job.LiveAttempts[0]; live == nil || live.Number != 2 || live.HasRival() {
-		t.Errorf("left %v", live)
+		t.Errorf("latest attempt %v, want only attempt 2", live)
 	}
 }
 
@@ -72,7 +72,7 @@
 	rc.Reconcile(heartbeatOf("i-000012", 2), testNow)
 	commands := rc.Commands(m, heartbeat(1, 1), testNow)
 	if len(commands) != 1 || commands[0].Attempt != attempt.Number || attempt.Stage != cluster.Sent {
-		t.Errorf("commands %v once it is gone", commands)
+		t.Errorf("commands %v once the other attempt is gone, want the held start", commands)
 	}
 }
 
@@ -86,6 +86,6 @@
 	late.Tasks[0].Stage, late.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
 	rc.Reconcile(late, testNow)
 	if live := job.LiveAttempts[0]; live == nil || live.Stopping {
-		t.Errorf("running replica: %+v", live)
+		t.Errorf("running replica: %+v, want it live and not stopping", live)
 	}
 }
--- a/internal/reconciler/logging.go
+++ b/internal/reconciler/logging.go
@@ -18,11 +18,11 @@
 }
 
 // add records an adopted attempt whose task has another attempt.
-func (r *duplicateAttempts) add(attempt *cluster.Attempt) {
-	if r.first == nil {
-		r.first = attempt
+func (d *duplicateAttempts) add(attempt *cluster.Attempt) {
+	if d.first == nil {
+		d.first = attempt
 	}
-	r.count++
+	d.count++
 }
 
 // logDuplicateAttempts counts the duplicate attempts of a heartbeat and logs them in one line per
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -125,7 +125,7 @@
 }
 
 // Each reported task gets the command that its state requires, if any.
-func TestCommandsForReportedTasks(t *testing.T) {
+func TestReportedTaskGetsStopForgetOrNoCommand(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		task    protocol.TaskStatus
@@ -168,10 +168,10 @@
 	refused := protocol.TaskStatus{Job: job.Spec.ID, Index: attempt.Index, Attempt: attempt.Number, Stage: protocol.TaskExited, Cause: protocol.CauseNoCapacity}
 	rc.Reconcile(heartbeat(1, 2, refused), testNow)
 	if m.BlockedUntil != testNow+noCapacityBackoff {
-		t.Errorf("blocked until %d", m.BlockedUntil)
+		t.Errorf("blocked until %d, want %d", m.BlockedUntil, testNow+noCapacityBackoff)
 	}
 	if len(m.Attempts) != 0 || job.Pending() != 2 {
-		t.Errorf("%d attempts, %d pending", len(m.Attempts), job.Pending())
+		t.Errorf("%d attempts and %d tasks pending, want 0 and 2", len(m.Attempts), job.Pending())
 	}
 }
 
@@ -191,7 +191,7 @@
 		rc.Reconcile(heartbeat(1, sequence), testNow)
 	}
 	if !m.IgnoresCommands() {
-		t.Fatal("not unresponsive")
+		t.Fatal("not unresponsive at the limit of undelivered commands")
 	}
 	// The machine keeps its incarnation for longer than its lease, so it receives responses.
 	sequence++
--- a/internal/reconciler/tasks.go
+++ b/internal/reconciler/tasks.go
@@ -50,7 +50,7 @@
 }
 
 // applyUnknownExit applies the status of an ended attempt that the state does not have on the
-// machine. If the attempt completed its task, the other attempts of the task are stopped.
+// machine. If the attempt completed its task, the task is done and its other attempts are stopped.
 func (rc *Reconciler) applyUnknownExit(task *protocol.TaskStatus, now units.Micros) {
 	job := rc.State.Jobs[task.Job]
 	if job == nil || task.Cause != protocol.CauseDone || task.Index >= job.Spec.Tasks || job.IsDone(task.Index) {
@@ -59,7 +59,8 @@
 	rc.taskCompleted(job, task.Index, now)
 }
 
-// taskCompleted records that a task is done, and stops its remaining attempts.
+// taskCompleted records that a task is done, and stops its remaining attempts. A replica of a
+// service is never done, so its latest attempt continues.
 func (rc *Reconciler) taskCompleted(job *cluster.Job, task int, now units.Micros) {
 	rc.State.TaskDone(job, task, now)
 	rc.State.StopUnwanted(job, task)
