--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -168,7 +168,7 @@
 	refused := protocol.TaskStatus{Job: job.Spec.ID, Index: attempt.Index, Attempt: attempt.Number, Stage: protocol.TaskExited, Cause: protocol.CauseNoCapacity}
 	rc.Reconcile(heartbeat(1, 2, refused), testNow)
 	if m.BlockedUntil != testNow+noCapacityBackoff {
-		t.Errorf("blocked until %d, want %d", m.BlockedUntil, testNow+noCapacityBackoff)
+		t.Errorf("blocked until %d, want testNow plus noCapacityBackoff", m.BlockedUntil)
 	}
 	if len(m.Attempts) != 0 || job.Pending() != 2 {
 		t.Errorf("%d attempts and %d tasks pending, want 0 and 2", len(m.Attempts), job.Pending())
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -30,11 +30,11 @@
 }
 
 // RunCycle runs one scheduling cycle: it takes a snapshot of the state, plans on it, and
-// applies the decisions to the state. answering is the machine whose heartbeat is being
-// answered, nil if there is none.
-func (sc *Scheduler) RunCycle(now units.Micros, answering *cluster.Machine) {
+// applies the decisions to the state. heartbeatFrom is the machine whose heartbeat is being
+// handled, nil if there is none.
+func (sc *Scheduler) RunCycle(now units.Micros, heartbeatFrom *cluster.Machine) {
 	began := sc.Clock.Steady()
-	snapshot, index := sc.TakeSnapshot(now, answering)
+	snapshot, index := sc.TakeSnapshot(now, heartbeatFrom)
 	decisions := Plan(&snapshot)
 	sc.allMachinesConsidered = !decisions.Truncated
 	clear(sc.reservations)
--- a/internal/scheduler/onemachine.go
+++ b/internal/scheduler/onemachine.go
@@ -11,9 +11,9 @@
 // first few jobs usually use up its free capacity.
 const jobsPerPlan = 12
 
-// PlaceOnMachine plans for one machine, whose heartbeat is being answered, between two cycles.
+// PlaceOnMachine plans for one machine, whose heartbeat is being handled, between two cycles.
 // It takes the queue of the last cycle in its order. Every other machine with free capacity was
-// considered in that cycle or while its own heartbeat was answered, so this machine is the best
+// considered in that cycle or while its own heartbeat was handled, so this machine is the best
 // candidate whether it holds a job's image or not. The cost is small compared with a cycle and
 // does not grow with the fleet: the response to a heartbeat that reports the end of a task can
 // carry the next one. It does nothing if the last cycle did not consider every machine.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -14,7 +14,7 @@
 //   - apply.go applies the decisions to the state.
 //
 // Between two cycles, onemachine.go plans for a single machine while its heartbeat is being
-// answered.
+// handled.
 package scheduler
 
 import (
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -24,17 +24,17 @@
 	view JobView
 }
 
-// TakeSnapshot returns a snapshot of the state that a cycle's decisions depend on. answering
-// is the machine whose heartbeat is being answered, nil if there is none. TakeSnapshot also
+// TakeSnapshot returns a snapshot of the state that a cycle's decisions depend on. heartbeatFrom
+// is the machine whose heartbeat is being handled, nil if there is none. TakeSnapshot also
 // updates the queue and the headroom, and evicts tasks from machines that are about to
 // terminate or are quarantined.
-func (sc *Scheduler) TakeSnapshot(now units.Micros, answering *cluster.Machine) (Snapshot, *snapshotIndex) {
+func (sc *Scheduler) TakeSnapshot(now units.Micros, heartbeatFrom *cluster.Machine) (Snapshot, *snapshotIndex) {
 	var snapshot Snapshot
 	index := new(snapshotIndex)
 	sc.State.Completions.Advance(now)
 	index.teams = sc.snapshotTeams(&snapshot)
 	sc.snapshotJobs(&snapshot, index, now)
-	sc.snapshotMachines(&snapshot, index, now, answering)
+	sc.snapshotMachines(&snapshot, index, now, heartbeatFrom)
 	sc.updateHeadroom(&snapshot, index.machines)
 	pending := 0
 	for i := range snapshot.Jobs {
@@ -144,7 +144,7 @@
 
 // snapshotMachines adds the registered machines, and counts the replicas of waiting services
 // on each.
-func (sc *Scheduler) snapshotMachines(snapshot *Snapshot, index *snapshotIndex, now units.Micros, answering *cluster.Machine) {
+func (sc *Scheduler) snapshotMachines(snapshot *Snapshot, index *snapshotIndex, now units.Micros, heartbeatFrom *cluster.Machine) {
 	machines := sc.State.SortedMachines()
 	snapshot.Machines = make([]MachineView, 0, len(machines))
 	index.machines = make([]*cluster.Machine, 0, len(machines))
@@ -154,7 +154,7 @@
 			continue
 		}
 		sc.evictBeforeTermination(m, now)
-		view := sc.machineView(m, now, m == answering)
+		view := sc.machineView(m, now, m == heartbeatFrom)
 		if servicesWait {
 			index.countReplicas(m, len(index.machines))
 		}
@@ -176,9 +176,9 @@
 	}
 }
 
-// machineView returns a view of a machine without its headroom and victims. answering reports
-// whether its heartbeat is being answered.
-func (sc *Scheduler) machineView(m *cluster.Machine, now units.Micros, answering bool) MachineView {
+// machineView returns a view of a machine without its headroom and victims. heartbeatPending
+// reports whether its heartbeat is being handled.
+func (sc *Scheduler) machineView(m *cluster.Machine, now units.Micros, heartbeatPending bool) MachineView {
 	untilHeartbeat := max(0, m.LastHeartbeat+sc.Settings.Fleet.Workers.HeartbeatInterval()-now)
 	return MachineView{
 		ID:                     m.ID,
@@ -192,7 +192,7 @@
 		Free:                   m.Free(),
 		Freeing:                m.Freeing,
 		HasImage:               m.HasImage,
-		HeartbeatPending:       answering,
+		HeartbeatPending:       heartbeatPending,
 		HalfSecondsToHeartbeat: int(untilHeartbeat / halfSecond),
 	}
 }
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -31,7 +31,7 @@
 	Zone                   string
 	Spot                   bool
 	Schedulable            bool // may be given work
-	HeartbeatPending       bool // its heartbeat is being answered, so a start is delivered at once
+	HeartbeatPending       bool // its heartbeat is being handled, so a start is delivered at once
 	HalfSecondsToHeartbeat int  // time until its next heartbeat, whose response delivers a start
 	Slow                   bool // runs tasks slower than other machines do
 	Reserved               bool // its free capacity is reserved for a job of this cycle
