--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -14,7 +14,7 @@
 //   - apply.go applies the decisions to the state.
 //
 // Between two cycles, onemachine.go plans for a single machine while its heartbeat is being
-// answered.
+// handled.
 package scheduler
 
 import (
@@ -40,8 +40,8 @@
 	Log      *slog.Logger
 	Metrics  *telemetry.Metrics
 	Tracer   cluster.AttemptTracer
-	// Token is the leader's fencing token. Machines whose heartbeats have not reported it get
-	// no work.
+	// Token is the leader's fencing token. Machines whose heartbeats have not shown it get no
+	// work.
 	Token       uint64
 	WriteSignal loop.Signal // wakes the persister
 }
