--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -64,7 +64,7 @@
 	abstainFor    units.Micros // minimum time without campaigning after the resignation
 	handedOverAt  units.Micros // time of day of the last hand-over by any holder, as in the record
 	writes        uint64       // number of write IDs issued by this process
-	answeredAt    units.Micros // steady time of the key-value store's last answer to a read or renewal
+	answeredAt    units.Micros // steady time of the key-value store's last response to a read or renewal
 }
 
 // NewElector returns the elector of a controller, which starts as a follower.
--- a/internal/election/monitor_test.go
+++ b/internal/election/monitor_test.go
@@ -8,8 +8,8 @@
 )
 
 // A controller may campaign against another holder only once it has seen the record unchanged for
-// the lease, the drift and the margin, and against its own former process at once. After an
-// outage it must leave the holder a grace period to renew.
+// the lease, the drift and the margin, and against its own former process, which has ended, at
+// once. After an outage it must leave the holder a grace period to renew.
 func TestCampaignIsAllowedOnlyForAFreeLease(t *testing.T) {
 	m := leaseMonitor{timing: TimingFor(10 * units.Second)}
 	due := WithDrift(m.timing.Duration, m.timing.CampaignMargin)
--- a/internal/kv/watch.go
+++ b/internal/kv/watch.go
@@ -10,7 +10,7 @@
 	"dunestand/internal/units"
 )
 
-// watchMargin is added to the wait of a watch to get the timeout of its request.
+// watchMargin is the time that a response may take beyond the wait that its request asks for.
 const watchMargin = 1500 * units.Millisecond
 
 // Watch waits, for at most the given time, until a key that begins with prefix has changed after the
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -40,7 +40,8 @@
 )
 
 // ParseSubmission parses and validates a user's submission. It returns a *FieldError for an invalid
-// field, or an error of Decode. The text of either is a single line, which is returned to the user.
+// field, or an error of Decode. The text of either is a single line, which the user receives with
+// status 400.
 func ParseSubmission(body []byte) (*JobSpec, error) {
 	var w submission
 	if err := Decode(body, &w); err != nil {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// spec converts a validated submission.
+// spec returns the JobSpec of a validated submission.
 func (w *submission) spec() *JobSpec {
 	priority, _ := ParsePriority(*w.Priority)
 	job := &JobSpec{
--- a/internal/telemetry/answers.go
+++ b/internal/telemetry/answers.go
@@ -2,13 +2,13 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Answers counts the responses to users by the state that they are based on. Its counters are safe
+// Answers counts the answers to users by the evidence for the job state in them. Its counters are safe
 // for concurrent use.
 type Answers struct {
 	Provisional *metrics.Counter // a recently read state that may still change
 	Terminal    *metrics.Counter // a terminal state that is durable and stable
 	Held        *metrics.Counter // refused with a request to retry: the state is too old or too recent
-	Other       *metrics.Counter // no statement about the state of a job
+	Other       *metrics.Counter // no claim about the state of a job
 }
 
 func newAnswers(set *metrics.Set) *Answers {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -20,7 +20,7 @@
 	writers        []func(io.Writer)
 	// Reconciliation counts the results of heartbeats.
 	Reconciliation *Reconciliation
-	// Answers counts the responses to users.
+	// Answers counts the answers to users.
 	Answers *Answers
 }
 
