--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -46,8 +46,8 @@
 	nonce string
 
 	// Connected reports whether this controller receives messages from workers or other
-	// controllers. A controller that does not lets the others campaign first. Connected must
-	// be set before Run and be safe for concurrent use.
+	// controllers. A controller that receives none lets the others campaign first. Connected
+	// must be set before Run and be safe for concurrent use.
 	Connected func() bool
 	// Eligible reports whether this controller is able to lead; nil means always. It must be
 	// set before Run. It is called with the elector's lock held and must not call the elector.
@@ -64,7 +64,7 @@
 	abstainFor    units.Micros // minimum time without campaigning after the resignation
 	handedOverAt  units.Micros // time of day of the last hand-over by any holder, as in the record
 	writes        uint64       // number of write IDs issued by this process
-	answeredAt    units.Micros // steady time of the key-value store's last answer to a read or renewal
+	answeredAt    units.Micros // steady time of the key-value store's last response to a read or renewal
 }
 
 // NewElector returns the elector of a controller, which starts as a follower.
