--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -56,8 +56,8 @@
 	return a
 }
 
-// cancellationConfirmed reports whether the user may be told that a job is cancelled, or that
-// it has reached a terminal state in the meantime.
+// cancellationConfirmed reports whether the answer to the user may confirm that a job is
+// cancelled, or that it has reached a terminal state in the meantime.
 func (l *Leader) cancellationConfirmed(job *cluster.Job) bool {
 	l.state.Lock()
 	defer l.state.Unlock()
@@ -67,8 +67,8 @@
 
 // cancelJob marks a job as cancelled, requests the write, and requests a command push to each
 // machine that may still start a task of it. It does nothing if all of the job's tasks are
-// done: the job then counts as done even if its user has not been told so. The caller must hold
-// the state lock.
+// done: the job then counts as done, even if no answer to its user has reported this yet. The
+// caller must hold the state lock.
 func (l *Leader) cancelJob(job *cluster.Job) {
 	if job.Complete() || job.Cancelled {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -34,7 +34,7 @@
 	leaderlessJobs   leaderlessJobs
 	heartbeatReader  *protocol.HeartbeatReader
 	heartbeatLimiter *heartbeatLimiter
-	refusedSince     atomic.Int64 // steady time since when the leader has refused this controller's connections; 0: it accepts them
+	refusedSince     atomic.Int64 // steady time since when the leader has refused this controller's connections; 0: it does not refuse them
 }
 
 // maxUserPollInterval is an upper limit on the time between two polls of a user, and is longer
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// A controller accepts jobs up to a limit on their estimated memory. The estimate must exceed the
-// memory that the jobs take by so much that enough is left for everything else.
+// A controller accepts jobs up to a limit on their estimated memory. The jobs must take
+// at most half of the estimate, so that the other half is left for everything else.
 func TestJobsTakeAtMostHalfOfTheirEstimatedMemory(t *testing.T) {
 	const maxShare = 0.5 // of the estimated memory
 	for _, c := range []struct{ jobs, tasks int }{{400, 1}, {400, 3000}, {20, protocol.MaxTasks}} {
--- a/internal/controller/delivery_test.go
+++ b/internal/controller/delivery_test.go
@@ -40,9 +40,9 @@
 
 // A machine that counts as unresponsive to commands is sent none, so it cannot show by executing
 // one that it is responsive again. It shows this by keeping its incarnation beyond its lease: its
-// agent begins a new incarnation when the lease expires without a response. Otherwise, when so many
-// machines are unresponsive that none of them is released, they would never get work again although
-// jobs are pending.
+// agent begins a new incarnation when the lease expires without a response. Otherwise, when too many
+// machines are unresponsive for any of them to be released, they would never get work again
+// although jobs are pending.
 func TestMachineThatKeepsItsIncarnationGetsWorkAgain(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 8)
 	const id = "i-000000"
@@ -149,17 +149,17 @@
 	}
 }
 
-// A machine's answer to the broadcast of the fencing token reconciles it only if the leader has
+// A machine's response to the broadcast of the fencing token reconciles it only if the leader has
 // received no heartbeat of that machine before. After a heartbeat, a start may be in flight that
-// the answer does not show. If the leader considered that start lost, the task would run twice.
-func TestBroadcastAnswerCountsOnlyBeforeTheFirstHeartbeat(t *testing.T) {
+// the response does not show. If the leader considered that start lost, the task would run twice.
+func TestBroadcastResponseCountsOnlyBeforeTheFirstHeartbeat(t *testing.T) {
 	leader, clock := newLeaderWithJob(t, 2)
 	job := leader.state.Jobs[testJob]
 	leader.state.Unreconciled.Mark(job, "i-000001")
 	leader.state.EnsureMachine("i-000001", "m", "a", true, clock.Now)
 	leader.broadcaster.ReconcileResponse(testHeartbeat("i-000001", 1, 5, 7))
 	if len(job.UnreconciledMachines) > 0 {
-		t.Error("an answer that shows this leader's token does not reconcile the machine")
+		t.Error("a response that shows this leader's token does not reconcile the machine")
 	}
 	if commands := leader.exchange(testHeartbeat("i-000001", 1, 6, 7)); len(commands) != 2 || commands[0].Verb != protocol.VerbStart {
 		t.Fatalf("no starts: %v", commands)
@@ -168,7 +168,7 @@
 	if len(job.LiveAttempts) != 2 {
 		t.Error("starts in flight are considered lost")
 	}
-	// An answer does not add a machine that is not in the state.
+	// A response does not add a machine that is not in the state.
 	if leader.broadcaster.ReconcileResponse(testHeartbeat("i-000009", 1, 1, 7)); leader.state.Machines["i-000009"] != nil {
 		t.Error("an unknown machine is added")
 	}
--- a/internal/controller/duplicate_attempt_test.go
+++ b/internal/controller/duplicate_attempt_test.go
@@ -13,7 +13,7 @@
 // it on the second, and then hung. The next leader received three messages in this order:
 //
 //  1. A duplicate of an old heartbeat of the first machine, which showed the task running.
-//  2. The second machine's answer to the broadcast of the fencing token, which showed the task
+//  2. The second machine's response to the broadcast of the fencing token, which showed the task
 //     running there. The leader kept only one attempt of a task, so it ignored this one, but still
 //     marked the second machine as reconciled.
 //  3. A current heartbeat of the first machine, without the task. It removed the only known attempt,
--- a/internal/controller/failuredetector_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -58,7 +58,7 @@
 // machine whose heartbeat got no response is not released: its worker waits 4 s for the response and
 // sends another heartbeat 1 s later. In one run, tasks of 75 dead machines were started elsewhere
 // only after 15 s.
-func TestSuspicionWithLongHeartbeatIntervals(t *testing.T) {
+func TestMachineIsSuspectedAtTheFirstMissingHeartbeat(t *testing.T) {
 	for _, seconds := range []float64{3, 5, 10, 30} {
 		t.Run(fmt.Sprintf("every %vs", seconds), func(t *testing.T) {
 			leader, clock := newLeaderWithJob(t, 1)
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -21,7 +21,7 @@
 // every controller reported itself unhealthy meanwhile, the load balancer would take all of
 // them out of service for longer than the failover, and for longer each time. A controller
 // reports itself unhealthy without that delay if the leader refuses its connections, or if it
-// is cut off from the key-value store and from all other controllers.
+// can reach neither the key-value store nor any other controller.
 func (c *Controller) health() transport.Response {
 	now, leader := c.deps.Clock.Steady(), c.leaderName()
 	c.updateLeaderContact(now, leader)
@@ -38,7 +38,7 @@
 	return answer.Unavailable("no leader in reach").Response
 }
 
-// updateLeaderContact updates when this controller last led or reached the leader, and since
+// updateLeaderContact records when this controller last led or reached the leader, and since
 // when the leader has refused its connections.
 func (c *Controller) updateLeaderContact(now units.Micros, leaderName string) {
 	if leader := c.activeLeader(); leader != nil && leader.Ready() || c.peers.Reachable(leaderName) {
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// A controller that is cut off from the key-value store and from all other controllers becomes
+// A controller that can reach neither the key-value store nor any other controller becomes
 // unhealthy after the lease duration. It answers a poll at once instead of sending a request to the
 // store.
-func TestControllerCutOffFromStoreAndPeersIsUnhealthy(t *testing.T) {
+func TestControllerPartitionedFromStoreAndPeersIsUnhealthy(t *testing.T) {
 	c, clock := newRefusedController(t, nil)
 	clock.Now += c.elector.LeaseDuration() + units.Millisecond
 	if response := c.health(); response.Status != http.StatusServiceUnavailable {
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -34,7 +34,7 @@
 // A task may run in two attempts, one of which was started by a former leader and is unknown to this
 // one. The first attempt to finish completes the job, which is then removed from the state. Heartbeats
 // that still show the other attempt must be handled without the job.
-func TestAttemptOutlivesItsJob(t *testing.T) {
+func TestAttemptThatOutlivesItsJobIsRemoved(t *testing.T) {
 	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
 	spec := *fake.JobSpec(testJob)
@@ -65,8 +65,8 @@
 	}
 }
 
-// A worker is told to forget a completed task only once the completion is durable. Otherwise a later
-// leader might not learn of the completion and would run the task again.
+// A worker gets the command to forget a completed task only once the completion is durable. Otherwise
+// a later leader might not learn of the completion and would run the task again.
 func TestCompletionsAreForgottenOnlyOnceDurable(t *testing.T) {
 	leader, clock := newEmptyLeader(2, units.Second)
 	state := leader.state
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -47,8 +47,9 @@
 // the components that do the work; their in-memory state lasts for one term.
 //
 // The state lock guards all data on which the components base decisions. The caller must hold
-// it for methods that say so, and for all methods of the components that take a time. Exported
-// methods of Leader acquire it themselves and may be called concurrently.
+// it for methods that say so, and for all methods of the components that take a time unless they
+// say that they acquire it. Exported methods of Leader acquire it themselves and may be called
+// concurrently.
 type Leader struct {
 	Deps
 	leadership election.Leadership
@@ -67,9 +68,10 @@
 	terminals   *persister.TerminalJobs
 	admission   *admissioncontrol.LeaderAdmission
 
-	lastSummary      units.Micros // steady time; guarded by the state lock
-	lastTimeoutCheck units.Micros // likewise
-	laterTokenLogged bool         // likewise
+	// Guarded by the state lock.
+	lastSummary      units.Micros // steady time
+	lastTimeoutCheck units.Micros // steady time
+	laterTokenLogged bool         // countLaterToken has logged a heartbeat
 
 	writeSignal loop.Signal // raised when there are changes to write
 	cycleSignal loop.Signal // raised when a scheduling cycle is due
--- a/internal/controller/leaderless.go
+++ b/internal/controller/leaderless.go
@@ -74,7 +74,8 @@
 
 // acceptWithoutLeader writes a job to the pending-submission queue if the job is known to be
 // feasible and admitted, and fits this controller's share of the job memory limit. Otherwise
-// the answer asks the user to retry; it is fallback unless there is a more specific one.
+// the decision is left to a leader: the answer asks the user to retry, and is fallback unless
+// there is a more specific one. A job that is found in the records is answered with its state.
 func (c *Controller) acceptWithoutLeader(ctx context.Context, spec *protocol.JobSpec, fallback answer.Answer) answer.Answer {
 	store := c.deps.KV
 	if c.elector.UnansweredFor() >= c.elector.LeaseDuration() || !store.HasRequestBudget() || !store.HasWriteBudget() {
--- a/internal/controller/model_fault_test.go
+++ b/internal/controller/model_fault_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// failOverWithDuplicates elects a new leader, which receives duplicates, answers to its
-// broadcast and heartbeats in any order, while responses to the workers are lost or delayed.
+// failOverWithDuplicates elects a new leader, which receives duplicates, responses to
+// its broadcast and heartbeats in any order, while responses to the workers are lost or delayed.
 func (m *model) failOverWithDuplicates() {
 	m.failOver()
 	m.deliverMixedMessages()
@@ -61,7 +61,7 @@
 
 // preemptThenFailOver preempts the tasks on a worker, so that they start elsewhere, and then
 // fails over. The first message to the next leader is the worker's heartbeat from before the
-// preemption. From some other workers the next leader receives only their answers to its
+// preemption. From some other workers the next leader receives only their responses to its
 // broadcast.
 func (m *model) preemptThenFailOver() {
 	busy := slices.DeleteFunc(slices.Clone(m.workers), func(w *modelWorker) bool { return len(w.tasks) == 0 })
@@ -162,9 +162,9 @@
 	}
 }
 
-// isolateWorker cuts a worker off from every controller for a part of its lease, right after a
-// heartbeat was answered, while everything else continues; in some runs under a new leader. A
-// leader that considers the worker's lease expired too early starts its tasks elsewhere while
+// isolateWorker partitions a worker from every controller for a part of its lease, right after
+// the response to a heartbeat, while everything else continues; in some runs under a new leader.
+// A leader that considers the worker's lease expired too early starts its tasks elsewhere while
 // they still run.
 func (m *model) isolateWorker() {
 	isolated := rapid.SampledFrom(m.workers).Draw(m.t, "isolated worker")
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -96,7 +96,7 @@
 func (m *model) advanceWrite() {
 	state := m.leader.state
 	if m.batch == nil {
-		m.batchInNewFormat = m.leader.Format.Current() >= storage.FormatV2
+		m.batchInFormatV2 = m.leader.Format.Current() >= storage.FormatV2
 		state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
 		m.batch = state.BuildWriteBatch(m.leader.persister.NextWriteID(), m.leader.persister.BucketVersions(), cluster.BatchLimits{
 			CoalesceFor: units.Second,
@@ -107,11 +107,11 @@
 	batch := m.batch
 	m.batch = nil
 	if !m.store.withinLimits(batch.Txn) {
-		// Only a batch in the old format may exceed the limits: it was built before the leader
+		// Only a batch in FormatV1 may exceed the limits: it was built before the leader
 		// learned that all controllers are upgraded.
 		state.ApplyNextLimits()
-		if m.batchInNewFormat {
-			m.t.Fatalf("write batch in the new format exceeds the limits: %d changes", len(batch.Txn.Then))
+		if m.batchInFormatV2 {
+			m.t.Fatalf("write batch in FormatV2 or later exceeds the limits: %d changes", len(batch.Txn.Then))
 		}
 		state.BatchRejected(batch, m.clock.Now)
 		return
@@ -145,7 +145,7 @@
 }
 
 // checkTerminalState records that a job's terminal state is durable, and checks it against the
-// tasks that workers have completed and what users were told.
+// tasks that workers have completed and the cancellations that may have been confirmed to users.
 func (m *model) checkTerminalState(id string, record storage.TerminalRecord) {
 	m.terminalStages[id] = record.Stage
 	if m.cancelledAt[id] != 0 && record.Stage != protocol.StageCancelled {
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -40,18 +40,18 @@
 	pendingInFlight []protocol.Txn // pending submissions that are not stored yet
 	committedTxns   []protocol.Txn // the leader's transactions that took effect
 
-	controllers      []modelController
-	leader           *Leader
-	leaderUpgraded   bool                  // the leader is of the new version
-	elections        uint64                // number of elections won so far
-	batch            *cluster.WriteBatch   // write batch of the leader that is in flight
-	batchInNewFormat bool                  // batch was built in the new format
-	staleBatches     []*cluster.WriteBatch // write batches that were in flight when their leader failed
-
-	workers           []*modelWorker
-	delayedHeartbeats []*protocol.Heartbeat // delayed by the network until after the worker timed out
-	sentHeartbeats    []sentHeartbeat       // of the last minute; duplicates of them may be delivered
-	broadcastAnswers  []broadcastAnswer
+	controllers     []modelController
+	leader          *Leader
+	leaderUpgraded  bool                  // the leader is of the new version
+	elections       uint64                // number of elections won so far
+	batch           *cluster.WriteBatch   // write batch of the leader that is in flight
+	batchInFormatV2 bool                  // batch was built in FormatV2 or later
+	staleBatches    []*cluster.WriteBatch // write batches that were in flight when their leader failed
+
+	workers            []*modelWorker
+	delayedHeartbeats  []*protocol.Heartbeat // delayed by the network until after the worker timed out
+	sentHeartbeats     []sentHeartbeat       // of the last minute; duplicates of them may be delivered
+	broadcastResponses []broadcastResponse
 
 	specs          []protocol.JobSpec // of each job submitted
 	jobs           map[string]int     // number of tasks of each job submitted
@@ -98,7 +98,7 @@
 		m.advanceWrite, m.advanceWrite, m.advanceWrite, m.sendAnyHeartbeat, m.deliverAnyResponse, m.sendAnyHeartbeat, m.deliverAnyResponse,
 		m.sendAnyHeartbeat, m.deliverAnyResponse, m.failOver, m.failOver, m.cancel, m.releaseAnyWorker,
 		m.deliverDelayedHeartbeat, m.deliverDelayedHeartbeat, m.toggleResponseLoss, m.broadcastToken,
-		m.broadcastToken, m.deliverBroadcastAnswers, m.submitToOtherController, m.commitPendingSubmissions, m.ingestPending,
+		m.broadcastToken, m.deliverBroadcastResponses, m.submitToOtherController, m.commitPendingSubmissions, m.ingestPending,
 		m.ingestPending, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.upgrade, m.raiseFormat,
 		m.raiseFormat, m.raiseFormat, m.lowerLimits, m.toggleHeartbeatLoss, m.toggleHeartbeatLoss, m.hangWorker,
 		m.hangWorker, m.cancelAsTaskEnds, m.cancelAsTaskEnds, m.resendTransaction, m.isolateWorker,
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -14,7 +14,7 @@
 // modelController is a controller of the previous or the new version.
 type modelController struct {
 	upgraded        bool
-	formatAnnounced bool // the controller has stored that it reads the new format
+	formatAnnounced bool // the controller has stored the newest record format that it reads
 }
 
 func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
@@ -48,7 +48,7 @@
 	}
 }
 
-// announceFormat stores that a controller reads the new format.
+// announceFormat stores the newest record format that a controller reads.
 func (m *model) announceFormat(i int) {
 	m.controllers[i].formatAnnounced = true
 	m.store.put(storage.KeyFormat(controllerName(i)), storage.FormatRecord{Format: storage.NewestFormat})
@@ -63,8 +63,8 @@
 }
 
 // raiseFormat has a leader of the new version raise the fleet's record format to the newest
-// that all controllers support. The leader may learn of the new format only later, or fail
-// before that.
+// that all controllers support. The leader may learn of the raised format only later, or
+// fail before that.
 func (m *model) raiseFormat() {
 	formats := m.formats()
 	level := formats[storage.KeyFleetFormat].Format
--- a/internal/controller/model_worker_test.go
+++ b/internal/controller/model_worker_test.go
@@ -42,9 +42,9 @@
 	responseAwaited       bool // the response to a heartbeat is awaited
 	sentAt                units.Micros
 	response              *protocol.HeartbeatResponse // response in flight; nil if there is none
-	heartbeatIncarnation  uint64
-	responsesLost         bool // heartbeats arrive, but all responses are lost
-	heartbeatsLost        bool // heartbeats reach no controller; calls from the leader reach the worker
+	heartbeatIncarnation  uint64                      // incarnation in the heartbeat whose response is awaited
+	responsesLost         bool                        // heartbeats arrive, but all responses are lost
+	heartbeatsLost        bool                        // heartbeats reach no controller; calls from the leader reach the worker
 	hungUntil             units.Micros
 }
 
@@ -261,9 +261,9 @@
 	m.workers[i] = m.newWorker()
 }
 
-// broadcastAnswer is a worker's answer, in flight, to the broadcast of a leader's fencing
+// broadcastResponse is a worker's response, in flight, to the broadcast of a leader's fencing
 // token.
-type broadcastAnswer struct {
+type broadcastResponse struct {
 	to        *Leader
 	heartbeat *protocol.Heartbeat
 }
@@ -276,23 +276,23 @@
 	}
 }
 
-// broadcastTo sends the leader's fencing token to a worker. The answer may be delayed.
+// broadcastTo sends the leader's fencing token to a worker. The response may be delayed.
 func (m *model) broadcastTo(worker *modelWorker) {
 	worker.token = m.leader.token
 	m.leader.state.EnsureMachine(worker.id, "m", "a", true, m.clock.Now)
-	m.broadcastAnswers = append(m.broadcastAnswers, broadcastAnswer{m.leader, worker.nextHeartbeat()})
+	m.broadcastResponses = append(m.broadcastResponses, broadcastResponse{m.leader, worker.nextHeartbeat()})
 	if rapid.Bool().Draw(m.t, "answered at once") {
-		m.deliverBroadcastAnswers()
+		m.deliverBroadcastResponses()
 	}
 }
 
-// deliverBroadcastAnswers delivers the answers to the broadcast of the current leader and drops
-// the others.
-func (m *model) deliverBroadcastAnswers() {
-	for _, answer := range m.broadcastAnswers {
-		if answer.to == m.leader {
-			answer.to.broadcaster.ReconcileResponse(answer.heartbeat)
+// deliverBroadcastResponses delivers the responses to the broadcast of the current leader and
+// drops the others.
+func (m *model) deliverBroadcastResponses() {
+	for _, response := range m.broadcastResponses {
+		if response.to == m.leader {
+			response.to.broadcaster.ReconcileResponse(response.heartbeat)
 		}
 	}
-	m.broadcastAnswers = nil
+	m.broadcastResponses = nil
 }
--- a/internal/controller/recordreader.go
+++ b/internal/controller/recordreader.go
@@ -16,7 +16,7 @@
 )
 
 // recordReader answers polls from the records alone, for a controller that does not lead and
-// cannot reach the leader. Each recorded state was committed before any user was told of it.
+// cannot reach the leader. Each recorded state was committed before it was reported to any user.
 type recordReader struct {
 	store   *kv.Client
 	clock   units.Clock
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -59,7 +59,7 @@
 	if fleet.started < 4 || fleet.started > 15 {
 		t.Errorf("%d starts in 120 s", fleet.started)
 	}
-	for range 60 { // it keeps running now
+	for range 60 { // the replica keeps running now
 		fleet.exchangeAll()
 	}
 	before := fleet.started
@@ -133,8 +133,8 @@
 	}
 }
 
-// A previous version treats a service as a job array and may record some of its tasks as done. Its
-// record is restored as that of a service none of whose replicas is done.
+// A leader of the previous version treats a service as a job array and may record some of its tasks
+// as done. The service is then restored with all its replicas pending.
 func TestServicesWithDoneTasksAreRestoredAsServices(t *testing.T) {
 	spec := *fake.JobSpec(testJob)
 	spec.Tasks = 3
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -98,8 +98,8 @@
 // known, in a terminal state or from the pending-submission queue, the answer is its state.
 func (l *Leader) deferSubmission(ctx context.Context, id string, decision admission.Decision) answer.Answer {
 	if decision.Verdict == admission.Undecided {
-		// Not 503: a controller that forwarded the request would take a 503 for the lack of a
-		// leader and admit the job beyond the quota.
+		// Not 503: a controller that forwarded the request would conclude from a 503 that there
+		// is no leader, and admit the job beyond the quota.
 		return answer.WithoutEvidence(answer.ErrorResponse(http.StatusTooManyRequests, decision.Reason.String()))
 	}
 	if !l.admission.IsCertainlyUnrecorded(id) {
--- a/internal/controller/unreconciled_test.go
+++ b/internal/controller/unreconciled_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A reconciled machine is no longer unreconciled for any job. Once all machines are reconciled nothing
-// is left, also if some of the jobs have ended meanwhile.
+// A reconciled machine is no longer unreconciled for any job. Once all machines are reconciled, no
+// unreconciled machine is left, also if some of the jobs have ended meanwhile.
 func TestNothingIsUnreconciledAfterAllMachinesAreReconciled(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		leader, clock := newLeaderWithJob(t, 1)
