--- a/internal/federation/config_test.go
+++ b/internal/federation/config_test.go
@@ -62,7 +62,7 @@
 		{`moves = 2`, `moves = 0`, "moves"},
 		{`moves = 2`, `jumps = 2`, "jumps: unknown field"},
 		{`moves = 2`, `moves = "two"`, "moves"},
-		{`moves = 2`, `moves = `, "cells.toml:20: "},
+		{`moves = 2`, `moves = `, "cells.toml:24: "},
 		{`name = "dye"`, `name = "mill"`, `cell[1].name: "mill" is listed twice`},
 		{`name = "dye"`, `name = "Dye"`, "cell[1].name"},
 		{`self = "mill"`, `self = "loom"`, "self"},
