--- a/internal/admission/builder.go
+++ b/internal/admission/builder.go
@@ -112,8 +112,8 @@
 // demandExceedsShare reports whether the demand of the team exceeds its share.
 func (s teamShare) demandExceedsShare() bool { return s.granted < s.demand.total() }
 
-// largeDivisor sets the size of large jobs: a job is large if its work exceeds the team's share
-// of the horizon divided by largeDivisor.
+// largeDivisor sets the size of large jobs: a job is large if its work exceeds the greater of the
+// team's weighted share and its guaranteed quota, divided by largeDivisor.
 const largeDivisor = 8
 
 // setTeam sets a team's entry in the plan. A team whose demand is met is not restricted: its
--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -82,8 +82,8 @@
 // quotaKey identifies a version quota of a plan: that of one restricted flow, or the common one
 // of a team's unrestricted flows.
 type quotaKey struct {
-	flow   Flow
-	ofTeam bool // the quota of the team's unrestricted flows
+	flow         Flow
+	unrestricted bool // the common quota of the team's unrestricted flows
 }
 
 // Bounds on Decision.RetryAfter. maxRetry is below waitingTimeout, so that a job whose user
@@ -105,7 +105,7 @@
 	restriction, restrictedFlow, found := p.Restriction(flow)
 	switch {
 	case !found:
-		d.quota, d.charged = quotaKey{flow: Flow{Team: flow.Team, Pool: flow.Pool}, ofTeam: true}, true
+		d.quota, d.charged = quotaKey{flow: Flow{Team: flow.Team, Pool: flow.Pool}, unrestricted: true}, true
 	case p.AtQueueHead(job.ID):
 		// The planner charged its work to the flow when it selected the job.
 	case flow.Band == Large:
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -16,9 +16,9 @@
 // in the order of a queue.
 //
 // A Planner makes plans. A PlanStore holds the plan in force on one controller and accounts
-// for its version quotas. On the leader, a WaitingList holds the jobs whose users were told to
-// retry later, and EstimateCorrections derives the error of each team's run time estimates
-// from finished tasks.
+// for its version quotas. On the leader, a WaitingList holds the submitted jobs that are
+// not admitted yet, and EstimateCorrections derives the error of each team's run time
+// estimates from finished tasks.
 //
 // The package has no I/O, no clock and no goroutines: records, times and measurements are
 // passed in.
--- a/internal/admission/fairshare.go
+++ b/internal/admission/fairshare.go
@@ -6,7 +6,7 @@
 type ShareRequest struct {
 	Demand   Work
 	Weight   float64 // positive
-	MinShare Work    // served up to the demand before any party gets more than its own
+	MinShare Work    // served up to the demand before any party gets more than its MinShare
 }
 
 // FairShares divides a total by weighted max-min fairness and returns the shares in the order
--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -15,9 +15,9 @@
 // three times within its lifetime.
 const PlanLifetime = 10 * units.Second
 
-// ErrStalePlan reports a plan whose fencing token or version is older than that of the plan at
-// an earlier revision of the record. The leaders' compare-and-swap excludes such a write, so
-// the record is corrupt.
+// ErrStalePlan reports a plan whose fencing token is lower, or whose version is not higher, than
+// that of the plan at an earlier revision of the record. The leaders' compare-and-swap excludes
+// such a write, so the record is corrupt.
 var ErrStalePlan = errors.New("admission plan is older than the plan at an earlier revision of its record")
 
 // PlanStore holds the plan in force on one controller and accounts for its version quotas. It is
@@ -60,8 +60,9 @@
 	}
 }
 
-// Update records the plan's record at a revision. A revision that is not newer than the last
-// one is ignored. The error wraps ErrStalePlan, and the plan in force remains unchanged.
+// Update replaces the observed plan and resets the used version quotas. It ignores a plan whose
+// revision is not newer than the last one. The error wraps ErrStalePlan, and the plan in force
+// remains unchanged.
 func (s *PlanStore) Update(observed ObservedPlan) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,8 +153,8 @@
 // Role is the role in which a controller decides.
 type Role uint8
 
-// The roles of a controller. One that does not reach the leader may use only its part of a
-// version quota, since all other controllers may be admitting jobs, too.
+// The roles of a controller. An isolated controller does not reach the leader. It may use only
+// its part of a version quota, since all other controllers may be admitting jobs, too.
 const (
 	Isolated Role = iota
 	Leader
@@ -209,7 +210,7 @@
 
 // versionQuota returns the version quota for a key.
 func (p *Plan) versionQuota(key quotaKey) Work {
-	if key.ofTeam {
+	if key.unrestricted {
 		entry, _ := p.Team(key.flow.Team, key.flow.Pool)
 		return entry.VersionQuota
 	}
--- a/internal/admission/record_test.go
+++ b/internal/admission/record_test.go
@@ -59,7 +59,7 @@
 		}
 		restricted := testJob(77, "kitchen-03", "class-2", 10, 100)
 		if _, _, found := read.Restriction(flowOf(read, restricted)); !found {
-			t.Errorf("%d bytes: a restricted class is open", maxBytes)
+			t.Errorf("%d bytes: the decoded plan does not restrict a restricted class", maxBytes)
 		}
 	}
 	if _, _, err := Encode(plan, 300); !errors.Is(err, ErrTooLarge) {
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -8,8 +8,8 @@
 
 // restrictTeam divides a team's share among its classes and the share of each class among its
 // bands, and restricts the flows whose demand exceeds their part. It returns the version quota
-// of the unrestricted flows: in an equal division of the team's share they count together as
-// one more flow in addition to the restricted ones. Their backlog is subtracted.
+// of the unrestricted flows: the team's share is divided into equal parts, one for each
+// restricted flow and one for all unrestricted flows together, whose backlog is subtracted.
 func (b *planBuilder) restrictTeam(team teamShare) Work {
 	classes := map[string]flowDemand{}
 	for flow, demand := range team.flows {
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -120,7 +120,7 @@
 	return d
 }
 
-// advance moves the clock on by d, in which teams with a backlog share the fleet evenly.
+// advance moves the clock forward by d. Meanwhile teams with a backlog share the fleet evenly.
 func (s *simulation) advance(d units.Micros) {
 	s.now += d
 	requests := make([]ShareRequest, len(s.teams))
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -31,7 +31,7 @@
 	Large []WaitingJob // queue of large jobs, longest-waiting first
 }
 
-// WaitingList holds, on the leader, the jobs whose users were told to retry later. They are the
+// WaitingList holds, on the leader, the submitted jobs that are not admitted yet. They are the
 // unmet demand. The list is not stored: a new leader rebuilds it from the retries. It is not
 // safe for concurrent use.
 type WaitingList struct {
@@ -46,7 +46,7 @@
 	return &WaitingList{jobs: map[string]*WaitingJob{}, work: map[Flow]Work{}, unrecorded: map[string]bool{}}
 }
 
-// Add records that the decision on a job told its user to retry later. New jobs beyond
+// Add adds a job that a decision did not admit, or updates it after a retry. New jobs beyond
 // maxWaiting are ignored.
 func (l *WaitingList) Add(id string, d Decision, now units.Micros) {
 	job := l.jobs[id]
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -10,8 +10,9 @@
 // positions in a window that moves around the ring.
 const ringSize = 1 << 16
 
-// windowDwell is how long a window stays in place. It is longer than users take to retry, so
-// that a user who retries when the window reaches the job's position finds it still there.
+// windowDwell is how long a window stays in place. It is longer than Decision.RetryAfter of a job
+// that the next move of the window reaches, so that the window does not pass the job between two
+// retries.
 const windowDwell = 4 * units.Second
 
 // window is the part of the ring that a restriction admits.
--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -85,7 +85,7 @@
 
 // DecideIsolated decides on a new job without the leader. It returns the condition on which the
 // acceptance must be made. A controller that has not learned yet that the fleet admits by a plan,
-// as after its start, accepts a job only on condition that there is no plan.
+// for example just after its start, accepts a job only on condition that there is no plan.
 func (a *Admitter) DecideIsolated(spec *protocol.JobSpec) (admission.Decision, protocol.Condition) {
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -34,14 +34,14 @@
 }
 
 // LeaderAdmission decides by the fleet's admission plan which new jobs the leader accepts, and
-// publishes the plans. It belongs to one leader. The lock of the state guards its own
-// fields except publisher. A method must be called without that lock unless its comment says
-// that the caller must hold it.
+// publishes the plans. It belongs to one leader. The lock of State guards the fields that are
+// declared here, except publisher. A method must be called without that lock unless its comment
+// says that the caller must hold it.
 type LeaderAdmission struct {
 	LeaderAdmissionDeps
 
 	publisher *planPublisher
-	// Waiting holds the jobs whose users were told to retry later.
+	// Waiting holds the submitted jobs that are not admitted yet.
 	Waiting             *admission.WaitingList
 	estimateCorrections *admission.EstimateCorrections
 	// planKnown says that the revision of the plan's record is certain. While it is not, no job
@@ -186,7 +186,7 @@
 	return m
 }
 
-// WaitingCount returns the number of jobs whose users were told to retry later.
+// WaitingCount returns the number of jobs on the waiting list.
 func (la *LeaderAdmission) WaitingCount() int {
 	la.State.Lock()
 	defer la.State.Unlock()
--- a/internal/admissioncontrol/planpublisher.go
+++ b/internal/admissioncontrol/planpublisher.go
@@ -16,8 +16,8 @@
 // overwritten; an operator may repair or delete it.
 var ErrPlanUnreadable = errors.New("admission plan record is not readable")
 
-// Intervals and rates of plans. Version quotas that are used up are renewed sooner than others. A
-// plan with unchanged restrictions is written only to renew its lifetime.
+// Intervals and rates of plans. Unless a version quota is used up or the last write failed, a plan
+// with unchanged restrictions is written only to renew its lifetime.
 const (
 	planCheckInterval     = 250 * units.Millisecond
 	minPlanInterval       = 500 * units.Millisecond // between two plans
@@ -83,7 +83,8 @@
 	}
 }
 
-// step makes a plan and writes it if it is due. urgent means that a version quota is used up.
+// step makes a plan and writes it if it is due. An urgent plan is due sooner, and also with
+// unchanged restrictions, because a version quota may be used up.
 func (p *planPublisher) step(ctx context.Context, urgent bool) error {
 	if err := p.recordLock.lock(ctx); err != nil {
 		return err
@@ -119,7 +120,7 @@
 	raw, encoded, err := admission.Encode(plan, p.Settings.Fleet.KVLimits.Lowest().ValueBytes())
 	if err != nil {
 		if !p.loggedTooLarge {
-			p.Admitter.log.Error("admission plan not written; jobs are admitted by the built-in fallback", "error", err)
+			p.Admitter.log.Error("admission plan not written; the fallback plan is in force once the last plan expires", "error", err)
 		}
 		p.loggedTooLarge = true
 		return err
@@ -138,9 +139,9 @@
 	return minPlanInterval
 }
 
-// due reports whether a plan is to be written now. A renewal of the plan in force always is when
-// its time has come. A plan with changed restrictions, after a failed write or with a used-up
-// quota is written within the write budget and the rate limit.
+// due reports whether a plan is to be written now. A plan is always due if no plan was sent within
+// the renewal interval. Before that, a plan that is urgent, has changed restrictions or follows a
+// failed write is due within the write budget and the rate limit.
 func (p *planPublisher) due(plan *admission.Plan, now units.Micros, urgent bool) bool {
 	if p.lastSentAt == 0 || now-p.lastSentAt >= admission.PlanLifetime/renewalsPerLifetime {
 		return true
--- a/internal/admissioncontrol/planrecord.go
+++ b/internal/admissioncontrol/planrecord.go
@@ -98,8 +98,9 @@
 }
 
 // writePlan writes a plan, on condition that the record is at the known revision and that no later
-// leader has claimed the buckets. The plan is marked uncertain before the request and until its
-// outcome is known, so that no user is told to wait by a plan that may have been replaced.
+// leader has claimed the buckets. The plan in force is marked uncertain before the request and until
+// its outcome is known, so that no job gets the verdict Wait under a plan that may have been
+// replaced.
 func (p *planPublisher) writePlan(ctx context.Context, raw []byte, plan *admission.Plan) error {
 	p.admission.markPlanUncertain()
 	sentAt := p.Clock.Steady()
