--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -33,17 +33,17 @@
 
 // poolOf returns the pool of the dominant resource of a request: the resource of which the
 // request is the larger fraction of the capacity. GPUs win a tie.
-func poolOf(need units.Resources, capacity Amounts) Pool {
-	if need.GPU <= 0 {
+func poolOf(request units.Resources, capacity Amounts) Pool {
+	if request.GPU <= 0 {
 		return CPU
 	}
 	if capacity[GPU] <= 0 || capacity[CPU] <= 0 {
 		return GPU
 	}
-	// Compares need.GPU/capacity[GPU] with need.CPU/capacity[CPU] by cross-multiplication, which
-	// does not round.
-	gpuHigh, gpuLow := bits.Mul64(uint64(need.GPU), uint64(capacity[CPU]))
-	cpuHigh, cpuLow := bits.Mul64(uint64(max(need.CPU, 0)), uint64(capacity[GPU]))
+	// Compares request.GPU/capacity[GPU] with request.CPU/capacity[CPU] by cross-multiplication,
+	// which does not round.
+	gpuHigh, gpuLow := bits.Mul64(uint64(request.GPU), uint64(capacity[CPU]))
+	cpuHigh, cpuLow := bits.Mul64(uint64(max(request.CPU, 0)), uint64(capacity[GPU]))
 	if gpuHigh > cpuHigh || gpuHigh == cpuHigh && gpuLow >= cpuLow {
 		return GPU
 	}
@@ -51,4 +51,4 @@
 }
 
 // amountIn returns the amount of a pool's resource in a request.
-func amountIn(pool Pool, need units.Resources) units.Amount { return AmountsOf(need)[pool] }
+func amountIn(pool Pool, request units.Resources) units.Amount { return AmountsOf(request)[pool] }
--- a/internal/admission/work.go
+++ b/internal/admission/work.go
@@ -20,11 +20,11 @@
 
 // WorkOf returns the work of a number of tasks that each hold an amount of a resource for a run
 // time, at most MaxWork. It returns 0 if an argument is not positive.
-func WorkOf(tasks int, need units.Amount, run units.Micros) Work {
-	if tasks <= 0 || need <= 0 || run <= 0 {
+func WorkOf(tasks int, amount units.Amount, run units.Micros) Work {
+	if tasks <= 0 || amount <= 0 || run <= 0 {
 		return 0
 	}
-	high, low := bits.Mul64(uint64(need), uint64(run))
+	high, low := bits.Mul64(uint64(amount), uint64(run))
 	if high >= workUnit {
 		return MaxWork
 	}
