--- a/cmd/dunestand/admission_test.go
+++ b/cmd/dunestand/admission_test.go
@@ -13,13 +13,13 @@
 	"dunestand/node"
 )
 
-// startState starts a fake key-value store and returns it and its address.
-func startState(t *testing.T) (*fake.KVServer, string) {
+// startKVStore starts a fake key-value store and returns it and its address.
+func startKVStore(t *testing.T) (*fake.KVServer, string) {
 	t.Helper()
-	state := fake.NewKVServer()
-	server := httptest.NewServer(state)
+	store := fake.NewKVServer()
+	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
-	return state, strings.TrimPrefix(server.URL, "http://")
+	return store, strings.TrimPrefix(server.URL, "http://")
 }
 
 // encodedPlan returns the record of plan 3 of term 2, which restricts the team mill.
@@ -44,13 +44,13 @@
 
 // The commands print the stored plan and its decision on a job.
 func TestAdmissionCommandsPrintStoredPlan(t *testing.T) {
-	state, address := startState(t)
+	store, address := startKVStore(t)
 	settings := writeSettings(t, address)
 	job := writeJSON(t, "job.json", testSubmission(7, "mill", 1))
 	if _, err := execute("admission", "show", settings); !errors.Is(err, node.ErrNoPlan) {
 		t.Errorf("without a plan: %v", err)
 	}
-	state.Put(admission.KeyPlan, encodedPlan(t))
+	store.Put(admission.KeyPlan, encodedPlan(t))
 	for _, c := range []struct {
 		args   []string
 		output []string
@@ -70,7 +70,7 @@
 			}
 		})
 	}
-	state.Put(admission.KeyPlan, protocol.Encode("nonsense"))
+	store.Put(admission.KeyPlan, protocol.Encode("nonsense"))
 	if _, err := execute("admission", "show", settings); err == nil {
 		t.Error("no error for an invalid plan record")
 	}
@@ -92,7 +92,7 @@
 }
 
 func TestInvalidInputOfAdmissionCommandsIsAnInputError(t *testing.T) {
-	_, address := startState(t)
+	_, address := startKVStore(t)
 	settings := writeSettings(t, address)
 	job := writeJSON(t, "job.json", testSubmission(7, "mill", 1))
 	for _, args := range [][]string{
--- a/cmd/dunestand/layers_test.go
+++ b/cmd/dunestand/layers_test.go
@@ -30,19 +30,19 @@
 		t.Fatal(err)
 	}
 	layers := map[string]int{}
-	for line, column := range packageColumn.FindAllStringSubmatch(string(page), -1) {
+	for row, column := range packageColumn.FindAllStringSubmatch(string(page), -1) {
 		for _, name := range packageName.FindAllStringSubmatch(column[1], -1) {
-			layers[name[1]] = line
+			layers[name[1]] = row
 		}
 	}
 	return layers
 }
 
 // layerOf returns the row of a package. A package without a row has that of its nearest parent.
-func layerOf(layers map[string]int, name string) (line int, found bool) {
+func layerOf(layers map[string]int, name string) (row int, found bool) {
 	for ; name != "."; name = filepath.Dir(name) {
-		if line, found := layers[name]; found {
-			return line, true
+		if row, found := layers[name]; found {
+			return row, true
 		}
 	}
 	return 0, false
@@ -87,14 +87,14 @@
 			return err
 		}
 		importer := filepath.Dir(relative)
-		line, found := layerOf(layers, importer)
+		row, found := layerOf(layers, importer)
 		if !found {
 			t.Errorf("%s is not in the table of CONTRIBUTING.md", importer)
 		}
 		for _, imported := range importsOf(t, path) {
-			importedLine, found := layerOf(layers, imported)
+			importedRow, found := layerOf(layers, imported)
 			inside := imported == importer || strings.HasPrefix(imported, importer+"/")
-			if !found || importedLine <= line && !inside && !strings.HasPrefix(importer, "internal/fake") {
+			if !found || importedRow <= row && !inside && !strings.HasPrefix(importer, "internal/fake") {
 				t.Errorf("%s imports %s, which is not in a lower row of the table", relative, imported)
 			}
 		}
--- a/cmd/dunestand/main_test.go
+++ b/cmd/dunestand/main_test.go
@@ -50,10 +50,10 @@
 
 // writeSettings writes valid settings with the address of a key-value store and returns the
 // path.
-func writeSettings(t *testing.T, stateService string) string {
+func writeSettings(t *testing.T, kvStoreAddress string) string {
 	t.Helper()
 	return writeJSON(t, "settings.json",
-		controllerSettings(0, "127.0.0.1:1", []string{"127.0.0.1:2"}, stateService, "127.0.0.1:4"))
+		controllerSettings(0, "127.0.0.1:1", []string{"127.0.0.1:2"}, kvStoreAddress, "127.0.0.1:4"))
 }
 
 // expectInputError fails the test unless an error is an input error whose text is one line.
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestGroupCommandWithoutSubcommandNamesItsUsage(t *testing.T) {
+func TestUnknownSubcommandErrorNamesUsage(t *testing.T) {
 	for group, want := range map[string]string{
 		"policy":    "policy: use dunestand policy check FILE",
 		"cells":     "cells: use dunestand cells check FILE",
--- a/cmd/dunestand/processes_test.go
+++ b/cmd/dunestand/processes_test.go
@@ -49,18 +49,18 @@
 func startProcesses(t *testing.T) *controllerProcesses {
 	t.Helper()
 	program := buildProgram(t)
-	state, stateAddress := startState(t)
+	store, storeAddress := startKVStore(t)
 	cloud := httptest.NewServer(fake.NewCloud(protocol.Catalog{
 		Types: []protocol.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, Price: 1, SpotPrice: 1, BootSeconds: 1, Zones: []string{"a"}}},
 	}, 0))
 	t.Cleanup(cloud.Close)
-	p := &controllerProcesses{t: t, checker: admissioncheck.New(state)}
+	p := &controllerProcesses{t: t, checker: admissioncheck.New(store)}
 	meshAddresses := make([]string, controllers)
 	for i := range meshAddresses {
 		p.clientAddresses, meshAddresses[i] = append(p.clientAddresses, freeAddress(t)), freeAddress(t)
 	}
 	for i := range controllers {
-		settings := controllerSettings(i, p.clientAddresses[i], meshAddresses, stateAddress, strings.TrimPrefix(cloud.URL, "http://"))
+		settings := controllerSettings(i, p.clientAddresses[i], meshAddresses, storeAddress, strings.TrimPrefix(cloud.URL, "http://"))
 		p.running = append(p.running, startProcess(t, program, writeJSON(t, "settings.json", settings)))
 	}
 	return p
@@ -84,7 +84,7 @@
 
 // controllerSettings returns the settings of controller i. meshAddresses holds the addresses of all
 // controllers, including its own.
-func controllerSettings(i int, client string, meshAddresses []string, state, cloud string) map[string]any {
+func controllerSettings(i int, client string, meshAddresses []string, kvStore, cloud string) map[string]any {
 	var others []any
 	for peer, mesh := range meshAddresses {
 		if peer != i {
@@ -97,7 +97,7 @@
 		"client_listen": client,
 		"mesh_addr":     meshAddresses[i],
 		"others":        others,
-		"services":      map[string]any{"cloud": cloud, "state": state},
+		"services":      map[string]any{"cloud": cloud, "state": kvStore},
 		"settings": map[string]any{
 			"zones": []any{"a"},
 			"teams": []any{
@@ -154,11 +154,11 @@
 // submit submits a job to a controller in the name of a user, and has the checker verify the
 // response.
 func (p *controllerProcesses) submit(user, controller int, job map[string]any) admissioncheck.ResponseKind {
-	reply := p.checker.Submit(p.t.Context(), user, p.clientAddresses[controller], job)
-	if seconds := reply.RetryAfter.Seconds(); reply.Kind == admissioncheck.Deferred && (seconds < 1 || seconds > 30) {
+	response := p.checker.Submit(p.t.Context(), user, p.clientAddresses[controller], job)
+	if seconds := response.RetryAfter.Seconds(); response.Kind == admissioncheck.Deferred && (seconds < 1 || seconds > 30) {
 		p.t.Errorf("a deferred job has a Retry-After of %v s, expected 1 to 30 s", seconds)
 	}
-	return reply.Kind
+	return response.Kind
 }
 
 // testSubmission returns a job array whose ID is built from a number.
@@ -173,8 +173,9 @@
 	}
 }
 
-// startFlood starts users of one team that submit jobs without a pause, each job several times
-// through different controllers. stop ends the submissions and waits for the users.
+// startFlood starts users of one team that submit one job after the other without a pause, each
+// job three times through up to three controllers. stop ends the submissions and waits for the
+// users.
 func (p *controllerProcesses) startFlood() (stop func()) {
 	const users = 8
 	stopped := make(chan struct{})
@@ -244,30 +245,30 @@
 	p.waitForPlan()
 	stopFlood := p.startFlood()
 	jobs := 0
-	serve := func() {
+	submitNextJob := func() {
 		t.Helper()
 		jobs++
 		p.submitUntilAccepted(jobs)
 	}
 	for range 5 {
-		serve()
+		submitNextJob()
 	}
 	paused := p.waitForLeader(-1)
 	p.signal(paused, syscall.SIGSTOP)
 	const pause = 12 * time.Second // longer than the lease and a plan's lifetime
 	for began := time.Now(); time.Since(began) < pause; time.Sleep(time.Second) {
-		serve()
+		submitNextJob()
 	}
 	successor := p.waitForLeader(paused)
 	p.signal(paused, syscall.SIGCONT)
-	serve()
+	submitNextJob()
 	p.signal(successor, syscall.SIGKILL)
 	for range 5 {
-		serve()
+		submitNextJob()
 	}
 	stopFlood()
-	for _, broken := range p.checker.Violations() {
-		t.Error(broken)
+	for _, violation := range p.checker.Violations() {
+		t.Error(violation)
 	}
 	if p.checker.DeferredResponses() == 0 {
 		t.Error("no job was deferred")
--- a/cmd/dunestand/root.go
+++ b/cmd/dunestand/root.go
@@ -44,10 +44,10 @@
 
 // newGroupCommand adds subcommands to a command that only groups them. An unknown subcommand
 // is an input error that names the usage.
-func newGroupCommand(group *cobra.Command, usage string, members ...*cobra.Command) *cobra.Command {
+func newGroupCommand(group *cobra.Command, usage string, subcommands ...*cobra.Command) *cobra.Command {
 	group.Args = oneFile
 	group.RunE = func(*cobra.Command, []string) error { return inputErrorf("%s: use %s", group.Use, usage) }
-	group.AddCommand(members...)
+	group.AddCommand(subcommands...)
 	return group
 }
 
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -121,8 +121,8 @@
 	return shares, nil
 }
 
-// setWeight validates and sets the weight. It accepts 0, since the caller reports shares of 0 with
-// different errors if one or all of them are 0.
+// setWeight validates and sets the weight. It accepts 0: the caller rejects weights of 0, with an
+// error of its own if all of them are 0.
 func (s *Share) setWeight(value any) error {
 	weight, isNumber := asNumber(value)
 	if !isNumber || math.IsNaN(weight) || math.IsInf(weight, 0) {
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -29,8 +29,8 @@
 	WaitedS    float64 `expr:"waited_s"`    // since submission
 	RunS       float64 `expr:"run_s"`       // estimated run time of one task
 	WorkS      float64 `expr:"work_s"`      // estimated CPU seconds of the unfinished tasks
-	FinishS    float64 `expr:"finish_s"`    // estimated time until the job completes
-	DueS       float64 `expr:"due_s"`       // time left until the next completion objective
+	FinishS    float64 `expr:"finish_s"`    // estimated time to complete if the team's whole quota limit is available
+	DueS       float64 `expr:"due_s"`       // time left until the first completion objective that can be met, or else the last one
 	Late       bool    `expr:"late"`        // the job is expected to miss all completion objectives
 	StartDueS  float64 `expr:"start_due_s"` // time left until the start objective
 }
@@ -42,7 +42,7 @@
 	LimitCPUs      float64 `expr:"limit_cpus"`
 	DemandCPUs     float64 `expr:"demand_cpus"`
 	FleetCPUs      float64 `expr:"fleet_cpus"`
-	QuietS         float64 `expr:"quiet_s"` // seconds since the last batch job was unfinished
+	QuietS         float64 `expr:"quiet_s"` // seconds since there was an unfinished batch job; 0 while there is one
 	Hour           int     `expr:"hour"`    // 0 to 23, UTC
 }
 
@@ -85,7 +85,7 @@
 func DefaultPolicy() *Policy {
 	policy, err := ParsePolicy("default.policy", defaultPolicy, nil)
 	if err != nil {
-		panic(err) // the embedded policy is invalid
+		panic(err) // the policy is embedded: an invalid one fails every test
 	}
 	return policy
 }
@@ -149,7 +149,7 @@
 	return rank
 }
 
-// ReserveCPUs returns how many processors to keep in the fleet even without demand for them.
+// ReserveCPUs returns how many CPUs to keep in the fleet even without demand for them.
 func (p *Policy) ReserveCPUs(in FleetInput) units.Amount {
 	return units.AmountOf(evaluateNonNegative(p.reserve, in))
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -128,7 +128,7 @@
 	appendTo := func(settings map[string]any, list string, entry any) {
 		settings[list] = append(settings[list].([]any), entry)
 	}
-	for what, invalidate := range map[string]func(settings, fleet map[string]any){
+	for want, invalidate := range map[string]func(settings, fleet map[string]any){
 		"others[4].node_name":           func(s, _ map[string]any) { appendTo(s, "others", s["others"].([]any)[0]) },
 		"others[4].endpoint":            func(s, _ map[string]any) { appendTo(s, "others", map[string]any{"node_name": "dune-9"}) },
 		"teams[12].name":                func(_, f map[string]any) { appendTo(f, "teams", f["teams"].([]any)[3]) },
@@ -138,10 +138,10 @@
 		"services.cloud":                func(s, _ map[string]any) { delete(s, "services") },
 		"settings.zones":                func(_, f map[string]any) { delete(f, "zones") },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(want, func(t *testing.T) {
 			settings := largeSettings()
 			invalidate(settings, settings["settings"].(map[string]any))
-			if _, err := Parse(encode(t, settings)); err == nil || !strings.Contains(err.Error(), what) || strings.Contains(err.Error(), "\n") {
+			if _, err := Parse(encode(t, settings)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Error(err)
 			}
 		})
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -75,7 +75,7 @@
 	}
 	for i, o := range f.Objectives {
 		if o.WithinS < 0 || o.Times < 0 {
-			return fieldErrorf(fmt.Sprintf("settings.objectives[%d]", i), "negative time")
+			return fieldErrorf(fmt.Sprintf("settings.objectives[%d]", i), "negative within_s or times")
 		}
 	}
 	return nil
@@ -87,7 +87,7 @@
 	value, max float64
 }
 
-// validatePositiveNumbers checks the mandatory numbers, all of which have to be positive.
+// validatePositiveNumbers checks that the mandatory numbers are positive and within their bounds.
 func (f *Fleet) validatePositiveNumbers() error {
 	numbers := []numericSetting{
 		{"settings.workers.report_s", f.Workers.HeartbeatS, maxHeartbeatS},
@@ -101,9 +101,9 @@
 		{"settings.resources.ram_mb", f.Resources.RAMMB, maxMemoryMB},
 		{"settings.resources.max_connections", float64(f.Resources.MaxConnections), maxConnections},
 	}...)
-	for _, a := range numbers {
-		if a.value <= 0 || a.value > a.max {
-			return fieldErrorf(a.field, "%v is missing or out of range", a.value)
+	for _, number := range numbers {
+		if number.value <= 0 || number.value > number.max {
+			return fieldErrorf(number.field, "missing or out of range: got %v, must be above 0 and at most %v", number.value, number.max)
 		}
 	}
 	return nil
@@ -145,15 +145,16 @@
 	return nil
 }
 
-// validateNext checks the upcoming limits, all of which are optional.
+// validateNext checks the upcoming limits, all of which are optional: 0 means that a limit does not
+// change.
 func (s KVLimits) validateNext() error {
 	const field = "settings.state.next"
 	if s.Next == nil {
 		return nil
 	}
-	for _, a := range s.Next.numericSettings(field) {
-		if a.value < 0 || a.value > a.max {
-			return fieldErrorf(a.field, "%v is out of range", a.value)
+	for _, number := range s.Next.numericSettings(field) {
+		if number.value < 0 || number.value > number.max {
+			return fieldErrorf(number.field, "%v is not between 0 and %v", number.value, number.max)
 		}
 	}
 	return s.Lowest().validateMinimum(field)
@@ -165,7 +166,7 @@
 // add adds a name. It fails if the name is empty or already in the set.
 func (names nameSet) add(field, name string) error {
 	if name == "" || names[name] {
-		return fieldErrorf(field, "missing or duplicate")
+		return fieldErrorf(field, "missing or duplicate name %q", name)
 	}
 	names[name] = true
 	return nil
