--- a/internal/federation/apply.go
+++ b/internal/federation/apply.go
@@ -81,7 +81,7 @@
 // compareAndSwap writes a value, or deletes the key if the value is nil. It returns the new
 // version and whether the write succeeded. m.mu is released during the write; *writing is set
 // meanwhile, so that no other decision is made on the same record. After a version conflict
-// the Manager makes no more decisions, since another leader is active.
+// the Manager makes no more decisions, since another leader may be active.
 func (m *Manager) compareAndSwap(ctx context.Context, writing *bool, key string, value []byte, version uint64) (uint64, bool) {
 	if m.superseded {
 		return 0, false
@@ -94,7 +94,7 @@
 	*writing = false
 	if errors.Is(err, ErrVersionConflict) && !m.superseded {
 		m.superseded = true
-		m.Log.Error("version conflict on transfer record: another leader is active", "key", key)
+		m.Log.Error("version conflict on transfer record; this leader processes no more transfers", "key", key)
 		if m.OnSuperseded != nil {
 			m.OnSuperseded()
 		}
--- a/internal/federation/configfile.go
+++ b/internal/federation/configfile.go
@@ -119,7 +119,7 @@
 	case !(f.LeaseS >= minLeaseS && f.LeaseS <= maxLeaseS): // negated so that NaN is rejected
 		return fieldErrorf("lease_s", "%v is not between %d and %d", f.LeaseS, minLeaseS, maxLeaseS)
 	case !(f.StopS > 0 && f.StopS <= maxStopS):
-		return fieldErrorf("stop_s", "%v is not above 0 and at most %d", f.StopS, maxStopS)
+		return fieldErrorf("stop_s", "%v is outside the range (0, %d]", f.StopS, maxStopS)
 	case f.MarginS != nil && !(*f.MarginS >= 0 && *f.MarginS <= maxMarginS):
 		return fieldErrorf("margin_s", "%v is not between 0 and %d", *f.MarginS, maxMarginS)
 	case f.Moves != nil && *f.Moves < 1:
--- a/internal/federation/dependencies.go
+++ b/internal/federation/dependencies.go
@@ -35,7 +35,7 @@
 // for the same transfer. They are called with the Manager's lock held: they must not block
 // and must not call the Manager.
 type Scheduler interface {
-	// Run requests that the tasks of another cell's job that are not in done are run. After
+	// Run makes the scheduler run the tasks of another cell's job, except those in done. After
 	// Run has returned, the scheduler must check Manager.MayRun before it starts a task of
 	// the job and before it extends the lease of a worker that runs such a task.
 	Run(id TransferID, job []byte, done TaskSet)
@@ -78,8 +78,8 @@
 	FencingToken uint64
 	// LeaseAcquiredAt is the steady time at which this leader acquired the leader lease.
 	LeaseAcquiredAt units.Micros
-	// OnSuperseded is called at most once, after a version conflict has shown that another
-	// leader is active. It is called with the Manager's lock held: it must not block and must
+	// OnSuperseded is called at most once, after a version conflict, which means that another
+	// leader may be active. It is called with the Manager's lock held: it must not block and must
 	// not call the Manager.
 	OnSuperseded func()
 }
--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -2,7 +2,7 @@
 // federation: it has its own controllers, key-value store and machines, and shares no storage
 // with other cells.
 //
-// A job belongs to the cell that accepted it, its origin. A transfer hands the job over to
+// A job belongs to the cell that accepted it, its origin. A transfer moves the job to
 // another cell, the target, in these steps: the origin records its intent and requests a
 // reservation; the target records the reservation; the origin commits; the target accepts,
 // and runs tasks only under a lease that the origin grants. Messages may be lost, duplicated
--- a/internal/federation/estimates.go
+++ b/internal/federation/estimates.go
@@ -22,8 +22,8 @@
 	ratioDigits = 3
 	// ratioQuantile is the percentage of tasks that complete within the corrected estimate.
 	ratioQuantile = 80
-	// minRatioSamples is the number of observed tasks of a class from which its estimates are
-	// corrected.
+	// minRatioSamples is the minimum number of observed tasks of a class for its estimates to
+	// be corrected.
 	minRatioSamples = 10
 )
 
--- a/internal/federation/fakecell_test.go
+++ b/internal/federation/fakecell_test.go
@@ -21,7 +21,7 @@
 // fakeJob is the durable job record of a fakeCell's scheduler.
 type fakeJob struct {
 	id, class       string
-	handedOver      bool // a transfer was begun and the job has not returned
+	transferred     bool // a transfer was begun and the job has not returned
 	cancelRequested bool
 	ended           bool
 	done            TaskSet
@@ -145,7 +145,7 @@
 // order of submission.
 func (c *fakeCell) schedule(manager *Manager, now units.Micros) {
 	for _, j := range c.jobs {
-		if !j.handedOver && !j.ended && !j.cancelRequested {
+		if !j.transferred && !j.ended && !j.cancelRequested {
 			c.startTasks(j.id, TransferID{}, j.done, now)
 		}
 	}
@@ -187,13 +187,13 @@
 	c.mu.Unlock()
 	for _, j := range jobs {
 		c.mu.Lock()
-		cancelRequested, complete, handedOver, ended := j.cancelRequested, fakeJobDone(j.done), j.handedOver, j.ended
+		cancelRequested, complete, transferred, ended := j.cancelRequested, fakeJobDone(j.done), j.transferred, j.ended
 		c.mu.Unlock()
 		switch {
 		case ended:
-		case handedOver && cancelRequested:
+		case transferred && cancelRequested:
 			manager.Cancel(ctx, j.id)
-		case !handedOver && (cancelRequested || complete) && manager.JobEnded(ctx, j.id):
+		case !transferred && (cancelRequested || complete) && manager.JobEnded(ctx, j.id):
 			c.mu.Lock()
 			j.ended = true
 			c.mu.Unlock()
@@ -204,17 +204,17 @@
 			c.federation.recordAnswer(j.id, answer)
 		}
 	}
-	c.handOverPending(ctx, manager)
+	c.transferPending(ctx, manager)
 }
 
-// handOverPending begins transfers of up to three pending jobs, each to the first cell with
+// transferPending begins transfers of up to three pending jobs, each to the first cell with
 // enough capacity. Two pending jobs always stay.
-func (c *fakeCell) handOverPending(ctx context.Context, manager *Manager) {
+func (c *fakeCell) transferPending(ctx context.Context, manager *Manager) {
 	c.mu.Lock()
 	var pending []*fakeJob
 	running := c.jobsOnMachines()
 	for _, j := range c.jobs {
-		if !j.handedOver && !j.ended && !j.cancelRequested && len(j.done) == 0 && !running[j.id] && manager.Owner(j.id) == OwnerOrigin {
+		if !j.transferred && !j.ended && !j.cancelRequested && len(j.done) == 0 && !running[j.id] && manager.Owner(j.id) == OwnerOrigin {
 			pending = append(pending, j)
 		}
 	}
@@ -228,9 +228,9 @@
 				continue
 			}
 			c.mu.Lock()
-			j.handedOver = true
+			j.transferred = true
 			c.mu.Unlock()
-			request := HandOverRequest{
+			request := TransferRequest{
 				Job:         j.id,
 				Class:       j.class,
 				Target:      name,
@@ -238,9 +238,9 @@
 				Work:        fakeJobWork,
 				Restarts:    j.restarts,
 			}
-			if err := manager.HandOver(ctx, request); err != nil {
+			if err := manager.BeginTransfer(ctx, request); err != nil {
 				c.mu.Lock()
-				j.handedOver = manager.Owner(j.id) != OwnerOrigin
+				j.transferred = manager.Owner(j.id) != OwnerOrigin
 				c.mu.Unlock()
 			}
 			break
--- a/internal/federation/fakefederation_test.go
+++ b/internal/federation/fakefederation_test.go
@@ -47,14 +47,14 @@
 	f := transport.federation
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	copies := 1
+	deliveries := 1
 	switch f.random.IntN(10) {
 	case 0:
-		copies = 0
+		deliveries = 0
 	case 1:
-		copies = 2
+		deliveries = 2
 	}
-	for range copies {
+	for range deliveries {
 		delay := time.Duration(1+f.random.IntN(40)) * time.Millisecond
 		if f.random.IntN(20) == 0 {
 			delay = time.Duration(f.random.IntN(60_000)) * time.Millisecond
--- a/internal/federation/fakescheduler_test.go
+++ b/internal/federation/fakescheduler_test.go
@@ -36,7 +36,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.job(id)
-	j.handedOver, j.done, j.restarts = false, j.done.Union(done), restarts
+	j.transferred, j.done, j.restarts = false, j.done.Union(done), restarts
 	return j.ended
 }
 
--- a/internal/federation/lease.go
+++ b/internal/federation/lease.go
@@ -27,8 +27,8 @@
 // SinceLastGrant returns the time since the last grant.
 func (g *LeaseGrantor) SinceLastGrant(now units.Micros) units.Micros { return now - g.lastGrant }
 
-// maxPendingRenewals is the number of unanswered renewal requests that a holder remembers,
-// which bounds its memory. Grants for older requests are ignored.
+// maxPendingRenewals is the number of latest renewal requests that a holder remembers, which
+// bounds its memory. Grants for older requests are ignored.
 const maxPendingRenewals = 8
 
 // LeaseHolder tracks the lease that the target's leader holds on one job. All times are on the
@@ -61,9 +61,9 @@
 }
 
 // acceptGrant extends the lease and returns true if the grant answers a pending request of
-// this leader and has not expired. The lease counts from when the request was sent. A run
-// whose lease has expired is not resumed: its tasks are being stopped, and starting them
-// again requires a new run.
+// this leader and has not expired; an unbounded grant never expires. The lease counts from
+// when the request was sent. A run whose lease has expired is not resumed: its tasks are
+// being stopped, and starting them again requires a new run.
 func (h *LeaseHolder) acceptGrant(grant *Message, lease, now units.Micros) bool {
 	request, known := h.pending[grant.Renewal.Sequence]
 	switch {
--- a/internal/federation/manager.go
+++ b/internal/federation/manager.go
@@ -24,7 +24,7 @@
 	unreadable    map[string]error // decoding errors by record key
 	reservations  *Reservations
 	transferCount uint64 // number of transfers begun by this leader
-	superseded    bool   // another leader has written a record; this Manager makes no more decisions
+	superseded    bool   // set by a version conflict: another leader may be active, so no more decisions are made
 }
 
 // Stats holds the counters of a Manager.
--- a/internal/federation/manager_test.go
+++ b/internal/federation/manager_test.go
@@ -10,7 +10,7 @@
 
 // A superseded leader begins no transfers after its first version conflict, and calls
 // OnSuperseded exactly once.
-func TestSupersededLeaderStops(t *testing.T) {
+func TestSupersededLeaderBeginsNoTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFederation(t, 1)
 		f.submit("mill", 2, "loomplan")
@@ -18,7 +18,7 @@
 		old, calls := c.manager, 0
 		old.OnSuperseded = func() { calls++ }
 		ctx := t.Context()
-		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
+		if err := old.BeginTransfer(ctx, TransferRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
 		}
 		c.startLeader()
@@ -27,8 +27,8 @@
 		for range 3 {
 			old.Tick(ctx)
 		}
-		if err := old.HandOver(ctx, HandOverRequest{Job: "j-000002", Class: "loomplan", Target: "dye", Work: 10}); !errors.Is(err, ErrNotHandedOver) {
-			t.Errorf("superseded leader: HandOver returns %v, want ErrNotHandedOver", err)
+		if err := old.BeginTransfer(ctx, TransferRequest{Job: "j-000002", Class: "loomplan", Target: "dye", Work: 10}); !errors.Is(err, ErrTransferNotBegun) {
+			t.Errorf("superseded leader: BeginTransfer returns %v, want ErrTransferNotBegun", err)
 		}
 		if calls != 1 {
 			t.Errorf("OnSuperseded was called %d times, want once", calls)
@@ -36,22 +36,23 @@
 	})
 }
 
-// A job that is not eligible for a transfer stays at its origin, and HandOver returns an error.
-func TestIneligibleJobIsNotHandedOver(t *testing.T) {
+// A job that is not eligible for a transfer stays at its origin, and BeginTransfer returns an
+// error.
+func TestIneligibleJobIsNotTransferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFederation(t, 1)
 		m := f.cells["mill"].manager
-		for name, mutate := range map[string]func(*HandOverRequest){
-			"unknown class":  func(f *HandOverRequest) { f.Class = "other" },
-			"to own cell":    func(f *HandOverRequest) { f.Target = "mill" },
-			"unknown target": func(f *HandOverRequest) { f.Target = "loom" },
-			"restart limit":  func(f *HandOverRequest) { f.Class, f.Restarts = "yarnrecount", 3 },
-			"invalid job ID": func(f *HandOverRequest) { f.Job = "job" },
+		for name, mutate := range map[string]func(*TransferRequest){
+			"unknown class":  func(r *TransferRequest) { r.Class = "other" },
+			"to own cell":    func(r *TransferRequest) { r.Target = "mill" },
+			"unknown target": func(r *TransferRequest) { r.Target = "loom" },
+			"restart limit":  func(r *TransferRequest) { r.Class, r.Restarts = "yarnrecount", 3 },
+			"invalid job ID": func(r *TransferRequest) { r.Job = "job" },
 		} {
-			request := HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}
+			request := TransferRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}
 			mutate(&request)
-			if err := m.HandOver(t.Context(), request); !errors.Is(err, ErrNotHandedOver) || m.Owner("j-000001") != OwnerOrigin {
-				t.Errorf("%s: error is %v, want ErrNotHandedOver and an unchanged owner", name, err)
+			if err := m.BeginTransfer(t.Context(), request); !errors.Is(err, ErrTransferNotBegun) || m.Owner("j-000001") != OwnerOrigin {
+				t.Errorf("%s: error is %v, want ErrTransferNotBegun and an unchanged owner", name, err)
 			}
 		}
 	})
@@ -72,8 +73,8 @@
 		if err := c.manager.ReadError("j-000001"); !errors.Is(err, ErrUnreadableRecord) || c.manager.Owner("j-000001") != OwnerNone {
 			t.Errorf("job with an unreadable record is not blocked: read error is %v", err)
 		}
-		if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}); !errors.Is(err, ErrNotHandedOver) {
-			t.Errorf("HandOver of the blocked job returns %v, want ErrNotHandedOver", err)
+		if err := c.manager.BeginTransfer(t.Context(), TransferRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 1}); !errors.Is(err, ErrTransferNotBegun) {
+			t.Errorf("BeginTransfer of the blocked job returns %v, want ErrTransferNotBegun", err)
 		}
 		out := TransferID{Origin: "mill", Job: "j-000001", Incarnation: 1}
 		c.manager.Receive(t.Context(), "dye", Message{Kind: MessageRefused, Transfer: out})
--- a/internal/federation/managercells_test.go
+++ b/internal/federation/managercells_test.go
@@ -53,7 +53,7 @@
 		moved += len(c.incomingDone)
 	}
 	if moved == 0 {
-		t.Error("no job was handed over")
+		t.Error("no job was transferred")
 	}
 	t.Logf("answers: %v; transfers that began to run: %d; sent by the last leaders: %d messages, %d writes", answers, moved, messages, writes)
 	for _, c := range f.cells {
--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -22,8 +22,8 @@
 	f := newFakeFederation(t, 3)
 	f.submit("mill", 1, class)
 	c := f.cells["mill"]
-	c.jobs[0].handedOver = true
-	if err := c.manager.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: class, Target: "dye", Work: 10}); err != nil {
+	c.jobs[0].transferred = true
+	if err := c.manager.BeginTransfer(t.Context(), TransferRequest{Job: "j-000001", Class: class, Target: "dye", Work: 10}); err != nil {
 		t.Fatal(err)
 	}
 	id := c.manager.originRecord("j-000001").Transfer
@@ -82,7 +82,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFederation(t, 1)
 		m := f.cells["mill"].manager
-		if err := m.HandOver(t.Context(), HandOverRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
+		if err := m.BeginTransfer(t.Context(), TransferRequest{Job: "j-000001", Class: "loomplan", Target: "dye", Work: 10}); err != nil {
 			t.Fatal(err)
 		}
 		id := m.originRecord("j-000001").Transfer
--- a/internal/federation/handover.go
+++ b/internal/federation/managerjobs.go
@@ -6,11 +6,11 @@
 	"fmt"
 )
 
-// ErrNotHandedOver reports that no transfer was begun.
-var ErrNotHandedOver = errors.New("job not handed over")
+// ErrTransferNotBegun reports that Manager.BeginTransfer has not begun a transfer.
+var ErrTransferNotBegun = errors.New("transfer not begun")
 
-// HandOverRequest requests the transfer of a job to another cell.
-type HandOverRequest struct {
+// TransferRequest requests the transfer of a job to another cell.
+type TransferRequest struct {
 	Job    string // job ID
 	Class  string
 	Target string // name of the target cell
@@ -22,24 +22,24 @@
 	Restarts int
 }
 
-// HandOver begins the transfer of a job of this cell. No task of the job may be on a machine,
+// BeginTransfer begins the transfer of a job of this cell. No task of the job may be on a machine,
 // and the scheduler must not start any until Scheduler.Returned is called. An error wraps
-// ErrNotHandedOver and leaves the job unchanged: it stays in this cell, or in the transfer
+// ErrTransferNotBegun and leaves the job unchanged: it stays in this cell, or in the transfer
 // that it already has.
-func (m *Manager) HandOver(ctx context.Context, request HandOverRequest) error {
+func (m *Manager) BeginTransfer(ctx context.Context, request TransferRequest) error {
 	policy := m.Config.Class(request.Class)
 	switch {
 	case policy == nil:
-		return fmt.Errorf("%w: class %q is not eligible for transfer", ErrNotHandedOver, request.Class)
+		return fmt.Errorf("%w: class %q of job %q is not eligible for transfer", ErrTransferNotBegun, request.Class, request.Job)
 	case request.Restarts > policy.MaxRestarts:
-		return fmt.Errorf("%w: restart limit of its class is exceeded", ErrNotHandedOver)
+		return fmt.Errorf("%w: %d restarts of job %q exceed the limit of %d of its class", ErrTransferNotBegun, request.Restarts, request.Job, policy.MaxRestarts)
 	case !m.otherCell(request.Target):
-		return fmt.Errorf("%w: %q is not another cell of the federation", ErrNotHandedOver, request.Target)
+		return fmt.Errorf("%w: target %q of job %q is not another cell of the federation", ErrTransferNotBegun, request.Target, request.Job)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.outgoing[request.Job] != nil || m.unreadable[outgoingKey(request.Job)] != nil {
-		return fmt.Errorf("%w: it already has a transfer", ErrNotHandedOver)
+		return fmt.Errorf("%w: job %q already has a transfer record", ErrTransferNotBegun, request.Job)
 	}
 	m.transferCount++
 	id := TransferID{
@@ -48,14 +48,14 @@
 		Incarnation: m.FencingToken<<incarnationBits | m.transferCount,
 	}
 	if err := id.check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotHandedOver, err)
+		return fmt.Errorf("%w: %w", ErrTransferNotBegun, err)
 	}
 	transfer := &outgoingTransfer{grantor: NewLeaseGrantor(m.LeaseAcquiredAt)}
 	m.outgoing[request.Job] = transfer
 	m.applyOrigin(ctx, transfer, BeginTransfer(id, request, policy.MaxRestarts))
 	if !transfer.stored() {
 		delete(m.outgoing, request.Job)
-		return fmt.Errorf("%w: its transfer record was not stored", ErrNotHandedOver)
+		return fmt.Errorf("%w: transfer record of job %q was not stored", ErrTransferNotBegun, request.Job)
 	}
 	return nil
 }
--- a/internal/federation/message.go
+++ b/internal/federation/message.go
@@ -18,8 +18,8 @@
 	// MessageNoCapacity rejects a MessageReserve for lack of capacity. Unlike MessageRefused
 	// it is not durable: a later MessageReserve may succeed. Target to origin.
 	MessageNoCapacity
-	// MessageCommit hands the job over: the origin has stopped starting its tasks. Origin to
-	// target.
+	// MessageCommit transfers the job. The origin starts no task of it unless the job returns.
+	// Origin to target.
 	MessageCommit
 	// MessageAccepted confirms that the target has stored the job. Target to origin.
 	MessageAccepted
@@ -115,7 +115,7 @@
 		return fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	if m.Work < 0 || m.Run < 0 || m.Run > maxRun {
-		return fmt.Errorf("%w: work or run out of range", ErrMalformedMessage)
+		return fmt.Errorf("%w: work %d is negative or run %d is not between 0 and %d", ErrMalformedMessage, m.Work, m.Run, maxRun)
 	}
 	if (m.Kind == MessageRenew || m.Kind == MessageGrant) && m.Run == 0 {
 		return fmt.Errorf("%w: %v without a run number", ErrMalformedMessage, m.Kind)
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -149,9 +149,9 @@
 	return m.jobs[slices.IndexFunc(m.jobs, func(j *userJob) bool { return j.id == id })]
 }
 
-// maybeHandOver begins a transfer of a job to a random cell if the job is eligible and does not
-// run.
-func (m *model) maybeHandOver(job *userJob) {
+// maybeBeginTransfer begins a transfer of a job to a random cell if the job is eligible and does
+// not run.
+func (m *model) maybeBeginTransfer(job *userJob) {
 	c := job.origin
 	if _, transferred := c.outgoing[job.id]; transferred || m.now < c.leaderStartsAt || c.executions[job.id] != nil || job.answeredDone || job.cancelRequested {
 		return
@@ -165,7 +165,7 @@
 		return
 	}
 	id := TransferID{Origin: c.name, Job: job.id, Incarnation: job.incarnation + 1}
-	request := HandOverRequest{Target: to.name, Description: []byte("job"), Work: 2, Restarts: restarts}
+	request := TransferRequest{Target: to.name, Description: []byte("job"), Work: 2, Restarts: restarts}
 	m.applyOrigin(c, BeginTransfer(id, request, job.maxRestarts))
 }
 
@@ -183,7 +183,7 @@
 	case 2:
 		job.cancelRequested = job.cancelRequested || rapid.IntRange(0, 2).Draw(m.t, "cancel") == 0
 	case 3, 4, 5:
-		m.maybeHandOver(job)
+		m.maybeBeginTransfer(job)
 	case 6:
 		m.advance(units.Micros(rapid.IntRange(1, 40).Draw(m.t, "long")) * units.Second)
 	case 7, 8, 9, 10, 11, 12, 13, 14:
--- a/internal/federation/modelcheck_test.go
+++ b/internal/federation/modelcheck_test.go
@@ -2,8 +2,8 @@
 
 import "dunestand/internal/units"
 
-// checkInvariants requires that no job runs in two cells and that no cell has reserved more than
-// its capacity.
+// checkInvariants removes executions whose leases have expired. It requires that no job runs in
+// two cells and that no cell has reserved more than its capacity.
 func (m *model) checkInvariants() {
 	for _, job := range m.jobs {
 		var in []string
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -3,7 +3,7 @@
 import "dunestand/internal/units"
 
 // BeginTransfer begins the transfer of a job. maxRestarts is the restart limit of its class.
-func BeginTransfer(id TransferID, request HandOverRequest, maxRestarts int) Decision[OriginRecord] {
+func BeginTransfer(id TransferID, request TransferRequest, maxRestarts int) Decision[OriginRecord] {
 	r := OriginRecord{
 		Transfer:    id,
 		Target:      request.Target,
@@ -59,7 +59,7 @@
 }
 
 // onReserved commits the job. If the transfer has left OriginIntended, it resends the message
-// of the current phase, which releases an unneeded reservation.
+// of the current phase; if that is MessageRevoke, the target releases the reservation.
 func (r OriginRecord) onReserved() Decision[OriginRecord] {
 	if r.Phase != OriginIntended {
 		return r.Resend()
@@ -117,7 +117,7 @@
 		if r.Confirmed {
 			return unchanged(r, MessageSettle)
 		}
-		r.Confirmed = true // the final answer given to the user must not change
+		r.Confirmed = true // the user was already notified that the job was cancelled or has ended at its origin
 		return changed(r, MessageSettle)
 	}
 	r.Phase, r.Confirmed = OriginFinished, true
--- a/internal/federation/originrecord.go
+++ b/internal/federation/originrecord.go
@@ -132,13 +132,14 @@
 // by a partition.
 func (r OriginRecord) unbounded() bool { return r.Run > 0 && r.Restarts+r.Run-1 >= r.MaxRestarts }
 
-// canReclaim reports whether the class allows the origin to restart the job.
+// canReclaim reports whether the job is committed and its class allows the origin to restart
+// it. Starting a job that never ran at the target is no restart.
 func (r OriginRecord) canReclaim() bool {
 	return r.Phase == OriginCommitted && (r.Run == 0 || r.Restarts+r.Run <= r.MaxRestarts)
 }
 
-// NextRestarts returns the restart count of the job after the origin has restarted it. It is
-// HandOverRequest.Restarts of the next transfer.
+// NextRestarts returns the restart count of the job after the origin has restarted it. The next
+// transfer begins with it as TransferRequest.Restarts.
 func (r OriginRecord) NextRestarts() int { return r.Restarts + r.Run }
 
 // Removable reports whether the target has confirmed that it runs no task of the job, so that
--- a/internal/federation/recordcodec.go
+++ b/internal/federation/recordcodec.go
@@ -20,7 +20,8 @@
 // recordFormat is the format version of both record types.
 const recordFormat = 1
 
-// ErrUnreadableRecord reports a transfer record that cannot be decoded.
+// ErrUnreadableRecord reports a transfer record that cannot be decoded. The transfer is not
+// restored, and the record must not be overwritten.
 var ErrUnreadableRecord = errors.New("unreadable transfer record")
 
 // RecordError reports a record that cannot be decoded. It wraps ErrUnreadableRecord and the
--- a/internal/federation/recordcodec_test.go
+++ b/internal/federation/recordcodec_test.go
@@ -79,7 +79,7 @@
 // A record that is damaged, of another format or under the wrong key is rejected with an error
 // that contains the key.
 func TestUnreadableRecordNamesItsKey(t *testing.T) {
-	origin := BeginTransfer(transfer, HandOverRequest{Target: "dye", Work: 1}, 0).Record
+	origin := BeginTransfer(transfer, TransferRequest{Target: "dye", Work: 1}, 0).Record
 	target := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, true).Record
 	unknownPhase := origin
 	unknownPhase.Phase = originPhaseCount
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestJobFromKey(t *testing.T) {
+func TestJobFromKeyAcceptsOnlyOutgoingKeys(t *testing.T) {
 	key := outgoingKey("j-000001")
 	if job, ok := JobFromKey(key); !ok || job != "j-000001" {
 		t.Errorf("job of key %s is %q, want j-000001", key, job)
--- a/internal/federation/target.go
+++ b/internal/federation/target.go
@@ -56,8 +56,8 @@
 
 // ReceiveNew processes a message about a transfer without a record at the target. hasCapacity
 // is whether capacity for the transfer was reserved. MessageCommit and MessageRevoke are
-// refused durably, since either may be a late copy from a transfer that was already refused
-// or settled.
+// refused durably, since either may be a late duplicate from a transfer that was already
+// refused or settled.
 func ReceiveNew(message *Message, hasCapacity bool) Decision[TargetRecord] {
 	r := TargetRecord{Transfer: message.Transfer}
 	switch message.Kind {
@@ -154,7 +154,8 @@
 }
 
 // RequestRenewal requests the next grant. If this leader holds no valid lease on the current
-// run, it requests a new run, since the tasks may have been stopped.
+// run, it requests a new run, since the tasks may have been stopped after lease expiry or
+// under the previous leader.
 func (r TargetRecord) RequestRenewal(holder *LeaseHolder, now units.Micros) Decision[TargetRecord] {
 	if r.Phase != TargetAccepted || r.Stopping || r.Unbounded {
 		return unchanged(r)
--- a/internal/federation/transfer.go
+++ b/internal/federation/transfer.go
@@ -14,7 +14,7 @@
 	// cell.
 	Origin string `cbor:"from"`
 	Job    string `cbor:"job"`
-	// Incarnation starts from 1 and increases with each transfer of the job, so that late
+	// Incarnation is at least 1 and increases with each transfer of the job, so that late
 	// messages of an earlier transfer are recognized.
 	Incarnation uint64 `cbor:"n"`
 }
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -26,7 +26,7 @@
 func newTransferPair(t *testing.T, maxRestarts int) *transferPair {
 	t.Helper()
 	p := &transferPair{t: t, holder: NewLeaseHolder(1)}
-	p.applyOrigin(BeginTransfer(transfer, HandOverRequest{Target: "dye", Description: []byte("job"), Work: 10}, maxRestarts))
+	p.applyOrigin(BeginTransfer(transfer, TransferRequest{Target: "dye", Description: []byte("job"), Work: 10}, maxRestarts))
 	return p
 }
 
@@ -76,7 +76,7 @@
 
 // The numbers of messages and writes of a transfer without faults, as stated in
 // docs/federation.md.
-func TestHandOverMessageAndWriteCounts(t *testing.T) {
+func TestTransferMessageAndWriteCounts(t *testing.T) {
 	p := newTransferPair(t, 1)
 	p.check(OriginCommitted, false)
 	p.applyTarget(p.target.RequestRenewal(&p.holder, p.now))
@@ -111,8 +111,8 @@
 	}
 }
 
-// A target never accepts a transfer that it has refused, even if late copies of earlier messages
-// arrive. It refuses a MessageCommit without a reservation.
+// A target never accepts a transfer that it has refused, even if late duplicates of earlier
+// messages arrive. It refuses a MessageCommit without a reservation.
 func TestRefusalIsDurable(t *testing.T) {
 	for _, first := range []MessageKind{MessageCommit, MessageRevoke} {
 		d := ReceiveNew(&Message{Kind: first, Transfer: transfer, Job: []byte("job")}, true)
@@ -129,9 +129,9 @@
 	}
 }
 
-// MessageNoCapacity does not end a transfer that has progressed since: a late copy may arrive
-// after a later MessageReserve has succeeded.
-func TestNoCapacityDoesNotEndTransfer(t *testing.T) {
+// MessageNoCapacity does not end a committed transfer: a late duplicate may arrive after a later
+// MessageReserve has succeeded.
+func TestLateNoCapacityDoesNotEndCommittedTransfer(t *testing.T) {
 	if d := ReceiveNew(&Message{Kind: MessageReserve, Transfer: transfer, Work: 1}, false); d.Write || d.Send[0].Kind != MessageNoCapacity {
 		t.Fatalf("reserve without capacity yields %+v", d)
 	}
