--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -13,9 +13,10 @@
 //     origin starts them again only after the target has durably refused the transfer, or
 //     after the lease and the grace period in which the target stops the tasks have expired
 //     with the maximum clock drift taken into account.
-//   - A job is not restarted more often than its class allows, counted over all cells. The
-//     grant for the last permitted run is unbounded: the target continues without renewals,
-//     and the origin waits for its result.
+//   - A job is not restarted more often than its class allows, counted over all cells. A run
+//     of the job at the target ends when its lease expires or the target changes its leader,
+//     and each run after the first counts as a restart. The grant for the last permitted run
+//     is unbounded: the target continues without renewals, and the origin waits for its result.
 //   - A task that either cell knows to be completed stays completed.
 //   - A transfer ends only with the job done, cancelled, or returned to its origin.
 //
--- a/internal/federation/fakecell_test.go
+++ b/internal/federation/fakecell_test.go
@@ -204,12 +204,12 @@
 			c.federation.recordAnswer(j.id, answer)
 		}
 	}
-	c.transferPending(ctx, manager)
+	c.transferPendingJobs(ctx, manager)
 }
 
-// transferPending begins transfers of up to three pending jobs, each to the first cell with
+// transferPendingJobs begins transfers of up to three pending jobs, each to the first cell with
 // enough capacity. Two pending jobs always stay.
-func (c *fakeCell) transferPending(ctx context.Context, manager *Manager) {
+func (c *fakeCell) transferPendingJobs(ctx context.Context, manager *Manager) {
 	c.mu.Lock()
 	var pending []*fakeJob
 	running := c.jobsOnMachines()
--- a/internal/federation/reservation.go
+++ b/internal/federation/reservation.go
@@ -9,7 +9,7 @@
 
 // Reservations tracks the capacity of a target that is reserved for jobs of other cells. The
 // capacity is divided equally among the origins with a request within requestWindow: an origin
-// may reserve no more than its fair share while others request capacity, and otherwise all.
+// may reserve no more than its fair share while others request capacity, otherwise all of it.
 // Times are on the leader's steady clock. Reservations is not safe for concurrent use.
 type Reservations struct {
 	// HoldTime is the time after which an uncommitted reservation expires.
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// check requires a phase at the origin and whether the target may run the job.
+// check fails the test unless the origin is in the given phase and mayRun is whether the target
+// may run the job.
 func (p *transferPair) check(phase OriginPhase, mayRun bool) {
 	p.t.Helper()
 	if p.origin.Phase != phase {
