--- a/internal/fake/admissioncheck/checker.go
+++ b/internal/fake/admissioncheck/checker.go
@@ -116,7 +116,7 @@
 	c.plans[plan.Version], c.current, c.currentSince = plan, plan, time.Now()
 }
 
-// ageTolerance is the tolerance for the error of a plan's age as the checker measures it.
+// ageTolerance allows for the error of the plan age that the checker measures.
 const ageTolerance = 50 * time.Millisecond
 
 func (c *Checker) checkDurableJobLocked(id string) {
--- a/internal/fake/admissioncheck/submit.go
+++ b/internal/fake/admissioncheck/submit.go
@@ -11,7 +11,7 @@
 	"dunestand/internal/protocol"
 )
 
-// submitTimeout is the timeout of a submission.
+// submitTimeout limits the time from sending a submission to the end of its response.
 const submitTimeout = 5 * time.Second
 
 // Response is a controller's response to a submission. The zero value means that no response was
--- a/internal/fake/fixedseed/fixedseed.go
+++ b/internal/fake/fixedseed/fixedseed.go
@@ -12,7 +12,7 @@
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20260921", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // rapid no longer has the flag
+			panic(err) // rapid no longer has the flag; every test of the importing package then fails
 		}
 	}
 }
--- a/internal/fake/invariantchecker.go
+++ b/internal/fake/invariantchecker.go
@@ -204,8 +204,8 @@
 }
 
 // CheckCancellations checks that no task still runs when the cancel timeout has passed since the
-// cancellation of its job was confirmed. It only sees the tasks that run when it is called, so
-// that callers must repeat it at short intervals.
+// cancellation of its job was confirmed. It sees only the tasks that run when it is called, so
+// callers must repeat it at short intervals.
 func (c *InvariantChecker) CheckCancellations() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/kvserver.go
+++ b/internal/fake/kvserver.go
@@ -19,7 +19,7 @@
 	mu       sync.Mutex // guards the unexported fields
 	items    map[string]protocol.Item
 	revision uint64
-	commits  int // commit requests received over HTTP
+	commits  int // commit requests received over HTTP that were within the limits
 
 	// RejectRequest selects the requests that get status 503 and have no effect. Calls are
 	// serialized. nil: no request.
--- a/internal/fake/leadership.go
+++ b/internal/fake/leadership.go
@@ -2,9 +2,9 @@
 
 import "dunestand/internal/units"
 
-// Leadership is a fake of a leader's leadership. It has no lease and therefore never expires:
-// it ends when the leader steps down or a test sets Lost. It must not
-// be changed while other goroutines read it.
+// Leadership is a fake of a leader's leadership. It has no lease and therefore never expires: it
+// ends when the leader steps down or abstains, or a test sets Lost. It must not be changed while
+// other goroutines read it.
 type Leadership struct {
 	FencingToken uint64
 	Lost         bool         // the leader must no longer act
--- a/internal/fake/legacyjobs.go
+++ b/internal/fake/legacyjobs.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/base64"
-	"errors"
 	"fmt"
 	"hash/fnv"
 	"slices"
@@ -95,7 +94,7 @@
 		return r, nil, fmt.Errorf("invalid key, ID or format: format %d, ID %q", r.Format, r.ID)
 	}
 	if r.Tasks < 1 || r.Tasks > legacyMaxTasks || r.Priority >= legacyPriorities || r.Kind >= legacyKinds || r.Pages != (r.Tasks-1)/legacyTasksPerPage {
-		return r, nil, errors.New("task count, priority, kind or page count is out of range")
+		return r, nil, fmt.Errorf("task count %d, priority %d, kind %d or page count %d is out of range", r.Tasks, r.Priority, r.Kind, r.Pages)
 	}
 	job := &LegacyJob{
 		Kind:     r.Kind,
@@ -115,7 +114,7 @@
 	const pageBytes = legacyTasksPerPage / 8
 	target := j.Done[min(page*pageBytes, len(j.Done)):min((page+1)*pageBytes, len(j.Done))]
 	if len(raw) > len(target) {
-		return errors.New("bitmap of completed tasks is longer than the job")
+		return fmt.Errorf("bitmap of completed tasks on page %d has %d bytes, limit %d", page, len(raw), len(target))
 	}
 	copy(target, raw)
 	return nil
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -57,7 +57,7 @@
 	sequence       uint64    // of the last heartbeat
 	fencingToken   uint64    // the highest seen
 	tokenChangedAt time.Time // when a higher token last counted as a change
-	leaseStart     time.Time // when the last answered heartbeat was sent
+	leaseStart     time.Time // when the last acknowledged heartbeat was sent, or the incarnation began
 	changed        bool      // the state has changed since the last heartbeat
 	tasks          map[string]*machineTask
 	fault          Fault
--- a/node/admission_burst_test.go
+++ b/node/admission_burst_test.go
@@ -253,9 +253,10 @@
 	t.Logf("admitted %v, gave up %v, %d deferred responses, %d plans, within %v", admitted, b.abandoned, b.checker.DeferredResponses(), b.checker.StoredPlans(), took)
 }
 
-// The guaranteed team is admitted although responses of the key-value store are lost, the leader
-// stops and restarts, the store rejects a controller, which then uses an old plan, and the leader
-// is partitioned one way from the other controllers.
+// The jobs of the steady team, which stays within its guaranteed quota, are admitted although
+// responses of the key-value store are lost, the leader stops and restarts, the store rejects a
+// controller, which then uses an old plan, and the leader is partitioned one way from the other
+// controllers.
 func TestGuaranteedTeamIsAdmittedWhileControllersFail(t *testing.T) {
 	b := newBurst(t)
 	const duration = 14 * time.Second
--- a/node/admission_faults_test.go
+++ b/node/admission_faults_test.go
@@ -88,11 +88,11 @@
 		const manyTasks = 60
 		d.submit(d.newJob(manyTasks, 100*time.Millisecond))
 		if keys := d.kv.Keys("admission/"); len(keys) > 0 || !d.metricsContain(0, "dunestand_admission_held_back 1") {
-			t.Errorf("while a controller has it disabled: %v", keys)
+			t.Errorf("the admission plan is not held back while a controller has it disabled: keys %v", keys)
 		}
 		delete(disabled, 2)
 		d.restart(2, time.Second)
-		d.waitUntil("it is active everywhere", func() bool {
+		d.waitUntil("the admission plan is active on all controllers", func() bool {
 			return d.metricsContain(0, admissionActive) && d.metricsContain(1, admissionActive) && d.metricsContain(2, admissionActive)
 		})
 		d.waitUntil("a plan is stored", func() bool { return len(d.kv.Keys("admission/plan")) == 1 })
@@ -108,7 +108,7 @@
 }
 
 // While users flood the fleet, controllers restart, are partitioned one way and are rejected by
-// the key-value store, responses are lost and transactions are carried out late. Responses stay
+// the key-value store, responses are lost and transactions are applied late. Responses stay
 // consistent about which jobs are accepted or deferred, and every job ends.
 func TestAdmissionStaysConsistentUnderFaults(t *testing.T) {
 	for seed := range uint64(4) {
@@ -117,7 +117,7 @@
 			options := deploymentOptions{controllers: 5, seed: seed, policy: func(int) *config.Policy { return policy }}
 			simulate(t, options, func(d *deployment) {
 				d.admission = admissioncheck.New(d.kv)
-				d.waitUntil("it is active", func() bool { return d.metricsContain(0, admissionActive) })
+				d.waitUntil("the admission plan is active", func() bool { return d.metricsContain(0, admissionActive) })
 				d.runFlood()
 				deferred, plans := d.admission.DeferredResponses(), d.admission.StoredPlans()
 				if deferred == 0 || plans < 10 {
--- a/node/admission_measure_test.go
+++ b/node/admission_measure_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Measures admission with the admission plan enabled and disabled: one team floods for 30 s with
-// ten times its guaranteed quota, and the other starts 10 s later with four fifths of its own. The
-// controllers have memory for all jobs, or for some 390 of them.
+// TestMeasureAdmission measures admission with the admission plan enabled and disabled: one team
+// floods for 30 s with ten times its guaranteed quota, and the other starts 10 s later with four
+// fifths of its own. The controllers have memory for all jobs, or for some 390 of them.
 func TestMeasureAdmission(t *testing.T) {
 	if !*measure {
 		t.Skip("takes minutes: run with -measure")
--- a/node/cancellation_test.go
+++ b/node/cancellation_test.go
@@ -99,7 +99,7 @@
 		for i := range 32 {
 			job := d.newJob(1+i%3, runTime)
 			d.submit(job)
-			d.waitUntil("its last task runs", func() bool { return d.invariants.RunningTasks(job.ID) == job.Tasks })
+			d.waitUntil("all tasks of the job run", func() bool { return d.invariants.RunningTasks(job.ID) == job.Tasks })
 			d.sleep(runTime + time.Duration(i-24)*60*time.Millisecond)
 			d.invariants.CancelRequested(job.ID)
 			d.cancelOnce(i%defaultControllers, job.ID)
@@ -113,8 +113,8 @@
 	})
 }
 
-// A cancellation is carried out late, after the next leader has read the records without it. No
-// controller may then confirm the cancellation from the records.
+// The transaction that stores a cancellation is applied late, after the next leader has read the
+// records without it. No controller may then confirm the cancellation from the records.
 func TestLateCancellationCommitIsNotConfirmedFromRecords(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -127,7 +127,7 @@
 				d.update(func() { d.lateCommitShare = 0 })
 				d.restart(leader, 100*time.Millisecond)
 				next := d.leader()
-				d.sleep(14 * time.Second) // until the cancellation is carried out
+				d.sleep(14 * time.Second) // until the cancellation is applied
 				d.partitionPeers(next, true)
 				d.sleep(4 * time.Second)
 				for i := range d.controllers {
--- a/node/cluster_network_test.go
+++ b/node/cluster_network_test.go
@@ -25,7 +25,7 @@
 	partitioned := d.partitioned[addr]
 	d.mu.Unlock()
 	if partitioned {
-		<-ctx.Done() // a partition drops packets, so dialling hangs
+		<-ctx.Done() // a partition drops packets, so dialing hangs
 		return nil, ctx.Err()
 	}
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
--- a/node/deployment_faults_test.go
+++ b/node/deployment_faults_test.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// partitionPeersOneWay starts or ends the loss of all that a controller sends to the others. What
-// they send to it still arrives.
+// partitionPeersOneWay starts or ends the partition of a controller from the others one way: it
+// cannot open connections to them and loses those that it has opened. The connections that the
+// others open to it still work, in both directions.
 func (d *deployment) partitionPeersOneWay(controller int, partitioned bool) {
 	for k := range d.controllers {
 		if k != controller {
--- a/node/deployment_services_test.go
+++ b/node/deployment_services_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// serveKVDelayed carries out a request at once and withholds its response until the channel
+// serveKVDelayed executes a request at once and withholds its response until the channel
 // returned by delay is ready.
 func (d *deployment) serveKVDelayed(w http.ResponseWriter, r *http.Request, delay func(body []byte) <-chan time.Time) {
 	body, _ := io.ReadAll(r.Body)
--- a/node/deployment_test.go
+++ b/node/deployment_test.go
@@ -18,8 +18,8 @@
 )
 
 // deployment is a simulated deployment on a simulated clock: complete controllers, machines,
-// users, a key-value store and a cloud. Tests inject faults, and the invariant checker verifies
-// what machines do and what users are told.
+// users, a key-value store and a cloud. Tests inject faults, and the invariant checker checks the
+// tasks that machines run and the responses that users receive.
 type deployment struct {
 	t          *testing.T
 	ctx        context.Context
@@ -39,8 +39,8 @@
 	kvDown          bool
 	kvDelay         time.Duration
 	kvListDelay     time.Duration // additional delay of key listings
-	lateCommitShare float64       // share of transactions that get no response and are carried out later
-	// kvResponseDelay returns a channel. The key-value store carries out a request at once and
+	lateCommitShare float64       // share of transactions that get no response and are applied later
+	// kvResponseDelay returns a channel. The key-value store executes a request at once and
 	// withholds the response until the channel is ready. nil: no delay.
 	kvResponseDelay func(controller int, r *http.Request, body []byte) <-chan time.Time
 }
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -69,7 +69,7 @@
 
 // There is more work than capacity, of all priorities, and the key-value store and commands are
 // slow. A preempted task counts against capacity and quota limit until it is gone.
-func TestPreemptedTasksCountUntilGoneOverSlowLinks(t *testing.T) {
+func TestPreemptedTasksCountUntilGoneWhenCommandsAreSlow(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			simulate(t, deploymentOptions{machines: 4, quotaLimit: 13, seed: seed}, func(d *deployment) {
@@ -147,7 +147,7 @@
 	})
 }
 
-// Transactions get no response and are carried out late, after newer ones.
+// Transactions get no response and are applied late, after newer ones.
 func TestLateTransactionsBreakNoInvariant(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -170,7 +170,8 @@
 	}
 }
 
-// No heartbeat reaches a controller, while pushed commands reach the workers.
+// The heartbeats of one machine in three, or of all machines, are lost, while pushed commands reach
+// the workers.
 func TestLostHeartbeatsBreakNoInvariant(t *testing.T) {
 	for _, oneIn := range []int{3, 1} {
 		t.Run(fmt.Sprintf("one machine in %d", oneIn), func(t *testing.T) {
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -84,8 +84,8 @@
 }
 
 // delayResponses delays a share of three kinds of responses: from the key-value store, which has
-// carried out the request by then, between controllers, and to users. The delay to users is
-// shorter than the time that controllers reserve for a response to reach its user.
+// executed the request by then, between controllers, and to users. The delay to users is shorter
+// than the time that controllers reserve for a response to reach its user.
 func (d *deployment) delayResponses(random *rand.Rand) {
 	randomDelay := func(share float64, longest time.Duration) <-chan time.Time {
 		d.mu.Lock()
--- a/node/leadership_test.go
+++ b/node/leadership_test.go
@@ -104,7 +104,7 @@
 			jobs = append(jobs, job)
 			tasks += job.Tasks
 		}
-		d.waitUntil("all run", func() bool { return d.runningTasks(jobs) == tasks })
+		d.waitUntil("all tasks run", func() bool { return d.runningTasks(jobs) == tasks })
 		for i := range 3 {
 			leader := d.leader()
 			running := d.runningTasks(jobs)
@@ -156,7 +156,7 @@
 		}
 		job := d.newJob(12, 20*time.Second)
 		d.submit(job)
-		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.ID) == 12 })
+		d.waitUntil("all tasks of the job run", func() bool { return d.invariants.RunningTasks(job.ID) == 12 })
 		leader, busy := d.leader(), d.busyMachines()
 		injectFault(busy, fake.Fault{HeartbeatsLost: true})
 		d.restart(leader, 300*time.Millisecond)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -57,7 +57,7 @@
 	}{
 		{"not a map", []int{1}, http.StatusBadRequest},
 		{"empty map", map[string]any{}, http.StatusBadRequest},
-		{"unknown shape", with(func(s map[string]any) { s[protocol.FieldJobKind] = "ring" }), http.StatusBadRequest},
+		{"unknown job kind", with(func(s map[string]any) { s[protocol.FieldJobKind] = "ring" }), http.StatusBadRequest},
 		{"tasks as text", with(func(s map[string]any) { s[protocol.FieldTasks] = "4" }), http.StatusBadRequest},
 		{"over 64 KiB", with(func(s map[string]any) { s[protocol.FieldImage] = strings.Repeat("x", 70<<10) }), http.StatusBadRequest},
 		{"unknown team", with(func(s map[string]any) { s[protocol.FieldTeam] = "nobody" }), http.StatusUnprocessableEntity},
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -36,7 +36,7 @@
 		for _, job := range accepted[2:] {
 			d.cancel(job.ID)
 		}
-		d.waitUntil("all are cancelled", func() bool {
+		d.waitUntil("all jobs are reported as cancelled", func() bool {
 			for _, job := range accepted {
 				if d.invariants.LastStage(job.ID) != protocol.StageCancelled {
 					return false
--- a/node/requests_test.go
+++ b/node/requests_test.go
@@ -19,7 +19,7 @@
 		unfinished, finished := d.newJob(3, 60*time.Second), d.newJob(1, time.Second)
 		d.submit(unfinished)
 		d.submit(finished)
-		d.waitUntil("it is done", func() bool { return d.invariants.LastStage(finished.ID) == protocol.StageDone })
+		d.waitUntil("the job is done", func() bool { return d.invariants.LastStage(finished.ID) == protocol.StageDone })
 		check := func(when string, leaderless bool) {
 			for controller := range d.controllers {
 				for i, fields := range duplicatesOf(submissionOf(unfinished)) {
--- a/node/soak_faults_test.go
+++ b/node/soak_faults_test.go
@@ -56,7 +56,7 @@
 	return !time.Now().Before(s.faultyUntil[controller])
 }
 
-// excludeFromFaults keeps other faults away from a controller for length and minGap.
+// excludeFromFaults keeps other faults away from a controller for length plus minGap.
 func (s *soakRun) excludeFromFaults(controller int, length time.Duration) {
 	const minGap = 3 * time.Second // from the end of a fault to the next
 	s.faultyUntil[controller] = time.Now().Add(length + minGap)
@@ -89,8 +89,9 @@
 }
 
 // preemptAndRestartLeader has urgent jobs preempt many tasks, which then move to other machines,
-// and restarts the leader. The next leader first receives old heartbeats of some machines. For a
-// while it receives from others only their responses to the broadcast of its fencing token.
+// and restarts the leader. The next leader first receives old heartbeats of some machines. From
+// other machines it receives, for a while, only their responses to the broadcast of its fencing
+// token.
 func (s *soakRun) preemptAndRestartLeader() {
 	const (
 		minUrgentTasks = largestJobTasks / 2
@@ -126,8 +127,8 @@
 	}
 }
 
-// freezeController delays everything that is sent to or from a controller, requests and responses,
-// until the freeze ends.
+// freezeController delays all responses that a controller sends or is to receive until the freeze
+// ends. Requests arrive at once.
 func (s *soakRun) freezeController() {
 	length := s.randomDuration(2*time.Second, 14*time.Second)
 	if controller, ok := s.controllerToFail(length); ok {
@@ -141,7 +142,8 @@
 	}
 }
 
-// freezeDelay delays traffic between a frozen controller and others until the freeze ends.
+// freezeDelay delays the responses on a connection from or to a frozen controller until the freeze
+// ends; see fake.Network.SetDelay.
 func (s *soakRun) freezeDelay(from, to string) <-chan time.Time {
 	host, _, _ := strings.Cut(to, ":")
 	s.mu.Lock()
@@ -241,8 +243,8 @@
 }
 
 // deliverCaptured delivers to a controller one captured heartbeat each of some machines. The other
-// machines learn the fencing token of the controller by its broadcast, which leaves out machines
-// that it has received a heartbeat from.
+// machines learn the controller's fencing token from its broadcast, which leaves out the machines
+// from which the controller has received a heartbeat.
 func (s *soakRun) deliverCaptured(captured []capturedHeartbeat, controller string, random *rand.Rand) {
 	const machineShare = 0.4
 	chosen := map[string]bool{}
--- a/node/soak_test.go
+++ b/node/soak_test.go
@@ -34,8 +34,9 @@
 var soakSeeds = []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 
 // TestSoak injects random, overlapping faults of controllers, machines and the network, with more
-// work than capacity, preemptions and cancellations, while the invariants are checked on what
-// machines do and users are told. To run it with any duration, seed and number of machines:
+// work than capacity, preemptions and cancellations, while the invariants are checked on the tasks
+// that machines run and the responses that users receive. To run it with any duration, seed and
+// number of machines:
 //
 //	go test ./node -run Soak -soak 30m -seed 7 -machines 4000 -timeout 2h -v
 func TestSoak(t *testing.T) {
@@ -153,7 +154,7 @@
 }
 
 // openTasks returns the number of tasks of jobs whose end has not been reported to their users,
-// and forgets the other jobs.
+// and removes the other jobs from tasks.
 func (s *soakRun) openTasks() int {
 	open := 0
 	for id, tasks := range s.tasks {
--- a/node/stale_responses_test.go
+++ b/node/stale_responses_test.go
@@ -18,8 +18,8 @@
 	return c
 }
 
-// holdCommitResponses has the key-value store carry out the transactions of a controller that name
-// a key, and withhold their responses until release is called. held is set once a response is
+// holdCommitResponses has the key-value store apply the transactions of a controller that name a
+// key, and withhold their responses until release is called. held is set once a response is
 // withheld.
 func (d *deployment) holdCommitResponses(controller int, key string) (held *atomic.Bool, release func()) {
 	held = new(atomic.Bool)
@@ -51,7 +51,7 @@
 	})
 }
 
-// The write that ends a job is carried out and its response withheld from the leader. A follower
+// The transaction that ends a job is applied and its response withheld from the leader. A follower
 // that cannot reach the leader reads the terminal record and reports the end. From then on the
 // leader, which does not know of the end yet, must not report the job as running.
 func TestLeaderUnawareOfStoredCompletionNeverReportsRunning(t *testing.T) {
@@ -79,7 +79,7 @@
 func TestLeaderUnawareOfStoredCancellationNeverReportsRunning(t *testing.T) {
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		job, leader, follower := d.newAcceptedJob(4, endlessRunTime)
-		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.info.ID) == 4 })
+		d.waitUntil("all tasks of the job run", func() bool { return d.invariants.RunningTasks(job.info.ID) == 4 })
 		d.partitionPeers(follower, true)
 		held, release := d.holdCommitResponses(leader, storage.KeyJob(job.info.ID))
 		job.pending.Go(func() { job.cancel(leader) })
@@ -129,7 +129,7 @@
 	simulate(t, deploymentOptions{}, func(d *deployment) {
 		const runTime = 3 * time.Second
 		job, leader, follower := d.newAcceptedJob(1, runTime)
-		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.info.ID) == 1 })
+		d.waitUntil("all tasks of the job run", func() bool { return d.invariants.RunningTasks(job.info.ID) == 1 })
 		d.sleep(runTime - 500*time.Millisecond)
 		gate := make(chan time.Time)
 		d.delayMesh(follower, leader, func() <-chan time.Time { return gate })
@@ -162,7 +162,7 @@
 		const runTime = 6 * time.Second
 		job, leader, follower := d.newAcceptedJob(1, runTime)
 		d.partitionPeers(follower, true)
-		d.waitUntil("it runs", func() bool { return d.invariants.RunningTasks(job.info.ID) == 1 })
+		d.waitUntil("all tasks of the job run", func() bool { return d.invariants.RunningTasks(job.info.ID) == 1 })
 		d.sleep(runTime - 300*time.Millisecond) // by then the follower considers its link to the leader lost
 		d.update(func() {
 			d.kvResponseDelay = func(controller int, r *http.Request, _ []byte) <-chan time.Time {
