--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -56,8 +56,8 @@
 	earlier *Attempt // of the same task, with the next lower number, see LiveAttempts
 }
 
-// HasRival reports whether the task has another live attempt.
-func (a *Attempt) HasRival() bool {
+// HasDuplicate reports whether the task has another live attempt.
+func (a *Attempt) HasDuplicate() bool {
 	return a.earlier != nil || a.Job.LiveAttempts[a.Index] != a
 }
 
--- a/internal/cluster/liveattempts_test.go
+++ b/internal/cluster/liveattempts_test.go
@@ -62,8 +62,8 @@
 		if i > 0 && !a.Stopping {
 			t.Fatalf("attempt %d is not stopped in favor of attempt %d", a.Number, want[0].Number)
 		}
-		if a.HasRival() != (len(want) > 1) {
-			t.Fatalf("attempt %d of %d: rival %v", a.Number, len(want), a.HasRival())
+		if a.HasDuplicate() != (len(want) > 1) {
+			t.Fatalf("attempt %d of %d: rival %v", a.Number, len(want), a.HasDuplicate())
 		}
 	}
 	machines := map[string]bool{}
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -56,7 +56,7 @@
 				job.MarkChanged(now, true)
 				rc.WriteSignal.Raise()
 			}
-		case attempt.HasRival():
+		case attempt.HasDuplicate():
 			// A machine reported another attempt of the task after this one was assigned. The
 			// task would run twice if it were started before the other attempt is gone.
 			rc.Metrics.StartsHeld.Inc()
--- a/internal/reconciler/duplicates_test.go
+++ b/internal/reconciler/duplicates_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 		rc.Reconcile(heartbeatOf(machines[1], 4), testNow)
-		if live := job.LiveAttempts[0]; live == nil || live.Number != 2 || live.HasRival() || job.Pending() != 1 {
+		if live := job.LiveAttempts[0]; live == nil || live.Number != 2 || live.HasDuplicate() || job.Pending() != 1 {
 			t.Errorf("order %v: latest attempt %v with %d tasks pending, want only attempt 2 and 1 pending", order, live, job.Pending())
 		}
 	}
@@ -53,7 +53,7 @@
 	if commands := rc.Commands(rc.Reconcile(own, testNow), own, testNow); len(commands) != 0 {
 		t.Errorf("the later attempt gets %v, want no command", commands)
 	}
-	if live := job.LiveAttempts[0]; live == nil || live.Number != 2 || live.HasRival() {
+	if live := job.LiveAttempts[0]; live == nil || live.Number != 2 || live.HasDuplicate() {
 		t.Errorf("latest attempt %v, want only attempt 2", live)
 	}
 }
--- a/internal/reconciler/logging.go
+++ b/internal/reconciler/logging.go
@@ -128,7 +128,7 @@
 		return stopCancelled
 	case attempt.Job.IsDone(attempt.Index):
 		return stopDone
-	case attempt.HasRival():
+	case attempt.HasDuplicate():
 		return stopDuplicate
 	}
 	return stopPreempted
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -114,7 +114,7 @@
 		task := &heartbeat.Tasks[i]
 		if task.Stage == protocol.TaskExited {
 			rc.applyExitedTask(m, task, now)
-		} else if adopted := rc.applyLiveTask(m, task, now); adopted != nil && adopted.HasRival() {
+		} else if adopted := rc.applyLiveTask(m, task, now); adopted != nil && adopted.HasDuplicate() {
 			duplicates.add(adopted)
 		}
 	}
