--- a/internal/reconciler/logging.go
+++ b/internal/reconciler/logging.go
@@ -31,7 +31,7 @@
 	if duplicates.first == nil {
 		return
 	}
-	rc.Metrics.Rivals.Add(duplicates.count)
+	rc.Metrics.DuplicateAttempts.Add(duplicates.count)
 	other := otherAttempt(duplicates.first)
 	rc.Log.Info("task claimed by two machines", "task", duplicates.first.TaskName(), "tasks", duplicates.count,
 		"attempt", duplicates.first.Number, "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation,
