--- a/internal/controller/failuredetector_test.go
+++ b/internal/controller/failuredetector_test.go
@@ -119,7 +119,7 @@
 	}
 	reconcile(30, 1)
 	clock.Now += 20 * units.Second
-	leader.detector.NoteDelay(clock.Now)
+	leader.detector.RecordDelay(clock.Now)
 	reconcile(25, 2)
 	if lost := leader.detector.LostMachines(clock.Now); len(lost) != 0 {
 		t.Errorf("to be released: %v", lost)
--- a/internal/failuredetector/delay.go
+++ b/internal/failuredetector/delay.go
@@ -43,7 +43,7 @@
 		now := d.Clock.Steady()
 		overloaded := monitor.observe(now-last-delayCheckInterval, now)
 		if monitor.mean >= maxMeanDelay {
-			d.NoteDelay(now)
+			d.RecordDelay(now)
 		}
 		last = now
 		if overloaded && now-d.ElectedAt > minLeadershipDuration && d.PeerReachable() && d.Leadership.HandOver(d.Clock.Wall()) {
@@ -53,10 +53,10 @@
 	}
 }
 
-// NoteDelay records that this controller has been delayed. Heartbeats may be waiting for it
+// RecordDelay records that this controller has been delayed. Heartbeats may be waiting for it
 // unprocessed, or their workers have timed out, so no machine counts as lost until each has had the
-// time to send another heartbeat. NoteDelay acquires the lock of State.
-func (d *Detector) NoteDelay(now units.Micros) {
+// time to send another heartbeat. RecordDelay acquires the lock of State.
+func (d *Detector) RecordDelay(now units.Micros) {
 	d.State.Lock()
 	defer d.State.Unlock()
 	d.reportLostFrom = now + d.SuspectAfter()
--- a/internal/failuredetector/lostmachines_test.go
+++ b/internal/failuredetector/lostmachines_test.go
@@ -91,7 +91,7 @@
 func TestDelayedControllerReportsNoLostMachine(t *testing.T) {
 	d := newTestDetector(t)
 	d.State.Machines[machineID(3)].LastHeartbeat = testNow - 20*units.Second
-	d.NoteDelay(testNow)
+	d.RecordDelay(testNow)
 	if got := d.LostMachines(testNow); len(got) != 0 {
 		t.Errorf("lost: %v, want none during the delay", got)
 	}
