--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -212,9 +212,9 @@
 // name.
 func (j *Job) CanRecordMachine(machine string) bool { return j.records.hasSpaceFor(machine) }
 
-// MachineIsDurable reports whether a record durably names the machine, so that a later leader
+// MachineNameIsDurable reports whether a record durably names the machine, so that a later leader
 // expects the job's tasks there.
-func (j *Job) MachineIsDurable(machine string) bool {
+func (j *Job) MachineNameIsDurable(machine string) bool {
 	return j.stored && j.records.isDurable(machine)
 }
 
--- a/internal/cluster/machinenames_test.go
+++ b/internal/cluster/machinenames_test.go
@@ -21,12 +21,12 @@
 	state.BatchCommitted(build(), 1)
 	m := state.EnsureMachine("i-000001", "m", "a", true, 0)
 	a := state.Assign(j, m, 1, 0)
-	if j.MachineIsDurable(m.ID) {
+	if j.MachineNameIsDurable(m.ID) {
 		t.Fatal("may start before the batch is built")
 	}
 	durable := j.Durable()
 	batch := build()
-	if j.MachineIsDurable(m.ID) {
+	if j.MachineNameIsDurable(m.ID) {
 		t.Fatal("may start while the batch is in flight")
 	}
 	state.BatchCommitted(batch, 2)
@@ -35,17 +35,17 @@
 	default:
 		t.Fatal("the waiter was not woken by the committed batch")
 	}
-	if !j.MachineIsDurable(m.ID) {
+	if !j.MachineNameIsDurable(m.ID) {
 		t.Fatal("may not start after the batch was committed")
 	}
 	state.RemoveAttempt(a, 0)
 	state.TaskDone(j, 0, 0)
 	batch = build() // omits the name
-	if j.MachineIsDurable(m.ID) {
+	if j.MachineNameIsDurable(m.ID) {
 		t.Fatal("may start though the name is being removed")
 	}
 	state.BatchConflicted(batch, 0)
-	if j.MachineIsDurable(m.ID) {
+	if j.MachineNameIsDurable(m.ID) {
 		t.Fatal("may start after a conflicted batch that removed the name")
 	}
 }
--- a/internal/cluster/record_test.go
+++ b/internal/cluster/record_test.go
@@ -207,10 +207,10 @@
 		m.t.Fatalf("restored %+v, written %+v", got.Spec, want.Spec)
 	}
 	for machine := range m.state.Machines {
-		if want.MachineIsDurable(machine) && !got.UnreconciledMachines[machine] {
+		if want.MachineNameIsDurable(machine) && !got.UnreconciledMachines[machine] {
 			m.t.Fatalf("%s may start on %s, which no stored record names", id, machine)
 		}
-		if legacy != nil && want.MachineIsDurable(machine) && !slices.Contains(legacy[id].Machines, machine) {
+		if legacy != nil && want.MachineNameIsDurable(machine) && !slices.Contains(legacy[id].Machines, machine) {
 			m.t.Fatalf("%s may start on %s, which the legacy version does not restore", id, machine)
 		}
 	}
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -98,7 +98,7 @@
 	leader.state.SetInstanceTypes(modelCatalog.Types)
 	startLoop(t, leader.persister.Run)
 	durable := func(machines int) func() bool {
-		return func() bool { return leader.state.Jobs[testJob].MachineIsDurable(machineID(machines - 1)) }
+		return func() bool { return leader.state.Jobs[testJob].MachineNameIsDurable(machineID(machines - 1)) }
 	}
 	submitUntilAccepted(t, leader, testJob, protocol.MaxTasks)
 	assignMachines(leader, 0, 300)
--- a/internal/reconciler/commands.go
+++ b/internal/reconciler/commands.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	for _, attempt := range m.Attempts {
-		if attempt.Stage == cluster.Assigned && !attempt.Job.MachineIsDurable(m.ID) {
+		if attempt.Stage == cluster.Assigned && !attempt.Job.MachineNameIsDurable(m.ID) {
 			return attempt.Job.Durable()
 		}
 	}
@@ -60,7 +60,7 @@
 			// A machine reported another attempt of the task after this one was assigned. The
 			// task would run twice if it were started before the other attempt is gone.
 			rc.Metrics.StartsHeld.Inc()
-		case m.FencingToken == rc.Token && job.MachineIsDurable(m.ID) && len(commands) < protocol.MaxCommands:
+		case m.FencingToken == rc.Token && job.MachineNameIsDurable(m.ID) && len(commands) < protocol.MaxCommands:
 			attempt.Stage, attempt.SentSequence = cluster.Sent, sequence
 			commands = append(commands, protocol.Command{Verb: protocol.VerbStart, Task: attempt.TaskName(), Attempt: attempt.Number})
 			recordSentCommand(m, commands, cluster.AttemptKey{Job: job.Spec.ID, Index: attempt.Index, Number: attempt.Number})
--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -34,7 +34,7 @@
 			sc.Tracer.Trace("task placed", attempt)
 			sc.Metrics.ObservePlacementDelay(now - job.LearnedAt)
 		}
-		if !job.MachineIsDurable(machine.ID) {
+		if !job.MachineNameIsDurable(machine.ID) {
 			sc.WriteSignal.Raise()
 		}
 		if job.IsService() {
