--- a/internal/answer/evidence.go
+++ b/internal/answer/evidence.go
@@ -105,7 +105,7 @@
 		Done:    job.DoneCount(),
 		Running: job.Running(),
 	}
-	if CancellationConfirmed(job, workers) {
+	if MayConfirmCancellation(job, workers) {
 		state.Stage = protocol.StageCancelled
 		return Answer{
 			Response: StateResponse(status, state),
@@ -118,8 +118,8 @@
 	return Provisional(StateResponse(status, state), readAt)
 }
 
-// CancellationConfirmed reports whether the cancellation of a job may be confirmed to the user before
+// MayConfirmCancellation reports whether the cancellation of a job may be confirmed to the user before
 // the job is finished. The caller must hold the lock that guards the job.
-func CancellationConfirmed(job *cluster.Job, workers config.Workers) bool {
+func MayConfirmCancellation(job *cluster.Job, workers config.Workers) bool {
 	return job.CancelDurable && election.ConfirmsCancellationWhenDurable(workers)
 }
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -38,7 +38,7 @@
 		return nil, nil, func(ctx context.Context) answer.Answer { return l.cancelUnknown(ctx, id) }
 	case !job.Accepted():
 		return nil, nil, func(context.Context) answer.Answer { return beingAccepted() }
-	case answer.CancellationConfirmed(job, l.Settings.Fleet.Workers):
+	case answer.MayConfirmCancellation(job, l.Settings.Fleet.Workers):
 		return nil, nil, func(ctx context.Context) answer.Answer { return l.Poll(ctx, id) }
 	}
 	l.cancelJob(job)
@@ -62,7 +62,7 @@
 	l.state.Lock()
 	defer l.state.Unlock()
 	_, terminal := l.terminals.Cached(job.Spec.ID)
-	return terminal || answer.CancellationConfirmed(job, l.Settings.Fleet.Workers)
+	return terminal || answer.MayConfirmCancellation(job, l.Settings.Fleet.Workers)
 }
 
 // cancelJob marks a job as cancelled, requests the write, and requests a command push to each
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -126,7 +126,7 @@
 // exceeds its quota limit.
 func (m *model) checkInvariants() {
 	for id, job := range m.leader.state.Jobs {
-		if m.cancelledAt[id] == 0 && answer.CancellationConfirmed(job, m.leader.Settings.Fleet.Workers) {
+		if m.cancelledAt[id] == 0 && answer.MayConfirmCancellation(job, m.leader.Settings.Fleet.Workers) {
 			m.cancelledAt[id] = m.clock.Now
 		}
 	}
