--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -34,7 +34,7 @@
 	if c.activeLeader() != nil {
 		leading = c.deps.Settings.Name
 	}
-	return peers.AnswerFrame(ctx, data, leading, func(ctx context.Context, frame protocol.Frame) transport.Response {
+	return peers.RespondToFrame(ctx, data, leading, func(ctx context.Context, frame protocol.Frame) transport.Response {
 		var a answer.Answer
 		switch frame.Kind {
 		case protocol.FrameSubmit:
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -77,7 +77,7 @@
 	env := testEnvironment(clock)
 	startLoop(t, func(ctx context.Context) {
 		_ = transport.ServeMesh(ctx, mesh, env.Log, func(ctx context.Context, frame []byte) ([]byte, error) {
-			return peers.AnswerFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
+			return peers.RespondToFrame(ctx, frame, "next", func(context.Context, protocol.Frame) transport.Response {
 				return answer.StateResponse(http.StatusOK, protocol.JobState{ID: testJob, Stage: protocol.StagePending})
 			})
 		})
--- a/internal/peers/forward.go
+++ b/internal/peers/forward.go
@@ -66,11 +66,11 @@
 	return frame.Kind == protocol.FrameResponse && frame.Status >= http.StatusOK && frame.Status <= maxStatus
 }
 
-// AnswerFrame returns the encoded response to a frame from a peer. A ping is answered with leader,
+// RespondToFrame returns the encoded response to a frame from a peer. A ping is answered with leader,
 // which is the name of this controller if it leads and "" otherwise; a request is answered by serve.
 // For a frame of another kind, which a later version may send, it returns nil and no error. It fails
 // if the frame is malformed.
-func AnswerFrame(ctx context.Context, data []byte, leader string, serve func(context.Context, protocol.Frame) transport.Response) ([]byte, error) {
+func RespondToFrame(ctx context.Context, data []byte, leader string, serve func(context.Context, protocol.Frame) transport.Response) ([]byte, error) {
 	request, err := protocol.DecodeFrame(data)
 	if err != nil {
 		return nil, err
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -32,7 +32,7 @@
 	go func() {
 		defer close(served)
 		_ = transport.ServeMesh(ctx, mesh, log, func(ctx context.Context, frame []byte) ([]byte, error) {
-			return AnswerFrame(ctx, frame, "b", serve)
+			return RespondToFrame(ctx, frame, "b", serve)
 		})
 	}()
 	go func() {
@@ -132,12 +132,12 @@
 		return transport.Response{}
 	}
 	for name, kind := range map[string]protocol.FrameKind{"unknown kind": 99, "response": protocol.FrameResponse} {
-		response, err := AnswerFrame(t.Context(), protocol.EncodeFrame(protocol.Frame{ID: 1, Kind: kind}), "", serve)
+		response, err := RespondToFrame(t.Context(), protocol.EncodeFrame(protocol.Frame{ID: 1, Kind: kind}), "", serve)
 		if response != nil || err != nil {
 			t.Errorf("%s: %v, %v", name, response, err)
 		}
 	}
-	if _, err := AnswerFrame(t.Context(), []byte("short"), "", serve); !errors.Is(err, protocol.ErrShortFrame) {
+	if _, err := RespondToFrame(t.Context(), []byte("short"), "", serve); !errors.Is(err, protocol.ErrShortFrame) {
 		t.Errorf("short frame: error %v", err)
 	}
 }
