--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -129,11 +129,11 @@
 	sh := &shard{key: item.Key, version: item.Version}
 	n, last := part.Number, j.Spec.Tasks-1
 	if part.Kind == storage.PartOldDonePage {
-		if n < 1 || n > last/storage.OldPageTasks {
+		if n < 1 || n > last/storage.PageTasksV1 {
 			return storage.ErrOutOfRange
 		}
 		j.records.donePagesV1[n] = sh
-		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.OldPageTasks))
+		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.PageTasksV1))
 	}
 	if r.Format != storage.FormatV2 {
 		return storage.UnknownFormatError(r.Format)
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -81,7 +81,7 @@
 	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/storage.PageTasks
 	switch {
 	case r.format == storage.FormatV1:
-		pages, kind, n = r.donePagesV1, storage.PartOldDonePage, task/storage.OldPageTasks
+		pages, kind, n = r.donePagesV1, storage.PartOldDonePage, task/storage.PageTasksV1
 		if n == 0 {
 			return r.main
 		}
@@ -99,7 +99,7 @@
 func (r *jobRecords) inlineDone(done bitset.Set) []byte {
 	switch {
 	case r.format == storage.FormatV1:
-		return done.Page(0, storage.OldPageTasks)
+		return done.Page(0, storage.PageTasksV1)
 	case r.spec.Tasks <= storage.InlineTasks:
 		return done
 	}
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -123,7 +123,7 @@
 func (w *jobWrites) addDonePages() {
 	pages, size, format, writeID := w.records.donePages, storage.PageTasks, storage.FormatV2, w.writeID
 	if w.records.format == storage.FormatV1 {
-		pages, size, format, writeID = w.records.donePagesV1, storage.OldPageTasks, 0, ""
+		pages, size, format, writeID = w.records.donePagesV1, storage.PageTasksV1, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
 		if sh := pages[n]; sh.dirty {
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -61,9 +61,9 @@
 }
 
 const (
-	// OldPageTasks is the number of tasks per page in FormatV1: 2 KiB of bits, stored as 2.7 KiB
+	// PageTasksV1 is the number of tasks per page in FormatV1: 2 KiB of bits, stored as 2.7 KiB
 	// of base64, since the key-value store holds only text.
-	OldPageTasks = 16 << 10
+	PageTasksV1 = 16 << 10
 	// PageTasks is the number of tasks per page from FormatV2 on: 0.7 KiB of base64.
 	PageTasks = 4 << 10
 	// InlineTasks is the largest number of tasks of a job whose done set is stored in its
@@ -129,7 +129,7 @@
 // 0 in other formats.
 func OldPageCount(tasks int, format Format) int {
 	if format == FormatV1 {
-		return (tasks - 1) / OldPageTasks
+		return (tasks - 1) / PageTasksV1
 	}
 	return 0
 }
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -36,7 +36,7 @@
 // limits. Records in FormatV1, which cannot be divided, may use the current value size.
 func NewMachineNameBudgetFunc(currentValueBytes, lowestValueBytes int) MachineNameBudgetFunc {
 	return func(spec *protocol.JobSpec, format Format) MachineNameBudget {
-		value, inlineDone := currentValueBytes, min(spec.Tasks, OldPageTasks)
+		value, inlineDone := currentValueBytes, min(spec.Tasks, PageTasksV1)
 		if format != FormatV1 {
 			if value, inlineDone = lowestValueBytes, spec.Tasks; inlineDone > InlineTasks {
 				inlineDone = 0
@@ -64,7 +64,7 @@
 		return budget.Main >= 0
 	}
 	// The end of a job deletes all its pages in one transaction.
-	return budget.Main >= minNameBytes && 3+(spec.Tasks-1)/OldPageTasks <= limits.TxnOps
+	return budget.Main >= minNameBytes && 3+(spec.Tasks-1)/PageTasksV1 <= limits.TxnOps
 }
 
 // MachineNameSize returns the size in bytes of a machine name in a JSON list, with its quotes and
