--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -128,7 +128,7 @@
 	}
 	sh := &shard{key: item.Key, version: item.Version}
 	n, last := part.Number, j.Spec.Tasks-1
-	if part.Kind == storage.PartOldDonePage {
+	if part.Kind == storage.PartDonePageV1 {
 		if n < 1 || n > last/storage.PageTasksV1 {
 			return storage.ErrOutOfRange
 		}
--- a/internal/cluster/shards.go
+++ b/internal/cluster/shards.go
@@ -81,7 +81,7 @@
 	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/storage.PageTasks
 	switch {
 	case r.format == storage.FormatV1:
-		pages, kind, n = r.donePagesV1, storage.PartOldDonePage, task/storage.PageTasksV1
+		pages, kind, n = r.donePagesV1, storage.PartDonePageV1, task/storage.PageTasksV1
 		if n == 0 {
 			return r.main
 		}
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -66,11 +66,11 @@
 const (
 	PartMachineNames = 'm' // a MachineNamesRecord
 	PartDonePage     = 'd' // a DonePageRecord
-	PartOldDonePage  = 'p' // a DonePageRecord in FormatV1
+	PartDonePageV1   = 'p' // a DonePageRecord in FormatV1
 )
 
 // partKinds contains all kinds of part records.
-var partKinds = string([]rune{PartMachineNames, PartDonePage, PartOldDonePage})
+var partKinds = string([]rune{PartMachineNames, PartDonePage, PartDonePageV1})
 
 // KeyJobPart returns the key of the n-th part record of a kind of a job.
 func KeyJobPart(job string, kind byte, n int) string {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -9,7 +9,7 @@
 
 func TestParseJobPartReadsOnlyKeysOfParts(t *testing.T) {
 	job := KeyJob("j-000001")
-	for _, kind := range []byte{PartMachineNames, PartDonePage, PartOldDonePage} {
+	for _, kind := range []byte{PartMachineNames, PartDonePage, PartDonePageV1} {
 		want := JobPart{JobKey: job, Kind: kind, Number: 12}
 		if got, err := ParseJobPart(KeyJobPart("j-000001", kind, 12)); err != nil || got != want {
 			t.Errorf("part %c: %+v, %v", kind, got, err)
