--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -92,7 +92,7 @@
 		return nil, r, &storage.RecordError{Key: key, Err: err}
 	}
 	j := newJob(r.Spec(), r.Submitted, r.Format)
-	if r.Pages != storage.OldPageCount(r.Tasks, r.Format) {
+	if r.Pages != storage.PageCountV1(r.Tasks, r.Format) {
 		return nil, r, &storage.RecordError{Key: key, Err: storage.ErrOutOfRange}
 	}
 	j.Cancelled, j.CancelDurable = r.Cancelled, r.Cancelled
--- a/internal/storage/jobrecord.go
+++ b/internal/storage/jobrecord.go
@@ -101,7 +101,7 @@
 func NewJobRecord(spec *protocol.JobSpec, format Format) JobRecord {
 	return JobRecord{
 		Format:             format,
-		Pages:              OldPageCount(spec.Tasks, format),
+		Pages:              PageCountV1(spec.Tasks, format),
 		ID:                 spec.ID,
 		Class:              spec.Class,
 		Team:               spec.Team,
@@ -125,9 +125,9 @@
 	}
 }
 
-// OldPageCount returns the number of done pages after the first that a reader of FormatV1 expects;
+// PageCountV1 returns the number of done pages after the first that a reader of FormatV1 expects;
 // 0 in other formats.
-func OldPageCount(tasks int, format Format) int {
+func PageCountV1(tasks int, format Format) int {
 	if format == FormatV1 {
 		return (tasks - 1) / PageTasksV1
 	}
