--- a/internal/cluster/completionrate.go
+++ b/internal/cluster/completionrate.go
@@ -23,5 +23,5 @@
 	return r.perSecond * units.Amount(d/units.Millisecond) / units.Amount(units.Second/units.Millisecond)
 }
 
-// Freed records the processors of a task that ended without being stopped.
-func (r *CompletionRate) Freed(cpu units.Amount) { r.freedCPU += cpu }
+// RecordFreed records the processors of a task that ended without being stopped.
+func (r *CompletionRate) RecordFreed(cpu units.Amount) { r.freedCPU += cpu }
--- a/internal/reconciler/tasks.go
+++ b/internal/reconciler/tasks.go
@@ -73,7 +73,7 @@
 		rc.State.Outcomes.ReplicaEnded(attempt, false, now)
 		return
 	}
-	rc.State.Completions.Freed(job.Spec.Request.CPU)
+	rc.State.Completions.RecordFreed(job.Spec.Request.CPU)
 	rc.State.Outcomes.AttemptCompleted(attempt, now)
 	rc.taskCompleted(job, attempt.Index, now)
 	if job.Complete() {
--- a/internal/scheduler/waiting_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -59,7 +59,7 @@
 	for range 20 {
 		sc.State.Completions.Advance(clock.Now)
 		clock.Now += units.Second
-		sc.State.Completions.Freed(fake.CPUs(4).CPU) // 4 processors per second, 8 within the maximum wait of 2 s
+		sc.State.Completions.RecordFreed(fake.CPUs(4).CPU) // 4 processors per second, 8 within the maximum wait of 2 s
 	}
 	job.LearnedAt = clock.Now
 	if sc.awaitsCompletions(job, clock.Now) {
