--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -68,7 +68,7 @@
 
 // Assign places the next pending task of a job on a machine. It returns nil if the job has no
 // pending task. If the job's records do not name the machine, it marks an urgent write: the
-// start may be sent only once Job.MachineIsDurable returns true.
+// start may be sent only once Job.MachineNameIsDurable returns true.
 func (s *State) Assign(j *Job, m *Machine, number uint64, now units.Micros) *Attempt {
 	i, ok := j.nextPendingTask()
 	if !ok {
--- a/internal/cluster/liveattempts_test.go
+++ b/internal/cluster/liveattempts_test.go
@@ -63,7 +63,7 @@
 			t.Fatalf("attempt %d is not stopped in favor of attempt %d", a.Number, want[0].Number)
 		}
 		if a.HasDuplicate() != (len(want) > 1) {
-			t.Fatalf("attempt %d of %d: rival %v", a.Number, len(want), a.HasDuplicate())
+			t.Fatalf("attempt %d of %d: duplicate %v", a.Number, len(want), a.HasDuplicate())
 		}
 	}
 	machines := map[string]bool{}
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -17,7 +17,7 @@
 	if !awaitDurable(ctx, durable) {
 		return storeSlow()
 	}
-	if !l.cancellationConfirmed(job) {
+	if !l.mayConfirmCancellation(job) {
 		return answer.Unavailable("the cancellation is not stored yet, or tasks are still being stopped")
 	}
 	return l.Poll(ctx, id)
@@ -56,9 +56,9 @@
 	return a
 }
 
-// cancellationConfirmed reports whether the answer to the user may confirm that a job is
+// mayConfirmCancellation reports whether the answer to the user may confirm that a job is
 // cancelled, or that it has reached a terminal state in the meantime.
-func (l *Leader) cancellationConfirmed(job *cluster.Job) bool {
+func (l *Leader) mayConfirmCancellation(job *cluster.Job) bool {
 	l.state.Lock()
 	defer l.state.Unlock()
 	_, terminal := l.terminals.Cached(job.Spec.ID)
--- a/internal/controller/runtimelog.go
+++ b/internal/controller/runtimelog.go
@@ -15,6 +15,6 @@
 // logRuntime logs statistics of the Go runtime until ctx ends.
 func (c *Controller) logRuntime(ctx context.Context) {
 	for loop.Sleep(ctx, runtimeLogInterval) {
-		c.deps.Log.Info("process", "leading", c.activeLeader() != nil, "runtime", runtimestats.Read())
+		c.deps.Log.Info("runtime statistics", "leading", c.activeLeader() != nil, "runtime", runtimestats.Read())
 	}
 }
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -21,7 +21,7 @@
 	for _, job := range l.state.Jobs {
 		pending[job.Spec.Priority] += job.Pending()
 	}
-	l.Log.Info("fleet", "machines", reporting, "cpus", capacity.CPU.Float(), "cpus_used", used.CPU.Float(),
+	l.Log.Info("fleet summary", "machines", reporting, "cpus", capacity.CPU.Float(), "cpus_used", used.CPU.Float(),
 		"cpus_running", runningRequests(l.state).CPU.Float(),
 		"pending_low", pending[protocol.Low], "pending_normal", pending[protocol.Normal],
 		"pending_high", pending[protocol.High], "pending_prod", pending[protocol.Production],
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -33,12 +33,12 @@
 
 // Detector decides which machines are lost, and whether this controller is isolated or too slow to
 // lead. The lock of State guards its fields. Callers of its methods must hold that lock, except
-// for MonitorDelay and NoteDelay, which acquire it. Create it with New.
+// for MonitorDelay and RecordDelay, which acquire it. Create it with New.
 type Detector struct {
 	Deps
 
 	maxUnreachablePeers int          // highest number of peers that were unreachable at the same time
-	reportLostFrom      units.Micros // steady time before which no machine is reported as lost, see NoteDelay
+	reportLostFrom      units.Micros // steady time before which no machine is reported as lost, see RecordDelay
 	allReconciled       bool         // no machine is unreconciled any more
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -126,7 +126,7 @@
 
 // Frames of unknown kinds, which later versions may send, are ignored. A malformed frame is an error,
 // which closes the connection.
-func TestAnswerFrameIgnoresLaterVersions(t *testing.T) {
+func TestRespondToFrameIgnoresLaterVersions(t *testing.T) {
 	serve := func(context.Context, protocol.Frame) transport.Response {
 		t.Error("frame passed to serve")
 		return transport.Response{}
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -101,7 +101,7 @@
 }
 
 // A start is sent only after a record that names its machine is durable, and only once.
-func TestStartIsSentOnceItsMachineIsDurable(t *testing.T) {
+func TestStartIsSentOnceItsMachineNameIsDurable(t *testing.T) {
 	rc, job := newTestReconciler(t)
 	m := rc.Reconcile(heartbeat(1, 1), testNow)
 	attempt := rc.State.Assign(job, m, rc.State.NextAttempt(testToken), testNow)
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -80,7 +80,7 @@
 // JobPart is the parsed key of a part record.
 type JobPart struct {
 	JobKey string // key of the job's JobRecord
-	Kind   byte   // PartMachineNames, PartDonePage or PartOldDonePage
+	Kind   byte   // PartMachineNames, PartDonePage or PartDonePageV1
 	Number int    // 0 or above
 }
 
