--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -3,7 +3,7 @@
 // instance types and its list of machines.
 //
 //   - demand.go computes the demand for capacity, plan.go chooses machines to order for it,
-//     offering.go compares the offerings by price, and scaleout.go sends the orders.
+//     offering.go compares the offerings by price, and scaleout.go sends the requests.
 //   - scalein.go decides when a machine is released, and idle.go finds idle machines.
 //   - machinelist.go and catalog.go read the cloud's machine list and catalog.
 package autoscaler
@@ -80,7 +80,7 @@
 	listReadAt     units.Micros      // steady time of the last read; 0 if not read
 	listedMachines int               // number of machines in the last list
 	unavailable    map[Offering]capacityBackoff
-	unanswered     []protocol.ScaleOutRequest // to be sent, or sent without an answer
+	unanswered     []protocol.ScaleOutRequest // to be sent, or sent without a response
 }
 
 func newProvisioningState() provisioningState {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -42,8 +42,8 @@
 	return as, clock
 }
 
-// An offering of which the cloud had too few machines is not ordered during its back-off. The
-// loss of a machine of the offering ends the back-off, since the cloud may have capacity for a
+// An offering of which the cloud had too few machines is not ordered during its backoff. The
+// loss of a machine of the offering ends the backoff, since the cloud may have capacity for a
 // replacement at once.
 func TestLostMachineIsReplacedAtOnce(t *testing.T) {
 	as, clock := newTestAutoscaler(40)
@@ -55,12 +55,12 @@
 			delay: maxCapacityBackoff,
 		}
 	}
-	if orders := as.scaleOutOrders(clock.Now); len(orders) != 0 {
-		t.Fatalf("ordered offerings during their back-off: %v", orders)
+	if requests := as.planRequests(clock.Now); len(requests) != 0 {
+		t.Fatalf("ordered offerings during their backoff: %v", requests)
 	}
 	as.removeMachine(m, clock.Now)
-	if orders := as.scaleOutOrders(clock.Now); len(orders) != 1 || !orders[0].Spot {
-		t.Errorf("orders after the loss of a spot instance: %v, want one for a spot instance", orders)
+	if requests := as.planRequests(clock.Now); len(requests) != 1 || !requests[0].Spot {
+		t.Errorf("requests after the loss of a spot instance: %v, want one for a spot instance", requests)
 	}
 }
 
--- a/internal/autoscaler/idle.go
+++ b/internal/autoscaler/idle.go
@@ -21,7 +21,7 @@
 	keepCPU := max(units.AmountOf(in.DemandCPUs), as.Policy.ReserveCPUs(in))
 	fleetCPU := units.AmountOf(in.FleetCPUs)
 	// The remaining machines must be of offerings that the tasks allow, as well as have enough
-	// processors: services may not be allowed on the cheapest offerings.
+	// CPUs: services may not be allowed on the cheapest offerings.
 	view := as.capacityView(in)
 	view.ReserveCPUs, view.Unavailable = 0, func(Offering) bool { return false }
 	missing := missingMachineCount(&view)
--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -78,7 +78,7 @@
 	as.CycleSignal.Raise()
 }
 
-// removeUnlisted removes machines that were reclaimed or deleted before they registered. For a
+// removeUnlisted removes machines that were terminated or deleted before they registered. For a
 // machine that may hold tasks, its absence from the list is no proof that it is gone; only the
 // expiry of its lease is.
 func (as *Autoscaler) removeUnlisted(present map[string]bool, now units.Micros) {
@@ -90,9 +90,9 @@
 	}
 }
 
-// removeMachine removes a machine that is gone and ends the back-off of its offering, since the
+// removeMachine removes a machine that is gone and ends the backoff of its offering, since the
 // cloud may have capacity for a replacement now. When many machines were lost at once, waiting
-// for the back-off left the fleet without a quarter of its machines for half a minute.
+// for the backoff left the fleet without a quarter of its machines for half a minute.
 func (as *Autoscaler) removeMachine(m *cluster.Machine, now units.Micros) {
 	as.State.RemoveMachine(m, now)
 	delete(as.provisioning.unavailable, offeringOf(m))
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -13,7 +13,7 @@
 	InstanceTypes  map[string]protocol.InstanceType // by name
 	Machines       map[Offering]int                 // number of machines, including those expected to finish booting
 	Demand         []TaskDemand
-	ReserveCPUs    units.Amount // minimum processors of the fleet, whatever the demand is
+	ReserveCPUs    units.Amount // minimum CPUs of the fleet, whatever the demand is
 	SpotPreference float64      // weight of a spot instance's price
 	// Unavailable reports whether the cloud recently had too few machines of an offering.
 	Unavailable func(Offering) bool
@@ -49,7 +49,7 @@
 	offerings    []pricedOffering
 	freeCapacity map[Offering]units.Resources // unclaimed capacity of existing and ordered machines
 	orders       map[Offering]int             // number of machines
-	totalCPU     units.Amount                 // processors of existing and ordered machines
+	totalCPU     units.Amount                 // CPUs of existing and ordered machines
 }
 
 func newScaleOutPlan(view *CapacityView) *scaleOutPlan {
@@ -132,7 +132,7 @@
 	p.freeCapacity[best.offering] = p.freeCapacity[best.offering].Plus(demand.Spec.Request, -tasks)
 }
 
-// orderReserve orders machines one by one until the fleet has the processors of the reserve or
+// orderReserve orders machines one by one until the fleet has the CPUs of the reserve or
 // no offering is available.
 func (p *scaleOutPlan) orderReserve() {
 	for p.totalCPU < p.view.ReserveCPUs {
@@ -144,7 +144,7 @@
 	}
 }
 
-// cheapestPerCPU returns the offering with the lowest cost per processor of those that are
+// cheapestPerCPU returns the offering with the lowest cost per CPU of those that are
 // available and not yet ordered up to the limit of a request. Of offerings with equal cost it
 // returns the one with fewer planned machines. It returns nil if there is none.
 func (p *scaleOutPlan) cheapestPerCPU() *pricedOffering {
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -75,7 +75,7 @@
 			have += units.AmountOf(testInstanceTypes[offering.InstanceType].CPUs) * units.Amount(count)
 		}
 		if have < max(wanted, view.ReserveCPUs) {
-			t.Fatalf("ordered %v processors for a demand of %v and a reserve of %v", have, wanted, view.ReserveCPUs)
+			t.Fatalf("ordered %v CPUs for a demand of %v and a reserve of %v", have, wanted, view.ReserveCPUs)
 		}
 	})
 }
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -24,22 +24,22 @@
 	maxCapacityBackoff = 40 * units.Second
 )
 
-// capacityBackoff is the back-off of an offering of which the cloud had too few machines.
+// capacityBackoff is the backoff of an offering of which the cloud had too few machines.
 type capacityBackoff struct {
 	until units.Micros // steady time until which the offering is not ordered
-	delay units.Micros // total length of the back-off
+	delay units.Micros // total length of the backoff
 }
 
 // scaleOut plans and requests machines. If the cloud has too few machines of an offering,
 // scaleOut at once requests the rest from the next best offering: the boot alone delays the
-// capacity enough. It returns early if a request gets no answer.
+// capacity enough. It returns early if a request gets no response.
 func (as *Autoscaler) scaleOut(ctx context.Context) {
 	for range maxScaleOutPasses {
-		orders := as.ordersToSend()
-		if len(orders) == 0 {
+		requests := as.requestsToSend()
+		if len(requests) == 0 {
 			return
 		}
-		unanswered := as.sendOrders(ctx, orders)
+		unanswered := as.sendRequests(ctx, requests)
 		as.State.Lock()
 		as.provisioning.unanswered = unanswered
 		as.State.Unlock()
@@ -49,24 +49,24 @@
 	}
 }
 
-// ordersToSend returns the unanswered requests, to be sent again under the same IDs, or new
+// requestsToSend returns the unanswered requests, to be sent again under the same IDs, or new
 // requests if there are none.
-func (as *Autoscaler) ordersToSend() []protocol.ScaleOutRequest {
+func (as *Autoscaler) requestsToSend() []protocol.ScaleOutRequest {
 	as.State.Lock()
 	defer as.State.Unlock()
 	if len(as.provisioning.unanswered) == 0 {
-		as.provisioning.unanswered = as.scaleOutOrders(as.Clock.Steady())
+		as.provisioning.unanswered = as.planRequests(as.Clock.Steady())
 	}
 	return as.provisioning.unanswered
 }
 
-// sendOrders sends the requests, at most maxScaleOutCalls concurrently, waits for all of them,
-// and returns those that got no answer.
-func (as *Autoscaler) sendOrders(ctx context.Context, orders []protocol.ScaleOutRequest) []protocol.ScaleOutRequest {
+// sendRequests sends the requests, at most maxScaleOutCalls concurrently, waits for all of them,
+// and returns those that got no response.
+func (as *Autoscaler) sendRequests(ctx context.Context, requests []protocol.ScaleOutRequest) []protocol.ScaleOutRequest {
 	var calls sync.WaitGroup
 	slots := make(chan struct{}, maxScaleOutCalls)
-	answered := make([]bool, len(orders))
-	for i, request := range orders {
+	answered := make([]bool, len(requests))
+	for i, request := range requests {
 		slots <- struct{}{}
 		calls.Go(func() {
 			answered[i] = as.requestMachines(ctx, request)
@@ -75,7 +75,7 @@
 	}
 	calls.Wait()
 	var unanswered []protocol.ScaleOutRequest
-	for i, request := range orders {
+	for i, request := range requests {
 		if !answered[i] {
 			unanswered = append(unanswered, request)
 		}
@@ -83,8 +83,8 @@
 	return unanswered
 }
 
-// requestMachines sends one request, adds the machines in the answer to the state, and reports
-// whether the request was answered. A lack of capacity is an answer.
+// requestMachines sends one request, adds the machines in the response to the state, and reports
+// whether there was a response. A lack of capacity is a response.
 func (as *Autoscaler) requestMachines(ctx context.Context, request protocol.ScaleOutRequest) bool {
 	ids, err := as.Cloud.ScaleOut(ctx, request)
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
@@ -109,8 +109,8 @@
 	return true
 }
 
-// updateCapacityBackoff starts or prolongs the back-off of an offering if it is exhausted, that
-// is, if the cloud had too few machines of it, and ends the back-off otherwise.
+// updateCapacityBackoff starts or prolongs the backoff of an offering if it is exhausted, that
+// is, if the cloud had too few machines of it, and ends the backoff otherwise.
 func (as *Autoscaler) updateCapacityBackoff(offering Offering, exhausted bool, now units.Micros) {
 	if !exhausted {
 		delete(as.provisioning.unavailable, offering)
@@ -121,10 +121,10 @@
 	as.provisioning.unavailable[offering] = capacityBackoff{until: now + delay, delay: delay}
 }
 
-// scaleOutOrders plans a scale-out and returns it as requests. Their IDs are unique, also
+// planRequests plans a scale-out and returns it as requests. Their IDs are unique, also
 // between leaders, since they contain the fencing token. It returns none until the catalog and
 // the machine list have been read.
-func (as *Autoscaler) scaleOutOrders(now units.Micros) []protocol.ScaleOutRequest {
+func (as *Autoscaler) planRequests(now units.Micros) []protocol.ScaleOutRequest {
 	if len(as.State.InstanceTypes) == 0 || as.provisioning.listReadAt == 0 {
 		return nil // the existing capacity is unknown
 	}
--- a/internal/cluster/completionrate.go
+++ b/internal/cluster/completionrate.go
@@ -2,12 +2,12 @@
 
 import "dunestand/internal/units"
 
-// CompletionRate is the observed rate at which tasks that end without being stopped free
-// processors. The mutex of its State guards it. Its zero value is ready for use.
+// CompletionRate is the observed rate at which tasks that end without being stopped free CPUs.
+// The mutex of its State guards it. Its zero value is ready for use.
 type CompletionRate struct {
-	freedCPU  units.Amount // processors freed since the last update
+	freedCPU  units.Amount // CPUs freed since the last update
 	since     units.Micros // steady time of the last update
-	perSecond units.Amount // moving mean of the processors freed per second
+	perSecond units.Amount // moving mean of the CPUs freed per second
 }
 
 // Advance updates the moving mean, once at least a second has passed since its last update.
@@ -18,10 +18,10 @@
 	}
 }
 
-// Within returns the number of processors that tasks are expected to free within d.
+// Within returns the number of CPUs that tasks are expected to free within d.
 func (r *CompletionRate) Within(d units.Micros) units.Amount {
 	return r.perSecond * units.Amount(d/units.Millisecond) / units.Amount(units.Second/units.Millisecond)
 }
 
-// RecordFreed records the processors of a task that ended without being stopped.
+// RecordFreed records the CPUs of a task that ended without being stopped.
 func (r *CompletionRate) RecordFreed(cpu units.Amount) { r.freedCPU += cpu }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -17,7 +17,7 @@
 	// UnreconciledMachines are the IDs of machines that may hold tasks of the job which no
 	// heartbeat has listed.
 	UnreconciledMachines map[string]bool
-	LearnedAt            units.Micros // steady time at which this leader learnt of it
+	LearnedAt            units.Micros // steady time at which this leader learned of it
 	JobOutcomes
 
 	done        doneTasks
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -23,10 +23,10 @@
 	Ended    int // number of ended tasks in its last heartbeat
 
 	Registered   bool   // it has sent a heartbeat to this leader
-	FencingToken uint64 // the highest that its agent had seen by its last heartbeat
-	Incarnation  uint64 // of its agent
+	FencingToken uint64 // the highest that its worker had received by its last heartbeat
+	Incarnation  uint64 // agent incarnation of its last heartbeat
 	Sequence     uint64 // of its last heartbeat in that incarnation
-	// LastHeartbeat is the time at which its last answered heartbeat arrived.
+	// LastHeartbeat is the time at which its last acknowledged heartbeat arrived.
 	LastHeartbeat       units.Micros
 	LastCommand         SentCommand  // in the last response
 	UndeliveredCommands int          // consecutive responses that had no effect
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -28,7 +28,7 @@
 	Restored bool
 	// Released holds the machines that this leader released.
 	Released ReleasedMachines
-	// Completions is the rate at which tasks that end without being stopped free processors.
+	// Completions is the rate at which tasks that end without being stopped free CPUs.
 	Completions CompletionRate
 	// AttemptsStarted is the number of attempts that this leader has numbered, see NextAttempt.
 	AttemptsStarted uint64
@@ -100,7 +100,7 @@
 	if !s.rules.v1LeadersPossible() && j.records.format == storage.FormatV1 {
 		j.records.main.dirty, j.write.due = true, true // to be migrated to FormatV2
 	}
-	j.write.due = j.write.due || len(j.records.obsolete) > 0 // an earlier leader failed before it deleted them
+	j.write.due = j.write.due || len(j.records.obsolete) > 0 // a former leader failed before it deleted them
 	j.records.setNameLimits(s.rules.nameBudget)
 	if s.Jobs[j.Spec.ID] == nil {
 		s.memory += JobMemory(&j.Spec)
--- a/internal/controller/heartbeatlimiter.go
+++ b/internal/controller/heartbeatlimiter.go
@@ -10,7 +10,7 @@
 //
 // Heartbeats are nearly all of a leader's load. A user's request, a write batch and a lease
 // renewal each take several steps, and each step waits behind every runnable goroutine. Without
-// the limit, an overloaded processor runs tens of heartbeats between two such steps; with it,
+// the limit, an overloaded CPU runs tens of heartbeats between two such steps; with it,
 // one.
 type heartbeatLimiter struct{ slot chan struct{} }
 
--- a/internal/election/workerlease.go
+++ b/internal/election/workerlease.go
@@ -9,7 +9,7 @@
 const workerLeaseMargin = 500 * units.Millisecond
 
 // WorkerLeaseBound returns the longest time, by any machine's clock, for which a machine's tasks
-// can continue to run after its last answered heartbeat arrived at this controller.
+// can continue to run after its last acknowledged heartbeat arrived at this controller.
 func WorkerLeaseBound(w config.Workers) units.Micros {
 	return WithDrift(w.LeaseDuration(), workerLeaseMargin)
 }
@@ -17,7 +17,7 @@
 // ConfirmsCancellationWhenDurable reports whether a cancellation may be confirmed to the user as
 // soon as it is durable. From then on every controller that renews a worker's lease knows of the
 // cancellation: the leader that stored it knew it before, former leaders no longer hold the
-// leader lease, and later leaders answer no worker before they have read the records. So a task
+// leader lease, and later leaders respond to no worker before they have read the records. So a task
 // that no stop command reaches ends when its worker's lease expires, which must be within
 // cancel_s. Otherwise the cancellation is confirmed once no machine runs any task of the job.
 func ConfirmsCancellationWhenDurable(w config.Workers) bool {
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -64,7 +64,7 @@
 	Incarnation  uint64
 	Sequence     uint64 // sequence number; increases with each heartbeat of an incarnation
 	FencingToken uint64 // the highest token that the worker has received
-	// TerminationIn is the time until the cloud reclaims the machine. It is valid only if
+	// TerminationIn is the time until the cloud terminates the machine. It is valid only if
 	// TerminationNoticed.
 	TerminationIn      units.Micros
 	TerminationNoticed bool
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -17,8 +17,7 @@
 
 const (
 	headroomReplicasPerZone = 2 // maximum number of replicas per zone to reserve capacity for
-	// headroomFleetDivisor limits the headroom to 1/headroomFleetDivisor of the fleet's
-	// processors.
+	// headroomFleetDivisor limits the headroom to 1/headroomFleetDivisor of the fleet's CPUs.
 	headroomFleetDivisor = 32
 	// headroomServiceDivisor is the number of existing replicas for which the fleet is scaled
 	// out by capacity for one more.
@@ -76,7 +75,7 @@
 }
 
 // headroomCandidates returns the indexes of the machines on which capacity for a replica may
-// be reserved, by zone, and the total processors of all schedulable machines.
+// be reserved, by zone, and the total CPUs of all schedulable machines.
 func headroomCandidates(machines []MachineView, replica *protocol.JobSpec) (byZone map[string][]int, fleetCPU units.Amount) {
 	byZone = map[string][]int{}
 	for i := range machines {
@@ -93,7 +92,7 @@
 }
 
 // HeadroomReplica returns the urgent service with the largest resource request per replica:
-// most processors, then most memory. It returns nil if there is no urgent service.
+// most CPUs, then most memory. It returns nil if there is no urgent service.
 func (sc *Scheduler) HeadroomReplica() *protocol.JobSpec {
 	var largest *protocol.JobSpec
 	for _, job := range sc.State.Jobs {
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -31,7 +31,7 @@
 	return machines
 }
 
-// headroomReplica returns the specification of a replica of two processors that may not run on
+// headroomReplica returns the specification of a replica of two CPUs that may not run on
 // spot instances.
 func headroomReplica() *protocol.JobSpec {
 	replica := fake.JobSpec("j-000001")
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -239,7 +239,7 @@
 }
 
 // A machine is reserved for a starved job whose tasks do not fit. Otherwise tasks of one
-// processor would take each processor as it becomes free, and a task of two would never start.
+// CPU would take each CPU as it becomes free, and a task of two would never start.
 func TestMachinesAreReservedForStarvedJobs(t *testing.T) {
 	s := Snapshot{MaxPlacements: 10, Teams: []TeamView{{QuotaLimit: fake.CPUs(100)}}}
 	for range 2 {
--- a/internal/scheduler/waiting.go
+++ b/internal/scheduler/waiting.go
@@ -30,7 +30,7 @@
 // awaitsCompletions reports whether a job waits for running tasks to complete before any is
 // preempted for it. The work of preempted tasks has to be done again, while in a large fleet
 // tasks complete all the time. The job therefore waits for a fraction of its start objective if
-// completions are expected to free enough processors for its pending tasks in that time.
+// completions are expected to free enough CPUs for its pending tasks in that time.
 func (sc *Scheduler) awaitsCompletions(job *cluster.Job, now units.Micros) bool {
 	maxWait := sc.completionWait(job)
 	return now-job.LearnedAt < maxWait &&
--- a/internal/scheduler/waiting_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -59,15 +59,15 @@
 	for range 20 {
 		sc.State.Completions.Advance(clock.Now)
 		clock.Now += units.Second
-		sc.State.Completions.RecordFreed(fake.CPUs(4).CPU) // 4 processors per second, 8 within the maximum wait of 2 s
+		sc.State.Completions.RecordFreed(fake.CPUs(4).CPU) // 4 CPUs per second, 8 within the maximum wait of 2 s
 	}
 	job.LearnedAt = clock.Now
 	if sc.awaitsCompletions(job, clock.Now) {
-		t.Error("a job that requests ten processors waits for completions that free eight")
+		t.Error("a job that requests ten CPUs waits for completions that free eight")
 	}
 	job.Spec.Tasks = 7
 	if !sc.awaitsCompletions(job, clock.Now) {
-		t.Error("a job that requests seven processors does not wait for completions that free eight")
+		t.Error("a job that requests seven CPUs does not wait for completions that free eight")
 	}
 	if sc.awaitsCompletions(job, clock.Now+2*units.Second) {
 		t.Error("the job still waits for completions after the maximum wait")
--- a/internal/telemetry/reconciliation.go
+++ b/internal/telemetry/reconciliation.go
@@ -8,7 +8,7 @@
 	StaleHeartbeats   *metrics.Counter // ignored: older than a handled one, or from a released machine
 	OtherTokens       *metrics.Counter // handled, although the fencing token is not the leader's
 	LaterTokens       *metrics.Counter // refused: the fencing token is that of a later leader
-	Adopted           *metrics.Counter // attempts of an earlier leader that a heartbeat reported
+	Adopted           *metrics.Counter // attempts of a former leader that a heartbeat reported
 	DuplicateAttempts *metrics.Counter // adopted attempts whose task also has another attempt
 	StartsSent        *metrics.Counter
 	StartsHeld        *metrics.Counter // delayed because another attempt of the task may still run
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -35,7 +35,7 @@
 	return m * Micros(numerator) / Micros(denominator)
 }
 
-// Amount is a quantity of a resource (processors, GPUs or GB) in whole millionths, so that sums
+// Amount is a quantity of a resource (CPUs, GPUs or GB) in whole millionths, so that sums
 // are exact.
 type Amount int64
 
