--- a/internal/autoscaler/machinelist.go
+++ b/internal/autoscaler/machinelist.go
@@ -78,9 +78,9 @@
 	as.CycleSignal.Raise()
 }
 
-// removeUnlisted removes machines that were terminated or deleted before they registered. For a
-// machine that may hold tasks, its absence from the list is no proof that it is gone; only the
-// expiry of its lease is.
+// removeUnlisted removes machines that the cloud terminated, or that were deleted, before they
+// registered. For a machine that may hold tasks, its absence from the list is no proof that it is
+// gone; only the expiry of its lease is.
 func (as *Autoscaler) removeUnlisted(present map[string]bool, now units.Micros) {
 	unlistedAfter := unlistedLagFactor*units.Seconds(as.Settings.Fleet.Cloud.ListLagS) + unlistedMargin
 	for _, m := range as.State.Machines {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -27,7 +27,7 @@
 	write       writeState
 
 	stored bool // a record exists in the key-value store
-	// inPendingQueue is set while the job has a record in the queue of pending submissions,
+	// inPendingQueue is set while the job has a record in the pending-submission queue,
 	// which is to be deleted.
 	inPendingQueue bool
 	// cancelVersion is a version of the job's record that contains the cancellation.
@@ -67,8 +67,8 @@
 // Accepted reports whether the job is durable.
 func (j *Job) Accepted() bool { return j.stored }
 
-// isNew reports whether the job's next write accepts it. A job in the queue of pending
-// submissions is already accepted.
+// isNew reports whether the job's next write accepts it. A job in the pending-submission
+// queue is already accepted.
 func (j *Job) isNew() bool { return !j.stored && !j.inPendingQueue }
 
 // CancelVersion returns a version of the job's record that contains its cancellation, or 0
--- a/internal/cluster/pending.go
+++ b/internal/cluster/pending.go
@@ -9,7 +9,7 @@
 	"dunestand/internal/units"
 )
 
-// PendingSubmission is a job in the queue of pending submissions, which a controller accepted
+// PendingSubmission is a job in the pending-submission queue, which a controller accepted
 // while it could not reach a leader.
 type PendingSubmission struct {
 	Spec      protocol.JobSpec
@@ -33,7 +33,7 @@
 	}
 }
 
-// ParsePendingSubmission decodes a record of the queue of pending submissions. It returns a
+// ParsePendingSubmission decodes a record of the pending-submission queue. It returns a
 // *storage.RecordError if the record is invalid.
 func ParsePendingSubmission(item protocol.Item) (PendingSubmission, error) {
 	id, ok := strings.CutPrefix(item.Key, storage.PrefixPending)
--- a/internal/cluster/writebatchorder_test.go
+++ b/internal/cluster/writebatchorder_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// If the leader has accepted a job that is also in the queue of pending submissions, a background
+// If the leader has accepted a job that is also in the pending-submission queue, a background
 // write deletes the submission. Hundreds of these deletions after a burst must not delay urgent
 // writes, and must not write the main records again.
 func TestJobAcceptedTwiceIsRemovedFromThePendingQueue(t *testing.T) {
--- a/internal/persister/commit.go
+++ b/internal/persister/commit.go
@@ -142,7 +142,7 @@
 	for id, record := range causes.finishedJobs {
 		p.Terminals.Remember(id, record)
 		p.State.DropUnaccepted(id)
-		p.Ingester.resyncNeeded.Store(true) // the job may be in the queue of pending submissions
+		p.Ingester.resyncNeeded.Store(true) // the job may be in the pending-submission queue
 	}
 }
 
--- a/internal/persister/ingester.go
+++ b/internal/persister/ingester.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	ingestInterval = units.Second // between reads of the queue of pending submissions
-	// PendingTimeout is the timeout of a request to the queue of pending submissions on behalf of
+	ingestInterval = units.Second // between reads of the pending-submission queue
+	// PendingTimeout is the timeout of a request to the pending-submission queue on behalf of
 	// a waiting user.
 	PendingTimeout = 1200 * units.Millisecond
 )
@@ -35,7 +35,7 @@
 }
 
 // Ingester adds pending submissions to the state: jobs that other controllers accepted without a
-// leader and put into the queue of pending submissions. Each leadership has its own Ingester. Its
+// leader and put into the pending-submission queue. Each leadership has its own Ingester. Its
 // methods may be called concurrently, without the state lock.
 type Ingester struct {
 	IngesterDeps
--- a/internal/persister/pendingwatcher.go
+++ b/internal/persister/pendingwatcher.go
@@ -13,7 +13,7 @@
 // pendingResyncInterval is the interval at which the whole queue is read, regardless of changes.
 const pendingResyncInterval = 30 * units.Second
 
-// pendingWatcher reads the queue of pending submissions incrementally. After a burst the queue can
+// pendingWatcher reads the pending-submission queue incrementally. After a burst the queue can
 // contain hundreds of jobs for half a minute, and reading all of them each second takes much of the
 // leader's CPU time. So the whole queue is read only at intervals, and just its changes in between.
 // It must not be used concurrently.
--- a/internal/persister/pendingwatcher_test.go
+++ b/internal/persister/pendingwatcher_test.go
@@ -12,7 +12,7 @@
 	"dunestand/internal/units"
 )
 
-// acceptWithoutLeader adds a job to the queue of pending submissions, as a controller does that
+// acceptWithoutLeader adds a job to the pending-submission queue, as a controller does that
 // cannot reach a leader.
 func acceptWithoutLeader(t *testing.T, server *fake.KVServer, id string) {
 	t.Helper()
