--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -17,7 +17,7 @@
 	// UnreconciledMachines are the IDs of machines that may hold tasks of the job which no
 	// heartbeat has listed.
 	UnreconciledMachines map[string]bool
-	LearnedAt            units.Micros // steady time at which this leader learnt of it
+	LearnedAt            units.Micros // steady time at which this leader learned of it
 	JobOutcomes
 
 	done        doneTasks
@@ -27,7 +27,7 @@
 	write       writeState
 
 	stored bool // a record exists in the key-value store
-	// inPendingQueue is set while the job has a record in the queue of pending submissions,
+	// inPendingQueue is set while the job has a record in the pending-submission queue,
 	// which is to be deleted.
 	inPendingQueue bool
 	// cancelVersion is a version of the job's record that contains the cancellation.
@@ -67,8 +67,8 @@
 // Accepted reports whether the job is durable.
 func (j *Job) Accepted() bool { return j.stored }
 
-// isNew reports whether the job's next write accepts it. A job in the queue of pending
-// submissions is already accepted.
+// isNew reports whether the job's next write accepts it. A job in the pending-submission
+// queue is already accepted.
 func (j *Job) isNew() bool { return !j.stored && !j.inPendingQueue }
 
 // CancelVersion returns a version of the job's record that contains its cancellation, or 0
@@ -212,9 +212,9 @@
 // name.
 func (j *Job) CanRecordMachine(machine string) bool { return j.records.hasSpaceFor(machine) }
 
-// MachineIsDurable reports whether a record durably names the machine, so that a later leader
+// MachineNameIsDurable reports whether a record durably names the machine, so that a later leader
 // expects the job's tasks there.
-func (j *Job) MachineIsDurable(machine string) bool {
+func (j *Job) MachineNameIsDurable(machine string) bool {
 	return j.stored && j.records.isDurable(machine)
 }
 
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -92,7 +92,7 @@
 		return nil, r, &storage.RecordError{Key: key, Err: err}
 	}
 	j := newJob(r.Spec(), r.Submitted, r.Format)
-	if r.Pages != storage.OldPageCount(r.Tasks, r.Format) {
+	if r.Pages != storage.PageCountV1(r.Tasks, r.Format) {
 		return nil, r, &storage.RecordError{Key: key, Err: storage.ErrOutOfRange}
 	}
 	j.Cancelled, j.CancelDurable = r.Cancelled, r.Cancelled
@@ -128,12 +128,12 @@
 	}
 	sh := &shard{key: item.Key, version: item.Version}
 	n, last := part.Number, j.Spec.Tasks-1
-	if part.Kind == storage.PartOldDonePage {
-		if n < 1 || n > last/storage.OldPageTasks {
+	if part.Kind == storage.PartDonePageV1 {
+		if n < 1 || n > last/storage.PageTasksV1 {
 			return storage.ErrOutOfRange
 		}
 		j.records.donePagesV1[n] = sh
-		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.OldPageTasks))
+		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.PageTasksV1))
 	}
 	if r.Format != storage.FormatV2 {
 		return storage.UnknownFormatError(r.Format)
