--- a/internal/federation/fakecell_test.go
+++ b/internal/federation/fakecell_test.go
@@ -193,7 +193,7 @@
 		case ended:
 		case transferred && cancelRequested:
 			manager.Cancel(ctx, j.id)
-		case !transferred && (cancelRequested || complete) && manager.JobEnded(ctx, j.id):
+		case !transferred && (cancelRequested || complete) && manager.EndJob(ctx, j.id):
 			c.mu.Lock()
 			j.ended = true
 			c.mu.Unlock()
--- a/internal/federation/managerjobs.go
+++ b/internal/federation/managerjobs.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// JobEnded must be called before the terminal state of a job of this cell is stored. It reports
+// EndJob must be called before the terminal state of a job of this cell is stored. It reports
 // whether the state may be stored now; if not, the caller must try again later.
-func (m *Manager) JobEnded(ctx context.Context, job string) bool {
+func (m *Manager) EndJob(ctx context.Context, job string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	transfer := m.outgoing[job]
