--- a/internal/federation/managerjobs.go
+++ b/internal/federation/managerjobs.go
@@ -89,7 +89,7 @@
 	case transfer.writing:
 		return false
 	}
-	m.applyOrigin(ctx, transfer, transfer.record.JobEnded())
+	m.applyOrigin(ctx, transfer, transfer.record.EndJob())
 	return transfer.record.Phase == OriginWithdrawn && !m.superseded
 }
 
--- a/internal/federation/modelleader_test.go
+++ b/internal/federation/modelleader_test.go
@@ -98,7 +98,7 @@
 // terminal state of the job.
 func (m *model) recordEndAtOrigin(c *modelCell, job *userJob) {
 	if r, transferred := c.outgoing[job.id]; transferred {
-		c.outgoing[job.id] = r.JobEnded().Record
+		c.outgoing[job.id] = r.EndJob().Record
 	}
 }
 
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -166,10 +166,10 @@
 	return unchanged(r)
 }
 
-// JobEnded records that a returned job has reached a terminal state at its origin. The record
+// EndJob records that a returned job has reached a terminal state at its origin. The record
 // must be written before the terminal state or in the same transaction; otherwise a late
 // result from the target could change the final answer given to the user.
-func (r OriginRecord) JobEnded() Decision[OriginRecord] {
+func (r OriginRecord) EndJob() Decision[OriginRecord] {
 	if r.Phase != OriginReturned {
 		return unchanged(r)
 	}
--- a/internal/federation/transfer_test.go
+++ b/internal/federation/transfer_test.go
@@ -224,7 +224,7 @@
 	if d := returned.Receive(result, &LeaseGrantor{}, 0); d.Record.Phase != OriginFinished || !d.Write || !d.Record.Done.ContainsAll(TaskSet{7}) {
 		t.Errorf("result after the job returned yields %+v", d)
 	}
-	if d := returned.JobEnded().Record.Receive(result, &LeaseGrantor{}, 0); d.Record.Phase != OriginWithdrawn || d.Send[0].Kind != MessageSettle {
+	if d := returned.EndJob().Record.Receive(result, &LeaseGrantor{}, 0); d.Record.Phase != OriginWithdrawn || d.Send[0].Kind != MessageSettle {
 		t.Errorf("result after the job ended yields %+v", d)
 	}
 }
