--- a/internal/admissioncontrol/planfollower_test.go
+++ b/internal/admissioncontrol/planfollower_test.go
@@ -143,7 +143,7 @@
 	if _, condition := admitter.DecideIsolated(spec); condition.Key != admission.KeyPlan || condition.Version != server.Revision() {
 		t.Errorf("condition %+v, want the plan's version %d", condition, server.Revision())
 	}
-	admitter.format.(*fake.RecordFormat).Level.Store(int64(storage.FormatV1))
+	admitter.format.(*fake.RecordFormat).Format.Store(int64(storage.FormatV1))
 	if d, condition := admitter.DecideIsolated(spec); d.Verdict != admission.Admit || condition.Key != admission.KeyPlan || condition.Version != 0 {
 		t.Errorf("%+v on condition %+v, want that there is no plan", d, condition)
 	}
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -124,14 +124,14 @@
 		}
 	}
 	// A controller that has just started does not know yet whether the fleet uses admission plans.
-	format.Level.Store(int64(storage.FormatV1))
+	format.Format.Store(int64(storage.FormatV1))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the fleet's record format is known: status %d", status)
 	}
 	if _, stored := store.Get(storage.KeyPending(testJob)); stored {
 		t.Error("the job was accepted without a plan")
 	}
-	format.Level.Store(int64(storage.FormatV3))
+	format.Format.Store(int64(storage.FormatV3))
 	if status := submit(testJob, "team"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the plan is read: status %d", status)
 	}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -126,7 +126,7 @@
 
 // setFormat sets the record format that the leader uses.
 func (l *Leader) setFormat(level storage.Format) {
-	l.Format.(*fake.RecordFormat).Level.Store(int64(level))
+	l.Format.(*fake.RecordFormat).Format.Store(int64(level))
 }
 
 // fakeLeadership returns the leader's fake leadership, for tests that revoke or inspect it.
--- a/internal/fake/recordformat.go
+++ b/internal/fake/recordformat.go
@@ -9,17 +9,17 @@
 
 // RecordFormat is a fake of the record format that a fleet has agreed on. Tests set it in Level,
 // also while it is in use.
-type RecordFormat struct{ Level atomic.Int64 }
+type RecordFormat struct{ Format atomic.Int64 }
 
 // NewRecordFormat returns a RecordFormat set to level.
 func NewRecordFormat(level storage.Format) *RecordFormat {
 	f := new(RecordFormat)
-	f.Level.Store(int64(level))
+	f.Format.Store(int64(level))
 	return f
 }
 
 // Current returns the format in Level.
-func (f *RecordFormat) Current() storage.Format { return storage.Format(f.Level.Load()) }
+func (f *RecordFormat) Current() storage.Format { return storage.Format(f.Format.Load()) }
 
 // TooNew returns false: the program can read every format.
 func (f *RecordFormat) TooNew() bool { return false }
