--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -15,8 +15,8 @@
 // ClientPort is the port on which the controllers of a Network serve users and workers.
 const ClientPort = ":8000"
 
-// Timing holds the settings of the fleet that workers follow.
-type Timing struct{ HeartbeatInterval, LeaseDuration time.Duration }
+// WorkerTiming holds the settings of the fleet that workers follow.
+type WorkerTiming struct{ HeartbeatInterval, LeaseDuration time.Duration }
 
 // Times that the worker protocol fixes, independent of the settings.
 const (
@@ -36,7 +36,7 @@
 	InstanceType string
 	Spot         bool
 	CPUs         float64
-	Timing       Timing
+	Timing       WorkerTiming
 	Controllers  []string // names; the address is the name followed by ClientPort
 }
 
--- a/node/deployment_controllers_test.go
+++ b/node/deployment_controllers_test.go
@@ -153,7 +153,7 @@
 		InstanceType: m.InstanceType,
 		Spot:         m.Spot,
 		CPUs:         machineCPUs,
-		Timing: fake.Timing{
+		Timing: fake.WorkerTiming{
 			HeartbeatInterval: units.Seconds(d.fleet.Workers.HeartbeatS).Duration(),
 			LeaseDuration:     workerLease,
 		},
