--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -156,7 +156,7 @@
 // The roles of a controller. An isolated controller does not reach the leader. It may use only
 // its part of a version quota, since all other controllers may be admitting jobs, too.
 const (
-	Isolated Role = iota
+	RoleIsolated Role = iota
 	Leader
 )
 
@@ -177,7 +177,7 @@
 	d = state.Plan.Decide(job)
 	if d.Verdict == Admit && d.charged {
 		sharedBy := uint64(1)
-		if role == Isolated || state.Source == SourceFallback {
+		if role == RoleIsolated || state.Source == SourceFallback {
 			sharedBy = uint64(s.controllers)
 		}
 		if !s.charge(d.quota, state.Plan.versionQuota(d.quota).scaled(1, sharedBy), d.Cost) {
--- a/internal/admission/planstore_test.go
+++ b/internal/admission/planstore_test.go
@@ -55,7 +55,7 @@
 func TestExpiredPlanGivesWayToFallbackPlan(t *testing.T) {
 	plans := NewPlanStore(Options{Horizon: testHorizon}, testTeams("mill"), 5)
 	job := testJob(1, "mill", "bulk", 1, 1)
-	if d, _ := plans.Decide(job, Isolated, 0); d.Verdict != Undecided {
+	if d, _ := plans.Decide(job, RoleIsolated, 0); d.Verdict != Undecided {
 		t.Errorf("before the record is read: %v", d)
 	}
 	observed := observedPlan(1, 1, 7, 100*units.Second)
@@ -96,7 +96,7 @@
 			}
 			for i := range 100 {
 				job := testJob(1000*controller+i, "mill", "bulk", rapid.IntRange(1, 40).Draw(t, "tasks"), 10)
-				if d, _ := plans.Decide(job, Isolated, units.Second); d.Verdict == Admit {
+				if d, _ := plans.Decide(job, RoleIsolated, units.Second); d.Verdict == Admit {
 					admitted += d.Cost
 					largest = max(largest, d.Cost)
 				}
@@ -123,7 +123,7 @@
 	var admitted Work
 	for i := range seconds * 10 {
 		at := units.Second + units.Micros(i)*units.Second/10
-		if d, _ := plans.Decide(testJob(i, "mill", "bulk", 10, 10), Isolated, at); d.Verdict == Admit {
+		if d, _ := plans.Decide(testJob(i, "mill", "bulk", 10, 10), RoleIsolated, at); d.Verdict == Admit {
 			admitted += d.Cost
 		}
 	}
--- a/internal/admissioncontrol/admitter.go
+++ b/internal/admissioncontrol/admitter.go
@@ -90,7 +90,7 @@
 	if !a.active() {
 		return admission.Decision{Verdict: admission.Admit}, protocol.Condition{Key: admission.KeyPlan}
 	}
-	d, revision := a.decide(spec, admission.Isolated)
+	d, revision := a.decide(spec, admission.RoleIsolated)
 	return d, protocol.Condition{Key: admission.KeyPlan, Version: revision}
 }
 
