--- a/internal/admission/planstore.go
+++ b/internal/admission/planstore.go
@@ -157,7 +157,7 @@
 // its part of a version quota, since all other controllers may be admitting jobs, too.
 const (
 	RoleIsolated Role = iota
-	Leader
+	RoleLeader
 )
 
 // Decide decides on a new job by the plan in force. An admitted job is charged to its version
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -108,7 +108,7 @@
 
 // submit requests the admission of a job once.
 func (s *simulation) submit(job *protocol.JobSpec) Decision {
-	d, _ := s.plans.Decide(job, Leader, s.now)
+	d, _ := s.plans.Decide(job, RoleLeader, s.now)
 	if d.Verdict != Admit {
 		s.waiting.Add(job.ID, d, s.now)
 		return d
--- a/internal/admissioncontrol/leaderadmission.go
+++ b/internal/admissioncontrol/leaderadmission.go
@@ -92,7 +92,7 @@
 	if !la.planEverKnown {
 		return undecidedDecision()
 	}
-	d, _ := la.Admitter.decide(spec, admission.Leader)
+	d, _ := la.Admitter.decide(spec, admission.RoleLeader)
 	if d.Verdict == admission.Admit {
 		if since, waited := la.Waiting.Remove(spec.ID); waited {
 			la.Metrics.ObserveAdmissionWait(now - since)
@@ -154,7 +154,7 @@
 func (la *LeaderAdmission) Reconsider() {
 	now := la.Clock.Steady()
 	for _, j := range la.State.UnacceptedJobs() {
-		d, _ := la.Admitter.decide(&j.Spec, admission.Leader)
+		d, _ := la.Admitter.decide(&j.Spec, admission.RoleLeader)
 		if d.Verdict == admission.Wait || d.Reason == admission.PlanUncertain {
 			la.Waiting.Add(j.Spec.ID, d, now)
 			la.State.DropUnaccepted(j.Spec.ID)
