--- a/internal/admission/describe.go
+++ b/internal/admission/describe.go
@@ -53,7 +53,7 @@
 			class = "(all others)"
 		}
 		window := "by name"
-		if flow.Band == Small {
+		if flow.Band == BandSmall {
 			window = fmt.Sprintf("%.0f%% from %.0f%%", ringPercent(restriction.Width), ringPercent(restriction.Start))
 		}
 		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%.0f\n", flow.Team, class, flow.Pool, flow.Band, window, restriction.VersionQuota.UnitSeconds())
@@ -85,7 +85,7 @@
 	}
 	fmt.Fprintf(table, "reckoned as\t%v job of %s, class %s, by %v\n", d.Flow.Band, d.Flow.Team, d.Flow.Class, d.Flow.Pool)
 	fmt.Fprintf(table, "work\t%.0f %v seconds\n", d.Cost.UnitSeconds(), d.Flow.Pool)
-	if restriction, _, restricted := p.Restriction(d.Flow); restricted && d.Flow.Band == Small {
+	if restriction, _, restricted := p.Restriction(d.Flow); restricted && d.Flow.Band == BandSmall {
 		fmt.Fprintf(table, "position\t%.0f%%; the window has %.0f%% from %.0f%%\n", ringPercent(position(job.ID)),
 			ringPercent(restriction.Width), ringPercent(restriction.Start))
 	}
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -8,7 +8,7 @@
 
 // The bands of a class.
 const (
-	Small Band = iota
+	BandSmall Band = iota
 	Large
 	numBands = 2
 )
