--- a/internal/admission/decide.go
+++ b/internal/admission/decide.go
@@ -108,7 +108,7 @@
 		d.quota, d.charged = quotaKey{flow: Flow{Team: flow.Team, Pool: flow.Pool}, unrestricted: true}, true
 	case p.AtQueueHead(job.ID):
 		// The planner charged its work to the flow when it selected the job.
-	case flow.Band == Large:
+	case flow.Band == BandLarge:
 		d.Verdict, d.Reason = Wait, Queued
 		d.RetryAfter = pausedRetry + p.jitter(job.ID)
 	case restriction.admits(position(job.ID)):
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -9,13 +9,13 @@
 // The bands of a class.
 const (
 	BandSmall Band = iota
-	Large
+	BandLarge
 	numBands = 2
 )
 
 // String returns "small" or "large".
 func (b Band) String() string {
-	if b == Large {
+	if b == BandLarge {
 		return "large"
 	}
 	return "small"
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -96,7 +96,7 @@
 	entry := p.teamOrDefault(flow.Team, flow.Pool)
 	cost := WorkOf(job.Tasks, amountIn(flow.Pool, job.Request), runTime(job, entry.EstimateCorrection, p.Horizon))
 	if cost > entry.LargeThreshold {
-		flow.Band = Large
+		flow.Band = BandLarge
 	}
 	return flow, cost
 }
--- a/internal/admission/planner_test.go
+++ b/internal/admission/planner_test.go
@@ -83,7 +83,7 @@
 			t.Errorf("%s: %d are admitted, want %d", name, sim.jobs[name], want)
 		}
 	}
-	largeBulk := sim.admitted[Flow{Team: "mill", Class: "bulk", Band: Large}]
+	largeBulk := sim.admitted[Flow{Team: "mill", Class: "bulk", Band: BandLarge}]
 	if largeBulk == 0 {
 		t.Error("no large job of the flooding class is admitted")
 	}
--- a/internal/admission/restrict.go
+++ b/internal/admission/restrict.go
@@ -72,7 +72,7 @@
 // still admit: the part that its backlog does not use up.
 func (b *planBuilder) restrictFlow(flow Flow, part Work, demand flowDemand) {
 	credit := part - demand.backlog
-	if flow.Band == Large {
+	if flow.Band == BandLarge {
 		if b.credits == nil {
 			b.credits = map[Flow]Work{}
 		}
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -112,7 +112,7 @@
 func (l *WaitingList) Demand() WaitingDemand {
 	demand := WaitingDemand{Work: maps.Clone(l.work)}
 	for _, job := range l.jobs {
-		if job.Flow.Band == Large {
+		if job.Flow.Band == BandLarge {
 			demand.Large = append(demand.Large, *job)
 		}
 	}
