--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -10,7 +10,7 @@
 // TeamEntry is the entry of a plan for one team in a pool.
 type TeamEntry struct {
 	VersionQuota       Work     // work that unrestricted flows may admit under this version
-	LargeThreshold     Work     // jobs with more work are in the band Large
+	LargeThreshold     Work     // jobs with more work are in BandLarge
 	EstimateCorrection PerMille // mean ratio of run times to the team's estimates
 }
 
--- a/internal/federation/managerfault_test.go
+++ b/internal/federation/managerfault_test.go
@@ -111,13 +111,13 @@
 			t.Errorf("after a result from a cell other than the target: owner is %v, want target", got)
 		}
 		if m.EndJob(t.Context(), "j-000001") {
-			t.Error("JobEnded permits the end of a job that is at its target")
+			t.Error("EndJob permits the end of a job that is at its target")
 		}
 		m.mu.Lock()
 		m.outgoing["j-000001"].record.Phase = OriginReturned
 		m.mu.Unlock()
 		if !m.EndJob(t.Context(), "j-000001") {
-			t.Fatal("JobEnded does not permit the end of a returned job")
+			t.Fatal("EndJob does not permit the end of a returned job")
 		}
 		m.Receive(t.Context(), "dye", result)
 		if phase := m.originRecord("j-000001").Phase; phase != OriginWithdrawn {
--- a/internal/federation/modelleader_test.go
+++ b/internal/federation/modelleader_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// recordEndAtOrigin applies OriginRecord.JobEnded, as if in the same transaction as the
+// recordEndAtOrigin applies OriginRecord.EndJob, as if in the same transaction as the
 // terminal state of the job.
 func (m *model) recordEndAtOrigin(c *modelCell, job *userJob) {
 	if r, transferred := c.outgoing[job.id]; transferred {
--- a/internal/federation/origin.go
+++ b/internal/federation/origin.go
@@ -166,7 +166,7 @@
 	return unchanged(r)
 }
 
-// EndJob records that a returned job has reached a terminal state at its origin. The record
+// EndJob records that a returned job is about to reach a terminal state at its origin. The record
 // must be written before the terminal state or in the same transaction; otherwise a late
 // result from the target could change the final answer given to the user.
 func (r OriginRecord) EndJob() Decision[OriginRecord] {
