--- a/internal/fake/invariantchecker.go
+++ b/internal/fake/invariantchecker.go
@@ -15,7 +15,7 @@
 type InvariantChecker struct {
 	mu                sync.Mutex
 	cancelTimeout     time.Duration // limit from a confirmed cancellation to the end of all tasks
-	quotaLimit        float64       // processors of the only team
+	quotaLimit        float64       // CPUs of the only team
 	jobs              map[string]*checkedJob
 	placements        map[taskID]map[string]*MachineInfo // machines that run a task, by ID
 	violations        []string
@@ -57,7 +57,7 @@
 const maxViolations = 20
 
 // NewInvariantChecker returns a checker for a single team. quotaLimit is the team's quota limit
-// in processors; cancelTimeout is the time within which all tasks of a job must end after a
+// in CPUs; cancelTimeout is the time within which all tasks of a job must end after a
 // response has confirmed the job's cancellation.
 func NewInvariantChecker(quotaLimit float64, cancelTimeout time.Duration) *InvariantChecker {
 	return &InvariantChecker{
@@ -166,7 +166,7 @@
 		}
 	}
 	if used > c.quotaLimit {
-		c.recordViolationLocked("quota: %g processors in use with %s/%d, limit %g", used, job, index, c.quotaLimit)
+		c.recordViolationLocked("quota: %g CPUs in use with %s/%d, limit %g", used, job, index, c.quotaLimit)
 	}
 	if !j.mayStartIn(m.Zone, zones) {
 		c.recordViolationLocked("wrong_place: %s/%d starts in zone %s, other tasks by zone %v", job, index, m.Zone, zones)
--- a/internal/fake/invariantchecker_test.go
+++ b/internal/fake/invariantchecker_test.go
@@ -12,10 +12,10 @@
 
 const (
 	testCancelTimeout = 10 * time.Second
-	testQuotaLimit    = 4 // processors
+	testQuotaLimit    = 4 // CPUs
 )
 
-// twoTasks is the ID of a job with two tasks of one processor each, which each case finds
+// twoTasks is the ID of a job with two tasks of one CPU each, which each case finds
 // submitted.
 const twoTasks = "j-1"
 
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -7,7 +7,7 @@
 )
 
 // Settings returns the settings of a small fleet: one zone, one team with a guaranteed quota of
-// four processors and a quota limit of nine, and a heartbeat interval of one second. Each call
+// four CPUs and a quota limit of nine, and a heartbeat interval of one second. Each call
 // returns a new value, which the caller may change.
 func Settings() *config.Settings {
 	return &config.Settings{Name: "n", Fleet: config.Fleet{
@@ -18,7 +18,7 @@
 	}}
 }
 
-// Catalog returns a catalog for the fleet of Settings: one instance type, with four processors.
+// Catalog returns a catalog for the fleet of Settings: one instance type, with four CPUs.
 func Catalog() protocol.Catalog {
 	return protocol.Catalog{Types: []protocol.InstanceType{{
 		Name:        "m",
@@ -32,7 +32,7 @@
 	}}}
 }
 
-// JobSpec returns a job array of the team in Settings: two tasks of one processor each, which
+// JobSpec returns a job array of the team in Settings: two tasks of one CPU each, which
 // may run on spot instances.
 func JobSpec(id string) *protocol.JobSpec {
 	return &protocol.JobSpec{
@@ -46,7 +46,7 @@
 	}
 }
 
-// CPUs returns a resource request of n processors and n GB of memory.
+// CPUs returns a resource request of n CPUs and n GB of memory.
 func CPUs(n int) units.Resources {
 	return units.Resources{CPU: units.Amount(n) * 1_000_000, Memory: units.Amount(n) * 1_000_000}
 }
