--- a/internal/cluster/production_test.go
+++ b/internal/cluster/production_test.go
@@ -15,7 +15,7 @@
 	"dunestand/internal/storage"
 )
 
-// productionRecords returns records written by the last version without services, by key.
+// productionRecords returns records written by the legacy version, by key.
 func productionRecords(t *testing.T) map[string]protocol.Item {
 	raw, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -36,7 +36,7 @@
 	return items
 }
 
-// Records of the last version without services must remain readable.
+// Records of the legacy version, the last one without services, must remain readable.
 func TestRecordsOfLegacyVersionAreRead(t *testing.T) {
 	s := &store{items: productionRecords(t)}
 	jobs, orphans, err := ParseJobs(s.jobItems())
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -153,7 +153,7 @@
 		sh.dirty = false
 	}
 	if j.IsService() {
-		clear(j.done.set) // an older version may have treated the service as a job array
+		clear(j.done.set) // a leader of the legacy version may have treated the service as a job array
 	}
 	if r.format == storage.FormatV2 { // the migration stopped before it deleted the pages in FormatV1
 		r.markV1PagesObsolete()
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -70,7 +70,8 @@
 	case !storage.FitsRecords(spec, storage.NewestFormat, s.Fleet.KVLimits):
 		return errSpecTooLong
 	case format < storage.FormatV2 && (spec.Kind == protocol.Service || !storage.FitsRecords(spec, format, s.Fleet.KVLimits)):
-		// A leader of the previous version would read a service as a job array.
+		// A leader of the legacy version, the last one without services, would read a service
+		// as a job array.
 		return errNotUpgraded
 	}
 	return nil
--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// No service is accepted before all controllers are upgraded: a leader of the previous version would
+// No service is accepted before all controllers are upgraded: a leader of the legacy version would
 // consider it done when its replicas end. The user is asked to retry. A service that can never run
 // is rejected permanently, before and after the upgrade.
 func TestServicesAreNotAcceptedBeforeTheUpgrade(t *testing.T) {
--- a/internal/controller/model_leader_test.go
+++ b/internal/controller/model_leader_test.go
@@ -36,7 +36,7 @@
 	}
 	if !m.leaderUpgraded {
 		if _, err := fake.ParseLegacyJobs(records); err != nil {
-			m.t.Fatalf("a leader of the previous version cannot restore the records: %v", err)
+			m.t.Fatalf("a leader of the legacy version cannot restore the records: %v", err)
 		}
 	}
 	jobs, stale, err := cluster.ParseJobs(records)
--- a/internal/controller/model_test.go
+++ b/internal/controller/model_test.go
@@ -16,7 +16,7 @@
 
 // The files model_*_test.go run random sequences of events against a whole leader: workers that
 // follow the protocol, a key-value store, leaders that fail at any point, responses that are
-// lost or delayed. Meanwhile controllers are upgraded one by one from the previous version, and
+// lost or delayed. Meanwhile controllers are upgraded one by one from the legacy version, and
 // the key-value store lowers its limits after all are upgraded. After every step the invariants
 // are checked on the workers, not on the leader's state.
 
--- a/internal/controller/service_test.go
+++ b/internal/controller/service_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// A leader of the previous version treats a service as a job array and may record some of its tasks
+// A leader of the legacy version treats a service as a job array and may record some of its tasks
 // as done. The service is then restored with all its replicas pending.
 func TestServicesWithDoneTasksAreRestoredAsServices(t *testing.T) {
 	spec := *fake.JobSpec(testJob)
--- a/internal/fake/legacyjobs.go
+++ b/internal/fake/legacyjobs.go
@@ -10,23 +10,23 @@
 	"dunestand/internal/protocol"
 )
 
-// LegacyJob is a job as the last program version without services reads it from the job's
-// records.
+// LegacyJob is a job as the legacy version reads it from the job's records. The legacy version is
+// the last program version without services: it reads only storage.FormatV1 and treats a service
+// as a job array. The previous version, in contrast, is the one that a rolling upgrade replaces.
 type LegacyJob struct {
 	Kind     uint8
-	Machines []string // all machines on which that version looks for the job's tasks
+	Machines []string // all machines on which the legacy version looks for the job's tasks
 	Done     []byte   // bitmap of the completed tasks
 	Version  uint64
 }
 
-// Limits of the version without services, copied from it. They must not follow the current
-// limits.
+// Limits of the legacy version, copied from it. They must not follow the current limits.
 const (
 	legacyTasksPerPage = 16 << 10
 	legacyKinds        = 3
 	legacyPriorities   = 4
 	legacyMaxTasks     = 100_000
-	legacyShards       = 16
+	legacyBuckets      = 16
 )
 
 // legacyRecord is a job's main record, with the bitmap of its first page of tasks.
@@ -41,9 +41,9 @@
 	Pages    int      `cbor:"pages"`
 }
 
-// ParseLegacyJobs reads the items below job/ as the last version without services does, and
-// returns the jobs by ID. It returns an error for any item that this version cannot read. While
-// a controller of this version may become leader, only records that it can read may be written.
+// ParseLegacyJobs reads the items below job/ as the legacy version does, and returns the jobs by
+// ID. It returns an error for any item that the legacy version cannot read. While a controller of
+// the legacy version may become leader, only records that it can read may be written.
 func ParseLegacyJobs(items []protocol.Item) (map[string]*LegacyJob, error) {
 	jobs := map[string]*LegacyJob{}
 	pages := map[string]int{} // number of pages after the main record, by job ID
@@ -79,7 +79,7 @@
 	return jobs, nil
 }
 
-// isLegacyPage reports whether a key names a page after the main record: job/SHARD/ID/pN.
+// isLegacyPage reports whether a key names a page after the main record: job/BUCKET/ID/pN.
 func isLegacyPage(key string) bool { return strings.Count(key, "/") == 3 }
 
 func parseLegacyRecord(item protocol.Item) (legacyRecord, *LegacyJob, error) {
@@ -89,7 +89,7 @@
 	}
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(r.ID))
-	key := fmt.Sprintf("job/%02d/%s", h.Sum32()%legacyShards, r.ID)
+	key := fmt.Sprintf("job/%02d/%s", h.Sum32()%legacyBuckets, r.ID)
 	if r.Format != 1 || !protocol.ValidJobID(r.ID) || item.Key != key {
 		return r, nil, fmt.Errorf("invalid key, ID or format: format %d, ID %q", r.Format, r.ID)
 	}
