--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -74,7 +74,7 @@
 	if !ok {
 		return nil
 	}
-	if c := j.records.shardOf[m.ID]; c == nil || c.dirty && !c.machines[m.ID] {
+	if record := j.records.recordOf[m.ID]; record == nil || record.dirty && !record.machines[m.ID] {
 		j.records.recordMachine(m.ID)
 		j.MarkChanged(now, true)
 	}
--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -73,8 +73,8 @@
 		b.addCondition(j.records.main.key, j.records.main.version)
 	}
 	for _, w := range entry.writes {
-		if w.shard != nil {
-			b.addCondition(w.shard.key, w.shard.version)
+		if w.record != nil {
+			b.addCondition(w.record.key, w.record.version)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	}
 	return slices.ContainsFunc(all, func(w write) bool {
 		size := len(w.change.Value)
-		if w.shard == j.records.main {
+		if w.record == j.records.main {
 			size = storage.JSONSize(j.record(storage.LongestWriteID, w.machines))
 		}
 		return size > b.rules.limits.Lowest().ValueBytes()
--- a/internal/cluster/machinenames.go
+++ b/internal/cluster/machinenames.go
@@ -24,14 +24,14 @@
 }
 
 // restoreNames adds the machines that a stored record names, and marks them as unreconciled.
-func (r *jobRecords) restoreNames(sh *shard, machines []string) {
-	if sh.machines == nil {
-		sh.machines = map[string]bool{}
+func (r *jobRecords) restoreNames(record *recordState, machines []string) {
+	if record.machines == nil {
+		record.machines = map[string]bool{}
 	}
 	for _, m := range machines {
 		r.unreconciled[m] = true
-		if r.shardOf[m] == nil {
-			r.addName(sh, m, true)
+		if r.recordOf[m] == nil {
+			r.addName(record, m, true)
 		}
 	}
 }
@@ -40,31 +40,31 @@
 func (r *jobRecords) setNameLimits(budget storage.MachineNameBudgetFunc) {
 	available := budget(r.spec, r.format)
 	r.main.nameLimit, r.partNameLimit = available.Main, available.Part
-	for _, sh := range r.nameParts {
-		sh.nameLimit = r.partNameLimit
+	for _, record := range r.nameParts {
+		record.nameLimit = r.partNameLimit
 	}
 }
 
 // addName adds a name to a record, which becomes dirty.
-func (r *jobRecords) addName(sh *shard, machine string, durable bool) {
-	sh.machines[machine] = durable
-	sh.nameBytes += storage.MachineNameSize(machine)
-	sh.dirty = true
-	r.shardOf[machine] = sh
+func (r *jobRecords) addName(record *recordState, machine string, durable bool) {
+	record.machines[machine] = durable
+	record.nameBytes += storage.MachineNameSize(machine)
+	record.dirty = true
+	r.recordOf[machine] = record
 }
 
 // dropName removes a name from its record. It does not mark the record as dirty, because a
 // name that is not in use is harmless in the stored record.
 func (r *jobRecords) dropName(machine string) {
-	sh := r.shardOf[machine]
-	delete(sh.machines, machine)
-	sh.nameBytes -= storage.MachineNameSize(machine)
-	delete(r.shardOf, machine)
+	record := r.recordOf[machine]
+	delete(record.machines, machine)
+	record.nameBytes -= storage.MachineNameSize(machine)
+	delete(r.recordOf, machine)
 }
 
 // dropUnused removes the names in a record that are no longer in use.
-func (r *jobRecords) dropUnused(sh *shard) {
-	for _, m := range sortedNames(sh.machines) {
+func (r *jobRecords) dropUnused(record *recordState) {
+	for _, m := range sortedNames(record.machines) {
 		if !r.inUse(m) {
 			r.dropName(m)
 		}
@@ -74,62 +74,62 @@
 // recordMachine adds a machine to the records unless one already names it, and reports whether
 // it added the machine.
 func (r *jobRecords) recordMachine(machine string) bool {
-	if r.shardOf[machine] != nil {
+	if r.recordOf[machine] != nil {
 		return false
 	}
-	r.addName(r.shardFor(machine), machine, false)
+	r.addName(r.recordFor(machine), machine, false)
 	return true
 }
 
-// shardFor selects the record for a new name: the one that got the last new name if it has
+// recordFor selects the record for a new name: the one that got the last new name if it has
 // space, else the record with the most space once unused names are removed. If less than a quarter
-// of its space for names is free, shardFor adds a part. In FormatV1 only the main record has names.
-func (r *jobRecords) shardFor(machine string) *shard {
+// of its space for names is free, recordFor adds a part. In FormatV1 only the main record has names.
+func (r *jobRecords) recordFor(machine string) *recordState {
 	size := storage.MachineNameSize(machine)
-	if r.format == storage.FormatV1 || r.openShard.nameBytes+size <= r.openShard.nameLimit {
-		return r.openShard
+	if r.format == storage.FormatV1 || r.openRecord.nameBytes+size <= r.openRecord.nameLimit {
+		return r.openRecord
 	}
-	best := r.shardWithMostSpace()
+	best := r.recordWithMostSpace()
 	if free := best.nameLimit - best.nameBytes; free < size || free < best.nameLimit/4 {
 		best = r.newNamePart()
 	}
-	r.openShard = best
+	r.openRecord = best
 	return best
 }
 
-// shardWithMostSpace removes the unused names from all records, and returns the record with the
+// recordWithMostSpace removes the unused names from all records, and returns the record with the
 // most space for names.
-func (r *jobRecords) shardWithMostSpace() *shard {
+func (r *jobRecords) recordWithMostSpace() *recordState {
 	best := r.main
 	for n := 0; n <= len(r.nameParts); n++ {
-		sh := r.main
+		record := r.main
 		if n > 0 {
-			sh = r.nameParts[n]
+			record = r.nameParts[n]
 		}
-		if sh == nil {
+		if record == nil {
 			continue
 		}
-		r.dropUnused(sh)
-		if sh.nameLimit-sh.nameBytes > best.nameLimit-best.nameBytes {
-			best = sh
+		r.dropUnused(record)
+		if record.nameLimit-record.nameBytes > best.nameLimit-best.nameBytes {
+			best = record
 		}
 	}
 	return best
 }
 
 // newNamePart adds a part for names with the lowest free number.
-func (r *jobRecords) newNamePart() *shard {
+func (r *jobRecords) newNamePart() *recordState {
 	n := 1
 	for r.nameParts[n] != nil {
 		n++
 	}
-	sh := &shard{
+	record := &recordState{
 		key:       storage.KeyJobPart(r.spec.ID, storage.PartMachineNames, n),
 		machines:  map[string]bool{},
 		nameLimit: r.partNameLimit,
 	}
-	r.nameParts[n] = sh
-	return sh
+	r.nameParts[n] = record
+	return record
 }
 
 // moveExcessNames moves the names that do not fit into the main record to parts.
@@ -146,26 +146,26 @@
 	for _, m := range excess {
 		durable := r.main.machines[m]
 		r.dropName(m)
-		r.addName(r.shardFor(m), m, durable)
+		r.addName(r.recordFor(m), m, durable)
 	}
 }
 
 // hasSpaceFor reports whether a record names the machine or has space for its name. From
 // FormatV2 on there is always space, because parts can be added.
 func (r *jobRecords) hasSpaceFor(machine string) bool {
-	return r.format != storage.FormatV1 || r.main.nameBytes+storage.MachineNameSize(machine) <= r.main.nameLimit || r.shardOf[machine] != nil
+	return r.format != storage.FormatV1 || r.main.nameBytes+storage.MachineNameSize(machine) <= r.main.nameLimit || r.recordOf[machine] != nil
 }
 
 // isDurable reports whether a stored record names the machine and no later write omits the name.
 func (r *jobRecords) isDurable(machine string) bool {
-	sh := r.shardOf[machine]
-	return sh != nil && sh.machines[machine]
+	record := r.recordOf[machine]
+	return record != nil && record.machines[machine]
 }
 
 // namesToWrite returns the machines that the next write of a record names: those in use.
-func (r *jobRecords) namesToWrite(sh *shard) []string {
+func (r *jobRecords) namesToWrite(record *recordState) []string {
 	var out []string
-	for m := range sh.machines {
+	for m := range record.machines {
 		if r.inUse(m) {
 			out = append(out, m)
 		}
--- a/internal/cluster/shards.go
+++ b/internal/cluster/recordstate.go
@@ -15,8 +15,8 @@
 // task, and a completion is never revoked. A transaction therefore need not contain all changes
 // of a job.
 
-// shard is the state of one record of a job: the main record or a part.
-type shard struct {
+// recordState is the state of one record of a job: the main record or a part.
+type recordState struct {
 	key       string
 	version   uint64          // 0 if it is not stored
 	dirty     bool            // it is to be written
@@ -32,16 +32,16 @@
 	attempts     map[string]int  // number of live attempts by machine
 
 	format      storage.Format
-	migrating   bool           // to FormatV2; the stored main record is in FormatV1
-	main        *shard         // the main record
-	nameParts   map[int]*shard // by number: parts with machine names that do not fit in main
-	donePages   map[int]*shard // by number: parts with pages of the done set, in FormatV2
-	donePagesV1 map[int]*shard // the same in FormatV1
-	obsolete    []string       // keys of parts in FormatV1 that are to be deleted
-
-	shardOf       map[string]*shard // by machine: the record that names it
-	openShard     *shard            // the record that got the last new name
-	partNameLimit int               // nameLimit of a part
+	migrating   bool                 // to FormatV2; the stored main record is in FormatV1
+	main        *recordState         // the main record
+	nameParts   map[int]*recordState // by number: parts with machine names that do not fit in main
+	donePages   map[int]*recordState // by number: parts with pages of the done set, in FormatV2
+	donePagesV1 map[int]*recordState // the same in FormatV1
+	obsolete    []string             // keys of parts in FormatV1 that are to be deleted
+
+	recordOf      map[string]*recordState // by machine: the record that names it
+	openRecord    *recordState            // the record that got the last new name
+	partNameLimit int                     // nameLimit of a part
 }
 
 // maxParts bounds the number of a part with machine names: even the largest job array cannot
@@ -49,26 +49,26 @@
 const maxParts = protocol.MaxTasks
 
 func newJobRecords(spec *protocol.JobSpec, unreconciled map[string]bool, format storage.Format) jobRecords {
-	main := &shard{key: storage.KeyJob(spec.ID), dirty: true, machines: map[string]bool{}}
+	main := &recordState{key: storage.KeyJob(spec.ID), dirty: true, machines: map[string]bool{}}
 	return jobRecords{
 		spec:         spec,
 		unreconciled: unreconciled,
 		attempts:     map[string]int{},
 		format:       format,
 		main:         main,
-		openShard:    main,
-		shardOf:      map[string]*shard{},
-		nameParts:    map[int]*shard{},
-		donePages:    map[int]*shard{},
-		donePagesV1:  map[int]*shard{},
+		openRecord:   main,
+		recordOf:     map[string]*recordState{},
+		nameParts:    map[int]*recordState{},
+		donePages:    map[int]*recordState{},
+		donePagesV1:  map[int]*recordState{},
 	}
 }
 
 // markV1PagesObsolete schedules the stored pages in FormatV1 for deletion.
 func (r *jobRecords) markV1PagesObsolete() {
-	for n, sh := range r.donePagesV1 {
-		if sh.version != 0 {
-			r.obsolete = append(r.obsolete, sh.key)
+	for n, record := range r.donePagesV1 {
+		if record.version != 0 {
+			r.obsolete = append(r.obsolete, record.key)
 		}
 		delete(r.donePagesV1, n)
 	}
@@ -77,7 +77,7 @@
 
 // pageOf returns the record that contains a task's completion. It adds a page that does not
 // exist yet.
-func (r *jobRecords) pageOf(task int) *shard {
+func (r *jobRecords) pageOf(task int) *recordState {
 	pages, kind, n := r.donePages, byte(storage.PartDonePage), task/storage.PageTasks
 	switch {
 	case r.format == storage.FormatV1:
@@ -89,7 +89,7 @@
 		return r.main
 	}
 	if pages[n] == nil {
-		pages[n] = &shard{key: storage.KeyJobPart(r.spec.ID, kind, n)}
+		pages[n] = &recordState{key: storage.KeyJobPart(r.spec.ID, kind, n)}
 	}
 	return pages[n]
 }
@@ -127,8 +127,8 @@
 	if r.format != storage.FormatV1 {
 		return
 	}
-	for _, sh := range r.donePagesV1 {
-		r.main.dirty = r.main.dirty || sh.dirty
+	for _, record := range r.donePagesV1 {
+		r.main.dirty = r.main.dirty || record.dirty
 	}
 }
 
@@ -136,8 +136,8 @@
 // store.
 func (r *jobRecords) recordDeleted(key string) {
 	r.obsolete = slices.DeleteFunc(r.obsolete, func(o string) bool { return o == key })
-	for n, sh := range r.donePagesV1 {
-		if sh.key == key {
+	for n, record := range r.donePagesV1 {
+		if record.key == key {
 			delete(r.donePagesV1, n)
 		}
 	}
@@ -146,10 +146,10 @@
 // storedPartKeys returns the keys of the job's stored parts and of its obsolete records.
 func (r *jobRecords) storedPartKeys() []string {
 	keys := r.obsolete
-	for _, shards := range []map[int]*shard{r.nameParts, r.donePages, r.donePagesV1} {
-		for _, n := range slices.Sorted(maps.Keys(shards)) {
-			if sh := shards[n]; sh.version != 0 {
-				keys = append(keys, sh.key)
+	for _, parts := range []map[int]*recordState{r.nameParts, r.donePages, r.donePagesV1} {
+		for _, n := range slices.Sorted(maps.Keys(parts)) {
+			if record := parts[n]; record.version != 0 {
+				keys = append(keys, record.key)
 			}
 		}
 	}
--- a/internal/cluster/restore.go
+++ b/internal/cluster/restore.go
@@ -111,12 +111,12 @@
 	if r.Format != storage.FormatV2 {
 		return storage.UnknownFormatError(r.Format)
 	}
-	n, sh := part.Number, &shard{key: item.Key, version: item.Version}
+	n, record := part.Number, &recordState{key: item.Key, version: item.Version}
 	if j.records.nameParts[n] != nil || n > maxParts {
 		return storage.ErrOutOfRange
 	}
-	j.records.nameParts[n] = sh
-	j.records.restoreNames(sh, r.Machines)
+	j.records.nameParts[n] = record
+	j.records.restoreNames(record, r.Machines)
 	return nil
 }
 
@@ -126,13 +126,13 @@
 	if err := protocol.Decode(item.Value, &r); err != nil {
 		return err
 	}
-	sh := &shard{key: item.Key, version: item.Version}
+	record := &recordState{key: item.Key, version: item.Version}
 	n, last := part.Number, j.Spec.Tasks-1
 	if part.Kind == storage.PartDonePageV1 {
 		if n < 1 || n > last/storage.PageTasksV1 {
 			return storage.ErrOutOfRange
 		}
-		j.records.donePagesV1[n] = sh
+		j.records.donePagesV1[n] = record
 		return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.PageTasksV1))
 	}
 	if r.Format != storage.FormatV2 {
@@ -141,7 +141,7 @@
 	if n > last/storage.PageTasks {
 		return storage.ErrOutOfRange
 	}
-	j.records.donePages[n] = sh
+	j.records.donePages[n] = record
 	return storage.DecodeDonePage(r.Done, j.done.set.Page(n, storage.PageTasks))
 }
 
@@ -149,8 +149,8 @@
 func (j *Job) finishRestore() {
 	r := &j.records
 	r.main.dirty = false
-	for _, sh := range r.nameParts {
-		sh.dirty = false
+	for _, record := range r.nameParts {
+		record.dirty = false
 	}
 	if j.IsService() {
 		clear(j.done.set) // a leader of the legacy version may have treated the service as a job array
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -31,9 +31,9 @@
 // write is one change to a job's records.
 type write struct {
 	change       protocol.Change
-	shard        *shard   // nil for a deletion or a terminal record
-	machines     []string // machines that the record names
-	withPrevious bool     // must be in the same transaction as the preceding write
+	record       *recordState // nil for a deletion or a terminal record
+	machines     []string     // machines that the record names
+	withPrevious bool         // must be in the same transaction as the preceding write
 }
 
 // staleRecord is a stored record of a job that has ended.
--- a/internal/cluster/writebatchjob.go
+++ b/internal/cluster/writebatchjob.go
@@ -57,12 +57,12 @@
 	}
 }
 
-// setRecord adds a write of a shard's record, which names the given machines.
-func (w *jobWrites) setRecord(sh *shard, machines []string, record any) {
+// setRecord adds a write of a record that names the given machines.
+func (w *jobWrites) setRecord(record *recordState, machines []string, value any) {
 	w.writes = append(w.writes, write{
-		shard:    sh,
+		record:   record,
 		machines: machines,
-		change:   protocol.Change{Set: sh.key, Value: protocol.Encode(record)},
+		change:   protocol.Change{Set: record.key, Value: protocol.Encode(value)},
 	})
 }
 
@@ -92,29 +92,29 @@
 // reader of FormatV1 rejects pages without a main record.
 func (w *jobWrites) deleteV1Pages() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.donePagesV1)) {
-		if sh := w.records.donePagesV1[n]; sh.version != 0 {
-			w.deleteRecord(sh.key, true)
+		if record := w.records.donePagesV1[n]; record.version != 0 {
+			w.deleteRecord(record.key, true)
 		}
 	}
 }
 
 // addMainRecord adds the main record, if it has changed.
 func (w *jobWrites) addMainRecord() {
-	sh := w.records.main
-	if !sh.dirty {
+	record := w.records.main
+	if !record.dirty {
 		return
 	}
-	machines := w.records.namesToWrite(sh)
-	w.setRecord(sh, machines, w.job.record(w.writeID, machines))
+	machines := w.records.namesToWrite(record)
+	w.setRecord(record, machines, w.job.record(w.writeID, machines))
 	w.deletePendingSubmission()
 }
 
 // addNameParts adds the parts with machine names that have changed.
 func (w *jobWrites) addNameParts() {
 	for _, n := range slices.Sorted(maps.Keys(w.records.nameParts)) {
-		if sh := w.records.nameParts[n]; sh.dirty {
-			machines := w.records.namesToWrite(sh)
-			w.setRecord(sh, machines, storage.MachineNamesRecord{Format: storage.FormatV2, WriteID: w.writeID, Machines: machines})
+		if record := w.records.nameParts[n]; record.dirty {
+			machines := w.records.namesToWrite(record)
+			w.setRecord(record, machines, storage.MachineNamesRecord{Format: storage.FormatV2, WriteID: w.writeID, Machines: machines})
 		}
 	}
 }
@@ -126,9 +126,9 @@
 		pages, size, format, writeID = w.records.donePagesV1, storage.PageTasksV1, 0, ""
 	}
 	for _, n := range slices.Sorted(maps.Keys(pages)) {
-		if sh := pages[n]; sh.dirty {
+		if record := pages[n]; record.dirty {
 			done := storage.EncodeDonePage(w.job.done.set.Page(n, size))
-			w.setRecord(sh, nil, storage.DonePageRecord{Format: format, WriteID: writeID, Done: done})
+			w.setRecord(record, nil, storage.DonePageRecord{Format: format, WriteID: writeID, Done: done})
 		}
 	}
 }
@@ -144,9 +144,9 @@
 		j.write.due, j.write.urgent = false, false
 	}
 	for _, w := range entry.writes {
-		if w.shard != nil {
-			w.shard.dirty = false
-			j.records.dropUnused(w.shard)
+		if w.record != nil {
+			w.record.dirty = false
+			j.records.dropUnused(w.record)
 		}
 	}
 	j.done.moveToInFlight(&j.records)
--- a/internal/cluster/writebatchoutcome.go
+++ b/internal/cluster/writebatchoutcome.go
@@ -30,12 +30,12 @@
 	j.write.committed()
 	j.done.committed()
 	for _, w := range entry.writes {
-		if w.shard == nil {
+		if w.record == nil {
 			j.inPendingQueue = j.inPendingQueue && w.change.Delete != storage.KeyPending(j.Spec.ID)
 			j.records.recordDeleted(w.change.Delete)
 			continue
 		}
-		if w.shard == j.records.main {
+		if w.record == j.records.main {
 			j.stored, j.records.migrating = true, false
 		}
 		w.committed(revision)
@@ -47,10 +47,10 @@
 
 // committed updates the version of the written record and marks its machine names as durable.
 func (w *write) committed(revision uint64) {
-	w.shard.version = revision
+	w.record.version = revision
 	for _, m := range w.machines {
-		if _, named := w.shard.machines[m]; named {
-			w.shard.machines[m] = true
+		if _, named := w.record.machines[m]; named {
+			w.record.machines[m] = true
 		}
 	}
 }
@@ -71,8 +71,8 @@
 		j := entry.job
 		j.done.aborted()
 		for _, w := range entry.writes {
-			if w.shard != nil {
-				w.shard.dirty = true
+			if w.record != nil {
+				w.record.dirty = true
 			}
 		}
 		j.write.aborted(entry.waiters, now)
