--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -73,7 +73,7 @@
 	switch {
 	case err != nil:
 		return fmt.Errorf("%w: %w", ErrCallFailed, err)
-	case status == http.StatusServiceUnavailable && saysNoCapacity(raw):
+	case status == http.StatusServiceUnavailable && isNoCapacity(raw):
 		return ErrNoCapacity
 	case status != http.StatusOK:
 		return fmt.Errorf("%w: %s %s: status %d", ErrCallFailed, method, path, status)
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// saysNoCapacity reports whether an error response has the message noCapacityMessage.
-func saysNoCapacity(raw []byte) bool {
+// isNoCapacity reports whether an error response has the message noCapacityMessage.
+func isNoCapacity(raw []byte) bool {
 	var e protocol.ErrorResponse
 	return protocol.Decode(raw, &e) == nil && e.Message == noCapacityMessage
 }
--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -21,7 +21,7 @@
 	rules                *recordRules
 	batch                *WriteBatch
 	bucketVersions       []uint64
-	heads                map[int]bool // buckets whose heads are among the conditions
+	bucketsWithCondition map[int]bool // those whose heads are among the conditions
 	acceptConditionAdded bool         // State.AcceptCondition is among the conditions
 	maxChanges           int          // upper limit of the changes in the batch
 	bytes                int          // size of the changes so far
@@ -84,10 +84,10 @@
 }
 
 func (b *batchBuilder) addHeadCondition(bucket int) {
-	if b.heads[bucket] {
+	if b.bucketsWithCondition[bucket] {
 		return
 	}
-	b.heads[bucket] = true
+	b.bucketsWithCondition[bucket] = true
 	b.addCondition(storage.KeyBucketHead(bucket), b.bucketVersions[bucket])
 }
 
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -77,12 +77,12 @@
 // BatchConflicted or BatchRejected once its outcome is known.
 func (s *State) BuildWriteBatch(id string, bucketVersions []uint64, limits BatchLimits, now units.Micros) *WriteBatch {
 	b := &batchBuilder{
-		state:          s,
-		rules:          &s.rules,
-		batch:          &WriteBatch{ID: id},
-		bucketVersions: bucketVersions,
-		heads:          map[int]bool{},
-		maxChanges:     s.rules.maxChanges(),
+		state:                s,
+		rules:                &s.rules,
+		batch:                &WriteBatch{ID: id},
+		bucketVersions:       bucketVersions,
+		bucketsWithCondition: map[int]bool{},
+		maxChanges:           s.rules.maxChanges(),
 	}
 	if limits.MaxChanges > 0 {
 		b.maxChanges = min(b.maxChanges, limits.MaxChanges)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// gate returns the monotonic-read gate, which checks every answer about a job before it is
+// readGate returns the monotonic-read gate, which checks every answer about a job before it is
 // sent.
-func (c *Controller) gate() answer.Gate {
+func (c *Controller) readGate() answer.Gate {
 	return answer.Gate{Clock: c.deps.Clock, Revisions: c.deps.KV.Revisions}
 }
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -44,7 +44,7 @@
 		default:
 			a = c.cancel(ctx, frame.Job, fromPeer)
 		}
-		return c.gate().Check(a)
+		return c.readGate().Check(a)
 	})
 }
 
--- a/internal/controller/jobhandlers.go
+++ b/internal/controller/jobhandlers.go
@@ -77,7 +77,7 @@
 	if leader := c.activeLeader(); leader != nil {
 		until := c.deps.Clock.Steady() + writeTimeout
 		a := leader.Cancel(ctx, id)
-		c.gate().Await(ctx, a, until)
+		c.readGate().Await(ctx, a, until)
 		return a
 	}
 	return c.forward(ctx, origin, protocol.FrameCancel, id, nil)
--- a/internal/controller/leaderless.go
+++ b/internal/controller/leaderless.go
@@ -120,7 +120,7 @@
 	}
 	c.deps.Log.Info("job accepted without a leader", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 	accepted := answer.Provisional(answer.StateResponse(http.StatusCreated, protocol.JobState{ID: spec.ID, Stage: protocol.StagePending}), readAt)
-	if c.gate().IsStale(accepted) {
+	if c.readGate().IsStale(accepted) {
 		return c.records().poll(ctx, spec.ID) // the job may have reached a terminal state since
 	}
 	return accepted
--- a/internal/controller/leaderless_test.go
+++ b/internal/controller/leaderless_test.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	a := c.submit(t.Context(), encodeSubmission(fake.JobSpec(testJob), "team"), fromUser)
-	if got := c.gate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
+	if got := c.readGate().Check(a); got.Status != http.StatusOK || decodeState(t, a).Stage != protocol.StagePending {
 		t.Errorf("submission: %d %s", got.Status, got.Body)
 	}
 	if len(store.Keys(storage.PrefixPending)) != 1 {
--- a/internal/controller/routes.go
+++ b/internal/controller/routes.go
@@ -45,7 +45,7 @@
 // checkedAnswer returns the response that the gate allows for an answer about a job. It counts
 // and logs the answer with its evidence.
 func (c *Controller) checkedAnswer(about string, a answer.Answer) transport.Response {
-	response := c.gate().Check(a)
+	response := c.readGate().Check(a)
 	counters := c.deps.Metrics.Answers
 	switch {
 	case response.Status != a.Status:
--- a/internal/protocol/encode_test.go
+++ b/internal/protocol/encode_test.go
@@ -25,9 +25,9 @@
 }
 
 func drawHeartbeat(t *rapid.T) Heartbeat {
-	text := rapid.StringN(0, 20, maxText)
+	text := rapid.StringN(0, 20, maxTextBytes)
 	heartbeat := Heartbeat{
-		Machine:            rapid.StringN(1, 20, maxText).Draw(t, "machine"),
+		Machine:            rapid.StringN(1, 20, maxTextBytes).Draw(t, "machine"),
 		Endpoint:           text.Draw(t, "endpoint"),
 		InstanceType:       text.Draw(t, "instance type"),
 		Zone:               text.Draw(t, "zone"),
--- a/internal/protocol/heartbeatreader.go
+++ b/internal/protocol/heartbeatreader.go
@@ -81,17 +81,17 @@
 func (w *wireHeartbeat) check() error {
 	const missingOrTooLong = "missing or too long"
 	switch {
-	case w.Machine == nil || *w.Machine == "" || len(*w.Machine) > maxText:
+	case w.Machine == nil || *w.Machine == "" || len(*w.Machine) > maxTextBytes:
 		return fieldError("dune", missingOrTooLong)
-	case w.InstanceType == nil || len(*w.InstanceType) > maxText:
+	case w.InstanceType == nil || len(*w.InstanceType) > maxTextBytes:
 		return fieldError("loom", missingOrTooLong)
-	case w.Zone == nil || len(*w.Zone) > maxText:
+	case w.Zone == nil || len(*w.Zone) > maxTextBytes:
 		return fieldError("yard", missingOrTooLong)
 	case w.Incarnation == nil:
 		return fieldError("shift", "missing")
 	case w.Sequence == nil:
 		return fieldError("tally", "missing")
-	case len(w.Endpoint) > maxText:
+	case len(w.Endpoint) > maxTextBytes:
 		return fieldError("endpoint", "too long")
 	case w.TerminationIn != nil && math.IsNaN(*w.TerminationIn):
 		return fieldError("recall_s", "not a number")
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -78,8 +78,8 @@
 
 // Limits on the texts of a submission, so that every job fits into a stored record.
 const (
-	maxText  = 128 // bytes of a text
-	maxTypes = 32  // names in the list of instance types
+	maxTextBytes     = 128 // bytes of a text
+	maxInstanceTypes = 32  // names in the list of instance types
 )
 
 // JobSpec is a validated submission.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -72,8 +72,8 @@
 		if t.value == nil {
 			return fieldError(t.field, "missing")
 		}
-		if len(*t.value) > maxText {
-			return fieldError(t.field, fmt.Sprintf("over %d bytes", maxText))
+		if len(*t.value) > maxTextBytes {
+			return fieldError(t.field, fmt.Sprintf("over %d bytes", maxTextBytes))
 		}
 	}
 	return nil
@@ -145,18 +145,18 @@
 
 // checkPlacement validates the instance types and the zone that a job allows.
 func (w *submission) checkPlacement() error {
-	if len(w.InstanceTypes) > maxTypes {
-		return fieldError("looms", fmt.Sprintf("over %d types", maxTypes))
+	if len(w.InstanceTypes) > maxInstanceTypes {
+		return fieldError("looms", fmt.Sprintf("over %d types", maxInstanceTypes))
 	}
 	for _, name := range w.InstanceTypes {
-		if name == "" || len(name) > maxText {
+		if name == "" || len(name) > maxTextBytes {
 			return fieldError("looms", "a name is empty or too long")
 		}
 	}
 	if w.InstanceTypes != nil && len(w.InstanceTypes) == 0 {
 		return fieldError("looms", "empty; null means any")
 	}
-	if w.Zone != nil && (*w.Zone == "" || len(*w.Zone) > maxText) {
+	if w.Zone != nil && (*w.Zone == "" || len(*w.Zone) > maxTextBytes) {
 		return fieldError("yard", "empty or too long")
 	}
 	return nil
--- a/internal/scheduler/onemachine.go
+++ b/internal/scheduler/onemachine.go
@@ -63,7 +63,7 @@
 			continue // no longer starved; the next cycle determines its new order
 		}
 		view.Pending, view.LiveTasks, view.Team = job.Pending(), len(job.LiveAttempts), teams[job.Spec.Team]
-		fillTopology(&view, job)
+		countLiveTasks(&view, job)
 		if view.LiveByMachine != nil {
 			continue // spreading replicas needs a snapshot of all machines
 		}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -96,7 +96,7 @@
 		if !jobSchedulable(job, now) {
 			continue
 		}
-		fillTopology(view, job)
+		countLiveTasks(view, job)
 		snapshot.Jobs = append(snapshot.Jobs, *view)
 		index.jobs = append(index.jobs, job)
 	}
@@ -107,7 +107,7 @@
 // tasks failed. If they failed on more machines, the cause is the job rather than a machine.
 const maxAvoidedMachines = 2
 
-// jobView returns a view of a job without its topology (see fillTopology).
+// jobView returns a view of a job without LiveByZone and LiveByMachine (see countLiveTasks).
 func (sc *Scheduler) jobView(job *cluster.Job, team int, withinGuarantee bool, now units.Micros) *JobView {
 	in := sc.rankInput(job)
 	return &JobView{
@@ -127,9 +127,9 @@
 	}
 }
 
-// fillTopology counts a job's live tasks by zone if its placement depends on them, and for a
+// countLiveTasks counts a job's live tasks by zone if its placement depends on them, and for a
 // service prepares LiveByMachine.
-func fillTopology(view *JobView, job *cluster.Job) {
+func countLiveTasks(view *JobView, job *cluster.Job) {
 	view.LiveByZone, view.LiveByMachine = nil, nil
 	if job.Spec.ZoneAffinity || job.Spec.ZoneSpread || job.IsService() {
 		view.LiveByZone = map[string]int{}
--- a/internal/storage/namebudget.go
+++ b/internal/storage/namebudget.go
@@ -16,8 +16,8 @@
 	// minNameBytes is the space for machine names that a job needs in order to be accepted in
 	// FormatV1.
 	minNameBytes = 1000
-	// recordMargin is the space that is left free in a JobRecord.
-	recordMargin = 64
+	// recordMarginBytes is the space that is left free in a JobRecord.
+	recordMarginBytes = 64
 )
 
 // LongestWriteID has the length of the longest ID of a write batch.
@@ -51,7 +51,7 @@
 			Machines: []string{},
 		})
 		return MachineNameBudget{
-			Main: min(value, maxRecordBytes) - main - (inlineDone/8+1)*4/3 - recordMargin,
+			Main: min(value, maxRecordBytes) - main - (inlineDone/8+1)*4/3 - recordMarginBytes,
 			Part: min(value, maxPartBytes) - part,
 		}
 	}
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -29,30 +29,30 @@
 //
 // Run must be called only once. The other methods are safe for concurrent use.
 type Link struct {
-	dial      DialFunc
-	addr      string
-	outgoing  chan []byte
-	connected atomic.Bool
-	refused   atomic.Bool
-	onFrame   func(frame []byte)
-	onLost    func()
-	log       *slog.Logger
-	random    *rand.Rand
+	dial         DialFunc
+	addr         string
+	outgoing     chan []byte
+	connected    atomic.Bool
+	refused      atomic.Bool
+	onFrame      func(frame []byte)
+	onDisconnect func()
+	log          *slog.Logger
+	random       *rand.Rand
 }
 
 // NewLink returns a link to addr (IP:port), which connects once Run is called. A nil dial means
-// net.Dialer. onFrame is called sequentially for every received frame. onLost is called when a
+// net.Dialer. onFrame is called sequentially for every received frame. onDisconnect is called when a
 // connection is lost, after the last call of onFrame for that connection. The link takes ownership
 // of random, which spreads the attempts to reconnect.
-func NewLink(dial DialFunc, addr string, onFrame func([]byte), onLost func(), random *rand.Rand, log *slog.Logger) *Link {
+func NewLink(dial DialFunc, addr string, onFrame func([]byte), onDisconnect func(), random *rand.Rand, log *slog.Logger) *Link {
 	return &Link{
-		dial:     dial.orDefault(),
-		addr:     addr,
-		outgoing: make(chan []byte, linkQueueFrames),
-		onFrame:  onFrame,
-		onLost:   onLost,
-		random:   random,
-		log:      log,
+		dial:         dial.orDefault(),
+		addr:         addr,
+		outgoing:     make(chan []byte, linkQueueFrames),
+		onFrame:      onFrame,
+		onDisconnect: onDisconnect,
+		random:       random,
+		log:          log,
 	}
 }
 
@@ -115,7 +115,7 @@
 		l.connected.Store(false)
 		_ = conn.Close()
 		<-readerDone
-		l.onLost()
+		l.onDisconnect()
 	}()
 	l.writeFrames(ctx, conn, readerDone)
 }
