--- a/internal/controller/format_test.go
+++ b/internal/controller/format_test.go
@@ -58,7 +58,7 @@
 	service := *fake.JobSpec(testJob)
 	service.Kind, service.Tasks = protocol.Service, modelQuotaCPUs
 	for _, c := range []struct {
-		level  storage.Format
+		format storage.Format
 		tasks  int
 		want   *rejectionError
 		status int // 0: accepted
@@ -68,10 +68,10 @@
 		{storage.FormatV2, modelQuotaCPUs, nil, 0},
 		{storage.FormatV2, modelQuotaCPUs + 1, errServiceOverQuota, http.StatusUnprocessableEntity},
 	} {
-		leader.setFormat(c.level)
+		leader.setFormat(c.format)
 		service.Tasks = c.tasks
 		if got := leader.checkAdmissible(&service); got != c.want || got != nil && got.status != c.status {
-			t.Errorf("format %d, %d tasks: %v, want %v with status %d", c.level, c.tasks, got, c.want, c.status)
+			t.Errorf("format %d, %d tasks: %v, want %v with status %d", c.format, c.tasks, got, c.want, c.status)
 		}
 	}
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -125,8 +125,8 @@
 }
 
 // setFormat sets the record format that the leader uses.
-func (l *Leader) setFormat(level storage.Format) {
-	l.Format.(*fake.RecordFormat).Format.Store(int64(level))
+func (l *Leader) setFormat(format storage.Format) {
+	l.Format.(*fake.RecordFormat).Format.Store(int64(format))
 }
 
 // fakeLeadership returns the leader's fake leadership, for tests that revoke or inspect it.
--- a/internal/controller/model_upgrade_test.go
+++ b/internal/controller/model_upgrade_test.go
@@ -67,7 +67,7 @@
 // fail before that.
 func (m *model) raiseFormat() {
 	formats := m.formats()
-	level := formats[storage.KeyFleetFormat].Format
+	fleetFormat := formats[storage.KeyFleetFormat].Format
 	if !m.leaderUpgraded {
 		return
 	}
@@ -75,20 +75,20 @@
 	for i := range m.controllers {
 		names = append(names, controllerName(i))
 	}
-	if supported := recordformat.SupportedByAll(names, formats); supported > max(level, storage.FormatV1) {
-		level = supported
-		m.store.put(storage.KeyFleetFormat, storage.FormatRecord{Format: level})
+	if supported := recordformat.SupportedByAll(names, formats); supported > max(fleetFormat, storage.FormatV1) {
+		fleetFormat = supported
+		m.store.put(storage.KeyFleetFormat, storage.FormatRecord{Format: fleetFormat})
 	}
 	if m.faultsEnded || rapid.Bool().Draw(m.t, "the leader learns of it") {
-		m.setLeaderFormat(level)
+		m.setLeaderFormat(fleetFormat)
 	}
 }
 
 // setLeaderFormat has the leader use the given record format, unless it already uses a newer
 // one.
-func (m *model) setLeaderFormat(level storage.Format) {
-	if level > m.leader.Format.Current() {
-		m.leader.setFormat(level)
+func (m *model) setLeaderFormat(format storage.Format) {
+	if format > m.leader.Format.Current() {
+		m.leader.setFormat(format)
 	}
 	m.leader.state.UpgradeFormat(m.leader.Format.Current(), m.clock.Now)
 }
