--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -8,14 +8,14 @@
 
 // The bands of a class.
 const (
-	Small Band = iota
-	Large
+	BandSmall Band = iota
+	BandLarge
 	numBands = 2
 )
 
 // String returns "small" or "large".
 func (b Band) String() string {
-	if b == Large {
+	if b == BandLarge {
 		return "large"
 	}
 	return "small"
--- a/internal/admission/plan.go
+++ b/internal/admission/plan.go
@@ -10,7 +10,7 @@
 // TeamEntry is the entry of a plan for one team in a pool.
 type TeamEntry struct {
 	VersionQuota       Work     // work that unrestricted flows may admit under this version
-	LargeThreshold     Work     // jobs with more work are in the band Large
+	LargeThreshold     Work     // jobs with more work are in BandLarge
 	EstimateCorrection PerMille // mean ratio of run times to the team's estimates
 }
 
@@ -96,7 +96,7 @@
 	entry := p.teamOrDefault(flow.Team, flow.Pool)
 	cost := WorkOf(job.Tasks, amountIn(flow.Pool, job.Request), runTime(job, entry.EstimateCorrection, p.Horizon))
 	if cost > entry.LargeThreshold {
-		flow.Band = Large
+		flow.Band = BandLarge
 	}
 	return flow, cost
 }
--- a/internal/cluster/batchbuilder.go
+++ b/internal/cluster/batchbuilder.go
@@ -21,7 +21,7 @@
 	rules                *recordRules
 	batch                *WriteBatch
 	bucketVersions       []uint64
-	heads                map[int]bool // buckets whose heads are among the conditions
+	bucketsWithCondition map[int]bool // those whose heads are among the conditions
 	acceptConditionAdded bool         // State.AcceptCondition is among the conditions
 	maxChanges           int          // upper limit of the changes in the batch
 	bytes                int          // size of the changes so far
@@ -73,8 +73,8 @@
 		b.addCondition(j.records.main.key, j.records.main.version)
 	}
 	for _, w := range entry.writes {
-		if w.shard != nil {
-			b.addCondition(w.shard.key, w.shard.version)
+		if w.record != nil {
+			b.addCondition(w.record.key, w.record.version)
 		}
 	}
 }
@@ -84,10 +84,10 @@
 }
 
 func (b *batchBuilder) addHeadCondition(bucket int) {
-	if b.heads[bucket] {
+	if b.bucketsWithCondition[bucket] {
 		return
 	}
-	b.heads[bucket] = true
+	b.bucketsWithCondition[bucket] = true
 	b.addCondition(storage.KeyBucketHead(bucket), b.bucketVersions[bucket])
 }
 
@@ -111,7 +111,7 @@
 	}
 	return slices.ContainsFunc(all, func(w write) bool {
 		size := len(w.change.Value)
-		if w.shard == j.records.main {
+		if w.record == j.records.main {
 			size = storage.JSONSize(j.record(storage.LongestWriteID, w.machines))
 		}
 		return size > b.rules.limits.Lowest().ValueBytes()
--- a/internal/cluster/writebatch.go
+++ b/internal/cluster/writebatch.go
@@ -31,9 +31,9 @@
 // write is one change to a job's records.
 type write struct {
 	change       protocol.Change
-	shard        *shard   // nil for a deletion or a terminal record
-	machines     []string // machines that the record names
-	withPrevious bool     // must be in the same transaction as the preceding write
+	record       *recordState // nil for a deletion or a terminal record
+	machines     []string     // machines that the record names
+	withPrevious bool         // must be in the same transaction as the preceding write
 }
 
 // staleRecord is a stored record of a job that has ended.
@@ -77,12 +77,12 @@
 // BatchConflicted or BatchRejected once its outcome is known.
 func (s *State) BuildWriteBatch(id string, bucketVersions []uint64, limits BatchLimits, now units.Micros) *WriteBatch {
 	b := &batchBuilder{
-		state:          s,
-		rules:          &s.rules,
-		batch:          &WriteBatch{ID: id},
-		bucketVersions: bucketVersions,
-		heads:          map[int]bool{},
-		maxChanges:     s.rules.maxChanges(),
+		state:                s,
+		rules:                &s.rules,
+		batch:                &WriteBatch{ID: id},
+		bucketVersions:       bucketVersions,
+		bucketsWithCondition: map[int]bool{},
+		maxChanges:           s.rules.maxChanges(),
 	}
 	if limits.MaxChanges > 0 {
 		b.maxChanges = min(b.maxChanges, limits.MaxChanges)
